--- a/bench/src/sablehinge/bench/BudgetsBench.java
+++ b/bench/src/sablehinge/bench/BudgetsBench.java
@@ -39,8 +39,8 @@
 import sablehinge.rig.Peer;
 
 /**
- * Run by {@code bench/run budgets}: real balancers between three tiers of servers on loopback, all in one
- * process, with budgets and without. What callers and servers saw is judged by the four rules.
+ * Run by {@code bench/run budgets}: real balancers between three tiers of servers on loopback, all in one process, with
+ * budgets and without. What callers and servers saw is judged by the four rules.
  */
 public final class BudgetsBench {
 
@@ -54,8 +54,7 @@
     private static final long BASE_NANOS = System.nanoTime();
     private static final double BASE_MS = System.currentTimeMillis();
 
-    private BudgetsBench() {
-    }
+    private BudgetsBench() {}
 
     private static double now() {
         return BASE_MS + (System.nanoTime() - BASE_NANOS) / 1e6;
@@ -67,6 +66,7 @@
         final ConcurrentLinkedQueue<Evidence> evidence = new ConcurrentLinkedQueue<>();
         /** By the client's request: when it gives up, and attempts at the last tier. */
         final Map<String, Double> until = new ConcurrentHashMap<>();
+
         final Map<String, AtomicInteger> leaves = new ConcurrentHashMap<>();
         final AtomicInteger dead = new AtomicInteger();
         final List<List<Server>> tiers = new ArrayList<>();
@@ -97,24 +97,36 @@
         private InetSocketAddress balancer(int tier, String name) throws Exception {
             StringBuilder text = new StringBuilder("[[listener]]\naddress = \"127.0.0.1:0\"\n");
             for (String type : new String[] {"cheap", "dear", "spend"}) {
-                text.append("[[class]]\nname = \"").append(type)
+                text.append("[[class]]\nname = \"")
+                        .append(type)
                         .append("\"\naim = \"500ms\"\ndeadline = \"1s\"\n")
-                        .append("effect = \"").append(type.equals("spend") ? "unsafe" : "safe")
-                        .append("\"\nworth = ").append(type.equals("dear") ? 8 : 1).append('\n');
+                        .append("effect = \"")
+                        .append(type.equals("spend") ? "unsafe" : "safe")
+                        .append("\"\nworth = ")
+                        .append(type.equals("dear") ? 8 : 1)
+                        .append('\n');
             }
             for (int i = 0; i < SERVERS; i++) {
-                text.append("[[upstream]]\nid = \"").append(TIERS[tier]).append(i).append("\"\naddress = \"")
-                        .append(tiers.get(tier).get(i).listener.address()).append("\"\n");
+                text.append("[[upstream]]\nid = \"")
+                        .append(TIERS[tier])
+                        .append(i)
+                        .append("\"\naddress = \"")
+                        .append(tiers.get(tier).get(i).listener.address())
+                        .append("\"\n");
             }
             if (budgets) {
-                text.append("[budget]\nservice = \"").append(TIERS[tier])
-                        .append("\"\nattempts = ").append(BOUND)
-                        .append("\nentry = ").append(tier == 0).append("\nlast = ")
-                        .append(tier == TIERS.length - 1).append('\n');
+                text.append("[budget]\nservice = \"")
+                        .append(TIERS[tier])
+                        .append("\"\nattempts = ")
+                        .append(BOUND)
+                        .append("\nentry = ")
+                        .append(tier == 0)
+                        .append("\nlast = ")
+                        .append(tier == TIERS.length - 1)
+                        .append('\n');
             }
             Path own = Files.createDirectories(folder.resolve((budgets ? "with-" : "without-") + name));
-            OperatorNode node = OperatorNode.start(Files.writeString(own.resolve("operator.toml"), text),
-                    true);
+            OperatorNode node = OperatorNode.start(Files.writeString(own.resolve("operator.toml"), text), true);
             open.add(node::kill);
             return node.addresses().get(0);
         }
@@ -135,10 +147,17 @@
         }
     }
 
-    private record Said(int status, String spent) { }
+    private record Said(int status, String spent) {}
 
-    private static Said call(Chain chain, String caller, InetSocketAddress to, String balancer, String type,
-            String client, double remaining, String budget) {
+    private static Said call(
+            Chain chain,
+            String caller,
+            InetSocketAddress to,
+            String balancer,
+            String type,
+            String client,
+            double remaining,
+            String budget) {
         String txn = "t" + IDS.incrementAndGet();
         double sent = now();
         End end = End.UNREACHABLE;
@@ -148,8 +167,8 @@
             sent = now();
             peer.write((type.equals("spend") ? "POST /" : "GET /") + type + "?" + client
                     + " HTTP/1.1\r\nX-Txn: "
-                    + txn + "\r\nX-Lane: " + type + String.format(Locale.ROOT, "\r\nX-Remaining: %.3f\r\n",
-                            Math.max(0, remaining) / 1_000)
+                    + txn + "\r\nX-Lane: " + type
+                    + String.format(Locale.ROOT, "\r\nX-Remaining: %.3f\r\n", Math.max(0, remaining) / 1_000)
                     + (type.equals("spend") ? "Content-Length: 0\r\n" : "")
                     + (budget == null ? "" : "Sablehinge-Budget: " + budget + "\r\n") + "\r\n");
             end = End.SILENT;
@@ -162,8 +181,20 @@
         }
         double at = now();
         int status = answer == null ? 0 : answer.status();
-        chain.evidence.add(new Tried(at, caller, balancer, txn, txn, type, "", sent, sent + remaining,
-                answer == null ? Double.NaN : at, end, status, status == 200 ? Echo.SAME : Echo.UNKNOWN));
+        chain.evidence.add(new Tried(
+                at,
+                caller,
+                balancer,
+                txn,
+                txn,
+                type,
+                "",
+                sent,
+                sent + remaining,
+                answer == null ? Double.NaN : at,
+                end,
+                status,
+                status == 200 ? Echo.SAME : Echo.UNKNOWN));
         return new Said(status, answer == null ? null : answer.header("Sablehinge-Spent"));
     }
 
@@ -222,9 +253,15 @@
                     try {
                         TimeUnit.MICROSECONDS.sleep((long) (WORK_MS[tier] * 1_000));
                         if (next != null) {
-                            double left = Double.parseDouble(request.header("X-Remaining")) * 1_000
-                                    - (now() - taken);
-                            Said below = call(chain, place, next, nextName, type, client, left,
+                            double left = Double.parseDouble(request.header("X-Remaining")) * 1_000 - (now() - taken);
+                            Said below = call(
+                                    chain,
+                                    place,
+                                    next,
+                                    nextName,
+                                    type,
+                                    client,
+                                    left,
                                     request.header("Sablehinge-Budget"));
                             spent = below.spent;
                             fails = below.status != 200;
@@ -239,9 +276,19 @@
                     } catch (IOException e) {
                         written = false;
                     }
-                    chain.evidence.add(new Ran(now(), place, "main", 0, "", request.header("X-Txn"), "",
-                            type, "",
-                            taken, taken, !written ? How.CANCELLED : fails ? How.ERROR : How.SERVED));
+                    chain.evidence.add(new Ran(
+                            now(),
+                            place,
+                            "main",
+                            0,
+                            "",
+                            request.header("X-Txn"),
+                            "",
+                            type,
+                            "",
+                            taken,
+                            taken,
+                            !written ? How.CANCELLED : fails ? How.ERROR : How.SERVED));
                 }
             } catch (IOException | InterruptedException e) {
                 // Its caller has given it up.
@@ -256,7 +303,7 @@
     }
 
     /** What a stretch of load has come to. */
-    private record Stretch(double kept, double amplification, int most) { }
+    private record Stretch(double kept, double amplification, int most) {}
 
     private static Stretch load(Chain chain, double perSecond, double seconds, long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
@@ -287,7 +334,10 @@
         // What was given up may still be under way.
         TimeUnit.MILLISECONDS.sleep(1_500);
         int leaves = chain.leaves.values().stream().mapToInt(AtomicInteger::get).sum() - before;
-        int most = chain.leaves.values().stream().mapToInt(AtomicInteger::get).max().orElse(0);
+        int most = chain.leaves.values().stream()
+                .mapToInt(AtomicInteger::get)
+                .max()
+                .orElse(0);
         return new Stretch(worths[1] / worths[0], leaves / (double) count, most);
     }
 
@@ -309,9 +359,7 @@
         return found.size();
     }
 
-    /**
-     * Passes that a loop of three hops makes until it is found: the most that any server sees of one call.
-     */
+    /** Passes that a loop of three hops makes until it is found: the most that any server sees of one call. */
     private static int loopPasses(Path folder) throws Exception {
         try (Chain chain = new Chain(Files.createDirectories(folder.resolve("loop")), true)) {
             // The last tier calls the first again, which takes it for a friend's call by its header.
@@ -320,7 +368,10 @@
                 store.nextName = "store-of-render0";
             }
             chain.ask("cheap");
-            return chain.leaves.values().stream().mapToInt(AtomicInteger::get).max().orElse(0);
+            return chain.leaves.values().stream()
+                    .mapToInt(AtomicInteger::get)
+                    .max()
+                    .orElse(0);
         }
     }
 
@@ -329,7 +380,8 @@
         Logs.level(Level.OFF);
         double seconds = arguments.length > 0 ? Double.parseDouble(arguments[0]) : 5;
         Path folder = Files.createTempDirectory("budgets");
-        try (Chain without = new Chain(folder, false); Chain with = new Chain(folder, true)) {
+        try (Chain without = new Chain(folder, false);
+                Chain with = new Chain(folder, true)) {
             for (Chain chain : List.of(without, with)) {
                 load(chain, 50, 2, 1);
             }
@@ -353,13 +405,19 @@
                     got[stretch][which] = load(chain, rates[stretch], seconds, 7 + stretch);
                 }
             }
-            System.out.printf("%-20s %12s %12s %18s %18s%n", "", "kept without", "kept with",
-                    "attempts without",
-                    "attempts with");
+            System.out.printf(
+                    "%-20s %12s %12s %18s %18s%n",
+                    "", "kept without", "kept with", "attempts without", "attempts with");
             for (int i = 0; i < 3; i++) {
-                System.out.printf("%-20s %12.3f %12.3f %8.2f, most %3d %8.2f, most %3d%n", names[i],
-                        got[i][0].kept, got[i][1].kept, got[i][0].amplification, got[i][0].most,
-                        got[i][1].amplification, got[i][1].most);
+                System.out.printf(
+                        "%-20s %12.3f %12.3f %8.2f, most %3d %8.2f, most %3d%n",
+                        names[i],
+                        got[i][0].kept,
+                        got[i][1].kept,
+                        got[i][0].amplification,
+                        got[i][0].most,
+                        got[i][1].amplification,
+                        got[i][1].most);
             }
             int most = Arrays.stream(got).mapToInt(pair -> pair[1].most).max().orElse(0);
             StringBuilder json = new StringBuilder("{\"bound\":" + BOUND + ",\"attempts_max\":" + most);
@@ -379,7 +437,12 @@
     }
 
     private static void field(StringBuilder json, String name, double value) {
-        json.append(",\"").append(name).append("\":").append(new java.math.BigDecimal(value)
-                .setScale(4, java.math.RoundingMode.HALF_UP).stripTrailingZeros().toPlainString());
+        json.append(",\"")
+                .append(name)
+                .append("\":")
+                .append(new java.math.BigDecimal(value)
+                        .setScale(4, java.math.RoundingMode.HALF_UP)
+                        .stripTrailingZeros()
+                        .toPlainString());
     }
 }
--- a/bench/src/sablehinge/bench/Callers.java
+++ b/bench/src/sablehinge/bench/Callers.java
@@ -26,15 +26,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Callers at a steady rate, whatever the answers do: each request is sent when it is due, over a kept
- * connection or
- * a new one, and its latency counts from when it was due.
+ * Callers at a steady rate, whatever the answers do: each request is sent when it is due, over a kept connection or a
+ * new one, and its latency counts from when it was due.
  */
 final class Callers {
 
-    /**
-     * A request and what became of it; a status of 0 is none. Times in ns of the system's monotonic clock.
-     */
+    /** A request and what became of it; a status of 0 is none. Times in ns of the system's monotonic clock. */
     static final class One {
         final int number;
         final boolean unsafe;
@@ -60,8 +57,9 @@
         }
     }
 
-    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1,
-            new DefaultThreadFactory("callers", true), NioIoHandler.newFactory()).next();
+    private final EventLoop loop = (EventLoop)
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("callers", true), NioIoHandler.newFactory())
+                    .next();
     private final InetSocketAddress target;
     private final Bootstrap connections;
     private final double rate;
@@ -72,12 +70,14 @@
 
     Callers(InetSocketAddress target, double perSecond) {
         this.target = target;
-        connections = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        connections = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17),
-                                new Answers());
+                        channel.pipeline()
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17), new Answers());
                     }
                 });
         rate = perSecond;
@@ -107,10 +107,13 @@
     private static void send(Channel channel, One one) {
         channel.pipeline().get(Answers.class).waits = one;
         DefaultFullHttpRequest request = one.unsafe
-                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/credit-spend",
-                        Unpooled.copiedBuffer(new byte[100]))
+                ? new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.POST, "/credit-spend", Unpooled.copiedBuffer(new byte[100]))
                 : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look-up/" + one.number);
-        request.headers().set("Host", "app.svc").set("X-Txn", one.txn()).set("X-Remaining", "9")
+        request.headers()
+                .set("Host", "app.svc")
+                .set("X-Txn", one.txn())
+                .set("X-Remaining", "9")
                 .set("X-Lane", one.unsafe ? "credit-spend" : "look-up");
         if (one.unsafe) {
             request.headers().set("Content-Length", 100);
@@ -121,11 +124,14 @@
     /** Sends nothing more, waits until all are answered or the time is up, and tells of all. */
     List<One> stop(long patienceMillis) throws InterruptedException {
         loop.submit(() -> {
-            stopped = true;
-        }).sync();
+                    stopped = true;
+                })
+                .sync();
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMillis);
         while (System.nanoTime() < end
-                && loop.submit(() -> all.stream().anyMatch(one -> one.status == 0)).sync().getNow()) {
+                && loop.submit(() -> all.stream().anyMatch(one -> one.status == 0))
+                        .sync()
+                        .getNow()) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
         return loop.submit(() -> List.copyOf(all)).sync().getNow();
--- a/bench/src/sablehinge/bench/ClosedLoop.java
+++ b/bench/src/sablehinge/bench/ClosedLoop.java
@@ -27,19 +27,21 @@
 
     private static final AtomicInteger IDS = new AtomicInteger();
 
-    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2,
-            new DefaultThreadFactory("closed-loop", true), NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(
+            2, new DefaultThreadFactory("closed-loop", true), NioIoHandler.newFactory());
     private final List<Channel> channels = new ArrayList<>();
     private final LongAdder served = new LongAdder();
     private final LongAdder other = new LongAdder();
 
     ClosedLoop(InetSocketAddress target, int connections) throws InterruptedException {
-        Bootstrap bootstrap = new Bootstrap().group(loops).channel(NioSocketChannel.class)
+        Bootstrap bootstrap = new Bootstrap()
+                .group(loops)
+                .channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17),
-                                new Next());
+                        channel.pipeline()
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17), new Next());
                     }
                 });
         for (int i = 0; i < connections; i++) {
@@ -49,10 +51,12 @@
     }
 
     private static void send(Channel channel) {
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                "/look-up/7");
-        request.headers().set("Host", "app.svc").set("X-Txn", "l" + IDS.incrementAndGet())
-                .set("X-Remaining", "9").set("X-Lane", "look-up");
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/look-up/7");
+        request.headers()
+                .set("Host", "app.svc")
+                .set("X-Txn", "l" + IDS.incrementAndGet())
+                .set("X-Remaining", "9")
+                .set("X-Lane", "look-up");
         channel.writeAndFlush(request);
     }
 
--- a/bench/src/sablehinge/bench/ConfigBench.java
+++ b/bench/src/sablehinge/bench/ConfigBench.java
@@ -22,19 +22,17 @@
 import sablehinge.rig.StandIn.Seen;
 
 /**
- * Changes under load. The packed program runs in a process of its own between callers at 1,700 requests a
- * second and
- * stand-in servers. Versions that follow each other share no server and differ in their deadlines, so that
- * what
- * reaches the servers shows which version each attempt belongs to; callers say which one answered. Half of
- * the
- * changes are bad in one of six ways.
+ * Changes under load. The packed program runs in a process of its own between callers at 1,700 requests a second and
+ * stand-in servers. Versions that follow each other share no server and differ in their deadlines, so that what reaches
+ * the servers shows which version each attempt belongs to; callers say which one answered. Half of the changes are bad
+ * in one of six ways.
  */
 final class ConfigBench {
 
     private static final double RATE = 1_700;
-    private static final String[] BAD = {"port taken", "no server reached", "servers fail", "not confirmed",
-        "rolled back", "file refused"};
+    private static final String[] BAD = {
+        "port taken", "no server reached", "servers fail", "not confirmed", "rolled back", "file refused"
+    };
 
     private final SplittableRandom random;
     private final OperatorStage stage = new OperatorStage(5);
@@ -64,8 +62,8 @@
     private String text(String more, int... places) {
         // Another deadline for each version, so that the time an attempt may take tells them apart.
         deadline = 2_000 + (deadline - 2_000 + 10) % 4_000;
-        return stage.text("127.0.0.1:" + port, more, places).replace("deadline = \"10s\"",
-                "deadline = \"" + deadline + "ms\"");
+        return stage.text("127.0.0.1:" + port, more, places)
+                .replace("deadline = \"10s\"", "deadline = \"" + deadline + "ms\"");
     }
 
     private JsonNode ask(String method, String target, String body) throws Exception {
@@ -89,11 +87,18 @@
         Files.writeString(stage.file, text("", 0, 1));
         servers.put(1, Set.of(0, 1));
         deadlines.put(1, (double) deadline);
-        Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin",
-                "java").toString(),
-                "-XX:+UseSerialGC", "-Xmx256m", "-jar", "target/sablehinge.jar", "serve", "--operator",
-                stage.file.toString()).redirectErrorStream(true)
-                .redirectOutput(Path.of("target/bench-config.log").toFile()).start();
+        Process process = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-Xmx256m",
+                        "-jar",
+                        "target/sablehinge.jar",
+                        "serve",
+                        "--operator",
+                        stage.file.toString())
+                .redirectErrorStream(true)
+                .redirectOutput(Path.of("target/bench-config.log").toFile())
+                .start();
         try (ServerSocket taken = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             admin = UnixDomainSocketAddress.of(stage.folder.resolve("sablehinge-state/admin.sock"));
             awaitStart(process);
@@ -147,17 +152,18 @@
     private void change(int good, String kind, int taken) throws Exception {
         int[] places = good % 2 == 0 ? new int[] {2, 3} : new int[] {0, 1};
         String guard = "[change]\nleast-count = 50\nready-within = \"200ms\"\n";
-        String text = switch (kind) {
-            case "port taken" -> text(guard, places).replace(":" + port + "\"", ":" + taken + "\"");
-            case "no server reached" -> text(guard, places).replaceAll("(address = \"127.0.0.1:)(?!" + port
-                    + "\")[0-9]+", "$1" + 1);
-            case "servers fail" -> text(guard, 4);
-            case "file refused" -> text(guard, places) + "[limitz]\n";
-            default -> text(guard, places);
-        };
+        String text =
+                switch (kind) {
+                    case "port taken" -> text(guard, places).replace(":" + port + "\"", ":" + taken + "\"");
+                    case "no server reached" ->
+                        text(guard, places).replaceAll("(address = \"127.0.0.1:)(?!" + port + "\")[0-9]+", "$1" + 1);
+                    case "servers fail" -> text(guard, 4);
+                    case "file refused" -> text(guard, places) + "[limitz]\n";
+                    default -> text(guard, places);
+                };
         if (kind.equals("no server reached")) {
-            text = text.replaceFirst("address = \"127.0.0.1:1\"\ncell = " + places[1],
-                    "address = \"127.0.0.1:2\"\ncell = " + places[1]);
+            text = text.replaceFirst(
+                    "address = \"127.0.0.1:1\"\ncell = " + places[1], "address = \"127.0.0.1:2\"\ncell = " + places[1]);
         }
         int[] count = outcomes.computeIfAbsent(kind, name -> new int[3]);
         count[0]++;
@@ -177,8 +183,10 @@
         servers.put(version, own);
         deadlines.put(version, (double) deadline);
         long begun = System.nanoTime();
-        JsonNode applied = ask("POST", "/config/apply?version=" + version
-                + (kind.equals("not confirmed") ? "&confirm_within_ms=250" : ""), "");
+        JsonNode applied = ask(
+                "POST",
+                "/config/apply?version=" + version + (kind.equals("not confirmed") ? "&confirm_within_ms=250" : ""),
+                "");
         double took = (System.nanoTime() - begun) / 1e6;
         boolean onTrial = applied.path("status").asInt() == 200;
         if (onTrial) {
@@ -186,8 +194,7 @@
         }
         if (kind.equals("good")) {
             if (!onTrial || ask("POST", "/config/confirm", "").path("status").asInt() != 200) {
-                throw new IllegalStateException("a good change failed: " + applied + ask("GET",
-                        "/config/status", ""));
+                throw new IllegalStateException("a good change failed: " + applied + ask("GET", "/config/status", ""));
             }
             count[1]++;
             return;
@@ -197,12 +204,15 @@
             ask("POST", "/config/rollback", "");
         }
         JsonNode status = ask("GET", "/config/status", "");
-        for (int i = 0; i < 2_000 && !status.path("change").path("phase").asText().equals("none"); i++) {
+        for (int i = 0;
+                i < 2_000 && !status.path("change").path("phase").asText().equals("none");
+                i++) {
             TimeUnit.MILLISECONDS.sleep(5);
             status = ask("GET", "/config/status", "");
         }
         JsonNode last = status.path("past").get(status.path("past").size() - 1);
-        if (last.path("version").asInt() != version || !last.path("outcome").asText().equals("undone")) {
+        if (last.path("version").asInt() != version
+                || !last.path("outcome").asText().equals("undone")) {
             throw new IllegalStateException(kind + " was not undone: " + last);
         }
         count[2]++;
@@ -211,14 +221,17 @@
     }
 
     private static double quantile(List<Double> values, double share) {
-        double[] sorted = values.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-        return sorted.length == 0 ? 0 : sorted[(int) Math.min(sorted.length - 1,
-                Math.ceil(share * sorted.length)
-                - 1)];
+        double[] sorted =
+                values.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+        return sorted.length == 0 ? 0 : sorted[(int) Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)];
     }
 
     private static double p99(List<Callers.One> all) {
-        return quantile(all.stream().filter(one -> one.status != 0).map(Callers.One::latencyMillis).toList(),
+        return quantile(
+                all.stream()
+                        .filter(one -> one.status != 0)
+                        .map(Callers.One::latencyMillis)
+                        .toList(),
                 0.99);
     }
 
@@ -226,9 +239,14 @@
         return Math.round(value * 1_000) / 1_000.0;
     }
 
-    private void report(List<Callers.One> before, List<Callers.One> during, double seconds, int changes,
+    private void report(
+            List<Callers.One> before,
+            List<Callers.One> during,
+            double seconds,
+            int changes,
             long seed,
-            int warmed, JsonNode status) {
+            int warmed,
+            JsonNode status) {
         Map<String, List<int[]>> seen = new HashMap<>();
         Map<String, Double> longest = new HashMap<>();
         for (int place = 0; place < stage.servers.size(); place++) {
@@ -257,8 +275,7 @@
             // Within the deadline of its version, and longer than any one that is shorter by a step would
             // allow
             // where it arrived at once: the first attempt leaves within 10 ms of a request's arrival.
-            boolean otherTime = longest.getOrDefault(one.txn(), 0.0) * 1_000
-                    > deadlines.getOrDefault(one.version, 0.0);
+            boolean otherTime = longest.getOrDefault(one.txn(), 0.0) * 1_000 > deadlines.getOrDefault(one.version, 0.0);
             mixed += foreign || otherTime || one.version == 0 ? 1 : 0;
             lastSent.merge(one.version, one.sentWallMillis, Math::max);
         }
@@ -266,27 +283,33 @@
         List<Double> undoTimes = new ArrayList<>();
         int index = 0;
         for (Map.Entry<Integer, Long> undone : new java.util.TreeMap<>(undoneAt).entrySet()) {
-            double outside = lastSent.containsKey(undone.getKey())
-                    ? lastSent.get(undone.getKey()) - undone.getValue() : 0;
+            double outside =
+                    lastSent.containsKey(undone.getKey()) ? lastSent.get(undone.getKey()) - undone.getValue() : 0;
             undoTimes.add(Math.max(outside, undos.get(index++)));
         }
         System.out.printf("%-18s %8s %10s %8s%n", "change", "applied", "confirmed", "refused or undone");
-        outcomes.forEach((kind, count) -> System.out.printf("%-18s %8d %10d %8d%n", kind, count[0], count[1],
-                count[2]));
-        System.out.printf("%d requests in %.1f s, statuses %s, %d sent more than once%n", during.size(),
-                seconds,
-                statuses, retried);
+        outcomes.forEach(
+                (kind, count) -> System.out.printf("%-18s %8d %10d %8d%n", kind, count[0], count[1], count[2]));
+        System.out.printf(
+                "%d requests in %.1f s, statuses %s, %d sent more than once%n",
+                during.size(), seconds, statuses, retried);
         ObjectNode json = new JsonMapper().createObjectNode();
-        json.put("requests", during.size()).put("mixed", mixed).put("lost", lost).put("twice", twice)
-                .put("retried", retried).put("changes", changes)
+        json.put("requests", during.size())
+                .put("mixed", mixed)
+                .put("lost", lost)
+                .put("twice", twice)
+                .put("retried", retried)
+                .put("changes", changes)
                 .put("undo_p99_ms", round(quantile(undoTimes, 0.99)))
                 .put("undo_max_ms", round(quantile(undoTimes, 1)))
                 .put("apply_p99_ms", round(quantile(applies, 0.99)))
                 .put("rps", round(during.size() / seconds))
-                .put("latency_p99_ms_quiet", round(p99(before))).put("latency_p99_ms_applying",
-                        round(p99(during)))
-                .put("versions_left", status.path("versions_at_work").asInt()).put("warm_up_requests", warmed)
-                .put("cores", Runtime.getRuntime().availableProcessors()).put("seed", seed);
+                .put("latency_p99_ms_quiet", round(p99(before)))
+                .put("latency_p99_ms_applying", round(p99(during)))
+                .put("versions_left", status.path("versions_at_work").asInt())
+                .put("warm_up_requests", warmed)
+                .put("cores", Runtime.getRuntime().availableProcessors())
+                .put("seed", seed);
         System.out.println(json.toString().toLowerCase(Locale.ROOT));
     }
 }
--- a/bench/src/sablehinge/bench/InspectBench.java
+++ b/bench/src/sablehinge/bench/InspectBench.java
@@ -19,12 +19,10 @@
 
     private static final int HEAP_MB = 256;
     private static final double PEAK = 1_700;
-    private static final Pattern BARE = Pattern.compile("(\\S+) \\[([^\\]]+)\\] \"(\\S+) (\\S+) [^\"]*\" "
-            + "(\\d+) (\\d+)"
-            + " (\\S+) \"([^\"]*)\"");
+    private static final Pattern BARE = Pattern.compile(
+            "(\\S+) \\[([^\\]]+)\\] \"(\\S+) (\\S+) [^\"]*\" " + "(\\d+) (\\d+)" + " (\\S+) \"([^\"]*)\"");
 
-    private InspectBench() {
-    }
+    private InspectBench() {}
 
     /** Ends the writing once there is enough. */
     private static final class EnoughException extends IOException {
@@ -50,33 +48,57 @@
             double regex = (System.nanoTime() - begun) / 1e9;
             Path out = Path.of("target/bench-inspect.json");
             begun = System.nanoTime();
-            int status = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                    .toString(),
-                    "-Xmx" + HEAP_MB + "m", "-jar", "target/sablehinge.jar", "replay", "inspect", "--json",
+            int status = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-Xmx" + HEAP_MB + "m",
+                            "-jar",
+                            "target/sablehinge.jar",
+                            "replay",
+                            "inspect",
+                            "--json",
                             "--format",
-                    SampleDay.FORMAT, log.toString()).redirectOutput(out.toFile())
-                    .redirectError(ProcessBuilder.Redirect.INHERIT).start().waitFor();
+                            SampleDay.FORMAT,
+                            log.toString())
+                    .redirectOutput(out.toFile())
+                    .redirectError(ProcessBuilder.Redirect.INHERIT)
+                    .start()
+                    .waitFor();
             double inspect = (System.nanoTime() - begun) / 1e9;
             if (status != 0) {
                 throw new IOException("inspect ended with " + status);
             }
             JsonNode json = new JsonMapper().readTree(out.toFile());
-            long lines = json.path("requests").asLong() + json.path("folded").asLong()
+            long lines = json.path("requests").asLong()
+                    + json.path("folded").asLong()
                     + json.path("unreadable").asLong();
             System.out.printf(Locale.ROOT, "%-28s %10s %16s%n", "pass", "seconds", "lines a second");
             row("wc -l", wc[0], lines);
             row("bare regular expression", regex, lines);
             row("replay inspect", inspect, lines);
-            System.out.printf(Locale.ROOT, "%,d bytes, %,d lines, heap %d MB, %d cores%n", Files.size(log),
+            System.out.printf(
+                    Locale.ROOT,
+                    "%,d bytes, %,d lines, heap %d MB, %d cores%n",
+                    Files.size(log),
                     lines,
-                    HEAP_MB, Runtime.getRuntime().availableProcessors());
-            System.out.printf(Locale.ROOT,
+                    HEAP_MB,
+                    Runtime.getRuntime().availableProcessors());
+            System.out.printf(
+                    Locale.ROOT,
                     "{\"bytes\":%d,\"lines\":%d,\"heap_mb\":%d,\"inspect_lines_per_s\":%.0f,"
-                    + "\"regex_lines_per_s\":%.0f,\"wc_lines_per_s\":%.0f,\"regex_matched\":%d,"
-                    + "\"requests\":%d,"
-                    + "\"folded\":%d,\"unreadable\":%d}%n", Files.size(log), lines, HEAP_MB, lines / inspect,
-                    lines / regex, lines / wc[0], matched, json.path("requests").asLong(),
-                    json.path("folded").asLong(), json.path("unreadable").asLong());
+                            + "\"regex_lines_per_s\":%.0f,\"wc_lines_per_s\":%.0f,\"regex_matched\":%d,"
+                            + "\"requests\":%d,"
+                            + "\"folded\":%d,\"unreadable\":%d}%n",
+                    Files.size(log),
+                    lines,
+                    HEAP_MB,
+                    lines / inspect,
+                    lines / regex,
+                    lines / wc[0],
+                    matched,
+                    json.path("requests").asLong(),
+                    json.path("folded").asLong(),
+                    json.path("unreadable").asLong());
         } finally {
             Files.deleteIfExists(log);
         }
@@ -105,7 +127,10 @@
 
     private static double[] time(String... command) throws IOException, InterruptedException {
         long begun = System.nanoTime();
-        new ProcessBuilder(command).redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor();
+        new ProcessBuilder(command)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start()
+                .waitFor();
         return new double[] {(System.nanoTime() - begun) / 1e9};
     }
 
--- a/bench/src/sablehinge/bench/RecorderBench.java
+++ b/bench/src/sablehinge/bench/RecorderBench.java
@@ -31,9 +31,9 @@
 import sablehinge.torture.StallBench;
 
 /**
- * Run by {@code bench/run recorder [ROUNDS [PLAYS]]}, 0 plays for the cost alone: what the flight recorder
- * costs a balancer that has one core, beside the same one without it and with JDK Flight Recorder, and what
- * its watch finds of seeded stalls.
+ * Run by {@code bench/run recorder [ROUNDS [PLAYS]]}, 0 plays for the cost alone: what the flight recorder costs a
+ * balancer that has one core, beside the same one without it and with JDK Flight Recorder, and what its watch finds of
+ * seeded stalls.
  */
 public final class RecorderBench {
 
@@ -46,8 +46,7 @@
     private static final double STEADY = 2_000;
     private static final String SECTION = "[recorder]\ndirectory = \"flight\"\n";
 
-    private RecorderBench() {
-    }
+    private RecorderBench() {}
 
     /** The same, as an event of JDK Flight Recorder. */
     @StackTrace(false)
@@ -63,8 +62,7 @@
         final Path folder = Files.createTempDirectory("recorder-bench");
         final Process process;
         final InetSocketAddress address;
-        final UnixDomainSocketAddress admin = UnixDomainSocketAddress.of(folder.resolve(
-                "sablehinge-state/admin.sock"));
+        final UnixDomainSocketAddress admin = UnixDomainSocketAddress.of(folder.resolve("sablehinge-state/admin.sock"));
 
         Balancer(List<StandIn> servers, boolean recorded, int core) throws Exception {
             int port;
@@ -76,18 +74,30 @@
                     + "[[class]]\nname = \"look-up\"\neffect = \"safe\"\ndeadline = \"10s\"\n"
                     + "[[class]]\nname = \"credit-spend\"\ndeadline = \"10s\"\n");
             for (int i = 0; i < servers.size(); i++) {
-                text.append("[[upstream]]\nid = \"s").append(i).append("\"\naddress = \"")
-                        .append(servers.get(i).address()).append("\"\n");
+                text.append("[[upstream]]\nid = \"s")
+                        .append(i)
+                        .append("\"\naddress = \"")
+                        .append(servers.get(i).address())
+                        .append("\"\n");
             }
-            process = launch(Files.writeString(folder.resolve("operator.toml"), text
-                    + (recorded ? SECTION : "")), core, List.of());
+            process = launch(
+                    Files.writeString(folder.resolve("operator.toml"), text + (recorded ? SECTION : "")),
+                    core,
+                    List.of());
         }
 
         /** Has another core from now on, if there is a way to. */
         void moveTo(int core) throws IOException, InterruptedException {
             if (Files.isExecutable(TASKSET)) {
-                new ProcessBuilder(TASKSET.toString(), "-a", "-p", "-c", Integer.toString(core),
-                        Long.toString(process.pid())).redirectOutput(ProcessBuilder.Redirect.DISCARD).start()
+                new ProcessBuilder(
+                                TASKSET.toString(),
+                                "-a",
+                                "-p",
+                                "-c",
+                                Integer.toString(core),
+                                Long.toString(process.pid()))
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start()
                         .waitFor();
             }
         }
@@ -99,19 +109,24 @@
         /** CPU seconds that its threads have used, those of the compiler aside. */
         double cpu() throws IOException {
             double nanos = 0;
-            try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + process.pid()
-                    + "/task"))) {
+            try (DirectoryStream<Path> threads =
+                    Files.newDirectoryStream(Path.of("/proc/" + process.pid() + "/task"))) {
                 for (Path thread : threads) {
                     String name = Files.readString(thread.resolve("comm"));
-                    nanos += name.startsWith("C1 ") || name.startsWith("C2 ") ? 0 : Double.parseDouble(
-                            Files.readString(thread.resolve("schedstat")).split(" ")[0]);
+                    nanos += name.startsWith("C1 ") || name.startsWith("C2 ")
+                            ? 0
+                            : Double.parseDouble(Files.readString(thread.resolve("schedstat"))
+                                    .split(" ")[0]);
                 }
             }
             return nanos / 1e9;
         }
 
         long events() throws IOException {
-            return admin("GET", "/config/status").path("recorder").path("events").asLong();
+            return admin("GET", "/config/status")
+                    .path("recorder")
+                    .path("events")
+                    .asLong();
         }
 
         @Override
@@ -127,13 +142,15 @@
         if (Files.isExecutable(TASKSET)) {
             command.addAll(List.of(TASKSET.toString(), "-c", Integer.toString(core)));
         }
-        command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-Xmx64m"));
+        command.addAll(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-Xmx64m"));
         command.addAll(flags);
-        command.addAll(List.of("-cp", "target/sablehinge.jar", "sablehinge.cli.Main", "serve", "--operator",
-                file.toString()));
+        command.addAll(
+                List.of("-cp", "target/sablehinge.jar", "sablehinge.cli.Main", "serve", "--operator", file.toString()));
         Path log = file.resolveSibling("log");
-        Process process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile())
+        Process process = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(log.toFile())
                 .start();
         while (!Files.readString(log).contains("serves as")) {
             if (!process.isAlive()) {
@@ -154,7 +171,8 @@
     }
 
     private static double median(List<Double> values) {
-        double[] sorted = values.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+        double[] sorted =
+                values.stream().mapToDouble(Double::doubleValue).sorted().toArray();
         return sorted[sorted.length / 2];
     }
 
@@ -206,7 +224,8 @@
                         long begun = System.nanoTime();
                         double cpu = all.get(which).cpu();
                         round[which] = load.rate(ROUND_MS);
-                        perCpu[which] = round[which] * ((System.nanoTime() - begun) / 1e9)
+                        perCpu[which] = round[which]
+                                * ((System.nanoTime() - begun) / 1e9)
                                 / (all.get(which).cpu() - cpu);
                         if (which == 1) {
                             eventsPerSecond = (with.events() - before) / ((System.nanoTime() - begun) / 1e9);
@@ -236,29 +255,57 @@
             double control = median(work.stream().map(r -> r[2] / r[0]).toList());
             json.put("overhead_ratio", round(ratio, 3));
             json.put("control_ratio", round(control, 3));
-            json.put("wall_ratio", round(median(rates.stream().map(r -> r[1] / r[0]).toList()), 3));
-            json.put("wall_control", round(median(rates.stream().map(r -> r[2] / r[0]).toList()), 3));
-            json.put("rate_without", Math.round(median(rates.stream().map(r -> r[0]).toList())));
-            json.put("rate_with", Math.round(median(rates.stream().map(r -> r[1]).toList())));
+            json.put(
+                    "wall_ratio",
+                    round(median(rates.stream().map(r -> r[1] / r[0]).toList()), 3));
+            json.put(
+                    "wall_control",
+                    round(median(rates.stream().map(r -> r[2] / r[0]).toList()), 3));
+            json.put(
+                    "rate_without",
+                    Math.round(median(rates.stream().map(r -> r[0]).toList())));
+            json.put(
+                    "rate_with", Math.round(median(rates.stream().map(r -> r[1]).toList())));
             json.put("added_p99_us", Math.round(median(added)));
             json.put("events_per_s", Math.round(eventsPerSecond));
             json.put("ring_mb", 1);
             json.put("dump_ms", round(dumpMs, 1));
-            json.put("alarms_on_sockets", with.admin("GET", "/config/status").path("recorder").path("alarms")
-                    .asInt());
-            System.out.printf(Locale.ROOT, "%-44s %10d /s%n%-44s %10d /s, per second of CPU %.3f (%.3f to "
-                    + "%.3f)%n%-44s %10s     per second of CPU %.3f%n", "served without",
+            json.put(
+                    "alarms_on_sockets",
+                    with.admin("GET", "/config/status")
+                            .path("recorder")
+                            .path("alarms")
+                            .asInt());
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-44s %10d /s%n%-44s %10d /s, per second of CPU %.3f (%.3f to "
+                            + "%.3f)%n%-44s %10s     per second of CPU %.3f%n",
+                    "served without",
                     json.path("rate_without").asInt(),
-                    "served with the recorder", json.path("rate_with").asInt(), ratio,
+                    "served with the recorder",
+                    json.path("rate_with").asInt(),
+                    ratio,
                     work.stream().mapToDouble(r -> r[1] / r[0]).min().orElse(0),
                     work.stream().mapToDouble(r -> r[1] / r[0]).max().orElse(0),
-                    "another one without", "", control);
+                    "another one without",
+                    "",
+                    control);
             Files.readAllLines(with.folder.resolve("log")).stream()
-                    .filter(line -> line.contains("recorder: ")).forEach(System.out::println);
-            System.out.printf(Locale.ROOT, "%-44s %10.0f us (%d requests a second, five turns)%n",
-                    "added at p99", median(added), (int) STEADY);
-            System.out.printf(Locale.ROOT, "%-44s %10.0f /s%n%-44s %10.1f ms%n", "events", eventsPerSecond,
-                    "a dump of 1 MiB, asked for and written", dumpMs);
+                    .filter(line -> line.contains("recorder: "))
+                    .forEach(System.out::println);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-44s %10.0f us (%d requests a second, five turns)%n",
+                    "added at p99",
+                    median(added),
+                    (int) STEADY);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-44s %10.0f /s%n%-44s %10.1f ms%n",
+                    "events",
+                    eventsPerSecond,
+                    "a dump of 1 MiB, asked for and written",
+                    dumpMs);
         } finally {
             servers.forEach(StandIn::close);
         }
@@ -278,8 +325,11 @@
     private static double steady(Balancer balancer, List<StandIn> servers) throws Exception {
         Callers callers = new Callers(balancer.address, STEADY);
         TimeUnit.SECONDS.sleep(4);
-        double[] latencies = callers.stop(2_000).stream().filter(one -> one.status == 200)
-                .mapToDouble(Callers.One::latencyMillis).sorted().toArray();
+        double[] latencies = callers.stop(2_000).stream()
+                .filter(one -> one.status == 200)
+                .mapToDouble(Callers.One::latencyMillis)
+                .sorted()
+                .toArray();
         servers.forEach(server -> server.seen.clear());
         return latencies[(int) (latencies.length * 0.99)];
     }
@@ -320,11 +370,11 @@
         }
         json.put("ring_ns", round(ring, 1));
         json.put("jfr_ns", round(jfr, 1));
-        System.out.printf(Locale.ROOT, "%-44s %10.1f ns, in JDK Flight Recorder %.1f ns%n",
-                "an event in the ring", ring, jfr);
+        System.out.printf(
+                Locale.ROOT, "%-44s %10.1f ns, in JDK Flight Recorder %.1f ns%n", "an event in the ring", ring, jfr);
     }
 
-    private record Started(double millis, double mib) { }
+    private record Started(double millis, double mib) {}
 
     /** Start and memory of processes: plain, with the recorder, with JDK Flight Recorder. */
     private static void starts(ObjectNode json) throws Exception {
@@ -340,14 +390,21 @@
             double mib = median(all.get(kind).stream().map(Started::mib).toList());
             json.put("start_ms_" + names[kind], Math.round(millis));
             json.put("rss_mib_" + names[kind], round(mib, 1));
-            System.out.printf(Locale.ROOT, "%-44s %10.0f ms, %.1f MiB resident (middle of %d)%n",
-                    "start of a process, " + names[kind], millis, mib, STARTS);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-44s %10.0f ms, %.1f MiB resident (middle of %d)%n",
+                    "start of a process, " + names[kind],
+                    millis,
+                    mib,
+                    STARTS);
         }
     }
 
     private static Started start(boolean recorder, boolean jfr) throws Exception {
         Path folder = Files.createTempDirectory("recorder-bench");
-        Path file = Files.writeString(folder.resolve("operator.toml"), """
+        Path file = Files.writeString(
+                folder.resolve("operator.toml"),
+                """
                 [[listener]]
                 address = "127.0.0.1:0"
                 [[class]]
@@ -355,16 +412,19 @@
                 [[upstream]]
                 id = "a"
                 address = "127.0.0.1:1"
-                """ + (recorder ? SECTION : ""));
+                """
+                        + (recorder ? SECTION : ""));
         long begun = System.nanoTime();
-        Process process = launch(file, 0, jfr ? List.of("-XX:StartFlightRecording=settings=none,maxsize=1m")
-                : List.of());
+        Process process =
+                launch(file, 0, jfr ? List.of("-XX:StartFlightRecording=settings=none,maxsize=1m") : List.of());
         double millis = (System.nanoTime() - begun) / 1e6;
         try {
             TimeUnit.MILLISECONDS.sleep(1_000);
             double kib = Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
-                    .filter(line -> line.startsWith("VmRSS")).mapToDouble(line -> Double.parseDouble(
-                    line.replaceAll("[^0-9]", ""))).findFirst().orElse(0);
+                    .filter(line -> line.startsWith("VmRSS"))
+                    .mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")))
+                    .findFirst()
+                    .orElse(0);
             return new Started(millis, kib / 1_024);
         } finally {
             process.destroyForcibly().waitFor();
--- a/bench/src/sablehinge/bench/ReplayBench.java
+++ b/bench/src/sablehinge/bench/ReplayBench.java
@@ -17,8 +17,7 @@
 import sablehinge.replay.SampleDay;
 
 /**
- * Replays a made-up hour against stand-ins behind balancers, with the packed program: the generator in one
- * process,
+ * Replays a made-up hour against stand-ins behind balancers, with the packed program: the generator in one process,
  * servers and balancers in another. See docs/design/replay.md.
  */
 public final class ReplayBench {
@@ -26,8 +25,7 @@
     private static final String JAR = "target/sablehinge.jar";
     private static final int BALANCERS = 4;
 
-    private ReplayBench() {
-    }
+    private ReplayBench() {}
 
     /** Arguments: seconds of the log, its peak, hours in one, the seed, a folder for the records. */
     public static void main(String[] args) throws Exception {
@@ -41,39 +39,76 @@
         SampleDay day = ReplayRehearsal.write(folder, SampleDay.Terms.usual(seconds, peak, seed));
         Files.writeString(folder.resolve("scenario.toml"), ReplayRehearsal.scenario(seed, BALANCERS, "8s"));
         send(folder, compress, seed);
-        JsonNode load = new JsonMapper().readTree(folder.resolve("clients/report.json").toFile());
-        Files.move(folder.resolve("clients/requests.jsonl.gz"), folder.resolve("requests.jsonl.gz"),
+        JsonNode load =
+                new JsonMapper().readTree(folder.resolve("clients/report.json").toFile());
+        Files.move(
+                folder.resolve("clients/requests.jsonl.gz"),
+                folder.resolve("requests.jsonl.gz"),
                 StandardCopyOption.REPLACE_EXISTING);
         ReplayRehearsal.Result result = ReplayRehearsal.judge(folder, day);
         table(result, load, (System.nanoTime() - begun) / 1e9);
         if (result.audit().breaches() > 0) {
             result.audit().print(new PrintWriter(System.err, true));
         }
-        System.out.printf(Locale.ROOT, "{\"class_mix_error\":%.6f,\"key_mix_error\":%.6f,\"folded_true\":%d,"
-                + "\"folded_false\":%d,\"folded_missed\":%d,\"send_error_p99_ms\":%.3f,\"requests\":%d,"
-                + "\"breaches\":%d,\"unexplained\":%d,\"rate_per_s\":%.1f,\"generator_cores\":%.2f,"
-                + "\"figures_count\":%b}%n", result.classError(), result.keyError(), result.foldedTrue(),
-                result.foldedFalse(), result.foldedMissed(), load.path("send_error_p99_ms").asDouble(),
-                load.path("requests").asLong(), result.audit().breaches(), result.audit().unexplained(),
-                load.path("rate_per_s").asDouble(), load.path("generator_cores").asDouble(),
+        System.out.printf(
+                Locale.ROOT,
+                "{\"class_mix_error\":%.6f,\"key_mix_error\":%.6f,\"folded_true\":%d,"
+                        + "\"folded_false\":%d,\"folded_missed\":%d,\"send_error_p99_ms\":%.3f,\"requests\":%d,"
+                        + "\"breaches\":%d,\"unexplained\":%d,\"rate_per_s\":%.1f,\"generator_cores\":%.2f,"
+                        + "\"figures_count\":%b}%n",
+                result.classError(),
+                result.keyError(),
+                result.foldedTrue(),
+                result.foldedFalse(),
+                result.foldedMissed(),
+                load.path("send_error_p99_ms").asDouble(),
+                load.path("requests").asLong(),
+                result.audit().breaches(),
+                result.audit().unexplained(),
+                load.path("rate_per_s").asDouble(),
+                load.path("generator_cores").asDouble(),
                 load.path("figures_count").asBoolean());
     }
 
-    private static void send(Path folder, double compress, long seed) throws IOException,
-            InterruptedException {
+    private static void send(Path folder, double compress, long seed) throws IOException, InterruptedException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        Process servers = new ProcessBuilder(java, "-Xmx6g", "-XX:+UseZGC", "-jar", JAR, "standin",
-                "--scenario",
-                folder.resolve("scenario.toml").toString(), "--out", folder.toString())
-                .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        Process servers = new ProcessBuilder(
+                        java,
+                        "-Xmx6g",
+                        "-XX:+UseZGC",
+                        "-jar",
+                        JAR,
+                        "standin",
+                        "--scenario",
+                        folder.resolve("scenario.toml").toString(),
+                        "--out",
+                        folder.toString())
+                .redirectError(ProcessBuilder.Redirect.INHERIT)
+                .start();
         try {
-            BufferedReader said = new BufferedReader(new InputStreamReader(servers.getInputStream(),
-                    StandardCharsets.UTF_8));
-            List<String> command = new ArrayList<>(List.of(java, "-Xmx2g", "-XX:+UseZGC", "-jar", JAR,
-                    "replay", "run",
-                    folder.resolve("day.log").toString(), "--format", SampleDay.FORMAT, "--compress",
-                    Double.toString(compress), "--seed", Long.toString(seed), "--class", "tile-order=keyed",
-                    "--connections", "12000", "--out", folder.resolve("clients").toString()));
+            BufferedReader said =
+                    new BufferedReader(new InputStreamReader(servers.getInputStream(), StandardCharsets.UTF_8));
+            List<String> command = new ArrayList<>(List.of(
+                    java,
+                    "-Xmx2g",
+                    "-XX:+UseZGC",
+                    "-jar",
+                    JAR,
+                    "replay",
+                    "run",
+                    folder.resolve("day.log").toString(),
+                    "--format",
+                    SampleDay.FORMAT,
+                    "--compress",
+                    Double.toString(compress),
+                    "--seed",
+                    Long.toString(seed),
+                    "--class",
+                    "tile-order=keyed",
+                    "--connections",
+                    "12000",
+                    "--out",
+                    folder.resolve("clients").toString()));
             for (int i = 0; i < BALANCERS; i++) {
                 String line = said.readLine();
                 while (line != null && !line.startsWith("entry ")) {
@@ -108,14 +143,11 @@
         row("cores of the generator", load.path("generator_cores").asDouble());
         row("breaches", result.audit().breaches());
         row("unexplained", result.audit().unexplained());
-        System.out.printf(Locale.ROOT, "%d cores; %.0f s in all%n", Runtime.getRuntime()
-                .availableProcessors(),
-                seconds);
+        System.out.printf(
+                Locale.ROOT, "%d cores; %.0f s in all%n", Runtime.getRuntime().availableProcessors(), seconds);
     }
 
     private static void row(String name, double value) {
-        System.out.printf(Locale.ROOT, value == Math.rint(value) ? "%-32s %,14.0f%n" : "%-32s %,14.5f%n",
-                name,
-                value);
+        System.out.printf(Locale.ROOT, value == Math.rint(value) ? "%-32s %,14.0f%n" : "%-32s %,14.5f%n", name, value);
     }
 }
--- a/bench/src/sablehinge/bench/ReplayRehearsal.java
+++ b/bench/src/sablehinge/bench/ReplayRehearsal.java
@@ -40,7 +40,8 @@
 /** A made-up day whose truth is known, replayed against stand-ins behind balancers, and judged. */
 public final class ReplayRehearsal {
 
-    private static final String SCENARIO = """
+    private static final String SCENARIO =
+            """
             seed = %d
             zones = ["a"]
             warm-up = "%s"
@@ -69,12 +70,16 @@
     private static final int TOP_KEYS = 100;
 
     /** How far what was received is from what was asked, and how well retries were told from requests. */
-    public record Result(double classError, double keyError, long foldedTrue, long foldedFalse,
+    public record Result(
+            double classError,
+            double keyError,
+            long foldedTrue,
+            long foldedFalse,
             long foldedMissed,
-            long logLines, Audit audit) { }
+            long logLines,
+            Audit audit) {}
 
-    private ReplayRehearsal() {
-    }
+    private ReplayRehearsal() {}
 
     /** The scenario of a seed with so many balancers. */
     static String scenario(long seed, int balancers, String warmUp) {
@@ -91,20 +96,20 @@
     }
 
     /** Plays a day within this process; its records stay in the folder. */
-    public static LoadResult play(Path folder, long seed, double compress, int balancers, int lanes)
-            throws Exception {
+    public static LoadResult play(Path folder, long seed, double compress, int balancers, int lanes) throws Exception {
         ScenarioFile.Checked checked = ScenarioFile.parse(scenario(seed, balancers, "2s"));
         if (checked.scenario() == null) {
             throw new IllegalStateException(checked.problems().toString());
         }
         Recorder servers = new Recorder(folder.resolve("servers.jsonl.gz"));
         Recorder clients = new Recorder(folder.resolve("requests.jsonl.gz"));
-        try (servers; clients; Fleet fleet = new Fleet(checked.scenario(), new LocalBalancers(one -> { }), 2,
-                servers::note, line -> { })) {
+        try (servers;
+                clients;
+                Fleet fleet =
+                        new Fleet(checked.scenario(), new LocalBalancers(one -> {}), 2, servers::note, line -> {})) {
             fleet.start();
-            LoadResult load = send(fleet, checked.scenario(), folder.resolve("day.log"), clients, compress,
-                    lanes,
-                    seed);
+            LoadResult load =
+                    send(fleet, checked.scenario(), folder.resolve("day.log"), clients, compress, lanes, seed);
             TermsFile.write(folder, fleet.terms());
             return load;
         } finally {
@@ -114,8 +119,7 @@
         }
     }
 
-    /** Compares what servers received with what the day asked, and judges the run whose records are in the
-     * folder. */
+    /** Compares what servers received with what the day asked, and judges the run whose records are in the folder. */
     public static Result judge(Path folder, SampleDay day) throws IOException {
         Audit audit = Audit.of(folder);
         Mix mix = new Mix();
@@ -130,40 +134,62 @@
             }
         });
         Map<String, Long> keys = new HashMap<>();
-        day.keys().entrySet().stream().sorted(Comparator.comparingLong(e -> -e.getValue())).limit(TOP_KEYS)
+        day.keys().entrySet().stream()
+                .sorted(Comparator.comparingLong(e -> -e.getValue()))
+                .limit(TOP_KEYS)
                 .forEach(e -> keys.put(Keys.number(e.getKey()), e.getValue()));
         Folding folding = new Folding();
-        try (Logs logs = Logs.open(List.of(folder.resolve("day.log").toString()),
-                InputStream.nullInputStream(),
-                options())) {
+        try (Logs logs =
+                Logs.open(List.of(folder.resolve("day.log").toString()), InputStream.nullInputStream(), options())) {
             logs.listen(folding);
             while (logs.next() != null) {
                 // The listener counts.
             }
         }
-        return new Result(error(day.classes(), mix.classes), error(keys, mix.keys), folding.right,
+        return new Result(
+                error(day.classes(), mix.classes),
+                error(keys, mix.keys),
+                folding.right,
                 folding.wrong,
-                day.retried() - folding.right, day.tries(), audit);
+                day.retried() - folding.right,
+                day.tries(),
+                audit);
     }
 
     private static LogOptions options() {
-        return LogOptions.usual(new Mapping(List.of())).withFormat(SampleDay.FORMAT, ZoneOffset.UTC,
-                Map.of());
+        return LogOptions.usual(new Mapping(List.of())).withFormat(SampleDay.FORMAT, ZoneOffset.UTC, Map.of());
     }
 
-    private static LoadResult send(Fleet fleet, Scenario scenario, Path log, Recorder clients,
-            double compress, int lanes, long seed) throws IOException, InterruptedException {
+    private static LoadResult send(
+            Fleet fleet, Scenario scenario, Path log, Recorder clients, double compress, int lanes, long seed)
+            throws IOException, InterruptedException {
         Map<String, ClassPlan> plans = new HashMap<>();
-        scenario.classes().forEach(part -> plans.put(part.name(), new ClassPlan(new ClassTerms(
-                switch (part.effect()) {
-                    case IDEMPOTENT -> Effect.SAFE;
-                    case DEDUPLICATED -> Effect.KEYED;
-                    case AT_MOST_ONCE -> Effect.UNSAFE;
-                }, Group.valueOf(part.group().name()), part.window()), part.aim(), part.deadline())));
+        scenario.classes()
+                .forEach(part -> plans.put(
+                        part.name(),
+                        new ClassPlan(
+                                new ClassTerms(
+                                        switch (part.effect()) {
+                                            case IDEMPOTENT -> Effect.SAFE;
+                                            case DEDUPLICATED -> Effect.KEYED;
+                                            case AT_MOST_ONCE -> Effect.UNSAFE;
+                                        },
+                                        Group.valueOf(part.group().name()),
+                                        part.window()),
+                                part.aim(),
+                                part.deadline())));
         try (Logs logs = Logs.open(List.of(log.toString()), InputStream.nullInputStream(), options())) {
-            Load load = new Load(new Load.Options(fleet.entries(), plans, Client.Terms.usual(),
-                    new Pace.Terms(
-                    compress, 1, Double.NaN, Double.NaN, seed), lanes, 4_000, 200, seed), clients::note);
+            Load load = new Load(
+                    new Load.Options(
+                            fleet.entries(),
+                            plans,
+                            Client.Terms.usual(),
+                            new Pace.Terms(compress, 1, Double.NaN, Double.NaN, seed),
+                            lanes,
+                            4_000,
+                            200,
+                            seed),
+                    clients::note);
             try {
                 load.run(logs::next);
                 return load.result(0);
@@ -175,8 +201,11 @@
 
     /** The largest relative error of what was received. */
     private static double error(Map<String, Long> asked, Map<String, Long> received) {
-        return asked.entrySet().stream().mapToDouble(e -> Math.abs(received.getOrDefault(e.getKey(), 0L)
-                - e.getValue()) / (double) e.getValue()).max().orElse(0);
+        return asked.entrySet().stream()
+                .mapToDouble(
+                        e -> Math.abs(received.getOrDefault(e.getKey(), 0L) - e.getValue()) / (double) e.getValue())
+                .max()
+                .orElse(0);
     }
 
     /** What servers received, each request once. */
--- a/bench/src/sablehinge/consensus/AgreementBench.java
+++ b/bench/src/sablehinge/consensus/AgreementBench.java
@@ -7,8 +7,8 @@
 import java.util.stream.LongStream;
 
 /**
- * Plays the core's agreement under random faults, seed by seed, and says what broke: cuts, losses of power
- * and of disks, stalls, messages lost, doubled and overtaken. A seed that broke is played again with
+ * Plays the core's agreement under random faults, seed by seed, and says what broke: cuts, losses of power and of
+ * disks, stalls, messages lost, doubled and overtaken. A seed that broke is played again with
  * {@code -Dwatermaster.first=SEED -Dwatermaster.seeds=1} by {@link RaftNodeRandomTest}.
  */
 public final class AgreementBench {
@@ -18,8 +18,7 @@
     private static final double MS_PER_H = 3_600_000;
     private static final int SHOWN = 10;
 
-    private AgreementBench() {
-    }
+    private AgreementBench() {}
 
     /** Arguments: how many seeds, and the first one. */
     public static void main(String[] arguments) {
@@ -42,12 +41,18 @@
         });
         double seconds = (System.nanoTime() - from) / NANOS_PER_S;
         breaches.stream().limit(SHOWN).forEach(System.out::println);
-        System.out.printf("%-10s %12s %12s %12s %10s%n", "seeds", "events", "committed", "changes",
-                "breaches");
-        System.out.printf("%-10d %12d %12d %12d %10d%n", seeds, events.sum(), committed.sum(), changes.sum(),
-                breaches.size());
-        System.out.printf("{\"seeds\":%d,\"events\":%d,\"committed\":%d,\"changes\":%d,\"breaches\":%d,"
-                + "\"seconds\":%.1f,\"simulated_hours\":%.2f}%n", seeds, events.sum(), committed.sum(),
-                changes.sum(), breaches.size(), seconds, seeds * RaftNodeRandomTest.LENGTH / MS_PER_H);
+        System.out.printf("%-10s %12s %12s %12s %10s%n", "seeds", "events", "committed", "changes", "breaches");
+        System.out.printf(
+                "%-10d %12d %12d %12d %10d%n", seeds, events.sum(), committed.sum(), changes.sum(), breaches.size());
+        System.out.printf(
+                "{\"seeds\":%d,\"events\":%d,\"committed\":%d,\"changes\":%d,\"breaches\":%d,"
+                        + "\"seconds\":%.1f,\"simulated_hours\":%.2f}%n",
+                seeds,
+                events.sum(),
+                committed.sum(),
+                changes.sum(),
+                breaches.size(),
+                seconds,
+                seeds * RaftNodeRandomTest.LENGTH / MS_PER_H);
     }
 }
--- a/bench/src/sablehinge/consensus/Calm.java
+++ b/bench/src/sablehinge/consensus/Calm.java
@@ -3,10 +3,9 @@
 import sablehinge.consensus.SimulatedCluster.Machine;
 
 /**
- * A time in which nothing goes wrong. All machines run (who was told to end has, and is back), nothing is
- * cut, all writes end and all messages arrive. Within a bounded time one machine leads, the core has as many
- * voters as the losses that it is to bear ask for, every running machine holds all that is committed, and an
- * order is taken.
+ * A time in which nothing goes wrong. All machines run (who was told to end has, and is back), nothing is cut, all
+ * writes end and all messages arrive. Within a bounded time one machine leads, the core has as many voters as the
+ * losses that it is to bear ask for, every running machine holds all that is committed, and an order is taken.
  */
 final class Calm {
 
@@ -27,8 +26,8 @@
     }
 
     /**
-     * Lets time pass until the core is whole; fails if it is not within the bound, unless more was lost at
-     * once than it is to bear.
+     * Lets time pass until the core is whole; fails if it is not within the bound, unless more was lost at once than it
+     * is to bear.
      */
     void await() {
         cluster.mendAll();
@@ -54,8 +53,8 @@
         if (cluster.isBeyond()) {
             return;
         }
-        throw new AssertionError("seed " + cluster.seed + ", " + cluster.now + " ms: " + LIVENESS + missing
-                + " after " + BOUND + " ms of calm: " + cluster.line());
+        throw new AssertionError("seed " + cluster.seed + ", " + cluster.now + " ms: " + LIVENESS + missing + " after "
+                + BOUND + " ms of calm: " + cluster.line());
     }
 
     private void startAll() {
@@ -117,8 +116,7 @@
         for (int i = 0; i < cluster.size(); i++) {
             Machine machine = cluster.machine(i);
             if (machine.applied < cluster.committed.size()) {
-                return machine.address + " has applied " + machine.applied + " of "
-                        + cluster.committed.size();
+                return machine.address + " has applied " + machine.applied + " of " + cluster.committed.size();
             }
             if (!machine.standing.members().equals(leader.standing.members())) {
                 return machine.address + " knows other voters than the leader";
--- a/bench/src/sablehinge/consensus/CarriedChanges.java
+++ b/bench/src/sablehinge/consensus/CarriedChanges.java
@@ -7,17 +7,17 @@
 import sablehinge.consensus.SimulatedCluster.Machine;
 
 /**
- * Holds that a change of the voters is carried by those that are voters after it: when a leader appends it,
- * a majority of them has on disk what the leader had committed some questions before. With less, the loss of
- * one more disk ends a core that has stated to bear it, for as long as the others take to catch up.
+ * Holds that a change of the voters is carried by those that are voters after it: when a leader appends it, a majority
+ * of them has on disk what the leader had committed some questions before. With less, the loss of one more disk ends a
+ * core that has stated to bear it, for as long as the others take to catch up.
  */
 final class CarriedChanges {
 
     /** A leader that looks at its clock after so long asks its peers something, ms. */
     private static final double ASKS = Timing.usual().heartbeat();
     /**
-     * A voter counts as caught up by the latest question or the one before, and both may be one look older
-     * than the change.
+     * A voter counts as caught up by the latest question or the one before, and both may be one look older than the
+     * change.
      */
     private static final int LOOKS = 3;
 
@@ -53,13 +53,15 @@
     /** A leader has appended a list. */
     void check(SimulatedCluster cluster, Machine leader, List<Member> list) {
         Looks its = looks.get(leader.address);
-        if (its == null || its.life != leader.life || its.term != leader.standing.term()
-                || its.applied[0] == 0) {
+        if (its == null || its.life != leader.life || its.term != leader.standing.term() || its.applied[0] == 0) {
             return;
         }
         Entry entry = cluster.committed.get((int) its.applied[0] - 1);
         int on = cluster.disksWith(entry, list);
-        cluster.check(on > list.size() / 2, leader, () -> "a change to " + list.size() + " voters of which "
-                + on + " have entry " + entry.index() + ", committed long before");
+        cluster.check(
+                on > list.size() / 2,
+                leader,
+                () -> "a change to " + list.size() + " voters of which " + on + " have entry " + entry.index()
+                        + ", committed long before");
     }
 }
--- a/bench/src/sablehinge/consensus/CutOffFaults.java
+++ b/bench/src/sablehinge/consensus/CutOffFaults.java
@@ -9,38 +9,85 @@
 final class CutOffFaults {
 
     static final List<Mutant> ALL = List.of(
-            new Mutant("a lease counts from the answer's arrival", NODE, "private void extendLease(",
+            new Mutant(
+                    "a lease counts from the answer's arrival",
+                    NODE,
+                    "private void extendLease(",
                     "askedAt[(int) (answered % ASKED)]",
                     "peers.values().stream().mapToDouble(one -> one.heard).max().orElse(0)"),
-            new Mutant("a lease is as long as voters wait", NODE, "private void extendLease(",
-                    "LEASE_PART * timing", "timing"),
-            new Mutant("who hears a leader votes for another", NODE, "private void askVote(",
-                    "led && !(ask.handed() && known)", "led && !known"),
-            new Mutant("who starts again forgets that it answered a leader", NODE, "public void start(",
-                    "leaderHeard = born;", ""),
-            new Mutant("a follower does not note that it heard its leader", NODE, "private boolean heard(",
-                    "leaderHeard = now;", ""),
-            new Mutant("a barrier counts answers to an older round", NODE, "public void barrier(",
-                    "new Barrier(token, round + 1,", "new Barrier(token, round,"),
-            new Mutant("a barrier does not wait for the term's first commit", NODE, "public void barrier(",
-                    "Math.max(commit, firstOfTerm)", "commit"),
-            new Mutant("a barrier needs no answers of others", NODE, "private long answered(List",
-                    "rounds[rounds.length - (members.size() / 2 + 1)]", "rounds[rounds.length - 1]"),
-            new Mutant("a barrier is confirmed before its entries are applied", NODE,
-                    "private void confirm(", "barrier.round() <= answered && barrier.index() <= commit",
+            new Mutant(
+                    "a lease is as long as voters wait",
+                    NODE,
+                    "private void extendLease(",
+                    "LEASE_PART * timing",
+                    "timing"),
+            new Mutant(
+                    "who hears a leader votes for another",
+                    NODE,
+                    "private void askVote(",
+                    "led && !(ask.handed() && known)",
+                    "led && !known"),
+            new Mutant(
+                    "who starts again forgets that it answered a leader",
+                    NODE,
+                    "public void start(",
+                    "leaderHeard = born;",
+                    ""),
+            new Mutant(
+                    "a follower does not note that it heard its leader",
+                    NODE,
+                    "private boolean heard(",
+                    "leaderHeard = now;",
+                    ""),
+            new Mutant(
+                    "a barrier counts answers to an older round",
+                    NODE,
+                    "public void barrier(",
+                    "new Barrier(token, round + 1,",
+                    "new Barrier(token, round,"),
+            new Mutant(
+                    "a barrier does not wait for the term's first commit",
+                    NODE,
+                    "public void barrier(",
+                    "Math.max(commit, firstOfTerm)",
+                    "commit"),
+            new Mutant(
+                    "a barrier needs no answers of others",
+                    NODE,
+                    "private long answered(List",
+                    "rounds[rounds.length - (members.size() / 2 + 1)]",
+                    "rounds[rounds.length - 1]"),
+            new Mutant(
+                    "a barrier is confirmed before its entries are applied",
+                    NODE,
+                    "private void confirm(",
+                    "barrier.round() <= answered && barrier.index() <= commit",
                     "barrier.round() <= answered"),
-            new Mutant("rounds of an older term count", NODE, "private void stepDown(",
-                    "lastRound = 0;", ""),
-            new Mutant("an answer counts for a later term", NODE, "private Peer answered(",
-                    "itsTerm < term", "itsTerm < 0"),
-            new Mutant("a leader of an older term is followed", NODE, "private boolean heard(",
-                    "itsTerm < term || itsTerm == term", "itsTerm == term"),
-            new Mutant("votes of an older term count", NODE, "private void vote(",
+            new Mutant("rounds of an older term count", NODE, "private void stepDown(", "lastRound = 0;", ""),
+            new Mutant(
+                    "an answer counts for a later term",
+                    NODE,
+                    "private Peer answered(",
+                    "itsTerm < term",
+                    "itsTerm < 0"),
+            new Mutant(
+                    "a leader of an older term is followed",
+                    NODE,
+                    "private boolean heard(",
+                    "itsTerm < term || itsTerm == term",
+                    "itsTerm == term"),
+            new Mutant(
+                    "votes of an older term count",
+                    NODE,
+                    "private void vote(",
                     "role == Standing.Role.CANDIDATE && vote.term() == term",
                     "role == Standing.Role.CANDIDATE"),
-            new Mutant("who has handed over takes a lease again", NODE, "private void extendLease(",
-                    "if (!handedOver) {", "if (round >= 0) {"));
+            new Mutant(
+                    "who has handed over takes a lease again",
+                    NODE,
+                    "private void extendLease(",
+                    "if (!handedOver) {",
+                    "if (round >= 0) {"));
 
-    private CutOffFaults() {
-    }
+    private CutOffFaults() {}
 }
--- a/bench/src/sablehinge/consensus/DeploymentStart.java
+++ b/bench/src/sablehinge/consensus/DeploymentStart.java
@@ -10,10 +10,10 @@
 import sablehinge.consensus.SimulatedCluster.Machine;
 
 /**
- * Starts of processes as a deployment has them. At the first start of all, every machine has a founder's
- * name, but only those that the seeds name found; after it, whoever has an empty disk has a new name. A
- * founder's first write is its name with its founding. That of any other is its name alone, and only when it
- * is synced does the node ask to be let in.
+ * Starts of processes as a deployment has them. At the first start of all, every machine has a founder's name, but only
+ * those that the seeds name found; after it, whoever has an empty disk has a new name. A founder's first write is its
+ * name with its founding. That of any other is its name alone, and only when it is synced does the node ask to be let
+ * in.
  */
 final class DeploymentStart {
 
@@ -54,8 +54,8 @@
             machine.begin(machine.self, founders);
             return;
         }
-        Member name = first ? machine.self
-                : Member.later(cluster.dice(machine), machine.address, machine.self.control());
+        Member name =
+                first ? machine.self : Member.later(cluster.dice(machine), machine.address, machine.self.control());
         machine.life++;
         machine.self = name;
         names.put(machine.address, name);
--- a/bench/src/sablehinge/consensus/EveryOrder.java
+++ b/bench/src/sablehinge/consensus/EveryOrder.java
@@ -9,9 +9,9 @@
 import sablehinge.consensus.SimulatedCluster.Machine;
 
 /**
- * All orders of a few steps from a state in which a core of three is at work, each followed by a calm time
- * in which nobody or one of them is cut off. An order that comes to a state that was seen before, with as
- * many steps to go, ends there.
+ * All orders of a few steps from a state in which a core of three is at work, each followed by a calm time in which
+ * nobody or one of them is cut off. An order that comes to a state that was seen before, with as many steps to go, ends
+ * there.
  */
 final class EveryOrder {
 
@@ -24,8 +24,8 @@
         /** One led whose entry reached nobody, another leads, and the first is back. */
         DEPOSED,
         /**
-         * One led whose entry reached nobody, nor did that of the next; the first leads again, and the third
-         * is about to sync the old entry.
+         * One led whose entry reached nobody, nor did that of the next; the first leads again, and the third is about
+         * to sync the old entry.
          */
         OUTRUN,
         /** A member has lost its disk, and its successor is being let in. */
@@ -39,6 +39,7 @@
     private static final int CALM_MOVES = 200;
     /** Faults and waits in an order, at most. */
     private static final int FAULTS = 2;
+
     private static final int WAITS = 2;
 
     private final From from;
@@ -56,8 +57,11 @@
 
     /** Plays the orders from all states, each of so many steps; those that break something. */
     static List<Script> all(int depth, Tally tally) {
-        return Arrays.stream(From.values()).parallel()
-                .map(from -> new EveryOrder(from, depth, tally).breaking()).filter(Objects::nonNull).toList();
+        return Arrays.stream(From.values())
+                .parallel()
+                .map(from -> new EveryOrder(from, depth, tally).breaking())
+                .filter(Objects::nonNull)
+                .toList();
     }
 
     /** The first order that breaks something; null if none does. */
@@ -121,9 +125,17 @@
     }
 
     private boolean isSeen(int left, int faults, int waits) {
-        Fingerprint print = new Fingerprint().add(faults).add(waits).add(cluster.now).add(cluster.cuts)
-                .add(cluster.committed).add(cluster.leaders).add(cluster.graves).add(cluster.made)
-                .add(cluster.claims).add(cluster.carried());
+        Fingerprint print = new Fingerprint()
+                .add(faults)
+                .add(waits)
+                .add(cluster.now)
+                .add(cluster.cuts)
+                .add(cluster.committed)
+                .add(cluster.leaders)
+                .add(cluster.graves)
+                .add(cluster.made)
+                .add(cluster.claims)
+                .add(cluster.carried());
         for (int i = 0; i < cluster.size(); i++) {
             print.add(cluster.machine(i));
             for (int j = 0; j < cluster.size(); j++) {
@@ -243,7 +255,8 @@
             take(new Step(Step.Kind.MEND, link[0], link[1], 0));
         }
         elected(second);
-        while (cluster.machine(third).unsynced.stream().allMatch(change -> change.append().isEmpty())) {
+        while (cluster.machine(third).unsynced.stream()
+                .allMatch(change -> change.append().isEmpty())) {
             take(new Step(Step.Kind.DELIVER, first, third, 0));
             take(new Step(Step.Kind.DELIVER, third, first, 0));
         }
@@ -270,7 +283,9 @@
             take(Step.pass(CALM_PACE));
             flow();
             Machine leader = cluster.leader();
-            if (cluster.leaders.size() > before && leader != null && leader.applied > 0
+            if (cluster.leaders.size() > before
+                    && leader != null
+                    && leader.applied > 0
                     && cluster.committed.get((int) leader.applied - 1).term() == leader.standing.term()) {
                 return place(leader);
             }
--- a/bench/src/sablehinge/consensus/Faults.java
+++ b/bench/src/sablehinge/consensus/Faults.java
@@ -13,13 +13,16 @@
     static final String STATE = "state/ConfigurationState";
 
     static final List<Fault> ALL = Stream.of(
-            of(Fault.Point.LOG, LogFaults.ALL), of(Fault.Point.DEPOSED, LogFaults.DEPOSED),
-            of(Fault.Point.CUT_OFF, CutOffFaults.ALL), of(Fault.Point.ORDERS, OrderFaults.ALL),
-            of(Fault.Point.MEMBERSHIP, MembershipFaults.ALL),
-            of(Fault.Point.SNAPSHOTS, SnapshotFaults.ALL)).flatMap(one -> one).toList();
+                    of(Fault.Point.LOG, LogFaults.ALL),
+                    of(Fault.Point.DEPOSED, LogFaults.DEPOSED),
+                    of(Fault.Point.CUT_OFF, CutOffFaults.ALL),
+                    of(Fault.Point.ORDERS, OrderFaults.ALL),
+                    of(Fault.Point.MEMBERSHIP, MembershipFaults.ALL),
+                    of(Fault.Point.SNAPSHOTS, SnapshotFaults.ALL))
+            .flatMap(one -> one)
+            .toList();
 
-    private Faults() {
-    }
+    private Faults() {}
 
     private static Stream<Fault> of(Fault.Point point, List<Mutant> mutants) {
         return mutants.stream().map(mutant -> new Fault(point, mutant));
--- a/bench/src/sablehinge/consensus/Fingerprint.java
+++ b/bench/src/sablehinge/consensus/Fingerprint.java
@@ -12,15 +12,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A number for the state of objects of ours, by all of their fields. Two states with the same number are
- * taken for one; dice, terms and the way back to the host are no part of a state.
+ * A number for the state of objects of ours, by all of their fields. Two states with the same number are taken for one;
+ * dice, terms and the way back to the host are no part of a state.
  */
 final class Fingerprint {
 
     private static final long PRIME = 0x100000001b3L;
-    private static final Set<Class<?>> NO_PART = Set.of(Random.class, RaftNode.Actions.class,
-            SimulatedCluster.class,
-            Timing.class);
+    private static final Set<Class<?>> NO_PART =
+            Set.of(Random.class, RaftNode.Actions.class, SimulatedCluster.class, Timing.class);
     private static final Map<Class<?>, List<Field>> FIELDS = new ConcurrentHashMap<>();
 
     private long sum = 0xcbf29ce484222325L;
@@ -71,7 +70,8 @@
         }
         List<Field> fields = new ArrayList<>();
         for (Field field : of.getDeclaredFields()) {
-            boolean part = !Modifier.isStatic(field.getModifiers()) && !field.isSynthetic()
+            boolean part = !Modifier.isStatic(field.getModifiers())
+                    && !field.isSynthetic()
                     && !NO_PART.contains(field.getType());
             if (part) {
                 field.setAccessible(true);
--- a/bench/src/sablehinge/consensus/Focus.java
+++ b/bench/src/sablehinge/consensus/Focus.java
@@ -4,8 +4,8 @@
 import sablehinge.consensus.Step.Kind;
 
 /**
- * What schedules by chance turn on: which calls and which faults come how often. Rare orders of events are
- * looked for where they lie, not by playing more of everything.
+ * What schedules by chance turn on: which calls and which faults come how often. Rare orders of events are looked for
+ * where they lie, not by playing more of everything.
  */
 enum Focus {
     /** A little of all. */
@@ -37,8 +37,9 @@
         LEAVE
     }
 
-    private static final Kind[] CALLS = {Kind.PROPOSE, Kind.REPEAT, Kind.RESEND, Kind.VARY, Kind.BARRIER,
-        Kind.CAPTURE, Kind.COMPACT, Kind.FORGET};
+    private static final Kind[] CALLS = {
+        Kind.PROPOSE, Kind.REPEAT, Kind.RESEND, Kind.VARY, Kind.BARRIER, Kind.CAPTURE, Kind.COMPACT, Kind.FORGET
+    };
 
     /** The part of the rounds in which somebody calls. */
     final double calls;
@@ -46,12 +47,12 @@
     final double waits;
     /** The part of the spells in which somebody is cut off, and the part of these in which from one only. */
     final double cuts;
+
     final double cutsFromOne;
     private final int[] callWeights;
     private final int[] faultWeights;
 
-    Focus(double calls, double waits, double cuts, double cutsFromOne, int[] callWeights,
-            int[] faultWeights) {
+    Focus(double calls, double waits, double cuts, double cutsFromOne, int[] callWeights, int[] faultWeights) {
         this.calls = calls;
         this.waits = waits;
         this.cuts = cuts;
--- a/bench/src/sablehinge/consensus/Hunt.java
+++ b/bench/src/sablehinge/consensus/Hunt.java
@@ -15,8 +15,7 @@
     /** Scripts that are shortened, of which the shortest is told. */
     private static final int WEIGHED = 3;
 
-    private Hunt() {
-    }
+    private Hunt() {}
 
     /** Plays schedules by chance from a seed on; of the first that broke something, at most {@code shown}. */
     static List<Script> byChance(long first, int most, int shown, Tally tally) {
@@ -30,8 +29,11 @@
 
     private static List<Script> byChance(LongUnaryOperator seeds, int most, int shown, Tally tally) {
         for (long from = 0; from < most; from += BATCH) {
-            List<Script> broken = LongStream.range(from, Math.min(most, from + BATCH)).parallel().map(seeds)
-                    .mapToObj(seed -> RandomScheduler.breaking(seed, tally)).filter(Objects::nonNull)
+            List<Script> broken = LongStream.range(from, Math.min(most, from + BATCH))
+                    .parallel()
+                    .map(seeds)
+                    .mapToObj(seed -> RandomScheduler.breaking(seed, tally))
+                    .filter(Objects::nonNull)
                     .toList();
             if (!broken.isEmpty()) {
                 return broken.subList(0, Math.min(shown, broken.size()));
@@ -58,8 +60,10 @@
         if (broken.isEmpty()) {
             return null;
         }
-        Script script = broken.stream().map(Script::shortened)
-                .min(Comparator.comparingInt(one -> one.steps().size())).orElseThrow();
+        Script script = broken.stream()
+                .map(Script::shortened)
+                .min(Comparator.comparingInt(one -> one.steps().size()))
+                .orElseThrow();
         String how = byChance ? "seed " + script.seed() : "in order";
         String steps = Integer.toString(script.steps().size());
         return new String[] {script.toString(), script.breach(), steps, how};
--- a/bench/src/sablehinge/consensus/KeptEntries.java
+++ b/bench/src/sablehinge/consensus/KeptEntries.java
@@ -3,16 +3,15 @@
 import java.lang.reflect.Field;
 
 /**
- * Entries that a member keeps in memory behind its snapshot, so that who lags a little needs none. Schedules
- * are too short to push them out by hundreds of others, so this does.
+ * Entries that a member keeps in memory behind its snapshot, so that who lags a little needs none. Schedules are too
+ * short to push them out by hundreds of others, so this does.
  */
 final class KeptEntries {
 
     private static final Field LOG = field(RaftNode.class, "log");
     private static final Field RECENT = field(RaftLog.class, "recent");
 
-    private KeptEntries() {
-    }
+    private KeptEntries() {}
 
     private static Field field(Class<?> of, String name) {
         try {
--- a/bench/src/sablehinge/consensus/LeaderLoss.java
+++ b/bench/src/sablehinge/consensus/LeaderLoss.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * One core in virtual time whose leader is struck once: how long nothing is committed, and how long until the
- * struck machine is at full strength again.
+ * One core in virtual time whose leader is struck once: how long nothing is committed, and how long until the struck
+ * machine is at full strength again.
  */
 final class LeaderLoss extends SimulatedCluster {
 
@@ -35,12 +35,13 @@
      * @param unled from the strike until a command that came after it was committed
      * @param back from the end of the strike until all machines hold all that is committed and are voters
      */
-    record Outcome(double unled, double back) { }
+    record Outcome(double unled, double back) {}
 
     private static final double CALM_MS = 3_000;
     private static final double STRUCK_MS = 5_000;
     /** From a kill or a loss of power to the next start of the process. */
     private static final double DOWN_MS = 500;
+
     private static final double WITHIN_MS = 30_000;
     private static final double LOOK_MS = 5;
     private static final double TICK_MS = 20;
@@ -126,9 +127,12 @@
 
     private boolean isAtFullStrength() {
         for (Machine machine : machines.values()) {
-            if (!machine.up() || machine.standing == null || machine.applied < committed.size()
+            if (!machine.up()
+                    || machine.standing == null
+                    || machine.applied < committed.size()
                     || machine.standing.role() == Standing.Role.OUTSIDER
-                    || machine.standing.members().size() != size || now < machine.stalledUntil) {
+                    || machine.standing.members().size() != size
+                    || now < machine.stalledUntil) {
                 return false;
             }
         }
--- a/bench/src/sablehinge/consensus/LostChange.java
+++ b/bench/src/sablehinge/consensus/LostChange.java
@@ -3,9 +3,9 @@
 import sablehinge.consensus.SimulatedCluster.Machine;
 
 /**
- * A schedule in which a follower takes commands and a change of the voters that their leader loses with its
- * power, and is cut off until the others have committed something else in their place and cut their logs to a
- * snapshot that ends before the change. What the follower had beyond the snapshot's end is void with it.
+ * A schedule in which a follower takes commands and a change of the voters that their leader loses with its power, and
+ * is cut off until the others have committed something else in their place and cut their logs to a snapshot that ends
+ * before the change. What the follower had beyond the snapshot's end is void with it.
  */
 final class LostChange {
 
@@ -15,6 +15,7 @@
     private static final int SETTLES = 10;
     /** Rounds within which a silent voter is about to be replaced, and then is. */
     private static final int WAITS = 30;
+
     private static final int MOST_COMMANDS = 4;
     /** Commands are proposed so long before a silent voter may be replaced, ms of the leader's clock. */
     private static final double BEFORE = 60;
@@ -90,7 +91,9 @@
     }
 
     private double silentMs(Machine leader, int of) {
-        return leader.master.pulse(leader.clock()).silentMs()
+        return leader.master
+                .pulse(leader.clock())
+                .silentMs()
                 .getOrDefault(cluster.machine(of).self.id(), Double.MAX_VALUE);
     }
 
--- a/bench/src/sablehinge/consensus/MembershipFaults.java
+++ b/bench/src/sablehinge/consensus/MembershipFaults.java
@@ -13,36 +13,80 @@
     private static final String CHANGE = "consensus/VoterChange";
 
     static final List<Mutant> ALL = List.of(
-            new Mutant("who lost its disk comes back as its old self", "consensus/Member", "Member later(",
+            new Mutant(
+                    "who lost its disk comes back as its old self",
+                    "consensus/Member",
+                    "Member later(",
                     "return new Member(even == 0 ? 2 : even, address, control);",
                     "return founder(address, control);"),
-            new Mutant("members change while a change is uncommitted", NODE, "private void changeMembers(",
-                    "log.membersIndex() > commit || ", ""),
-            new Mutant("members stay when their entry is rolled back", LOG, "void truncate(long from)",
-                    "lists.tailMap(from, true).clear();", ""),
-            new Mutant("a list that is appended does not count", LOG, "void append(Entry entry)",
-                    "entry.kind() == Entry.Kind.MEMBERS", "entry.index() < 0"),
-            new Mutant("a snapshot has members that came later", LOG, "void compact(",
-                    "lists.floorEntry(index).getValue()", "members()"),
-            new Mutant("half of an even core is a majority", NODE, "private int majority()",
-                    "log.members().size() / 2 + 1", "(log.members().size() + 1) / 2"),
-            new Mutant("a voter comes and another goes in one step", CHANGE, "List<Member> applied(",
-                    "next.add(member);", "next.add(member);\n            next.remove(0);"),
-            new Mutant("all who wait are let in in one step", NODE, "private void changeMembers(",
+            new Mutant(
+                    "members change while a change is uncommitted",
+                    NODE,
+                    "private void changeMembers(",
+                    "log.membersIndex() > commit || ",
+                    ""),
+            new Mutant(
+                    "members stay when their entry is rolled back",
+                    LOG,
+                    "void truncate(long from)",
+                    "lists.tailMap(from, true).clear();",
+                    ""),
+            new Mutant(
+                    "a list that is appended does not count",
+                    LOG,
+                    "void append(Entry entry)",
+                    "entry.kind() == Entry.Kind.MEMBERS",
+                    "entry.index() < 0"),
+            new Mutant(
+                    "a snapshot has members that came later",
+                    LOG,
+                    "void compact(",
+                    "lists.floorEntry(index).getValue()",
+                    "members()"),
+            new Mutant(
+                    "half of an even core is a majority",
+                    NODE,
+                    "private int majority()",
+                    "log.members().size() / 2 + 1",
+                    "(log.members().size() + 1) / 2"),
+            new Mutant(
+                    "a voter comes and another goes in one step",
+                    CHANGE,
+                    "List<Member> applied(",
+                    "next.add(member);",
+                    "next.add(member);\n            next.remove(0);"),
+            new Mutant(
+                    "all who wait are let in in one step",
+                    NODE,
+                    "private void changeMembers(",
                     "due.get().applied(log.members())",
                     "java.util.stream.Stream.concat(due.get().applied(log.members()).stream(), "
-                    + "learners.stream().map(MembershipPlanner.Replica::member)).distinct().toList()"),
-            new Mutant("the core does not grow", PLANNER, "private Optional<VoterChange> due(",
-                    "voters.size() < wanted && ready.size() >= 2", "voters.size() < 0"),
-            new Mutant("a voter that lost its disk is not replaced", PLANNER,
-                    "private Optional<Replica> departing(", "Replica goes = null;",
+                            + "learners.stream().map(MembershipPlanner.Replica::member)).distinct().toList()"),
+            new Mutant(
+                    "the core does not grow",
+                    PLANNER,
+                    "private Optional<VoterChange> due(",
+                    "voters.size() < wanted && ready.size() >= 2",
+                    "voters.size() < 0"),
+            new Mutant(
+                    "a voter that lost its disk is not replaced",
+                    PLANNER,
+                    "private Optional<Replica> departing(",
+                    "Replica goes = null;",
                     "Replica goes = null;\n        if (!voters.isEmpty()) {\n"
-                    + "            return Optional.empty();\n        }"),
-            new Mutant("an even core stays even", PLANNER, "private Optional<VoterChange> due(",
-                    "voters.size() % 2 == 0", "voters.size() < 0"),
-            new Mutant("who does not answer is let in", PLANNER, "private boolean isCarried(",
-                    "sound >= list.size() / 2 + 1", "sound >= 0"));
+                            + "            return Optional.empty();\n        }"),
+            new Mutant(
+                    "an even core stays even",
+                    PLANNER,
+                    "private Optional<VoterChange> due(",
+                    "voters.size() % 2 == 0",
+                    "voters.size() < 0"),
+            new Mutant(
+                    "who does not answer is let in",
+                    PLANNER,
+                    "private boolean isCarried(",
+                    "sound >= list.size() / 2 + 1",
+                    "sound >= 0"));
 
-    private MembershipFaults() {
-    }
+    private MembershipFaults() {}
 }
--- a/bench/src/sablehinge/consensus/OrderFaults.java
+++ b/bench/src/sablehinge/consensus/OrderFaults.java
@@ -10,31 +10,78 @@
 final class OrderFaults {
 
     static final List<Mutant> ALL = List.of(
-            new Mutant("a configuration on an old version is taken", STATE, "public Outcome foresee(",
-                    "basedOn != edition", "basedOn > edition"),
-            new Mutant("a repeated configuration is not known again", STATE, "public Outcome foresee(",
-                    "known != null &&", "known != null && edition < 0 &&"),
-            new Mutant("only the latest configuration is known again", STATE, "public Outcome foresee(",
-                    "known != null &&", "known != null && next == edition &&"),
-            new Mutant("an order is known by its edition alone", STATE, "public Outcome foresee(",
-                    "known.isOrder(basedOn, nextBody)", "known.length >= 0"),
-            new Mutant("bodies of one length are taken for one", STATE, "boolean isOrder(",
-                    " && digest.matches(sent)", ""),
-            new Mutant("an order on another version is taken for the same", STATE, "boolean isOrder(",
-                    "(basedOn == base || basedOn == UNKNOWN)", "basedOn >= UNKNOWN"),
-            new Mutant("an edition that is not above is taken", STATE, "public Outcome foresee(",
-                    "next <= edition ? Outcome.OLD : ", ""),
-            new Mutant("a refused order is carried out", STATE, "public Outcome apply(",
-                    "outcome == Outcome.TAKEN", "outcome != Outcome.STALE"),
-            new Mutant("a state forgets what was taken", STATE, "public void restore(byte[] state)",
-                    "i < count", "i < 0 * count"),
-            new Mutant("a state tells no editions that were taken", STATE, "public byte[] state()",
-                    "out.writeInt(taken.size());", "out.writeInt(0);"),
-            new Mutant("a state's body is lost", STATE, "public void restore(byte[] state)",
-                    "in.readFully(body);", "in.skipBytes(body.length);"),
-            new Mutant("who does not lead takes orders", NODE, "public long propose(",
-                    "!running || role != Standing.Role.LEADER || log", "!running || log"));
+            new Mutant(
+                    "a configuration on an old version is taken",
+                    STATE,
+                    "public Outcome foresee(",
+                    "basedOn != edition",
+                    "basedOn > edition"),
+            new Mutant(
+                    "a repeated configuration is not known again",
+                    STATE,
+                    "public Outcome foresee(",
+                    "known != null &&",
+                    "known != null && edition < 0 &&"),
+            new Mutant(
+                    "only the latest configuration is known again",
+                    STATE,
+                    "public Outcome foresee(",
+                    "known != null &&",
+                    "known != null && next == edition &&"),
+            new Mutant(
+                    "an order is known by its edition alone",
+                    STATE,
+                    "public Outcome foresee(",
+                    "known.isOrder(basedOn, nextBody)",
+                    "known.length >= 0"),
+            new Mutant(
+                    "bodies of one length are taken for one",
+                    STATE,
+                    "boolean isOrder(",
+                    " && digest.matches(sent)",
+                    ""),
+            new Mutant(
+                    "an order on another version is taken for the same",
+                    STATE,
+                    "boolean isOrder(",
+                    "(basedOn == base || basedOn == UNKNOWN)",
+                    "basedOn >= UNKNOWN"),
+            new Mutant(
+                    "an edition that is not above is taken",
+                    STATE,
+                    "public Outcome foresee(",
+                    "next <= edition ? Outcome.OLD : ",
+                    ""),
+            new Mutant(
+                    "a refused order is carried out",
+                    STATE,
+                    "public Outcome apply(",
+                    "outcome == Outcome.TAKEN",
+                    "outcome != Outcome.STALE"),
+            new Mutant(
+                    "a state forgets what was taken",
+                    STATE,
+                    "public void restore(byte[] state)",
+                    "i < count",
+                    "i < 0 * count"),
+            new Mutant(
+                    "a state tells no editions that were taken",
+                    STATE,
+                    "public byte[] state()",
+                    "out.writeInt(taken.size());",
+                    "out.writeInt(0);"),
+            new Mutant(
+                    "a state's body is lost",
+                    STATE,
+                    "public void restore(byte[] state)",
+                    "in.readFully(body);",
+                    "in.skipBytes(body.length);"),
+            new Mutant(
+                    "who does not lead takes orders",
+                    NODE,
+                    "public long propose(",
+                    "!running || role != Standing.Role.LEADER || log",
+                    "!running || log"));
 
-    private OrderFaults() {
-    }
+    private OrderFaults() {}
 }
--- a/bench/src/sablehinge/consensus/Outrun.java
+++ b/bench/src/sablehinge/consensus/Outrun.java
@@ -1,9 +1,9 @@
 package sablehinge.consensus;
 
 /**
- * A schedule in which a follower takes entries that their leader loses with its power before its own disk
- * has them, and is cut off while others lead one term after the other. When it is back its log parts from
- * theirs below what they have committed, and may hold more than it shares with them.
+ * A schedule in which a follower takes entries that their leader loses with its power before its own disk has them, and
+ * is cut off while others lead one term after the other. When it is back its log parts from theirs below what they have
+ * committed, and may hold more than it shares with them.
  */
 final class Outrun {
 
@@ -54,7 +54,8 @@
             }
         }
         for (int other = 0; other < player.cluster.size(); other++) {
-            int waiting = other == behind ? 0 : player.cluster.link(first, other).size();
+            int waiting =
+                    other == behind ? 0 : player.cluster.link(first, other).size();
             for (int i = player.random.nextInt(waiting + 1); i > 0; i--) {
                 player.deliver(first, other);
             }
--- a/bench/src/sablehinge/consensus/Player.java
+++ b/bench/src/sablehinge/consensus/Player.java
@@ -50,7 +50,9 @@
     }
 
     void power(int machine) {
-        int waiting = cluster.isStarting(machine) ? 1 : cluster.machine(machine).unsynced.size();
+        int waiting = cluster.isStarting(machine)
+                ? 1
+                : cluster.machine(machine).unsynced.size();
         take(new Step(Step.Kind.POWER, machine, 0, chance(0.6) ? 0 : random.nextInt(waiting + 1)));
     }
 
@@ -85,7 +87,9 @@
 
     private boolean isLedSince(long before) {
         Machine leader = cluster.leader();
-        return leader != null && cluster.leaders.size() > before && leader.applied > 0
+        return leader != null
+                && cluster.leaders.size() > before
+                && leader.applied > 0
                 && cluster.committed.get((int) leader.applied - 1).term() == leader.standing.term();
     }
 
@@ -97,7 +101,7 @@
     /** The same while one disk hangs, by its machine's place. */
     void flow(int hangs) {
         boolean moved = true;
-        for (int moves = 0; moved && moves < MOST_MOVES;) {
+        for (int moves = 0; moved && moves < MOST_MOVES; ) {
             moved = false;
             for (int a = 0; a < cluster.size(); a++) {
                 if (a != hangs && sync(a)) {
@@ -119,7 +123,8 @@
         Machine machine = cluster.machine(leader);
         List<Member> voters = machine.standing == null ? List.of() : machine.standing.members();
         return IntStream.range(0, cluster.size())
-                .filter(i -> i != leader && voters.contains(cluster.machine(i).self)).toArray();
+                .filter(i -> i != leader && voters.contains(cluster.machine(i).self))
+                .toArray();
     }
 
     /** What is on the way between two is lost. */
@@ -140,7 +145,8 @@
 
     /** The oldest write of a machine ends; false if it has none. */
     boolean sync(int machine) {
-        boolean waits = cluster.isStarting(machine) || !cluster.machine(machine).unsynced.isEmpty();
+        boolean waits = cluster.isStarting(machine)
+                || !cluster.machine(machine).unsynced.isEmpty();
         if (waits) {
             take(Step.of(Step.Kind.SYNC, machine));
         }
--- a/bench/src/sablehinge/consensus/QuorumBench.java
+++ b/bench/src/sablehinge/consensus/QuorumBench.java
@@ -12,9 +12,9 @@
 import sablehinge.torture.MutantLoader;
 
 /**
- * Plays the agreement of the core and the agreed state through schedules by chance and through all orders of
- * a few steps, and shows that faults put into copies of the real classes are found. What breaks is cut down
- * to a short script, which {@code --play FILE} plays again.
+ * Plays the agreement of the core and the agreed state through schedules by chance and through all orders of a few
+ * steps, and shows that faults put into copies of the real classes are found. What breaks is cut down to a short
+ * script, which {@code --play FILE} plays again.
  */
 public final class QuorumBench {
 
@@ -22,18 +22,19 @@
     private static final int USUAL_DEPTH = 4;
     /** Steps of which every order is played for a fault that is not found by chance. */
     private static final int HUNTED_DEPTH = 3;
+
     private static final int MOST_THREADS = 4;
     private static final int SHOWN = 3;
     /** Schedules by chance that a fault is looked for in, before all orders. */
     private static final int MOST_HUNTED = 20_000;
+
     private static final double NANOS_PER_S = 1e9;
 
-    private QuorumBench() {
-    }
+    private QuorumBench() {}
 
     /**
-     * Arguments: how many schedules by chance, how many steps of which every order is played, and a part of
-     * the names of the faults that are put in; or {@code --play} and a file.
+     * Arguments: how many schedules by chance, how many steps of which every order is played, and a part of the names
+     * of the faults that are put in; or {@code --play} and a file.
      */
     public static void main(String[] arguments) throws Exception {
         if (arguments.length > 0 && arguments[0].equals("--play")) {
@@ -43,10 +44,13 @@
         int most = arguments.length > 0 ? Integer.parseInt(arguments[0]) : USUAL;
         int depth = arguments.length > 1 ? Integer.parseInt(arguments[1]) : USUAL_DEPTH;
         List<Fault> faults = Faults.ALL.stream()
-                .filter(fault -> arguments.length < 3 || fault.name().contains(arguments[2])).toList();
+                .filter(fault -> arguments.length < 3 || fault.name().contains(arguments[2]))
+                .toList();
         int threads = Math.min(MOST_THREADS, Runtime.getRuntime().availableProcessors());
         // What is parallel inside of it runs on its threads.
-        boolean good = new ForkJoinPool(threads).submit(() -> measure(most, depth, faults, threads)).get();
+        boolean good = new ForkJoinPool(threads)
+                .submit(() -> measure(most, depth, faults, threads))
+                .get();
         System.exit(good ? 0 : 1);
     }
 
@@ -76,14 +80,18 @@
         if (depth > 0) {
             broken.addAll(EveryOrder.all(depth, inOrder));
         }
-        System.out.printf("%-10s %10s %12s %10s %12s %10s %10s %8s%n", "schedules", "", "events", "leaders",
-                "committed", "promised", "members", "seconds");
+        System.out.printf(
+                "%-10s %10s %12s %10s %12s %10s %10s %8s%n",
+                "schedules", "", "events", "leaders", "committed", "promised", "members", "seconds");
         print("by chance", byChance, chanceTook);
         print("in order", inOrder, seconds(orderBegun));
-        long stuck = broken.stream().filter(script -> script.breach().contains(Calm.LIVENESS)).count();
+        long stuck = broken.stream()
+                .filter(script -> script.breach().contains(Calm.LIVENESS))
+                .count();
         for (Script script : broken) {
-            System.out.printf("%nBROKEN, cut down from %d steps:%n%s", script.steps().size(),
-                    script.shortened().told());
+            System.out.printf(
+                    "%nBROKEN, cut down from %d steps:%n%s",
+                    script.steps().size(), script.shortened().told());
         }
         int found = hunt(faults, Math.min(most, MOST_HUNTED), Math.min(depth, HUNTED_DEPTH));
         ObjectNode json = JsonMapper.builder().build().createObjectNode();
@@ -103,17 +111,24 @@
 
     /** Looks for each of the faults and tells how it was found; how many were. */
     private static int hunt(List<Fault> faults, int most, int depth) throws Exception {
-        System.out.printf("%n%-58s %-10s %8s %6s %-12s %s%n", "fault put in", "point", "seconds", "steps",
-                "found by", "");
+        System.out.printf(
+                "%n%-58s %-10s %8s %6s %-12s %s%n", "fault put in", "point", "seconds", "steps", "found by", "");
         int found = 0;
         for (Fault fault : faults) {
             long from = System.nanoTime();
             String[] how = (String[]) MutantLoader.of(fault.mutant(), Path.of("src/main/java"))
-                    .loadClass(Hunt.class.getName()).getMethod("hunt", String.class, int.class, int.class)
+                    .loadClass(Hunt.class.getName())
+                    .getMethod("hunt", String.class, int.class, int.class)
                     .invoke(null, fault.point().focus().name(), most, depth);
             found += how == null ? 0 : 1;
-            System.out.printf(Locale.ROOT, "%-58s %-10s %8.1f %6s %-12s %s%n", fault.name(), fault.point(),
-                    seconds(from), how == null ? "" : how[2], how == null ? "NOT FOUND" : how[3],
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-58s %-10s %8.1f %6s %-12s %s%n",
+                    fault.name(),
+                    fault.point(),
+                    seconds(from),
+                    how == null ? "" : how[2],
+                    how == null ? "NOT FOUND" : how[3],
                     how == null ? "" : how[1].replaceFirst("^seed \\d+, [0-9.]+ ms[,:] ", ""));
             if (faults.size() == 1 && how != null) {
                 System.out.println(how[0]);
@@ -123,9 +138,17 @@
     }
 
     private static void print(String name, Tally tally, double seconds) {
-        System.out.printf(Locale.ROOT, "%-10s %10d %12d %10d %12d %10d %10d %8.1f%n", name,
-                tally.schedules.sum(), tally.steps.sum(), tally.timing.sum(), tally.committed.sum(),
-                tally.acknowledged.sum(), tally.changes.sum(), seconds);
+        System.out.printf(
+                Locale.ROOT,
+                "%-10s %10d %12d %10d %12d %10d %10d %8.1f%n",
+                name,
+                tally.schedules.sum(),
+                tally.steps.sum(),
+                tally.timing.sum(),
+                tally.committed.sum(),
+                tally.acknowledged.sum(),
+                tally.changes.sum(),
+                seconds);
     }
 
     private static double seconds(long since) {
--- a/bench/src/sablehinge/consensus/RandomScheduler.java
+++ b/bench/src/sablehinge/consensus/RandomScheduler.java
@@ -5,9 +5,9 @@
 import sablehinge.consensus.SimulatedCluster.Machine;
 
 /**
- * A schedule by chance. It goes in spells, each of which has its own pace, links that lag, disks that hang,
- * and machines that are cut off; between two of them a machine or all lose power, one loses its disk, one
- * comes in. What comes how often is its {@link Focus}. At its end there is a calm in which all must heal.
+ * A schedule by chance. It goes in spells, each of which has its own pace, links that lag, disks that hang, and
+ * machines that are cut off; between two of them a machine or all lose power, one loses its disk, one comes in. What
+ * comes how often is its {@link Focus}. At its end there is a calm in which all must heal.
  */
 final class RandomScheduler {
 
@@ -17,6 +17,7 @@
     private static final int FEW_SPELLS = 4;
     /** The part of the schedules of a focus that have such a beginning. */
     private static final double LED = 0.1;
+
     private static final int SHORTEST = 15;
     private static final int VARIES = 80;
     private static final int LONG_WAIT = 350;
@@ -35,6 +36,7 @@
     private int frozen = -1;
     /** Whether every other spell is without troubles. */
     private boolean settles;
+
     private int newcomers;
     private double loss;
     private double overtaking;
@@ -175,7 +177,8 @@
     /** Calls who leads or thinks so, and sometimes any; a host may compact anywhere. */
     private void call(Step.Kind kind) {
         int from = draw(cluster.size());
-        boolean anywhere = focus == Focus.ORDERS && chance(0.2) || kind == Step.Kind.CAPTURE
+        boolean anywhere = focus == Focus.ORDERS && chance(0.2)
+                || kind == Step.Kind.CAPTURE
                 || kind == Step.Kind.COMPACT
                 || kind == Step.Kind.FORGET;
         for (int i = 0; i < cluster.size(); i++) {
@@ -200,10 +203,11 @@
                     return true;
                 }
             } else if (!cluster.link(at / size, at % size).isEmpty()
-                    && !lags[at / size * SteppedCluster.MOST + at % size] && at % size != frozen) {
+                    && !lags[at / size * SteppedCluster.MOST + at % size]
+                    && at % size != frozen) {
                 int waiting = cluster.link(at / size, at % size).size();
-                Step.Kind kind = chance(loss) ? Step.Kind.DROP
-                        : chance(doubling) ? Step.Kind.DOUBLE : Step.Kind.DELIVER;
+                Step.Kind kind =
+                        chance(loss) ? Step.Kind.DROP : chance(doubling) ? Step.Kind.DOUBLE : Step.Kind.DELIVER;
                 take(new Step(kind, at / size, at % size, chance(overtaking) ? draw(waiting) : 0));
                 return true;
             }
--- a/bench/src/sablehinge/consensus/Script.java
+++ b/bench/src/sablehinge/consensus/Script.java
@@ -9,6 +9,7 @@
     private static final String SEED = "seed ";
     /** As long as any step without its comment. */
     private static final int WIDTH = 16;
+
     private static final int LONGEST_COMMENT = 300;
 
     /** A script whose list can't be changed. */
@@ -142,18 +143,23 @@
     /** The script with what each step moves and comes to, and what breaks at its end. */
     String told() {
         SteppedCluster cluster = new SteppedCluster(seed);
-        StringBuilder text = new StringBuilder(SEED).append(seed).append("  # ").append(cluster.settings())
+        StringBuilder text = new StringBuilder(SEED)
+                .append(seed)
+                .append("  # ")
+                .append(cluster.settings())
                 .append('\n');
         String before = cluster.line();
         for (Step step : steps) {
             String breach = breach(cluster, List.of(step));
             String after = cluster.line();
-            String comment = cluster.moved().replaceAll("Member\\[id=(-?\\d+), address=([^,]*),[^\\]]*\\]",
-                    "$2")
-                    .replaceAll(", data=\\[B@\\w+|\\w+Term=0, |state=\\[B@\\w+", "")
+            String comment = cluster.moved()
+                            .replaceAll("Member\\[id=(-?\\d+), address=([^,]*),[^\\]]*\\]", "$2")
+                            .replaceAll(", data=\\[B@\\w+|\\w+Term=0, |state=\\[B@\\w+", "")
                     + (after.equals(before) ? "" : " => " + after);
-            text.append(String.format("%-" + WIDTH + "s", step)).append("# ")
-                    .append(comment, 0, Math.min(LONGEST_COMMENT, comment.length())).append('\n');
+            text.append(String.format("%-" + WIDTH + "s", step))
+                    .append("# ")
+                    .append(comment, 0, Math.min(LONGEST_COMMENT, comment.length()))
+                    .append('\n');
             before = after;
             if (breach != null) {
                 return text.append("# BROKEN: ").append(breach).append('\n').toString();
--- a/bench/src/sablehinge/consensus/SlowFollower.java
+++ b/bench/src/sablehinge/consensus/SlowFollower.java
@@ -1,8 +1,8 @@
 package sablehinge.consensus;
 
 /**
- * A schedule in which one follower's disk hangs although it answers its leader, and the other is cut off for
- * so long that a newcomer may take its place: then those that are left could commit nothing.
+ * A schedule in which one follower's disk hangs although it answers its leader, and the other is cut off for so long
+ * that a newcomer may take its place: then those that are left could commit nothing.
  */
 final class SlowFollower {
 
@@ -10,6 +10,7 @@
     private static final int SETTLES = 10;
     /** Rounds within which a silent voter would be replaced. */
     private static final int WAITS = 30;
+
     private static final int MOST_COMMANDS = 3;
 
     private final Player player;
--- a/bench/src/sablehinge/consensus/SnapshotFaults.java
+++ b/bench/src/sablehinge/consensus/SnapshotFaults.java
@@ -14,48 +14,115 @@
     private static final String RECEIVER = "consensus/SnapshotReceiver";
 
     static final List<Mutant> ALL = List.of(
-            new Mutant("a snapshot's term is forgotten", LOG, "void install(Snapshot snapshot)",
-                    "rebase(snapshot, follows", "rebase(new Snapshot(snapshot.index(), 0, "
-                    + "snapshot.members(), snapshot.state()), follows"),
-            new Mutant("a snapshot's members are forgotten", LOG, "void install(Snapshot snapshot)",
-                    "rebase(snapshot, follows", "rebase(isBare() ? snapshot : new Snapshot(snapshot.index(), "
-                    + "snapshot.term(), base.members(), snapshot.state()), follows"),
-            new Mutant("entries that differ stay behind a snapshot", LOG, "void install(Snapshot snapshot)",
+            new Mutant(
+                    "a snapshot's term is forgotten",
+                    LOG,
+                    "void install(Snapshot snapshot)",
+                    "rebase(snapshot, follows",
+                    "rebase(new Snapshot(snapshot.index(), 0, " + "snapshot.members(), snapshot.state()), follows"),
+            new Mutant(
+                    "a snapshot's members are forgotten",
+                    LOG,
+                    "void install(Snapshot snapshot)",
+                    "rebase(snapshot, follows",
+                    "rebase(isBare() ? snapshot : new Snapshot(snapshot.index(), "
+                            + "snapshot.term(), base.members(), snapshot.state()), follows"),
+            new Mutant(
+                    "entries that differ stay behind a snapshot",
+                    LOG,
+                    "void install(Snapshot snapshot)",
                     "holdsEntry(snapshot.index(), snapshot.term())",
                     "snapshot.index() >= base.index() && snapshot.index() <= lastIndex()"),
-            new Mutant("members of entries that a snapshot drops stay", LOG,
-                    "void install(Snapshot snapshot)", "lists.clear();", ""),
-            new Mutant("the disk keeps entries that a snapshot drops", NODE, "private void takeInstall(",
-                    "queue.truncate(log.base().index() + 1);", ""),
-            new Mutant("an old snapshot takes the place of a newer state", NODE,
-                    "private void takeInstall(", "install.part().index() > commit || log.isBare()",
+            new Mutant(
+                    "members of entries that a snapshot drops stay",
+                    LOG,
+                    "void install(Snapshot snapshot)",
+                    "lists.clear();",
+                    ""),
+            new Mutant(
+                    "the disk keeps entries that a snapshot drops",
+                    NODE,
+                    "private void takeInstall(",
+                    "queue.truncate(log.base().index() + 1);",
+                    ""),
+            new Mutant(
+                    "an old snapshot takes the place of a newer state",
+                    NODE,
+                    "private void takeInstall(",
+                    "install.part().index() > commit || log.isBare()",
                     "install.part().index() > 0 || log.isBare()"),
-            new Mutant("entries in a snapshot are written behind it", QUEUE, "void snapshot(Snapshot taken)",
-                    "append.removeIf(entry -> entry.index() <= taken.index());", ""),
-            new Mutant("a host's older state takes the place of a newer snapshot", NODE,
-                    "public void compact(", "index <= log.base().index()", "index <= 0"),
-            new Mutant("entries below a snapshot are compared", NODE, "private void takeAppend(",
-                    "previous > commit && log", "log"),
-            new Mutant("entries below a snapshot are appended", NODE, "private void take(Entry entry)",
-                    "entry.index() <= log.base().index()", "entry.index() < 0"),
-            new Mutant("a start forgets that a snapshot is committed", NODE, "public void start(",
-                    "commit = stored.snapshot().index();", ""),
-            new Mutant("a lost chunk is never sent again", SENDER, "Message.Install next(",
+            new Mutant(
+                    "entries in a snapshot are written behind it",
+                    QUEUE,
+                    "void snapshot(Snapshot taken)",
+                    "append.removeIf(entry -> entry.index() <= taken.index());",
+                    ""),
+            new Mutant(
+                    "a host's older state takes the place of a newer snapshot",
+                    NODE,
+                    "public void compact(",
+                    "index <= log.base().index()",
+                    "index <= 0"),
+            new Mutant(
+                    "entries below a snapshot are compared",
+                    NODE,
+                    "private void takeAppend(",
+                    "previous > commit && log",
+                    "log"),
+            new Mutant(
+                    "entries below a snapshot are appended",
+                    NODE,
+                    "private void take(Entry entry)",
+                    "entry.index() <= log.base().index()",
+                    "entry.index() < 0"),
+            new Mutant(
+                    "a start forgets that a snapshot is committed",
+                    NODE,
+                    "public void start(",
+                    "commit = stored.snapshot().index();",
+                    ""),
+            new Mutant(
+                    "a lost chunk is never sent again",
+                    SENDER,
+                    "Message.Install next(",
                     "sentAt = now;\n        sentRound = round;",
                     "sentAt = Double.MAX_VALUE;\n        sentRound = Long.MAX_VALUE;"),
-            new Mutant("a chunk counts for another snapshot", RECEIVER, "private boolean isOf(",
-                    "leaderTerm == install.term() && index == install.part().index()", "leaderTerm > 0"),
-            new Mutant("a chunk that comes twice counts twice", RECEIVER, "Snapshot take(",
-                    "install.offset() == held", "install.offset() <= held"),
-            new Mutant("a chunk before a lost one counts", RECEIVER, "Snapshot take(",
-                    "install.offset() == held", "install.offset() >= held"),
-            new Mutant("kept entries do not join the snapshot", LOG, "void install(Snapshot snapshot)",
-                    "recent.clear();", ""),
-            new Mutant("entries are sent behind one that is not kept", LOG, "boolean reaches(",
-                    "recent.holds(index - 1)", "recent.holds(index)"),
-            new Mutant("who has nothing is sent entries only", NODE, "private void takeAppended(",
-                    "peer.bare = answer.hint() < 0;", "peer.bare = false;"));
+            new Mutant(
+                    "a chunk counts for another snapshot",
+                    RECEIVER,
+                    "private boolean isOf(",
+                    "leaderTerm == install.term() && index == install.part().index()",
+                    "leaderTerm > 0"),
+            new Mutant(
+                    "a chunk that comes twice counts twice",
+                    RECEIVER,
+                    "Snapshot take(",
+                    "install.offset() == held",
+                    "install.offset() <= held"),
+            new Mutant(
+                    "a chunk before a lost one counts",
+                    RECEIVER,
+                    "Snapshot take(",
+                    "install.offset() == held",
+                    "install.offset() >= held"),
+            new Mutant(
+                    "kept entries do not join the snapshot",
+                    LOG,
+                    "void install(Snapshot snapshot)",
+                    "recent.clear();",
+                    ""),
+            new Mutant(
+                    "entries are sent behind one that is not kept",
+                    LOG,
+                    "boolean reaches(",
+                    "recent.holds(index - 1)",
+                    "recent.holds(index)"),
+            new Mutant(
+                    "who has nothing is sent entries only",
+                    NODE,
+                    "private void takeAppended(",
+                    "peer.bare = answer.hint() < 0;",
+                    "peer.bare = false;"));
 
-    private SnapshotFaults() {
-    }
+    private SnapshotFaults() {}
 }
--- a/bench/src/sablehinge/consensus/Step.java
+++ b/bench/src/sablehinge/consensus/Step.java
@@ -3,8 +3,7 @@
 import java.util.Locale;
 
 /**
- * One thing that happens in a {@link SteppedCluster}. A step that can't happen does nothing, so that any
- * part of a
+ * One thing that happens in a {@link SteppedCluster}. A step that can't happen does nothing, so that any part of a
  * script is a script.
  *
  * @param a the machine, or who has sent the message; 0 for {@code a}, the first founder
@@ -103,10 +102,12 @@
             throw new IllegalArgumentException("no step is called '" + words[0] + "'", e);
         }
         if (words.length != 1 + kind.machines + (kind.numbered ? 1 : 0)) {
-            throw new IllegalArgumentException("'" + text.strip() + "': expected " + kind.machines
-                    + " machines" + (kind.numbered ? " and a number" : ""));
+            throw new IllegalArgumentException("'" + text.strip() + "': expected " + kind.machines + " machines"
+                    + (kind.numbered ? " and a number" : ""));
         }
-        return new Step(kind, kind.machines > 0 ? machine(words[1]) : 0,
+        return new Step(
+                kind,
+                kind.machines > 0 ? machine(words[1]) : 0,
                 kind.machines > 1 ? machine(words[2]) : 0,
                 kind.numbered ? Integer.parseUnsignedInt(words[words.length - 1]) : 0);
     }
@@ -114,8 +115,8 @@
     private static int machine(String word) {
         int machine = word.charAt(0) - 'a';
         if (word.length() != 1 || machine < 0 || machine >= SteppedCluster.MOST) {
-            throw new IllegalArgumentException("no machine is called '" + word + "'; a to "
-                    + letter(SteppedCluster.MOST - 1) + " may be");
+            throw new IllegalArgumentException(
+                    "no machine is called '" + word + "'; a to " + letter(SteppedCluster.MOST - 1) + " may be");
         }
         return machine;
     }
--- a/bench/src/sablehinge/consensus/SteppedCluster.java
+++ b/bench/src/sablehinge/consensus/SteppedCluster.java
@@ -9,9 +9,9 @@
 import java.util.Random;
 
 /**
- * A valley in which nothing flows by itself: messages and writes wait until a {@link Step} moves them, and
- * time stands still between two of them. Which founders there are, how fast their clocks go and the terms
- * follow from the seed; all else is up to the steps.
+ * A valley in which nothing flows by itself: messages and writes wait until a {@link Step} moves them, and time stands
+ * still between two of them. Which founders there are, how fast their clocks go and the terms follow from the seed; all
+ * else is up to the steps.
  */
 final class SteppedCluster extends SimulatedCluster {
 
@@ -25,6 +25,7 @@
     private static final double WRONG = 0.1;
     /** Length of a state whose snapshot needs several chunks, bytes; and how many seeds have it. */
     private static final int LARGE = 70_000;
+
     private static final int FEW_LARGE = 24;
     private static final double PLAINLY_WRONG = 0.05;
     private static final double APART = 1e5;
@@ -34,15 +35,14 @@
     private static final int SEEDS = 3;
     /** Of twenty throws, those below have 4 or 5 founders, then 3; then 3 or 4 machines start, then 5. */
     private static final int FOUNDED_BY_THREE = 3;
+
     private static final int STARTED = 9;
     private static final int GROWING = 13;
 
     /** A message with who has sent it. */
-    record Letter(Member from, Message message) {
-    }
+    record Letter(Member from, Message message) {}
 
-    private record Captured(long life, long index, byte[] state) {
-    }
+    private record Captured(long life, long index, byte[] state) {}
 
     private final List<Machine> byPlace = new ArrayList<>();
     private final Map<String, Integer> places = new HashMap<>();
@@ -52,6 +52,7 @@
     private final Captured[] captured = new Captured[MOST];
     /** The life in which a machine's process was told to end; by place. */
     private final long[] leaving = new long[MOST];
+
     private final CarriedChanges carried = new CarriedChanges();
     /** Starts of processes on empty disks; null where machines are there from the beginning. */
     private final DeploymentStart deployment;
@@ -61,6 +62,7 @@
     private int done;
     /** Losses that the core is to bear once all machines of the beginning take part. */
     private final int tolerates;
+
     private final List<Member> founders;
     private boolean beyond;
 
@@ -75,9 +77,17 @@
             rates[i] = plain ? 1 + (i % 3 - 1) * PLAINLY_WRONG : 1 + (random.nextInt(3) - 1) * WRONG;
         }
         // Few entries a message and short patience bring about what a core meets seldom.
-        timing = new Timing(usual.heartbeat(), usual.electionLeast(),
-                plain ? usual.electionLeast() : usual.electionMost(), usual.quorum(), 700, usual.fresh(),
-                usual.stall(), usual.barrier(), plain ? 1 : 1 + random.nextInt(3), usual.bytes(),
+        timing = new Timing(
+                usual.heartbeat(),
+                usual.electionLeast(),
+                plain ? usual.electionLeast() : usual.electionMost(),
+                usual.quorum(),
+                700,
+                usual.fresh(),
+                usual.stall(),
+                usual.barrier(),
+                plain ? 1 : 1 + random.nextInt(3),
+                usual.bytes(),
                 usual.waiting());
         if (!plain && (Focus.of(seed) == Focus.SNAPSHOTS && random.nextInt(FEW_LARGE) == 0)) {
             claims.stateBytes = LARGE;
@@ -154,8 +164,7 @@
 
     @Override
     void made(Machine machine, Entry entry) {
-        if (entry.kind() == Entry.Kind.MEMBERS && machine.leads()
-                && machine.standing.term() == entry.term()) {
+        if (entry.kind() == Entry.Kind.MEMBERS && machine.leads() && machine.standing.term() == entry.term()) {
             carried.check(this, machine, Members.read(entry.data()));
         }
     }
@@ -198,8 +207,11 @@
         try {
             did = move(step);
             checkLease();
-        } catch (IllegalStateException | IllegalArgumentException | IndexOutOfBoundsException
-                | NullPointerException | UncheckedIOException e) {
+        } catch (IllegalStateException
+                | IllegalArgumentException
+                | IndexOutOfBoundsException
+                | NullPointerException
+                | UncheckedIOException e) {
             throw new AssertionError("seed " + seed + ", " + now + " ms: " + e, e);
         }
         if (did) {
@@ -232,8 +244,7 @@
                 tick(a);
                 yield true;
             }
-            case CUT -> step.a() != step.b()
-                    && cuts.add(a.address + ">" + byPlace.get(step.b()).address);
+            case CUT -> step.a() != step.b() && cuts.add(a.address + ">" + byPlace.get(step.b()).address);
             case MEND -> cuts.remove(a.address + ">" + byPlace.get(step.b()).address);
             case START -> start(a);
             case WIPE -> lose(a);
@@ -382,11 +393,13 @@
     }
 
     /**
-     * Whether so many founders ended before their first write was on a disk that those who are left are no
-     * majority: then the core was never founded.
+     * Whether so many founders ended before their first write was on a disk that those who are left are no majority:
+     * then the core was never founded.
      */
     private boolean isFoundingLost() {
-        long lost = founders.stream().filter(founder -> unwritten.contains(founder.id())).count();
+        long lost = founders.stream()
+                .filter(founder -> unwritten.contains(founder.id()))
+                .count();
         return lost > (founders.size() - 1) / 2;
     }
 
@@ -408,7 +421,8 @@
             int place = places.get(member.address());
             boolean lost = graves.containsKey(member.id()) || leaving[place] == byPlace.get(place).life;
             // Whoever has just won counts all as heard, also those that know nothing of its term.
-            boolean silent = its == null || its.term() != leader.standing.term()
+            boolean silent = its == null
+                    || its.term() != leader.standing.term()
                     || silentMs.getOrDefault(member.id(), Double.MAX_VALUE) > SILENT;
             count += member.id() != but.self.id() && (lost || silent) ? 1 : 0;
         }
@@ -421,8 +435,13 @@
         for (Machine machine : byPlace) {
             text.append(text.isEmpty() ? "" : ", ").append(Step.letter(places.get(machine.address)));
             if (machine.up()) {
-                text.append(' ').append(machine.standing == null ? "founds" : machine.standing.role() + " "
-                        + machine.standing.term()).append(" applied ").append(machine.applied);
+                text.append(' ')
+                        .append(
+                                machine.standing == null
+                                        ? "founds"
+                                        : machine.standing.role() + " " + machine.standing.term())
+                        .append(" applied ")
+                        .append(machine.applied);
             } else {
                 text.append(" down");
             }
@@ -432,7 +451,7 @@
 
     /** The settings that follow from the seed. */
     String settings() {
-        return byPlace.size() + " founders, clocks " + Arrays.toString(Arrays.copyOf(rates, size() + 2))
-                + ", " + timing.entries() + " entries a message";
+        return byPlace.size() + " founders, clocks " + Arrays.toString(Arrays.copyOf(rates, size() + 2)) + ", "
+                + timing.entries() + " entries a message";
     }
 }
--- a/bench/src/sablehinge/control/CutControlNode.java
+++ b/bench/src/sablehinge/control/CutControlNode.java
@@ -21,8 +21,7 @@
 
     private static volatile boolean lasts;
 
-    private CutControlNode() {
-    }
+    private CutControlNode() {}
 
     /**
      * Runs by the settings file that the environment names, until it is killed.
@@ -35,7 +34,10 @@
         LocalSettings settings = LocalSettings.read(Path.of(System.getenv("SABLEHINGE_CONFIG")));
         Logging.apply(LogTerms.MESH);
         Cut cut = new Cut(() -> lasts, to -> others.contains(to.getAddress().getHostAddress()));
-        ControlNode.start(settings, System.nanoTime(), () -> RaftStore.open(Path.of(settings.dataDir())),
+        ControlNode.start(
+                settings,
+                System.nanoTime(),
+                () -> RaftStore.open(Path.of(settings.dataDir())),
                 new Connection.Observer() {
                     @Override
                     public void connects(Channel channel, InetSocketAddress to) {
--- a/bench/src/sablehinge/control/UnsyncedControlNode.java
+++ b/bench/src/sablehinge/control/UnsyncedControlNode.java
@@ -9,8 +9,7 @@
 /** A machine of the core as its daemon runs it, but on a disk that keeps nothing but what was synced. */
 final class UnsyncedControlNode {
 
-    private UnsyncedControlNode() {
-    }
+    private UnsyncedControlNode() {}
 
     /** Runs by the settings file that the environment names, until it is killed. */
     public static void main(String[] args) throws Exception {
--- a/bench/src/sablehinge/control/UnsyncedDisk.java
+++ b/bench/src/sablehinge/control/UnsyncedDisk.java
@@ -15,9 +15,9 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * A folder whose files get what was written when they are synced, and new names when the folder is; until
- * then both are in this process only. So the process's end by force takes what a loss of power would take at
- * the most, and one in the middle of a sync leaves it in part.
+ * A folder whose files get what was written when they are synced, and new names when the folder is; until then both are
+ * in this process only. So the process's end by force takes what a loss of power would take at the most, and one in the
+ * middle of a sync leaves it in part.
  */
 final class UnsyncedDisk implements Disk {
 
@@ -68,8 +68,7 @@
     public static final class Unsynced extends FilePathWrapper {
 
         /** For H2. */
-        public Unsynced() {
-        }
+        public Unsynced() {}
 
         @Override
         public String getScheme() {
@@ -83,8 +82,7 @@
     }
 
     /** A write, or with null a new length. */
-    private record Step(long at, byte[] bytes) {
-    }
+    private record Step(long at, byte[] bytes) {}
 
     /** A file's bytes as this process sees them, and what was done to them since they were synced. */
     private static final class Held extends FileBaseDefault {
--- a/bench/src/sablehinge/fleet/AddedTime.java
+++ b/bench/src/sablehinge/fleet/AddedTime.java
@@ -13,16 +13,17 @@
 
     /** The JDK's client sets the host itself unless it is told not to; read once, before its first use. */
     private static final String RESTRICTED = "jdk.httpclient.allowRestrictedHeaders";
+
     private static final Duration PATIENCE = Duration.ofSeconds(3);
     /** Requests before those that are measured. */
     static final int WARM_UP = 300;
+
     private static final int OK = 200;
 
-    private AddedTime() {
-    }
+    private AddedTime() {}
 
     /** Times of requests in ms; what failed is counted apart. */
-    record Result(Times direct, Times through) { }
+    record Result(Times direct, Times through) {}
 
     /** Lets the JDK's client name any host; to be called before a client is made. */
     static void prepare() {
@@ -31,7 +32,8 @@
 
     /** Sends so many requests each way, by turns, one at a time. */
     static Result measure(FleetPlan plan, int requests) throws InterruptedException {
-        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+        HttpClient client =
+                HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         double[] direct = new double[requests];
         double[] through = new double[requests];
         for (int i = -WARM_UP; i < requests; i++) {
@@ -47,14 +49,18 @@
 
     /** How long a request took, in ms; NaN where it was not served. */
     private static double time(HttpClient client, String to, int number) throws InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + to
-                + FleetConfiguration.prefix(FleetConfiguration.OPEN) + number)).timeout(PATIENCE)
+        HttpRequest request = HttpRequest.newBuilder(
+                        URI.create("http://" + to + FleetConfiguration.prefix(FleetConfiguration.OPEN) + number))
+                .timeout(PATIENCE)
                 .header("Host", FleetConfiguration.HOST)
                 .header("Sablehinge-Try-Id", String.format("%016x", number))
-                .header("Sablehinge-Time-Left", "2000").GET().build();
+                .header("Sablehinge-Time-Left", "2000")
+                .GET()
+                .build();
         double begun = Ledger.now();
         try {
-            int status = client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
+            int status =
+                    client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
             return status == OK ? Ledger.now() - begun : Double.NaN;
         } catch (IOException e) {
             return Double.NaN;
--- a/bench/src/sablehinge/fleet/FleetOperator.java
+++ b/bench/src/sablehinge/fleet/FleetOperator.java
@@ -31,8 +31,11 @@
     }
 
     private static HttpClient client(HttpClient.Redirect redirect) {
-        return HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).followRedirects(redirect)
-                .connectTimeout(Duration.ofSeconds(1)).build();
+        return HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .followRedirects(redirect)
+                .connectTimeout(Duration.ofSeconds(1))
+                .build();
     }
 
     /** An operator who knows where the control nodes take calls. */
@@ -69,17 +72,18 @@
      * @throws IllegalStateException if the configuration itself is refused
      */
     int send(long basedOn, byte[] body) throws InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://"
-                + control.get(next % control.size()) + "/sablehinge/Config.Replace"))
-                .timeout(PATIENCE).header("Content-Type", "application/json")
+        HttpRequest request = HttpRequest.newBuilder(
+                        URI.create("http://" + control.get(next % control.size()) + "/sablehinge/Config.Replace"))
+                .timeout(PATIENCE)
+                .header("Content-Type", "application/json")
                 .header("Sablehinge-Based-On", Long.toString(basedOn))
-                .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build();
+                .POST(HttpRequest.BodyPublishers.ofByteArray(body))
+                .build();
         try {
             HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
             int status = answer.statusCode();
             if (status / 100 == 4 && !MAY_COME_TO_OK.contains(status)) {
-                throw new IllegalStateException("the configuration was refused: " + status + " "
-                        + answer.body());
+                throw new IllegalStateException("the configuration was refused: " + status + " " + answer.body());
             }
             return status;
         } catch (IOException e) {
@@ -91,8 +95,11 @@
     int leader() throws InterruptedException {
         for (int i = 0; i < control.size(); i++) {
             try {
-                HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + control.get(i)
-                        + "/sablehinge/Config.Read")).timeout(PATIENCE).GET().build();
+                HttpRequest request = HttpRequest.newBuilder(
+                                URI.create("http://" + control.get(i) + "/sablehinge/Config.Read"))
+                        .timeout(PATIENCE)
+                        .GET()
+                        .build();
                 if (direct.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() == OK) {
                     return i;
                 }
--- a/bench/src/sablehinge/fleet/FleetPlan.java
+++ b/bench/src/sablehinge/fleet/FleetPlan.java
@@ -9,8 +9,7 @@
 import sablehinge.config.local.LocalSettings;
 
 /**
- * Names, zones and loopback addresses of a fleet: each machine has an address of its own, all have the same
- * ports.
+ * Names, zones and loopback addresses of a fleet: each machine has an address of its own, all have the same ports.
  *
  * @param network second number of all addresses, 1 to 254
  * @param controlNodes machines of the control plane
@@ -35,8 +34,8 @@
     private static final double BEAT_MS = 1_500;
     private static final int SEEDS = 3;
     /** What the operators' smaller site says. */
-    private static final LocalSettings.Bounds BOUNDS = new LocalSettings.Bounds(3, 2, 3_000, 5_000, 4, 2_500,
-            6, 200, 2_500, 250, 8_000, false, 5_000, 0.2, 10, 62, 5, 0.1, 20, 15);
+    private static final LocalSettings.Bounds BOUNDS = new LocalSettings.Bounds(
+            3, 2, 3_000, 5_000, 4, 2_500, 6, 200, 2_500, 250, 8_000, false, 5_000, 0.2, 10, 62, 5, 0.1, 20, 15);
 
     /** The zone of the machine that has this number among its kind. */
     static String zone(int number) {
@@ -83,8 +82,7 @@
         byte[] ip = address.getAddress().getAddress();
         int row = Byte.toUnsignedInt(ip[2]);
         int host = Byte.toUnsignedInt(ip[3]);
-        return regionOfZone(row == 0 ? controlZone(host - CONTROL_HOST)
-                : hollowZone((row - 1) * HOSTS + host - 1));
+        return regionOfZone(row == 0 ? controlZone(host - CONTROL_HOST) : hollowZone((row - 1) * HOSTS + host - 1));
     }
 
     /** Each service's machines take turns over all zones. */
@@ -134,20 +132,43 @@
     LocalSettings hollowSettings(int place) {
         String ip = hollowIp(place);
         int zone = hollowZone(place);
-        LocalSettings.ListenOn listen = new LocalSettings.ListenOn(ip + ":" + INBOUND, ip + ":" + OUTBOUND,
-                ip + ":" + READY, ip + ":" + CONTROL);
-        return new LocalSettings(node(place), LocalSettings.Role.SIDECAR, "sidecar", List.of("sidecar"), ip,
-                zone(zone), region(zone), INNER, INNER_LAST, seeds(), true, false, null, BEAT_MS,
-                List.of("base", "quota", "retry"), ip + ":" + APP, service(1 + place % (services - 1)),
-                zones(), listen, new LocalSettings.Limits(1, 1, 400, 2_000, 1_000, 0), 1, BOUNDS);
+        LocalSettings.ListenOn listen = new LocalSettings.ListenOn(
+                ip + ":" + INBOUND, ip + ":" + OUTBOUND, ip + ":" + READY, ip + ":" + CONTROL);
+        return new LocalSettings(
+                node(place),
+                LocalSettings.Role.SIDECAR,
+                "sidecar",
+                List.of("sidecar"),
+                ip,
+                zone(zone),
+                region(zone),
+                INNER,
+                INNER_LAST,
+                seeds(),
+                true,
+                false,
+                null,
+                BEAT_MS,
+                List.of("base", "quota", "retry"),
+                ip + ":" + APP,
+                service(1 + place % (services - 1)),
+                zones(),
+                listen,
+                new LocalSettings.Limits(1, 1, 400, 2_000, 1_000, 0),
+                1,
+                BOUNDS);
     }
 
     private String head(String node, String role, String ip, int number) {
         StringBuilder seeds = new StringBuilder();
-        seeds().forEach(seed -> seeds.append(seeds.length() == 0 ? "" : ",").append('"').append(seed)
+        seeds().forEach(seed -> seeds.append(seeds.length() == 0 ? "" : ",")
+                .append('"')
+                .append(seed)
                 .append('"'));
         boolean isControl = role.equals("control");
-        return String.format(Locale.ROOT, """
+        return String.format(
+                Locale.ROOT,
+                """
                 node = "%s"
                 role = "%s"
                 machineClass = "%s"
@@ -159,13 +180,24 @@
                 seeds = [%s]
                 beatMs = %.0f
                 contracts = ["base","drain","config","cost","retry","recover","tenants","quota"]
-                """, node, role, isControl ? "core" : "sidecar", isControl ? "control" : "sidecar", ip,
-                zone(number), region(number), INNER, INNER_LAST, seeds, BEAT_MS);
+                """,
+                node,
+                role,
+                isControl ? "core" : "sidecar",
+                isControl ? "control" : "sidecar",
+                ip,
+                zone(number),
+                region(number),
+                INNER,
+                INNER_LAST,
+                seeds,
+                BEAT_MS);
     }
 
     private String tail(int diskMb) {
         StringBuilder zones = new StringBuilder("[zones]\n");
-        zones().forEach((zone, region) -> zones.append(zone).append(" = \"").append(region).append("\"\n"));
+        zones().forEach((zone, region) ->
+                zones.append(zone).append(" = \"").append(region).append("\"\n"));
         return zones + "[limits]\ncpuShare = 1.0\ncores = 1\nmemoryMb = 430\nfds = 4100\nlinkMbps = 1000.0\n"
                 + "diskMb = " + diskMb + "\n[tolerate]\nmachines = " + (controlNodes - 1) / 2
                 + "\nzones = 0\nregions = 0\n";
@@ -173,8 +205,7 @@
 
     /** The settings file of a control node. */
     String controlSettings(int place, String dataDir, boolean firstStart) {
-        return head("control-" + place, "control", controlIp(place),
-                controlZone(place)) + "dataDir = \"" + dataDir
+        return head("control-" + place, "control", controlIp(place), controlZone(place)) + "dataDir = \"" + dataDir
                 + "\"\nfirstStart = " + firstStart + "\ncounted = true\n" + tail(256)
                 + "[listenOn]\ncontrol = \"" + control(place) + "\"\n";
     }
--- a/bench/src/sablehinge/fleet/FleetReport.java
+++ b/bench/src/sablehinge/fleet/FleetReport.java
@@ -34,14 +34,23 @@
     }
 
     private static List<LinearFit.Point> points(List<Measurement> of) {
-        return of.stream().map(one -> new LinearFit.Point(one.size(), one.value())).toList();
+        return of.stream()
+                .map(one -> new LinearFit.Point(one.size(), one.value()))
+                .toList();
     }
 
     /** A line for each measurement. */
     String csv() {
         StringBuilder csv = new StringBuilder("size,phase,role,metric,unit,value\n");
-        measurements.forEach(one -> csv.append(String.format(Locale.ROOT, "%d,%s,%s,%s,%s,%.3f%n", one.size(),
-                one.phase(), one.role(), one.metric(), one.unit(), one.value())));
+        measurements.forEach(one -> csv.append(String.format(
+                Locale.ROOT,
+                "%d,%s,%s,%s,%s,%.3f%n",
+                one.size(),
+                one.phase(),
+                one.role(),
+                one.metric(),
+                one.unit(),
+                one.value())));
         return csv.toString();
     }
 
@@ -58,7 +67,8 @@
             of.forEach(measurement -> values.add(rounded(measurement.value())));
             if (of.stream().mapToInt(Measurement::size).distinct().count() > 1) {
                 LinearFit fit = LinearFit.through(points(of));
-                one.put("slope", rounded(fit.slope())).put("fit", rounded(fit.fit()))
+                one.put("slope", rounded(fit.slope()))
+                        .put("fit", rounded(fit.fit()))
                         .put("at_target", rounded(fit.at(target)));
             }
         });
@@ -71,18 +81,24 @@
 
     /** A page that needs no other file and no network: a plot for each figure that has two sizes. */
     String page(String title) throws IOException {
-        StringBuilder page = new StringBuilder("<!doctype html>\n<html lang=\"en\"><head><meta "
-                + "charset=\"utf-8\"><title>").append(title).append("</title><style>")
-                .append(resource("uPlot.min.css")).append("body{font:15px system-ui,sans-serif;margin:2rem}"
-                + ".plots{display:flex;flex-wrap:wrap;gap:1rem}</style><script>")
-                .append(resource("uPlot.iife.min.js")).append("</script></head><body><h1>").append(title)
+        StringBuilder page = new StringBuilder(
+                        "<!doctype html>\n<html lang=\"en\"><head><meta " + "charset=\"utf-8\"><title>")
+                .append(title)
+                .append("</title><style>")
+                .append(resource("uPlot.min.css"))
+                .append("body{font:15px system-ui,sans-serif;margin:2rem}"
+                        + ".plots{display:flex;flex-wrap:wrap;gap:1rem}</style><script>")
+                .append(resource("uPlot.iife.min.js"))
+                .append("</script></head><body><h1>")
+                .append(title)
                 .append("</h1><p>Over the number of sidecars. Dashed: the line by least squares.</p>"
-                + "<div class=\"plots\" id=\"plots\"></div><script>\nconst plots = ");
+                        + "<div class=\"plots\" id=\"plots\"></div><script>\nconst plots = ");
         ArrayNode plots = JsonNodeFactory.instance.arrayNode();
         byName().forEach((name, of) -> {
             if (of.stream().mapToInt(Measurement::size).distinct().count() > 1) {
                 LinearFit fit = LinearFit.through(points(of));
-                ObjectNode plot = plots.addObject().put("name", name + ", " + of.get(0).unit());
+                ObjectNode plot =
+                        plots.addObject().put("name", name + ", " + of.get(0).unit());
                 ArrayNode x = plot.putArray("x");
                 ArrayNode y = plot.putArray("y");
                 ArrayNode line = plot.putArray("line");
@@ -93,7 +109,9 @@
                 });
             }
         });
-        return page.append(plots).append("""
+        return page.append(plots)
+                .append(
+                        """
                 ;
                 for (const plot of plots) {
                   new uPlot({title: plot.name, width: 380, height: 240, scales: {x: {time: false}},
@@ -102,7 +120,8 @@
                     [plot.x, plot.y, plot.line], document.getElementById("plots"));
                 }
                 </script></body></html>
-                """).toString();
+                """)
+                .toString();
     }
 
     private static String resource(String name) throws IOException {
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -17,8 +17,10 @@
 import sablehinge.sidecar.HollowSidecar;
 import sablehinge.standin.mesh.Ledger;
 
-/** A fleet of one size through its phases: start, changes, load, replaced upstreams, calm,
- * requests through real sidecars, a lost leader, a lost zone, a lost region. */
+/**
+ * A fleet of one size through its phases: start, changes, load, replaced upstreams, calm, requests through real
+ * sidecars, a lost leader, a lost zone, a lost region.
+ */
 final class FleetRun implements AutoCloseable {
 
     private static final double MS_PER_S = 1_000;
@@ -51,8 +53,7 @@
     private int leader = -1;
 
     /** What was used and said until some moment. */
-    private record Look(double at, List<Usage> control, List<Usage> sidecars,
-            Map<Frame.Kind, Traffic.Count> traffic) { }
+    private record Look(double at, List<Usage> control, List<Usage> sidecars, Map<Frame.Kind, Traffic.Count> traffic) {}
 
     /**
      * A fleet that does not run yet.
@@ -60,8 +61,8 @@
      * @param callsPerSidecar requests a second that arrive at each hollow sidecar while it is under load
      * @param progress is told what goes on
      */
-    FleetRun(FleetPlan plan, FleetConfiguration configuration, double callsPerSidecar,
-            Consumer<String> progress) throws IOException {
+    FleetRun(FleetPlan plan, FleetConfiguration configuration, double callsPerSidecar, Consumer<String> progress)
+            throws IOException {
         this.plan = plan;
         this.configuration = configuration;
         this.callsPerSidecar = callsPerSidecar;
@@ -96,8 +97,11 @@
     }
 
     private boolean knowsAll(HollowSidecar.View view) {
-        return view.complete() && view.edition() > 0 && view.roster().size() == size()
-                && view.roster().values().stream().noneMatch(one -> one.upstream().isEmpty());
+        return view.complete()
+                && view.edition() > 0
+                && view.roster().size() == size()
+                && view.roster().values().stream()
+                        .noneMatch(one -> one.upstream().isEmpty());
     }
 
     private void start() throws IOException, ConfigException, InterruptedException {
@@ -142,7 +146,10 @@
     }
 
     private Look look() {
-        return new Look(Ledger.now(), processes.controlUsage(), processes.sidecarUsage(),
+        return new Look(
+                Ledger.now(),
+                processes.controlUsage(),
+                processes.sidecarUsage(),
                 hollow.traffic().counts());
     }
 
@@ -159,7 +166,8 @@
     private static List<Usage> since(List<Usage> after, List<Usage> before) {
         List<Usage> since = new ArrayList<>();
         for (int i = 0; i < after.size(); i++) {
-            boolean both = after.get(i) != null && before.get(i) != null
+            boolean both = after.get(i) != null
+                    && before.get(i) != null
                     && after.get(i).cpuMs() >= before.get(i).cpuMs();
             since.add(both ? after.get(i).since(before.get(i)) : null);
         }
@@ -208,11 +216,36 @@
         }
         double per = (seconds == 0 ? 1 : seconds) * of.size();
         String rate = seconds == 0 ? "" : "/s";
-        put(phase, role, "cpu", "ms" + rate, of.stream().mapToDouble(Usage::cpuMs).sum() / per);
-        put(phase, role, "read", "B" + rate, of.stream().mapToDouble(Usage::readBytes).sum() / per);
-        put(phase, role, "written", "B" + rate, of.stream().mapToDouble(Usage::writtenBytes).sum() / per);
-        put(phase, role, "reads", "1" + rate, of.stream().mapToDouble(Usage::reads).sum() / per);
-        put(phase, role, "writes", "1" + rate, of.stream().mapToDouble(Usage::writes).sum() / per);
+        put(
+                phase,
+                role,
+                "cpu",
+                "ms" + rate,
+                of.stream().mapToDouble(Usage::cpuMs).sum() / per);
+        put(
+                phase,
+                role,
+                "read",
+                "B" + rate,
+                of.stream().mapToDouble(Usage::readBytes).sum() / per);
+        put(
+                phase,
+                role,
+                "written",
+                "B" + rate,
+                of.stream().mapToDouble(Usage::writtenBytes).sum() / per);
+        put(
+                phase,
+                role,
+                "reads",
+                "1" + rate,
+                of.stream().mapToDouble(Usage::reads).sum() / per);
+        put(
+                phase,
+                role,
+                "writes",
+                "1" + rate,
+                of.stream().mapToDouble(Usage::writes).sum() / per);
     }
 
     private void calm() throws InterruptedException {
@@ -222,8 +255,10 @@
         TimeUnit.MILLISECONDS.sleep(CALM_MS);
         rates("calm", before);
         double per = plan.sidecars() * CALM_MS / MS_PER_S;
-        processes.threadsOfSidecars().forEach((name, ms) -> put("calm", "sidecar", "cpu_of_" + name, "ms/s",
-                (ms - threads.getOrDefault(name, 0.0)) / per));
+        processes
+                .threadsOfSidecars()
+                .forEach((name, ms) ->
+                        put("calm", "sidecar", "cpu_of_" + name, "ms/s", (ms - threads.getOrDefault(name, 0.0)) / per));
         settle("calm");
     }
 
@@ -369,14 +404,24 @@
         AddedTime.Result result = AddedTime.measure(plan, REQUESTS);
         put("serve", "sidecar", "seconds", "s", (Ledger.now() - begun) / MS_PER_S);
         // Of all sidecars, for a request that passes two of them; what they do beside is in it.
-        processes.threadsOfSidecars().forEach((name, ms) -> put("serve", "sidecars", "cpu_per_request_of_"
-                + name, "us", (ms - threads.getOrDefault(name, 0.0)) * US_PER_MS
-                / (REQUESTS + AddedTime.WARM_UP)));
+        processes
+                .threadsOfSidecars()
+                .forEach((name, ms) -> put(
+                        "serve",
+                        "sidecars",
+                        "cpu_per_request_of_" + name,
+                        "us",
+                        (ms - threads.getOrDefault(name, 0.0)) * US_PER_MS / (REQUESTS + AddedTime.WARM_UP)));
         put("serve", "sidecar", "direct_p50", "ms", result.direct().p50());
         put("serve", "sidecar", "direct_p99", "ms", result.direct().p99());
         put("serve", "sidecar", "through_p50", "ms", result.through().p50());
         put("serve", "sidecar", "through_p99", "ms", result.through().p99());
-        put("serve", "sidecar", "failed", "1", result.direct().missing() + result.through().missing());
+        put(
+                "serve",
+                "sidecar",
+                "failed",
+                "1",
+                result.direct().missing() + result.through().missing());
     }
 
     /** A zone without real sidecars goes, with its control node. */
@@ -410,8 +455,8 @@
                 processes.killControl(i);
             }
         }
-        hollow.await(view -> view.roster().values().stream().noneMatch(one -> one.ready()
-                && zones.contains(one.zone())));
+        hollow.await(
+                view -> view.roster().values().stream().noneMatch(one -> one.ready() && zones.contains(one.zone())));
         times(phase, "known_roster", hollow.awaited(at, LOST_MS));
         put(phase, "hollow", "late", "ms", hollow.lateMs());
     }
@@ -433,12 +478,34 @@
         put("end", "leader", "peak_most", "MB", peak / MB);
         put("end", "voter", "state_on_disk", "MB", state / MB);
         List<Usage> sidecars = processes.sidecarUsage();
-        put("end", "sidecar", "resident", "MB", sidecars.stream().filter(one -> one != null)
-                .mapToDouble(Usage::residentBytes).average().orElse(Double.NaN) / MB);
-        put("end", "sidecar", "peak_most", "MB", sidecars.stream().filter(one -> one != null)
-                .mapToDouble(Usage::peakBytes).max().orElse(Double.NaN) / MB);
-        put("end", "hollow", "resident_of_process", "MB", Usage.of(ProcessHandle.current().pid())
-                .residentBytes() / MB);
+        put(
+                "end",
+                "sidecar",
+                "resident",
+                "MB",
+                sidecars.stream()
+                                .filter(one -> one != null)
+                                .mapToDouble(Usage::residentBytes)
+                                .average()
+                                .orElse(Double.NaN)
+                        / MB);
+        put(
+                "end",
+                "sidecar",
+                "peak_most",
+                "MB",
+                sidecars.stream()
+                                .filter(one -> one != null)
+                                .mapToDouble(Usage::peakBytes)
+                                .max()
+                                .orElse(Double.NaN)
+                        / MB);
+        put(
+                "end",
+                "hollow",
+                "resident_of_process",
+                "MB",
+                Usage.of(ProcessHandle.current().pid()).residentBytes() / MB);
     }
 
     private void times(String phase, String metric, Times times) {
--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -34,8 +34,8 @@
     private static final long PULSE_MS = 10;
 
     private final FleetPlan plan;
-    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(LOOPS,
-            new DefaultThreadFactory("hollow", true), NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup loops =
+            new MultiThreadIoEventLoopGroup(LOOPS, new DefaultThreadFactory("hollow", true), NioIoHandler.newFactory());
     private final Traffic traffic = new Traffic();
     private final List<HollowSidecar> sidecars = new ArrayList<>();
     private final ConcurrentHashMap<Long, Configuration> parsed = new ConcurrentHashMap<>();
@@ -54,11 +54,15 @@
     /** How late a loop's own timer comes tells how long records wait for this process. */
     private void watchLateness(EventLoop loop) {
         long[] due = {System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PULSE_MS)};
-        loop.scheduleWithFixedDelay(() -> {
-            long now = System.nanoTime();
-            latestNanos.accumulateAndGet(now - due[0], Math::max);
-            due[0] = now + TimeUnit.MILLISECONDS.toNanos(PULSE_MS);
-        }, PULSE_MS, PULSE_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    long now = System.nanoTime();
+                    latestNanos.accumulateAndGet(now - due[0], Math::max);
+                    due[0] = now + TimeUnit.MILLISECONDS.toNanos(PULSE_MS);
+                },
+                PULSE_MS,
+                PULSE_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** The longest that a timer of this process was late since this was asked last, in ms. */
@@ -72,8 +76,8 @@
             LocalSettings settings = plan.hollowSettings(i);
             int region = plan.regionAt(new InetSocketAddress(settings.ip(), 0));
             Cut regions = new Cut(() -> cut, other -> plan.regionAt(other) != region);
-            HollowSidecar sidecar = HollowSidecar.prepare(settings, loops.next(), life(i),
-                    observer(regions), this::read);
+            HollowSidecar sidecar =
+                    HollowSidecar.prepare(settings, loops.next(), life(i), observer(regions), this::read);
             regions.over(sidecar.datagrams());
             sidecars.add(sidecar);
         }
@@ -115,8 +119,7 @@
 
     /** One parses a configuration for all of this process: only the newest is kept. */
     private Configuration read(Update update) {
-        Configuration configuration = parsed.computeIfAbsent(update.edition(),
-                edition -> parse(update.body()));
+        Configuration configuration = parsed.computeIfAbsent(update.edition(), edition -> parse(update.body()));
         parsed.keySet().removeIf(edition -> edition < update.edition());
         return configuration;
     }
@@ -147,11 +150,11 @@
     /** Waits until all have met the awaited condition, or for a time; returns how long each took. */
     Times awaited(double event, long withinMs) throws InterruptedException {
         double end = Ledger.now() + withinMs;
-        while (Ledger.now() < end
-                && sidecars.stream().anyMatch(sidecar -> Double.isNaN(sidecar.awaitedAt()))) {
+        while (Ledger.now() < end && sidecars.stream().anyMatch(sidecar -> Double.isNaN(sidecar.awaitedAt()))) {
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
         }
-        return Times.since(event, sidecars.stream().mapToDouble(HollowSidecar::awaitedAt).toArray());
+        return Times.since(
+                event, sidecars.stream().mapToDouble(HollowSidecar::awaitedAt).toArray());
     }
 
     /** The upstream of one is replaced; returns the new one's id. */
--- a/bench/src/sablehinge/fleet/LinearFit.java
+++ b/bench/src/sablehinge/fleet/LinearFit.java
@@ -12,7 +12,7 @@
 record LinearFit(double slope, double start, double fit) {
 
     /** A point. */
-    record Point(double x, double y) { }
+    record Point(double x, double y) {}
 
     /** Through two points or more, of which two differ in x. */
     static LinearFit through(List<Point> points) {
--- a/bench/src/sablehinge/fleet/Processes.java
+++ b/bench/src/sablehinge/fleet/Processes.java
@@ -25,11 +25,10 @@
 final class Processes implements AutoCloseable {
 
     private static final Pattern RUN = Pattern.compile("\\[roles\\.(\\w+)]\\s+run = \"java ([^\"]+)\"");
-    private static final Pattern IN_FORCE = Pattern.compile(
-            "at=(\\d+) .*event=configuration edition=(\\d+) ");
+    private static final Pattern IN_FORCE = Pattern.compile("at=(\\d+) .*event=configuration edition=(\\d+) ");
     private static final Pattern MEMBERS = Pattern.compile("event=standing .*members=(\\d+)");
-    private static final Pattern LOST = Pattern.compile("event=(\\S*failed\\S*)|OutOfMemoryError"
-            + "|OutOfDirectMemoryError|Exception");
+    private static final Pattern LOST =
+            Pattern.compile("event=(\\S*failed\\S*)|OutOfMemoryError" + "|OutOfDirectMemoryError|Exception");
     private static final int BERTHS = 12;
     private static final int WORK_MS = 0;
     private static final long BEAT_MS = 1_500;
@@ -94,8 +93,12 @@
             return command;
         }
         List<String> cuttable = new ArrayList<>(command.subList(0, command.indexOf("-jar")));
-        cuttable.addAll(List.of("-cp", "target/test-classes:target/sablehinge.jar",
-                CutControlNode.class.getName(), cut.toString(), String.join(",", otherRegion(place))));
+        cuttable.addAll(List.of(
+                "-cp",
+                "target/test-classes:target/sablehinge.jar",
+                CutControlNode.class.getName(),
+                cut.toString(),
+                String.join(",", otherRegion(place))));
         return cuttable;
     }
 
@@ -103,7 +106,8 @@
         int region = FleetPlan.regionOfZone(FleetPlan.controlZone(place));
         return IntStream.range(0, plan.controlNodes())
                 .filter(other -> FleetPlan.regionOfZone(FleetPlan.controlZone(other)) != region)
-                .mapToObj(plan::controlIp).toList();
+                .mapToObj(plan::controlIp)
+                .toList();
     }
 
     /** Starts all of them at once. */
@@ -114,8 +118,10 @@
         sidecars.forEach(daemon -> daemon.start(commands.get("sidecar")));
         Ledger ledger = new Ledger();
         for (int i = 0; i < sidecars.size(); i++) {
-            StandInUpstream upstream = new StandInUpstream(new StandInUpstream.Terms("i-sidecar-" + i,
-                    FleetPlan.service(0), address(plan.app(i)), BERTHS, WORK_MS), ledger);
+            StandInUpstream upstream = new StandInUpstream(
+                    new StandInUpstream.Terms(
+                            "i-sidecar-" + i, FleetPlan.service(0), address(plan.app(i)), BERTHS, WORK_MS),
+                    ledger);
             upstreams.add(new Beating(upstream, address(plan.beats(i)), FleetPlan.zone(i), BEAT_MS, ledger));
         }
     }
@@ -139,7 +145,8 @@
 
     /** Starts a control node again. */
     void restartControl(int place) throws IOException {
-        Files.writeString(folder.resolve("control-" + place + ".toml"),
+        Files.writeString(
+                folder.resolve("control-" + place + ".toml"),
                 plan.controlSettings(place, data(place).toString(), false));
         control.get(place).start(controlCommand(place));
     }
@@ -174,7 +181,9 @@
     /** Bytes of a control node's files. */
     long stateBytes(int place) {
         try (Stream<Path> files = Files.walk(data(place))) {
-            return files.filter(Files::isRegularFile).mapToLong(file -> file.toFile().length()).sum();
+            return files.filter(Files::isRegularFile)
+                    .mapToLong(file -> file.toFile().length())
+                    .sum();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -216,7 +225,10 @@
             if (!daemon.runs()) {
                 failures.add("a process has ended by itself or was killed");
             }
-            daemon.said().lines().filter(line -> LOST.matcher(line).find()).limit(most)
+            daemon.said()
+                    .lines()
+                    .filter(line -> LOST.matcher(line).find())
+                    .limit(most)
                     .forEach(failures::add);
         }
         return failures;
--- a/bench/src/sablehinge/fleet/RegionCutBench.java
+++ b/bench/src/sablehinge/fleet/RegionCutBench.java
@@ -16,8 +16,8 @@
 import sablehinge.standin.mesh.Ledger;
 
 /**
- * Six control nodes and hollow sidecars in two regions that are cut from each other for a while: what is
- * still acknowledged and known on each side, and how long all takes to be whole again after it.
+ * Six control nodes and hollow sidecars in two regions that are cut from each other for a while: what is still
+ * acknowledged and known on each side, and how long all takes to be whole again after it.
  */
 final class RegionCutBench implements AutoCloseable {
 
@@ -33,6 +33,7 @@
     private static final long HEALED_MS = 60_000;
     /** How long before the end of the cut an operator gives up. */
     private static final long GIVEN_UP_MS = 2_000;
+
     private static final long LOOK_MS = 20;
     private static final double MS_PER_S = 1_000;
 
@@ -75,13 +76,14 @@
     }
 
     private RegionCutBench(int size) throws IOException {
-        plan = new FleetPlan(ThreadLocalRandom.current().nextInt(1, 255), CONTROL, 0, size,
-                Math.max(4, size / SIDECARS_A_SERVICE));
+        plan = new FleetPlan(
+                ThreadLocalRandom.current().nextInt(1, 255), CONTROL, 0, size, Math.max(4, size / SIDECARS_A_SERVICE));
         configuration = new FleetConfiguration(plan.services(), ROUTES, TENANTS, TENANT_PER_SECOND);
         processes = new Processes(plan);
         processes.makeCuttable();
         hollow = new HollowFleet(plan);
-        operator = FleetOperator.of(IntStream.range(0, CONTROL).mapToObj(plan::control).toList());
+        operator = FleetOperator.of(
+                IntStream.range(0, CONTROL).mapToObj(plan::control).toList());
     }
 
     /** Arguments: hollow sidecars (100), seconds that the cut lasts (20). */
@@ -119,7 +121,8 @@
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
         }
         TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-        results.put("start_missing", missing).put("voters", processes.members())
+        results.put("start_missing", missing)
+                .put("voters", processes.members())
                 .put("leader_region_before", regionOf(operator.leader()));
         progress("all know each other, " + processes.members() + " vote");
     }
@@ -129,8 +132,11 @@
     }
 
     private boolean knowsAll(HollowSidecar.View view) {
-        return view.complete() && view.edition() > 0 && view.roster().size() == plan.hollow()
-                && view.roster().values().stream().allMatch(one -> one.ready() && !one.upstream().isEmpty());
+        return view.complete()
+                && view.edition() > 0
+                && view.roster().size() == plan.hollow()
+                && view.roster().values().stream()
+                        .allMatch(one -> one.ready() && !one.upstream().isEmpty());
     }
 
     private int region(HollowSidecar sidecar) {
@@ -142,12 +148,16 @@
     }
 
     private List<HollowSidecar> sidecarsOf(int region) {
-        return hollow.all().stream().filter(sidecar -> region(sidecar) == region).toList();
+        return hollow.all().stream()
+                .filter(sidecar -> region(sidecar) == region)
+                .toList();
     }
 
     private FleetOperator operatorOf(int region) {
-        return FleetOperator.confinedTo(IntStream.range(0, CONTROL).filter(place -> regionOf(place) == region)
-                .mapToObj(plan::control).toList());
+        return FleetOperator.confinedTo(IntStream.range(0, CONTROL)
+                .filter(place -> regionOf(place) == region)
+                .mapToObj(plan::control)
+                .toList());
     }
 
     private void cut(long cutMs) throws IOException, InterruptedException {
@@ -159,12 +169,12 @@
         for (int i = 0; i < REGIONS; i++) {
             int region = i;
             // Two different changes on the same base: no more than one may ever be acknowledged.
-            Order order = new Order(operatorOf(region), configuration.body(2 + region),
-                    cutMs - GIVEN_UP_MS);
+            Order order = new Order(operatorOf(region), configuration.body(2 + region), cutMs - GIVEN_UP_MS);
             orders.add(order);
             order.start();
-            sidecarsOf(region).forEach(sidecar -> sidecar.await(view -> view.roster().values().stream()
-                    .noneMatch(one -> one.ready() && FleetPlan.regionOfZone(zone(one.zone())) != region)));
+            sidecarsOf(region)
+                    .forEach(sidecar -> sidecar.await(view -> view.roster().values().stream()
+                            .noneMatch(one -> one.ready() && FleetPlan.regionOfZone(zone(one.zone())) != region)));
         }
         for (Order order : orders) {
             order.join();
@@ -172,8 +182,11 @@
         TimeUnit.MILLISECONDS.sleep(Math.max(0, (long) (at + cutMs - Ledger.now())));
         for (int region = 0; region < REGIONS; region++) {
             tell("region_" + region, orders.get(region));
-            Times others = Times.since(at, sidecarsOf(region).stream()
-                    .mapToDouble(HollowSidecar::awaitedAt).toArray());
+            Times others = Times.since(
+                    at,
+                    sidecarsOf(region).stream()
+                            .mapToDouble(HollowSidecar::awaitedAt)
+                            .toArray());
             put("region_" + region + "_others_gone", others);
         }
         heal(orders.get(0).acknowledged ? 2 : orders.get(1).acknowledged ? 3 : 1);
@@ -204,8 +217,10 @@
     }
 
     private void put(String name, Times times) {
-        results.put(name + "_p50_ms", times.p50()).put(name + "_p99_ms", times.p99())
-                .put(name + "_most_ms", times.most()).put(name + "_missing", times.missing());
+        results.put(name + "_p50_ms", times.p50())
+                .put(name + "_p99_ms", times.p99())
+                .put(name + "_most_ms", times.most())
+                .put(name + "_missing", times.missing());
     }
 
     @Override
--- a/bench/src/sablehinge/fleet/Times.java
+++ b/bench/src/sablehinge/fleet/Times.java
@@ -7,8 +7,11 @@
 
     /** The times of some that reached a state at those moments, NaN where they did not. */
     static Times since(double event, double[] reachedAt) {
-        double[] reached = Arrays.stream(reachedAt).filter(at -> !Double.isNaN(at)).map(at -> at - event)
-                .sorted().toArray();
+        double[] reached = Arrays.stream(reachedAt)
+                .filter(at -> !Double.isNaN(at))
+                .map(at -> at - event)
+                .sorted()
+                .toArray();
         int missing = reachedAt.length - reached.length;
         if (reached.length == 0) {
             return new Times(Double.NaN, Double.NaN, Double.NaN, missing);
--- a/bench/src/sablehinge/fleet/Traffic.java
+++ b/bench/src/sablehinge/fleet/Traffic.java
@@ -20,20 +20,25 @@
     record Count(long sent, long sentBytes, long received, long receivedBytes) {
 
         Count minus(Count other) {
-            return new Count(sent - other.sent, sentBytes - other.sentBytes, received - other.received,
+            return new Count(
+                    sent - other.sent,
+                    sentBytes - other.sentBytes,
+                    received - other.received,
                     receivedBytes - other.receivedBytes);
         }
 
         Count plus(Count other) {
-            return new Count(sent + other.sent, sentBytes + other.sentBytes, received + other.received,
+            return new Count(
+                    sent + other.sent,
+                    sentBytes + other.sentBytes,
+                    received + other.received,
                     receivedBytes + other.receivedBytes);
         }
     }
 
     Traffic() {
         for (Frame.Kind kind : Frame.Kind.values()) {
-            counters.put(kind, new LongAdder[] {new LongAdder(), new LongAdder(), new LongAdder(),
-                    new LongAdder()});
+            counters.put(kind, new LongAdder[] {new LongAdder(), new LongAdder(), new LongAdder(), new LongAdder()});
         }
     }
 
@@ -54,8 +59,7 @@
     /** What was counted until now. */
     Map<Frame.Kind, Count> counts() {
         Map<Frame.Kind, Count> counts = new EnumMap<>(Frame.Kind.class);
-        counters.forEach((kind, of) -> counts.put(kind, new Count(of[0].sum(), of[1].sum(), of[2].sum(),
-                of[3].sum())));
+        counters.forEach((kind, of) -> counts.put(kind, new Count(of[0].sum(), of[1].sum(), of[2].sum(), of[3].sum())));
         return counts;
     }
 }
--- a/bench/src/sablehinge/fleet/Usage.java
+++ b/bench/src/sablehinge/fleet/Usage.java
@@ -21,13 +21,21 @@
  * @param writes calls that write
  * @param diskBytes bytes that it caused to be written to a disk
  */
-record Usage(double cpuMs, long residentBytes, long peakBytes, long readBytes, long writtenBytes, long reads,
-        long writes, long diskBytes) {
+record Usage(
+        double cpuMs,
+        long residentBytes,
+        long peakBytes,
+        long readBytes,
+        long writtenBytes,
+        long reads,
+        long writes,
+        long diskBytes) {
 
     private static final int USER_TIME = 11;
     private static final int SYSTEM_TIME = 12;
     /** Clock ticks a second that Linux reports to user space, on all of its common platforms. */
     private static final double TICK_MS = 10;
+
     private static final int KB = 1_024;
     private static final double NANOS_PER_MS = 1e6;
 
@@ -35,8 +43,10 @@
     static Usage of(long pid) {
         Path folder = Path.of("/proc", Long.toString(pid));
         try {
-            return parse(Files.readString(folder.resolve("stat")),
-                    Files.readAllLines(folder.resolve("status")), Files.readAllLines(folder.resolve("io")));
+            return parse(
+                    Files.readString(folder.resolve("stat")),
+                    Files.readAllLines(folder.resolve("status")),
+                    Files.readAllLines(folder.resolve("io")));
         } catch (IOException e) {
             throw new UncheckedIOException("process " + pid + " can't be looked at", e);
         }
@@ -49,9 +59,15 @@
         double ticks = Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
         Map<String, Long> memory = figures(status);
         Map<String, Long> transfers = figures(io);
-        return new Usage(ticks * TICK_MS, memory.getOrDefault("VmRSS", 0L) * KB,
-                memory.getOrDefault("VmHWM", 0L) * KB, transfers.get("rchar"), transfers.get("wchar"),
-                transfers.get("syscr"), transfers.get("syscw"), transfers.get("write_bytes"));
+        return new Usage(
+                ticks * TICK_MS,
+                memory.getOrDefault("VmRSS", 0L) * KB,
+                memory.getOrDefault("VmHWM", 0L) * KB,
+                transfers.get("rchar"),
+                transfers.get("wchar"),
+                transfers.get("syscr"),
+                transfers.get("syscw"),
+                transfers.get("write_bytes"));
     }
 
     /** Processor time of a process's threads that still run, in ms, by their names as one word each. */
@@ -83,8 +99,14 @@
 
     /** What was used since an earlier look; memory is that of now. */
     Usage since(Usage earlier) {
-        return new Usage(cpuMs - earlier.cpuMs, residentBytes, peakBytes, readBytes - earlier.readBytes,
-                writtenBytes - earlier.writtenBytes, reads - earlier.reads, writes - earlier.writes,
+        return new Usage(
+                cpuMs - earlier.cpuMs,
+                residentBytes,
+                peakBytes,
+                readBytes - earlier.readBytes,
+                writtenBytes - earlier.writtenBytes,
+                reads - earlier.reads,
+                writes - earlier.writes,
                 diskBytes - earlier.diskBytes);
     }
 }
--- a/bench/src/sablehinge/held/Day.java
+++ b/bench/src/sablehinge/held/Day.java
@@ -52,16 +52,18 @@
     private final ArrayDeque<Channel> idle = new ArrayDeque<>();
     private boolean stopped;
 
-    Day(EventLoop loop, InetSocketAddress target, double rate, double trickle, Map<String, Flow> flows,
-            long seed) {
+    Day(EventLoop loop, InetSocketAddress target, double rate, double trickle, Map<String, Flow> flows, long seed) {
         this.loop = loop;
         this.target = target;
         this.rate = rate;
         this.trickle = trickle;
         this.flows = flows;
         random = new SplittableRandom(seed);
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).handler(new ChannelInitializer<Channel>() {
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(), new Call(channel));
@@ -82,8 +84,8 @@
                 kept.pipeline().get(Call.class).begin(flow);
                 continue;
             }
-            Bootstrap own = flow.kind != Kind.SLOW ? bootstrap : bootstrap.clone()
-                    .option(ChannelOption.SO_RCVBUF, SLOW_BUFFER);
+            Bootstrap own =
+                    flow.kind != Kind.SLOW ? bootstrap : bootstrap.clone().option(ChannelOption.SO_RCVBUF, SLOW_BUFFER);
             own.connect(target).addListener((ChannelFuture up) -> {
                 if (up.isSuccess()) {
                     up.channel().pipeline().get(Call.class).begin(flow);
@@ -98,8 +100,11 @@
     private void sample() {
         long now = System.nanoTime();
         for (Flow flow : flows.values()) {
-            if (flow.end == End.OPEN && flow.received > 0 && flow.produced > flow.received
-                    && (now - flow.receivedAt) / 1e6 > HELD_MS && flow.toldFor != flow.received) {
+            if (flow.end == End.OPEN
+                    && flow.received > 0
+                    && flow.produced > flow.received
+                    && (now - flow.receivedAt) / 1e6 > HELD_MS
+                    && flow.toldFor != flow.received) {
                 flow.held++;
                 flow.toldFor = flow.received;
             }
@@ -109,11 +114,14 @@
     /** Sends nothing more; what became of all that was sent, once it has had its time. */
     List<Flow> stop(double patienceMillis) throws InterruptedException {
         loop.submit(() -> {
-            stopped = true;
-        }).sync();
+                    stopped = true;
+                })
+                .sync();
         long end = System.nanoTime() + (long) (patienceMillis * 1e6);
-        while (System.nanoTime() < end && loop.submit(() -> all.stream().anyMatch(flow ->
-                flow.end == End.OPEN)).sync().getNow()) {
+        while (System.nanoTime() < end
+                && loop.submit(() -> all.stream().anyMatch(flow -> flow.end == End.OPEN))
+                        .sync()
+                        .getNow()) {
             TimeUnit.MILLISECONDS.sleep(50);
         }
         return loop.submit(() -> List.copyOf(all)).sync().getNow();
@@ -137,10 +145,13 @@
             flow = next;
             status = 0;
             int body = next.kind.body(random);
-            HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, body == 0 ? HttpMethod.GET
-                    : HttpMethod.POST, "/" + next.kind.service + "/7");
-            request.headers().set("Host", "app.svc").set("X-Txn", next.id)
-                    .set("X-Remaining", REMAINING_MS / 1_000).set("X-Lane", next.kind.service);
+            HttpRequest request = new DefaultHttpRequest(
+                    HttpVersion.HTTP_1_1, body == 0 ? HttpMethod.GET : HttpMethod.POST, "/" + next.kind.service + "/7");
+            request.headers()
+                    .set("Host", "app.svc")
+                    .set("X-Txn", next.id)
+                    .set("X-Remaining", REMAINING_MS / 1_000)
+                    .set("X-Lane", next.kind.service);
             if (body > 0) {
                 request.headers().set("Content-Length", body);
             }
@@ -168,12 +179,15 @@
 
         /** Reads some 16 KiB every 60 to 250 ms. */
         private void readLater() {
-            loop.schedule(() -> {
-                if (channel.isActive() && flow != null) {
-                    channel.read();
-                    readLater();
-                }
-            }, 60 + random.nextInt(190), TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (channel.isActive() && flow != null) {
+                            channel.read();
+                            readLater();
+                        }
+                    },
+                    60 + random.nextInt(190),
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -192,9 +206,12 @@
                 flow.received += content.content().readableBytes();
                 flow.receivedAt = System.nanoTime();
                 if (message instanceof LastHttpContent) {
-                    over(status == 200 ? flow.received != flow.length ? End.BROKEN
-                            : firstByte <= flow.remainingMillis ? End.IN_TIME : End.LATE
-                            : status == 503 ? End.REFUSED : End.FAILED);
+                    over(
+                            status == 200
+                                    ? flow.received != flow.length
+                                            ? End.BROKEN
+                                            : firstByte <= flow.remainingMillis ? End.IN_TIME : End.LATE
+                                    : status == 503 ? End.REFUSED : End.FAILED);
                 }
             }
             ReferenceCountUtil.release(message);
--- a/bench/src/sablehinge/held/Flow.java
+++ b/bench/src/sablehinge/held/Flow.java
@@ -4,7 +4,14 @@
 final class Flow {
 
     /** What became of it. */
-    enum End { OPEN, IN_TIME, LATE, REFUSED, FAILED, BROKEN }
+    enum End {
+        OPEN,
+        IN_TIME,
+        LATE,
+        REFUSED,
+        FAILED,
+        BROKEN
+    }
 
     final String id;
     final Kind kind;
@@ -14,6 +21,7 @@
     final int length;
     /** Bytes of the answer's body that the kernel of an upstream has had, and that the caller has read. */
     volatile long produced;
+
     volatile long received;
     volatile long receivedAt;
     volatile End end = End.OPEN;
@@ -21,6 +29,7 @@
     volatile double tookMillis;
     /** How often it stood still for over 2 s; by the sampler. */
     int held;
+
     long toldFor = -1;
 
     Flow(String id, Kind kind, int length, double remainingMillis) {
