--- a/bench/src/sablehinge/held/HeldBench.java
+++ b/bench/src/sablehinge/held/HeldBench.java
@@ -36,10 +36,10 @@
 import sablehinge.rig.Logs;
 
 /**
- * Run by {@code bench/run held [PLAYS [SECONDS [RATE [TRICKLE]]]]}: long answers, slow callers and small
- * pieces through the platform's balancer as a process with little CPU, by turns 1, 0.5 and 0.3 of a core,
- * shared with busy neighbours; 1,024 descriptors and the platform's flags. An answer is held back if it
- * stands still for over 2 s while its upstream has written more and its caller reads.
+ * Run by {@code bench/run held [PLAYS [SECONDS [RATE [TRICKLE]]]]}: long answers, slow callers and small pieces through
+ * the platform's balancer as a process with little CPU, by turns 1, 0.5 and 0.3 of a core, shared with busy neighbours;
+ * 1,024 descriptors and the platform's flags. An answer is held back if it stands still for over 2 s while its upstream
+ * has written more and its caller reads.
  */
 public final class HeldBench {
 
@@ -47,17 +47,16 @@
     private static final int SERVERS = 3;
     /** A refusal within this time had no attempt before it. */
     private static final double AT_ONCE_MS = 30;
+
     private static final int[] NEIGHBOURS = {0, 1, 2};
     private static final String[] CORES = {"1", "0.5", "0.3"};
     private static final double PATIENCE_MS = 15_000;
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec (java .*) -jar (\\S+) serve\"$");
 
-    private HeldBench() {
-    }
+    private HeldBench() {}
 
     /** What a play came to. */
-    private record Played(int place, int asked, Map<End, Integer> ends, int atOnce, int held,
-            List<String> dumps) {
+    private record Played(int place, int asked, Map<End, Integer> ends, int atOnce, int held, List<String> dumps) {
 
         double good() {
             return (double) ends.getOrDefault(End.IN_TIME, 0) / asked;
@@ -81,36 +80,65 @@
         List<Future<Played>> all = new ArrayList<>();
         for (int i = 0; i < plays; i++) {
             int place = i;
-            all.add(players.submit(() -> play(place, core.get(), seconds, rate,
-                    trickle)));
+            all.add(players.submit(() -> play(place, core.get(), seconds, rate, trickle)));
         }
-        System.out.printf(Locale.ROOT, "%5s %5s %6s %8s %8s %8s %8s %8s %8s %5s %s%n", "play", "cores",
+        System.out.printf(
+                Locale.ROOT,
+                "%5s %5s %6s %8s %8s %8s %8s %8s %8s %5s %s%n",
+                "play",
+                "cores",
                 "asked",
-                "in time", "late", "refused", "at once", "failed", "broken", "held", "dumps");
+                "in time",
+                "late",
+                "refused",
+                "at once",
+                "failed",
+                "broken",
+                "held",
+                "dumps");
         List<Played> done = new ArrayList<>();
         for (Future<Played> one : all) {
             Played played = one.get();
             done.add(played);
-            System.out.printf(Locale.ROOT, "%5d %5s %6d %8.3f %8.3f %8.3f %8.3f %8.3f %8.3f %5d %s%n",
+            System.out.printf(
+                    Locale.ROOT,
+                    "%5d %5s %6d %8.3f %8.3f %8.3f %8.3f %8.3f %8.3f %5d %s%n",
                     played.place,
-                    CORES[played.place % CORES.length], played.asked, played.good(), played.share(End.LATE),
-                    played.share(End.REFUSED), (double) played.atOnce / played.asked,
-                    played.share(End.FAILED), played.share(End.BROKEN)
-                    + played.share(End.OPEN), played.held, played.dumps);
+                    CORES[played.place % CORES.length],
+                    played.asked,
+                    played.good(),
+                    played.share(End.LATE),
+                    played.share(End.REFUSED),
+                    (double) played.atOnce / played.asked,
+                    played.share(End.FAILED),
+                    played.share(End.BROKEN) + played.share(End.OPEN),
+                    played.held,
+                    played.dumps);
         }
         players.shutdown();
-        ObjectNode json = JsonMapper.builder().build().createObjectNode().put("plays", plays)
+        ObjectNode json = JsonMapper.builder()
+                .build()
+                .createObjectNode()
+                .put("plays", plays)
                 .put("held", done.stream().mapToInt(Played::held).sum())
-                .put("seconds", seconds).put("rate", rate).put("trickle", trickle)
+                .put("seconds", seconds)
+                .put("rate", rate)
+                .put("trickle", trickle)
                 .put("cores", Runtime.getRuntime().availableProcessors());
         ArrayNode by = json.putArray("by_cores");
         for (int i = 0; i < CORES.length; i++) {
             int kind = i;
-            double[] good = done.stream().filter(one -> one.place % CORES.length == kind)
-                    .mapToDouble(Played::good).sorted().toArray();
+            double[] good = done.stream()
+                    .filter(one -> one.place % CORES.length == kind)
+                    .mapToDouble(Played::good)
+                    .sorted()
+                    .toArray();
             if (good.length > 0) {
-                by.addObject().put("core", CORES[i]).put("plays", good.length)
-                        .put("smallest", round(good[0])).put("middle", round(good[good.length / 2]));
+                by.addObject()
+                        .put("core", CORES[i])
+                        .put("plays", good.length)
+                        .put("smallest", round(good[0]))
+                        .put("middle", round(good[good.length / 2]));
             }
         }
         System.out.println(json);
@@ -121,21 +149,21 @@
         return Math.round(value * 1_000) / 1_000.0;
     }
 
-    private static Played play(int place, int core, double seconds, double rate,
-            double trickle) throws Exception {
+    private static Played play(int place, int core, double seconds, double rate, double trickle) throws Exception {
         Path folder = Files.createTempDirectory("held");
-        MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2,
-                new DefaultThreadFactory("play", true), NioIoHandler.newFactory());
+        MultiThreadIoEventLoopGroup loops =
+                new MultiThreadIoEventLoopGroup(2, new DefaultThreadFactory("play", true), NioIoHandler.newFactory());
         List<Process> processes = new ArrayList<>();
         try (ServerSocket silent = new ServerSocket(0, 64, InetAddress.getLoopbackAddress())) {
             Map<String, Flow> flows = new ConcurrentHashMap<>();
             Upstreams upstreams = new Upstreams((EventLoop) loops.next(), SERVERS, flows, place);
             InetSocketAddress address = free();
-            Path config = Files.writeString(folder.resolve("node.json"), config(address, silent,
-                    upstreams.addresses(), place));
+            Path config = Files.writeString(
+                    folder.resolve("node.json"), config(address, silent, upstreams.addresses(), place));
             for (int i = 0; i < NEIGHBOURS[place % NEIGHBOURS.length]; i++) {
-                processes.add(new ProcessBuilder("taskset", "-c", Integer.toString(core), "sh", "-c",
-                        "while :; do :; done").start());
+                processes.add(
+                        new ProcessBuilder("taskset", "-c", Integer.toString(core), "sh", "-c", "while :; do :; done")
+                                .start());
             }
             processes.add(balancer(folder, config, core));
             awaitHealth(address, processes.get(processes.size() - 1));
@@ -144,9 +172,15 @@
             List<Flow> all = day.stop(PATIENCE_MS);
             Map<End, Integer> ends = new EnumMap<>(End.class);
             all.forEach(flow -> ends.merge(flow.end, 1, Integer::sum));
-            int atOnce = (int) all.stream().filter(flow -> flow.end == End.REFUSED
-                    && flow.tookMillis < AT_ONCE_MS).count();
-            return new Played(place, all.size(), ends, atOnce, all.stream().mapToInt(flow -> flow.held).sum(),
+            int atOnce = (int) all.stream()
+                    .filter(flow -> flow.end == End.REFUSED && flow.tookMillis < AT_ONCE_MS)
+                    .count();
+            return new Played(
+                    place,
+                    all.size(),
+                    ends,
+                    atOnce,
+                    all.stream().mapToInt(flow -> flow.held).sum(),
                     dumps(folder));
         } finally {
             processes.forEach(Process::destroyForcibly);
@@ -173,7 +207,8 @@
         command.addAll(List.of(run.group(1).split(" ")));
         command.add("-Dsablehinge.flight=" + folder.resolve("flight"));
         command.addAll(List.of("-jar", run.group(2), "serve"));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("log").toFile());
         builder.environment().put("PROXY_CONFIG", config.toString());
         return builder.start();
@@ -199,8 +234,7 @@
         Path flight = folder.resolve("flight");
         if (Files.isDirectory(flight)) {
             try (DirectoryStream<Path> files = Files.newDirectoryStream(flight)) {
-                files.forEach(file -> names.add(file.getFileName().toString().replaceAll("^\\d+-|\\.flight$",
-                        "")));
+                files.forEach(file -> names.add(file.getFileName().toString().replaceAll("^\\d+-|\\.flight$", "")));
             }
         }
         return names;
@@ -218,13 +252,16 @@
         }
     }
 
-    private static String config(InetSocketAddress address, ServerSocket discovery,
-            List<InetSocketAddress> servers, int seed) {
+    private static String config(
+            InetSocketAddress address, ServerSocket discovery, List<InetSocketAddress> servers, int seed) {
         StringBuilder known = new StringBuilder();
         for (int i = 0; i < servers.size(); i++) {
-            known.append(i == 0 ? "" : ",").append("""
+            known.append(i == 0 ? "" : ",")
+                    .append(
+                            """
                     {"id":"s-%d","addr":"127.0.0.1:%d","zone":"a","kind":"m","cell":%d,"state":"up",
-                     "weight":1.0,"started_ms":0}""".formatted(i, servers.get(i).getPort(), i));
+                     "weight":1.0,"started_ms":0}"""
+                                    .formatted(i, servers.get(i).getPort(), i));
         }
         return """
                 {"name":"n0","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"%x",
@@ -246,6 +283,7 @@
                  "goal":{"whole":1,"worstWindow":0,"worstClass":0,"worstTenant":0},
                  "prices":{"crossZone":0,"probe":0,"waste":0,"lateFail":0,"connection":0,
                  "handshake":0,"peer":0,"registryMode":0}}}
-                """.formatted(address.getPort(), discovery.getLocalPort(), 31 + seed, known);
+                """
+                .formatted(address.getPort(), discovery.getLocalPort(), 31 + seed, known);
     }
 }
--- a/bench/src/sablehinge/held/Upstreams.java
+++ b/bench/src/sablehinge/held/Upstreams.java
@@ -37,6 +37,7 @@
     private static final double WORK_MS = 12;
     /** The part of long answers that end with their connection. */
     private static final double ENDS_WITH_CONNECTION = 0.045;
+
     private static final int STEPS = 10;
     private static final int BLOCK = 16 * 1024;
     private static final byte[] BYTES = new byte[BLOCK];
@@ -52,19 +53,25 @@
         random = new SplittableRandom(seed);
         for (int i = 0; i < count; i++) {
             Server server = new Server();
-            listening.add(new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+            listening.add(new ServerBootstrap()
+                    .group(loop)
+                    .channel(NioServerSocketChannel.class)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(new HttpServerCodec(),
-                                    new Connection(server, channel));
+                            channel.pipeline().addLast(new HttpServerCodec(), new Connection(server, channel));
                         }
-                    }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel());
+                    })
+                    .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                    .sync()
+                    .channel());
         }
     }
 
     List<InetSocketAddress> addresses() {
-        return listening.stream().map(one -> (InetSocketAddress) one.localAddress()).toList();
+        return listening.stream()
+                .map(one -> (InetSocketAddress) one.localAddress())
+                .toList();
     }
 
     /** Work of one server: so many at once, the others wait. */
@@ -84,14 +91,17 @@
             busy++;
             // Exponential, so that some take long.
             double millis = -WORK_MS * Math.log(1 - random.nextDouble());
-            loop.schedule(() -> {
-                busy--;
-                done.run();
-                Runnable next = waiting.poll();
-                if (next != null) {
-                    next.run();
-                }
-            }, (long) (millis * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        busy--;
+                        done.run();
+                        Runnable next = waiting.poll();
+                        if (next != null) {
+                            next.run();
+                        }
+                    },
+                    (long) (millis * 1e6),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
@@ -162,19 +172,22 @@
         }
 
         private void trickle(int step, long everyMillis) {
-            loop.schedule(() -> {
-                if (answering && channel.isActive()) {
-                    int rest = Math.max(0, left - step);
-                    while (left > rest) {
-                        write(Math.min(left - rest, 1 + random.nextInt(3)));
-                    }
-                    if (left > 0) {
-                        trickle(step, everyMillis);
-                    } else {
-                        end();
-                    }
-                }
-            }, everyMillis, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (answering && channel.isActive()) {
+                            int rest = Math.max(0, left - step);
+                            while (left > rest) {
+                                write(Math.min(left - rest, 1 + random.nextInt(3)));
+                            }
+                            if (left > 0) {
+                                trickle(step, everyMillis);
+                            } else {
+                                end();
+                            }
+                        }
+                    },
+                    everyMillis,
+                    TimeUnit.MILLISECONDS);
         }
 
         private void write(int size) {
@@ -193,7 +206,7 @@
         private void end() {
             answering = false;
             HttpContent last = new DefaultLastHttpContent();
-            channel.writeAndFlush(last).addListener(closes ? ChannelFutureListener.CLOSE : written -> { });
+            channel.writeAndFlush(last).addListener(closes ? ChannelFutureListener.CLOSE : written -> {});
         }
 
         /** Writes as long as its kernel takes it. */
--- a/bench/src/sablehinge/policy/BeliefBench.java
+++ b/bench/src/sablehinge/policy/BeliefBench.java
@@ -3,10 +3,9 @@
 import java.util.Locale;
 
 /**
- * Run by {@code bench/run belief [SEEDS]}: whether the module goes on refusing when what it refused for is
- * over, from many starts in virtual time: as it was, told of an answer when it was whole, and as it is, told
- * when one begins. Servers can do 800 requests a second; for two seconds they are 40
- * times slower.
+ * Run by {@code bench/run belief [SEEDS]}: whether the module goes on refusing when what it refused for is over, from
+ * many starts in virtual time: as it was, told of an answer when it was whole, and as it is, told when one begins.
+ * Servers can do 800 requests a second; for two seconds they are 40 times slower.
  */
 public final class BeliefBench {
 
@@ -14,27 +13,28 @@
     private static final double TO = 5_000;
     private static final double END = 35_000;
 
-    private BeliefBench() {
-    }
+    private BeliefBench() {}
 
     public static void main(String[] arguments) {
         Locale.setDefault(Locale.ROOT);
         int seeds = arguments.length > 0 ? Integer.parseInt(arguments[0]) : 40;
-        System.out.printf("%5s %10s %9s %-10s %9s %10s %10s %10s %9s%n", "rate", "long share",
-                "up to ms", "told at", "0 to 3 s", "5 to 10 s", "20 to 35 s", "worst", "stuck");
+        System.out.printf(
+                "%5s %10s %9s %-10s %9s %10s %10s %10s %9s%n",
+                "rate", "long share", "up to ms", "told at", "0 to 3 s", "5 to 10 s", "20 to 35 s", "worst", "stuck");
         int[] stuck = new int[2];
         double[] worst = new double[2];
         int plays = 0;
         for (double rate : new double[] {5, 20, 100, 400}) {
-            for (double[] body : new double[][] {{0, 0}, {0.1, 1_000}, {0.1, 1_600}, {0.2, 1_600},
-                {0.3, 1_600}, {0.4, 1_600}}) {
+            for (double[] body :
+                    new double[][] {{0, 0}, {0.1, 1_000}, {0.1, 1_600}, {0.2, 1_600}, {0.3, 1_600}, {0.4, 1_600}}) {
                 for (int told = 0; told < 2; told++) {
                     double[] sums = new double[3];
                     double most = 0;
                     int here = 0;
                     for (long seed = 1; seed <= seeds; seed++) {
-                        Plant plant = new Plant(new Plant.Plan(seed, rate, body[0], body[1], told == 1, 40,
-                                FROM, TO, END)).play();
+                        Plant plant = new Plant(
+                                        new Plant.Plan(seed, rate, body[0], body[1], told == 1, 40, FROM, TO, END))
+                                .play();
                         sums[0] += plant.refusedShare(0, 3) / seeds;
                         sums[1] += plant.refusedShare(5, 10) / seeds;
                         double last = plant.refusedShare(20, 33);
@@ -45,14 +45,24 @@
                     }
                     stuck[told] += here;
                     worst[told] = Math.max(worst[told], most);
-                    System.out.printf("%5.0f %10.2f %9.0f %-10s %9.3f %10.3f %10.3f %10.3f %5d/%d%n", rate,
-                            body[0], body[1], told == 1 ? "beginning" : "end", sums[0], sums[1], sums[2],
-                            most, here, seeds);
+                    System.out.printf(
+                            "%5.0f %10.2f %9.0f %-10s %9.3f %10.3f %10.3f %10.3f %5d/%d%n",
+                            rate,
+                            body[0],
+                            body[1],
+                            told == 1 ? "beginning" : "end",
+                            sums[0],
+                            sums[1],
+                            sums[2],
+                            most,
+                            here,
+                            seeds);
                 }
             }
         }
-        System.out.printf("{\"plays\":%d,\"stuck_told_at_end\":%d,\"stuck_told_at_beginning\":%d,"
-                + "\"worst_told_at_end\":%.4f,\"worst_told_at_beginning\":%.4f}%n", plays, stuck[0], stuck[1],
-                worst[0], worst[1]);
+        System.out.printf(
+                "{\"plays\":%d,\"stuck_told_at_end\":%d,\"stuck_told_at_beginning\":%d,"
+                        + "\"worst_told_at_end\":%.4f,\"worst_told_at_beginning\":%.4f}%n",
+                plays, stuck[0], stuck[1], worst[0], worst[1]);
     }
 }
--- a/bench/src/sablehinge/policy/Plant.java
+++ b/bench/src/sablehinge/policy/Plant.java
@@ -26,9 +26,9 @@
 import sablehinge.policy.LoadBalancer.WeightKind;
 
 /**
- * One instance of the module before servers with a few slots each, in virtual time: for what it believes of
- * their load. For a while all servers are slower; some answers need long in any case, as a body that is
- * short enough to be kept whole and comes in pieces does.
+ * One instance of the module before servers with a few slots each, in virtual time: for what it believes of their load.
+ * For a while all servers are slower; some answers need long in any case, as a body that is short enough to be kept
+ * whole and comes in pieces does.
  */
 final class Plant implements LoadBalancer.Actions {
 
@@ -47,23 +47,32 @@
      * @param told whether the module is told when an answer begins, and not only when it is whole
      * @param slow by how much all servers are slower from the time {@code from} to {@code to}
      */
-    record Plan(long seed, double rate, double longShare, double longMost, boolean told, double slow,
-            double from, double to, double end) { }
+    record Plan(
+            long seed,
+            double rate,
+            double longShare,
+            double longMost,
+            boolean told,
+            double slow,
+            double from,
+            double to,
+            double end) {}
 
-    private record Event(double at, long order, Runnable call) { }
+    private record Event(double at, long order, Runnable call) {}
 
-    private record Job(long request, int attempt, int server, double sentAt, boolean slowBody,
-            boolean[] over, boolean[] begun) { }
+    private record Job(
+            long request, int attempt, int server, double sentAt, boolean slowBody, boolean[] over, boolean[] begun) {}
 
     /** What became of the requests that came in each second. */
     final int[] asked;
+
     final int[] refused;
     final int[] served;
     private final Plan plan;
     private final SplittableRandom random;
     private final LoadBalancer module;
-    private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at)
-            .thenComparingLong(Event::order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
     private final List<ArrayDeque<Job>> queues = new ArrayList<>();
     private final int[] busy = new int[SERVERS];
     private final Map<Long, Integer> attempts = new HashMap<>();
@@ -92,12 +101,31 @@
     }
 
     private static Settings settings() {
-        ServiceClass only = new ServiceClass("tile", AIM, 0, DEADLINE, 1, 0.5, Repeat.IDEMPOTENT, Group.ALL,
-                0, false, false, null, null, 0);
-        return new Settings(0, 1, 0, 1, 0, 1, 1, false, true, false, false, false, 1, WeightKind.NONE,
-                Reports.NONE, List.of(), List.of(only), List.of(), new Limits(4, 10_000, true, false, false,
-                false, true, 2_000, 100, 30_000, 1, 0, 0), new Rules(20, 2_000, 2_000, 0.2, 20_000, 3, 1_500,
-                0), new Goal(1, 0, 0, 0, 0, 0, 0, 0), new Prices(0, 0, 0, 0, 0, 0, 0, 0));
+        ServiceClass only = new ServiceClass(
+                "tile", AIM, 0, DEADLINE, 1, 0.5, Repeat.IDEMPOTENT, Group.ALL, 0, false, false, null, null, 0);
+        return new Settings(
+                0,
+                1,
+                0,
+                1,
+                0,
+                1,
+                1,
+                false,
+                true,
+                false,
+                false,
+                false,
+                1,
+                WeightKind.NONE,
+                Reports.NONE,
+                List.of(),
+                List.of(only),
+                List.of(),
+                new Limits(4, 10_000, true, false, false, false, true, 2_000, 100, 30_000, 1, 0, 0),
+                new Rules(20, 2_000, 2_000, 0.2, 20_000, 3, 1_500, 0),
+                new Goal(1, 0, 0, 0, 0, 0, 0, 0),
+                new Prices(0, 0, 0, 0, 0, 0, 0, 0));
     }
 
     private void later(double millis, Runnable call) {
@@ -126,8 +154,14 @@
     @Override
     public void send(long request, long upstream, double timeout) {
         int number = attempts.merge(request, 1, Integer::sum) - 1;
-        Job job = new Job(request, number, (int) upstream - 1, now, bodies.getOrDefault(request, false),
-                new boolean[1], new boolean[1]);
+        Job job = new Job(
+                request,
+                number,
+                (int) upstream - 1,
+                now,
+                bodies.getOrDefault(request, false),
+                new boolean[1],
+                new boolean[1]);
         jobs.put(request + "/" + number, job);
         later(timeout == 0 ? DEADLINE : timeout, () -> {
             if (!job.begun()[0]) {
@@ -175,8 +209,16 @@
         if (second != null) {
             served[second]++;
         }
-        module.attemptFinished(now, new Outcome(job.request(), job.attempt(), job.server() + 1, result,
-                !came.containsKey(job.request()), elapsed, null));
+        module.attemptFinished(
+                now,
+                new Outcome(
+                        job.request(),
+                        job.attempt(),
+                        job.server() + 1,
+                        result,
+                        !came.containsKey(job.request()),
+                        elapsed,
+                        null));
     }
 
     @Override
@@ -206,28 +248,22 @@
     }
 
     @Override
-    public void probe(long upstream) {
-    }
+    public void probe(long upstream) {}
 
     @Override
-    public void closeIdle(long upstream) {
-    }
+    public void closeIdle(long upstream) {}
 
     @Override
-    public void fetch() {
-    }
+    public void fetch() {}
 
     @Override
-    public void watch(boolean on) {
-    }
+    public void watch(boolean on) {}
 
     @Override
-    public void tell(int peer, byte[] payload) {
-    }
+    public void tell(int peer, byte[] payload) {}
 
     @Override
-    public void log(String text) {
-    }
+    public void log(String text) {}
 
     /** The share refused of what came from one second to another. */
     double refusedShare(int from, int to) {
--- a/bench/src/sablehinge/rpc/Cut.java
+++ b/bench/src/sablehinge/rpc/Cut.java
@@ -14,9 +14,8 @@
 import java.util.function.Predicate;
 
 /**
- * A cut of the network, played at the ends that connect and that send datagrams: while it lasts nothing goes
- * out or comes in there, no connection comes up, and no end is told. The end that has taken a connection
- * hears silence.
+ * A cut of the network, played at the ends that connect and that send datagrams: while it lasts nothing goes out or
+ * comes in there, no connection comes up, and no end is told. The end that has taken a connection hears silence.
  */
 public final class Cut {
 
@@ -52,11 +51,15 @@
     private final class OfConnection extends ChannelDuplexHandler {
 
         @Override
-        public void connect(ChannelHandlerContext ctx, SocketAddress remote, SocketAddress local,
-                ChannelPromise promise) throws Exception {
+        public void connect(
+                ChannelHandlerContext ctx, SocketAddress remote, SocketAddress local, ChannelPromise promise)
+                throws Exception {
             if (lasts.getAsBoolean()) {
-                ctx.executor().schedule(() -> promise.tryFailure(new ConnectTimeoutException("cut")),
-                        CONNECT_MS, TimeUnit.MILLISECONDS);
+                ctx.executor()
+                        .schedule(
+                                () -> promise.tryFailure(new ConnectTimeoutException("cut")),
+                                CONNECT_MS,
+                                TimeUnit.MILLISECONDS);
             } else {
                 super.connect(ctx, remote, local, promise);
             }
--- a/bench/src/sablehinge/sidecar/GateParts.java
+++ b/bench/src/sablehinge/sidecar/GateParts.java
@@ -22,20 +22,31 @@
 
     /** The life to which the gate is open. */
     public static final String LIFE = "i-1";
+
     private static final int BERTHS = 2;
     private AdmissionController gate;
 
-    private GateParts(EventLoop loop, Clock clock, Timers timers, Sockets sockets, ByteBufAllocator memory,
-            InetSocketAddress upstream, InetSocketAddress at, Consumer<String> done) {
+    private GateParts(
+            EventLoop loop,
+            Clock clock,
+            Timers timers,
+            Sockets sockets,
+            ByteBufAllocator memory,
+            InetSocketAddress upstream,
+            InetSocketAddress at,
+            Consumer<String> done) {
         Core core = new Core(clock, timers, actions -> {
             gate = new AdmissionController(actions);
             return gate;
         });
         Frontend front = new Frontend(loop, sockets, memory, core, new InboundFront(core));
-        UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory,
-                new MeshUpstream(clock, () -> { }));
+        UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, () -> {}));
         Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
-        core.start(Terms.gate(), 1, new Roster(1, true, List.of(new Roster.Member(own, upstream))), transport,
+        core.start(
+                Terms.gate(),
+                1,
+                new Roster(1, true, List.of(new Roster.Member(own, upstream))),
+                transport,
                 new Registry() {
                     @Override
                     public void fetch() {
@@ -52,8 +63,14 @@
     }
 
     /** Puts them together, with the gate open; {@code done} hears why they can't listen, or null. */
-    public static void start(EventLoop loop, Clock clock, Timers timers, Sockets sockets,
-            ByteBufAllocator memory, InetSocketAddress upstream, InetSocketAddress at,
+    public static void start(
+            EventLoop loop,
+            Clock clock,
+            Timers timers,
+            Sockets sockets,
+            ByteBufAllocator memory,
+            InetSocketAddress upstream,
+            InetSocketAddress at,
             Consumer<String> done) {
         new GateParts(loop, clock, timers, sockets, memory, upstream, at, done);
     }
--- a/bench/src/sablehinge/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/sidecar/HollowSidecar.java
@@ -23,9 +23,9 @@
 import sablehinge.watch.WatchRequest;
 
 /**
- * The control side of a sidecar without its data plane: it asks the control nodes for news, takes part in the
- * ring of watchers and claims quota tokens and retry shares with the sidecar's own classes. It forwards
- * nothing, and its upstream exists in its registration only. Its event loop owns it.
+ * The control side of a sidecar without its data plane: it asks the control nodes for news, takes part in the ring of
+ * watchers and claims quota tokens and retry shares with the sidecar's own classes. It forwards nothing, and its
+ * upstream exists in its registration only. Its event loop owns it.
  */
 public final class HollowSidecar {
 
@@ -36,6 +36,7 @@
     private static final int RECKONED = 16;
     /** How often requests that are due are claimed for, in ms. */
     private static final long DEMAND_MS = 25;
+
     private static final double MS_PER_S = 1_000;
     /** Services that one calls. */
     private static final int CALLED = 4;
@@ -75,7 +76,7 @@
      * @param complete whether that leader has heard of all that live
      * @param roster by the names of nodes
      */
-    public record View(long edition, long term, boolean complete, Map<String, Registration> roster) { }
+    public record View(long edition, long term, boolean complete, Map<String, Registration> roster) {}
 
     /**
      * Starts a hollow sidecar on a loop.
@@ -83,8 +84,12 @@
      * @param reader parses the configuration of an update; sidecars of one process may share a parsed one
      * @throws ConfigException if its address can't be bound
      */
-    public static HollowSidecar start(LocalSettings settings, EventLoop loop, String upstream,
-            Connection.Observer observer, Function<Update, Configuration> reader)
+    public static HollowSidecar start(
+            LocalSettings settings,
+            EventLoop loop,
+            String upstream,
+            Connection.Observer observer,
+            Function<Update, Configuration> reader)
             throws ConfigException, InterruptedException {
         HollowSidecar sidecar = prepare(settings, loop, upstream, observer, reader);
         sidecar.begin();
@@ -92,16 +97,24 @@
     }
 
     /** The same, but that it only hears beats until {@link #begin}. */
-    public static HollowSidecar prepare(LocalSettings settings, EventLoop loop, String upstream,
-            Connection.Observer observer, Function<Update, Configuration> reader)
+    public static HollowSidecar prepare(
+            LocalSettings settings,
+            EventLoop loop,
+            String upstream,
+            Connection.Observer observer,
+            Function<Update, Configuration> reader)
             throws ConfigException, InterruptedException {
         HollowSidecar sidecar = new HollowSidecar(settings, loop, upstream, observer, reader);
         sidecar.watchers.listen();
         return sidecar;
     }
 
-    private HollowSidecar(LocalSettings settings, EventLoop loop, String upstream,
-            Connection.Observer observer, Function<Update, Configuration> reader) {
+    private HollowSidecar(
+            LocalSettings settings,
+            EventLoop loop,
+            String upstream,
+            Connection.Observer observer,
+            Function<Update, Configuration> reader) {
         this.settings = settings;
         this.loop = loop;
         this.upstream = upstream;
@@ -111,8 +124,7 @@
         for (String seed : settings.seeds()) {
             contacts.add(seed.substring(0, seed.lastIndexOf(':') + 1) + settings.innerFirst());
         }
-        news = new NewsClient(loop, clock, new Connection(loop, PING_MS, DEAD_MS, observer), contacts,
-                new Hears());
+        news = new NewsClient(loop, clock, new Connection(loop, PING_MS, DEAD_MS, observer), contacts, new Hears());
         watchers = new Watchers(loop, clock, settings, news::askNow);
         quotas = new Quotas(settings.bounds(), (tenant, count) -> news.tokens(new Tokens(tenant, count)));
         retryBudget = new RetryBudget(clock, settings, news::shares);
@@ -132,11 +144,15 @@
 
     private void every(long ms, Runnable work) {
         // Spread over the period, as sidecars on machines of their own are.
-        loop.scheduleAtFixedRate(() -> {
-            if (!closed) {
-                work.run();
-            }
-        }, random.nextLong(ms), ms, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> {
+                    if (!closed) {
+                        work.run();
+                    }
+                },
+                random.nextLong(ms),
+                ms,
+                TimeUnit.MILLISECONDS);
     }
 
     /** What its beats are sent and heard on. */
@@ -266,10 +282,17 @@
 
         @Override
         public WatchRequest request(int number) {
-            Registration self = new Registration(settings.node(), settings.zone(),
-                    settings.listenOn().inbound(), settings.depot(), upstream, true, BERTHS, 0);
-            return new WatchRequest(number, self, edition, term, stamp, wantsConfirmation,
-                    watchers.accusations(), watchers.vouched());
+            Registration self = new Registration(
+                    settings.node(),
+                    settings.zone(),
+                    settings.listenOn().inbound(),
+                    settings.depot(),
+                    upstream,
+                    true,
+                    BERTHS,
+                    0);
+            return new WatchRequest(
+                    number, self, edition, term, stamp, wantsConfirmation, watchers.accusations(), watchers.vouched());
         }
 
         @Override
--- a/bench/src/sablehinge/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/sidecar/OutboundParts.java
@@ -27,8 +27,8 @@
 import sablehinge.routing.Plan;
 
 /**
- * The real front, core, decision module and transport of an outbound balancer, put together on somebody
- * else's loop and clock. Further tries are always granted, so that all orders of them are met.
+ * The real front, core, decision module and transport of an outbound balancer, put together on somebody else's loop and
+ * clock. Further tries are always granted, so that all orders of them are met.
  */
 public final class OutboundParts {
 
@@ -36,6 +36,7 @@
     public static final String CALLER = "wuno96b";
     /** The most upstreams that one try may go to, and the time-out of every route in ms. */
     public static final int ATTEMPTS = 2;
+
     public static final int TIMEOUT_MS = 1_500;
     private static final String SERVICE = "huvo11a";
     private static final Registry NO_REGISTRY = new Registry() {
@@ -64,23 +65,42 @@
     }
 
     private static Configuration configuration() {
-        return ConfigurationReader.read("""
+        return ConfigurationReader.read(
+                """
                 {"edition":4,"limits":{"headerBytes":16384,"bodyBytes":67108864,"headerMs":3000,
                  "idleMs":30000},"senders":[],"gates":[{"station":"h","regulations":[%s,%s]}],
-                 "fleets":[{"name":"%s","healthPath":"/health","connCap":110}]}""".formatted(
-                route("r-safe", "safe", "/s/"), route("r-unsafe", "unsafe", "/u/"), SERVICE)
-                .getBytes(StandardCharsets.UTF_8));
+                 "fleets":[{"name":"%s","healthPath":"/health","connCap":110}]}"""
+                        .formatted(route("r-safe", "safe", "/s/"), route("r-unsafe", "unsafe", "/u/"), SERVICE)
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     private static LocalSettings settings(InetSocketAddress at) {
         String ip = at.getAddress().getHostAddress();
-        return new LocalSettings("s-1", LocalSettings.Role.SIDECAR, "small", List.of("sidecar"), ip,
-                "monza-a", "monza", 7_100, 7_110, List.of(ip + ":7090"), true, true, null, 20_000, List.of(),
-                ip + ":9", CALLER, Map.of("monza-a", "monza"),
+        return new LocalSettings(
+                "s-1",
+                LocalSettings.Role.SIDECAR,
+                "small",
+                List.of("sidecar"),
+                ip,
+                "monza-a",
+                "monza",
+                7_100,
+                7_110,
+                List.of(ip + ":7090"),
+                true,
+                true,
+                null,
+                20_000,
+                List.of(),
+                ip + ":9",
+                CALLER,
+                Map.of("monza-a", "monza"),
                 new LocalSettings.ListenOn(ip + ":7002", ip + ":7001", ip + ":7003", ip + ":7004"),
-                new LocalSettings.Limits(1, 1, 256, 1_264, 1_000, 0), 1,
-                new LocalSettings.Bounds(3, 2, 3_000, 5_000, 4, 2_400, 6, 200, 2_500, 250, 8_000, false,
-                        5_000, 0.2, 10, 62, 5, 0, 0, 15));
+                new LocalSettings.Limits(1, 1, 256, 1_264, 1_000, 0),
+                1,
+                new LocalSettings.Bounds(
+                        3, 2, 3_000, 5_000, 4, 2_400, 6, 200, 2_500, 250, 8_000, false, 5_000, 0.2, 10, 62, 5, 0, 0,
+                        15));
     }
 
     /** The name of the upstream's life beside the balancer of that number. */
@@ -94,14 +114,23 @@
      * @param balancers the inbound ones
      * @param done hears why they can't listen, or null
      */
-    public OutboundParts(EventLoop loop, Clock clock, Timers timers, Sockets sockets,
-            ByteBufAllocator memory, List<InetSocketAddress> balancers, InetSocketAddress at,
+    public OutboundParts(
+            EventLoop loop,
+            Clock clock,
+            Timers timers,
+            Sockets sockets,
+            ByteBufAllocator memory,
+            List<InetSocketAddress> balancers,
+            InetSocketAddress at,
             Consumer<String> done) {
         this.clock = clock;
         this.balancers = balancers;
         LocalSettings settings = settings(at);
-        quotas = new Quotas(settings.bounds(), (tenant, count) -> { });
-        routes = new OutboundFront(CALLER, quotas, new RetryBudget(clock, settings, claim -> { }),
+        quotas = new Quotas(settings.bounds(), (tenant, count) -> {});
+        routes = new OutboundFront(
+                CALLER,
+                quotas,
+                new RetryBudget(clock, settings, claim -> {}),
                 new OutboundFront.Confirming() {
                     @Override
                     public void ask() {
@@ -112,11 +141,12 @@
                     public double confirmedAt() {
                         return Double.POSITIVE_INFINITY;
                     }
-                }, 1);
+                },
+                1);
         core = new Core(clock, timers, actions -> new LatencyWeightedBalancer(actions, Terms.EXTRAS));
         Frontend front = new Frontend(loop, sockets, memory, core, routes);
         UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
-        core.bound((version, serviceClass, beside, then) -> then.accept(() -> { }));
+        core.bound((version, serviceClass, beside, then) -> then.accept(() -> {}));
         core.start(Terms.gate(), 1, new Roster(0, true, List.of()), transport, NO_REGISTRY);
         front.open(at, done);
     }
@@ -125,14 +155,14 @@
     public void configure() {
         Configuration configuration = configuration();
         Map<String, Integer> places = new HashMap<>();
-        Version version = Terms.version(core.version().number() + 1, configuration, Terms.kinds(), places,
-                Terms.Place.of("s-1", 0, 1));
+        Version version = Terms.version(
+                core.version().number() + 1, configuration, Terms.kinds(), places, Terms.Place.of("s-1", 0, 1));
         routes.adopt(new Plan(configuration), version, places);
         quotas.adopt(clock.now(), configuration.tenants());
         List<Roster.Member> members = new ArrayList<>();
         for (int i = 0; i < balancers.size(); i++) {
-            members.add(new Roster.Member(new Upstream(MeshHeaders.life(life(i)), 0, 0, 0, State.READY, 1, 0),
-                    balancers.get(i), life(i)));
+            members.add(new Roster.Member(
+                    new Upstream(MeshHeaders.life(life(i)), 0, 0, 0, State.READY, 1, 0), balancers.get(i), life(i)));
         }
         core.adopt(version, new Roster(1, true, members));
     }
--- a/bench/src/sablehinge/standin/mesh/Pulse.java
+++ b/bench/src/sablehinge/standin/mesh/Pulse.java
@@ -13,13 +13,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Requests at a steady rate, whatever becomes of them: each is one try on a connection of its own, to one
- * machine after another and over all routes. Times are the ledger's, in ms.
+ * Requests at a steady rate, whatever becomes of them: each is one try on a connection of its own, to one machine after
+ * another and over all routes. Times are the ledger's, in ms.
  */
 final class Pulse implements AutoCloseable {
 
     /** The part of the requests of a second that is served where all is well. */
     static final double WELL = 0.95;
+
     private static final int PATIENCE_MS = 2_000;
     private static final int MOST = 160;
     private static final double WINDOW_MS = 1_000;
@@ -30,8 +31,8 @@
     private final List<MeshVersion.Route> routes;
     private final double everyMs;
     private final List<One> all = new ArrayList<>();
-    private final ThreadPoolExecutor calls = new ThreadPoolExecutor(0, MOST, 1, TimeUnit.SECONDS,
-            new SynchronousQueue<>(), work -> {
+    private final ThreadPoolExecutor calls =
+            new ThreadPoolExecutor(0, MOST, 1, TimeUnit.SECONDS, new SynchronousQueue<>(), work -> {
                 Thread thread = new Thread(work, "pulse");
                 thread.setDaemon(true);
                 return thread;
@@ -91,13 +92,24 @@
         String id = String.format("%016x", ThreadLocalRandom.current().nextLong());
         boolean safe = route.kind() == Ledger.Kind.SAFE;
         try {
-            Message answer = Call.once(to.get(number / routes.size() % to.size()), PATIENCE_MS,
+            Message answer = Call.once(
+                    to.get(number / routes.size() % to.size()),
+                    PATIENCE_MS,
                     safe ? "GET" : route.kind() == Ledger.Kind.UPLOAD ? "PUT" : "POST",
-                    route.prefix() + number, Map.of("Host", MeshVersion.HOST, "Sablehinge-Try-Id", id,
-                            "Sablehinge-Time-Left", Integer.toString(PATIENCE_MS), "Sablehinge-Key",
-                            MeshVersion.KEY, "Connection", "close"), new byte[safe ? 0 : BODY]);
-            return answer != null && answer.status() == 200
-                    && id.equals(answer.header("Sablehinge-Try-Id"));
+                    route.prefix() + number,
+                    Map.of(
+                            "Host",
+                            MeshVersion.HOST,
+                            "Sablehinge-Try-Id",
+                            id,
+                            "Sablehinge-Time-Left",
+                            Integer.toString(PATIENCE_MS),
+                            "Sablehinge-Key",
+                            MeshVersion.KEY,
+                            "Connection",
+                            "close"),
+                    new byte[safe ? 0 : BODY]);
+            return answer != null && answer.status() == 200 && id.equals(answer.header("Sablehinge-Try-Id"));
         } catch (IOException e) {
             return false;
         }
@@ -111,13 +123,16 @@
 
     /** When the first request was served from then on; NaN where none was. */
     double first(double from) {
-        return Arrays.stream(sent()).filter(one -> one.served && one.endedAt >= from)
-                .mapToDouble(one -> one.endedAt).min().orElse(Double.NaN);
+        return Arrays.stream(sent())
+                .filter(one -> one.served && one.endedAt >= from)
+                .mapToDouble(one -> one.endedAt)
+                .min()
+                .orElse(Double.NaN);
     }
 
     /**
-     * From when on each second of requests was served, by when they were sent; NaN as long as that has not
-     * held for a while.
+     * From when on each second of requests was served, by when they were sent; NaN as long as that has not held for a
+     * while.
      */
     double well(double from, double whileMs) {
         List<One> ended = new ArrayList<>();
@@ -164,8 +179,11 @@
 
     /** The part of what was sent since then that was served; what has no end yet was not. */
     double share(double from) {
-        return Arrays.stream(sent()).filter(one -> one.sentAt >= from).mapToDouble(one -> one.served ? 1 : 0)
-                .average().orElse(Double.NaN);
+        return Arrays.stream(sent())
+                .filter(one -> one.sentAt >= from)
+                .mapToDouble(one -> one.served ? 1 : 0)
+                .average()
+                .orElse(Double.NaN);
     }
 
     @Override
--- a/bench/src/sablehinge/standin/mesh/RecoveryBench.java
+++ b/bench/src/sablehinge/standin/mesh/RecoveryBench.java
@@ -25,9 +25,9 @@
 import java.util.regex.Pattern;
 
 /**
- * How long a mesh of real processes takes to come back. In each play an operator has a configuration
- * acknowledged, within some ms a loss strikes, what was struck is started again half a second later, and the
- * operator reads back. Requests go on at a steady rate all the while.
+ * How long a mesh of real processes takes to come back. In each play an operator has a configuration acknowledged,
+ * within some ms a loss strikes, what was struck is started again half a second later, and the operator reads back.
+ * Requests go on at a steady rate all the while.
  */
 final class RecoveryBench {
 
@@ -41,6 +41,7 @@
     private static final int UNLIKE = 2;
     /** The bench itself had no time for so long: such a play measures the machine. */
     private static final double STALL_MS = 200;
+
     private static final double S = 1_000;
     private static final Pattern RUN = Pattern.compile("\\[roles\\.(\\w+)]\\s+run = \"java ([^\"]+)\"");
     private static final Pattern STANDING = Pattern.compile("event=standing role=(\\w+) .*members=(\\d+)");
@@ -48,7 +49,11 @@
 
     /** What is lost: all processes, all power, that and one disk, one disk, one machine. */
     private enum Loss {
-        KILL, POWER, POWER_WIPE, WIPE, REPLACE;
+        KILL,
+        POWER,
+        POWER_WIPE,
+        WIPE,
+        REPLACE;
 
         /** Whether it takes one machine of the core and its disk, and not all processes for a while. */
         private boolean isOfOne() {
@@ -61,7 +66,12 @@
     }
 
     /** What is timed; null where a play came to no end of it. */
-    private enum Mark { FIRST, SERVED95, ACKED, MEMBER }
+    private enum Mark {
+        FIRST,
+        SERVED95,
+        ACKED,
+        MEMBER
+    }
 
     /** What became of a play: times in ms, the share served since the strike, the bench's own lateness. */
     private static final class Outcome {
@@ -80,8 +90,8 @@
         this.logs = logs;
         Matcher run = RUN.matcher(Files.readString(Path.of("deploy/system.toml")));
         while (run.find()) {
-            List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin",
-                    "java").toString()));
+            List<String> command = new ArrayList<>(List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString()));
             command.addAll(List.of(run.group(2).split(" ")));
             commands.put(run.group(1), List.copyOf(command));
             Matcher archive = ARCHIVE.matcher(run.group(2));
@@ -107,24 +117,36 @@
         for (int i = 0; i < plays; i++) {
             for (Loss loss : Loss.values()) {
                 int number = i;
-                outcomes.computeIfAbsent(loss, none -> new ArrayList<>()).add(
-                        CompletableFuture.supplyAsync(() -> outcome(loss, number), seats));
+                outcomes.computeIfAbsent(loss, none -> new ArrayList<>())
+                        .add(CompletableFuture.supplyAsync(() -> outcome(loss, number), seats));
             }
         }
-        ObjectNode json = JsonNodeFactory.instance.objectNode().put("plays", plays).put("side", side);
-        System.out.printf(Locale.ROOT, "%-10s %-9s %8s %8s %8s %8s   %5s %6s %7s %s%n", "loss", "s until",
-                "least", "p50", "p99", "most", "lost", "failed", "stalled", "least served");
+        ObjectNode json =
+                JsonNodeFactory.instance.objectNode().put("plays", plays).put("side", side);
+        System.out.printf(
+                Locale.ROOT,
+                "%-10s %-9s %8s %8s %8s %8s   %5s %6s %7s %s%n",
+                "loss",
+                "s until",
+                "least",
+                "p50",
+                "p99",
+                "most",
+                "lost",
+                "failed",
+                "stalled",
+                "least served");
         int lost = 0;
         int failed = 0;
         for (Loss loss : Loss.values()) {
-            List<Outcome> all = outcomes.get(loss).stream().map(CompletableFuture::join).toList();
+            List<Outcome> all =
+                    outcomes.get(loss).stream().map(CompletableFuture::join).toList();
             ObjectNode of = json.putObject(loss.name().toLowerCase(Locale.ROOT));
             int gone = (int) all.stream().filter(one -> one.lost).count();
             int broken = (int) all.stream().filter(one -> one.failure != null).count();
             int stalled = (int) all.stream().filter(one -> one.late > STALL_MS).count();
             for (Mark mark : Mark.values()) {
-                row(loss, mark, all, of, String.format(Locale.ROOT, "%5d %6d %7d", gone, broken,
-                        stalled));
+                row(loss, mark, all, of, String.format(Locale.ROOT, "%5d %6d %7d", gone, broken, stalled));
             }
             of.put("lost", gone).put("failed", broken).put("stalled", stalled).put("plays", all.size());
             lost += gone;
@@ -139,27 +161,51 @@
                 }
             }
         }
-        System.out.printf(Locale.ROOT, "%d plays, %d side by side, in %.0f s%n", plays * Loss.values().length,
-                side, (Ledger.now() - begun) / S);
-        System.out.println(json.put("lost", lost).put("failed", failed).put("wall_s",
-                Math.round((Ledger.now() - begun) / S)));
+        System.out.printf(
+                Locale.ROOT,
+                "%d plays, %d side by side, in %.0f s%n",
+                plays * Loss.values().length,
+                side,
+                (Ledger.now() - begun) / S);
+        System.out.println(
+                json.put("lost", lost).put("failed", failed).put("wall_s", Math.round((Ledger.now() - begun) / S)));
         return lost == 0 && failed == 0;
     }
 
     private static void row(Loss loss, Mark mark, List<Outcome> all, ObjectNode of, String counts) {
         // A play that came to no end of it counts with all the time that it was given.
-        double[] times = all.stream().mapToDouble(one -> one.times.getOrDefault(mark,
-                one.failure == null ? Double.NaN : WITHIN_MS) / S).filter(time -> !Double.isNaN(time))
-                .sorted().toArray();
+        double[] times = all.stream()
+                .mapToDouble(one -> one.times.getOrDefault(mark, one.failure == null ? Double.NaN : WITHIN_MS) / S)
+                .filter(time -> !Double.isNaN(time))
+                .sorted()
+                .toArray();
         if (times.length == 0 || !loss.isOfOne() && mark.ordinal() > Mark.SERVED95.ordinal()) {
             return;
         }
-        String share = !loss.isOfOne() ? "" : String.format(Locale.ROOT, "%6.1f%%", 100 * all.stream()
-                .mapToDouble(one -> one.share).filter(one -> !Double.isNaN(one)).min().orElse(0));
-        System.out.printf(Locale.ROOT, "%-10s %-9s %8.2f %8.2f %8.2f %8.2f   %s %s%n",
-                loss.name().toLowerCase(Locale.ROOT), mark.name().toLowerCase(Locale.ROOT), times[0],
-                at(times, 0.5), at(times, 0.99), times[times.length - 1], counts, share);
-        of.putObject(mark.name().toLowerCase(Locale.ROOT)).put("p50_s", round(at(times, 0.5)))
+        String share = !loss.isOfOne()
+                ? ""
+                : String.format(
+                        Locale.ROOT,
+                        "%6.1f%%",
+                        100
+                                * all.stream()
+                                        .mapToDouble(one -> one.share)
+                                        .filter(one -> !Double.isNaN(one))
+                                        .min()
+                                        .orElse(0));
+        System.out.printf(
+                Locale.ROOT,
+                "%-10s %-9s %8.2f %8.2f %8.2f %8.2f   %s %s%n",
+                loss.name().toLowerCase(Locale.ROOT),
+                mark.name().toLowerCase(Locale.ROOT),
+                times[0],
+                at(times, 0.5),
+                at(times, 0.99),
+                times[times.length - 1],
+                counts,
+                share);
+        of.putObject(mark.name().toLowerCase(Locale.ROOT))
+                .put("p50_s", round(at(times, 0.5)))
                 .put("p99_s", round(at(times, 0.99)));
     }
 
@@ -183,8 +229,8 @@
                 outcome.failure = e.getMessage();
             }
             try {
-                outcome.lost = MeshJudge.gone(mesh.operator().orders(), mesh.operator().read(WITHIN_MS))
-                        != null;
+                outcome.lost =
+                        MeshJudge.gone(mesh.operator().orders(), mesh.operator().read(WITHIN_MS)) != null;
             } catch (MeshException e) {
                 // Nobody can say that it is still there.
                 outcome.lost = mesh.operator().orders().stream().anyMatch(one -> one.ackedAt() > 0);
@@ -214,18 +260,18 @@
         return command;
     }
 
-    private static void play(SmallMesh mesh, Loss loss, int number, Outcome outcome)
-            throws InterruptedException {
+    private static void play(SmallMesh mesh, Loss loss, int number, Outcome outcome) throws InterruptedException {
         mesh.start(mesh.version(1, 0, SmallMesh.BASALT));
         List<InetSocketAddress> outbound = new ArrayList<>();
         for (int i = 0; i < mesh.plan().services().size(); i++) {
             outbound.add(Call.address(mesh.plan().outbound(i)));
         }
-        try (Pulse pulse = new Pulse(outbound, mesh.version(1, 0, SmallMesh.BASALT).routes(), PER_SECOND)) {
+        try (Pulse pulse =
+                new Pulse(outbound, mesh.version(1, 0, SmallMesh.BASALT).routes(), PER_SECOND)) {
             double begun = Ledger.now();
             until("95% served before the strike", () -> !Double.isNaN(pulse.well(begun, CALM_MS)));
-            int struck = Math.floorMod(mesh.operator().leader() + number % UNLIKE,
-                    mesh.plan().controlNodes());
+            int struck = Math.floorMod(
+                    mesh.operator().leader() + number % UNLIKE, mesh.plan().controlNodes());
             mesh.operator().replace(mesh.version(2, 1, SmallMesh.MARL), WITHIN_MS);
             TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(AFTER_ACK_MS + 1));
             try {
@@ -296,8 +342,10 @@
 
     private static void replace(SmallMesh mesh, long edition) {
         try {
-            mesh.operator().replace(mesh.version(edition, edition - 1, edition % 2 == 0 ? SmallMesh.MARL
-                    : SmallMesh.BASALT), WITHIN_MS);
+            mesh.operator()
+                    .replace(
+                            mesh.version(edition, edition - 1, edition % 2 == 0 ? SmallMesh.MARL : SmallMesh.BASALT),
+                            WITHIN_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -316,8 +364,7 @@
         double end = Ledger.now() + WITHIN_MS;
         while (!holds.getAsBoolean()) {
             if (Ledger.now() > end) {
-                throw new MeshException(MeshException.Code.TIMEOUT, "not within " + WITHIN_MS + " ms: "
-                        + what, null);
+                throw new MeshException(MeshException.Code.TIMEOUT, "not within " + WITHIN_MS + " ms: " + what, null);
             }
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
         }
--- a/bench/src/sablehinge/torture/Body.java
+++ b/bench/src/sablehinge/torture/Body.java
@@ -25,12 +25,12 @@
     /** The next bytes, so many at most. */
     byte[] next(int most) {
         byte[] bytes = new byte[(int) Math.min(most, length - at)];
-        for (int done = 0; done < bytes.length;) {
+        for (int done = 0; done < bytes.length; ) {
             // Each 64 KiB begin elsewhere in the table, so that a whole one lost is seen too.
             long place = at + done;
             int start = (int) (from + place + (place >>> 16) * 41 & 0xffff);
-            int count = Math.min(bytes.length - done, Math.min(TABLE.length - start,
-                    (int) (0x10000 - (place & 0xffff))));
+            int count =
+                    Math.min(bytes.length - done, Math.min(TABLE.length - start, (int) (0x10000 - (place & 0xffff))));
             System.arraycopy(TABLE, start, bytes, done, count);
             done += count;
         }
--- a/bench/src/sablehinge/torture/Caller.java
+++ b/bench/src/sablehinge/torture/Caller.java
@@ -5,15 +5,19 @@
 import java.util.ArrayDeque;
 import sablehinge.torture.World.Asked;
 
-/**
- * A caller's end of a connection: sends what it has planned in any pieces, stops reading, leaves, by a
- * seed.
- */
+/** A caller's end of a connection: sends what it has planned in any pieces, stops reading, leaves, by a seed. */
 final class Caller implements Net.End {
 
     /** How it behaves. */
     enum Habit {
-        PLAIN, READS_SLOWLY, SENDS_SLOWLY, PIPELINES, LEAVES, RESETS, ENDS_STREAM, NEVER_READS,
+        PLAIN,
+        READS_SLOWLY,
+        SENDS_SLOWLY,
+        PIPELINES,
+        LEAVES,
+        RESETS,
+        ENDS_STREAM,
+        NEVER_READS,
         /** Speaks HTTP/1.0: an answer without a length ends with the connection. */
         OLD
     }
@@ -26,6 +30,7 @@
     private final ArrayDeque<Asked> planned = new ArrayDeque<>();
     /** What was sent whole or in part and has no answer yet. */
     final ArrayDeque<Asked> asked = new ArrayDeque<>();
+
     private Asked sending;
     private byte[] head;
     private int headSent;
@@ -35,11 +40,13 @@
     private boolean sends = true;
     /** Whether it has left, and by when the balancer has. */
     boolean gone;
+
     boolean told;
     /** When it last had an answer whole, before which the next request is not looked at. */
     double quietSince;
     /** When the balancer last had read all that was sent. */
     double readAt;
+
     private final long leavesAfter;
     private long moved;
 
@@ -54,7 +61,8 @@
         channel.playedBy(this);
         reader = new HttpReader(true, new Answers());
         leavesAfter = habit == Habit.LEAVES || habit == Habit.RESETS || habit == Habit.ENDS_STREAM
-                ? dice.size(1, 200_000) : Long.MAX_VALUE;
+                ? dice.size(1, 200_000)
+                : Long.MAX_VALUE;
         for (int i = 0; i < requests; i++) {
             planned.add(world.ask(this, dice, place + "." + i));
         }
@@ -119,8 +127,8 @@
             count = channel.in.write(head, headSent, Math.min(most, head.length - headSent));
             headSent += count;
         } else if (sending.chunked && chunkLeft == 0 && !sending.body.isOver()) {
-            chunkLeft = Math.min(sending.body.length - sending.body.sent(), dice.chance(2) ? dice.size(1, 3)
-                    : dice.size(1, 40_000));
+            chunkLeft = Math.min(
+                    sending.body.length - sending.body.sent(), dice.chance(2) ? dice.size(1, 3) : dice.size(1, 40_000));
             // The line of its size goes with the rest of the chunk's framing in one piece.
             head = ((sending.body.sent() == 0 ? "" : "\r\n") + Long.toHexString(chunkLeft) + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
@@ -135,8 +143,7 @@
         if (headSent == head.length && sending.body.isOver() && (!sending.chunked || chunkLeft == 0)) {
             if (sending.chunked && !sending.lastChunk) {
                 sending.lastChunk = true;
-                head = ((sending.body.length == 0 ? "" : "\r\n")
-                        + "0\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+                head = ((sending.body.length == 0 ? "" : "\r\n") + "0\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
                 headSent = 0;
                 return count;
             }
@@ -204,7 +211,8 @@
         }
         if (channel.out.held() > 0) {
             reads = false;
-            double rest = habit == Habit.READS_SLOWLY ? dice.nextDouble() * (dice.chance(20) ? 3_000 : 20)
+            double rest = habit == Habit.READS_SLOWLY
+                    ? dice.nextDouble() * (dice.chance(20) ? 3_000 : 20)
                     : dice.chance(4) ? dice.nextDouble() : 0;
             net.later(rest, this::read);
         } else if (channel.out.isEnded() || channel.out.isBroken()) {
--- a/bench/src/sablehinge/torture/Dice.java
+++ b/bench/src/sablehinge/torture/Dice.java
@@ -2,9 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/**
- * The chances of one party: each has its own, so that a play from which another is left out stays the same.
- */
+/** The chances of one party: each has its own, so that a play from which another is left out stays the same. */
 final class Dice {
 
     private final SplittableRandom random;
@@ -34,8 +32,8 @@
 
     /** A size from low to high, as often of each order of magnitude. */
     int size(int low, int high) {
-        return (int) Math.min(high,
-                Math.exp(Math.log(low) + random.nextDouble() * (Math.log(high + 1.0) - Math.log(low))));
+        return (int)
+                Math.min(high, Math.exp(Math.log(low) + random.nextDouble() * (Math.log(high + 1.0) - Math.log(low))));
     }
 
     /** How many bytes are there at once. */
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -15,8 +15,8 @@
 import sablehinge.torture.ExchangePlay.Event;
 
 /**
- * Plays all orders of events on the connections of an outbound balancer and of a gate, each to a stated
- * depth, and then the same on copies of the real classes with one fault each, which must all be found.
+ * Plays all orders of events on the connections of an outbound balancer and of a gate, each to a stated depth, and then
+ * the same on copies of the real classes with one fault each, which must all be found.
  */
 public final class ExchangeBench {
 
@@ -30,107 +30,244 @@
     private static final String ANSWERS = "sidecar/MeshAnswers";
 
     /** What each order begins with: a request at the upstream, one that was served, and an upload. */
-    private static final List<List<Event>> BEGINNINGS = List.of(List.of(Event.CALL),
-            List.of(Event.CALL, Event.ANSWER), List.of(Event.UPLOAD_HALF));
+    private static final List<List<Event>> BEGINNINGS =
+            List.of(List.of(Event.CALL), List.of(Event.CALL, Event.ANSWER), List.of(Event.UPLOAD_HALF));
 
     private static final String MODULE = "policy/LatencyWeightedBalancer";
     private static final String FRONT = "sidecar/OutboundFront";
     /** What each order before an outbound balancer begins with. */
     private static final List<List<OutboundPlay.Event>> OUTBOUND_BEGINNINGS = List.of(
-            List.of(OutboundPlay.Event.CALL), List.of(OutboundPlay.Event.CALL_SAFE),
+            List.of(OutboundPlay.Event.CALL),
+            List.of(OutboundPlay.Event.CALL_SAFE),
             List.of(OutboundPlay.Event.CALL, OutboundPlay.Event.ANSWER),
             List.of(OutboundPlay.Event.UPLOAD_HALF));
 
     /** All faults that the gate's hop must show. */
     static final List<Mutant> MUTANTS = List.of(
-            new Mutant("a connection that ends proves that nothing ran", STATE, "",
+            new Mutant(
+                    "a connection that ends proves that nothing ran",
+                    STATE,
+                    "",
                     "case WRITE_FAILED, CONNECTION_ENDED -> mayHaveRun() ? Result.RESET : ",
                     "case WRITE_FAILED, CONNECTION_ENDED -> "),
-            new Mutant("a deadline proves that nothing ran", STATE, "",
-                    "case DEADLINE -> mayHaveRun() ? Result.TIMEOUT : ", "case DEADLINE -> "),
-            new Mutant("a spoilt answer proves that nothing ran", STATE, "",
-                    "case MALFORMED_ANSWER -> mayHaveRun() ? Result.ERROR : ", "case MALFORMED_ANSWER -> "),
-            new Mutant("a success before the request is whole counts", STATE, "case SERVED_ANSWER",
-                    "this == SENT || this == ANSWERING ? Result.OK : Result.ERROR", "Result.OK"),
-            new Mutant("what was sent whole counts as half", STATE, "public AttemptState wholeSent()",
-                    "case UNSENT, PARTLY_SENT, SENT -> SENT;", "case UNSENT, PARTLY_SENT, SENT -> this;"),
-            new Mutant("an answer to half a request proves nothing", STATE,
-                    "public AttemptState answerBegins()", "-> ANSWERED_EARLY;", "-> this;"),
-            new Mutant("whatever answer comes is the one", DIALECT, "public boolean answers(",
-                    "asked == null || given == null || asked.equals(given)", "true"),
-            new Mutant("any 503 is a refusal", DIALECT, "private Result verdict(",
-                    "headers.contains(MeshHeaders.NOT_RUN)", "answer.status().code() == 503"),
-            new Mutant("a success needs no stamp", DIALECT, "private Result verdict(",
-                    "&& headers.contains(MeshHeaders.STAMP) ", ""),
-            new Mutant("an answer that names no request is the one", DIALECT, "public boolean isNamed(",
-                    "answer.headers().contains(MeshHeaders.TRY)", "true"),
-            new Mutant("a 503 that ran is passed on", ANSWERS, "private static boolean promises(",
-                    "case 408, 421, 429, 503 -> true;", "case 408, 421, 429 -> true;"),
-            new Mutant("the stamp stays with another status", ANSWERS, "static void dress(",
-                    "response.headers().remove(MeshHeaders.STAMP).remove(MeshHeaders.NOT_RUN);", ""),
-            new Mutant("the gate refuses what may have run", "admission/AdmissionController",
-                    "public void attemptFinished", "if (outcome.result().neverRan()) {",
+            new Mutant(
+                    "a deadline proves that nothing ran",
+                    STATE,
+                    "",
+                    "case DEADLINE -> mayHaveRun() ? Result.TIMEOUT : ",
+                    "case DEADLINE -> "),
+            new Mutant(
+                    "a spoilt answer proves that nothing ran",
+                    STATE,
+                    "",
+                    "case MALFORMED_ANSWER -> mayHaveRun() ? Result.ERROR : ",
+                    "case MALFORMED_ANSWER -> "),
+            new Mutant(
+                    "a success before the request is whole counts",
+                    STATE,
+                    "case SERVED_ANSWER",
+                    "this == SENT || this == ANSWERING ? Result.OK : Result.ERROR",
+                    "Result.OK"),
+            new Mutant(
+                    "what was sent whole counts as half",
+                    STATE,
+                    "public AttemptState wholeSent()",
+                    "case UNSENT, PARTLY_SENT, SENT -> SENT;",
+                    "case UNSENT, PARTLY_SENT, SENT -> this;"),
+            new Mutant(
+                    "an answer to half a request proves nothing",
+                    STATE,
+                    "public AttemptState answerBegins()",
+                    "-> ANSWERED_EARLY;",
+                    "-> this;"),
+            new Mutant(
+                    "whatever answer comes is the one",
+                    DIALECT,
+                    "public boolean answers(",
+                    "asked == null || given == null || asked.equals(given)",
+                    "true"),
+            new Mutant(
+                    "any 503 is a refusal",
+                    DIALECT,
+                    "private Result verdict(",
+                    "headers.contains(MeshHeaders.NOT_RUN)",
+                    "answer.status().code() == 503"),
+            new Mutant(
+                    "a success needs no stamp",
+                    DIALECT,
+                    "private Result verdict(",
+                    "&& headers.contains(MeshHeaders.STAMP) ",
+                    ""),
+            new Mutant(
+                    "an answer that names no request is the one",
+                    DIALECT,
+                    "public boolean isNamed(",
+                    "answer.headers().contains(MeshHeaders.TRY)",
+                    "true"),
+            new Mutant(
+                    "a 503 that ran is passed on",
+                    ANSWERS,
+                    "private static boolean promises(",
+                    "case 408, 421, 429, 503 -> true;",
+                    "case 408, 421, 429 -> true;"),
+            new Mutant(
+                    "the stamp stays with another status",
+                    ANSWERS,
+                    "static void dress(",
+                    "response.headers().remove(MeshHeaders.STAMP).remove(MeshHeaders.NOT_RUN);",
+                    ""),
+            new Mutant(
+                    "the gate refuses what may have run",
+                    "admission/AdmissionController",
+                    "public void attemptFinished",
+                    "if (outcome.result().neverRan()) {",
                     "if (outcome.result() != null) {"),
-            new Mutant("every answer of our own proves that nothing ran", "sidecar/InboundFront",
-                    "public void dress(", "answer == null || answer.kind() == Answer.Kind.REFUSED",
+            new Mutant(
+                    "every answer of our own proves that nothing ran",
+                    "sidecar/InboundFront",
+                    "public void dress(",
+                    "answer == null || answer.kind() == Answer.Kind.REFUSED",
                     "answer == null || answer.kind() != Answer.Kind.SERVED"),
-            new Mutant("a connection with bytes behind its answer is kept", CLIENT,
+            new Mutant(
+                    "a connection with bytes behind its answer is kept",
+                    CLIENT,
                     "private void whole(FullHttpResponse response, boolean delimited)",
-                    "&& !decoder.holdsMore()", ""),
-            new Mutant("an attempt that is given up leaves its connection", CLIENT,
-                    "private void giveUp(Event event)", "channel.close();", "connection.park(target);"));
+                    "&& !decoder.holdsMore()",
+                    ""),
+            new Mutant(
+                    "an attempt that is given up leaves its connection",
+                    CLIENT,
+                    "private void giveUp(Event event)",
+                    "channel.close();",
+                    "connection.park(target);"));
 
     /** All faults that the outbound hop must show. */
     static final List<Mutant> OUTBOUND_MUTANTS = List.of(
-            MUTANTS.get(0), MUTANTS.get(1), MUTANTS.get(2),
-            new Mutant("what was sent whole counts as half", CLIENT, "private AttemptState reached()",
-                    "state = state.wholeSent();", ""),
-            new Mutant("no answer but a success proves anything but that nothing ran", DIALECT,
-                    "private Result verdict(", "MeshHeaders.PROVEN.equals(headers.get(MeshHeaders.VERDICT))",
+            MUTANTS.get(0),
+            MUTANTS.get(1),
+            MUTANTS.get(2),
+            new Mutant(
+                    "what was sent whole counts as half",
+                    CLIENT,
+                    "private AttemptState reached()",
+                    "state = state.wholeSent();",
+                    ""),
+            new Mutant(
+                    "no answer but a success proves anything but that nothing ran",
+                    DIALECT,
+                    "private Result verdict(",
+                    "MeshHeaders.PROVEN.equals(headers.get(MeshHeaders.VERDICT))",
                     "answer.status().code() >= 500"),
-            new Mutant("whatever answer comes is the one", DIALECT, "public boolean answers(",
-                    "asked == null || given == null || asked.equals(given)", "true"),
-            new Mutant("an answer that names no request is the one", DIALECT, "public boolean isNamed(",
-                    "answer.headers().contains(MeshHeaders.TRY)", "true"),
-            new Mutant("another upstream is named", DIALECT, "public void dress(",
+            new Mutant(
+                    "whatever answer comes is the one",
+                    DIALECT,
+                    "public boolean answers(",
+                    "asked == null || given == null || asked.equals(given)",
+                    "true"),
+            new Mutant(
+                    "an answer that names no request is the one",
+                    DIALECT,
+                    "public boolean isNamed(",
+                    "answer.headers().contains(MeshHeaders.TRY)",
+                    "true"),
+            new Mutant(
+                    "another upstream is named",
+                    DIALECT,
+                    "public void dress(",
                     "headers.set(MeshHeaders.DELIVER, to.name());",
                     "headers.set(MeshHeaders.DELIVER, \"i-0\");"),
-            new Mutant("the module refuses what may have run", MODULE, "private void answerUnserved(",
-                    "|| call.firstMaybeRun() == null", "|| call.id > 0"),
-            new Mutant("the module sends again what may have run", MODULE, "private boolean mayGoTo(",
-                    "if (first == null || ", "if (call.id > 0 || "),
-            new Mutant("what ended proves that it never ran", "policy/Call", "Attempt firstMaybeRun()",
-                    "attempt.result == null || !attempt.result.neverRan()", "attempt.result == null"),
-            new Mutant("a reset proves that nothing ran", "policy/LoadBalancer", "public boolean neverRan()",
-                    "this == FULL ||", "this == FULL || this == RESET ||"),
-            new Mutant("a time-out proves that nothing ran", "policy/LoadBalancer",
-                    "public boolean neverRan()", "this == FULL ||", "this == FULL || this == TIMEOUT ||"),
-            new Mutant("a try goes to more upstreams than it may", "core/Exchange", "boolean isSpent()",
-                    "return attemptsAtMost > 0 && ", "return attemptsAtMost < 0 && "),
-            new Mutant("what must not run twice is begun before its turn", FRONT,
-                    "public boolean isRepeatable(", "found != null && found.route().kind()"
-                    + " == Configuration.Kind.SAFE", "found != null"),
-            new Mutant("the caller is not named", FRONT, "public Checked read(",
-                    "headers.set(MeshHeaders.CALLER, caller);", ""),
-            new Mutant("a request is given more time than its route has", FRONT, "public Checked read(",
-                    "Math.min(route.timeoutMs(),", "Math.max(route.timeoutMs(),"),
-            new Mutant("a 503 that ran is passed on", ANSWERS, "private static boolean promises(",
-                    "case 408, 421, 429, 503 -> true;", "case 408, 421, 429 -> true;"),
-            new Mutant("the stamp stays with another status", ANSWERS, "static void dress(",
-                    "response.headers().remove(MeshHeaders.STAMP).remove(MeshHeaders.NOT_RUN);", ""),
-            new Mutant("the verdict reaches a caller", ANSWERS, "static void dress(",
-                    "response.headers().remove(MeshHeaders.VERDICT);", ""),
-            new Mutant("an attempt that is given up leaves its connection", CLIENT,
-                    "private void giveUp(Event event)", "channel.close();", "connection.park(target);"),
-            new Mutant("a connection with bytes behind its answer is kept", CLIENT,
+            new Mutant(
+                    "the module refuses what may have run",
+                    MODULE,
+                    "private void answerUnserved(",
+                    "|| call.firstMaybeRun() == null",
+                    "|| call.id > 0"),
+            new Mutant(
+                    "the module sends again what may have run",
+                    MODULE,
+                    "private boolean mayGoTo(",
+                    "if (first == null || ",
+                    "if (call.id > 0 || "),
+            new Mutant(
+                    "what ended proves that it never ran",
+                    "policy/Call",
+                    "Attempt firstMaybeRun()",
+                    "attempt.result == null || !attempt.result.neverRan()",
+                    "attempt.result == null"),
+            new Mutant(
+                    "a reset proves that nothing ran",
+                    "policy/LoadBalancer",
+                    "public boolean neverRan()",
+                    "this == FULL ||",
+                    "this == FULL || this == RESET ||"),
+            new Mutant(
+                    "a time-out proves that nothing ran",
+                    "policy/LoadBalancer",
+                    "public boolean neverRan()",
+                    "this == FULL ||",
+                    "this == FULL || this == TIMEOUT ||"),
+            new Mutant(
+                    "a try goes to more upstreams than it may",
+                    "core/Exchange",
+                    "boolean isSpent()",
+                    "return attemptsAtMost > 0 && ",
+                    "return attemptsAtMost < 0 && "),
+            new Mutant(
+                    "what must not run twice is begun before its turn",
+                    FRONT,
+                    "public boolean isRepeatable(",
+                    "found != null && found.route().kind()" + " == Configuration.Kind.SAFE",
+                    "found != null"),
+            new Mutant(
+                    "the caller is not named",
+                    FRONT,
+                    "public Checked read(",
+                    "headers.set(MeshHeaders.CALLER, caller);",
+                    ""),
+            new Mutant(
+                    "a request is given more time than its route has",
+                    FRONT,
+                    "public Checked read(",
+                    "Math.min(route.timeoutMs(),",
+                    "Math.max(route.timeoutMs(),"),
+            new Mutant(
+                    "a 503 that ran is passed on",
+                    ANSWERS,
+                    "private static boolean promises(",
+                    "case 408, 421, 429, 503 -> true;",
+                    "case 408, 421, 429 -> true;"),
+            new Mutant(
+                    "the stamp stays with another status",
+                    ANSWERS,
+                    "static void dress(",
+                    "response.headers().remove(MeshHeaders.STAMP).remove(MeshHeaders.NOT_RUN);",
+                    ""),
+            new Mutant(
+                    "the verdict reaches a caller",
+                    ANSWERS,
+                    "static void dress(",
+                    "response.headers().remove(MeshHeaders.VERDICT);",
+                    ""),
+            new Mutant(
+                    "an attempt that is given up leaves its connection",
+                    CLIENT,
+                    "private void giveUp(Event event)",
+                    "channel.close();",
+                    "connection.park(target);"),
+            new Mutant(
+                    "a connection with bytes behind its answer is kept",
+                    CLIENT,
                     "private void whole(FullHttpResponse response, boolean delimited)",
-                    "&& !decoder.holdsMore()", ""),
-            new Mutant("what was sent behind the last answer is begun", "http1/Frontend",
-                    "private void advance()", "while (current == null && !closing && ",
+                    "&& !decoder.holdsMore()",
+                    ""),
+            new Mutant(
+                    "what was sent behind the last answer is begun",
+                    "http1/Frontend",
+                    "private void advance()",
+                    "while (current == null && !closing && ",
                     "while (current == null && "));
 
-    private ExchangeBench() {
-    }
+    private ExchangeBench() {}
 
     /** What a search of the gate's hop has found: how many orders could be played, and those that broke. */
     public static List<String> search(int depth, int enough) throws InterruptedException {
@@ -140,8 +277,9 @@
 
     /** The same of the outbound hop. */
     public static List<String> searchOutbound(int depth, int enough) throws InterruptedException {
-        return new Search<>(List.of(OutboundPlay.Event.values()), events -> new OutboundPlay().play(events),
-                depth, enough).under(OUTBOUND_BEGINNINGS);
+        return new Search<>(
+                        List.of(OutboundPlay.Event.values()), events -> new OutboundPlay().play(events), depth, enough)
+                .under(OUTBOUND_BEGINNINGS);
     }
 
     private static <E> List<E> with(List<E> events, E next) {
@@ -228,8 +366,13 @@
     /** Prints what a search of the real classes has found; the number of orders that broke something. */
     private static int told(String hop, List<String> real, int depth) {
         real.stream().skip(1).limit(MOST_SHOWN).forEach(System.out::println);
-        System.out.printf(Locale.ROOT, "%s: %s orders of up to %d events, %d violated%n", hop, real.get(0),
-                depth + 2, real.size() - 1);
+        System.out.printf(
+                Locale.ROOT,
+                "%s: %s orders of up to %d events, %d violated%n",
+                hop,
+                real.get(0),
+                depth + 2,
+                real.size() - 1);
         return real.size() - 1;
     }
 
@@ -239,9 +382,14 @@
         for (Mutant mutant : mutants) {
             MutantLoader loader = MutantLoader.of(mutant, Path.of("src/main/java"));
             List<?> by = (List<?>) loader.loadClass(ExchangeBench.class.getName())
-                    .getMethod(search, int.class, int.class).invoke(null, depth, 1);
+                    .getMethod(search, int.class, int.class)
+                    .invoke(null, depth, 1);
             found += by.size() > 1 ? 1 : 0;
-            System.out.printf(Locale.ROOT, "%-52s %-28s %s%n", mutant.name(), mutant.in(),
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-52s %-28s %s%n",
+                    mutant.name(),
+                    mutant.in(),
                     by.size() > 1 ? by.get(1) : "NOT FOUND");
         }
         return found;
@@ -257,8 +405,7 @@
         List<String> outbound = searchOutbound(depth, Integer.MAX_VALUE);
         violations += told("outbound", outbound, depth);
         int mutants = MUTANTS.size() + OUTBOUND_MUTANTS.size();
-        int found = found(MUTANTS, "search", mutantDepth)
-                + found(OUTBOUND_MUTANTS, "searchOutbound", mutantDepth);
+        int found = found(MUTANTS, "search", mutantDepth) + found(OUTBOUND_MUTANTS, "searchOutbound", mutantDepth);
         ObjectNode json = JsonMapper.builder().build().createObjectNode();
         json.put("schedules", Long.parseLong(gate.get(0)) + Long.parseLong(outbound.get(0)));
         json.put("schedules_gate", Long.parseLong(gate.get(0)));
--- a/bench/src/sablehinge/torture/ExchangePlay.java
+++ b/bench/src/sablehinge/torture/ExchangePlay.java
@@ -18,9 +18,9 @@
 import sablehinge.sidecar.GateParts;
 
 /**
- * One order of events on the connections before and behind the gate, played on the real front, gate and
- * transport in virtual time. Requests are all of a kind that may run once. What must hold is judged by what
- * the callers and the upstream have seen alone.
+ * One order of events on the connections before and behind the gate, played on the real front, gate and transport in
+ * virtual time. Requests are all of a kind that may run once. What must hold is judged by what the callers and the
+ * upstream have seen alone.
  */
 final class ExchangePlay {
 
@@ -29,7 +29,8 @@
         /** The caller sends a whole request on its connection, behind what it has sent before. */
         CALL,
         /** The caller sends the beginning of a long body, and its rest. */
-        UPLOAD_HALF, UPLOAD_REST,
+        UPLOAD_HALF,
+        UPLOAD_REST,
         CALLER_RESETS,
         /** Somebody else calls on a connection of its own: a neighbour, or the same client once more. */
         NEIGHBOUR_CALLS,
@@ -40,8 +41,11 @@
         ANSWER_AND_PART,
         /** A whole answer to a request of before. */
         SURPLUS,
-        HALF_ANSWER, REST_OF_ANSWER,
-        RESET, CLOSE, NOISE,
+        HALF_ANSWER,
+        REST_OF_ANSWER,
+        RESET,
+        CLOSE,
+        NOISE,
         /** The upstream says that the request has not run. */
         REFUSE,
         /** A whole answer that says so and names no request, while the one there goes on. */
@@ -68,8 +72,7 @@
     private static final double WAIT_MS = 1_700;
     private static final double REST_MS = 12_000;
     private static final double STEP_MS = 500;
-    private static final InetSocketAddress UPSTREAM =
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 10_001);
+    private static final InetSocketAddress UPSTREAM = new InetSocketAddress(InetAddress.getLoopbackAddress(), 10_001);
 
     /** A try of a caller and all that is known of it. */
     private static final class Sent {
@@ -78,6 +81,7 @@
         private int ran;
         /** The status of the whole answer that the upstream made for it; 0 for none. */
         private int made;
+
         private boolean promised;
         private boolean refused;
 
@@ -102,8 +106,8 @@
     ExchangePlay() {
         Clock clock = net::now;
         Timers timers = (time, call) -> {
-            Future<?> due = net.loop.schedule(call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6),
-                    TimeUnit.NANOSECONDS);
+            Future<?> due = net.loop.schedule(
+                    call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6), TimeUnit.NANOSECONDS);
             return () -> due.cancel(false);
         };
         net.listen(UPSTREAM, new Net.Listener() {
@@ -117,8 +121,15 @@
                 lines.add(new Line(channel));
             }
         });
-        GateParts.start(net.loop, clock, timers, new Sockets(1_024, net), net.memory, UPSTREAM,
-                new InetSocketAddress("127.0.0.1", 1), why -> { });
+        GateParts.start(
+                net.loop,
+                clock,
+                timers,
+                new Sockets(1_024, net),
+                net.memory,
+                UPSTREAM,
+                new InetSocketAddress("127.0.0.1", 1),
+                why -> {});
         net.settle();
         caller = new Client();
     }
@@ -155,10 +166,11 @@
             case CALLER_RESETS -> caller.open() && caller.resets();
             case NEIGHBOUR_CALLS -> clients.size() < 4 && new Client().sends(id(), 4);
             case ANSWER -> working(line -> line.serves(line.at, true, ""));
-            case ANSWER_AND_MORE -> working(line -> line.serves(line.at, true,
-                    "HTTP/1.1 200 OK\r\nSablehinge-Postmark: x\r\nContent-Length: 2\r\n\r\nno"));
-            case ANSWER_AND_PART -> working(line -> line.serves(line.at, true,
-                    "HTTP/1.1 200 OK\r\nSablehinge-Postmark: x\r\nX-Next: "));
+            case ANSWER_AND_MORE ->
+                working(line -> line.serves(
+                        line.at, true, "HTTP/1.1 200 OK\r\nSablehinge-Postmark: x\r\nContent-Length: 2\r\n\r\nno"));
+            case ANSWER_AND_PART ->
+                working(line -> line.serves(line.at, true, "HTTP/1.1 200 OK\r\nSablehinge-Postmark: x\r\nX-Next: "));
             case SURPLUS -> live(line -> line.surplus());
             case HALF_ANSWER -> working(Line::half);
             case REST_OF_ANSWER -> live(line -> line.rest != null && line.restComes());
@@ -167,8 +179,9 @@
             // In the middle of a body its bytes would be the body.
             case NOISE -> live(line -> line.rest == null && line.puts("\u0001what is this?\r\n\r\n"));
             case REFUSE -> working(line -> line.fails("503 Full\r\nSablehinge-Not-Run: 1", true));
-            case UNNAMED_REFUSAL -> working(line -> line.puts("HTTP/1.1 503 Full\r\nSablehinge-Not-Run: 1"
-                    + "\r\nContent-Length: 0\r\n\r\n"));
+            case UNNAMED_REFUSAL ->
+                working(line ->
+                        line.puts("HTTP/1.1 503 Full\r\nSablehinge-Not-Run: 1" + "\r\nContent-Length: 0\r\n\r\n"));
             case FAIL_AS_FULL -> working(line -> line.fails("503 Oh\r\nSablehinge-Postmark: f", false));
             case UNSTAMPED -> working(line -> line.serves(line.at, false, ""));
             case ANSWER_EARLY -> live(line -> line.at != null && !line.isWhole && line.early());
@@ -263,9 +276,10 @@
             all.put(id, sent);
             waiting.add(sent);
             byte[] head = ("POST /u/x HTTP/1.1\r\nHost: h\r\nSablehinge-Try-Id: " + id
-                    + "\r\nSablehinge-Time-Left: " + TIME_LEFT + "\r\nSablehinge-Patience: " + PATIENCE
-                    + "\r\nSablehinge-Rank: 1\r\nSablehinge-Deliver-To: " + GateParts.LIFE
-                    + "\r\nContent-Length: " + length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+                            + "\r\nSablehinge-Time-Left: " + TIME_LEFT + "\r\nSablehinge-Patience: " + PATIENCE
+                            + "\r\nSablehinge-Rank: 1\r\nSablehinge-Deliver-To: " + GateParts.LIFE
+                            + "\r\nContent-Length: " + length + "\r\n\r\n")
+                    .getBytes(StandardCharsets.US_ASCII);
             boolean whole = length <= HALF_BODY;
             half = whole ? null : sent;
             write(net, channel, head);
@@ -350,8 +364,7 @@
         if (status == 200) {
             CRC32C sum = new CRC32C();
             sum.update(sent.body().getBytes(StandardCharsets.US_ASCII));
-            if (sent.made != status || !("s." + sent.id).equals(stamp)
-                    || sum.getValue() != answer.sum.getValue()) {
+            if (sent.made != status || !("s." + sent.id).equals(stamp) || sum.getValue() != answer.sum.getValue()) {
                 net.violated("MIXED: " + sent.id + " is served with what was not made for it whole");
             }
         } else if (stamp != null && sent.made != status) {
@@ -508,8 +521,7 @@
                 to.ran--;
             }
             answered(503);
-            return puts("HTTP/1.1 " + status + "\r\nSablehinge-Try-Id: " + to.id
-                    + "\r\nContent-Length: 0\r\n\r\n");
+            return puts("HTTP/1.1 " + status + "\r\nSablehinge-Try-Id: " + to.id + "\r\nContent-Length: 0\r\n\r\n");
         }
 
         boolean early() {
--- a/bench/src/sablehinge/torture/HttpReader.java
+++ b/bench/src/sablehinge/torture/HttpReader.java
@@ -7,8 +7,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * Reads messages of HTTP/1.1 (RFC 9112) byte by byte, for the two ends that the rig plays. It shares no line
- * with the
+ * Reads messages of HTTP/1.1 (RFC 9112) byte by byte, for the two ends that the rig plays. It shares no line with the
  * balancer's decoders, so that a fault there is not made twice.
  */
 final class HttpReader {
@@ -23,7 +22,16 @@
         boolean whole(HttpReader message);
     }
 
-    private enum State { HEAD, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, UNTIL_END, OVER }
+    private enum State {
+        HEAD,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        UNTIL_END,
+        OVER
+    }
 
     private final boolean responses;
     private final Heard heard;
@@ -31,10 +39,12 @@
     private State state = State.HEAD;
     /** What cannot be read, or null. */
     String flaw;
+
     String start;
     final Map<String, String> headers = new HashMap<>();
     /** The bytes of the body so far, and their checksum. */
     long length;
+
     CRC32C sum = new CRC32C();
     private long rest;
     private boolean begun;
@@ -134,15 +144,21 @@
             start = bare;
             String wanted = responses ? "HTTP/1\\.[01] [1-5][0-9][0-9] .*" : "(GET|POST) /\\S* HTTP/1\\.1";
             if (!bare.matches(wanted)) {
-                flaw = "no first line: " + new String(bare.getBytes(StandardCharsets.ISO_8859_1), 0,
-                        Math.min(80, bare.length()), StandardCharsets.ISO_8859_1);
+                flaw = "no first line: "
+                        + new String(
+                                bare.getBytes(StandardCharsets.ISO_8859_1),
+                                0,
+                                Math.min(80, bare.length()),
+                                StandardCharsets.ISO_8859_1);
             }
         } else if (!bare.isEmpty()) {
             int colon = bare.indexOf(':');
             if (colon < 1) {
                 flaw = "no header: " + bare;
-            } else if (headers.put(bare.substring(0, colon).toLowerCase(Locale.ROOT),
-                    bare.substring(colon + 1).strip()) != null) {
+            } else if (headers.put(
+                            bare.substring(0, colon).toLowerCase(Locale.ROOT),
+                            bare.substring(colon + 1).strip())
+                    != null) {
                 flaw = "a header twice: " + bare;
             }
         } else {
--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -3,8 +3,7 @@
 import java.util.List;
 
 /**
- * A fault that somebody could make, put into a copy of a real class: a place in its text and what stands
- * there instead.
+ * A fault that somebody could make, put into a copy of a real class: a place in its text and what stands there instead.
  *
  * @param in the class, by its path under {@code sablehinge}
  * @param after a text behind which the place is looked for; empty for the whole file
@@ -17,95 +16,206 @@
 
     /** All of them. */
     static final List<Mutant> ALL = List.of(
-            new Mutant("a writer that can go on is not read for", FRONT,
+            new Mutant(
+                    "a writer that can go on is not read for",
+                    FRONT,
                     "public void channelWritabilityChanged",
-                    "passed.pace(channel.isWritable());", ""),
-            new Mutant("a part that can't be written is dropped in silence", FRONT, "private void wrote(",
-                    "if (!written.isSuccess() && channel.isOpen()) {", "if (written == null) {"),
-            new Mutant("the sending ends under an answer that passes", FRONT, "private void writeLast(",
+                    "passed.pace(channel.isWritable());",
+                    ""),
+            new Mutant(
+                    "a part that can't be written is dropped in silence",
+                    FRONT,
+                    "private void wrote(",
+                    "if (!written.isSuccess() && channel.isOpen()) {",
+                    "if (written == null) {"),
+            new Mutant(
+                    "the sending ends under an answer that passes",
+                    FRONT,
+                    "private void writeLast(",
                     "if (lingers() && written.isSuccess()) {",
-                            "if (closing && unsent == 0 && written.isSuccess()) {"),
-            new Mutant("a request that lost a part goes on", FRONT,
+                    "if (closing && unsent == 0 && written.isSuccess()) {"),
+            new Mutant(
+                    "a request that lost a part goes on",
+                    FRONT,
                     "public void exceptionCaught(ChannelHandlerContext ctx, "
-                    + "Throwable cause) {\n            if (!(cause",
-                            "closing = true;\n            breakOff();\n            "
-                    + "dropPart();", ""),
-            new Mutant("a message is not released", FRONT, "spoil(e);\n",
-                    "ReferenceCountUtil.release(message);", "message.hashCode();"),
-            new Mutant("bytes kept are never given back", FRONT, "private void finish()",
-                    "kept -= reserved;", ""),
-            new Mutant("an answer is read on after its caller left", FRONT, "public void channelInactive",
-                    "rest.abandon();", ""),
-            new Mutant("a body that waits is not read again", FRONT, "public void read(boolean on)",
-                    "channel.config().setAutoRead(on);", "channel.config().setAutoRead(false);"),
-            new Mutant("what nobody wants is not read to its end", FRONT, "public void giveUp()",
-                    "channel.config().setAutoRead(true);", ""),
-            new Mutant("parts of a body are not flushed", FRONT, "public void channelReadComplete",
-                    "coming.flush();", ""),
+                            + "Throwable cause) {\n            if (!(cause",
+                    "closing = true;\n            breakOff();\n            " + "dropPart();",
+                    ""),
+            new Mutant(
+                    "a message is not released",
+                    FRONT,
+                    "spoil(e);\n",
+                    "ReferenceCountUtil.release(message);",
+                    "message.hashCode();"),
+            new Mutant("bytes kept are never given back", FRONT, "private void finish()", "kept -= reserved;", ""),
+            new Mutant(
+                    "an answer is read on after its caller left",
+                    FRONT,
+                    "public void channelInactive",
+                    "rest.abandon();",
+                    ""),
+            new Mutant(
+                    "a body that waits is not read again",
+                    FRONT,
+                    "public void read(boolean on)",
+                    "channel.config().setAutoRead(on);",
+                    "channel.config().setAutoRead(false);"),
+            new Mutant(
+                    "what nobody wants is not read to its end",
+                    FRONT,
+                    "public void giveUp()",
+                    "channel.config().setAutoRead(true);",
+                    ""),
+            new Mutant(
+                    "parts of a body are not flushed", FRONT, "public void channelReadComplete", "coming.flush();", ""),
             new Mutant("the end of a body is not told", FRONT, "private void passOn(", "whole.end();", ""),
-            new Mutant("a body that breaks off is not told", FRONT, "private void breakOff()",
-                    "half.broke();", ""),
-            new Mutant("an unframed answer that breaks looks whole", FRONT, "private void endUnmistakably()",
-                    "ChannelOption.SO_LINGER, 0", "ChannelOption.SO_LINGER, -1"),
-            new Mutant("the source is never paused", RELAY, "void pace(", "read(on);",
-                    "read(true);"),
-            new Mutant("the source is paused for good", RELAY, "void pace(", "read(on);",
-                    "read(false);"),
-            new Mutant("a part is passed on without being held", RELAY, "void add(",
-                    "sink.part(part.retain());", "sink.part(part);"),
-            new Mutant("what is held is lost when it is given up", RELAY, "void abandon()",
-                    "held.forEach(ByteBuf::release);", ""),
+            new Mutant("a body that breaks off is not told", FRONT, "private void breakOff()", "half.broke();", ""),
+            new Mutant(
+                    "an unframed answer that breaks looks whole",
+                    FRONT,
+                    "private void endUnmistakably()",
+                    "ChannelOption.SO_LINGER, 0",
+                    "ChannelOption.SO_LINGER, -1"),
+            new Mutant("the source is never paused", RELAY, "void pace(", "read(on);", "read(true);"),
+            new Mutant("the source is paused for good", RELAY, "void pace(", "read(on);", "read(false);"),
+            new Mutant(
+                    "a part is passed on without being held",
+                    RELAY,
+                    "void add(",
+                    "sink.part(part.retain());",
+                    "sink.part(part);"),
+            new Mutant(
+                    "what is held is lost when it is given up",
+                    RELAY,
+                    "void abandon()",
+                    "held.forEach(ByteBuf::release);",
+                    ""),
             new Mutant("nothing is flushed", RELAY, "void flush()", "sink.flush();", ""),
-            new Mutant("parts come in another order", RELAY, "void add(", "held.add(part.retain());",
+            new Mutant(
+                    "parts come in another order",
+                    RELAY,
+                    "void add(",
+                    "held.add(part.retain());",
                     "held.addFirst(part.retain());"),
             new Mutant("an answer that breaks off is not told", RELAY, "void broke()", "sink.broke();", ""),
-            new Mutant("parts of an answer are not flushed", UPSTREAM, "public void channelReadComplete",
-                    "relay.flush();", ""),
-            new Mutant("a connection is kept that is not read", UPSTREAM, "done.end();",
-                    "channel.config().setAutoRead(true);", ""),
-            new Mutant("a reset is taken for an end", UPSTREAM, "private boolean endsWithConnection()",
-                    "return !reset && ", "return "),
-            new Mutant("an end is taken for a whole answer", UPSTREAM, "private void pass(HttpContent",
-                    "if (!channel.isActive() && !endsWithConnection()) {", "if (head == null) {"),
-            new Mutant("a part of a body is dropped in silence", UPSTREAM, "private void wrotePart(",
-                    "if (!write.isSuccess()) {", "if (write == null) {"),
-            new Mutant("a body that nobody takes waits for ever", UPSTREAM, "private void look()",
-                    "now() - movedAt > dialect.terms().stuckMs()", "now() < 0"),
-            new Mutant("a connection is parked twice", UPSTREAM, "void park(", "target.idle.addLast(this);",
+            new Mutant(
+                    "parts of an answer are not flushed",
+                    UPSTREAM,
+                    "public void channelReadComplete",
+                    "relay.flush();",
+                    ""),
+            new Mutant(
+                    "a connection is kept that is not read",
+                    UPSTREAM,
+                    "done.end();",
+                    "channel.config().setAutoRead(true);",
+                    ""),
+            new Mutant(
+                    "a reset is taken for an end",
+                    UPSTREAM,
+                    "private boolean endsWithConnection()",
+                    "return !reset && ",
+                    "return "),
+            new Mutant(
+                    "an end is taken for a whole answer",
+                    UPSTREAM,
+                    "private void pass(HttpContent",
+                    "if (!channel.isActive() && !endsWithConnection()) {",
+                    "if (head == null) {"),
+            new Mutant(
+                    "a part of a body is dropped in silence",
+                    UPSTREAM,
+                    "private void wrotePart(",
+                    "if (!write.isSuccess()) {",
+                    "if (write == null) {"),
+            new Mutant(
+                    "a body that nobody takes waits for ever",
+                    UPSTREAM,
+                    "private void look()",
+                    "now() - movedAt > dialect.terms().stuckMs()",
+                    "now() < 0"),
+            new Mutant(
+                    "a connection is parked twice",
+                    UPSTREAM,
+                    "void park(",
+                    "target.idle.addLast(this);",
                     "target.idle.addLast(this);\n            target.idle.addLast(this);"),
-            new Mutant("new requests go to who was told off", UPSTREAM,
+            new Mutant(
+                    "new requests go to who was told off",
+                    UPSTREAM,
                     "private void begin(Connection on)",
                     "boolean drained = now >= target.toldOff + terms.rules().drainGrace();",
-                            "boolean drained = false;"),
-            new Mutant("what may have run is said not to have", UPSTREAM,
-                    "private AttemptState reached()", "state = state.wholeSent();",
+                    "boolean drained = false;"),
+            new Mutant(
+                    "what may have run is said not to have",
+                    UPSTREAM,
+                    "private AttemptState reached()",
+                    "state = state.wholeSent();",
+                    ""),
+            new Mutant(
+                    "the beginning of an answer is not released",
+                    UPSTREAM,
+                    "private void dropBody()",
+                    "dropped.release();",
                     ""),
-            new Mutant("the beginning of an answer is not released", UPSTREAM, "private void dropBody()",
-                    "dropped.release();", ""),
-            new Mutant("a half request ends as whole", UPSTREAM,
-                    "and the upstream must not take it for whole", "cancel();",
+            new Mutant(
+                    "a half request ends as whole",
+                    UPSTREAM,
+                    "and the upstream must not take it for whole",
+                    "cancel();",
                     "end();"),
-            new Mutant("a connection that closed is counted still", "http1/Sockets", "void count(",
-                    "open--", "open += 0"));
+            new Mutant(
+                    "a connection that closed is counted still",
+                    "http1/Sockets",
+                    "void count(",
+                    "open--",
+                    "open += 0"));
 
     /** Stalls that a watch inside the process must see, each with the kind of its alarm as its name. */
     static final List<Mutant> STALLS = List.of(
-            new Mutant("LOST_WAKE_UP an answer", FRONT, "public void channelWritabilityChanged",
-                    "passed.pace(channel.isWritable());", ""),
-            new Mutant("LOST_WAKE_UP a request", UPSTREAM, "public void channelWritabilityChanged",
-                    "carried.passing.body().pace(channel.isWritable());", ""),
-            new Mutant("UNWRITTEN the end of an answer", FRONT, "private void writeLast(",
-                    "channel.writeAndFlush(last)", "channel.write(last)"),
-            new Mutant("UNREAD a reader that was not told", RELAY, "private void read(boolean on)",
-                    "source.read(on);", "if (!on) {\n            source.read(false);\n        }"),
-            new Mutant("OVERDUE a request that is not forgotten", "core/Core", "private void settle(",
-                    "exchanges.remove(exchange.id)", "exchanges.get(exchange.id)"),
-            new Mutant("BELOW_ZERO given back twice", FRONT, "private void finish()",
-                    "kept -= reserved;", "kept -= 2 * reserved;"),
-            new Mutant("LEFT_OVER never given back", FRONT, "private void finish()",
-                    "kept -= reserved;", ""),
-            new Mutant("LEAK a message that is not released", FRONT, "spoil(e);\n",
-                    "ReferenceCountUtil.release(message);", "message.hashCode();"));
+            new Mutant(
+                    "LOST_WAKE_UP an answer",
+                    FRONT,
+                    "public void channelWritabilityChanged",
+                    "passed.pace(channel.isWritable());",
+                    ""),
+            new Mutant(
+                    "LOST_WAKE_UP a request",
+                    UPSTREAM,
+                    "public void channelWritabilityChanged",
+                    "carried.passing.body().pace(channel.isWritable());",
+                    ""),
+            new Mutant(
+                    "UNWRITTEN the end of an answer",
+                    FRONT,
+                    "private void writeLast(",
+                    "channel.writeAndFlush(last)",
+                    "channel.write(last)"),
+            new Mutant(
+                    "UNREAD a reader that was not told",
+                    RELAY,
+                    "private void read(boolean on)",
+                    "source.read(on);",
+                    "if (!on) {\n            source.read(false);\n        }"),
+            new Mutant(
+                    "OVERDUE a request that is not forgotten",
+                    "core/Core",
+                    "private void settle(",
+                    "exchanges.remove(exchange.id)",
+                    "exchanges.get(exchange.id)"),
+            new Mutant(
+                    "BELOW_ZERO given back twice",
+                    FRONT,
+                    "private void finish()",
+                    "kept -= reserved;",
+                    "kept -= 2 * reserved;"),
+            new Mutant("LEFT_OVER never given back", FRONT, "private void finish()", "kept -= reserved;", ""),
+            new Mutant(
+                    "LEAK a message that is not released",
+                    FRONT,
+                    "spoil(e);\n",
+                    "ReferenceCountUtil.release(message);",
+                    "message.hashCode();"));
 
     /** The text of the class with the fault in it. */
     public String applied(String source) {
--- a/bench/src/sablehinge/torture/MutantLoader.java
+++ b/bench/src/sablehinge/torture/MutantLoader.java
@@ -39,9 +39,8 @@
         try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
             JavaFileManager kept = new ForwardingJavaFileManager<>(files) {
                 @Override
-                public JavaFileObject getJavaFileForOutput(Location location, String name,
-                        JavaFileObject.Kind kind,
-                        FileObject sibling) {
+                public JavaFileObject getJavaFileForOutput(
+                        Location location, String name, JavaFileObject.Kind kind, FileObject sibling) {
                     return new SimpleJavaFileObject(URI.create("mem:///" + name), kind) {
                         @Override
                         public OutputStream openOutputStream() {
@@ -55,17 +54,22 @@
                     };
                 }
             };
-            JavaFileObject source = new SimpleJavaFileObject(URI.create("mem:///" + mutant.in() + ".java"),
-                    JavaFileObject.Kind.SOURCE) {
-                @Override
-                public CharSequence getCharContent(boolean lenient) {
-                    return text;
-                }
-            };
-            boolean done = compiler.getTask(null, kept, told -> said.append(told).append('\n'),
-                    List.of("-classpath", System.getProperty("java.class.path"), "-proc:none", "-nowarn"),
+            JavaFileObject source =
+                    new SimpleJavaFileObject(
+                            URI.create("mem:///" + mutant.in() + ".java"), JavaFileObject.Kind.SOURCE) {
+                        @Override
+                        public CharSequence getCharContent(boolean lenient) {
+                            return text;
+                        }
+                    };
+            boolean done = compiler.getTask(
+                            null,
+                            kept,
+                            told -> said.append(told).append('\n'),
+                            List.of("-classpath", System.getProperty("java.class.path"), "-proc:none", "-nowarn"),
                             null,
-                    List.of(source)).call();
+                            List.of(source))
+                    .call();
             if (!done) {
                 throw new IllegalStateException("mutant '" + mutant.name() + "' is no Java:\n" + said);
             }
--- a/bench/src/sablehinge/torture/Net.java
+++ b/bench/src/sablehinge/torture/Net.java
@@ -37,9 +37,7 @@
     /** Who listens at an address. */
     interface Listener {
 
-        /**
-         * Takes a connection in, after a while given in ms; below 0 it is refused, NaN is no answer at all.
-         */
+        /** Takes a connection in, after a while given in ms; below 0 it is refused, NaN is no answer at all. */
         double answersAfter();
 
         /** Plays the other end from now on. */
@@ -50,16 +48,18 @@
     private static final int MOST_TURNS = 20_000;
 
     final MockTicker ticker = Ticker.newMockTicker();
-    final ManualIoEventLoop loop = new ManualIoEventLoop(null, Thread.currentThread(),
-            LocalIoHandler.newFactory(), ticker);
+    final ManualIoEventLoop loop =
+            new ManualIoEventLoop(null, Thread.currentThread(), LocalIoHandler.newFactory(), ticker);
     final List<String> violations = new ArrayList<>();
     final List<PipeChannel> made = new ArrayList<>();
     /** The connections to upstreams have their chances by the order in which they are made. */
     private final long seed;
+
     private int connections;
     final ByteBufAllocator memory;
     /** Writes that would each be a system call. */
     long writes;
+
     private final Map<InetSocketAddress, Listener> listeners = new HashMap<>();
     private PipeServer server;
 
@@ -113,8 +113,7 @@
 
     /** A caller's connection, which the other end may use before it is let in. */
     PipeChannel caller(int toCaller, int fromCaller, Dice dice) {
-        PipeChannel channel = new PipeChannel(server, this, dice, new InetSocketAddress(9), toCaller,
-                fromCaller);
+        PipeChannel channel = new PipeChannel(server, this, dice, new InetSocketAddress(9), toCaller, fromCaller);
         channel.connected();
         made.add(channel);
         server.arrives(channel);
@@ -146,9 +145,8 @@
     public ChannelFactory<Channel> connecting() {
         return () -> {
             Dice dice = new Dice(seed, "to upstream", connections++);
-            PipeChannel channel = new PipeChannel(null, this, dice, new InetSocketAddress(8), dice.size(256,
-                    131_072),
-                    dice.size(256, 131_072));
+            PipeChannel channel = new PipeChannel(
+                    null, this, dice, new InetSocketAddress(8), dice.size(256, 131_072), dice.size(256, 131_072));
             made.add(channel);
             return channel;
         };
--- a/bench/src/sablehinge/torture/OutboundPlay.java
+++ b/bench/src/sablehinge/torture/OutboundPlay.java
@@ -20,45 +20,53 @@
 import sablehinge.sidecar.OutboundParts;
 
 /**
- * One order of events on the connections before and behind an outbound balancer, played on the real front,
- * core, decision module and transport in virtual time, between callers and inbound balancers that are played
- * here. An inbound balancer may be killed and may stand still; one that goes on later runs whatever lies
- * whole in its buffers, at the worst time for it. What must hold is judged by what callers and upstreams have
- * seen alone.
+ * One order of events on the connections before and behind an outbound balancer, played on the real front, core,
+ * decision module and transport in virtual time, between callers and inbound balancers that are played here. An inbound
+ * balancer may be killed and may stand still; one that goes on later runs whatever lies whole in its buffers, at the
+ * worst time for it. What must hold is judged by what callers and upstreams have seen alone.
  */
 final class OutboundPlay {
 
     /** What a caller or an inbound balancer may do next. */
     enum Event {
         /** The caller sends a request on its connection, behind what it has sent before. */
-        CALL, CALL_SAFE,
+        CALL,
+        CALL_SAFE,
         /** Likewise, and asks that its answer be the last there. */
         CALL_LAST,
         /** It sends the beginning of a long body, and its rest. */
-        UPLOAD_HALF, UPLOAD_REST,
+        UPLOAD_HALF,
+        UPLOAD_REST,
         CALLER_RESETS,
         /** Another connection calls: the same client once more, with an id of its own. */
         CALLS_AGAIN,
         /** The oldest request that a balancer has goes on to its upstream, which begins to run it. */
         RUN,
-        ANSWER, HALF_ANSWER, REST_OF_ANSWER,
+        ANSWER,
+        HALF_ANSWER,
+        REST_OF_ANSWER,
         /** The answer with another whole one right behind it. */
         ANSWER_AND_MORE,
         /** A whole answer to a request of before. */
         SURPLUS,
         /** The balancer proves that the request has not run; likewise, and resets the connection. */
-        NOT_RUN, NOT_RUN_AND_RESET,
+        NOT_RUN,
+        NOT_RUN_AND_RESET,
         /** A proof that names no request, while the one there goes on. */
         UNNAMED_NOT_RUN,
         /** The upstream has run it and failed, with 500 or with 503. */
-        FAIL, FAIL_AS_FULL,
+        FAIL,
+        FAIL_AS_FULL,
         /** The balancer does not know. */
         DOUBT,
-        NOISE, RESET, CLOSE,
+        NOISE,
+        RESET,
+        CLOSE,
         /** The process of the balancer dies with all its connections, and another one listens at once. */
         KILL,
         /** The balancer stands still, and goes on. */
-        FREEZE, THAW,
+        FREEZE,
+        THAW,
         /** A balancer runs a request whose connection was given up. */
         LATE_RUN,
         /** The time of every request is over. */
@@ -77,6 +85,7 @@
     private static final double LONG_STEP_MS = 500;
     /** So much later than its time-out an answer may come: the grace, and a step of the clock. */
     private static final double LATEST_MS = OutboundParts.TIMEOUT_MS + 40 + STEP_MS;
+
     private static final int FIRST_PORT = 10_001;
 
     /** A try of a caller and all that is known of it. */
@@ -90,6 +99,7 @@
         private int reached;
         /** The statuses of the whole answers that upstreams made for it. */
         private final Set<Integer> made = new TreeSet<>();
+
         private boolean promised;
 
         Sent(String id, int length, boolean safe, double now) {
@@ -116,8 +126,8 @@
     OutboundPlay() {
         Clock clock = net::now;
         Timers timers = (time, call) -> {
-            Future<?> due = net.loop.schedule(call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6),
-                    TimeUnit.NANOSECONDS);
+            Future<?> due = net.loop.schedule(
+                    call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6), TimeUnit.NANOSECONDS);
             return () -> due.cancel(false);
         };
         List<InetSocketAddress> balancers = new ArrayList<>();
@@ -137,8 +147,15 @@
                 }
             });
         }
-        OutboundParts parts = new OutboundParts(net.loop, clock, timers, new Sockets(1_024, net), net.memory,
-                balancers, new InetSocketAddress("127.0.0.1", 1), why -> { });
+        OutboundParts parts = new OutboundParts(
+                net.loop,
+                clock,
+                timers,
+                new Sockets(1_024, net),
+                net.memory,
+                balancers,
+                new InetSocketAddress("127.0.0.1", 1),
+                why -> {});
         parts.configure();
         net.settle();
         caller = new Client();
@@ -169,7 +186,7 @@
     }
 
     private void passes(double millis, double step) {
-        for (double end = net.now() + millis; net.now() < end;) {
+        for (double end = net.now() + millis; net.now() < end; ) {
             net.advance(step);
             net.settle();
         }
@@ -180,8 +197,8 @@
             case CALL -> caller.mayCall() && caller.sends(id(), SHORT_BODY, false, false);
             case CALL_SAFE -> caller.mayCall() && caller.sends(id(), 0, true, false);
             case CALL_LAST -> caller.mayCall() && caller.sends(id(), SHORT_BODY, false, true);
-            case UPLOAD_HALF -> caller.mayCall() && caller.waiting.isEmpty()
-                    && caller.sends(id(), LONG_BODY, false, false);
+            case UPLOAD_HALF ->
+                caller.mayCall() && caller.waiting.isEmpty() && caller.sends(id(), LONG_BODY, false, false);
             case UPLOAD_REST -> caller.open() && caller.half != null && caller.sendsRest();
             case CALLER_RESETS -> caller.open() && caller.resets();
             case CALLS_AGAIN -> clients.size() < 3 && new Client().sends(id(), SHORT_BODY, false, false);
@@ -189,13 +206,15 @@
             case ANSWER -> working(line -> line.serves(""));
             case HALF_ANSWER -> working(Line::half);
             case REST_OF_ANSWER -> live(line -> line.rest != null && line.restComes());
-            case ANSWER_AND_MORE -> working(line -> line.serves("HTTP/1.1 503 No\r\nSablehinge-Verdict: "
-                    + "not-run\r\nContent-Length: 0\r\n\r\n"));
+            case ANSWER_AND_MORE ->
+                working(line -> line.serves(
+                        "HTTP/1.1 503 No\r\nSablehinge-Verdict: " + "not-run\r\nContent-Length: 0\r\n\r\n"));
             case SURPLUS -> live(Line::surplus);
             case NOT_RUN -> working(line -> !line.runs && line.refuses());
             case NOT_RUN_AND_RESET -> working(line -> !line.runs && line.refuses() && line.ends(true));
-            case UNNAMED_NOT_RUN -> working(line -> line.puts("HTTP/1.1 503 No\r\nSablehinge-Verdict: "
-                    + "not-run\r\nContent-Length: 0\r\n\r\n"));
+            case UNNAMED_NOT_RUN ->
+                working(line ->
+                        line.puts("HTTP/1.1 503 No\r\nSablehinge-Verdict: " + "not-run\r\nContent-Length: 0\r\n\r\n"));
             case FAIL -> working(line -> line.fails(500, "ran"));
             case FAIL_AS_FULL -> working(line -> line.fails(503, "ran"));
             case DOUBT -> working(line -> line.fails(502, "may-have-run"));
@@ -203,11 +222,12 @@
             case RESET -> live(line -> line.ends(true));
             case CLOSE -> live(line -> line.ends(false));
             case KILL -> live(this::kills);
-            case FREEZE -> live(line -> {
-                boolean was = frozen[line.balancer];
-                frozen[line.balancer] = true;
-                return !was;
-            });
+            case FREEZE ->
+                live(line -> {
+                    boolean was = frozen[line.balancer];
+                    frozen[line.balancer] = true;
+                    return !was;
+                });
             case THAW -> thaw();
             case LATE_RUN -> {
                 boolean ran = false;
@@ -258,8 +278,7 @@
     /** The oldest connection with a whole request and no part of an answer to it, of who goes on. */
     private boolean working(Move move) {
         for (Line line : lines) {
-            if (line.open() && !frozen[line.balancer] && line.at != null && line.isWhole
-                    && line.rest == null) {
+            if (line.open() && !frozen[line.balancer] && line.at != null && line.isWhole && line.rest == null) {
                 return move.on(line);
             }
         }
@@ -432,7 +451,8 @@
         if (status == 200) {
             CRC32C sum = new CRC32C();
             sum.update(sent.body().getBytes(StandardCharsets.US_ASCII));
-            if (!sent.made.contains(status) || !("s." + sent.id).equals(stamp)
+            if (!sent.made.contains(status)
+                    || !("s." + sent.id).equals(stamp)
                     || sum.getValue() != answer.sum.getValue()) {
                 net.violated("MIXED: " + sent.id + " is served with what was not made for it whole");
             }
@@ -554,8 +574,7 @@
 
         /** The outbound balancer has closed the connection, and the request here runs for all that. */
         boolean runsLate() {
-            return !over && channel.out.isEnded() && !frozen[balancer] && at != null && isWhole && !runs
-                    && runs();
+            return !over && channel.out.isEnded() && !frozen[balancer] && at != null && isWhole && !runs && runs();
         }
 
         boolean puts(String text) {
@@ -564,7 +583,8 @@
 
         private String answer(Sent to) {
             return "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: " + to.id + "\r\nSablehinge-Postmark: s." + to.id
-                    + "\r\nSablehinge-Verdict: ran\r\nContent-Length: " + to.body().length() + "\r\n\r\n"
+                    + "\r\nSablehinge-Verdict: ran\r\nContent-Length: "
+                    + to.body().length() + "\r\n\r\n"
                     + to.body();
         }
 
--- a/bench/src/sablehinge/torture/Pipe.java
+++ b/bench/src/sablehinge/torture/Pipe.java
@@ -4,8 +4,7 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The bytes of one direction of a connection, as a kernel holds them between a writer and a reader: bounded,
- * in order,
+ * The bytes of one direction of a connection, as a kernel holds them between a writer and a reader: bounded, in order,
  * ended by the writer (FIN) or broken by either (RST, RFC 9293 section 3.5.3).
  */
 final class Pipe {
@@ -18,6 +17,7 @@
     private boolean broken;
     /** Bytes that were ever written and read. */
     private long in;
+
     private long out;
     private final DoubleSupplier clock;
     private double filledAt = Double.NaN;
--- a/bench/src/sablehinge/torture/PipeChannel.java
+++ b/bench/src/sablehinge/torture/PipeChannel.java
@@ -18,11 +18,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection in virtual time, as {@code NioSocketChannel} behaves over TCP: it writes what the kernel has
- * room for and
- * goes on once there is more, reads while reading is wanted, sees the end of the stream only when it reads,
- * and resets
- * the other end if it is closed on bytes that it has not read.
+ * A connection in virtual time, as {@code NioSocketChannel} behaves over TCP: it writes what the kernel has room for
+ * and goes on once there is more, reads while reading is wanted, sees the end of the stream only when it reads, and
+ * resets the other end if it is closed on bytes that it has not read.
  */
 final class PipeChannel extends AbstractChannel implements DuplexChannel {
 
@@ -30,6 +28,7 @@
 
     /** What lies towards the other end, and what comes from there. */
     final Pipe out;
+
     final Pipe in;
     private final Net net;
     private final Dice dice;
@@ -215,11 +214,15 @@
                     close(voidPromise());
                 }
             });
-            eventLoop().schedule(() -> {
-                if (promise.tryFailure(new ConnectTimeoutException("no answer"))) {
-                    close(voidPromise());
-                }
-            }, config.getConnectTimeoutMillis(), TimeUnit.MILLISECONDS);
+            eventLoop()
+                    .schedule(
+                            () -> {
+                                if (promise.tryFailure(new ConnectTimeoutException("no answer"))) {
+                                    close(voidPromise());
+                                }
+                            },
+                            config.getConnectTimeoutMillis(),
+                            TimeUnit.MILLISECONDS);
         }
 
         /** Writes on what was flushed, and nothing that was not. */
@@ -329,8 +332,7 @@
     }
 
     @Override
-    protected void doBind(SocketAddress local) {
-    }
+    protected void doBind(SocketAddress local) {}
 
     @Override
     public ChannelConfig config() {
@@ -368,7 +370,8 @@
                 channel.linger = (Integer) value;
                 return true;
             }
-            return option == ChannelOption.TCP_NODELAY || option == ChannelOption.SO_SNDBUF
+            return option == ChannelOption.TCP_NODELAY
+                    || option == ChannelOption.SO_SNDBUF
                     || super.setOption(option, value);
         }
 
--- a/bench/src/sablehinge/torture/PipeServer.java
+++ b/bench/src/sablehinge/torture/PipeServer.java
@@ -16,7 +16,8 @@
     private final DefaultChannelConfig config = new DefaultChannelConfig(this) {
         @Override
         public <T> boolean setOption(ChannelOption<T> option, T value) {
-            return option == ChannelOption.SO_BACKLOG || option == ChannelOption.SO_REUSEADDR
+            return option == ChannelOption.SO_BACKLOG
+                    || option == ChannelOption.SO_REUSEADDR
                     || super.setOption(option, value);
         }
 
--- a/bench/src/sablehinge/torture/RandomModule.java
+++ b/bench/src/sablehinge/torture/RandomModule.java
@@ -7,9 +7,7 @@
 import java.util.SplittableRandom;
 import sablehinge.policy.LoadBalancer;
 
-/**
- * Decides by chance within the rules: sends, waits, copies, cancels, refuses and fails where a module may.
- */
+/** Decides by chance within the rules: sends, waits, copies, cancels, refuses and fails where a module may. */
 final class RandomModule implements LoadBalancer {
 
     private final Actions actions;
@@ -65,7 +63,8 @@
 
     @Override
     public void request(double now, Request request) {
-        Open one = new Open(request, settings.classes().get(request.serviceClass()).repeat());
+        Open one =
+                new Open(request, settings.classes().get(request.serviceClass()).repeat());
         open.put(request.id(), one);
         int dice = random.nextInt(20);
         if (dice == 0) {
@@ -116,8 +115,7 @@
     @Override
     public void timer(double now, long token) {
         Open one = open.get(token);
-        if (one != null && !one.answered && one.sends < 4 && (one.sends == 0 || one.repeat ==
-                Repeat.IDEMPOTENT)) {
+        if (one != null && !one.answered && one.sends < 4 && (one.sends == 0 || one.repeat == Repeat.IDEMPOTENT)) {
             send(one);
         }
     }
@@ -135,8 +133,10 @@
             cancelAll(one);
             forget(one);
         } else if (one.running == 0) {
-            boolean may = one.sends < 4 && now < one.request.deadline()
-                    && (one.repeat != Repeat.AT_MOST_ONCE || !one.ran) && outcome.result() != Result.NOT_SENT;
+            boolean may = one.sends < 4
+                    && now < one.request.deadline()
+                    && (one.repeat != Repeat.AT_MOST_ONCE || !one.ran)
+                    && outcome.result() != Result.NOT_SENT;
             if (may && random.nextInt(4) > 0) {
                 send(one);
             } else {
@@ -164,6 +164,5 @@
     }
 
     @Override
-    public void streamStarted(double now, long request, int attempt, double elapsed) {
-    }
+    public void streamStarted(double now, long request, int attempt, double elapsed) {}
 }
--- a/bench/src/sablehinge/torture/Rig.java
+++ b/bench/src/sablehinge/torture/Rig.java
@@ -13,12 +13,11 @@
 
     private static final int MOST_SHOWN = 30;
 
-    private Rig() {
-    }
+    private Rig() {}
 
     /**
-     * What the program says of peers that misbehave, some hundred times a second, is of no use here. Begun
-     * by who plays and not by each of its threads, or the last would undo it to what another had found.
+     * What the program says of peers that misbehave, some hundred times a second, is of no use here. Begun by who plays
+     * and not by each of its threads, or the last would undo it to what another had found.
      */
     private static Logs.Undo silence() {
         return Logs.level(Level.OFF);
@@ -46,7 +45,8 @@
         List<Thread> players = new ArrayList<>();
         for (int i = 0; i < threads; i++) {
             Thread player = new Thread(() -> {
-                for (long seed = next.getAndIncrement(); seed < to && found.size() < enough;
+                for (long seed = next.getAndIncrement();
+                        seed < to && found.size() < enough;
                         seed = next.getAndIncrement()) {
                     try {
                         List<String> violations = new World(Script.of(seed)).play();
@@ -62,8 +62,7 @@
         }
         await(players);
         List<String> sorted = new ArrayList<>(found);
-        sorted.sort(java.util.Comparator.comparingLong(line -> Long.parseLong(line.substring(0,
-                line.indexOf(':')))));
+        sorted.sort(java.util.Comparator.comparingLong(line -> Long.parseLong(line.substring(0, line.indexOf(':')))));
         return sorted;
     }
 
@@ -106,7 +105,8 @@
         List<Thread> players = new ArrayList<>();
         for (int i = 0; i < threads; i++) {
             Thread player = new Thread(() -> {
-                for (long seed = next.getAndIncrement(); seed < to && found.size() < enough;
+                for (long seed = next.getAndIncrement();
+                        seed < to && found.size() < enough;
                         seed = next.getAndIncrement()) {
                     try {
                         World world = new World(Script.of(seed));
@@ -114,8 +114,10 @@
                         world.play();
                         played.add(world.lasted);
                         long of = seed;
-                        world.alarms.stream().filter(one -> kind == null || one.kind().name().equals(kind))
-                                .findFirst().ifPresent(one -> found.add(of + ": " + one));
+                        world.alarms.stream()
+                                .filter(one -> kind == null || one.kind().name().equals(kind))
+                                .findFirst()
+                                .ifPresent(one -> found.add(of + ": " + one));
                     } catch (Exception | LinkageError | AssertionError e) {
                         if (kind == null) {
                             found.add(seed + ": " + e);
@@ -137,8 +139,9 @@
         if (found.isEmpty()) {
             return null;
         }
-        Script cut = Script.of(Long.parseLong(found.get(0).substring(0,
-                found.get(0).indexOf(':')))).shortened();
+        Script cut = Script.of(
+                        Long.parseLong(found.get(0).substring(0, found.get(0).indexOf(':'))))
+                .shortened();
         List<String> violated = play(cut);
         return cut + ": " + (violated.isEmpty() ? "an exception" : violated.get(0));
     }
@@ -146,8 +149,12 @@
     /** Plays one script and cuts it down if it fails, or plays the seeds from one up to another. */
     public static void main(String[] arguments) throws Exception {
         if (arguments.length == 3) {
-            watched(Long.parseLong(arguments[0]), Long.parseLong(arguments[1]),
-                    Runtime.getRuntime().availableProcessors(), null, MOST_SHOWN)
+            watched(
+                            Long.parseLong(arguments[0]),
+                            Long.parseLong(arguments[1]),
+                            Runtime.getRuntime().availableProcessors(),
+                            null,
+                            MOST_SHOWN)
                     .forEach(System.out::println);
         } else if (arguments.length == 2) {
             long from = Long.parseLong(arguments[0]);
--- a/bench/src/sablehinge/torture/Script.java
+++ b/bench/src/sablehinge/torture/Script.java
@@ -10,9 +10,8 @@
 import java.util.TreeSet;
 
 /**
- * What one play holds: a seed, and what is left out of the play that the seed alone gives. A failing seed is
- * cut down to
- * the shortest such script that fails still, which is the regression test to keep.
+ * What one play holds: a seed, and what is left out of the play that the seed alone gives. A failing seed is cut down
+ * to the shortest such script that fails still, which is the regression test to keep.
  *
  * @param callers the places of those who come; null for all
  * @param requests the most that each sends
@@ -21,11 +20,21 @@
 record Script(long seed, Set<Integer> callers, int requests, Set<Event> without) {
 
     /** What may happen beside requests. */
-    enum Event { SETTINGS, TOLD_OFF, DRAIN, MEMORY, FEW_DESCRIPTORS, REAL_MODULE, TROUBLE, HABITS }
+    enum Event {
+        SETTINGS,
+        TOLD_OFF,
+        DRAIN,
+        MEMORY,
+        FEW_DESCRIPTORS,
+        REAL_MODULE,
+        TROUBLE,
+        HABITS
+    }
 
     private static final int MOST = 4;
     /** What fails by never coming to rest takes long to cut down. */
     private static final long LONGEST_CUT_NANOS = 5_000_000_000L;
+
     private static final int MOST_CALLERS = 24;
 
     static Script of(long seed) {
@@ -62,14 +71,14 @@
                     i++;
                 }
                 case "without" -> {
-                    Arrays.stream(value.split(",")).map(name -> Event.valueOf(name.toUpperCase(Locale.ROOT)))
+                    Arrays.stream(value.split(","))
+                            .map(name -> Event.valueOf(name.toUpperCase(Locale.ROOT)))
                             .forEach(without::add);
                     i++;
                 }
                 default -> {
                     if (i > 0) {
-                        throw new IllegalArgumentException("expected callers, requests or without, not "
-                                + words[i]);
+                        throw new IllegalArgumentException("expected callers, requests or without, not " + words[i]);
                     }
                     seed = Long.parseLong(words[i]);
                 }
@@ -82,14 +91,20 @@
     public String toString() {
         StringBuilder text = new StringBuilder().append(seed);
         if (callers != null) {
-            text.append(" callers ").append(String.join(",", callers.stream().map(String::valueOf).toList()));
+            text.append(" callers ")
+                    .append(String.join(
+                            ",", callers.stream().map(String::valueOf).toList()));
         }
         if (requests < MOST) {
             text.append(" requests ").append(requests);
         }
         if (!without.isEmpty()) {
-            text.append(" without ").append(String.join(",",
-                    without.stream().map(event -> event.name().toLowerCase(Locale.ROOT)).toList()));
+            text.append(" without ")
+                    .append(String.join(
+                            ",",
+                            without.stream()
+                                    .map(event -> event.name().toLowerCase(Locale.ROOT))
+                                    .toList()));
         }
         return text.toString();
     }
@@ -127,8 +142,7 @@
         List<Integer> list = new ArrayList<>(now);
         if (list.size() > 3) {
             steps.add(new Script(seed, new TreeSet<>(list.subList(0, list.size() / 2)), requests, without));
-            steps.add(new Script(seed, new TreeSet<>(list.subList(list.size() / 2, list.size())), requests,
-                    without));
+            steps.add(new Script(seed, new TreeSet<>(list.subList(list.size() / 2, list.size())), requests, without));
         }
         if (list.size() > 1) {
             for (int one : list) {
--- a/bench/src/sablehinge/torture/Upstream.java
+++ b/bench/src/sablehinge/torture/Upstream.java
@@ -1,8 +1,8 @@
 package sablehinge.torture;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import java.io.IOException;
 import sablehinge.torture.World.Asked;
 import sablehinge.torture.World.Made;
 
@@ -10,9 +10,21 @@
 final class Upstream implements Net.Listener {
 
     /** What becomes of an answer. */
-    enum Fate { GOOD, CLOSES_AFTER, UNFRAMED, BREAKS, RESETS, STALLS, NEVER, UNFRAMED_RESETS, EXTRA, AHEAD,
-            TURNED_AWAY,
-            ERROR, NOISE }
+    enum Fate {
+        GOOD,
+        CLOSES_AFTER,
+        UNFRAMED,
+        BREAKS,
+        RESETS,
+        STALLS,
+        NEVER,
+        UNFRAMED_RESETS,
+        EXTRA,
+        AHEAD,
+        TURNED_AWAY,
+        ERROR,
+        NOISE
+    }
 
     private final World world;
     private final Net net;
@@ -21,6 +33,7 @@
     final InetSocketAddress address;
     /** How many in a hundred go wrong. */
     private final int trouble;
+
     private int connections;
     /** When the balancer was told that it takes nothing new. */
     double toldOff = Double.NaN;
@@ -37,7 +50,8 @@
 
     @Override
     public double answersAfter() {
-        return dice.nextInt(100) >= trouble ? dice.nextDouble() * 2
+        return dice.nextInt(100) >= trouble
+                ? dice.nextDouble() * 2
                 : dice.chance(3) ? Double.NaN : dice.chance(2) ? -1 : 150 * dice.nextDouble();
     }
 
@@ -54,6 +68,7 @@
         private final HttpReader reader;
         /** The request that comes or is answered, and its answer. */
         Asked at;
+
         private Made made;
         private Fate fate;
         private byte[] pending = new byte[0];
@@ -167,8 +182,7 @@
             if (over || at == null || made != null) {
                 return;
             }
-            fate = dice.nextInt(100) >= trouble ? Fate.GOOD
-                    : Fate.values()[dice.nextInt(Fate.values().length)];
+            fate = dice.nextInt(100) >= trouble ? Fate.GOOD : Fate.values()[dice.nextInt(Fate.values().length)];
             if (fate == Fate.NEVER) {
                 return;
             }
@@ -181,21 +195,25 @@
             boolean none = fate == Fate.TURNED_AWAY || fate == Fate.ERROR;
             Body body = new Body(dice.nextInt(), none ? 0 : world.length(dice));
             made = new Made(at, body, !none && dice.chance(2));
-            breaksAt = fate == Fate.BREAKS || fate == Fate.RESETS || fate == Fate.STALLS || fate ==
-                    Fate.UNFRAMED_RESETS
-                    ? (long) (dice.nextDouble() * (body.length + 1)) : Long.MAX_VALUE;
+            breaksAt = fate == Fate.BREAKS || fate == Fate.RESETS || fate == Fate.STALLS || fate == Fate.UNFRAMED_RESETS
+                    ? (long) (dice.nextDouble() * (body.length + 1))
+                    : Long.MAX_VALUE;
             begun = false;
             lastFramed = false;
             chunkLeft = 0;
-            String status = fate == Fate.TURNED_AWAY ? "503 Full\r\nX-Turned-Away: 1" : fate == Fate.ERROR
-                    ? "500 Oh" : "200 OK";
+            String status = fate == Fate.TURNED_AWAY
+                    ? "503 Full\r\nX-Turned-Away: 1"
+                    : fate == Fate.ERROR ? "500 Oh" : "200 OK";
             boolean unframed = fate == Fate.UNFRAMED || fate == Fate.UNFRAMED_RESETS;
             made.chunked &= !unframed;
             pending = ((fate == Fate.AHEAD ? "HTTP/1.1 103 Early Hints\r\n\r\n" : "") + "HTTP/1.1 " + status
-                    + "\r\n"
-                    + (unframed ? "Connection: close\r\n" : made.chunked ? "Transfer-Encoding: chunked\r\n"
-                    : "Content-Length: " + body.length + "\r\n")
-                    + (fate == Fate.CLOSES_AFTER ? "Connection: close\r\n" : "") + "\r\n")
+                            + "\r\n"
+                            + (unframed
+                                    ? "Connection: close\r\n"
+                                    : made.chunked
+                                            ? "Transfer-Encoding: chunked\r\n"
+                                            : "Content-Length: " + body.length + "\r\n")
+                            + (fate == Fate.CLOSES_AFTER ? "Connection: close\r\n" : "") + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
             begin();
         }
@@ -247,8 +265,8 @@
                 }
                 return -1;
             } else if (made.chunked && chunkLeft == 0 && !body.isOver()) {
-                chunkLeft = Math.min(body.length - body.sent(), dice.chance(2) ? dice.size(1, 3)
-                        : dice.size(1, 40_000));
+                chunkLeft =
+                        Math.min(body.length - body.sent(), dice.chance(2) ? dice.size(1, 3) : dice.size(1, 40_000));
                 put((body.sent() == 0 ? "" : "\r\n") + Long.toHexString(chunkLeft) + "\r\n");
                 return 0;
             } else if (!body.isOver()) {
@@ -285,8 +303,7 @@
             made = null;
             at = null;
             if (fate == Fate.EXTRA) {
-                byte[] more =
-                        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno".getBytes(StandardCharsets.US_ASCII);
+                byte[] more = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno".getBytes(StandardCharsets.US_ASCII);
                 channel.in.write(more, 0, Math.min(more.length, channel.in.space()));
             }
             if (fate == Fate.CLOSES_AFTER || fate == Fate.UNFRAMED || fate == Fate.UNFRAMED_RESETS) {
@@ -317,18 +334,17 @@
             @Override
             public boolean whole(HttpReader message) {
                 if (at != null && at.txn != null && message.start.startsWith("POST")) {
-                    if (message.length != at.body.length || message.sum.getValue() != at.body.sum()
+                    if (message.length != at.body.length
+                            || message.sum.getValue() != at.body.sum()
                             || !at.body.isOver()) {
-                        message.flaw = "a body that is not its request's: " + message.length + " of "
-                                + at.body.length;
+                        message.flaw = "a body that is not its request's: " + message.length + " of " + at.body.length;
                         return false;
                     }
                 }
                 if (at != null && at.txn != null) {
                     at.ran(net.now());
                 }
-                net.later(dice.chance(3) ? 0 : dice.nextDouble() * (slow ? 300 : 20),
-                        Connection.this::answer);
+                net.later(dice.chance(3) ? 0 : dice.nextDouble() * (slow ? 300 : 20), Connection.this::answer);
                 return true;
             }
         }
--- a/bench/src/sablehinge/torture/Watched.java
+++ b/bench/src/sablehinge/torture/Watched.java
@@ -7,9 +7,8 @@
 import sablehinge.policy.LoadBalancer;
 
 /**
- * A decision module under watch: each send has exactly one outcome, each request one final answer, and what
- * is said never
- * to have run has not come to any upstream whole.
+ * A decision module under watch: each send has exactly one outcome, each request one final answer, and what is said
+ * never to have run has not come to any upstream whole.
  */
 final class Watched implements LoadBalancer {
 
@@ -17,6 +16,7 @@
     private final LoadBalancer module;
     /** Attempts that are out, by request and number. */
     private final Map<String, Long> out = new HashMap<>();
+
     private final Map<Long, Integer> sends = new HashMap<>();
     private int mayHaveRun;
     private int sent;
@@ -88,8 +88,7 @@
         }
 
         @Override
-        public void log(String text) {
-        }
+        public void log(String text) {}
     }
 
     @Override
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -42,18 +42,19 @@
 import sablehinge.torture.Script.Event;
 
 /**
- * One play of the rig: the real front, core and transport between scripted callers and upstreams, in virtual
- * time, all
+ * One play of the rig: the real front, core and transport between scripted callers and upstreams, in virtual time, all
  * of it a function of a seed. What must hold is checked after each step, and at the end nothing may be left.
  */
 final class World {
 
     /** Settings of every play. */
     static final double DRAIN_GRACE = 500;
+
     private static final double DEADLINE = 4_000;
     private static final double IDLE = 5_000;
     /** Milliseconds between two spells without memory, at most. */
     private static final double SPELLS_APART = 300;
+
     private static final double STEP = 5;
     /** Netty's high mark, and a read of 64 KiB in pieces of one byte with what Netty counts for each. */
     private static final long MOST_UNWRITTEN = 4 << 20;
@@ -64,7 +65,9 @@
 
     /** The classes of requests, by effect. */
     enum Kind {
-        SAFE(Repeat.IDEMPOTENT), KEYED(Repeat.DEDUPLICATED), ONCE(Repeat.AT_MOST_ONCE);
+        SAFE(Repeat.IDEMPOTENT),
+        KEYED(Repeat.DEDUPLICATED),
+        ONCE(Repeat.AT_MOST_ONCE);
 
         final Repeat repeat;
 
@@ -84,9 +87,11 @@
         boolean lastChunk;
         /** When its last byte was sent, when its answer began. */
         double sentAt = Double.NaN;
+
         double begunAt = Double.NaN;
         /** How often its head has come to an upstream, and the whole of it. */
         int reached;
+
         int ran;
         double ranAt = Double.NaN;
         /** The answers that were made for it, whole. */
@@ -103,13 +108,15 @@
 
         String head() {
             String name = kind.name().toLowerCase(Locale.ROOT);
-            return (kind == Kind.SAFE ? "GET" : "POST") + " /" + name + "/1 HTTP/" + (caller.habit ==
-                    Caller.Habit.OLD ? "1.0" : "1.1") + "\r\nX-Txn: " + txn
+            return (kind == Kind.SAFE ? "GET" : "POST") + " /" + name + "/1 HTTP/"
+                    + (caller.habit == Caller.Habit.OLD ? "1.0" : "1.1") + "\r\nX-Txn: " + txn
                     + "\r\nX-Lane: "
                     + name + "\r\nX-Remaining: " + remaining / 1_000 + "\r\n"
                     + (kind == Kind.KEYED ? "Idempotency-Key: k" + txn + "\r\n" : "")
-                    + (kind == Kind.SAFE ? "" : chunked ? "Transfer-Encoding: chunked\r\n"
-                    : "Content-Length: " + body.length + "\r\n") + "\r\n";
+                    + (kind == Kind.SAFE
+                            ? ""
+                            : chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + body.length + "\r\n")
+                    + "\r\n";
         }
 
         void ran(double now) {
@@ -147,6 +154,7 @@
     private int answers;
     /** What a watch inside the process says of it, if there is one; virtual ms that the play took. */
     final List<Alarm> alarms = new ArrayList<>();
+
     FlightRecorder recorder;
     private final double begunAt;
     double lasted;
@@ -160,9 +168,8 @@
         begunAt = net.now();
         Clock clock = net::now;
         Timers timers = (time, call) -> {
-            Future<?> future = net.loop.schedule(call, (long) Math.ceil(Math.max(0,
-                    time - clock.now()) * 1e6),
-                    TimeUnit.NANOSECONDS);
+            Future<?> future = net.loop.schedule(
+                    call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6), TimeUnit.NANOSECONDS);
             return () -> future.cancel(false);
         };
         // A third of the plays have few descriptors.
@@ -171,8 +178,12 @@
         boolean real = dice.chance(2) && script.has(Event.REAL_MODULE);
         Watched[] made = new Watched[1];
         core = new Core(clock, timers, actions -> {
-            made[0] = new Watched(this, actions, real ? LatencyWeightedBalancer::new
-                    : other -> new RandomModule(other, new Dice(seed, "module").split()));
+            made[0] = new Watched(
+                    this,
+                    actions,
+                    real
+                            ? LatencyWeightedBalancer::new
+                            : other -> new RandomModule(other, new Dice(seed, "module").split()));
             return made[0];
         });
         module = made[0];
@@ -190,10 +201,9 @@
             }
 
             @Override
-            public void watch(boolean on) {
-            }
+            public void watch(boolean on) {}
         });
-        front.open(new InetSocketAddress("127.0.0.1", 1), why -> { });
+        front.open(new InetSocketAddress("127.0.0.1", 1), why -> {});
         net.settle();
     }
 
@@ -204,8 +214,7 @@
         core.trace(recorder);
         Watch watch = new Watch(new Watch.Terms(50, 500, 250, 1_000, 5_000, 0));
         Vitals seen = new LoopVitals(core, sockets, () -> List.of(front), memory::used);
-        net.loop.scheduleAtFixedRate(() -> alarms.addAll(watch.tick(net.now(), seen)), 50, 50,
-                TimeUnit.MILLISECONDS);
+        net.loop.scheduleAtFixedRate(() -> alarms.addAll(watch.tick(net.now(), seen)), 50, 50, TimeUnit.MILLISECONDS);
     }
 
     private Version version(int number) {
@@ -213,24 +222,59 @@
         List<String> names = new ArrayList<>();
         for (Kind kind : Kind.values()) {
             names.add(kind.name().toLowerCase(Locale.ROOT));
-            classes.add(new ServiceClass(kind.name(), 1_000, 0, DEADLINE + number, 1, 0.5, kind.repeat,
-                    Group.ALL, 4_000,
-                    false, false, null, null, 0));
+            classes.add(new ServiceClass(
+                    kind.name(),
+                    1_000,
+                    0,
+                    DEADLINE + number,
+                    1,
+                    0.5,
+                    kind.repeat,
+                    Group.ALL,
+                    4_000,
+                    false,
+                    false,
+                    null,
+                    null,
+                    0));
         }
-        return new Version(number, new Settings(0, 1, 0, 1, 0, 1, 1, false, true, false, false, false, 1,
-                WeightKind.NONE, Reports.NONE, List.of(), classes, List.of(), new Limits(4, 10_000, true,
-                        true, true,
-                false, true, 500, 200, IDLE, 1, 0, 0), new Rules(20, DRAIN_GRACE, 1_000, 0.2, 10_000, 3,
-                        1_500, 0),
-                new Goal(1, 0, 0, 0, 0, 0, 0, 0), new Prices(0, 0, 0, 0, 0, 0, 0, 0)), names, List.of(),
-                        number > 1);
+        return new Version(
+                number,
+                new Settings(
+                        0,
+                        1,
+                        0,
+                        1,
+                        0,
+                        1,
+                        1,
+                        false,
+                        true,
+                        false,
+                        false,
+                        false,
+                        1,
+                        WeightKind.NONE,
+                        Reports.NONE,
+                        List.of(),
+                        classes,
+                        List.of(),
+                        new Limits(4, 10_000, true, true, true, false, true, 500, 200, IDLE, 1, 0, 0),
+                        new Rules(20, DRAIN_GRACE, 1_000, 0.2, 10_000, 3, 1_500, 0),
+                        new Goal(1, 0, 0, 0, 0, 0, 0, 0),
+                        new Prices(0, 0, 0, 0, 0, 0, 0, 0)),
+                names,
+                List.of(),
+                number > 1);
     }
 
     private Roster roster(boolean full) {
         List<Roster.Member> members = new ArrayList<>();
         for (Upstream one : upstreams) {
-            members.add(new Roster.Member(new LoadBalancer.Upstream(one.id, 0, 0, (int) one.id,
-                    Double.isNaN(one.toldOff) ? State.READY : State.DRAINING, 1, 0), one.address));
+            members.add(new Roster.Member(
+                    new LoadBalancer.Upstream(
+                            one.id, 0, 0, (int) one.id, Double.isNaN(one.toldOff) ? State.READY : State.DRAINING, 1, 0),
+                    one.address));
         }
         return new Roster(1, full, members);
     }
@@ -250,9 +294,13 @@
         Kind kind = Kind.values()[chances.nextInt(3)];
         boolean pipelined = caller.habit == Caller.Habit.PIPELINES;
         int length = kind == Kind.SAFE ? 0 : pipelined ? chances.size(1, 3_000) : length(chances);
-        Asked asked = new Asked(name, caller, kind, new Body(chances.nextInt(), length), kind != Kind.SAFE
-                && chances.chance(2) && caller.habit != Caller.Habit.OLD, 200
-                        + chances.nextInt((int) DEADLINE - 200));
+        Asked asked = new Asked(
+                name,
+                caller,
+                kind,
+                new Body(chances.nextInt(), length),
+                kind != Kind.SAFE && chances.chance(2) && caller.habit != Caller.Habit.OLD,
+                200 + chances.nextInt((int) DEADLINE - 200));
         all.put(asked.txn, asked);
         return asked;
     }
@@ -267,8 +315,7 @@
                     return;
                 }
             }
-            net.violated(asked.txn + " is served with " + answer.length
-                    + " bytes that were not made for it whole");
+            net.violated(asked.txn + " is served with " + answer.length + " bytes that were not made for it whole");
         } else if (status < 500 && status != 408) {
             net.violated(asked.txn + " is sound and is answered with " + status);
         } else if (status == 500) {
@@ -386,8 +433,7 @@
                 net.violated("more is read than can be written: " + one.unwritten() + ", " + one.out);
             }
             if (one.isOpen() && one.isActive() && one.unwritten() > 0 && one.out.space() > 0) {
-                net.violated("bytes are not written though there is room: " + one.unwritten() + ", "
-                        + one.out);
+                net.violated("bytes are not written though there is room: " + one.unwritten() + ", " + one.out);
             }
         }
         for (Upstream.Connection from : served) {
@@ -397,16 +443,23 @@
             }
             PipeChannel to = asked.caller.channel;
             boolean passes = to.isOpen() && from.channel.isOpen() && asked.caller.asked.peek() == asked;
-            if (passes && from.isAnswering() && from.channel.in.held() > 0
-                    && !from.channel.isReading() && to.unwritten() == 0 && to.out.space() > 0) {
-                net.violated("an answer is held back: " + asked.txn + ", " + from.channel.in + " waits, "
-                        + to.out);
+            if (passes
+                    && from.isAnswering()
+                    && from.channel.in.held() > 0
+                    && !from.channel.isReading()
+                    && to.unwritten() == 0
+                    && to.out.space() > 0) {
+                net.violated("an answer is held back: " + asked.txn + ", " + from.channel.in + " waits, " + to.out);
             }
-            if (passes && from.isReceiving() && asked.caller.sending() == asked && to.in.held() > 0
+            if (passes
+                    && from.isReceiving()
+                    && asked.caller.sending() == asked
+                    && to.in.held() > 0
                     && !to.isReading()
-                    && from.channel.unwritten() == 0 && from.channel.out.space() > 0 && asked.reached == 1) {
-                net.violated("a request is held back: " + asked.txn + ", " + to.in + " waits, "
-                        + from.channel.out);
+                    && from.channel.unwritten() == 0
+                    && from.channel.out.space() > 0
+                    && asked.reached == 1) {
+                net.violated("a request is held back: " + asked.txn + ", " + to.in + " waits, " + from.channel.out);
             }
         }
     }
@@ -414,21 +467,29 @@
     private void answersAreInTime() {
         for (Caller caller : callers) {
             Asked only = caller.asked.peek();
-            if (only == null || caller.asked.size() > 1 || caller.gone || !caller.channel.isOpen()
-                    || Double.isNaN(only.sentAt) || caller.habit == Caller.Habit.NEVER_READS
-                    || caller.channel.in.held() > 0 || caller.channel.out.held() > 0
-                    || caller.channel.out.isEnded() || caller.channel.out.isBroken()) {
+            if (only == null
+                    || caller.asked.size() > 1
+                    || caller.gone
+                    || !caller.channel.isOpen()
+                    || Double.isNaN(only.sentAt)
+                    || caller.habit == Caller.Habit.NEVER_READS
+                    || caller.channel.in.held() > 0
+                    || caller.channel.out.held() > 0
+                    || caller.channel.out.isEnded()
+                    || caller.channel.out.isBroken()) {
                 continue;
             }
-            if (Double.isNaN(only.begunAt) && net.now() > Math.max(only.sentAt, Math.max(caller.quietSince,
-                    caller.readAt))
-                    + only.remaining + LATE) {
+            if (Double.isNaN(only.begunAt)
+                    && net.now()
+                            > Math.max(only.sentAt, Math.max(caller.quietSince, caller.readAt))
+                                    + only.remaining
+                                    + LATE) {
                 net.violated(only.txn + " has no answer in its time: sent at " + only.sentAt + ", "
                         + only.remaining
                         + " ms, " + caller.habit + ", reached " + only.reached + ", ran "
                         + only.ran + " at " + only.ranAt + ", whole answers " + only.made.size() + ", "
                         + core.requests() + " open, reading " + caller.channel.isReading() + ", "
-                                + caller.channel.in
+                        + caller.channel.in
                         + ", " + caller.channel.unwritten());
             }
         }
@@ -441,7 +502,7 @@
                 net.violated("still open: " + caller.habit + (caller.gone ? " gone" : "") + ", "
                         + caller.channel.in + ", " + caller.channel.out
                         + ", unwritten " + caller.channel.unwritten() + ", reading "
-                                + caller.channel.isReading());
+                        + caller.channel.isReading());
             }
         }
         for (PipeChannel one : net.made) {
--- a/src/main/java/sablehinge/admin/AdminServer.java
+++ b/src/main/java/sablehinge/admin/AdminServer.java
@@ -38,9 +38,8 @@
 import java.util.function.Consumer;
 
 /**
- * Lets operators in: HTTP/1.1 with JSON, one request a connection, on a Unix socket that only its owner may
- * open
- * or on a loopback port for those who know a token. Connections, bodies and waiting are bounded.
+ * Lets operators in: HTTP/1.1 with JSON, one request a connection, on a Unix socket that only its owner may open or on
+ * a loopback port for those who know a token. Connections, bodies and waiting are bounded.
  */
 public final class AdminServer {
 
@@ -57,10 +56,10 @@
     }
 
     /** A request; the query's last value counts where a name is repeated. */
-    public record Request(String method, String path, Map<String, String> query, byte[] body) { }
+    public record Request(String method, String path, Map<String, String> query, byte[] body) {}
 
     /** An answer: an HTTP status and what to say. */
-    public record Reply(int status, JsonNode body) { }
+    public record Reply(int status, JsonNode body) {}
 
     private final EventLoop loop;
     private final Handler handler;
@@ -96,15 +95,20 @@
 
     private void listen(Class<? extends ServerChannel> type, SocketAddress address)
             throws IOException, InterruptedException {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(type)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(type)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel child) {
                         admit(child);
                     }
-                }).bind(address).await();
+                })
+                .bind(address)
+                .await();
         if (!bound.isSuccess()) {
-            throw new IOException("admin listener " + address + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    "admin listener " + address + ": " + bound.cause().getMessage());
         }
         channel = bound.channel();
     }
@@ -116,8 +120,12 @@
         }
         open++;
         child.closeFuture().addListener(closed -> open--);
-        child.pipeline().addLast(new ReadTimeoutHandler(PATIENCE_S, TimeUnit.SECONDS), new HttpServerCodec(),
-                new HttpObjectAggregator(MOST_BYTES), new Requests());
+        child.pipeline()
+                .addLast(
+                        new ReadTimeoutHandler(PATIENCE_S, TimeUnit.SECONDS),
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(MOST_BYTES),
+                        new Requests());
     }
 
     /** Where it listens. */
@@ -140,16 +148,17 @@
             }
             String given = message.headers().get("Authorization");
             // Compared in constant time: how far a guess is right must not show.
-            if (token != null && !MessageDigest.isEqual(token,
-                    (given == null ? "" : given).getBytes(StandardCharsets.UTF_8))) {
+            if (token != null
+                    && !MessageDigest.isEqual(token, (given == null ? "" : given).getBytes(StandardCharsets.UTF_8))) {
                 answer(ctx, error(401, "the token is another"));
                 return;
             }
             QueryStringDecoder target = new QueryStringDecoder(message.uri());
             Map<String, String> query = new LinkedHashMap<>();
             target.parameters().forEach((name, values) -> query.put(name, values.get(values.size() - 1)));
-            handler.handle(new Request(message.method().name(), target.path(), query,
-                    ByteBufUtil.getBytes(message.content())), reply -> answer(ctx, reply));
+            handler.handle(
+                    new Request(message.method().name(), target.path(), query, ByteBufUtil.getBytes(message.content())),
+                    reply -> answer(ctx, reply));
         }
 
         @Override
@@ -165,9 +174,11 @@
 
     private static void answer(ChannelHandlerContext ctx, Reply reply) {
         byte[] body = (reply.body().toPrettyString() + "\n").getBytes(StandardCharsets.UTF_8);
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
-        response.headers().set("Content-Type", "application/json").set("Content-Length", body.length)
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
+        response.headers()
+                .set("Content-Type", "application/json")
+                .set("Content-Length", body.length)
                 .set("Connection", "close");
         ctx.writeAndFlush(response).addListener(written -> ctx.close());
     }
--- a/src/main/java/sablehinge/admin/CallServer.java
+++ b/src/main/java/sablehinge/admin/CallServer.java
@@ -24,8 +24,8 @@
 import java.util.function.Function;
 
 /**
- * Takes operators' calls, one line a connection, and answers each with a line. Whoever connects and doesn't
- * finish a line holds up nobody: connections are bounded in number (the oldest gives way), bytes and time.
+ * Takes operators' calls, one line a connection, and answers each with a line. Whoever connects and doesn't finish a
+ * line holds up nobody: connections are bounded in number (the oldest gives way), bytes and time.
  */
 public final class CallServer {
 
@@ -33,6 +33,7 @@
     static final int MOST_CONNECTIONS = 16;
     /** Bytes of a line, its end included. */
     static final int MOST_BYTES = 512;
+
     private static final long PATIENCE_S = 15;
     /** How long a caller that has its answer may take to close. */
     private static final long LINGER_MS = 500;
@@ -52,15 +53,20 @@
 
     /** Listens at an address; waits until it does. */
     public void bind(InetSocketAddress address) throws IOException, InterruptedException {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.ALLOCATOR, memory)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.ALLOCATOR, memory)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel child) {
                         admit(child);
                     }
-                }).bind(address).await();
+                })
+                .bind(address)
+                .await();
         if (!bound.isSuccess()) {
             throw new IOException("cannot listen for operators on " + address + ": "
                     + bound.cause().getMessage());
--- a/src/main/java/sablehinge/admission/AdmissionController.java
+++ b/src/main/java/sablehinge/admission/AdmissionController.java
@@ -7,13 +7,12 @@
 import sablehinge.policy.LoadBalancer;
 
 /**
- * Admits requests to the one upstream of its machine: as many at once as it works on, a few that wait, and
- * refuses the rest, which proves that they have not run. All that reaches the upstream passes here, so what
- * is held here holds, however old the knowledge of the balancers elsewhere is: its slots, its life and its
- * drain.
+ * Admits requests to the one upstream of its machine: as many at once as it works on, a few that wait, and refuses the
+ * rest, which proves that they have not run. All that reaches the upstream passes here, so what is held here holds,
+ * however old the knowledge of the balancers elsewhere is: its slots, its life and its drain.
  *
- * <p>A request's {@code cost} is how long it may wait here, in ms; its {@code tenant} the rank, 0 being the
- * highest; its {@code key} the upstream's life that it is meant for.
+ * <p>A request's {@code cost} is how long it may wait here, in ms; its {@code tenant} the rank, 0 being the highest;
+ * its {@code key} the upstream's life that it is meant for.
  */
 public final class AdmissionController implements LoadBalancer {
 
--- a/src/main/java/sablehinge/admission/UpstreamLifecycle.java
+++ b/src/main/java/sablehinge/admission/UpstreamLifecycle.java
@@ -5,12 +5,12 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The lives of the upstream on the own machine, as its heartbeats and sign-offs tell them, and what follows
- * for the gate before it (PROTOCOL, "Which upstreams there are"; RULES, DRAIN). It decides only: events and
- * their times go in, the gate is opened and closed.
+ * The lives of the upstream on the own machine, as its heartbeats and sign-offs tell them, and what follows for the
+ * gate before it (PROTOCOL, "Which upstreams there are"; RULES, DRAIN). It decides only: events and their times go in,
+ * the gate is opened and closed.
  *
- * <p>Only a heartbeat opens the gate. A health answer names the life too, but not whether an earlier process
- * of this balancer has acknowledged that the life unloads, and it may be false.
+ * <p>Only a heartbeat opens the gate. A health answer names the life too, but not whether an earlier process of this
+ * balancer has acknowledged that the life unloads, and it may be false.
  */
 public final class UpstreamLifecycle {
 
@@ -20,6 +20,7 @@
     private static final double MISSING = 3.5;
     /** Earlier lives that are remembered, so that a late call of one is known. */
     private static final int MOST_FORMER = 64;
+
     private static final long SIGNED_OFF = Long.MAX_VALUE;
 
     /**
@@ -32,8 +33,7 @@
      * @param coldMs how much longer it is slow
      * @param callCount rises with each call of the life
      */
-    public record Heartbeat(String id, String service, boolean unloading, int berths, int coldMs,
-            long callCount) { }
+    public record Heartbeat(String id, String service, boolean unloading, int berths, int coldMs, long callCount) {}
 
     private final AdmissionController gate;
     private final ToLongFunction<String> lifeOf;
@@ -48,6 +48,7 @@
             return size() > MOST_FORMER;
         }
     };
+
     private Heartbeat current;
     private double firstHeardAt;
     private double heardAt;
@@ -62,8 +63,7 @@
      * @param unloadMs after an acknowledged {@code unloading} nothing new may reach the upstream
      * @param beatMs between two heartbeats
      */
-    public UpstreamLifecycle(AdmissionController gate, ToLongFunction<String> lifeOf, double unloadMs,
-            double beatMs) {
+    public UpstreamLifecycle(AdmissionController gate, ToLongFunction<String> lifeOf, double unloadMs, double beatMs) {
         this.gate = gate;
         this.lifeOf = lifeOf;
         this.unloadMs = unloadMs;
@@ -108,8 +108,8 @@
         boolean others = current.berths() != beat.berths();
         boolean changed = silent || others;
         // How long it stays cold was told once, and passes by itself: telling it anew would be news to all.
-        current = new Heartbeat(beat.id(), beat.service(), beat.unloading(), beat.berths(), current.coldMs(),
-                beat.callCount());
+        current = new Heartbeat(
+                beat.id(), beat.service(), beat.unloading(), beat.berths(), current.coldMs(), beat.callCount());
         heardAt = now;
         silent = false;
         if (others && !unloading) {
@@ -119,8 +119,8 @@
     }
 
     /**
-     * The gate closes at a time that is still ahead, or at once: where an upstream unloads so soon after this
-     * process first heard of it, the process before may have acknowledged that any time ago.
+     * The gate closes at a time that is still ahead, or at once: where an upstream unloads so soon after this process
+     * first heard of it, the process before may have acknowledged that any time ago.
      */
     private void leaves(double now, double at) {
         unloading = true;
--- a/src/main/java/sablehinge/api/ApiServer.java
+++ b/src/main/java/sablehinge/api/ApiServer.java
@@ -54,17 +54,21 @@
 
     /** Takes calls at an address. */
     public ChannelFuture listen(InetSocketAddress address) {
-        return server().channel(NioServerSocketChannel.class).option(ChannelOption.SO_REUSEADDR, true)
+        return server().channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
                 .bind(address);
     }
 
     /** Takes calls where the process listens already, those that wait in the backlog first. */
     public ChannelFuture adopt(ServerSocketChannel listening) {
-        return server().channelFactory(() -> new NioServerSocketChannel(listening)).register();
+        return server().channelFactory(() -> new NioServerSocketChannel(listening))
+                .register();
     }
 
     private ServerBootstrap server() {
-        return new ServerBootstrap().group(loop).childOption(ChannelOption.TCP_NODELAY, true)
+        return new ServerBootstrap()
+                .group(loop)
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -74,8 +78,8 @@
                         }
                         open.add(channel);
                         channel.closeFuture().addListener(closed -> open.remove(channel));
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(mostBytes),
-                                new Calls());
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(mostBytes), new Calls());
                     }
                 });
     }
@@ -93,15 +97,18 @@
         }
 
         private void rest(ChannelHandlerContext ctx) {
-            loop.schedule(() -> {
-                if (ctx.channel().isOpen()) {
-                    if (!busy && System.nanoTime() - calledAt > TimeUnit.SECONDS.toNanos(IDLE_S)) {
-                        ctx.close();
-                    } else {
-                        rest(ctx);
-                    }
-                }
-            }, IDLE_S, TimeUnit.SECONDS);
+            loop.schedule(
+                    () -> {
+                        if (ctx.channel().isOpen()) {
+                            if (!busy && System.nanoTime() - calledAt > TimeUnit.SECONDS.toNanos(IDLE_S)) {
+                                ctx.close();
+                            } else {
+                                rest(ctx);
+                            }
+                        }
+                    },
+                    IDLE_S,
+                    TimeUnit.SECONDS);
         }
 
         @Override
@@ -126,8 +133,11 @@
                 Operation<?, ?> operation = operation(request);
                 byte[] body = new byte[request.content().readableBytes()];
                 request.content().readBytes(body);
-                carry(ctx, operation, new Asked(path(request).substring(operation.path().length()),
-                        request.headers(), body), keep);
+                carry(
+                        ctx,
+                        operation,
+                        new Asked(path(request).substring(operation.path().length()), request.headers(), body),
+                        keep);
             } catch (CallException e) {
                 refused = e.reply();
             } catch (RuntimeException e) {
@@ -139,16 +149,16 @@
             }
         }
 
-        private <Q, A> void carry(ChannelHandlerContext ctx, Operation<Q, A> operation, Asked asked,
-                boolean keep) {
+        private <Q, A> void carry(ChannelHandlerContext ctx, Operation<Q, A> operation, Asked asked, boolean keep) {
             operation.carryOut(operation.read(asked), answer -> answer(ctx, operation.write(answer), keep));
         }
 
         private void answer(ChannelHandlerContext ctx, Reply reply, boolean keep) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
-            response.headers().set("Content-Length", reply.body().length)
-                    .set("Content-Type", "application/json");
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(reply.status()),
+                    Unpooled.wrappedBuffer(reply.body()));
+            response.headers().set("Content-Length", reply.body().length).set("Content-Type", "application/json");
             if (reply.location() != null) {
                 response.headers().set("Location", reply.location());
             }
@@ -190,7 +200,8 @@
         String path = path(request);
         boolean known = false;
         for (Operation<?, ?> one : operations) {
-            if (one.path().endsWith("/") ? path.startsWith(one.path()) && path.length() > one.path().length()
+            if (one.path().endsWith("/")
+                    ? path.startsWith(one.path()) && path.length() > one.path().length()
                     : path.equals(one.path())) {
                 known = true;
                 if (one.method().equals(request.method().name())) {
@@ -198,7 +209,8 @@
                 }
             }
         }
-        throw known ? new CallException(405, "METHOD", "this call has another method")
+        throw known
+                ? new CallException(405, "METHOD", "this call has another method")
                 : new CallException(404, "UNKNOWN", "no such call");
     }
 }
--- a/src/main/java/sablehinge/api/CheckException.java
+++ b/src/main/java/sablehinge/api/CheckException.java
@@ -39,7 +39,7 @@
      * @param place a JSON pointer, or line, column and byte (all from 1, the byte from 0) in what is no JSON
      * @param text what was expected there and what was found, in one line; it never tells a tenant's key
      */
-    public record Problem(Code code, String place, String text) { }
+    public record Problem(Code code, String place, String text) {}
 
     private final transient List<Problem> problems;
 
--- a/src/main/java/sablehinge/api/ConfigurationCheck.java
+++ b/src/main/java/sablehinge/api/ConfigurationCheck.java
@@ -11,13 +11,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.routing.Configuration;
 import sablehinge.api.CheckException.Code;
 import sablehinge.api.CheckException.Problem;
+import sablehinge.routing.Configuration;
 
 /**
- * Decides whether a configuration that an operator sent can be taken: first that its bytes are one whole JSON
- * value, then its form by a schema, then what holds between its parts. Any thread may call.
+ * Decides whether a configuration that an operator sent can be taken: first that its bytes are one whole JSON value,
+ * then its form by a schema, then what holds between its parts. Any thread may call.
  */
 public final class ConfigurationCheck {
 
@@ -35,13 +35,13 @@
             + "\"timeoutMs\":1,\"attempts\":1}}]}],\"fleets\":[{\"name\":\"s\",\"healthPath\":\"/h\","
             + "\"connCap\":1}]}";
 
-    private ConfigurationCheck() { }
+    private ConfigurationCheck() {}
 
     /**
      * The configuration in a body.
      *
-     * @throws CheckException if it is invalid; it names all problems that were found, the first ones of them
-     *     where there are many
+     * @throws CheckException if it is invalid; it names all problems that were found, the first ones of them where
+     *     there are many
      */
     public static Configuration check(byte[] body) {
         JsonNode root = tree(body);
@@ -60,7 +60,9 @@
      */
     public static void checkEdition(Configuration next, long currentEdition) {
         if (next.edition() <= currentEdition) {
-            throw new CheckException(Code.OLD_EDITION, "/edition",
+            throw new CheckException(
+                    Code.OLD_EDITION,
+                    "/edition",
                     "a number above " + currentEdition + " was expected, found " + next.edition());
         }
     }
@@ -74,15 +76,16 @@
         try {
             JsonNode root = Mapper.JSON.readTree(body);
             if (root == null || root.isMissingNode()) {
-                throw new CheckException(Code.NOT_JSON, ConfigurationReader.place(null),
+                throw new CheckException(
+                        Code.NOT_JSON,
+                        ConfigurationReader.place(null),
                         "one whole JSON object was expected, found nothing");
             }
             return root;
         } catch (JsonProcessingException e) {
             throw ConfigurationReader.notJson(e);
         } catch (IOException e) {
-            throw new CheckException(Code.NOT_JSON, ConfigurationReader.place(null),
-                    String.valueOf(e.getMessage()));
+            throw new CheckException(Code.NOT_JSON, ConfigurationReader.place(null), String.valueOf(e.getMessage()));
         }
     }
 
@@ -90,8 +93,12 @@
     private static final class Mapper {
 
         static final JsonMapper JSON = JsonMapper.builder(JsonFactory.builder()
-                .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-                .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
-                .build()).enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+                        .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                        .streamReadConstraints(StreamReadConstraints.builder()
+                                .maxNestingDepth(DEEPEST)
+                                .build())
+                        .build())
+                .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                .build();
     }
 }
--- a/src/main/java/sablehinge/api/ConfigurationReader.java
+++ b/src/main/java/sablehinge/api/ConfigurationReader.java
@@ -13,20 +13,19 @@
 import sablehinge.routing.Hosts;
 
 /**
- * Reads a configuration from bytes that {@link ConfigurationCheck} has passed, token by token: no schema, no
- * mapper, no lambda, little to load at start. Fields that it does not know are skipped.
+ * Reads a configuration from bytes that {@link ConfigurationCheck} has passed, token by token: no schema, no mapper, no
+ * lambda, little to load at start. Fields that it does not know are skipped.
  */
 public final class ConfigurationReader {
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private ConfigurationReader() { }
+    private ConfigurationReader() {}
 
     /**
-     * The configuration in a body. What may be missing: {@code senders} (no tenants), a tenant's
-     * {@code priority} (-1), {@code perS} and {@code burst} (0), a route's {@code open} (false),
-     * {@code priority} (0) and {@code targetMs} (its time-out). Of what else is missing, the empty value is
-     * taken: to refuse it is the check's part.
+     * The configuration in a body. What may be missing: {@code senders} (no tenants), a tenant's {@code priority} (-1),
+     * {@code perS} and {@code burst} (0), a route's {@code open} (false), {@code priority} (0) and {@code targetMs}
+     * (its time-out). Of what else is missing, the empty value is taken: to refuse it is the check's part.
      *
      * @throws CheckException where the bytes can't be read as a configuration at all
      */
@@ -43,13 +42,15 @@
 
     static CheckException notJson(JsonProcessingException e) {
         String why = e.getOriginalMessage().lines().findFirst().orElse("");
-        return new CheckException(CheckException.Code.NOT_JSON, place(e.getLocation()),
-                "one whole JSON object was expected: " + why);
+        return new CheckException(
+                CheckException.Code.NOT_JSON, place(e.getLocation()), "one whole JSON object was expected: " + why);
     }
 
     static String place(JsonLocation at) {
-        return at == null ? "line 1, column 1 (byte 0)" : "line " + at.getLineNr() + ", column "
-                + at.getColumnNr() + " (byte " + Math.max(0, at.getByteOffset()) + ")";
+        return at == null
+                ? "line 1, column 1 (byte 0)"
+                : "line " + at.getLineNr() + ", column " + at.getColumnNr() + " (byte "
+                        + Math.max(0, at.getByteOffset()) + ")";
     }
 
     private static Configuration configuration(JsonParser in) throws IOException {
@@ -147,8 +148,16 @@
             }
         }
         for (Configuration.Route route : own) {
-            routes.add(new Configuration.Route(route.name(), host[0], route.prefix(), route.kind(),
-                    route.targetMs(), route.priority(), route.open(), route.split(), route.timeoutMs(),
+            routes.add(new Configuration.Route(
+                    route.name(),
+                    host[0],
+                    route.prefix(),
+                    route.kind(),
+                    route.targetMs(),
+                    route.priority(),
+                    route.open(),
+                    route.split(),
+                    route.timeoutMs(),
                     route.attempts()));
         }
     }
@@ -175,8 +184,17 @@
                 default -> in.skipChildren();
             }
         }
-        return new Configuration.Route(name, "", prefix, kind, targetMs < 0 ? dispatch.timeoutMs : targetMs,
-                priority, open, dispatch.split, dispatch.timeoutMs, dispatch.attempts);
+        return new Configuration.Route(
+                name,
+                "",
+                prefix,
+                kind,
+                targetMs < 0 ? dispatch.timeoutMs : targetMs,
+                priority,
+                open,
+                dispatch.split,
+                dispatch.timeoutMs,
+                dispatch.attempts);
     }
 
     /** A kind that this version does not know is not one to repeat. */
@@ -235,7 +253,9 @@
     private static void expect(JsonParser in, JsonToken token) {
         if (in.currentToken() != token) {
             String pointer = in.getParsingContext().pathAsPointer().toString();
-            throw new CheckException(CheckException.Code.SCHEMA, pointer.isEmpty() ? "/" : pointer,
+            throw new CheckException(
+                    CheckException.Code.SCHEMA,
+                    pointer.isEmpty() ? "/" : pointer,
                     token + " was expected, found " + in.currentToken());
         }
     }
--- a/src/main/java/sablehinge/api/Form.java
+++ b/src/main/java/sablehinge/api/Form.java
@@ -26,7 +26,7 @@
     /** Letters in which a field's name may differ from the one that it was meant to be. */
     private static final int MISTYPED = 2;
 
-    private Form() { }
+    private Form() {}
 
     static List<Problem> problems(JsonNode root) {
         List<Problem> problems = new ArrayList<>();
@@ -42,21 +42,26 @@
             List<String> there = new ArrayList<>();
             message.getInstanceNode().fieldNames().forEachRemaining(there::add);
             String nearest = Nearest.of(message.getProperty(), there, MISTYPED);
-            return new Problem(Code.SCHEMA, place + "/" + message.getProperty(),
-                    "this field was expected, found none" + (nearest == null ? ""
-                            : "; the nearest one there is \"" + nearest + "\""));
+            return new Problem(
+                    Code.SCHEMA,
+                    place + "/" + message.getProperty(),
+                    "this field was expected, found none"
+                            + (nearest == null ? "" : "; the nearest one there is \"" + nearest + "\""));
         }
         JsonNode bound = message.getSchemaNode();
-        String expected = switch (message.getType()) {
-            case "type" -> words(bound);
-            case "enum" -> "one of " + bound;
-            case "minimum" -> "at least " + bound.asText();
-            case "maximum" -> "at most " + bound.asText();
-            case "minLength" -> "a text that is not empty";
-            case "minItems" -> "a list that is not empty";
-            default -> message.getType() + " " + bound;
-        };
-        return new Problem(Code.SCHEMA, place.isEmpty() ? "/" : place,
+        String expected =
+                switch (message.getType()) {
+                    case "type" -> words(bound);
+                    case "enum" -> "one of " + bound;
+                    case "minimum" -> "at least " + bound.asText();
+                    case "maximum" -> "at most " + bound.asText();
+                    case "minLength" -> "a text that is not empty";
+                    case "minItems" -> "a list that is not empty";
+                    default -> message.getType() + " " + bound;
+                };
+        return new Problem(
+                Code.SCHEMA,
+                place.isEmpty() ? "/" : place,
                 expected + " was expected, found " + found(message.getInstanceNode(), place));
     }
 
@@ -85,9 +90,13 @@
 
         private static JsonSchema load() {
             try (InputStream in = Form.class.getResourceAsStream(RESOURCE)) {
-                return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in,
-                        SchemaValidatorsConfig.builder().pathType(PathType.JSON_POINTER).locale(Locale.ROOT)
-                                .build());
+                return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+                        .getSchema(
+                                in,
+                                SchemaValidatorsConfig.builder()
+                                        .pathType(PathType.JSON_POINTER)
+                                        .locale(Locale.ROOT)
+                                        .build());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/main/java/sablehinge/api/Nearest.java
+++ b/src/main/java/sablehinge/api/Nearest.java
@@ -8,7 +8,7 @@
     /** Longer ones are not compared: the work grows with the square. */
     private static final int LONGEST = 64;
 
-    private Nearest() { }
+    private Nearest() {}
 
     /** The name with the fewest letters to change, add or drop; null where there is none. */
     public static String of(String given, Collection<String> names) {
--- a/src/main/java/sablehinge/api/Operation.java
+++ b/src/main/java/sablehinge/api/Operation.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * One call that upstreams, operators or the platform make: what is asked and what is answered are a pair of
- * types, and a {@link ApiServer} carries all of them alike.
+ * One call that upstreams, operators or the platform make: what is asked and what is answered are a pair of types, and
+ * a {@link ApiServer} carries all of them alike.
  *
  * @param <Q> what is asked
  * @param <A> what is answered
--- a/src/main/java/sablehinge/api/Query.java
+++ b/src/main/java/sablehinge/api/Query.java
@@ -10,7 +10,7 @@
 public abstract class Query<A> extends Headed<Query.Plain, A> {
 
     /** The question, which its path tells. */
-    public record Plain() { }
+    public record Plain() {}
 
     /** A GET at a path. */
     protected Query(String path) {
--- a/src/main/java/sablehinge/api/Reply.java
+++ b/src/main/java/sablehinge/api/Reply.java
@@ -22,10 +22,7 @@
         return new Reply(status, null, body);
     }
 
-    /**
-     * An answer whose body is a record. Its first call loads much: it belongs on a thread that nothing waits
-     * for.
-     */
+    /** An answer whose body is a record. Its first call loads much: it belongs on a thread that nothing waits for. */
     public static Reply of(int status, Record answer) {
         return new Reply(status, null, Wording.of(answer));
     }
@@ -37,9 +34,13 @@
 
     /** An error with a code, the place in what was sent, and words; place and words are plain text. */
     public static Reply error(int status, String code, String place, String words) {
-        return new Reply(status, null, ("{\"code\":\"" + code + "\""
-                + (place.isEmpty() ? "" : ",\"place\":\"" + escaped(place) + "\"")
-                + ",\"message\":\"" + escaped(words) + "\"}").getBytes(StandardCharsets.UTF_8));
+        return new Reply(
+                status,
+                null,
+                ("{\"code\":\"" + code + "\""
+                                + (place.isEmpty() ? "" : ",\"place\":\"" + escaped(place) + "\"")
+                                + ",\"message\":\"" + escaped(words) + "\"}")
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     /** Call elsewhere. */
