--- a/src/main/java/sablehinge/api/Sense.java
+++ b/src/main/java/sablehinge/api/Sense.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.routing.Hosts;
 import sablehinge.api.CheckException.Code;
 import sablehinge.api.CheckException.Problem;
+import sablehinge.routing.Hosts;
 
 /** What must hold between the parts of a configuration. What has not the right form is passed over here. */
 final class Sense {
@@ -57,8 +57,10 @@
             JsonNode name = one.path("name");
             String other = name.isTextual() ? known.putIfAbsent(name.asText(), place) : null;
             if (other != null) {
-                add(Code.SAME_NAME, place, "a name of its own was expected, found " + Form.found(name, place)
-                        + " as at " + other);
+                add(
+                        Code.SAME_NAME,
+                        place,
+                        "a name of its own was expected, found " + Form.found(name, place) + " as at " + other);
             }
         }
     }
@@ -73,7 +75,9 @@
             for (JsonNode key : tenant.path("passes")) {
                 Integer owner = key.isTextual() ? owners.putIfAbsent(key.asText(), at) : null;
                 if (owner != null && owner != at) {
-                    add(Code.SHARED_KEY, "/senders/" + at + "/passes/" + index,
+                    add(
+                            Code.SHARED_KEY,
+                            "/senders/" + at + "/passes/" + index,
                             "a key of this tenant alone was expected, found one of /senders/" + owner);
                 }
                 index++;
@@ -88,13 +92,18 @@
         }
         String prefix = given.asText();
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            add(Code.BAD_PREFIX, place, "a prefix that begins and ends with a slash was expected, found "
-                    + Form.found(given, place));
+            add(
+                    Code.BAD_PREFIX,
+                    place,
+                    "a prefix that begins and ends with a slash was expected, found " + Form.found(given, place));
         }
         String other = places.putIfAbsent(host + " " + prefix, place);
         if (other != null) {
-            add(Code.SAME_PLACE, place, "a prefix that no other route of this host has was expected, found "
-                    + Form.found(given, place) + " as at " + other);
+            add(
+                    Code.SAME_PLACE,
+                    place,
+                    "a prefix that no other route of this host has was expected, found " + Form.found(given, place)
+                            + " as at " + other);
         }
     }
 
@@ -112,19 +121,22 @@
             String its = place + "/split/" + at++;
             service(part.path("depot"), its + "/depot");
             if (part.path("share").asDouble() < 0) {
-                add(Code.BELOW_ZERO, its + "/share",
+                add(
+                        Code.BELOW_ZERO,
+                        its + "/share",
                         "0 or more was expected, found " + Form.found(part.path("share"), its));
             }
         }
         JsonNode timeout = dispatch.path("timeoutMs");
         if (timeout.asDouble() > LONGEST_MS) {
-            add(Code.LONG_TIMEOUT, place + "/timeoutMs",
+            add(
+                    Code.LONG_TIMEOUT,
+                    place + "/timeoutMs",
                     "600000 ms (ten minutes) or less was expected, found " + Form.found(timeout, place));
         }
         JsonNode attempts = dispatch.path("attempts");
         if (attempts.isNumber() && attempts.asDouble() < 1) {
-            add(Code.NO_ATTEMPTS, place + "/attempts",
-                    "1 or more was expected, found " + Form.found(attempts, place));
+            add(Code.NO_ATTEMPTS, place + "/attempts", "1 or more was expected, found " + Form.found(attempts, place));
         }
     }
 
@@ -132,9 +144,12 @@
         boolean told = problems.size() < ConfigurationCheck.MOST_PROBLEMS;
         if (told && name.isTextual() && !services.containsKey(name.asText())) {
             String nearest = Nearest.of(name.asText(), services.keySet());
-            add(Code.UNKNOWN_SERVICE, place, "a service of /fleets was expected, found "
-                    + Form.found(name, place)
-                    + (nearest == null ? "" : "; the nearest one is \"" + nearest + "\""));
+            add(
+                    Code.UNKNOWN_SERVICE,
+                    place,
+                    "a service of /fleets was expected, found "
+                            + Form.found(name, place)
+                            + (nearest == null ? "" : "; the nearest one is \"" + nearest + "\""));
         }
     }
 }
--- a/src/main/java/sablehinge/api/Wording.java
+++ b/src/main/java/sablehinge/api/Wording.java
@@ -8,13 +8,14 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Wording() { }
+    private Wording() {}
 
     static byte[] of(Record answer) {
         try {
             return JSON.writeValueAsBytes(answer);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("no JSON can be made of a " + answer.getClass().getName(), e);
+            throw new IllegalArgumentException(
+                    "no JSON can be made of a " + answer.getClass().getName(), e);
         }
     }
 }
--- a/src/main/java/sablehinge/api/mesh/Editions.java
+++ b/src/main/java/sablehinge/api/mesh/Editions.java
@@ -20,10 +20,9 @@
      *
      * @param basedOn the edition that it took the place of; null where that was not kept
      * @param bytes its length
-     * @param sum SHA-256 of its bytes in hexadecimal digits; FNV-1a of 64 bits where it was taken under a
-     *     state format before the third
-     * @param takenAt when the leader of that day took it up, by its time of day, ISO 8601; null where that
-     *     was not kept
+     * @param sum SHA-256 of its bytes in hexadecimal digits; FNV-1a of 64 bits where it was taken under a state format
+     *     before the third
+     * @param takenAt when the leader of that day took it up, by its time of day, ISO 8601; null where that was not kept
      */
-    public record Taken(long edition, Long basedOn, int bytes, String sum, String takenAt) { }
+    public record Taken(long edition, Long basedOn, int bytes, String sum, String takenAt) {}
 }
--- a/src/main/java/sablehinge/api/mesh/Machine.java
+++ b/src/main/java/sablehinge/api/mesh/Machine.java
@@ -7,4 +7,4 @@
  * @param control where operators call it
  * @param silentMs since it was last heard of; null where the one who says so doesn't listen for it
  */
-public record Machine(String member, String control, Long silentMs) { }
+public record Machine(String member, String control, Long silentMs) {}
--- a/src/main/java/sablehinge/api/mesh/MeshDuties.java
+++ b/src/main/java/sablehinge/api/mesh/MeshDuties.java
@@ -13,8 +13,16 @@
  * @param askers balancers that ask it for news
  * @param more pools that are left out
  */
-public record MeshDuties(String node, String control, long term, long leaseMs, long stamp, boolean complete,
-        int askers, List<Pool> pools, int more) {
+public record MeshDuties(
+        String node,
+        String control,
+        long term,
+        long leaseMs,
+        long stamp,
+        boolean complete,
+        int askers,
+        List<Pool> pools,
+        int more) {
 
     /** Duties whose list can't be changed. */
     public MeshDuties {
@@ -28,5 +36,5 @@
      * @param most that it holds
      * @param left in it now
      */
-    public record Pool(String tenant, double perS, double most, double left) { }
+    public record Pool(String tenant, double perS, double most, double left) {}
 }
--- a/src/main/java/sablehinge/api/mesh/MeshNodes.java
+++ b/src/main/java/sablehinge/api/mesh/MeshNodes.java
@@ -9,8 +9,8 @@
  * @param complete whether whoever lives has had the time to tell of itself
  * @param more balancers that are left out
  */
-public record MeshNodes(String leader, long term, boolean complete, List<Balancer> balancers, int more,
-        List<Machine> members) {
+public record MeshNodes(
+        String leader, long term, boolean complete, List<Balancer> balancers, int more, List<Machine> members) {
 
     /** Nodes whose lists can't be changed. */
     public MeshNodes {
@@ -23,11 +23,18 @@
      *
      * @param inbound where it takes requests for its upstream
      * @param upstream the id of the upstream's life; empty for none
-     * @param state {@code ready}; {@code draining}: the upstream or the balancer leaves; {@code empty}: no
-     *     upstream beside it; {@code gone}: nothing has been heard for long
+     * @param state {@code ready}; {@code draining}: the upstream or the balancer leaves; {@code empty}: no upstream
+     *     beside it; {@code gone}: nothing has been heard for long
      * @param berths requests that the upstream works on at once
      * @param silentMs since it was last heard of
      */
-    public record Balancer(String node, String zone, String inbound, String service, String upstream,
-            String state, int berths, long silentMs) { }
+    public record Balancer(
+            String node,
+            String zone,
+            String inbound,
+            String service,
+            String upstream,
+            String state,
+            int berths,
+            long silentMs) {}
 }
--- a/src/main/java/sablehinge/api/mesh/MeshStatus.java
+++ b/src/main/java/sablehinge/api/mesh/MeshStatus.java
@@ -14,8 +14,18 @@
  * @param members the latest list of members that it has
  * @param plane what is on the roll; null with one that does not lead, as it keeps none
  */
-public record MeshStatus(String node, String zone, String member, String control, String role, long term,
-        String leader, long commit, long edition, List<Machine> members, Plane plane) {
+public record MeshStatus(
+        String node,
+        String zone,
+        String member,
+        String control,
+        String role,
+        long term,
+        String leader,
+        long commit,
+        long edition,
+        List<Machine> members,
+        Plane plane) {
 
     /** A status whose list can't be changed. */
     public MeshStatus {
@@ -50,5 +60,5 @@
      * @param ready those of them that take new requests
      * @param berths requests that the ready ones work on at once
      */
-    public record Service(String name, int known, int ready, int berths) { }
+    public record Service(String name, int known, int ready, int berths) {}
 }
--- a/src/main/java/sablehinge/audit/Audit.java
+++ b/src/main/java/sablehinge/audit/Audit.java
@@ -63,9 +63,8 @@
             raw.mark(2);
             int magic = raw.read() | raw.read() << 8;
             raw.reset();
-            lines = new BufferedReader(new InputStreamReader(magic == 0x8b1f ? new GZIPInputStream(raw,
-                    1 << 16)
-                    : raw, StandardCharsets.UTF_8));
+            lines = new BufferedReader(new InputStreamReader(
+                    magic == 0x8b1f ? new GZIPInputStream(raw, 1 << 16) : raw, StandardCharsets.UTF_8));
             advance();
         }
 
@@ -106,8 +105,7 @@
         }
     }
 
-    /** Judges the run in a folder: its {@code terms.json} and all its {@code .jsonl} and {@code .jsonl.gz}
-     * files. */
+    /** Judges the run in a folder: its {@code terms.json} and all its {@code .jsonl} and {@code .jsonl.gz} files. */
     public static Audit of(Path folder) throws IOException {
         return of(folder, SHOWN);
     }
@@ -125,8 +123,7 @@
             for (Path file : files(folder)) {
                 sources.add(audit.new Source(file));
             }
-            PriorityQueue<Source> heads = new PriorityQueue<>(Comparator.comparingDouble(
-                    source -> source.next.at()));
+            PriorityQueue<Source> heads = new PriorityQueue<>(Comparator.comparingDouble(source -> source.next.at()));
             sources.stream().filter(source -> source.next != null).forEach(heads::add);
             while (!heads.isEmpty()) {
                 Source first = heads.poll();
@@ -147,9 +144,10 @@
 
     private static List<Path> files(Path folder) throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
-            return all.filter(file -> file.toString().endsWith(".jsonl") || file.toString()
-                    .endsWith(".jsonl.gz"))
-                    .sorted().toList();
+            return all.filter(file -> file.toString().endsWith(".jsonl")
+                            || file.toString().endsWith(".jsonl.gz"))
+                    .sorted()
+                    .toList();
         }
     }
 
@@ -203,7 +201,8 @@
         json.put("requests", requests());
         ObjectNode rules = json.putObject("breaches");
         byRule.forEach((rule, count) -> rules.put(name(rule), count));
-        json.put("unexplained", unexplained()).put("judged_early", judge.early())
+        json.put("unexplained", unexplained())
+                .put("judged_early", judge.early())
                 .put("unreadable", unreadableCount);
         unreadable.forEach(json.putArray("first_unreadable")::add);
         ArrayNode list = json.putArray("first_breaches");
@@ -246,9 +245,11 @@
         }
         for (Breach breach : shown.subList(0, Math.min(10, shown.size()))) {
             out.printf("%n%s: %s: %s%n", name(breach.rule()), breach.txn(), breach.what());
-            double from = breach.timeline().stream().mapToDouble(Evidence::at).min().orElse(0);
-            breach.timeline().forEach(evidence -> out.printf(Locale.ROOT, "  %+10.1f ms  %s%n",
-                    evidence.at() - from, line(evidence)));
+            double from =
+                    breach.timeline().stream().mapToDouble(Evidence::at).min().orElse(0);
+            breach.timeline()
+                    .forEach(evidence ->
+                            out.printf(Locale.ROOT, "  %+10.1f ms  %s%n", evidence.at() - from, line(evidence)));
         }
         out.flush();
     }
--- a/src/main/java/sablehinge/audit/EvidenceLines.java
+++ b/src/main/java/sablehinge/audit/EvidenceLines.java
@@ -24,12 +24,13 @@
 /** Evidence as lines of JSON, one for each. Times are ms since 1970; what never happened is left out. */
 final class EvidenceLines {
 
-    private static final JsonFactory FACTORY = JsonFactory.builder().streamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(8).build()).build();
+    private static final JsonFactory FACTORY = JsonFactory.builder()
+            .streamReadConstraints(
+                    StreamReadConstraints.builder().maxNestingDepth(8).build())
+            .build();
     private static final ObjectMapper JSON = new JsonMapper(FACTORY);
 
-    private EvidenceLines() {
-    }
+    private EvidenceLines() {}
 
     /** Writes one line. */
     static void write(Evidence one, Writer out) throws IOException {
@@ -139,36 +140,59 @@
         String event = json.path("ev").asText();
         double at = required(json, "at");
         return switch (event) {
-            case "tried" -> new Tried(at, text(json, "caller"), text(json, "balancer"), required(json,
-                    "txn", ""),
-                    text(json, "first"), text(json, "class"), text(json, "key"), time(json, "sent"),
-                    required(json, "until"), time(json, "answered"), choice(json, "end", End.class),
-                    json.path("status").asInt(0), choice(json, "echo", Echo.class));
-            case "ran" -> new Ran(at, required(json, "server", ""), text(json, "zone"), json.path("cell")
-                    .asInt(0),
-                    text(json, "balancer"), required(json, "txn", ""), text(json, "key"),
-                    text(json, "class"), text(json, "about"), required(json, "begun"), time(json, "taken"),
-                            choice(json, "how", How.class));
-            case "unasked" -> new Unasked(at, text(json, "caller"), text(json, "balancer"),
-                    required(json, "txn", ""));
-            case "told" -> new Told(at, required(json, "balancer", ""), required(json, "server", ""),
-                    required(json, "state", ""));
+            case "tried" ->
+                new Tried(
+                        at,
+                        text(json, "caller"),
+                        text(json, "balancer"),
+                        required(json, "txn", ""),
+                        text(json, "first"),
+                        text(json, "class"),
+                        text(json, "key"),
+                        time(json, "sent"),
+                        required(json, "until"),
+                        time(json, "answered"),
+                        choice(json, "end", End.class),
+                        json.path("status").asInt(0),
+                        choice(json, "echo", Echo.class));
+            case "ran" ->
+                new Ran(
+                        at,
+                        required(json, "server", ""),
+                        text(json, "zone"),
+                        json.path("cell").asInt(0),
+                        text(json, "balancer"),
+                        required(json, "txn", ""),
+                        text(json, "key"),
+                        text(json, "class"),
+                        text(json, "about"),
+                        required(json, "begun"),
+                        time(json, "taken"),
+                        choice(json, "how", How.class));
+            case "unasked" -> new Unasked(at, text(json, "caller"), text(json, "balancer"), required(json, "txn", ""));
+            case "told" ->
+                new Told(at, required(json, "balancer", ""), required(json, "server", ""), required(json, "state", ""));
             case "fell" -> new Fell(at, required(json, "server", ""), required(json, "informed"));
             case "ended" -> new Ended(at, required(json, "party", ""));
-            case "noted" -> new Noted(at, text(json, "balancer"), required(json, "txn", ""), text(json,
-                    "text"));
-            default -> throw new IllegalArgumentException("expected an ev of tried, ran, unasked, told, fell,"
-                    + " ended or noted");
+            case "noted" -> new Noted(at, text(json, "balancer"), required(json, "txn", ""), text(json, "text"));
+            default ->
+                throw new IllegalArgumentException(
+                        "expected an ev of tried, ran, unasked, told, fell," + " ended or noted");
         };
     }
 
     /** A line of the access log that a balancer writes by {@code node.access-log}. */
     private static Noted accessLog(JsonNode json) {
-        return new Noted(required(json, "at_ms"), "", required(json, "request", ""), text(json, "outcome")
-                + " after "
-                + json.path("attempts").asInt() + " attempts and " + json.path("ms").asDouble()
+        return new Noted(
+                required(json, "at_ms"),
+                "",
+                required(json, "request", ""),
+                text(json, "outcome")
+                        + " after "
+                        + json.path("attempts").asInt() + " attempts and "
+                        + json.path("ms").asDouble()
                         + " ms, version "
-                + json.path("version").asInt());
+                        + json.path("version").asInt());
     }
 
     private static String text(JsonNode json, String name) {
@@ -200,8 +224,11 @@
             return Enum.valueOf(type, json.path(name).asText().toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("expected in " + name + " one of "
-                    + String.join(", ", java.util.Arrays.stream(type.getEnumConstants())
-                    .map(EvidenceLines::name).toList()));
+                    + String.join(
+                            ", ",
+                            java.util.Arrays.stream(type.getEnumConstants())
+                                    .map(EvidenceLines::name)
+                                    .toList()));
         }
     }
 }
--- a/src/main/java/sablehinge/audit/Recorder.java
+++ b/src/main/java/sablehinge/audit/Recorder.java
@@ -18,14 +18,14 @@
 import sablehinge.judge.Evidence;
 
 /**
- * Writes down what parties saw, packed, on a thread of its own: who records never waits for the disk. What
- * comes
- * faster than it can be written is dropped and counted, and so is all after the disk has failed.
+ * Writes down what parties saw, packed, on a thread of its own: who records never waits for the disk. What comes faster
+ * than it can be written is dropped and counted, and so is all after the disk has failed.
  */
 public final class Recorder implements AutoCloseable {
 
     /** Evidence that waits to be written at most. */
     public static final int MOST_WAITING = 1 << 17;
+
     private static final int BATCH = 4_096;
 
     private final ArrayBlockingQueue<Evidence> waiting;
@@ -42,12 +42,16 @@
 
     Recorder(OutputStream file, int mostWaiting) throws IOException {
         waiting = new ArrayBlockingQueue<>(mostWaiting);
-        Writer out = new BufferedWriter(new OutputStreamWriter(new GZIPOutputStream(file, 1 << 16) {
-            {
-                // Fast rather than small: a day's record is written while the day is played.
-                def.setLevel(1);
-            }
-        }, StandardCharsets.UTF_8), 1 << 16);
+        Writer out = new BufferedWriter(
+                new OutputStreamWriter(
+                        new GZIPOutputStream(file, 1 << 16) {
+                            {
+                                // Fast rather than small: a day's record is written while the day is played.
+                                def.setLevel(1);
+                            }
+                        },
+                        StandardCharsets.UTF_8),
+                1 << 16);
         thread = new Thread(() -> write(out), "recorder");
         thread.setDaemon(true);
         thread.start();
--- a/src/main/java/sablehinge/audit/TermsFile.java
+++ b/src/main/java/sablehinge/audit/TermsFile.java
@@ -19,21 +19,25 @@
 
     /** Its name in the folder of a run. */
     public static final String NAME = "terms.json";
+
     private static final JsonMapper JSON = new JsonMapper();
 
-    private TermsFile() {
-    }
+    private TermsFile() {}
 
     /** Writes it into a folder. */
     public static void write(Path folder, Terms terms) throws IOException {
         ObjectNode json = JSON.createObjectNode();
-        json.put("answer_grace_ms", terms.answerGrace()).put("drain_grace_ms", terms.drainGrace())
-                .put("slack_ms", terms.slack()).put("hold_ms", terms.hold())
-                .put("callers_whole", terms.callersWhole()).put("servers_whole", terms.serversWhole());
+        json.put("answer_grace_ms", terms.answerGrace())
+                .put("drain_grace_ms", terms.drainGrace())
+                .put("slack_ms", terms.slack())
+                .put("hold_ms", terms.hold())
+                .put("callers_whole", terms.callersWhole())
+                .put("servers_whole", terms.serversWhole());
         ObjectNode classes = json.putObject("classes");
         terms.classes().forEach((name, type) -> classes.putObject(name)
                 .put("effect", type.effect().name().toLowerCase(Locale.ROOT))
-                .put("group", type.group().name().toLowerCase(Locale.ROOT)).put("window_ms", type.window()));
+                .put("group", type.group().name().toLowerCase(Locale.ROOT))
+                .put("window_ms", type.window()));
         Files.writeString(folder.resolve(NAME), json.toPrettyString() + "\n");
     }
 
@@ -48,13 +52,20 @@
             Map<String, ClassTerms> classes = new HashMap<>();
             for (Map.Entry<String, JsonNode> one : json.path("classes").properties()) {
                 JsonNode type = one.getValue();
-                classes.put(one.getKey(), new ClassTerms(
-                        Effect.valueOf(type.path("effect").asText().toUpperCase(Locale.ROOT)),
-                        Group.valueOf(type.path("group").asText("all").toUpperCase(Locale.ROOT)),
-                        type.path("window_ms").asDouble(0)));
+                classes.put(
+                        one.getKey(),
+                        new ClassTerms(
+                                Effect.valueOf(type.path("effect").asText().toUpperCase(Locale.ROOT)),
+                                Group.valueOf(type.path("group").asText("all").toUpperCase(Locale.ROOT)),
+                                type.path("window_ms").asDouble(0)));
             }
-            return new Terms(classes, number(json, "answer_grace_ms"), number(json, "drain_grace_ms"),
-                    number(json, "slack_ms"), number(json, "hold_ms"), json.path("callers_whole").asBoolean(),
+            return new Terms(
+                    classes,
+                    number(json, "answer_grace_ms"),
+                    number(json, "drain_grace_ms"),
+                    number(json, "slack_ms"),
+                    number(json, "hold_ms"),
+                    json.path("callers_whole").asBoolean(),
                     json.path("servers_whole").asBoolean());
         } catch (IOException | IllegalArgumentException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
--- a/src/main/java/sablehinge/budget/Budget.java
+++ b/src/main/java/sablehinge/budget/Budget.java
@@ -15,14 +15,18 @@
 
     /** Beyond these a budget is of no use to anybody, and so not readable. */
     public static final int MOST_ATTEMPTS = 10_000;
+
     public static final int MOST_HOPS = 16;
     static final double MOST_MS = 3_600_000;
     static final double MOST_WORTH = 1e9;
 
     /** Throws {@link IllegalArgumentException} for what is out of range. */
     public Budget {
-        if (attempts < 0 || attempts > MOST_ATTEMPTS || !(remaining >= 0 && remaining <= MOST_MS)
-                || !(worth >= 0 && worth <= MOST_WORTH) || path.size() > MOST_HOPS) {
+        if (attempts < 0
+                || attempts > MOST_ATTEMPTS
+                || !(remaining >= 0 && remaining <= MOST_MS)
+                || !(worth >= 0 && worth <= MOST_WORTH)
+                || path.size() > MOST_HOPS) {
             throw new IllegalArgumentException("a budget out of range");
         }
         path = List.copyOf(path);
--- a/src/main/java/sablehinge/budget/HeaderText.java
+++ b/src/main/java/sablehinge/budget/HeaderText.java
@@ -6,26 +6,31 @@
 import java.util.regex.Pattern;
 
 /**
- * The text of the two headers, {@code Sablehinge-Budget} down and {@code Sablehinge-Spent} up. With keys
- * all is signed, and what is not, or not rightly, is forged; without, all that can be read is taken.
+ * The text of the two headers, {@code Sablehinge-Budget} down and {@code Sablehinge-Spent} up. With keys all is signed,
+ * and what is not, or not rightly, is forged; without, all that can be read is taken.
  */
 public final class HeaderText {
 
     /** Longer than any that is written; a longer one is not looked at. */
     public static final int MOST_CHARS = 512;
+
     private static final int HEX = 16;
     private static final String NUMBER = "([0-9]{1,10}(?:\\.[0-9]{1,3})?)";
-    private static final Pattern SIGNED = Pattern.compile(
-            "([^;]+(?:;[^;]+)*);k=([A-Za-z0-9]{1,16});s=([0-9a-f]{32})");
-    private static final Pattern DOWN = Pattern.compile("v=1;g=([0-9a-f]{16});n=([0-9]{1,5});t=" + NUMBER
-            + ";w=" + NUMBER + ";p=((?:[0-9a-f]{12}(?:\\.[0-9a-f]{12}){0,15})?)");
+    private static final Pattern SIGNED = Pattern.compile("([^;]+(?:;[^;]+)*);k=([A-Za-z0-9]{1,16});s=([0-9a-f]{32})");
+    private static final Pattern DOWN = Pattern.compile("v=1;g=([0-9a-f]{16});n=([0-9]{1,5});t=" + NUMBER + ";w="
+            + NUMBER + ";p=((?:[0-9a-f]{12}(?:\\.[0-9a-f]{12}){0,15})?)");
     private static final Pattern UP = Pattern.compile("v=1;g=([0-9a-f]{16});n=([0-9]{1,5});again=([01])");
 
     /** How a header was read. */
-    public enum Kind { READ, MISSING, UNREADABLE, FORGED }
+    public enum Kind {
+        READ,
+        MISSING,
+        UNREADABLE,
+        FORGED
+    }
 
     /** What was read; {@code value} is null unless it is {@link Kind#READ}. */
-    public record Found<T>(Kind kind, T value) { }
+    public record Found<T>(Kind kind, T value) {}
 
     private final Keys keys;
 
@@ -46,8 +51,8 @@
 
     /** The header of an answer. */
     public String write(Report report) {
-        return sign("v=1;g=" + hex(report.grant()) + ";n=" + Math.min(report.spent(), Budget.MOST_ATTEMPTS)
-                + ";again=" + (report.again() ? 1 : 0));
+        return sign("v=1;g=" + hex(report.grant()) + ";n=" + Math.min(report.spent(), Budget.MOST_ATTEMPTS) + ";again="
+                + (report.again() ? 1 : 0));
     }
 
     /** Reads the header of a call; null where it has none. */
@@ -64,9 +69,14 @@
             }
         }
         try {
-            return new Found<>(Kind.READ, new Budget(Long.parseUnsignedLong(read.group(1), HEX),
-                    Integer.parseInt(read.group(2)), Double.parseDouble(read.group(3)),
-                    Double.parseDouble(read.group(4)), path));
+            return new Found<>(
+                    Kind.READ,
+                    new Budget(
+                            Long.parseUnsignedLong(read.group(1), HEX),
+                            Integer.parseInt(read.group(2)),
+                            Double.parseDouble(read.group(3)),
+                            Double.parseDouble(read.group(4)),
+                            path));
         } catch (IllegalArgumentException e) {
             return new Found<>(Kind.UNREADABLE, null);
         }
@@ -79,13 +89,16 @@
         if (read == null || !read.matches()) {
             return new Found<>(read == null ? body.kind() : Kind.UNREADABLE, null);
         }
-        return new Found<>(Kind.READ, new Report(Long.parseUnsignedLong(read.group(1), HEX),
-                Integer.parseInt(read.group(2)), read.group(3).equals("1")));
+        return new Found<>(
+                Kind.READ,
+                new Report(
+                        Long.parseUnsignedLong(read.group(1), HEX),
+                        Integer.parseInt(read.group(2)),
+                        read.group(3).equals("1")));
     }
 
     private String sign(String text) {
-        return keys == null ? text
-                : text + ";k=" + keys.signing() + ";s=" + keys.tag(keys.signing(), text);
+        return keys == null ? text : text + ";k=" + keys.signing() + ";s=" + keys.tag(keys.signing(), text);
     }
 
     private Found<String> verify(String text) {
--- a/src/main/java/sablehinge/budget/Keys.java
+++ b/src/main/java/sablehinge/budget/Keys.java
@@ -8,8 +8,8 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Secrets that the zones of an installation share: the first one signs, all of them verify, so that keys can
- * change one zone after another. HMAC-SHA256 (RFC 2104, FIPS 180-4), cut to 128 bits (RFC 2104, section 5).
+ * Secrets that the zones of an installation share: the first one signs, all of them verify, so that keys can change one
+ * zone after another. HMAC-SHA256 (RFC 2104, FIPS 180-4), cut to 128 bits (RFC 2104, section 5).
  */
 public final class Keys {
 
@@ -23,8 +23,7 @@
     /**
      * Keys by their names; the first one signs.
      *
-     * @throws IllegalArgumentException if there is none, a name is no letters and digits, or a secret is
-     * short
+     * @throws IllegalArgumentException if there is none, a name is no letters and digits, or a secret is short
      */
     public Keys(Map<String, byte[]> secrets) {
         if (secrets.isEmpty()) {
@@ -64,8 +63,7 @@
         byte[] whole = mac.doFinal();
         StringBuilder tag = new StringBuilder(2 * TAG_BYTES);
         for (int i = 0; i < TAG_BYTES; i++) {
-            tag.append(Character.forDigit(whole[i] >> 4 & 0xf,
-                    16)).append(Character.forDigit(whole[i] & 0xf, 16));
+            tag.append(Character.forDigit(whole[i] >> 4 & 0xf, 16)).append(Character.forDigit(whole[i] & 0xf, 16));
         }
         return tag.toString();
     }
--- a/src/main/java/sablehinge/budget/LeastTime.java
+++ b/src/main/java/sablehinge/budget/LeastTime.java
@@ -1,14 +1,15 @@
 package sablehinge.budget;
 
 /**
- * Learns how little time the tier below can do with: a low quantile of the latency of what it served, by
- * steps that are as likely up as down at the quantile (Robbins and Monro, 1951). While nothing is served it
- * sinks, so that a time when all was slow is not believed for ever.
+ * Learns how little time the tier below can do with: a low quantile of the latency of what it served, by steps that are
+ * as likely up as down at the quantile (Robbins and Monro, 1951). While nothing is served it sinks, so that a time when
+ * all was slow is not believed for ever.
  */
 public final class LeastTime {
 
     /** Share of calls that are served faster. */
     static final double QUANTILE = 0.05;
+
     private static final double STEP = 0.05;
     private static final int FIRST = 20;
     /** It halves in so many ms without news. */
--- a/src/main/java/sablehinge/budget/LoopWatch.java
+++ b/src/main/java/sablehinge/budget/LoopWatch.java
@@ -5,10 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Tells one loop from the next, so that each is reported once and not once a call. Bounded; the oldest
- * goes.
- */
+/** Tells one loop from the next, so that each is reported once and not once a call. Bounded; the oldest goes. */
 public final class LoopWatch {
 
     private final int most;
@@ -27,9 +24,7 @@
         };
     }
 
-    /**
-     * A call has closed a loop by this path, which ends where it came back; whether that loop is a new one.
-     */
+    /** A call has closed a loop by this path, which ends where it came back; whether that loop is a new one. */
     public boolean isNew(List<Long> path) {
         return seen.merge(loop(path), 1L, Long::sum) == 1;
     }
--- a/src/main/java/sablehinge/budget/PauseWatch.java
+++ b/src/main/java/sablehinge/budget/PauseWatch.java
@@ -1,8 +1,8 @@
 package sablehinge.budget;
 
 /**
- * Tells how long a call may have lain unread because the process stood still, so that a pause makes no
- * time: by a tick that ought to come every so often, and the clock that goes on meanwhile.
+ * Tells how long a call may have lain unread because the process stood still, so that a pause makes no time: by a tick
+ * that ought to come every so often, and the clock that goes on meanwhile.
  */
 public final class PauseWatch {
 
--- a/src/main/java/sablehinge/budget/Purses.java
+++ b/src/main/java/sablehinge/budget/Purses.java
@@ -9,11 +9,11 @@
 import java.util.SplittableRandom;
 
 /**
- * The budgets of one hop: which calls are taken in, how much each of their attempts may spend further down,
- * and what is left once it has come back. All calls that a server makes for one attempt of the tier above
- * draw on one purse, so that a fan-out does not multiply what they may spend. An attempt is granted a part of
- * the purse, which is gone until a report says what was spent of it; without a report it is spent. So the
- * attempts at the last tier never exceed what the first hop was given, whatever is lost on the way.
+ * The budgets of one hop: which calls are taken in, how much each of their attempts may spend further down, and what is
+ * left once it has come back. All calls that a server makes for one attempt of the tier above draw on one purse, so
+ * that a fan-out does not multiply what they may spend. An attempt is granted a part of the purse, which is gone until
+ * a report says what was spent of it; without a report it is spent. So the attempts at the last tier never exceed what
+ * the first hop was given, whatever is lost on the way.
  */
 public final class Purses {
 
@@ -39,6 +39,7 @@
         int open;
         /** Calls to which a first attempt is still owed, and grants that are out. */
         int owed;
+
         int out;
 
         Purse(long grant, double deadline, int left, int calls) {
@@ -83,8 +84,8 @@
         }
 
         /**
-         * Attempts that may still be made for it here: a first one with whatever there is, others with
-         * what they may need, once each of the calls that are still expected has its first.
+         * Attempts that may still be made for it here: a first one with whatever there is, others with what they may
+         * need, once each of the calls that are still expected has its first.
          */
         public int attempts() {
             int others = purse.owed - (first ? 1 : 0);
@@ -114,19 +115,19 @@
         /** What the attempt carries, written at the given time; null if too little time is left for that. */
         public Budget budget(double now) {
             double left = call.deadline - now - terms.wire();
-            return left <= 0 ? null : new Budget(id, attempts, Math.min(Budget.MOST_MS, left), call.worth,
-                    call.path);
+            return left <= 0 ? null : new Budget(id, attempts, Math.min(Budget.MOST_MS, left), call.worth, call.path);
         }
     }
 
     /** What becomes of a call that has come: the call, or why not and what goes back with that. */
-    public record Admission(Call call, Refusal refusal, List<Long> path, Report report) { }
+    public record Admission(Call call, Refusal refusal, List<Long> path, Report report) {}
 
     private final Terms terms;
     private final long service;
     private final SplittableRandom random;
     /** Those that were granted above, in the order of their last use, the longest ago first. */
     private final Map<Long, Purse> purses = new LinkedHashMap<>();
+
     private final Map<HeaderText.Kind, Long> read = new LinkedHashMap<>();
 
     /** The budgets of a hop that stands for a service; the seed names its grants. */
@@ -153,12 +154,11 @@
      * @param found its header
      * @param entry whether it is a client's, which carries no budget and is not trusted with one
      * @param remaining time in ms that its caller says it waits
-     * @param waited for how long it may have lain here before it was read: a pause of this process makes
-     *     no time
+     * @param waited for how long it may have lain here before it was read: a pause of this process makes no time
      * @param worth of its class, for a call that carries none
      */
-    public Admission arrive(double now, HeaderText.Found<Budget> found, boolean entry, double remaining,
-            double waited, double worth) {
+    public Admission arrive(
+            double now, HeaderText.Found<Budget> found, boolean entry, double remaining, double waited, double worth) {
         read.merge(found.kind(), 1L, Long::sum);
         Budget carried = entry ? null : found.value();
         List<Long> path = carried == null ? List.of() : carried.path();
@@ -181,8 +181,9 @@
             if (carried != null && purses.size() >= terms.purses() && !forget(now)) {
                 return refuse(Refusal.FULL, here, carried, null);
             }
-            int given = entry ? terms.attempts() : carried == null ? terms.unknown()
-                    : Math.min(terms.attempts(), carried.attempts());
+            int given = entry
+                    ? terms.attempts()
+                    : carried == null ? terms.unknown() : Math.min(terms.attempts(), carried.attempts());
             long grant = carried == null ? random.nextLong() : carried.grant();
             // Whoever makes one call for each client's request owes no others their first attempt.
             purse = new Purse(grant, deadline, given, entry || carried == null ? 1 : terms.calls());
@@ -206,8 +207,13 @@
     }
 
     private static Admission refuse(Refusal why, List<Long> path, Budget carried, Purse purse) {
-        return new Admission(null, why, path, carried == null ? null
-                : new Report(carried.grant(), purse == null ? 0 : purse.spent, why == Refusal.FULL));
+        return new Admission(
+                null,
+                why,
+                path,
+                carried == null
+                        ? null
+                        : new Report(carried.grant(), purse == null ? 0 : purse.spent, why == Refusal.FULL));
     }
 
     /** Makes room by one grant under which no call is open, those that no more can come of first. */
@@ -283,8 +289,8 @@
     /**
      * The call has its answer.
      *
-     * @param again whether the failure, if it is one, may be tried again at all. It is worth that at the tier
-     *     above if it was tried once here: where it was tried again, that one tier has done it for all
+     * @param again whether the failure, if it is one, may be tried again at all. It is worth that at the tier above if
+     *     it was tried once here: where it was tried again, that one tier has done it for all
      * @return what goes back with it
      */
     public Report close(Call call, boolean again) {
--- a/src/main/java/sablehinge/budget/Report.java
+++ b/src/main/java/sablehinge/budget/Report.java
@@ -7,4 +7,4 @@
  * @param spent attempts at the last tier that were made on it so far, 0 and more
  * @param again whether a failure is worth another try at the tier above
  */
-public record Report(long grant, int spent, boolean again) { }
+public record Report(long grant, int spent, boolean again) {}
--- a/src/main/java/sablehinge/budget/Shedder.java
+++ b/src/main/java/sablehinge/budget/Shedder.java
@@ -5,14 +5,15 @@
 import java.util.SplittableRandom;
 
 /**
- * What a lower tier gives up first when it has more than it can do: the least worth per unit of work, over
- * all its callers, by the worth that was carried down. A part of everything is let in all the same, so that
- * the cheap class does not starve, and a caller that claims more than its share is scaled down to that.
+ * What a lower tier gives up first when it has more than it can do: the least worth per unit of work, over all its
+ * callers, by the worth that was carried down. A part of everything is let in all the same, so that the cheap class
+ * does not starve, and a caller that claims more than its share is scaled down to that.
  */
 public final class Shedder {
 
     /** Calls over which worth per work is ranked. */
     private static final int RANKED = 256;
+
     private static final int MOST_CALLERS = 1_000;
     private static final double FADE_MS = 10_000;
     private static final double UP_PER_S = 0.9;
@@ -56,6 +57,7 @@
             return size() > MOST_CALLERS;
         }
     };
+
     private final Claim all = new Claim();
     private double pressure;
     private double feltAt;
@@ -75,8 +77,7 @@
     public void felt(double now, boolean overload) {
         double seconds = Math.min(LONGEST_GAP_MS, Math.max(0, now - feltAt)) / 1_000;
         feltAt = now;
-        pressure = Math.min(MOST_PRESSURE, Math.max(0,
-                pressure + (overload ? UP_PER_S : -DOWN_PER_S) * seconds));
+        pressure = Math.min(MOST_PRESSURE, Math.max(0, pressure + (overload ? UP_PER_S : -DOWN_PER_S) * seconds));
     }
 
     /**
@@ -104,8 +105,7 @@
         }
         double given = pressure * whole;
         // All that is worth less goes first; of its equals the part that is still wanting.
-        return below >= given || equal > 0 && below + equal > given
-                && random.nextDouble() >= (given - below) / equal;
+        return below >= given || equal > 0 && below + equal > given && random.nextDouble() >= (given - below) / equal;
     }
 
     private double counted(double now, String caller, double worth) {
@@ -116,8 +116,7 @@
         all.worth += worth;
         double others = all.worth - own.worth;
         // Alone it may have all; beside others no more than its share of what both make together.
-        double allowed = terms.share() >= 1 || others <= 0 ? own.worth
-                : others * terms.share() / (1 - terms.share());
+        double allowed = terms.share() >= 1 || others <= 0 ? own.worth : others * terms.share() / (1 - terms.share());
         return own.worth <= allowed ? worth : worth * allowed / own.worth;
     }
 
--- a/src/main/java/sablehinge/change/ChangeDecider.java
+++ b/src/main/java/sablehinge/change/ChangeDecider.java
@@ -8,19 +8,14 @@
 import sablehinge.change.Shares.Outcome;
 
 /**
- * Decides on changes of the configuration: what may be staged and applied, when a change is undone, when it
- * is
- * kept. Events go in with their time, in ms; what is to be done comes out of {@link Actions}. It has no
- * clock,
- * thread or file of its own.
+ * Decides on changes of the configuration: what may be staged and applied, when a change is undone, when it is kept.
+ * Events go in with their time, in ms; what is to be done comes out of {@link Actions}. It has no clock, thread or file
+ * of its own.
  *
- * <p>A version goes through these states: staged; then, once applied, <em>marked</em> on disk, so that a
- * crash
- * finds it unconfirmed; <em>preparing</em>, while its listeners are bound and its servers reached, with all
- * traffic
- * still under the version before; <em>on trial</em>, while requests arrive under it and it is watched; then
- * <em>confirming</em>, while that is written down, and confirmed. Out of any of these but the last it can be
- * undone, which needs no disk.
+ * <p>A version goes through these states: staged; then, once applied, <em>marked</em> on disk, so that a crash finds it
+ * unconfirmed; <em>preparing</em>, while its listeners are bound and its servers reached, with all traffic still under
+ * the version before; <em>on trial</em>, while requests arrive under it and it is watched; then <em>confirming</em>,
+ * while that is written down, and confirmed. Out of any of these but the last it can be undone, which needs no disk.
  */
 public final class ChangeDecider {
 
@@ -32,7 +27,13 @@
     private static final int BEFORE = 60;
 
     /** Where the change under way stands. */
-    public enum Phase { NONE, MARKING, PREPARING, TRIAL, CONFIRMING }
+    public enum Phase {
+        NONE,
+        MARKING,
+        PREPARING,
+        TRIAL,
+        CONFIRMING
+    }
 
     /** What the decider asks for; it hears the ends of the first three by events. */
     public interface Actions {
@@ -66,11 +67,16 @@
      * @param leastCount answers below which a share proves nothing
      * @param automatic whether a change that stood its trial is confirmed by itself
      */
-    public record Terms(double confirmWithin, double readyWithin, double failedRise, double refusedRise,
-            int leastCount, boolean automatic) { }
+    public record Terms(
+            double confirmWithin,
+            double readyWithin,
+            double failedRise,
+            double refusedRise,
+            int leastCount,
+            boolean automatic) {}
 
     /** An ended change; {@code reason} is empty where it was confirmed. */
-    public record Past(int version, double at, boolean kept, String reason) { }
+    public record Past(int version, double at, boolean kept, String reason) {}
 
     /** What an operator is answered: done, or why not. */
     public record Reply(boolean done, String message) {
@@ -113,9 +119,9 @@
             // Nobody can apply those any more.
             staged.values().removeIf(over -> over != confirmed);
         }
-        return staged.size() < MOST_STAGED ? Reply.yes("")
-                : Reply.no(MOST_STAGED + " versions are staged already; apply or drop one of "
-                        + staged.keySet());
+        return staged.size() < MOST_STAGED
+                ? Reply.yes("")
+                : Reply.no(MOST_STAGED + " versions are staged already; apply or drop one of " + staged.keySet());
     }
 
     /** A version was staged over a base. */
@@ -128,7 +134,8 @@
         if (version == candidate) {
             return Reply.no(busy());
         }
-        return staged.remove(version) == null ? Reply.no("version " + version + " is not staged")
+        return staged.remove(version) == null
+                ? Reply.no("version " + version + " is not staged")
                 : Reply.yes("version " + version + " is dropped");
     }
 
@@ -142,8 +149,8 @@
             return Reply.no("version " + version + " is not staged");
         }
         if (base != confirmed) {
-            return Reply.no("version " + version + " was staged over version " + base + ", but version "
-                    + confirmed + " is current");
+            return Reply.no("version " + version + " was staged over version " + base + ", but version " + confirmed
+                    + " is current");
         }
         staged.remove(version);
         candidate = version;
@@ -193,8 +200,12 @@
     }
 
     private String last() {
-        return past.isEmpty() ? "" : "; version " + past.peekLast().version()
-                + (past.peekLast().kept() ? " was confirmed" : " was undone: " + past.peekLast().reason());
+        return past.isEmpty()
+                ? ""
+                : "; version " + past.peekLast().version()
+                        + (past.peekLast().kept()
+                                ? " was confirmed"
+                                : " was undone: " + past.peekLast().reason());
     }
 
     // ---- What happens -------------------------------------------------------------------------------
@@ -224,8 +235,8 @@
         phase = Phase.TRIAL;
         deadline = now + terms.confirmWithin();
         during = new Shares();
-        guards = List.of(guard(now, Outcome.FAILED, terms.failedRise()),
-                guard(now, Outcome.REFUSED, terms.refusedRise()));
+        guards = List.of(
+                guard(now, Outcome.FAILED, terms.failedRise()), guard(now, Outcome.REFUSED, terms.refusedRise()));
         actions.begin(version);
     }
 
--- a/src/main/java/sablehinge/change/RiseGuard.java
+++ b/src/main/java/sablehinge/change/RiseGuard.java
@@ -4,14 +4,12 @@
 import sablehinge.change.Shares.Outcome;
 
 /**
- * Whether a share of answers has risen over a bound against what it was before a change. A few answers prove
- * nothing: the lower end of the Wilson score interval (E. B. Wilson, JASA 22, 1927) must lie over the bound,
- * over
- * at least a stated count, at several checks in a row that each saw new answers.
+ * Whether a share of answers has risen over a bound against what it was before a change. A few answers prove nothing:
+ * the lower end of the Wilson score interval (E. B. Wilson, JASA 22, 1927) must lie over the bound, over at least a
+ * stated count, at several checks in a row that each saw new answers.
  *
- * <p>Does harm where trouble of another cause begins with a change: it is then undone for nothing, which is
- * the
- * cheaper error.
+ * <p>Does harm where trouble of another cause begins with a change: it is then undone for nothing, which is the cheaper
+ * error.
  */
 public final class RiseGuard {
 
@@ -52,9 +50,16 @@
         seen = all;
         long bad = shares.of(now, WINDOW, outcome);
         agreed = all >= leastCount && lowerEnd(bad, all) > bound ? agreed + 1 : 0;
-        return agreed < CHECKS ? null : String.format(Locale.ROOT,
-                "%s answers rose from %.1f%% to %.1f%% (%d of %d)",
-                outcome.name().toLowerCase(Locale.ROOT), 100 * before, 100.0 * bad / all, bad, all);
+        return agreed < CHECKS
+                ? null
+                : String.format(
+                        Locale.ROOT,
+                        "%s answers rose from %.1f%% to %.1f%% (%d of %d)",
+                        outcome.name().toLowerCase(Locale.ROOT),
+                        100 * before,
+                        100.0 * bad / all,
+                        bad,
+                        all);
     }
 
     /** The lower end of the Wilson score interval of a share. */
--- a/src/main/java/sablehinge/change/Shares.java
+++ b/src/main/java/sablehinge/change/Shares.java
@@ -6,10 +6,15 @@
 public final class Shares {
 
     /** How an answer ended. */
-    public enum Outcome { SERVED, REFUSED, FAILED }
+    public enum Outcome {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /** The longest span that can be asked for, in seconds. */
     public static final int SECONDS = 60;
+
     private static final double MS = 1_000;
 
     private final long[][] counts = new long[SECONDS][Outcome.values().length];
--- a/src/main/java/sablehinge/cli/AdminClient.java
+++ b/src/main/java/sablehinge/cli/AdminClient.java
@@ -23,14 +23,15 @@
     private final String token;
 
     /** An answer: its status and its body. */
-    record Answer(int status, JsonNode body) { }
+    record Answer(int status, JsonNode body) {}
 
     /** A client of a Unix socket, by its path, or of a loopback port with a token. */
     AdminClient(String place, String token) throws IOException {
         this.place = place;
         this.token = token;
         try {
-            address = place.matches("[\\[\\]0-9a-fA-F.:]+:[0-9]+") ? Addresses.parse(place)
+            address = place.matches("[\\[\\]0-9a-fA-F.:]+:[0-9]+")
+                    ? Addresses.parse(place)
                     : UnixDomainSocketAddress.of(Path.of(place));
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
--- a/src/main/java/sablehinge/cli/AuditCommand.java
+++ b/src/main/java/sablehinge/cli/AuditCommand.java
@@ -8,7 +8,10 @@
 import sablehinge.audit.Audit;
 
 /** Judges a run. */
-@Command(name = "audit", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+@Command(
+        name = "audit",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Versions.class,
         description = "Judges the four rules by what callers and servers of a run saw. Exits with 0 if "
                 + "none was "
                 + "broken, 1 if one was, 2 if the folder can't be read.")
--- a/src/main/java/sablehinge/cli/Commands.java
+++ b/src/main/java/sablehinge/cli/Commands.java
@@ -17,15 +17,26 @@
 import sablehinge.node.OperatorNode;
 
 /**
- * The operators' verbs. Exit status 0: done; 1: refused, with the reason; 2: a bad command line or file. The
- * platform's {@code serve} and {@code wire} don't come here, so that they needn't load a command line.
+ * The operators' verbs. Exit status 0: done; 1: refused, with the reason; 2: a bad command line or file. The platform's
+ * {@code serve} and {@code wire} don't come here, so that they needn't load a command line.
  */
-@Command(name = "sablehinge", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+@Command(
+        name = "sablehinge",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Versions.class,
         description = "A load balancer that runs inside every caller.",
         footer = "The verbs about a mesh are told by: mesh help",
-        subcommands = {Commands.Serve.class, Commands.Wire.class, Commands.Check.class,
-            ConfigCommand.class, ReplayCommand.class, StandInCommand.class, AuditCommand.class,
-                    DemoCommand.class, RecorderCommand.class})
+        subcommands = {
+            Commands.Serve.class,
+            Commands.Wire.class,
+            Commands.Check.class,
+            ConfigCommand.class,
+            ReplayCommand.class,
+            StandInCommand.class,
+            AuditCommand.class,
+            DemoCommand.class,
+            RecorderCommand.class
+        })
 final class Commands implements Callable<Integer> {
 
     static final int REFUSED = 1;
@@ -50,7 +61,8 @@
 
     /** An exception's words in one line; its kind where it has none. */
     static String message(Throwable e) {
-        String first = e.getMessage() == null ? "" : e.getMessage().lines().findFirst().orElse("");
+        String first =
+                e.getMessage() == null ? "" : e.getMessage().lines().findFirst().orElse("");
         return first.isEmpty() ? e.getClass().getSimpleName() : first;
     }
 
@@ -63,9 +75,9 @@
 
     @Override
     public Integer call() {
-        throw new ParameterException(spec.commandLine(),
-                "expected a verb: serve, check, config, replay, standin, audit, demo, recorder, mesh or "
-                + "wire");
+        throw new ParameterException(
+                spec.commandLine(),
+                "expected a verb: serve, check, config, replay, standin, audit, demo, recorder, mesh or " + "wire");
     }
 
     /** The version that the build wrote into the packed program. */
@@ -104,7 +116,10 @@
     }
 
     /** Runs one balancer. */
-    @Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = Versions.class,
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
+            versionProvider = Versions.class,
             description = "Runs one balancer in the foreground: by an operator file, or, without one, by the "
                     + "platform's file that $PROXY_CONFIG names.")
     static final class Serve extends Verb {
@@ -112,9 +127,10 @@
         @Option(names = "--operator", paramLabel = "FILE", description = "The operator file.")
         private Path operator;
 
-        @Option(names = "--adopt",
+        @Option(
+                names = "--adopt",
                 description = "Serve the operator file as a new confirmed version, also where "
-                + "another one was confirmed last.")
+                        + "another one was confirmed last.")
         private boolean adopt;
 
         @Override
@@ -143,7 +159,10 @@
     }
 
     /** Speaks the simulator's wire. */
-    @Command(name = "wire", mixinStandardHelpOptions = true, versionProvider = Versions.class,
+    @Command(
+            name = "wire",
+            mixinStandardHelpOptions = true,
+            versionProvider = Versions.class,
             description = "Takes the same decisions on the simulator's wire, on standard input and output.")
     static final class Wire extends Verb {
 
@@ -155,13 +174,15 @@
     }
 
     /** Checks an operator file. */
-    @Command(name = "check", mixinStandardHelpOptions = true, versionProvider = Versions.class,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            versionProvider = Versions.class,
             description = "Checks an operator file. Exits with 0 if it can be served, else with 2 and every "
                     + "error as FILE:LINE: key: what is wrong, what was expected.")
     static final class Check extends Verb {
 
-        @Option(names = "--operator", required = true, paramLabel = "FILE",
-                description = "The operator file.")
+        @Option(names = "--operator", required = true, paramLabel = "FILE", description = "The operator file.")
         private Path operator;
 
         @Override
--- a/src/main/java/sablehinge/cli/ConfigCommand.java
+++ b/src/main/java/sablehinge/cli/ConfigCommand.java
@@ -26,12 +26,21 @@
 import sablehinge.config.operator.Problem;
 
 /** Changes the configuration of a running balancer, as a transaction. */
-@Command(name = "config", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Versions.class,
         description = "Changes the configuration of a running balancer: stage a file, look at the difference,"
                 + " apply it, confirm it; what is not confirmed in time, or fails, is undone.",
-        subcommands = {ConfigCommand.Stage.class, ConfigCommand.Diff.class, ConfigCommand.Apply.class,
-            ConfigCommand.Confirm.class, ConfigCommand.Rollback.class, ConfigCommand.Drop.class,
-            ConfigCommand.Status.class})
+        subcommands = {
+            ConfigCommand.Stage.class,
+            ConfigCommand.Diff.class,
+            ConfigCommand.Apply.class,
+            ConfigCommand.Confirm.class,
+            ConfigCommand.Rollback.class,
+            ConfigCommand.Drop.class,
+            ConfigCommand.Status.class
+        })
 final class ConfigCommand implements Callable<Integer> {
 
     @Spec
@@ -39,20 +48,25 @@
 
     @Override
     public Integer call() {
-        throw new ParameterException(spec.commandLine(),
-                "expected one of stage, diff, apply, confirm, rollback, drop, status");
+        throw new ParameterException(
+                spec.commandLine(), "expected one of stage, diff, apply, confirm, rollback, drop, status");
     }
 
     /** How a running balancer is found. */
     static final class Place {
 
-        @Option(names = "--operator", paramLabel = "FILE", description = "The operator file of the running "
-                + "balancer, which tells where its admin listener is.")
+        @Option(
+                names = "--operator",
+                paramLabel = "FILE",
+                description =
+                        "The operator file of the running " + "balancer, which tells where its admin listener is.")
         private Path operator;
 
-        @Option(names = "--admin", paramLabel = "SOCKET|HOST:PORT",
+        @Option(
+                names = "--admin",
+                paramLabel = "SOCKET|HOST:PORT",
                 description = "Its admin listener: the path "
-                + "of a Unix socket or a loopback port. Default: sablehinge-state/admin.sock.")
+                        + "of a Unix socket or a loopback port. Default: sablehinge-state/admin.sock.")
         private String admin;
     }
 
@@ -62,8 +76,7 @@
         @ArgGroup
         private Place place = new Place();
 
-        @Option(names = "--token-file", paramLabel = "FILE",
-                description = "The file of the token for a port.")
+        @Option(names = "--token-file", paramLabel = "FILE", description = "The file of the token for a port.")
         private Path tokenFile;
 
         @Option(names = "--json", description = "Print the balancer's answer as JSON.")
@@ -80,20 +93,23 @@
                     admin = folder.resolve("sablehinge-state/admin.sock").toString();
                 } else if (checked.config().admin().listen() == null) {
                     admin = folder.resolve(checked.config().node().state())
-                            .resolve(checked.config().admin().socket()).toString();
+                            .resolve(checked.config().admin().socket())
+                            .toString();
                 } else {
                     admin = checked.config().admin().listen().getAddress().getHostAddress() + ":"
                             + checked.config().admin().listen().getPort();
-                    token = token == null ? folder.resolve(checked.config().admin().tokenFile()) : token;
+                    token = token == null
+                            ? folder.resolve(checked.config().admin().tokenFile())
+                            : token;
                 }
             }
-            return new AdminClient(admin == null ? "sablehinge-state/admin.sock" : admin,
+            return new AdminClient(
+                    admin == null ? "sablehinge-state/admin.sock" : admin,
                     token == null ? null : Files.readString(token).strip());
         }
 
         /** Asks the balancer; {@code said} prints an answer that it is willing to give. */
-        final int ask(String method, String target, byte[] body, Consumer<JsonNode> said)
-                throws IOException {
+        final int ask(String method, String target, byte[] body, Consumer<JsonNode> said) throws IOException {
             Answer answer = client().ask(method, target, body);
             if (json) {
                 out().println(answer.body().toPrettyString());
@@ -101,17 +117,19 @@
                 said.accept(answer.body());
             } else if (answer.body().has("problems")) {
                 List<Problem> problems = new ArrayList<>();
-                answer.body().path("problems").forEach(p -> problems.add(new Problem(p.path("line").asInt(),
-                        p.path("key").asText(), p.path("message").asText())));
+                answer.body()
+                        .path("problems")
+                        .forEach(p -> problems.add(new Problem(
+                                p.path("line").asInt(),
+                                p.path("key").asText(),
+                                p.path("message").asText())));
                 report(file(), problems);
             } else {
-                err().println("sablehinge: " + answer.body().path("error").asText("status "
-                        + answer.status()));
+                err().println("sablehinge: " + answer.body().path("error").asText("status " + answer.status()));
             }
             out().flush();
             err().flush();
-            return answer.status() == 200 ? 0 : answer.status() == 422 ? Commands.BAD_INPUT
-                    : Commands.REFUSED;
+            return answer.status() == 200 ? 0 : answer.status() == 422 ? Commands.BAD_INPUT : Commands.REFUSED;
         }
 
         final JsonNode fetch(String target) throws IOException {
@@ -132,7 +150,7 @@
                 return named;
             }
             int newest = 0;
-            for (var names = fetch("/config/status").path("staged").fieldNames(); names.hasNext();) {
+            for (var names = fetch("/config/status").path("staged").fieldNames(); names.hasNext(); ) {
                 newest = Math.max(newest, Integer.parseInt(names.next()));
             }
             if (newest == 0) {
@@ -143,16 +161,21 @@
     }
 
     /** Puts a file down as a version. */
-    @Command(name = "stage", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "stage",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Checks a file and puts it down as a version, without applying it.")
     static final class Stage extends AdminVerb {
 
         @Parameters(paramLabel = "FILE", description = "The file.")
         private Path file;
 
-        @Option(names = "--base", paramLabel = "VERSION",
+        @Option(
+                names = "--base",
+                paramLabel = "VERSION",
                 description = "The version that the file was made from; "
-                + "refused if that is no longer the confirmed one. Default: the confirmed one.")
+                        + "refused if that is no longer the confirmed one. Default: the confirmed one.")
         private int base;
 
         @Override
@@ -169,13 +192,16 @@
                 report(file, List.of(new Problem(0, "", e.getMessage())));
                 return Commands.BAD_INPUT;
             }
-            return ask("POST", "/config/stage?base=" + base, content,
-                    said -> out().println("version " + said.path("version").asInt() + " is staged"));
+            return ask("POST", "/config/stage?base=" + base, content, said -> out().println(
+                            "version " + said.path("version").asInt() + " is staged"));
         }
     }
 
     /** Shows what a staged version would change. */
-    @Command(name = "diff", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "diff",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Shows what a staged version would change in the confirmed one.")
     static final class Diff extends AdminVerb {
 
@@ -188,8 +214,12 @@
             JsonNode confirmed = fetch("/config/content");
             List<String> before = confirmed.path("content").asText().lines().toList();
             List<String> after = staged.path("content").asText().lines().toList();
-            UnifiedDiffUtils.generateUnifiedDiff("version " + confirmed.path("version").asInt(),
-                    "version " + staged.path("version").asInt(), before, DiffUtils.diff(before, after), 3)
+            UnifiedDiffUtils.generateUnifiedDiff(
+                            "version " + confirmed.path("version").asInt(),
+                            "version " + staged.path("version").asInt(),
+                            before,
+                            DiffUtils.diff(before, after),
+                            3)
                     .forEach(out()::println);
             out().flush();
             return 0;
@@ -197,7 +227,10 @@
     }
 
     /** Applies a staged version. */
-    @Command(name = "apply", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "apply",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Applies a staged version. It is on trial until it is confirmed, and undone if"
                     + " that doesn't come in time.")
     static final class Apply extends AdminVerb {
@@ -207,9 +240,10 @@
         @Parameters(paramLabel = "VERSION", arity = "0..1", description = "Default: the newest staged one.")
         private int version;
 
-        @Option(names = "--confirm-within", paramLabel = "TIME",
-                description = "Such as 30s. Default: what the "
-                + "version's file says under change.confirm-within.")
+        @Option(
+                names = "--confirm-within",
+                paramLabel = "TIME",
+                description = "Such as 30s. Default: what the " + "version's file says under change.confirm-within.")
         private String within;
 
         @Option(names = "--auto", description = "Confirm it by itself if it stands its trial.")
@@ -223,19 +257,26 @@
                 if (!time.matches()) {
                     throw misuse("--confirm-within: expected a time such as 30s, found " + within);
                 }
-                millis = Long.parseLong(time.group(1)) * (time.group(2).equals("ms") ? 1
-                        : time.group(2).equals("s") ? 1_000 : 60_000);
+                millis = Long.parseLong(time.group(1))
+                        * (time.group(2).equals("ms") ? 1 : time.group(2).equals("s") ? 1_000 : 60_000);
             }
-            return ask("POST", "/config/apply?version=" + staged(version) + "&confirm_within_ms=" + millis
-                    + "&automatic=" + automatic, null, said -> out().println("version "
-                    + said.path("current").asInt() + " is on trial for " + said.path("change")
-                    .path("ends_in_ms").asLong() / 1_000 + " s; then it is "
-                    + (automatic ? "confirmed" : "undone, unless it is confirmed")));
+            return ask(
+                    "POST",
+                    "/config/apply?version=" + staged(version) + "&confirm_within_ms=" + millis + "&automatic="
+                            + automatic,
+                    null,
+                    said -> out().println("version "
+                            + said.path("current").asInt() + " is on trial for "
+                            + said.path("change").path("ends_in_ms").asLong() / 1_000 + " s; then it is "
+                            + (automatic ? "confirmed" : "undone, unless it is confirmed")));
         }
     }
 
     /** Keeps the version on trial. */
-    @Command(name = "confirm", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "confirm",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Keeps the version that is on trial.")
     static final class Confirm extends AdminVerb {
 
@@ -244,25 +285,31 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask("POST", "/config/confirm?version=" + version, null,
-                    said -> out().println("version " + said.path("confirmed").asInt() + " is confirmed"));
+            return ask("POST", "/config/confirm?version=" + version, null, said -> out().println(
+                            "version " + said.path("confirmed").asInt() + " is confirmed"));
         }
     }
 
     /** Undoes the change under way. */
-    @Command(name = "rollback", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "rollback",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Undoes the change that is under way, at once.")
     static final class Rollback extends AdminVerb {
 
         @Override
         public Integer call() throws IOException {
-            return ask("POST", "/config/rollback", null, said ->
-                    out().println(said.path("message").asText()));
+            return ask("POST", "/config/rollback", null, said -> out().println(
+                            said.path("message").asText()));
         }
     }
 
     /** Forgets a staged version. */
-    @Command(name = "drop", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "drop",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Forgets a staged version.")
     static final class Drop extends AdminVerb {
 
@@ -271,14 +318,19 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask("POST", "/config/drop?version=" + URLEncoder.encode(version, StandardCharsets.UTF_8),
+            return ask(
+                    "POST",
+                    "/config/drop?version=" + URLEncoder.encode(version, StandardCharsets.UTF_8),
                     null,
                     said -> out().println(said.path("message").asText()));
         }
     }
 
     /** Tells which version serves. */
-    @Command(name = "status", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Tells which version serves, what is on trial or staged and how changes ended.")
     static final class Status extends AdminVerb {
 
@@ -288,15 +340,20 @@
                 out().println("current    version " + said.path("current").asInt());
                 out().println("confirmed  version " + said.path("confirmed").asInt());
                 JsonNode change = said.path("change");
-                out().println("change     " + (change.has("version") ? "version "
-                        + change.path("version").asInt()
-                        + ", " + change.path("phase").asText() + ", ends in "
-                        + change.path("ends_in_ms").asLong() + " ms" : "none"));
+                out().println("change     "
+                        + (change.has("version")
+                                ? "version "
+                                        + change.path("version").asInt()
+                                        + ", " + change.path("phase").asText() + ", ends in "
+                                        + change.path("ends_in_ms").asLong() + " ms"
+                                : "none"));
                 out().println("staged     " + (said.path("staged").isEmpty() ? "none" : said.path("staged")));
                 said.path("past").forEach(past -> out().println("           version "
-                        + past.path("version").asInt() + " " + past.path("outcome").asText()
-                        + (past.path("reason").asText().isEmpty() ? "" : ": "
-                                + past.path("reason").asText())));
+                        + past.path("version").asInt() + " "
+                        + past.path("outcome").asText()
+                        + (past.path("reason").asText().isEmpty()
+                                ? ""
+                                : ": " + past.path("reason").asText())));
                 out().println("at work    " + said.path("requests_at_work").asLong() + " requests of "
                         + said.path("versions_at_work").asInt() + " versions");
             });
--- a/src/main/java/sablehinge/cli/DemoCommand.java
+++ b/src/main/java/sablehinge/cli/DemoCommand.java
@@ -37,7 +37,10 @@
 import sablehinge.standin.Fleet;
 
 /** A newcomer's first minute. */
-@Command(name = "demo", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Versions.class,
         description = "Starts three tiers of stand-in servers with balancers before each on loopback, "
                 + "sends a small "
                 + "made-up day, strikes a server, and judges the four rules by what callers and servers "
@@ -51,9 +54,11 @@
     private static final double PEAK = 50;
     private static final long EVERY_MS = 1_000;
 
-    @Option(names = "--out", paramLabel = "DIR",
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
             description = "A folder, made if there is none, for the day's log, "
-            + "the report and the records. Default: sablehinge-demo.")
+                    + "the report and the records. Default: sablehinge-demo.")
     private Path out = Path.of("sablehinge-demo");
 
     @Override
@@ -71,8 +76,7 @@
         LoadResult result;
         try (Recorder servers = new Recorder(out.resolve("servers.jsonl.gz"));
                 Recorder clients = new Recorder(out.resolve("requests.jsonl.gz"))) {
-            try (Fleet fleet = new Fleet(scenario, new LocalBalancers(servers::note), 2, servers::note,
-                    this::tell)) {
+            try (Fleet fleet = new Fleet(scenario, new LocalBalancers(servers::note), 2, servers::note, this::tell)) {
                 fleet.start();
                 result = play(fleet, scenario, log, clients);
                 TermsFile.write(out, fleet.terms());
@@ -91,13 +95,20 @@
     }
 
     private LoadResult play(Fleet fleet, Scenario scenario, Path log, Recorder clients) throws Exception {
-        LogOptions options = LogOptions.usual(new Mapping(List.of())).withFormat(SampleDay.FORMAT,
-                ZoneOffset.UTC,
-                Map.of());
+        LogOptions options =
+                LogOptions.usual(new Mapping(List.of())).withFormat(SampleDay.FORMAT, ZoneOffset.UTC, Map.of());
         try (Logs logs = Logs.open(List.of(log.toString()), InputStream.nullInputStream(), options)) {
-            Load load = new Load(new Load.Options(fleet.entries(), plans(scenario), Client.Terms.usual(),
-                    new Pace.Terms(COMPRESS, 1, Double.NaN, Double.NaN, scenario.seed()), 1, 1_000, 200,
-                    scenario.seed()), clients::note);
+            Load load = new Load(
+                    new Load.Options(
+                            fleet.entries(),
+                            plans(scenario),
+                            Client.Terms.usual(),
+                            new Pace.Terms(COMPRESS, 1, Double.NaN, Double.NaN, scenario.seed()),
+                            1,
+                            1_000,
+                            200,
+                            scenario.seed()),
+                    clients::note);
             Thread watch = watch(load);
             try {
                 load.run(logs::next);
@@ -111,7 +122,8 @@
 
     static Scenario scenario() throws IOException {
         try (InputStream in = DemoCommand.class.getResourceAsStream(SCENARIO)) {
-            return ScenarioFile.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8)).scenario();
+            return ScenarioFile.parse(new String(in.readAllBytes(), StandardCharsets.UTF_8))
+                    .scenario();
         }
     }
 
@@ -119,29 +131,36 @@
     static Map<String, ClassPlan> plans(Scenario scenario) {
         Map<String, ClassPlan> plans = new HashMap<>();
         for (ClassPart part : scenario.classes()) {
-            Effect effect = switch (part.effect()) {
-                case IDEMPOTENT -> Effect.SAFE;
-                case DEDUPLICATED -> Effect.KEYED;
-                case AT_MOST_ONCE -> Effect.UNSAFE;
-            };
-            plans.put(part.name(), new ClassPlan(new ClassTerms(effect, Group.valueOf(part.group().name()),
-                    part.window()), part.aim(), part.deadline()));
+            Effect effect =
+                    switch (part.effect()) {
+                        case IDEMPOTENT -> Effect.SAFE;
+                        case DEDUPLICATED -> Effect.KEYED;
+                        case AT_MOST_ONCE -> Effect.UNSAFE;
+                    };
+            plans.put(
+                    part.name(),
+                    new ClassPlan(
+                            new ClassTerms(effect, Group.valueOf(part.group().name()), part.window()),
+                            part.aim(),
+                            part.deadline()));
         }
         return plans;
     }
 
     private Thread watch(Load load) {
-        Thread thread = new Thread(() -> {
-            try {
-                while (true) {
-                    TimeUnit.MILLISECONDS.sleep(EVERY_MS);
-                    long[] sums = load.progress();
-                    say("        %,6d requests sent, %,6d have come out", sums[0], sums[1]);
-                }
-            } catch (InterruptedException e) {
-                // The day is over.
-            }
-        }, "watch");
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        while (true) {
+                            TimeUnit.MILLISECONDS.sleep(EVERY_MS);
+                            long[] sums = load.progress();
+                            say("        %,6d requests sent, %,6d have come out", sums[0], sums[1]);
+                        }
+                    } catch (InterruptedException e) {
+                        // The day is over.
+                    }
+                },
+                "watch");
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/src/main/java/sablehinge/cli/LocalBalancers.java
+++ b/src/main/java/sablehinge/cli/LocalBalancers.java
@@ -39,8 +39,7 @@
 import sablehinge.policy.LoadBalancer.WeightKind;
 import sablehinge.standin.Balancers;
 
-/** Balancers of this build in this process, each with an event loop of its own, told what the platform
- * would tell. */
+/** Balancers of this build in this process, each with an event loop of its own, told what the platform would tell. */
 public final class LocalBalancers implements Balancers {
 
     private static final Map<Answer.Kind, String> KINDS = new EnumMap<>(Answer.Kind.class);
@@ -97,12 +96,14 @@
         }
 
         @Override
-        public void answered(String request, Version version, int serviceClass, Answer.Kind kind,
-                int attempts,
-                double elapsed) {
+        public void answered(
+                String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed) {
             // On the balancer's loop: a format would take longer than the decision.
-            record.accept(new Noted(Stamps.now(), name, request, KINDS.get(kind) + attempts + " attempts and "
-                    + Math.round(elapsed * 10) / 10.0 + " ms"));
+            record.accept(new Noted(
+                    Stamps.now(),
+                    name,
+                    request,
+                    KINDS.get(kind) + attempts + " attempts and " + Math.round(elapsed * 10) / 10.0 + " ms"));
         }
     }
 
@@ -112,37 +113,88 @@
         List<String> classes = scenario.classes().stream().map(ClassPart::name).toList();
         List<Member> members = new ArrayList<>();
         for (Listed one : spec.known()) {
-            members.add(new Member(new Upstream(RosterParser.number(one.id()), scenario.zones()
-                    .indexOf(one.zone()),
-                    kinds.indexOf(one.kind()), one.cell(), one.state().equals("up") ? State.READY
-                            : State.DRAINING,
-                    1, one.startedMillis()), one.address()));
+            members.add(new Member(
+                    new Upstream(
+                            RosterParser.number(one.id()),
+                            scenario.zones().indexOf(one.zone()),
+                            kinds.indexOf(one.kind()),
+                            one.cell(),
+                            one.state().equals("up") ? State.READY : State.DRAINING,
+                            1,
+                            one.startedMillis()),
+                    one.address()));
         }
         // Its list may be older than the directory's: it asks for all at its first watch.
-        return new PlatformConfig(spec.name(), spec.listen(), spec.discovery(), spec.seed(), SOCKETS,
-                settings(spec, kinds.size()), scenario.zones(), kinds, classes, List.of(),
-                new Roster(0, true, members), null, null, Set.of());
+        return new PlatformConfig(
+                spec.name(),
+                spec.listen(),
+                spec.discovery(),
+                spec.seed(),
+                SOCKETS,
+                settings(spec, kinds.size()),
+                scenario.zones(),
+                kinds,
+                classes,
+                List.of(),
+                new Roster(0, true, members),
+                null,
+                null,
+                Set.of());
     }
 
     private static Settings settings(Spec spec, int kinds) {
         Scenario scenario = spec.scenario();
         List<ServiceClass> types = new ArrayList<>();
         for (ClassPart part : scenario.classes()) {
-            types.add(new ServiceClass(part.name(), part.aim(), 0, part.deadline(), part.worth(),
+            types.add(new ServiceClass(
+                    part.name(),
+                    part.aim(),
+                    0,
+                    part.deadline(),
+                    part.worth(),
                     part.lateWorth(),
-                    part.effect(), part.group(), part.window(), false, false, null, null, 0));
+                    part.effect(),
+                    part.group(),
+                    part.window(),
+                    false,
+                    false,
+                    null,
+                    null,
+                    0));
         }
         TierPart tier = scenario.tiers().get(spec.tier());
         Limits limits = new Limits(4, 20_000, true, true, true, false, true, 2_000, 300, 30_000, 1, 0, 0);
-        Rules rules = new Rules(20, scenario.rules().drainGrace(), 2_000, tier.coldFrom(),
-                tier.coldFor() * WARM_UP_SLACK, scenario.rules().fallMultiple(), scenario.rules()
-                        .fallAfter(), 0);
-        return new Settings(spec.position(), spec.siblings(), spec.tier(), scenario.tiers().size(),
-                scenario.zones().indexOf(spec.zone()), scenario.zones().size(), kinds, true, true, false,
-                        false, false,
-                0.1, WeightKind.NONE, Reports.PROBE, List.of("queue", "eps", "latency_ms"), types,
-                        List.of(), limits,
-                rules, new Goal(0.55, 0.15, 0.3, 0, 0, 0, 0, 0), new Prices(0.22, 0.01, 0.2, 0.03, 0, 0, 0,
-                        0));
+        Rules rules = new Rules(
+                20,
+                scenario.rules().drainGrace(),
+                2_000,
+                tier.coldFrom(),
+                tier.coldFor() * WARM_UP_SLACK,
+                scenario.rules().fallMultiple(),
+                scenario.rules().fallAfter(),
+                0);
+        return new Settings(
+                spec.position(),
+                spec.siblings(),
+                spec.tier(),
+                scenario.tiers().size(),
+                scenario.zones().indexOf(spec.zone()),
+                scenario.zones().size(),
+                kinds,
+                true,
+                true,
+                false,
+                false,
+                false,
+                0.1,
+                WeightKind.NONE,
+                Reports.PROBE,
+                List.of("queue", "eps", "latency_ms"),
+                types,
+                List.of(),
+                limits,
+                rules,
+                new Goal(0.55, 0.15, 0.3, 0, 0, 0, 0, 0),
+                new Prices(0.22, 0.01, 0.2, 0.03, 0, 0, 0, 0));
     }
 }
--- a/src/main/java/sablehinge/cli/Main.java
+++ b/src/main/java/sablehinge/cli/Main.java
@@ -16,14 +16,12 @@
 import sablehinge.node.Node;
 
 /**
- * The command line: {@code serve} runs one balancer on the platform, {@code wire} the same decisions for the
- * simulator, {@code sidecar} and {@code control node} the mesh's daemons. These load nothing of the
- * operators'
- * verbs, which are {@link Commands} and, about a mesh, {@link MeshCommands}.
+ * The command line: {@code serve} runs one balancer on the platform, {@code wire} the same decisions for the simulator,
+ * {@code sidecar} and {@code control node} the mesh's daemons. These load nothing of the operators' verbs, which are
+ * {@link Commands} and, about a mesh, {@link MeshCommands}.
  */
 public final class Main {
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs the subcommand that the arguments name. */
     public static void main(String[] args) throws InterruptedException {
@@ -34,11 +32,10 @@
         } else if (args.length == 1 && (args[0].equals("sidecar") || args[0].equals("control"))) {
             MeshDaemon.run(args[0]);
         } else if (args.length > 0 && args[0].equals("mesh")) {
-            System.exit(MeshCommands.run(Arrays.copyOfRange(args, 1, args.length),
-                    Shell.usual(System.out, System.err)));
+            System.exit(
+                    MeshCommands.run(Arrays.copyOfRange(args, 1, args.length), Shell.usual(System.out, System.err)));
         } else {
-            System.exit(Commands.run(args, new PrintWriter(System.out, true), new PrintWriter(System.err,
-                    true)));
+            System.exit(Commands.run(args, new PrintWriter(System.out, true), new PrintWriter(System.err, true)));
         }
     }
 
@@ -65,19 +62,22 @@
 
     /** SIGTERM starts the hook, and the virtual machine lives on until the hook returns. */
     static void drainAtShutdown(Draining draining) {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            try {
-                draining.run();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "drain"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            try {
+                                draining.run();
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        },
+                        "drain"));
     }
 
     /**
-     * SIGHUP would end the virtual machine, also one that has only just begun to serve; here it means that
-     * the configuration was replaced. The file is read off the node's loop, one reading after another, so
-     * that the last signal sees the last file. One that is of no use changes nothing.
+     * SIGHUP would end the virtual machine, also one that has only just begun to serve; here it means that the
+     * configuration was replaced. The file is read off the node's loop, one reading after another, so that the last
+     * signal sees the last file. One that is of no use changes nothing.
      */
     private static void reloadAtHangup(CompletableFuture<Node> started) {
         ExecutorService readings = Executors.newSingleThreadExecutor(work -> {
@@ -102,13 +102,13 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handling = Proxy.newProxyInstance(Main.class.getClassLoader(), new Class<?>[] {handler},
-                    (self, method, arguments) -> {
+            Object handling = Proxy.newProxyInstance(
+                    Main.class.getClassLoader(), new Class<?>[] {handler}, (self, method, arguments) -> {
                         reaction.run();
                         return null;
                     });
-            signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), handling);
+            signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handling);
         } catch (ReflectiveOperationException e) {
             exit("sablehinge: SIGHUP can't be handled: " + e, 1);
         }
--- a/src/main/java/sablehinge/cli/MeshDaemon.java
+++ b/src/main/java/sablehinge/cli/MeshDaemon.java
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory;
 import sablehinge.config.ConfigException;
 import sablehinge.config.local.LocalSettings;
+import sablehinge.control.ControlNode;
 import sablehinge.core.Log;
 import sablehinge.log.DirectProvider;
-import sablehinge.control.ControlNode;
 import sablehinge.sidecar.Sidecar;
 
 /** The mesh's daemons: {@code sidecar} beside an upstream, {@code control node} on a machine of the core. */
@@ -20,10 +20,10 @@
     private static final String SETTINGS = "SABLEHINGE_CONFIG";
     /** Netty tells channels of several machines apart by it, and would look at every network interface. */
     private static final String MACHINE = "io.netty.machineId";
+
     private static final String ANY_MACHINE = "02:00:00:00:00:01";
 
-    private MeshDaemon() {
-    }
+    private MeshDaemon() {}
 
     /** Runs a daemon by the settings file that the environment names, until it is ended. */
     static void run(String role) throws InterruptedException {
@@ -48,8 +48,7 @@
                 takes.set(node::reload);
                 Main.drainAtShutdown(node::leave);
             }
-            new SettingsWatch(() -> Files.readAllBytes(Path.of(file)), () -> reread(role, takes.get()))
-                    .start();
+            new SettingsWatch(() -> Files.readAllBytes(Path.of(file)), () -> reread(role, takes.get())).start();
         } catch (ConfigException e) {
             System.err.println("sablehinge: " + e.getMessage());
             System.exit(1);
@@ -60,8 +59,8 @@
     private static LocalSettings read(String role, String file) throws ConfigException {
         LocalSettings settings = LocalSettings.read(Path.of(file));
         if (!settings.role().name().toLowerCase(Locale.ROOT).equals(role)) {
-            throw new ConfigException(file + ": role is " + settings.role().name().toLowerCase(Locale.ROOT)
-                    + ", but " + role + " was started");
+            throw new ConfigException(file + ": role is "
+                    + settings.role().name().toLowerCase(Locale.ROOT) + ", but " + role + " was started");
         }
         return settings;
     }
@@ -75,7 +74,8 @@
             }
         } catch (ConfigException | RuntimeException e) {
             Log.warn(LoggerFactory.getLogger(MeshDaemon.class), "settings-malformed")
-                    .addKeyValue("cause", e.getMessage()).log("the settings stay as they were");
+                    .addKeyValue("cause", e.getMessage())
+                    .log("the settings stay as they were");
         }
     }
 }
--- a/src/main/java/sablehinge/cli/RecorderCommand.java
+++ b/src/main/java/sablehinge/cli/RecorderCommand.java
@@ -24,7 +24,10 @@
 import sablehinge.recorder.TimelinePage;
 
 /** Looks at what a balancer's flight recorder has kept. */
-@Command(name = "recorder", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+@Command(
+        name = "recorder",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Versions.class,
         description = "Has a running balancer dump its flight recorder, and shows or compares dumps.",
         subcommands = {RecorderCommand.DumpNow.class, RecorderCommand.Show.class, RecorderCommand.Diff.class})
 final class RecorderCommand implements Callable<Integer> {
@@ -40,13 +43,17 @@
     }
 
     /** Has a running balancer dump. */
-    @Command(name = "dump", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "dump",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Has a running balancer write what its recorder holds now; prints where.")
     static final class DumpNow extends ConfigCommand.AdminVerb {
 
         @Override
         public Integer call() throws IOException {
-            return ask("POST", "/recorder/dump", null, body -> out().println(body.path("path").asText()));
+            return ask("POST", "/recorder/dump", null, body -> out().println(
+                            body.path("path").asText()));
         }
     }
 
@@ -73,7 +80,10 @@
     }
 
     /** Shows one. */
-    @Command(name = "show", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Shows a dump as a time line: of a request, of a connection or of all. Exits with 2"
                     + " if the file is no dump.")
     static final class Show extends Reading {
@@ -84,11 +94,12 @@
         @Option(names = "--request", paramLabel = "N", description = "Only this request, by its number.")
         private long request;
 
-        @Option(names = "--connection", paramLabel = "N",
-                description = "Only this connection, by its number.")
+        @Option(names = "--connection", paramLabel = "N", description = "Only this connection, by its number.")
         private int connection;
 
-        @Option(names = "--page", paramLabel = "OUT",
+        @Option(
+                names = "--page",
+                paramLabel = "OUT",
                 description = "Write a page there that draws each connection over time.")
         private Path page;
 
@@ -105,9 +116,12 @@
             }
             Dump dump = timeline.dump();
             if (!json()) {
-                out().printf("%s at %s: %s, %s%n", dump.node(), Instant.ofEpochMilli(
-                        dump.atMillis()), dump.reason(), dump.detail());
-                out().printf("%d events, %d older ones overwritten%n", dump.events().size(), dump.lost());
+                out().printf(
+                                "%s at %s: %s, %s%n",
+                                dump.node(), Instant.ofEpochMilli(dump.atMillis()), dump.reason(), dump.detail());
+                out().printf(
+                                "%d events, %d older ones overwritten%n",
+                                dump.events().size(), dump.lost());
                 if (!dump.stack().isEmpty()) {
                     out().println("the loop's thread:\n  " + dump.stack().replace("\n", "\n  "));
                 }
@@ -121,7 +135,8 @@
         private void print(Step step) {
             Dump.Event event = step.event();
             if (json()) {
-                ObjectNode line = JSON.createObjectNode().put("ms", step.millis()).put("event", event.name());
+                ObjectNode line =
+                        JSON.createObjectNode().put("ms", step.millis()).put("event", event.name());
                 if (event.connection() != 0) {
                     line.put("connection", event.connection());
                 }
@@ -133,16 +148,22 @@
                 }
                 out().println(line);
             } else {
-                out().printf("%12.3f  %-14s %10s %9s %s%n", step.millis(), event.name(),
-                        event.connection() == 0 ? "" : Integer.toString(event.connection()),
-                        step.exchange() == 0 ? "" : Long.toString(step.exchange()),
-                        event.of().isEmpty() ? "" : event.of() + " " + event.value());
+                out().printf(
+                                "%12.3f  %-14s %10s %9s %s%n",
+                                step.millis(),
+                                event.name(),
+                                event.connection() == 0 ? "" : Integer.toString(event.connection()),
+                                step.exchange() == 0 ? "" : Long.toString(step.exchange()),
+                                event.of().isEmpty() ? "" : event.of() + " " + event.value());
             }
         }
     }
 
     /** Compares two. */
-    @Command(name = "diff", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "diff",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Compares two dumps: how often each event happened a second, and the largest "
                     + "amounts; what differs most comes first. Exits with 2 if a file is no dump.")
     static final class Diff extends Reading {
@@ -173,8 +194,7 @@
             List<Row> rows = new ArrayList<>();
             rows(rows, "a second", first.rates(), second.rates());
             rows(rows, "at most", first.peaks(), second.peaks());
-            rows.sort(Comparator.comparingDouble(Row::ratio).reversed()
-                    .thenComparing(Row::name));
+            rows.sort(Comparator.comparingDouble(Row::ratio).reversed().thenComparing(Row::name));
             if (!json()) {
                 out().printf("%-16s %-9s %14s %14s %8s%n", "event", "", "first", "second", "ratio");
             }
@@ -183,8 +203,8 @@
             return 0;
         }
 
-        private static void rows(List<Row> rows, String what, Map<String, ? extends Number> one,
-                Map<String, ? extends Number> other) {
+        private static void rows(
+                List<Row> rows, String what, Map<String, ? extends Number> one, Map<String, ? extends Number> other) {
             TreeSet<String> names = new TreeSet<>(one.keySet());
             names.addAll(other.keySet());
             for (String name : names) {
@@ -198,11 +218,19 @@
 
         private void print(Row row) {
             if (json()) {
-                out().println(JSON.createObjectNode().put("event", row.name()).put("what", row.what())
-                        .put("first", row.one()).put("second", row.other()));
+                out().println(JSON.createObjectNode()
+                        .put("event", row.name())
+                        .put("what", row.what())
+                        .put("first", row.one())
+                        .put("second", row.other()));
             } else {
-                out().printf("%-16s %-9s %14.1f %14.1f %8s%n", row.name(), row.what(), row.one(), row.other(),
-                        Double.isInfinite(row.ratio()) ? "only one" : String.format("%.2f", row.ratio()));
+                out().printf(
+                                "%-16s %-9s %14.1f %14.1f %8s%n",
+                                row.name(),
+                                row.what(),
+                                row.one(),
+                                row.other(),
+                                Double.isInfinite(row.ratio()) ? "only one" : String.format("%.2f", row.ratio()));
             }
         }
     }
--- a/src/main/java/sablehinge/cli/ReplayCommand.java
+++ b/src/main/java/sablehinge/cli/ReplayCommand.java
@@ -25,7 +25,10 @@
 import sablehinge.replay.Logs;
 
 /** Real days as load. */
-@Command(name = "replay", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+@Command(
+        name = "replay",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Versions.class,
         description = "Reads HAR files and access logs: what is in them, or the same load once more.",
         subcommands = {ReplayCommand.Inspect.class, ReplayRun.class})
 final class ReplayCommand implements Callable<Integer> {
@@ -41,35 +44,47 @@
     /** What both verbs have: logs, and how they are read. */
     abstract static class LogVerb extends Commands.Verb {
 
-        @Parameters(arity = "1..*", paramLabel = "FILE",
-                description = "Logs or HAR files, plain or packed with "
-                + "gzip or zstd; - for standard input.")
+        @Parameters(
+                arity = "1..*",
+                paramLabel = "FILE",
+                description = "Logs or HAR files, plain or packed with " + "gzip or zstd; - for standard input.")
         private List<String> files;
 
-        @Option(names = "--rules", paramLabel = "OPERATOR.toml",
+        @Option(
+                names = "--rules",
+                paramLabel = "OPERATOR.toml",
                 description = "The operator file with [replay]: "
-                + "how the logs are written, and what their requests are. It may hold nothing else.")
+                        + "how the logs are written, and what their requests are. It may hold nothing else.")
         private Path rules;
 
-        @Option(names = "--format", paramLabel = "FORMAT",
+        @Option(
+                names = "--format",
+                paramLabel = "FORMAT",
                 description = "auto, common, combined, haproxy, har, "
-                + "json, or an nginx log_format as it stands in its file. Default: that of the rules, or "
-                + "auto.")
+                        + "json, or an nginx log_format as it stands in its file. Default: that of the rules, or "
+                        + "auto.")
         private String format;
 
-        @Option(names = "--zone", paramLabel = "ZONE",
+        @Option(
+                names = "--zone",
+                paramLabel = "ZONE",
                 description = "The zone of times that name none. Default: that of the rules, or UTC.")
         private String zone;
 
-        @Option(names = "--field", paramLabel = "NAME=PATH", description = "For json: where a thing stands, "
-                + "such as time=ts or status=response.code. Default: the usual names.")
+        @Option(
+                names = "--field",
+                paramLabel = "NAME=PATH",
+                description = "For json: where a thing stands, "
+                        + "such as time=ts or status=response.code. Default: the usual names.")
         private Map<String, String> fields = new HashMap<>();
 
         @Option(names = "--strict", description = "Stop at the first line that can't be read.")
         private boolean strict;
 
-        @Option(names = "--seed", paramLabel = "N", description = "Of what is drawn, such as the places of "
-                + "requests within a second. Default: 1.")
+        @Option(
+                names = "--seed",
+                paramLabel = "N",
+                description = "Of what is drawn, such as the places of " + "requests within a second. Default: 1.")
         private long seed = 1;
 
         private List<ClassPart> classes = List.of();
@@ -107,7 +122,8 @@
             } catch (DateTimeException e) {
                 throw misuse("--zone: '" + zone + "' is no zone of time, expected one such as Africa/Dakar");
             }
-            LogOptions options = LogOptions.usual(new Mapping(part.rules())).with(strict, seed)
+            LogOptions options = LogOptions.usual(new Mapping(part.rules()))
+                    .with(strict, seed)
                     .withFormat(format == null ? part.format() : format, ofTimes, map);
             try {
                 return Logs.open(new ArrayList<>(files), System.in, options);
@@ -118,7 +134,10 @@
     }
 
     /** Tells what is in logs. */
-    @Command(name = "inspect", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+    @Command(
+            name = "inspect",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Versions.class,
             description = "Tells what is in logs: requests, rate over time, classes, keys, and what was "
                     + "folded, unplaced, unmatched or unreadable. Exits with 2 if a file can't be read.")
     static final class Inspect extends LogVerb {
--- a/src/main/java/sablehinge/cli/ReplayRun.java
+++ b/src/main/java/sablehinge/cli/ReplayRun.java
@@ -32,7 +32,10 @@
 import sablehinge.settings.Addresses;
 
 /** Sends the load of logs once more. */
-@Command(name = "run", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+@Command(
+        name = "run",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Versions.class,
         description = "Sends the load of logs to a balancer, each request when it is due, whatever "
                 + "becomes of those "
                 + "before. Deadlines are not compressed. Exits with 1 if the figures don't count, as the "
@@ -43,67 +46,85 @@
     private static final long PROGRESS_MS = 500;
     private static final long LAST_ANSWERS_S = 30;
 
-    @Option(names = "--target", required = true, paramLabel = "HOST:PORT",
+    @Option(
+            names = "--target",
+            required = true,
+            paramLabel = "HOST:PORT",
             description = "A balancer, by a numeric address; several are used in turn.")
     private List<String> targets;
 
     @Option(names = "--compress", paramLabel = "N", description = "Hours of the log in one. Default: 1.")
     private double compress = 1;
 
-    @Option(names = "--rate-scale", paramLabel = "N",
+    @Option(
+            names = "--rate-scale",
+            paramLabel = "N",
             description = "Requests sent for each one of the log. Default: 1.")
     private double rateScale = 1;
 
-    @Option(names = "--from", paramLabel = "TIME",
+    @Option(
+            names = "--from",
+            paramLabel = "TIME",
             description = "Leave out what came before, such as 2026-08-03T06:00:00Z.")
     private String from;
 
     @Option(names = "--to", paramLabel = "TIME", description = "Leave out what came then or later.")
     private String to;
 
-    @Option(names = "--out", paramLabel = "DIR",
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
             description = "A folder, made if there is none, for report.json, "
-            + "report.html, and a record of every try that `audit` reads.")
+                    + "report.html, and a record of every try that `audit` reads.")
     private Path out;
 
-    @Option(names = "--class", paramLabel = "NAME=EFFECT",
+    @Option(
+            names = "--class",
+            paramLabel = "NAME=EFFECT",
             description = "Whether a class may run twice: safe, keyed "
-            + "or unsafe. Default: as the rules' file says; else safe where first asked by GET, and unsafe.")
+                    + "or unsafe. Default: as the rules' file says; else safe where first asked by GET, and unsafe.")
     private Map<String, String> effects = new HashMap<>();
 
     @Option(names = "--retries", paramLabel = "N", description = "Further tries of a client. Default: 2.")
     private int retries = Client.Terms.usual().retries();
 
-    @Option(names = "--honour", paramLabel = "SHARE",
+    @Option(
+            names = "--honour",
+            paramLabel = "SHARE",
             description = "Of clients that do as Retry-After says, 0 to 1. Default: 0.4.")
     private double honour = Client.Terms.usual().honour();
 
-    @Option(names = "--body", paramLabel = "BYTES",
+    @Option(
+            names = "--body",
+            paramLabel = "BYTES",
             description = "Of bodies of which the log tells nothing. Default: 200.")
     private int body = 200;
 
-    @Option(names = "--connections", paramLabel = "N",
-            description = "Open at a time at most. Default: 2000.")
+    @Option(names = "--connections", paramLabel = "N", description = "Open at a time at most. Default: 2000.")
     private int connections = 2_000;
 
-    @Option(names = "--threads", paramLabel = "N",
+    @Option(
+            names = "--threads",
+            paramLabel = "N",
             description = "That send. Default: half as many as cores, 4 at most.")
     private int threads = Math.max(1, Math.min(4, Runtime.getRuntime().availableProcessors() / 2));
 
     @Override
     public Integer call() throws Exception {
-        Pace.Terms pace = new Pace.Terms(range("--compress", compress, 0.001, 10_000),
-                range("--rate-scale", rateScale, 0.0001, 1_000), time("--from", from), time("--to", to),
-                        seed());
+        Pace.Terms pace = new Pace.Terms(
+                range("--compress", compress, 0.001, 10_000),
+                range("--rate-scale", rateScale, 0.0001, 1_000),
+                time("--from", from),
+                time("--to", to),
+                seed());
         range("--retries", retries, 0, 10);
         range("--honour", honour, 0, 1);
         range("--body", body, 0, 1 << 16);
         range("--connections", connections, 1, 60_000);
         range("--threads", threads, 1, 64);
         Client.Terms usual = Client.Terms.usual();
-        Client.Terms clients = new Client.Terms(retries, usual.leastShare(), usual.mostShare(),
-                usual.backoff(),
-                honour, usual.mostRetryAfter());
+        Client.Terms clients = new Client.Terms(
+                retries, usual.leastShare(), usual.mostShare(), usual.backoff(), honour, usual.mostRetryAfter());
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (String target : targets) {
             addresses.add(address(target));
@@ -119,9 +140,8 @@
             return Commands.BAD_INPUT;
         }
         try (logs) {
-            Load.Options options = new Load.Options(addresses, plans(), clients, pace, threads, connections,
-                    body,
-                    seed());
+            Load.Options options =
+                    new Load.Options(addresses, plans(), clients, pace, threads, connections, body, seed());
             return out == null ? play(logs, options, null) : record(logs, options);
         }
     }
@@ -133,19 +153,20 @@
         }
     }
 
-    private int play(Logs logs, Load.Options options, Recorder recorder) throws IOException,
-            InterruptedException {
-        Load load = new Load(options, recorder == null ? evidence -> { } : recorder::note);
+    private int play(Logs logs, Load.Options options, Recorder recorder) throws IOException, InterruptedException {
+        Load load = new Load(options, recorder == null ? evidence -> {} : recorder::note);
         CountDownLatch written = new CountDownLatch(1);
         // Ctrl-C: the virtual machine lives on until this has returned, and so until the report is there.
-        Thread interrupted = new Thread(() -> {
-            load.stop();
-            try {
-                written.await(LAST_ANSWERS_S, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "interrupted");
+        Thread interrupted = new Thread(
+                () -> {
+                    load.stop();
+                    try {
+                        written.await(LAST_ANSWERS_S, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                "interrupted");
         Runtime.getRuntime().addShutdownHook(interrupted);
         Thread progress = progress(load);
         int status = Commands.BAD_INPUT;
@@ -181,29 +202,40 @@
         }
     }
 
-    private LoadResult report(Load load, Logs logs, Recorder recorder) throws IOException,
-            InterruptedException {
+    private LoadResult report(Load load, Logs logs, Recorder recorder) throws IOException, InterruptedException {
         if (recorder != null) {
             recorder.close();
         }
         LoadResult result = load.result(recorder == null ? 0 : Math.max(0, recorder.cpuNanos()));
         result.print(out());
         Logs.Counts counts = logs.counts();
-        out().printf(Locale.ROOT, "log: %,d requests, %,d folded, %,d unmatched, %,d unreadable%n",
-                counts.requests(), counts.folded(), counts.unmatched(), counts.unreadable());
+        out().printf(
+                        Locale.ROOT,
+                        "log: %,d requests, %,d folded, %,d unmatched, %,d unreadable%n",
+                        counts.requests(),
+                        counts.folded(),
+                        counts.unmatched(),
+                        counts.unreadable());
         if (recorder != null) {
             var json = result.json();
-            json.putObject("log").put("requests", counts.requests()).put("folded", counts.folded())
-                    .put("missing_time", counts.missingTime()).put("out_of_order", counts.outOfOrder())
-                    .put("unmatched", counts.unmatched()).put("unreadable", counts.unreadable());
+            json.putObject("log")
+                    .put("requests", counts.requests())
+                    .put("folded", counts.folded())
+                    .put("missing_time", counts.missingTime())
+                    .put("out_of_order", counts.outOfOrder())
+                    .put("unmatched", counts.unmatched())
+                    .put("unreadable", counts.unreadable());
             json.put("not_recorded", recorder.dropped());
             Files.writeString(out.resolve("report.json"), json.toPrettyString() + "\n");
-            Files.writeString(out.resolve("report.html"), ReportPage.of(result, "Replay of "
-                    + String.join(", ", files())));
+            Files.writeString(
+                    out.resolve("report.html"), ReportPage.of(result, "Replay of " + String.join(", ", files())));
             TermsFile.write(out, load.terms(false));
             if (recorder.dropped() > 0) {
-                out().printf(Locale.ROOT, "%,d tries are not in the record%s%n", recorder.dropped(),
-                        recorder.failure() == null ? "" : ": " + recorder.failure());
+                out().printf(
+                                Locale.ROOT,
+                                "%,d tries are not in the record%s%n",
+                                recorder.dropped(),
+                                recorder.failure() == null ? "" : ": " + recorder.failure());
             }
             out().println("report: " + out.resolve("report.html"));
         }
@@ -216,19 +248,21 @@
         if (System.console() == null) {
             return null;
         }
-        Thread thread = new Thread(() -> {
-            try {
-                while (true) {
-                    TimeUnit.MILLISECONDS.sleep(PROGRESS_MS);
-                    long[] sums = load.progress();
-                    err().printf(Locale.ROOT, "\r%,d sent, %,d answered or given up ", sums[0], sums[1]);
-                    err().flush();
-                }
-            } catch (InterruptedException e) {
-                err().print("\r\033[K");
-                err().flush();
-            }
-        }, "progress");
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        while (true) {
+                            TimeUnit.MILLISECONDS.sleep(PROGRESS_MS);
+                            long[] sums = load.progress();
+                            err().printf(Locale.ROOT, "\r%,d sent, %,d answered or given up ", sums[0], sums[1]);
+                            err().flush();
+                        }
+                    } catch (InterruptedException e) {
+                        err().print("\r\033[K");
+                        err().flush();
+                    }
+                },
+                "progress");
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -237,25 +271,39 @@
     private Map<String, ClassPlan> plans() {
         Map<String, ClassPlan> plans = new HashMap<>();
         for (ClassPart part : classes()) {
-            Effect effect = switch (part.effect()) {
-                case IDEMPOTENT -> Effect.SAFE;
-                case DEDUPLICATED -> Effect.KEYED;
-                case AT_MOST_ONCE -> Effect.UNSAFE;
-            };
-            plans.put(part.name(), new ClassPlan(new ClassTerms(effect, Group.valueOf(part.group().name()),
-                    part.window()), part.aim(), part.deadline()));
+            Effect effect =
+                    switch (part.effect()) {
+                        case IDEMPOTENT -> Effect.SAFE;
+                        case DEDUPLICATED -> Effect.KEYED;
+                        case AT_MOST_ONCE -> Effect.UNSAFE;
+                    };
+            plans.put(
+                    part.name(),
+                    new ClassPlan(
+                            new ClassTerms(effect, Group.valueOf(part.group().name()), part.window()),
+                            part.aim(),
+                            part.deadline()));
         }
         effects.forEach((name, text) -> {
             ClassPlan known = plans.get(name);
-            Effect effect = switch (text) {
-                case "safe" -> Effect.SAFE;
-                case "keyed" -> Effect.KEYED;
-                case "unsafe" -> Effect.UNSAFE;
-                default -> throw misuse("--class: '" + text
-                        + "' is no effect, expected safe, keyed or unsafe");
-            };
-            plans.put(name, known == null ? ClassPlan.unknown(effect) : new ClassPlan(new ClassTerms(effect,
-                    known.terms().group(), known.terms().window()), known.aim(), known.deadline()));
+            Effect effect =
+                    switch (text) {
+                        case "safe" -> Effect.SAFE;
+                        case "keyed" -> Effect.KEYED;
+                        case "unsafe" -> Effect.UNSAFE;
+                        default -> throw misuse("--class: '" + text + "' is no effect, expected safe, keyed or unsafe");
+                    };
+            plans.put(
+                    name,
+                    known == null
+                            ? ClassPlan.unknown(effect)
+                            : new ClassPlan(
+                                    new ClassTerms(
+                                            effect,
+                                            known.terms().group(),
+                                            known.terms().window()),
+                                    known.aim(),
+                                    known.deadline()));
         });
         return plans;
     }
@@ -287,7 +335,7 @@
         } catch (IllegalArgumentException e) {
             // Told below.
         }
-        throw misuse("--target: '" + text + "' is no numeric address with a port, expected one such as"
-                + " 127.0.0.1:8080");
+        throw misuse(
+                "--target: '" + text + "' is no numeric address with a port, expected one such as" + " 127.0.0.1:8080");
     }
 }
--- a/src/main/java/sablehinge/cli/SettingsWatch.java
+++ b/src/main/java/sablehinge/cli/SettingsWatch.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notices that the settings file has changed where no signal tells it, and that one which was half written at
- * the signal is whole. A process that is cut off from all machines that it knows has no other news of them.
+ * Notices that the settings file has changed where no signal tells it, and that one which was half written at the
+ * signal is whole. A process that is cut off from all machines that it knows has no other news of them.
  */
 final class SettingsWatch {
 
@@ -25,8 +25,8 @@
     private byte[] seen;
 
     /**
-     * A watch that has seen nothing yet: its first look finds a change, as the file may have changed since
-     * the process has read it.
+     * A watch that has seen nothing yet: its first look finds a change, as the file may have changed since the process
+     * has read it.
      *
      * @param file reads the whole file
      * @param changed is run once for each content
--- a/src/main/java/sablehinge/cli/StandInCommand.java
+++ b/src/main/java/sablehinge/cli/StandInCommand.java
@@ -14,19 +14,23 @@
 import sablehinge.standin.Fleet;
 
 /** Plays servers. */
-@Command(name = "standin", mixinStandardHelpOptions = true, versionProvider = Commands.Versions.class,
+@Command(
+        name = "standin",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Versions.class,
         description = "Plays tiers of servers on loopback, with balancers of this build before each "
                 + "tier, and the "
                 + "faults of a scenario. Prints the addresses of the entries, and what befalls the servers.")
 final class StandInCommand extends Commands.Verb {
 
-    @Option(names = "--scenario", required = true, paramLabel = "FILE",
-            description = "The scenario, in TOML.")
+    @Option(names = "--scenario", required = true, paramLabel = "FILE", description = "The scenario, in TOML.")
     private Path scenario;
 
-    @Option(names = "--out", paramLabel = "DIR",
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
             description = "A folder, made if there is none, for terms.json and "
-            + "what servers, lists and balancers saw; `audit` reads it.")
+                    + "what servers, lists and balancers saw; `audit` reads it.")
     private Path out;
 
     @Option(names = "--for", paramLabel = "SECONDS", description = "End after so long. Default: at Ctrl-C.")
@@ -49,18 +53,25 @@
             Files.createDirectories(out);
         }
         Recorder recorder = out == null ? null : new Recorder(out.resolve("servers.jsonl.gz"));
-        Fleet fleet = new Fleet(checked.scenario(), new LocalBalancers(recorder == null ? one -> { }
-                : recorder::note), threads, recorder == null ? one -> { } : recorder::note, this::tell);
+        Fleet fleet = new Fleet(
+                checked.scenario(),
+                new LocalBalancers(recorder == null ? one -> {} : recorder::note),
+                threads,
+                recorder == null ? one -> {} : recorder::note,
+                this::tell);
         CountDownLatch over = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            over.countDown();
-            try {
-                written.await(10, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "interrupted"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            over.countDown();
+                            try {
+                                written.await(10, TimeUnit.SECONDS);
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        },
+                        "interrupted"));
         try {
             fleet.start();
             fleet.entries().forEach(entry -> tell("entry " + entry.getHostString() + ":" + entry.getPort()));
--- a/src/main/java/sablehinge/cli/mesh/Children.java
+++ b/src/main/java/sablehinge/cli/mesh/Children.java
@@ -12,9 +12,17 @@
 /** Daemons from the program that runs, with the class archives that lie beside it, if any. */
 final class Children implements SmallMesh.Commands {
 
-    private static final List<String> FLAGS = List.of("-Xms24m", "-Xmx128m", "-Xss256k", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-XX:MaxDirectMemorySize=64m", "-XX:-UsePerfData",
-            "-Dio.netty.jfr.enabled=false", "-Dio.netty.noUnsafe=false");
+    private static final List<String> FLAGS = List.of(
+            "-Xms24m",
+            "-Xmx128m",
+            "-Xss256k",
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xshare:auto",
+            "-XX:MaxDirectMemorySize=64m",
+            "-XX:-UsePerfData",
+            "-Dio.netty.jfr.enabled=false",
+            "-Dio.netty.noUnsafe=false");
 
     @Override
     public List<String> command(String role, int place, int start) {
@@ -42,7 +50,11 @@
             return Path.of(path);
         }
         try {
-            return Path.of(Children.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            return Path.of(Children.class
+                    .getProtectionDomain()
+                    .getCodeSource()
+                    .getLocation()
+                    .toURI());
         } catch (URISyntaxException e) {
             throw new MeshException(MeshException.Code.DAEMON, "the program can't be found", e);
         }
--- a/src/main/java/sablehinge/cli/mesh/DemoVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/DemoVerb.java
@@ -14,13 +14,15 @@
 import sablehinge.standin.mesh.Tally;
 
 /** Shows a mesh at work and judges what was seen. */
-@Command(name = "demo",
+@Command(
+        name = "demo",
         description = "Starts three control nodes and three sidecars on loopback with stand-in "
-        + "upstreams, sends some hundred requests while configurations change, the leading control node is "
-        + "killed and an upstream leaves, and judges the rules by what clients, upstreams and the operator "
-        + "saw. Takes less than a minute.")
-@ExitCodes(codes = {0, 1}, descriptions = {"no rule was broken",
-        "a rule was broken, or the mesh did not start"})
+                + "upstreams, sends some hundred requests while configurations change, the leading control node is "
+                + "killed and an upstream leaves, and judges the rules by what clients, upstreams and the operator "
+                + "saw. Takes less than a minute.")
+@ExitCodes(
+        codes = {0, 1},
+        descriptions = {"no rule was broken", "a rule was broken, or the mesh did not start"})
 public final class DemoVerb implements MeshCommands.Verb {
 
     private static final long CALM_MS = 1_500;
@@ -33,17 +35,20 @@
     private static final long SECOND = 7;
     private static final long THIRD = 12;
 
-    @Option(name = {"-e", "--every"}, title = "MS",
+    @Option(
+            name = {"-e", "--every"},
+            title = "MS",
             description = "Each client waits so long between two requests, on the average (default: 30)")
     private long everyMs = 30;
 
-    @Option(name = {"-l", "--logs"}, title = "DIR",
+    @Option(
+            name = {"-l", "--logs"},
+            title = "DIR",
             description = "A folder to which the daemons' logs and settings are copied at the end")
     private String logs;
 
     /** Made by the command line. */
-    public DemoVerb() {
-    }
+    public DemoVerb() {}
 
     @Override
     public int act() throws InterruptedException {
@@ -65,7 +70,9 @@
     }
 
     private int play(SmallMesh mesh, double begun) throws InterruptedException {
-        say(begun, "starts three control nodes, three sidecars and three upstreams on %s.*",
+        say(
+                begun,
+                "starts three control nodes, three sidecars and three upstreams on %s.*",
                 mesh.plan().prefix());
         mesh.start(mesh.version(FIRST, 0, SmallMesh.BASALT));
         say(begun, "edition %d is taken, all sidecars are ready; clients begin", FIRST);
@@ -87,8 +94,9 @@
         mesh.quiet();
         byte[] readBack = mesh.operator().read(ANSWER_MS);
         say(begun, "clients have stopped; %d bytes of configuration are read back", readBack.length);
-        List<String> breaches = new java.util.ArrayList<>(new MeshJudge(mesh.ledger(),
-                mesh.operator().orders(), MeshPlan.UNLOAD_MS, MeshPlan.EDITION_MS).breaches(readBack));
+        List<String> breaches = new java.util.ArrayList<>(
+                new MeshJudge(mesh.ledger(), mesh.operator().orders(), MeshPlan.UNLOAD_MS, MeshPlan.EDITION_MS)
+                        .breaches(readBack));
         if (!ended) {
             breaches.add("END: sidecar " + (LEAVES + 1) + " has not ended within " + END_MS + " ms");
         }
@@ -105,8 +113,7 @@
     }
 
     private static void say(double begun, String format, Object... values) {
-        System.out.printf(Locale.ROOT, "%6.1f s  " + format + "%n", prepend((Ledger.now() - begun) / 1_000,
-                values));
+        System.out.printf(Locale.ROOT, "%6.1f s  " + format + "%n", prepend((Ledger.now() - begun) / 1_000, values));
     }
 
     private static Object[] prepend(double first, Object... values) {
--- a/src/main/java/sablehinge/cli/mesh/MeshCommands.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshCommands.java
@@ -12,6 +12,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
+import sablehinge.api.Nearest;
 import sablehinge.cli.mesh.operator.ConfigCheckVerb;
 import sablehinge.cli.mesh.operator.ConfigGetVerb;
 import sablehinge.cli.mesh.operator.ConfigHistoryVerb;
@@ -22,17 +23,14 @@
 import sablehinge.cli.mesh.operator.Shell;
 import sablehinge.cli.mesh.operator.StatusVerb;
 import sablehinge.cli.mesh.operator.VerbException;
-import sablehinge.api.Nearest;
 
 /**
- * The verbs about a mesh: those of its operators, and {@code demo}, {@code settings} and {@code upstream} for
- * one of one's own. Exit status 0: done; 1: refused, or a rule was broken; 2: a bad command line or file;
- * 3: no clear answer.
+ * The verbs about a mesh: those of its operators, and {@code demo}, {@code settings} and {@code upstream} for one of
+ * one's own. Exit status 0: done; 1: refused, or a rule was broken; 2: a bad command line or file; 3: no clear answer.
  */
 public final class MeshCommands {
 
-    private MeshCommands() {
-    }
+    private MeshCommands() {}
 
     /** What every verb is. */
     public interface Verb {
@@ -42,13 +40,13 @@
     }
 
     /** The help of the group or of a verb. */
-    @com.github.rvesse.airline.annotations.Command(name = "help",
+    @com.github.rvesse.airline.annotations.Command(
+            name = "help",
             description = "Tells what the verbs do, or one of them")
     public static final class HelpVerb extends Help<Verb> implements Verb {
 
         /** Made by the command line. */
-        public HelpVerb() {
-        }
+        public HelpVerb() {}
 
         @Override
         public int act() {
@@ -59,14 +57,20 @@
 
     private static Cli<Verb> cli() {
         CliBuilder<Verb> builder = Cli.builder("sablehinge mesh");
-        builder.withDescription("Operates a mesh; or starts a small one on loopback, to be seen or run by "
-                + "hand")
-                .withCommand(HelpVerb.class).withCommand(StatusVerb.class).withCommand(NodesVerb.class)
-                .withCommand(DutiesVerb.class).withCommand(DemoVerb.class).withCommand(SettingsVerb.class)
+        builder.withDescription("Operates a mesh; or starts a small one on loopback, to be seen or run by " + "hand")
+                .withCommand(HelpVerb.class)
+                .withCommand(StatusVerb.class)
+                .withCommand(NodesVerb.class)
+                .withCommand(DutiesVerb.class)
+                .withCommand(DemoVerb.class)
+                .withCommand(SettingsVerb.class)
                 .withCommand(UpstreamVerb.class);
-        builder.withGroup("config").withDescription("The configuration that the core agrees upon")
-                .withCommand(ConfigGetVerb.class).withCommand(ConfigPutVerb.class)
-                .withCommand(ConfigCheckVerb.class).withCommand(ConfigHistoryVerb.class);
+        builder.withGroup("config")
+                .withDescription("The configuration that the core agrees upon")
+                .withCommand(ConfigGetVerb.class)
+                .withCommand(ConfigPutVerb.class)
+                .withCommand(ConfigCheckVerb.class)
+                .withCommand(ConfigHistoryVerb.class);
         return builder.build();
     }
 
@@ -85,25 +89,34 @@
         String group = "";
         int at = 0;
         if (args[0].equals("config")) {
-            verbs = known.getCommandGroups().stream().map(CommandGroupMetadata::getCommands)
-                    .findFirst().orElseThrow();
+            verbs = known.getCommandGroups().stream()
+                    .map(CommandGroupMetadata::getCommands)
+                    .findFirst()
+                    .orElseThrow();
             group = "config ";
             at = 1;
         }
-        List<String> names = Stream.concat(verbs.stream().map(CommandMetadata::getName),
-                at == 0 ? Stream.of("config") : Stream.empty()).sorted().toList();
+        List<String> names = Stream.concat(
+                        verbs.stream().map(CommandMetadata::getName), at == 0 ? Stream.of("config") : Stream.empty())
+                .sorted()
+                .toList();
         if (args.length <= at) {
             return group + "needs one of " + String.join(", ", names);
         }
         String word = args[at];
-        CommandMetadata verb = verbs.stream().filter(one -> one.getName().equals(word)).findFirst()
+        CommandMetadata verb = verbs.stream()
+                .filter(one -> one.getName().equals(word))
+                .findFirst()
                 .orElse(null);
         if (verb == null) {
-            return "\"" + group + word + "\" is no verb; the nearest one is \"" + group
-                    + Nearest.of(word, names) + "\"";
+            return "\"" + group + word + "\" is no verb; the nearest one is \"" + group + Nearest.of(word, names)
+                    + "\"";
         }
-        List<String> options = verb.getAllOptions().stream().map(OptionMetadata::getOptions)
-                .flatMap(Set::stream).sorted().toList();
+        List<String> options = verb.getAllOptions().stream()
+                .map(OptionMetadata::getOptions)
+                .flatMap(Set::stream)
+                .sorted()
+                .toList();
         for (String each : args) {
             String option = each.split("=", 2)[0];
             if (option.startsWith("-") && !options.contains(option)) {
@@ -122,8 +135,9 @@
         try {
             verb = cli.parse(words);
         } catch (ParseException e) {
-            shell.err().println("sablehinge: " + Shell.plain(hint(cli.getMetadata(), words, e.getMessage()))
-                    + "; see mesh help");
+            shell.err()
+                    .println("sablehinge: " + Shell.plain(hint(cli.getMetadata(), words, e.getMessage()))
+                            + "; see mesh help");
             return VerbException.Exit.BAD_INPUT.status();
         }
         try {
--- a/src/main/java/sablehinge/cli/mesh/SettingsVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/SettingsVerb.java
@@ -13,24 +13,29 @@
 import sablehinge.standin.mesh.SmallMesh;
 
 /** Writes the files of a small mesh that is run by hand. */
-@Command(name = "settings",
+@Command(
+        name = "settings",
         description = "Writes the settings files of three control nodes and two sidecars on "
-        + "loopback, and a first configuration, into a folder")
+                + "loopback, and a first configuration, into a folder")
 public final class SettingsVerb implements MeshCommands.Verb {
 
     private static final int CONTROL_NODES = 3;
 
     @Required
-    @Option(name = {"-o", "--out"}, title = "DIR", description = "The folder, made if there is none")
+    @Option(
+            name = {"-o", "--out"},
+            title = "DIR",
+            description = "The folder, made if there is none")
     private String out;
 
-    @Option(name = {"-a", "--addresses"}, title = "PREFIX",
+    @Option(
+            name = {"-a", "--addresses"},
+            title = "PREFIX",
             description = "The first three numbers of all addresses (default: 127.0.0)")
     private String addresses = "127.0.0";
 
     /** Made by the command line. */
-    public SettingsVerb() {
-    }
+    public SettingsVerb() {}
 
     @Override
     public int act() throws IOException {
@@ -38,8 +43,8 @@
         MeshPlan plan = new MeshPlan(addresses, CONTROL_NODES, List.of(SmallMesh.BASALT, SmallMesh.MARL));
         for (int i = 0; i < CONTROL_NODES; i++) {
             Path data = Files.createDirectories(folder.resolve("core-" + (i + 1) + ".data"));
-            Files.writeString(folder.resolve("core-" + (i + 1) + ".toml"),
-                    plan.controlSettings(i, data.toString(), true));
+            Files.writeString(
+                    folder.resolve("core-" + (i + 1) + ".toml"), plan.controlSettings(i, data.toString(), true));
             System.out.println("core-" + (i + 1) + ".toml: control " + plan.coreControl(i));
         }
         for (int i = 0; i < plan.services().size(); i++) {
@@ -48,12 +53,19 @@
                     + plan.services().get(i) + " " + plan.app(i) + ", beats " + plan.control(i) + ", ready "
                     + plan.ready(i));
         }
-        Files.write(folder.resolve("first.json"), new MeshVersion(1, 0, List.of(
-                new MeshVersion.Route("/read/", Ledger.Kind.SAFE, plan.services()),
-                new MeshVersion.Route("/write/", Ledger.Kind.UNSAFE, List.of(SmallMesh.BASALT))),
-                plan.services()).body());
-        System.out.println("first.json: edition 1, to be based on 0; host " + MeshVersion.HOST + ", key "
-                + MeshVersion.KEY);
+        Files.write(
+                folder.resolve("first.json"),
+                new MeshVersion(
+                                1,
+                                0,
+                                List.of(
+                                        new MeshVersion.Route("/read/", Ledger.Kind.SAFE, plan.services()),
+                                        new MeshVersion.Route(
+                                                "/write/", Ledger.Kind.UNSAFE, List.of(SmallMesh.BASALT))),
+                                plan.services())
+                        .body());
+        System.out.println(
+                "first.json: edition 1, to be based on 0; host " + MeshVersion.HOST + ", key " + MeshVersion.KEY);
         return 0;
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/UpstreamVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/UpstreamVerb.java
@@ -11,47 +11,65 @@
 import sablehinge.standin.mesh.StandInUpstream;
 
 /** Runs one stand-in upstream until it is ended; at SIGTERM it leaves in order. */
-@Command(name = "upstream", description = "Runs a stand-in upstream, which tells the sidecar beside it that "
-        + "it lives; at SIGTERM it unloads, signs off and ends")
+@Command(
+        name = "upstream",
+        description = "Runs a stand-in upstream, which tells the sidecar beside it that "
+                + "it lives; at SIGTERM it unloads, signs off and ends")
 public final class UpstreamVerb implements MeshCommands.Verb {
 
     @Required
-    @Option(name = {"-d", "--depot"}, title = "SERVICE", description = "Its service")
+    @Option(
+            name = {"-d", "--depot"},
+            title = "SERVICE",
+            description = "Its service")
     private String depot;
 
     @Required
-    @Option(name = {"-l", "--listen"}, title = "ADDRESS", description = "Where it listens, the app address")
+    @Option(
+            name = {"-l", "--listen"},
+            title = "ADDRESS",
+            description = "Where it listens, the app address")
     private String listen;
 
     @Required
-    @Option(name = {"-c", "--control"}, title = "ADDRESS", description = "The sidecar's control address")
+    @Option(
+            name = {"-c", "--control"},
+            title = "ADDRESS",
+            description = "The sidecar's control address")
     private String control;
 
-    @Option(name = {"-b", "--berths"}, title = "NUMBER",
+    @Option(
+            name = {"-b", "--berths"},
+            title = "NUMBER",
             description = "How many requests it works on at once (default: 12)")
     private int berths = 12;
 
-    @Option(name = {"-w", "--work"}, title = "MS", description = "The longest that one takes (default: 20)")
+    @Option(
+            name = {"-w", "--work"},
+            title = "MS",
+            description = "The longest that one takes (default: 20)")
     private int workMs = 20;
 
     /** Made by the command line. */
-    public UpstreamVerb() {
-    }
+    public UpstreamVerb() {}
 
     @Override
     public int act() throws InterruptedException {
         Ledger ledger = new Ledger();
         String id = "i-" + Long.toHexString(System.nanoTime());
-        StandInUpstream upstream = new StandInUpstream(new StandInUpstream.Terms(id, depot, address(listen),
-                berths, workMs), ledger);
+        StandInUpstream upstream =
+                new StandInUpstream(new StandInUpstream.Terms(id, depot, address(listen), berths, workMs), ledger);
         Beating beating = new Beating(upstream, address(control), MeshPlan.ZONE, MeshPlan.BEAT_MS, ledger);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            try {
-                beating.leave(MeshPlan.UNLOAD_MS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "leaves"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            try {
+                                beating.leave(MeshPlan.UNLOAD_MS);
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        },
+                        "leaves"));
         System.out.println(id + " of " + depot + " listens on " + listen);
         new CountDownLatch(1).await();
         return 0;
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigGetVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigGetVerb.java
@@ -9,20 +9,23 @@
 import sablehinge.api.ConfigurationReader;
 
 /** Fetches the configuration in force. */
-@Command(name = "get", description = "Prints the configuration in force as it was sent, keys and all, or "
-        + "puts it into a file that only its owner may read")
+@Command(
+        name = "get",
+        description = "Prints the configuration in force as it was sent, keys and all, or "
+                + "puts it into a file that only its owner may read")
 public final class ConfigGetVerb extends CoreVerb {
 
-    @Option(name = {"-o", "--out"}, title = "FILE",
+    @Option(
+            name = {"-o", "--out"},
+            title = "FILE",
             description = "Where to put it, in place of what is there")
     private String out;
 
     /** Made by the command line. */
-    public ConfigGetVerb() {
-    }
+    public ConfigGetVerb() {}
 
     /** What was written. */
-    private record Written(String file, long edition, int bytes) { }
+    private record Written(String file, long edition, int bytes) {}
 
     @Override
     int run() throws InterruptedException {
@@ -42,8 +45,7 @@
         }
         write(body);
         Written written = new Written(out, ConfigurationReader.read(body).edition(), body.length);
-        print(written, () -> shell().say(out + ": edition " + written.edition() + ", " + body.length
-                + " bytes"));
+        print(written, () -> shell().say(out + ": edition " + written.edition() + ", " + body.length + " bytes"));
         return DONE;
     }
 
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigHistoryVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigHistoryVerb.java
@@ -4,16 +4,17 @@
 import sablehinge.api.mesh.Editions;
 
 /** Lists the configurations that were taken. */
-@Command(name = "history", description = "Lists the editions that were taken, the newest last, with what "
-        + "each was based on and when it was taken up, by the clock of the leader of then")
+@Command(
+        name = "history",
+        description = "Lists the editions that were taken, the newest last, with what "
+                + "each was based on and when it was taken up, by the clock of the leader of then")
 public final class ConfigHistoryVerb extends CoreVerb {
 
     /** How many digits of a digest a table shows. */
     private static final int SHOWN_DIGITS = 16;
 
     /** Made by the command line. */
-    public ConfigHistoryVerb() {
-    }
+    public ConfigHistoryVerb() {}
 
     @Override
     int run() throws InterruptedException {
@@ -24,9 +25,9 @@
 
     private void show(Editions editions) {
         Table taken = new Table("EDITION", "BASED ON", "BYTES", "SUM", "TAKEN");
-        editions.taken().forEach(one -> taken.line(one.edition(), one.basedOn(), one.bytes(),
-                shortened(one.sum()),
-                one.takenAt()));
+        editions.taken()
+                .forEach(one ->
+                        taken.line(one.edition(), one.basedOn(), one.bytes(), shortened(one.sum()), one.takenAt()));
         taken.print(shell());
     }
 
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigPutVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigPutVerb.java
@@ -7,31 +7,36 @@
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import java.util.Arrays;
 import java.util.Map;
-import sablehinge.routing.Configuration;
 import sablehinge.api.CheckException;
 import sablehinge.api.ConfigurationCheck;
 import sablehinge.api.ConfigurationReader;
+import sablehinge.routing.Configuration;
 
 /** Sends a configuration. */
-@Command(name = "put", description = "Sends a configuration, and the very same call again until the core "
-        + "says whether it was taken. Without --based-on it reads the one in force first, shows what "
-        + "changes, by names, and builds on that")
+@Command(
+        name = "put",
+        description = "Sends a configuration, and the very same call again until the core "
+                + "says whether it was taken. Without --based-on it reads the one in force first, shows what "
+                + "changes, by names, and builds on that")
 public final class ConfigPutVerb extends CoreVerb {
 
     @Required
     @Arguments(title = "FILE", description = "The configuration")
     private String file;
 
-    @Option(name = {"-b", "--based-on"}, title = "EDITION",
+    @Option(
+            name = {"-b", "--based-on"},
+            title = "EDITION",
             description = "The edition that it takes the place of, 0 for none")
     private Long basedOn;
 
-    @Option(name = {"-n", "--dry-run"}, description = "Show what would change, and send nothing")
+    @Option(
+            name = {"-n", "--dry-run"},
+            description = "Show what would change, and send nothing")
     private boolean dry;
 
     /** Made by the command line. */
-    public ConfigPutVerb() {
-    }
+    public ConfigPutVerb() {}
 
     /**
      * What became of it.
@@ -41,8 +46,7 @@
      * @param inForce the edition in force after it, another one where the call was a late repetition
      * @param changes null where the one before was not read
      */
-    private record Put(String outcome, long edition, long basedOn, String by, long inForce,
-            Differences changes) { }
+    private record Put(String outcome, long edition, long basedOn, String by, long inForce, Differences changes) {}
 
     @Override
     int run() throws InterruptedException {
@@ -96,13 +100,19 @@
     /** Refuses what the core would refuse if it were sent now. */
     private void foresee(Configuration next, long inForce) {
         if (basedOn != null && basedOn != inForce) {
-            throw new VerbException(VerbException.Exit.REFUSED, "STALE", "--based-on",
+            throw new VerbException(
+                    VerbException.Exit.REFUSED,
+                    "STALE",
+                    "--based-on",
                     "version " + inForce + " is in place, not " + basedOn);
         }
         try {
             ConfigurationCheck.checkEdition(next, inForce);
         } catch (CheckException e) {
-            throw new VerbException(VerbException.Exit.REFUSED, e.code().name(), file + ": " + e.place(),
+            throw new VerbException(
+                    VerbException.Exit.REFUSED,
+                    e.code().name(),
+                    file + ": " + e.place(),
                     e.problems().get(0).text());
         }
     }
@@ -114,21 +124,24 @@
         }
     }
 
-    private void send(byte[] body, long edition, long base, Differences changes)
-            throws InterruptedException {
-        Outcome outcome = caller().call(new Wire.Request("POST", "/sablehinge/Config.Replace",
+    private void send(byte[] body, long edition, long base, Differences changes) throws InterruptedException {
+        Outcome outcome = caller().call(new Wire.Request(
+                "POST",
+                "/sablehinge/Config.Replace",
                 Map.of("Sablehinge-Based-On", Long.toString(base), "Content-Type", "application/json"),
                 body));
         if (!outcome.isClear()) {
-            throw outcome.unclear(outcome.maybe()
-                    ? "edition " + edition + " may have been taken or not: the same call, with --based-on "
-                            + base + ", may be made again and is answered alike"
-                    : "edition " + edition + " has not been taken: nobody could take it");
+            throw outcome.unclear(
+                    outcome.maybe()
+                            ? "edition " + edition + " may have been taken or not: the same call, with --based-on "
+                                    + base + ", may be made again and is answered alike"
+                            : "edition " + edition + " has not been taken: nobody could take it");
         }
         if (!outcome.isDone()) {
             throw outcome.refusal();
         }
-        long inForce = read(outcome.answer().body(), JsonNode.class, outcome.by()).path("edition")
+        long inForce = read(outcome.answer().body(), JsonNode.class, outcome.by())
+                .path("edition")
                 .asLong(edition);
         tell(new Put("taken", edition, base, outcome.by(), inForce, changes));
     }
@@ -136,7 +149,8 @@
     private void tell(Put put) {
         print(put, () -> shell().say(put.outcome() + ": edition " + put.edition()
                 + (put.by() == null ? "" : ", by " + put.by())
-                + (put.inForce() == put.edition() ? "" : "; "
-                + (put.inForce() == 0 ? "none" : "edition " + put.inForce()) + " is in force")));
+                + (put.inForce() == put.edition()
+                        ? ""
+                        : "; " + (put.inForce() == 0 ? "none" : "edition " + put.inForce()) + " is in force")));
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigurationFile.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigurationFile.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import sablehinge.routing.Configuration;
 import sablehinge.api.CheckException;
 import sablehinge.api.ConfigurationCheck;
+import sablehinge.routing.Configuration;
 
 /** A configuration in a file, which has been checked. */
 record ConfigurationFile(byte[] body, Configuration configuration) {
@@ -25,8 +25,8 @@
         try {
             Path path = Path.of(file);
             if (Files.size(path) > MOST_BYTES) {
-                throw VerbException.input("TOO_LONG", file, MOST_BYTES
-                        + " bytes at most were expected, found " + Files.size(path));
+                throw VerbException.input(
+                        "TOO_LONG", file, MOST_BYTES + " bytes at most were expected, found " + Files.size(path));
             }
             body = Files.readAllBytes(path);
         } catch (NoSuchFileException e) {
@@ -40,8 +40,9 @@
     /** The error of a verb that can't do without the file. */
     static VerbException faulty(String file, CheckException faults) {
         int more = faults.problems().size() - 1;
-        return VerbException.input(faults.code().name(), file + ": " + faults.place(),
-                faults.problems().get(0).text() + (more == 0 ? "" : " (and " + more
-                        + " more: see config check)"));
+        return VerbException.input(
+                faults.code().name(),
+                file + ": " + faults.place(),
+                faults.problems().get(0).text() + (more == 0 ? "" : " (and " + more + " more: see config check)"));
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreCaller.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreCaller.java
@@ -9,15 +9,16 @@
 import java.util.Map;
 
 /**
- * Calls whichever machine of the core gives a clear answer (PROTOCOL, "The operator"): it follows 307 twice,
- * goes on to the next address after a failure, a 5xx, 408, 429 or silence, with a pause that grows, and
- * always sends the very same call. It ends within the bound that it was given.
+ * Calls whichever machine of the core gives a clear answer (PROTOCOL, "The operator"): it follows 307 twice, goes on to
+ * the next address after a failure, a 5xx, 408, 429 or silence, with a pause that grows, and always sends the very same
+ * call. It ends within the bound that it was given.
  */
 final class CoreCaller {
 
     private static final int HOPS = 2;
     /** Other 4xx than those that end a call at once end it when there are so many. */
     private static final int ODD = 3;
+
     private static final long FIRST_PAUSE_MS = 50;
     private static final long LONGEST_PAUSE_MS = 1_000;
     /** Of silence, after which the next address is called. */
@@ -61,7 +62,8 @@
             try {
                 String[] by = {address};
                 Wire.Answer answer = follow(by, request);
-                if (isSuccess(answer) || ends(answer.status())
+                if (isSuccess(answer)
+                        || ends(answer.status())
                         || answer.status() / 100 == 4 && !isPassing(answer.status()) && ++odd >= ODD) {
                     return new Outcome(answer, by[0], false, tries(said));
                 }
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreVerb.java
@@ -15,12 +15,16 @@
     private static final int MOST_ADDRESSES = 64;
     private static final long LONGEST_MS = 600_000;
 
-    @Option(name = {"-c", "--core"}, title = "HOST:PORT[,HOST:PORT...]",
-            description = "Control addresses of the core, any of them (default: those of the variable "
-                    + Shell.CORE + ")")
+    @Option(
+            name = {"-c", "--core"},
+            title = "HOST:PORT[,HOST:PORT...]",
+            description =
+                    "Control addresses of the core, any of them (default: those of the variable " + Shell.CORE + ")")
     private String core;
 
-    @Option(name = {"-w", "--wait"}, title = "MS",
+    @Option(
+            name = {"-w", "--wait"},
+            title = "MS",
             description = "For a clear answer, at most (default: 10000)")
     private long waitMs = 10_000;
 
@@ -29,22 +33,25 @@
         String source = core != null ? "--core" : Shell.CORE;
         String given = core != null ? core : shell().core();
         if (given == null || given.isBlank()) {
-            throw VerbException.input("NO_CORE", "--core",
-                    "control addresses of the core were expected, there or in " + Shell.CORE);
+            throw VerbException.input(
+                    "NO_CORE", "--core", "control addresses of the core were expected, there or in " + Shell.CORE);
         }
         Set<String> addresses = new LinkedHashSet<>();
         for (String one : given.split(",", -1)) {
             var parts = ADDRESS.matcher(one.strip());
-            if (!parts.matches() || Integer.parseInt(parts.group(2)) > MOST_PORT
+            if (!parts.matches()
+                    || Integer.parseInt(parts.group(2)) > MOST_PORT
                     || Integer.parseInt(parts.group(2)) == 0) {
-                throw VerbException.input("BAD_ADDRESS", source, "HOST:PORT was expected, found \""
-                        + Shell.plain(one) + "\"");
+                throw VerbException.input(
+                        "BAD_ADDRESS", source, "HOST:PORT was expected, found \"" + Shell.plain(one) + "\"");
             }
             addresses.add(one.strip());
         }
         if (addresses.size() > MOST_ADDRESSES) {
-            throw VerbException.input("BAD_ADDRESS", source, MOST_ADDRESSES
-                    + " addresses at most were expected, found " + addresses.size());
+            throw VerbException.input(
+                    "BAD_ADDRESS",
+                    source,
+                    MOST_ADDRESSES + " addresses at most were expected, found " + addresses.size());
         }
         return List.copyOf(addresses);
     }
@@ -52,8 +59,8 @@
     /** Calls the core, with all the time that was given from now on. */
     final CoreCaller caller() {
         if (waitMs < 1 || waitMs > LONGEST_MS) {
-            throw VerbException.input("BAD_WAIT", "--wait", "1 to " + LONGEST_MS + " ms were expected, found "
-                    + waitMs);
+            throw VerbException.input(
+                    "BAD_WAIT", "--wait", "1 to " + LONGEST_MS + " ms were expected, found " + waitMs);
         }
         return new CoreCaller(core(), shell(), waitMs);
     }
@@ -74,8 +81,8 @@
         try {
             return Json.read(body, type);
         } catch (IOException e) {
-            throw new VerbException(VerbException.Exit.UNCLEAR, "BAD_ANSWER", from,
-                    "the answer is not one of this system");
+            throw new VerbException(
+                    VerbException.Exit.UNCLEAR, "BAD_ANSWER", from, "the answer is not one of this system");
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/Differences.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Differences.java
@@ -44,11 +44,14 @@
 
     /** From one configuration to the next; null is none. */
     static Differences between(Configuration before, Configuration after) {
-        Configuration old = before != null ? before : new Configuration(0, null, List.of(), List.of(),
-                List.of());
+        Configuration old = before != null ? before : new Configuration(0, null, List.of(), List.of(), List.of());
         return new Differences(
-                Change.of(old.routes(), after.routes(), route -> route.host() + route.prefix()
-                        + (route.name().isEmpty() ? "" : " (" + route.name() + ")")),
+                Change.of(
+                        old.routes(),
+                        after.routes(),
+                        route -> route.host()
+                                + route.prefix()
+                                + (route.name().isEmpty() ? "" : " (" + route.name() + ")")),
                 Change.of(old.services(), after.services(), Configuration.Service::name),
                 Change.of(old.tenants(), after.tenants(), Configuration.Tenant::name),
                 !after.limits().equals(old.limits()));
--- a/src/main/java/sablehinge/cli/mesh/operator/DutiesVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/DutiesVerb.java
@@ -5,13 +5,14 @@
 import sablehinge.api.mesh.MeshDuties;
 
 /** Tells what the leader does that nobody else may. */
-@Command(name = "duties", description = "Tells who holds the duties of the core, for how long its lease "
-        + "still runs, and what is left in each tenant's pool")
+@Command(
+        name = "duties",
+        description = "Tells who holds the duties of the core, for how long its lease "
+                + "still runs, and what is left in each tenant's pool")
 public final class DutiesVerb extends CoreVerb {
 
     /** Made by the command line. */
-    public DutiesVerb() {
-    }
+    public DutiesVerb() {}
 
     @Override
     int run() throws InterruptedException {
@@ -22,15 +23,16 @@
 
     private void show(MeshDuties duties) {
         shell().say("holder  " + duties.control() + " (" + duties.node() + "), term " + duties.term());
-        shell().say("lease   " + (duties.leaseMs() > 0 ? "for another " + duties.leaseMs() + " ms"
-                : "none: nothing is given out of the pools now"));
-        shell().say("roll    change " + duties.stamp() + ", " + (duties.complete() ? "complete"
-                : "begun anew"));
+        shell().say("lease   "
+                + (duties.leaseMs() > 0
+                        ? "for another " + duties.leaseMs() + " ms"
+                        : "none: nothing is given out of the pools now"));
+        shell().say("roll    change " + duties.stamp() + ", " + (duties.complete() ? "complete" : "begun anew"));
         shell().say("news    " + duties.askers() + " balancers ask for them");
         shell().say("");
         Table pools = new Table("TENANT", "POOL PER S", "HOLDS", "LEFT");
-        duties.pools().forEach(one -> pools.line(one.tenant(), figure(one.perS()), figure(one.most()),
-                figure(one.left())));
+        duties.pools()
+                .forEach(one -> pools.line(one.tenant(), figure(one.perS()), figure(one.most()), figure(one.left())));
         pools.print(shell());
         left(duties.more());
     }
--- a/src/main/java/sablehinge/cli/mesh/operator/HttpWire.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/HttpWire.java
@@ -21,12 +21,14 @@
     /** For a new connection to come up, ms. */
     private static final long CONNECT_MS = 1_000;
 
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .followRedirects(HttpClient.Redirect.NEVER).connectTimeout(Duration.ofMillis(CONNECT_MS)).build();
+    private final HttpClient http = HttpClient.newBuilder()
+            .version(HttpClient.Version.HTTP_1_1)
+            .followRedirects(HttpClient.Redirect.NEVER)
+            .connectTimeout(Duration.ofMillis(CONNECT_MS))
+            .build();
 
     @Override
-    public Answer call(String address, Request request, long withinMs)
-            throws IOException, InterruptedException {
+    public Answer call(String address, Request request, long withinMs) throws IOException, InterruptedException {
         HttpRequest.Builder builder;
         try {
             builder = HttpRequest.newBuilder(URI.create("http://" + address + request.path()));
@@ -34,13 +36,16 @@
             throw new ConnectException("no address to call: " + address);
         }
         request.headers().forEach(builder::setHeader);
-        builder.method(request.method(), request.body().length == 0 ? HttpRequest.BodyPublishers.noBody()
-                : HttpRequest.BodyPublishers.ofByteArray(request.body()));
+        builder.method(
+                request.method(),
+                request.body().length == 0
+                        ? HttpRequest.BodyPublishers.noBody()
+                        : HttpRequest.BodyPublishers.ofByteArray(request.body()));
         CompletableFuture<HttpResponse<byte[]>> call = http.sendAsync(builder.build(), HttpWire::bounded);
         try {
             HttpResponse<byte[]> answer = call.get(withinMs, TimeUnit.MILLISECONDS);
-            return new Answer(answer.statusCode(), answer.headers().firstValue("Location").orElse(null),
-                    answer.body());
+            return new Answer(
+                    answer.statusCode(), answer.headers().firstValue("Location").orElse(null), answer.body());
         } catch (TimeoutException e) {
             call.cancel(true);
             throw new IOException("no answer within " + withinMs + " ms", e);
@@ -60,8 +65,8 @@
     private static HttpResponse.BodySubscriber<byte[]> bounded(HttpResponse.ResponseInfo head) {
         long length = head.headers().firstValueAsLong("Content-Length").orElse(Long.MAX_VALUE);
         if (length > MOST_BYTES) {
-            throw new IllegalStateException("an answer of " + MOST_BYTES
-                    + " bytes at most, with its length, was expected");
+            throw new IllegalStateException(
+                    "an answer of " + MOST_BYTES + " bytes at most, with its length, was expected");
         }
         return HttpResponse.BodySubscribers.ofByteArray();
     }
--- a/src/main/java/sablehinge/cli/mesh/operator/Json.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Json.java
@@ -11,9 +11,10 @@
 
     private static final JsonMapper MAPPER = JsonMapper.builder()
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .enable(SerializationFeature.INDENT_OUTPUT).build();
+            .enable(SerializationFeature.INDENT_OUTPUT)
+            .build();
 
-    private Json() { }
+    private Json() {}
 
     static JsonNode tree(byte[] bytes) throws IOException {
         return MAPPER.readTree(bytes);
--- a/src/main/java/sablehinge/cli/mesh/operator/NodesVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/NodesVerb.java
@@ -4,13 +4,14 @@
 import sablehinge.api.mesh.MeshNodes;
 
 /** Lists all machines that the leader knows. */
-@Command(name = "nodes", description = "Lists the balancers of the data plane that are on the leader's roll, "
-        + "with what is beside them, and the members of the core")
+@Command(
+        name = "nodes",
+        description = "Lists the balancers of the data plane that are on the leader's roll, "
+                + "with what is beside them, and the members of the core")
 public final class NodesVerb extends CoreVerb {
 
     /** Made by the command line. */
-    public NodesVerb() {
-    }
+    public NodesVerb() {}
 
     @Override
     int run() throws InterruptedException {
@@ -20,10 +21,17 @@
     }
 
     private void show(MeshNodes nodes) {
-        Table balancers = new Table("NODE", "ZONE", "INBOUND", "SERVICE", "UPSTREAM", "STATE", "BERTHS",
-                "HEARD");
-        nodes.balancers().forEach(one -> balancers.line(one.node(), one.zone(), one.inbound(), one.service(),
-                one.upstream(), one.state(), one.berths(), ago(one.silentMs())));
+        Table balancers = new Table("NODE", "ZONE", "INBOUND", "SERVICE", "UPSTREAM", "STATE", "BERTHS", "HEARD");
+        nodes.balancers()
+                .forEach(one -> balancers.line(
+                        one.node(),
+                        one.zone(),
+                        one.inbound(),
+                        one.service(),
+                        one.upstream(),
+                        one.state(),
+                        one.berths(),
+                        ago(one.silentMs())));
         balancers.print(shell());
         left(nodes.more());
         if (!nodes.complete()) {
@@ -31,8 +39,11 @@
         }
         shell().say("");
         Table members = new Table("MEMBER", "ID", "HEARD");
-        nodes.members().forEach(one -> members.line(one.control(), one.member(),
-                one.control().equals(nodes.leader()) ? "leads" : ago(one.silentMs())));
+        nodes.members()
+                .forEach(one -> members.line(
+                        one.control(),
+                        one.member(),
+                        one.control().equals(nodes.leader()) ? "leads" : ago(one.silentMs())));
         members.print(shell());
     }
 
--- a/src/main/java/sablehinge/cli/mesh/operator/OperatorVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/OperatorVerb.java
@@ -7,15 +7,22 @@
 import sablehinge.cli.mesh.MeshCommands;
 
 /** What all of the operators' verbs have. */
-@ExitCodes(codes = {0, 1, 2, 3}, descriptions = {"done", "refused, with the code of the core",
-        "the command line or a file is of no use; nothing was sent",
-        "no clear answer in time, or nobody could be reached"})
+@ExitCodes(
+        codes = {0, 1, 2, 3},
+        descriptions = {
+            "done",
+            "refused, with the code of the core",
+            "the command line or a file is of no use; nothing was sent",
+            "no clear answer in time, or nobody could be reached"
+        })
 public abstract class OperatorVerb implements MeshCommands.Verb {
 
     /** The exit status of a verb that has done what it was called for. */
     static final int DONE = 0;
 
-    @Option(name = {"-j", "--json"}, description = "Print JSON")
+    @Option(
+            name = {"-j", "--json"},
+            description = "Print JSON")
     private boolean json;
 
     private Shell shell;
--- a/src/main/java/sablehinge/cli/mesh/operator/Outcome.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Outcome.java
@@ -15,14 +15,17 @@
     /** What the core said no with; the call was answered, and not with a 2xx. */
     VerbException refusal() {
         Said said = Said.of(answer);
-        return new VerbException(VerbException.Exit.REFUSED, said.code(), said.place(),
+        return new VerbException(
+                VerbException.Exit.REFUSED,
+                said.code(),
+                said.place(),
                 said.message() + " (" + answer.status() + " from " + by + ")");
     }
 
     /** Nobody gave a clear answer. */
     VerbException unclear(String what) {
-        return new VerbException(VerbException.Exit.UNCLEAR, "NO_CLEAR_ANSWER", "",
-                what + "; " + String.join("; ", tries));
+        return new VerbException(
+                VerbException.Exit.UNCLEAR, "NO_CLEAR_ANSWER", "", what + "; " + String.join("; ", tries));
     }
 
     boolean isClear() {
--- a/src/main/java/sablehinge/cli/mesh/operator/Said.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Said.java
@@ -18,8 +18,10 @@
         if (body == null || !body.isObject()) {
             return new Said("HTTP_" + answer.status(), "", "the answer is not one of this system");
         }
-        return new Said(cut(body.path("code").asText("HTTP_" + answer.status())),
-                cut(body.path("place").asText("")), cut(body.path("message").asText("no reason was given")));
+        return new Said(
+                cut(body.path("code").asText("HTTP_" + answer.status())),
+                cut(body.path("place").asText("")),
+                cut(body.path("message").asText("no reason was given")));
     }
 
     private static String cut(String text) {
--- a/src/main/java/sablehinge/cli/mesh/operator/StatusVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/StatusVerb.java
@@ -5,23 +5,28 @@
 import sablehinge.api.mesh.MeshStatus;
 
 /** Tells how the core stands. */
-@Command(name = "status", description = "Tells who leads the core, which members answer and whether that is "
-        + "a majority, the edition in force, and what is on the roll. Asks each machine for itself, and so "
-        + "works with a part of the core too")
+@Command(
+        name = "status",
+        description = "Tells who leads the core, which members answer and whether that is "
+                + "a majority, the edition in force, and what is on the roll. Asks each machine for itself, and so "
+                + "works with a part of the core too")
 public final class StatusVerb extends CoreVerb {
 
     /** Made by the command line. */
-    public StatusVerb() {
-    }
+    public StatusVerb() {}
 
     @Override
     int run() throws InterruptedException {
         Survey survey = Survey.take(core(), caller());
         if (survey.machines().stream().allMatch(line -> line.status() == null)) {
-            throw new VerbException(VerbException.Exit.UNCLEAR, "NO_CLEAR_ANSWER", "",
-                    "no machine of the core answers; " + survey.machines().stream()
-                            .map(line -> line.address() + ": " + line.error())
-                            .collect(Collectors.joining("; ")));
+            throw new VerbException(
+                    VerbException.Exit.UNCLEAR,
+                    "NO_CLEAR_ANSWER",
+                    "",
+                    "no machine of the core answers; "
+                            + survey.machines().stream()
+                                    .map(line -> line.address() + ": " + line.error())
+                                    .collect(Collectors.joining("; ")));
         }
         print(survey, () -> show(survey));
         return DONE;
@@ -30,16 +35,17 @@
     private void show(Survey survey) {
         int needed = survey.members() / 2 + 1;
         shell().say("core      " + (survey.majority() ? "a majority answers: " : "NO MAJORITY: ")
-                + survey.answering() + " of " + survey.members() + " members" + (survey.majority() ? ""
-                : " answer; nothing can be changed or confirmed before " + needed + " do"));
-        shell().say("leader    " + (survey.leader() == null ? "none" : survey.leader()) + ", term "
-                + survey.term());
+                + survey.answering() + " of " + survey.members() + " members"
+                + (survey.majority() ? "" : " answer; nothing can be changed or confirmed before " + needed + " do"));
+        shell().say("leader    " + (survey.leader() == null ? "none" : survey.leader()) + ", term " + survey.term());
         shell().say("edition   " + (survey.edition() == 0 ? "none" : survey.edition())
                 + (survey.leader() == null ? ", the highest of those that answer" : ""));
         MeshStatus.Plane plane = survey.plane();
-        shell().say("balancers " + (plane == null ? "not known without a leader"
-                : plane.known() + " known, " + plane.ready() + " ready"
-                + (plane.complete() ? "" : "; the leader has just begun to hear of them")));
+        shell().say("balancers "
+                + (plane == null
+                        ? "not known without a leader"
+                        : plane.known() + " known, " + plane.ready() + " ready"
+                                + (plane.complete() ? "" : "; the leader has just begun to hear of them")));
         shell().say("");
         Table core = new Table("MEMBER", "NODE", "ZONE", "ROLE", "TERM", "COMMIT", "EDITION");
         for (Survey.Line line : survey.machines()) {
@@ -47,16 +53,21 @@
             if (status == null) {
                 core.line(line.address(), null, null, "silent: " + line.error());
             } else {
-                core.line(status.control(), status.node(), status.zone(), status.role(), status.term(),
-                        status.commit(), status.edition());
+                core.line(
+                        status.control(),
+                        status.node(),
+                        status.zone(),
+                        status.role(),
+                        status.term(),
+                        status.commit(),
+                        status.edition());
             }
         }
         core.print(shell());
         if (plane != null) {
             shell().say("");
             Table services = new Table("SERVICE", "UPSTREAMS", "READY", "BERTHS");
-            plane.services().forEach(one -> services.line(one.name(), one.known(), one.ready(),
-                    one.berths()));
+            plane.services().forEach(one -> services.line(one.name(), one.known(), one.ready(), one.berths()));
             services.print(shell());
             left(plane.more());
         }
--- a/src/main/java/sablehinge/cli/mesh/operator/Survey.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Survey.java
@@ -21,8 +21,15 @@
  * @param edition the highest in force with anybody
  * @param plane as the leader knows it; null for no leader
  */
-record Survey(boolean majority, int answering, int members, String leader, long term, long edition,
-        MeshStatus.Plane plane, List<Line> machines) {
+record Survey(
+        boolean majority,
+        int answering,
+        int members,
+        String leader,
+        long term,
+        long edition,
+        MeshStatus.Plane plane,
+        List<Line> machines) {
 
     /** Addresses that are asked at most. */
     private static final int MOST_ASKED = 64;
@@ -33,7 +40,7 @@
      * @param status what it says; null where it says nothing
      * @param error why it says nothing; null where it does
      */
-    record Line(String address, MeshStatus status, String error) { }
+    record Line(String address, MeshStatus status, String error) {}
 
     /** Asks all addresses that were named, and those of all members that anybody tells of. */
     static Survey take(List<String> core, CoreCaller caller) throws InterruptedException {
@@ -51,7 +58,8 @@
                 }
                 if (line.status() != null) {
                     known.add(line.status().control());
-                    line.status().members().stream().map(Machine::control)
+                    line.status().members().stream()
+                            .map(Machine::control)
                             .filter(control -> known.size() < MOST_ASKED && known.add(control))
                             .forEach(told::add);
                 }
@@ -66,26 +74,41 @@
             Wire.Answer answer = caller.once(address, Wire.Request.get("Mesh.Status"));
             return CoreCaller.isSuccess(answer)
                     ? new Line(address, Json.read(answer.body(), MeshStatus.class), null)
-                    : new Line(address, null, answer.status() + " " + Said.of(answer).line());
+                    : new Line(
+                            address,
+                            null,
+                            answer.status() + " " + Said.of(answer).line());
         } catch (IOException e) {
             return new Line(address, null, Shell.plain(String.valueOf(e.getMessage())));
         }
     }
 
     private static Survey of(List<Line> lines) {
-        List<MeshStatus> told = lines.stream().map(Line::status).filter(status -> status != null).toList();
-        MeshStatus leader = told.stream().filter(MeshStatus::leads)
-                .max(Comparator.comparingLong(MeshStatus::term)).orElse(null);
-        MeshStatus latest = told.stream().filter(status -> !status.members().isEmpty())
-                .max(Comparator.comparingLong(MeshStatus::term)
-                        .thenComparing(MeshStatus::leads)).orElse(null);
+        List<MeshStatus> told = lines.stream()
+                .map(Line::status)
+                .filter(status -> status != null)
+                .toList();
+        MeshStatus leader = told.stream()
+                .filter(MeshStatus::leads)
+                .max(Comparator.comparingLong(MeshStatus::term))
+                .orElse(null);
+        MeshStatus latest = told.stream()
+                .filter(status -> !status.members().isEmpty())
+                .max(Comparator.comparingLong(MeshStatus::term).thenComparing(MeshStatus::leads))
+                .orElse(null);
         List<Machine> members = latest == null ? List.of() : latest.members();
-        int answering = (int) members.stream().filter(member -> told.stream()
-                .anyMatch(status -> status.member().equals(member.member()))).count();
-        return new Survey(2 * answering > members.size(), answering, members.size(),
+        int answering = (int) members.stream()
+                .filter(member ->
+                        told.stream().anyMatch(status -> status.member().equals(member.member())))
+                .count();
+        return new Survey(
+                2 * answering > members.size(),
+                answering,
+                members.size(),
                 leader == null ? null : leader.control(),
                 told.stream().mapToLong(MeshStatus::term).max().orElse(0),
                 told.stream().mapToLong(MeshStatus::edition).max().orElse(0),
-                leader == null ? null : leader.plane(), lines);
+                leader == null ? null : leader.plane(),
+                lines);
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/Wire.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Wire.java
@@ -27,7 +27,7 @@
      *
      * @param location where to call instead; null for none
      */
-    record Answer(int status, String location, byte[] body) { }
+    record Answer(int status, String location, byte[] body) {}
 
     /**
      * Makes one call, follows nothing and repeats nothing. It has ended within the bound, whatever happens.
--- a/src/main/java/sablehinge/config/PlatformConfig.java
+++ b/src/main/java/sablehinge/config/PlatformConfig.java
@@ -31,12 +31,25 @@
  * @param scratch a folder that only the processes of this balancer share; null where there is none
  * @param keys the paths of all keys that the file has, those in lists left out
  */
-public record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, Settings settings, List<String> zones, List<String> kinds, List<String> classes,
-        List<String> tenants, Roster known, InetSocketAddress operator, Path scratch, Set<String> keys) {
+public record PlatformConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        Settings settings,
+        List<String> zones,
+        List<String> kinds,
+        List<String> classes,
+        List<String> tenants,
+        Roster known,
+        InetSocketAddress operator,
+        Path scratch,
+        Set<String> keys) {
 
     private static final JsonMapper JSON = JsonMapper.builder()
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+            .build();
 
     /** Reads the file at a path; the error says in one line what is wrong with it. */
     public static PlatformConfig read(String path) throws ConfigException {
@@ -59,8 +72,8 @@
     }
 
     /**
-     * Reads the file that takes the place of this one while a balancer runs. All that this one has must be
-     * there, also what has a default: a file that lacks it was cut short or is another's.
+     * Reads the file that takes the place of this one while a balancer runs. All that this one has must be there, also
+     * what has a default: a file that lacks it was cut short or is another's.
      */
     public PlatformConfig successor(String path) throws ConfigException {
         PlatformConfig next = read(path);
@@ -83,12 +96,21 @@
         Settings settings = SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
         List<String> zones = names(given.path("zones"));
         List<String> kinds = names(given.path("machineTypes"));
-        return new PlatformConfig(root.path("name").asText("balancer"), address(root, "listen"),
-                address(root, "discovery"), seed(root.path("seed").asText("")),
-                root.path("limits").path("sockets").asInt(1_024), settings, zones, kinds,
-                names(given.path("services")), names(given.path("tenants")),
-                new RosterParser(zones, kinds, false).parse(root.path("known")), operator(root),
-                ownFolder(), Set.copyOf(keys("", root, new HashSet<>())));
+        return new PlatformConfig(
+                root.path("name").asText("balancer"),
+                address(root, "listen"),
+                address(root, "discovery"),
+                seed(root.path("seed").asText("")),
+                root.path("limits").path("sockets").asInt(1_024),
+                settings,
+                zones,
+                kinds,
+                names(given.path("services")),
+                names(given.path("tenants")),
+                new RosterParser(zones, kinds, false).parse(root.path("known")),
+                operator(root),
+                ownFolder(),
+                Set.copyOf(keys("", root, new HashSet<>())));
     }
 
     /** Java's own temporary folder is everybody's. */
@@ -100,7 +122,8 @@
     /** The environment's word counts: two processes may share a file, and never this address. */
     private static InetSocketAddress operator(JsonNode root) {
         String given = System.getenv("PROXY_OPERATOR");
-        String address = given == null || given.isEmpty() ? root.path("operator").asText("") : given;
+        String address =
+                given == null || given.isEmpty() ? root.path("operator").asText("") : given;
         try {
             return address.isEmpty() ? null : Addresses.parse(address);
         } catch (IllegalArgumentException e) {
@@ -125,8 +148,7 @@
         for (JsonNode service : given.path("services")) {
             String name = service.path("name").asText("");
             if (name.isEmpty() || !names.add(name)) {
-                throw new IllegalArgumentException("settings.services: name '" + name
-                        + "' is empty or there twice");
+                throw new IllegalArgumentException("settings.services: name '" + name + "' is empty or there twice");
             }
             requirePositive("settings.services." + name + ".deadline", service.path("deadline"));
         }
--- a/src/main/java/sablehinge/config/local/LocalSchema.java
+++ b/src/main/java/sablehinge/config/local/LocalSchema.java
@@ -19,7 +19,7 @@
 
     private static final int LONGEST_SHOWN = 60;
 
-    private LocalSchema() { }
+    private LocalSchema() {}
 
     /** The first thing that is wrong: key, what was expected and found, in one line. */
     static String words(byte[] toml, String key) {
@@ -29,7 +29,8 @@
             }
         } catch (IOException | RuntimeException e) {
             // The library stumbles at figures that are no number; the key is known all the same.
-            return plain(key) + ": is missing or not as expected (" + e.getClass().getSimpleName() + ")";
+            return plain(key) + ": is missing or not as expected ("
+                    + e.getClass().getSimpleName() + ")";
         }
         return plain(key) + ": is missing or not as expected";
     }
@@ -40,9 +41,14 @@
 
     static Set<ValidationMessage> check(JsonNode root) throws IOException {
         try (InputStream in = LocalSchema.class.getResourceAsStream(RESOURCE)) {
-            return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in,
-                    SchemaValidatorsConfig.builder().pathType(PathType.JSON_POINTER).locale(Locale.ROOT)
-                            .build()).validate(root);
+            return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+                    .getSchema(
+                            in,
+                            SchemaValidatorsConfig.builder()
+                                    .pathType(PathType.JSON_POINTER)
+                                    .locale(Locale.ROOT)
+                                    .build())
+                    .validate(root);
         }
     }
 
@@ -50,21 +56,24 @@
         String place = message.getInstanceLocation().toString();
         String key = place.isEmpty() ? "" : place.substring(1).replace('/', '.');
         JsonNode bound = message.getSchemaNode();
-        String expected = switch (message.getType()) {
-            case "required" -> {
-                key = (key.isEmpty() ? "" : key + ".") + message.getProperty();
-                yield "this key";
-            }
-            case "type" -> "of type " + bound.asText();
-            case "enum" -> "one of " + bound;
-            case "minimum" -> "at least " + bound.asText();
-            case "maximum" -> "at most " + bound.asText();
-            case "minLength" -> "a text that is not empty";
-            case "minItems", "maxItems" -> "a list of " + bound.asText();
-            case "pattern" -> "an address with a port";
-            default -> message.getType() + " " + bound;
-        };
-        String found = message.getType().equals("required") ? "none" : message.getInstanceNode().toString();
+        String expected =
+                switch (message.getType()) {
+                    case "required" -> {
+                        key = (key.isEmpty() ? "" : key + ".") + message.getProperty();
+                        yield "this key";
+                    }
+                    case "type" -> "of type " + bound.asText();
+                    case "enum" -> "one of " + bound;
+                    case "minimum" -> "at least " + bound.asText();
+                    case "maximum" -> "at most " + bound.asText();
+                    case "minLength" -> "a text that is not empty";
+                    case "minItems", "maxItems" -> "a list of " + bound.asText();
+                    case "pattern" -> "an address with a port";
+                    default -> message.getType() + " " + bound;
+                };
+        String found = message.getType().equals("required")
+                ? "none"
+                : message.getInstanceNode().toString();
         return key + ": " + expected + " was expected, found "
                 + (found.length() <= LONGEST_SHOWN ? found : found.substring(0, LONGEST_SHOWN) + "...");
     }
--- a/src/main/java/sablehinge/config/local/LocalSettings.java
+++ b/src/main/java/sablehinge/config/local/LocalSettings.java
@@ -10,11 +10,11 @@
 /**
  * What a process of the mesh is told in its settings file (DEPLOY, "What a process is told").
  *
- * <p>Which keys there must be, and of what type and range, stands in the resource
- * {@code local.schema.json}, and there alone is it put in words. To load the library that checks by a schema
- * takes longer than all else at a start, so a file is read by plain steps first, and only one that they stop
- * at is checked by the schema, whose words the error then has. The tests hold the steps to the schema: they
- * take away and spoil each key that it has, and both must give the same answer.
+ * <p>Which keys there must be, and of what type and range, stands in the resource {@code local.schema.json}, and there
+ * alone is it put in words. To load the library that checks by a schema takes longer than all else at a start, so a
+ * file is read by plain steps first, and only one that they stop at is checked by the schema, whose words the error
+ * then has. The tests hold the steps to the schema: they take away and spoil each key that it has, and both must give
+ * the same answer.
  *
  * @param node the process's machine
  * @param ip its address, without a port
@@ -31,10 +31,29 @@
  * @param zones the regions of all zones, by the zones' names, in the file's order
  * @param tolerateMachines how many machines that count may be lost at once
  */
-public record LocalSettings(String node, Role role, String machineClass, List<String> serves, String ip,
-        String zone, String region, int innerFirst, int innerLast, List<String> seeds, boolean firstStart,
-        boolean counted, String dataDir, double beatMs, List<String> contracts, String app, String depot,
-        Map<String, String> zones, ListenOn listenOn, Limits limits, int tolerateMachines, Bounds bounds) {
+public record LocalSettings(
+        String node,
+        Role role,
+        String machineClass,
+        List<String> serves,
+        String ip,
+        String zone,
+        String region,
+        int innerFirst,
+        int innerLast,
+        List<String> seeds,
+        boolean firstStart,
+        boolean counted,
+        String dataDir,
+        double beatMs,
+        List<String> contracts,
+        String app,
+        String depot,
+        Map<String, String> zones,
+        ListenOn listenOn,
+        Limits limits,
+        int tolerateMachines,
+        Bounds bounds) {
 
     /** What a process is. */
     public enum Role {
@@ -45,7 +64,7 @@
     }
 
     /** Addresses with ports, each null where it is not served. */
-    public record ListenOn(String inbound, String outbound, String ready, String control) { }
+    public record ListenOn(String inbound, String outbound, String ready, String control) {}
 
     /**
      * What the machine gives the process.
@@ -54,15 +73,30 @@
      * @param fds file descriptors
      * @param diskMb 0 where there is no disk
      */
-    public record Limits(double cpuShare, double cores, double memoryMb, int fds, double linkMbps,
-            double diskMb) { }
+    public record Limits(double cpuShare, double cores, double memoryMb, int fds, double linkMbps, double diskMb) {}
 
     /** The figures of the contracts; names end in their unit, Ms or S, where they have one. */
-    public record Bounds(double seedDelayS, double readdressAfterS, double contactMs, double receiptMs,
-            double onboardS, double unloadMs, double graceS, double lostSlackMs, double editionMs,
-            double revertMs, double maxStretchMs, boolean sealed, double revokeMs, double retryRatio,
-            double retryWindowS, double retrySlack, double quotaWindowS, double quotaExcess,
-            double quotaSlack, double recoverS) { }
+    public record Bounds(
+            double seedDelayS,
+            double readdressAfterS,
+            double contactMs,
+            double receiptMs,
+            double onboardS,
+            double unloadMs,
+            double graceS,
+            double lostSlackMs,
+            double editionMs,
+            double revertMs,
+            double maxStretchMs,
+            boolean sealed,
+            double revokeMs,
+            double retryRatio,
+            double retryWindowS,
+            double retrySlack,
+            double quotaWindowS,
+            double quotaExcess,
+            double quotaSlack,
+            double recoverS) {}
 
     /** Settings whose lists can't be changed. */
     public LocalSettings {
