--- a/src/main/java/sablehinge/config/local/Steps.java
+++ b/src/main/java/sablehinge/config/local/Steps.java
@@ -3,17 +3,33 @@
 /** The plain way from a file's tables to settings; what the schema has no default for, it needs. */
 final class Steps {
 
-    private Steps() { }
+    private Steps() {}
 
     static LocalSettings settings(Table root) {
         int[] ports = root.ports("innerPorts");
-        return new LocalSettings(root.name("node"), role(root), root.name("machineClass"),
-                root.texts("serves"), root.name("ip"), root.name("zone"), root.name("region"), ports[0],
-                ports[1], root.addresses("seeds"), root.flag("firstStart"), root.flag("counted"),
-                root.nameIfAny("dataDir"), root.figure("beatMs"), root.texts("contracts"),
-                root.addressIfAny("app"), root.nameIfAny("depot"), root.table("zones").names(),
-                listenOn(root.table("listenOn")), limits(root.table("limits")),
-                root.table("tolerate").count("machines"), bounds(root.tableIfAny("bounds")));
+        return new LocalSettings(
+                root.name("node"),
+                role(root),
+                root.name("machineClass"),
+                root.texts("serves"),
+                root.name("ip"),
+                root.name("zone"),
+                root.name("region"),
+                ports[0],
+                ports[1],
+                root.addresses("seeds"),
+                root.flag("firstStart"),
+                root.flag("counted"),
+                root.nameIfAny("dataDir"),
+                root.figure("beatMs"),
+                root.texts("contracts"),
+                root.addressIfAny("app"),
+                root.nameIfAny("depot"),
+                root.table("zones").names(),
+                listenOn(root.table("listenOn")),
+                limits(root.table("limits")),
+                root.table("tolerate").count("machines"),
+                bounds(root.tableIfAny("bounds")));
     }
 
     private static LocalSettings.Role role(Table root) {
@@ -25,27 +41,45 @@
     }
 
     private static LocalSettings.ListenOn listenOn(Table table) {
-        return new LocalSettings.ListenOn(table.addressIfAny("inbound"), table.addressIfAny("outbound"),
-                table.addressIfAny("ready"), table.addressIfAny("control"));
+        return new LocalSettings.ListenOn(
+                table.addressIfAny("inbound"),
+                table.addressIfAny("outbound"),
+                table.addressIfAny("ready"),
+                table.addressIfAny("control"));
     }
 
     private static LocalSettings.Limits limits(Table table) {
-        return new LocalSettings.Limits(table.figure("cpuShare"), table.figure("cores"),
-                table.figure("memoryMb"), table.count("fds"), table.figure("linkMbps"),
+        return new LocalSettings.Limits(
+                table.figure("cpuShare"),
+                table.figure("cores"),
+                table.figure("memoryMb"),
+                table.count("fds"),
+                table.figure("linkMbps"),
                 table.figure("diskMb"));
     }
 
     /** A figure of a part that is not in force may be missing. */
     private static LocalSettings.Bounds bounds(Table table) {
-        return new LocalSettings.Bounds(table.figure("seedDelayS", 3), table.figure("readdressAfterS", 2),
-                table.figure("contactMs", 3_000), table.figure("receiptMs", 5_000),
-                table.figure("onboardS", 4), table.figure("unloadMs", 2_500), table.figure("graceS", 6),
-                table.figure("lostSlackMs", 200), table.figure("editionMs", 2_500),
-                table.figure("revertMs", 250), table.figure("maxStretchMs", 8_000),
-                table.flag("sealed", false), table.figure("revokeMs", 5_000),
-                table.figure("retryRatio", 0.2), table.figure("retryWindowS", 10),
-                table.figure("retrySlack", 62), table.figure("quotaWindowS", 5),
-                table.figure("quotaExcess", 0.1), table.figure("quotaSlack", 20),
+        return new LocalSettings.Bounds(
+                table.figure("seedDelayS", 3),
+                table.figure("readdressAfterS", 2),
+                table.figure("contactMs", 3_000),
+                table.figure("receiptMs", 5_000),
+                table.figure("onboardS", 4),
+                table.figure("unloadMs", 2_500),
+                table.figure("graceS", 6),
+                table.figure("lostSlackMs", 200),
+                table.figure("editionMs", 2_500),
+                table.figure("revertMs", 250),
+                table.figure("maxStretchMs", 8_000),
+                table.flag("sealed", false),
+                table.figure("revokeMs", 5_000),
+                table.figure("retryRatio", 0.2),
+                table.figure("retryWindowS", 10),
+                table.figure("retrySlack", 62),
+                table.figure("quotaWindowS", 5),
+                table.figure("quotaExcess", 0.1),
+                table.figure("quotaSlack", 20),
                 table.figure("recoverS", 15));
     }
 }
--- a/src/main/java/sablehinge/config/local/Table.java
+++ b/src/main/java/sablehinge/config/local/Table.java
@@ -170,8 +170,7 @@
         if (ports.size() != 2) {
             throw off(key);
         }
-        return new int[] {whole(key, ports.get(0), 1, HIGHEST_PORT),
-            whole(key, ports.get(1), 1, HIGHEST_PORT)};
+        return new int[] {whole(key, ports.get(0), 1, HIGHEST_PORT), whole(key, ports.get(1), 1, HIGHEST_PORT)};
     }
 
     /** All keys of this table with their texts, none of which is empty, in their order. */
--- a/src/main/java/sablehinge/config/local/Toml.java
+++ b/src/main/java/sablehinge/config/local/Toml.java
@@ -13,7 +13,7 @@
 /** Reads TOML into maps, lists, texts, numbers and booleans, without a mapper. */
 final class Toml {
 
-    private Toml() { }
+    private Toml() {}
 
     static Table read(byte[] bytes) throws IOException {
         try (JsonParser in = new TomlFactory().createParser(bytes)) {
@@ -29,8 +29,10 @@
         }
         JsonProcessingException wrong = (JsonProcessingException) e;
         String line = wrong.getOriginalMessage().lines().findFirst().orElse("");
-        return wrong.getLocation() == null ? line : "line " + wrong.getLocation().getLineNr() + ", column "
-                + wrong.getLocation().getColumnNr() + ": " + line;
+        return wrong.getLocation() == null
+                ? line
+                : "line " + wrong.getLocation().getLineNr() + ", column "
+                        + wrong.getLocation().getColumnNr() + ": " + line;
     }
 
     private static Map<String, Object> map(JsonParser in) throws IOException {
--- a/src/main/java/sablehinge/config/operator/LogSection.java
+++ b/src/main/java/sablehinge/config/operator/LogSection.java
@@ -9,13 +9,12 @@
 final class LogSection {
 
     private static final int MOST_LINES = 100_000;
-    private static final Map<String, LogTerms.Format> FORMATS = Map.of("text", LogTerms.Format.TEXT, "json",
-            LogTerms.Format.JSON);
-    private static final Map<String, Level> LEVELS = Map.of("error", Level.ERROR, "warn", Level.WARN, "info",
-            Level.INFO, "debug", Level.DEBUG, "trace", Level.TRACE);
+    private static final Map<String, LogTerms.Format> FORMATS =
+            Map.of("text", LogTerms.Format.TEXT, "json", LogTerms.Format.JSON);
+    private static final Map<String, Level> LEVELS = Map.of(
+            "error", Level.ERROR, "warn", Level.WARN, "info", Level.INFO, "debug", Level.DEBUG, "trace", Level.TRACE);
 
-    private LogSection() {
-    }
+    private LogSection() {}
 
     static LogTerms read(Section s) {
         LogTerms usual = LogTerms.USUAL;
--- a/src/main/java/sablehinge/config/operator/OperatorConfig.java
+++ b/src/main/java/sablehinge/config/operator/OperatorConfig.java
@@ -34,11 +34,25 @@
  * @param budget null where budgets are off
  * @param recorder null where there is no flight recorder
  */
-public record OperatorConfig(NodePart node, AdminPart admin, List<ListenerPart> listeners,
-        List<ClassPart> classes, List<TenantPart> tenants, List<String> zones, List<String> kinds,
-        List<UpstreamPart> upstreams, InetSocketAddress discovery, Limits limits, Rules rules,
-        double crossZonePrice, double worstClassWeight, ChangePart change, ReplayPart replay,
-                BudgetPart budget, RecorderPart recorder, LogTerms log) {
+public record OperatorConfig(
+        NodePart node,
+        AdminPart admin,
+        List<ListenerPart> listeners,
+        List<ClassPart> classes,
+        List<TenantPart> tenants,
+        List<String> zones,
+        List<String> kinds,
+        List<UpstreamPart> upstreams,
+        InetSocketAddress discovery,
+        Limits limits,
+        Rules rules,
+        double crossZonePrice,
+        double worstClassWeight,
+        ChangePart change,
+        ReplayPart replay,
+        BudgetPart budget,
+        RecorderPart recorder,
+        LogTerms log) {
 
     /**
      * The process itself; of this only {@code versionHeader} may change while it runs.
@@ -49,25 +63,40 @@
      * @param versionHeader whether answers carry {@code Sablehinge-Version}
      * @param accessLog the file of a line for each answer, relative to the operator file; null for none
      */
-    public record NodePart(String name, String zone, int position, int siblings, int descriptors,
-            String state, boolean versionHeader, String accessLog) { }
+    public record NodePart(
+            String name,
+            String zone,
+            int position,
+            int siblings,
+            int descriptors,
+            String state,
+            boolean versionHeader,
+            String accessLog) {}
 
     /** The admin listener: a Unix socket's path, relative to the state directory, or a port with a token. */
-    public record AdminPart(String socket, InetSocketAddress listen, String tokenFile) { }
+    public record AdminPart(String socket, InetSocketAddress listen, String tokenFile) {}
 
     /** An address where callers are let in. */
-    public record ListenerPart(String name, InetSocketAddress address) { }
+    public record ListenerPart(String name, InetSocketAddress address) {}
 
     /** A class of requests; {@code zones} and {@code kinds} are null where any will do. */
-    public record ClassPart(String name, Repeat effect, Group group, double window, double aim,
-            double deadline, double worth, double lateWorth, List<String> zones, List<String> kinds) { }
+    public record ClassPart(
+            String name,
+            Repeat effect,
+            Group group,
+            double window,
+            double aim,
+            double deadline,
+            double worth,
+            double lateWorth,
+            List<String> zones,
+            List<String> kinds) {}
 
     /** A tenant, as callers name it. */
-    public record TenantPart(String name) { }
+    public record TenantPart(String name) {}
 
     /** A server that the file lists. */
-    public record UpstreamPart(String id, InetSocketAddress address, String zone, String kind, int cell,
-            State state) { }
+    public record UpstreamPart(String id, InetSocketAddress address, String zone, String kind, int cell, State state) {}
 
     /**
      * How logs are written and what their requests are, for the replay; a balancer has no use for it.
@@ -75,7 +104,7 @@
      * @param zone of times that name none
      * @param fields of lines of JSON; empty for the usual names
      */
-    public record ReplayPart(String format, ZoneId zone, Map<String, String> fields, List<Rule> rules) { }
+    public record ReplayPart(String format, ZoneId zone, Map<String, String> fields, List<Rule> rules) {}
 
     /**
      * Budgets over a chain of tiers, at this hop.
@@ -85,8 +114,8 @@
      * @param shed by what terms work is given up by its worth here; null for none
      * @param keys the files of the secrets by their names, relative to the operator file; the first one signs
      */
-    public record BudgetPart(String service, boolean entry, Terms terms, Shedder.Terms shed,
-            Map<String, String> keys) { }
+    public record BudgetPart(
+            String service, boolean entry, Terms terms, Shedder.Terms shed, Map<String, String> keys) {}
 
     /**
      * The flight recorder; of this nothing changes while the process runs. Times in ms.
@@ -100,8 +129,16 @@
      * @param quiet how long nothing must be at work before all counts must be zero
      * @param atRestKib of buffers that may be in use then
      */
-    public record RecorderPart(double mib, String directory, int keep, double tick, double stall, double turn,
-            double overdue, double quiet, int atRestKib) { }
+    public record RecorderPart(
+            double mib,
+            String directory,
+            int keep,
+            double tick,
+            double stall,
+            double turn,
+            double overdue,
+            double quiet,
+            int atRestKib) {}
 
     /**
      * How a change of the configuration is tried and when it is undone.
@@ -113,8 +150,13 @@
      * @param refusedRise likewise of refused ones
      * @param leastCount answers below which a share proves nothing
      */
-    public record ChangePart(double confirmWithin, double readyWithin, int readyLeast, double failedRise,
-            double refusedRise, int leastCount) { }
+    public record ChangePart(
+            double confirmWithin,
+            double readyWithin,
+            int readyLeast,
+            double failedRise,
+            double refusedRise,
+            int leastCount) {}
 
     /**
      * The version that this file is, for core.
@@ -127,19 +169,54 @@
         kinds.forEach(kind -> place(kindNames, kind));
         List<ServiceClass> types = new ArrayList<>();
         for (ClassPart part : classes) {
-            types.add(new ServiceClass(part.name, part.aim, 0, part.deadline, part.worth, part.lateWorth,
-                    part.effect, part.group, part.window, false, false, places(zoneNames, part.zones),
-                    places(kindNames, part.kinds), 0));
+            types.add(new ServiceClass(
+                    part.name,
+                    part.aim,
+                    0,
+                    part.deadline,
+                    part.worth,
+                    part.lateWorth,
+                    part.effect,
+                    part.group,
+                    part.window,
+                    false,
+                    false,
+                    places(zoneNames, part.zones),
+                    places(kindNames, part.kinds),
+                    0));
         }
-        List<Tenant> shares = tenants.stream().map(t -> new Tenant(t.name, 1.0 / tenants.size(), 0)).toList();
-        Settings settings = new Settings(node.position, node.siblings, 0, 1, place(zoneNames, node.zone),
-                Math.max(1, zoneNames.size()), Math.max(1, kindNames.size()), discovery != null, true, false,
-                        false, false, 1,
-                WeightKind.NONE, Reports.NONE, List.of(), types, shares, limits, rules,
+        List<Tenant> shares = tenants.stream()
+                .map(t -> new Tenant(t.name, 1.0 / tenants.size(), 0))
+                .toList();
+        Settings settings = new Settings(
+                node.position,
+                node.siblings,
+                0,
+                1,
+                place(zoneNames, node.zone),
+                Math.max(1, zoneNames.size()),
+                Math.max(1, kindNames.size()),
+                discovery != null,
+                true,
+                false,
+                false,
+                false,
+                1,
+                WeightKind.NONE,
+                Reports.NONE,
+                List.of(),
+                types,
+                shares,
+                limits,
+                rules,
                 new Goal(1 - worstClassWeight, 0, worstClassWeight, 0, 0, 0, 0, 0),
                 new Prices(crossZonePrice, 0, 0, 0, 0, 0, 0, 0));
-        return new Version(number, settings, classes.stream().map(ClassPart::name).toList(),
-                tenants.stream().map(TenantPart::name).toList(), node.versionHeader);
+        return new Version(
+                number,
+                settings,
+                classes.stream().map(ClassPart::name).toList(),
+                tenants.stream().map(TenantPart::name).toList(),
+                node.versionHeader);
     }
 
     /** The servers that the file lists, by the same names as {@link #version}; empty under discovery. */
@@ -148,14 +225,18 @@
         for (UpstreamPart part : upstreams) {
             // The address belongs to what a server is: one that moves is another one, and the old one gone.
             long id = RosterParser.number(part.id + "@" + part.address);
-            members.add(new Member(new Upstream(id, place(zoneNames, part.zone), place(kindNames, part.kind),
-                    part.cell, part.state, 1, 0), part.address));
+            members.add(new Member(
+                    new Upstream(
+                            id, place(zoneNames, part.zone), place(kindNames, part.kind), part.cell, part.state, 1, 0),
+                    part.address));
         }
         return new Roster(number, true, members);
     }
 
     private static List<Integer> places(List<String> names, List<String> wanted) {
-        return wanted == null ? null : wanted.stream().map(name -> place(names, name)).toList();
+        return wanted == null
+                ? null
+                : wanted.stream().map(name -> place(names, name)).toList();
     }
 
     private static int place(List<String> names, String name) {
--- a/src/main/java/sablehinge/config/operator/OperatorFile.java
+++ b/src/main/java/sablehinge/config/operator/OperatorFile.java
@@ -44,32 +44,29 @@
 import sablehinge.policy.LoadBalancer.Rules;
 import sablehinge.policy.LoadBalancer.State;
 
-/**
- * Reads an operator file whole: either it is right in every part, or all that is wrong with it is told at
- * once.
- */
+/** Reads an operator file whole: either it is right in every part, or all that is wrong with it is told at once. */
 public final class OperatorFile {
 
     /** Longest file that is read, in bytes: some ten thousand servers. */
     public static final int MOST_BYTES = 1 << 20;
     /** Brackets within brackets: nothing of this file needs more than 3. */
     private static final int MOST_NESTED = 32;
+
     private static final int MOST_ITEMS = 10_000;
     private static final int MOST_CLASSES = 64;
     private static final int MOST_PROBLEMS = 100;
     private static final double HOUR = 3.6e6;
     /** For the record only: no decision of this program rests on it. */
     private static final double FALL_AFTER_MS = 1_500;
-    private static final Map<String, Repeat> EFFECTS = Map.of("safe", Repeat.IDEMPOTENT,
-            "keyed", Repeat.DEDUPLICATED, "unsafe", Repeat.AT_MOST_ONCE);
-    private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE,
-            "cell", Group.CELL);
+
+    private static final Map<String, Repeat> EFFECTS =
+            Map.of("safe", Repeat.IDEMPOTENT, "keyed", Repeat.DEDUPLICATED, "unsafe", Repeat.AT_MOST_ONCE);
+    private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL);
     private static final Map<String, State> STATES = Map.of("up", State.READY, "draining", State.DRAINING);
 
     private final List<Problem> problems = new ArrayList<>();
 
-    private OperatorFile() {
-    }
+    private OperatorFile() {}
 
     /**
      * What a reading has come to.
@@ -77,7 +74,7 @@
      * @param config null if there are problems
      * @param problems in the order of their lines; empty if there is a configuration
      */
-    public record Checked(OperatorConfig config, List<Problem> problems) { }
+    public record Checked(OperatorConfig config, List<Problem> problems) {}
 
     /** Reads the file at a path; one that can't be read is a problem too. */
     public static Checked read(Path path) {
@@ -105,8 +102,7 @@
         try (InputStream in = Files.newInputStream(path)) {
             byte[] bytes = in.readNBytes(MOST_BYTES + 1);
             if (bytes.length > MOST_BYTES) {
-                throw new IOException("has " + Files.size(path) + " bytes, expected " + MOST_BYTES
-                        + " at most");
+                throw new IOException("has " + Files.size(path) + " bytes, expected " + MOST_BYTES + " at most");
             }
             return bytes;
         } catch (AccessDeniedException e) {
@@ -120,7 +116,7 @@
      * @param replay null if there are problems
      * @param classes those that the file has; a file with nothing but rules has none
      */
-    public record CheckedReplay(ReplayPart replay, List<ClassPart> classes, List<Problem> problems) { }
+    public record CheckedReplay(ReplayPart replay, List<ClassPart> classes, List<Problem> problems) {}
 
     /** Reads what a file says of logs; one that says nothing else needn't be a whole operator file. */
     public static CheckedReplay readReplay(Path path) {
@@ -135,8 +131,8 @@
         List<ClassPart> classes = List.of();
         TomlParseResult toml = file.toml(bytes);
         if (toml != null && toml.keySet().equals(Set.of("replay"))) {
-            part = new ReplaySection(List.of(), List.of()).read(new Section(toml, "", 1, file.problems)
-                    .section("replay"));
+            part = new ReplaySection(List.of(), List.of())
+                    .read(new Section(toml, "", 1, file.problems).section("replay"));
         } else if (toml != null) {
             Checked whole = parse(bytes);
             if (whole.config() != null) {
@@ -189,8 +185,9 @@
             problem(0, "", "can't be read as TOML (" + e.getClass().getSimpleName() + ")");
             return null;
         }
-        toml.errors().forEach(e -> problem(e.position() == null ? 0 : e.position().line(), "",
-                Section.plain(e.getMessage(), 200)));
+        toml.errors()
+                .forEach(e -> problem(
+                        e.position() == null ? 0 : e.position().line(), "", Section.plain(e.getMessage(), 200)));
         if (toml.hasErrors()) {
             return null;
         }
@@ -199,7 +196,10 @@
 
     private String decode(byte[] bytes) {
         try {
-            return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(bytes))
+                    .toString();
         } catch (CharacterCodingException e) {
             problem(firstBadLine(bytes), "", "is not UTF-8 in this line, expected UTF-8 throughout");
             return null;
@@ -224,9 +224,8 @@
     }
 
     /**
-     * The parser is recursive, and what ends its stack could leave a class of it half loaded for good: that
-     * is
-     * refused before, with a line. Brackets in texts and comments don't count.
+     * The parser is recursive, and what ends its stack could leave a class of it half loaded for good: that is refused
+     * before, with a line. Brackets in texts and comments don't count.
      */
     private boolean nestedTooDeep(String text) {
         int depth = 0;
@@ -266,16 +265,15 @@
         List<String> declaredZones = declared(root, "zones");
         List<String> declaredKinds = declared(root, "kinds");
         InetSocketAddress discovery = root.address("discovery", false);
-        List<UpstreamPart> upstreams = root.sections("upstream", MOST_ITEMS,
-                s -> upstream(s, declaredZones, declaredKinds));
+        List<UpstreamPart> upstreams =
+                root.sections("upstream", MOST_ITEMS, s -> upstream(s, declaredZones, declaredKinds));
         NodePart node = node(root.section("node"), declaredZones);
         List<String> zones = all(declaredZones, upstreams, UpstreamPart::zone, node.zone());
         List<String> kinds = all(declaredKinds, upstreams, UpstreamPart::kind, null);
         AdminPart admin = admin(root.section("admin"));
         List<ListenerPart> listeners = root.sections("listener", 16, OperatorFile::listener);
         List<ClassPart> classes = root.sections("class", MOST_CLASSES, s -> serviceClass(s, zones, kinds));
-        List<TenantPart> tenants = root.sections("tenant", MOST_ITEMS, s ->
-                new TenantPart(s.name("name", null)));
+        List<TenantPart> tenants = root.sections("tenant", MOST_ITEMS, s -> new TenantPart(s.name("name", null)));
         Limits limits = limits(root.section("limits"));
         Rules rules = rules(root.section("rules"));
         Section goal = root.section("goal");
@@ -283,17 +281,23 @@
         double worstClass = goal.number("worst-class-weight", 0.3, 0, 1);
         goal.end();
         ChangePart change = change(root.section("change"));
-        ReplayPart replay = new ReplaySection(classes.stream().map(ClassPart::name).filter(Objects::nonNull)
-                .toList(), tenants.stream().map(TenantPart::name).filter(Objects::nonNull).toList())
+        ReplayPart replay = new ReplaySection(
+                        classes.stream()
+                                .map(ClassPart::name)
+                                .filter(Objects::nonNull)
+                                .toList(),
+                        tenants.stream()
+                                .map(TenantPart::name)
+                                .filter(Objects::nonNull)
+                                .toList())
                 .read(root.section("replay"));
         BudgetPart budget = root.has("budget") ? budget(root.section("budget")) : null;
-        RecorderPart recorder = root.has("recorder") ? RecorderSection.read(root.section("recorder"))
-                : null;
+        RecorderPart recorder = root.has("recorder") ? RecorderSection.read(root.section("recorder")) : null;
         LogTerms log = LogSection.read(root.section("log"));
         root.end();
         if (listeners.isEmpty()) {
-            listeners = List.of(new ListenerPart("main", new InetSocketAddress(
-                    InetAddress.getLoopbackAddress(), 8080)));
+            listeners =
+                    List.of(new ListenerPart("main", new InetSocketAddress(InetAddress.getLoopbackAddress(), 8080)));
         }
         if (classes.isEmpty()) {
             root.problem("class", "is missing, expected at least one table [[class]]");
@@ -305,9 +309,25 @@
             root.problem("upstream", "is missing, expected tables [[upstream]] or discovery = \"HOST:PORT\"");
         }
         together(root, listeners, upstreams, classes, tenants, admin);
-        return new OperatorConfig(node, admin, List.copyOf(listeners), List.copyOf(classes),
-                List.copyOf(tenants), zones, kinds, List.copyOf(upstreams), discovery, limits, rules,
-                crossZone, worstClass, change, replay, budget, recorder, log);
+        return new OperatorConfig(
+                node,
+                admin,
+                List.copyOf(listeners),
+                List.copyOf(classes),
+                List.copyOf(tenants),
+                zones,
+                kinds,
+                List.copyOf(upstreams),
+                discovery,
+                limits,
+                rules,
+                crossZone,
+                worstClass,
+                change,
+                replay,
+                budget,
+                recorder,
+                log);
     }
 
     /** A list of names that the file declares; null where it leaves that to their first use. */
@@ -324,8 +344,8 @@
         return List.copyOf(names);
     }
 
-    private static List<String> all(List<String> declared, List<UpstreamPart> upstreams,
-            Function<UpstreamPart, String> name, String own) {
+    private static List<String> all(
+            List<String> declared, List<UpstreamPart> upstreams, Function<UpstreamPart, String> name, String own) {
         Set<String> names = new LinkedHashSet<>(declared == null ? List.of() : declared);
         if (own != null) {
             names.add(own);
@@ -336,17 +356,23 @@
 
     private static NodePart node(Section s, List<String> zones) {
         String name = s.name("name", "sablehinge");
-        String zone = zones == null ? s.name("zone", "main") : s.reference("zone",
-                zones.isEmpty() ? "main" : zones.get(0), zones, "zone");
+        String zone = zones == null
+                ? s.name("zone", "main")
+                : s.reference("zone", zones.isEmpty() ? "main" : zones.get(0), zones, "zone");
         int siblings = s.integer("siblings", 1, 1, MOST_ITEMS);
         int position = s.integer("position", 0, 0, MOST_ITEMS);
         if (position >= siblings) {
-            s.problem("position", position + " is out of range, expected less than siblings, which is "
-                    + siblings);
-        }
-        NodePart node = new NodePart(name, zone, position, siblings,
-                s.integer("descriptors", 4_096, 256, 1_000_000), s.text("state", "sablehinge-state"),
-                s.flag("version-header", false), s.text("access-log", null));
+            s.problem("position", position + " is out of range, expected less than siblings, which is " + siblings);
+        }
+        NodePart node = new NodePart(
+                name,
+                zone,
+                position,
+                siblings,
+                s.integer("descriptors", 4_096, 256, 1_000_000),
+                s.text("state", "sablehinge-state"),
+                s.flag("version-header", false),
+                s.text("access-log", null));
         s.end();
         return node;
     }
@@ -377,11 +403,17 @@
         if (address != null && address.getAddress().isAnyLocalAddress()) {
             s.problem("address", "is the address of any, expected that of one server");
         }
-        return new UpstreamPart(s.name("id", null), address, zones == null ? s.name("zone", "main")
-                : s.reference("zone", zones.isEmpty() ? "main" : zones.get(0), zones, "zone"),
-                kinds == null ? s.name("kind", "server") : s.reference("kind",
-                        kinds.isEmpty() ? "server" : kinds.get(0), kinds, "kind"),
-                s.integer("cell", 0, 0, 1_000_000), s.choice("state", State.READY, STATES));
+        return new UpstreamPart(
+                s.name("id", null),
+                address,
+                zones == null
+                        ? s.name("zone", "main")
+                        : s.reference("zone", zones.isEmpty() ? "main" : zones.get(0), zones, "zone"),
+                kinds == null
+                        ? s.name("kind", "server")
+                        : s.reference("kind", kinds.isEmpty() ? "server" : kinds.get(0), kinds, "kind"),
+                s.integer("cell", 0, 0, 1_000_000),
+                s.choice("state", State.READY, STATES));
     }
 
     private static ClassPart serviceClass(Section s, List<String> zones, List<String> kinds) {
@@ -400,36 +432,61 @@
         double aim = s.duration("aim", 1_000, 1, HOUR);
         double deadline = s.duration("deadline", Math.max(2_500, 2.5 * aim), 1, HOUR);
         if (deadline < aim) {
-            s.problem("deadline", Section.millis(deadline) + " is shorter than the aim of "
-                    + Section.millis(aim));
-        }
-        return new ClassPart(name, effect, group, window, aim, deadline, s.number("worth", 1, 1e-6, 1e6),
-                s.number("late-worth", 0.5, 0, 1), s.names("zones", zones, "zone"),
+            s.problem("deadline", Section.millis(deadline) + " is shorter than the aim of " + Section.millis(aim));
+        }
+        return new ClassPart(
+                name,
+                effect,
+                group,
+                window,
+                aim,
+                deadline,
+                s.number("worth", 1, 1e-6, 1e6),
+                s.number("late-worth", 0.5, 0, 1),
+                s.names("zones", zones, "zone"),
                 s.names("kinds", kinds, "kind"));
     }
 
     private static Limits limits(Section s) {
-        Limits limits = new Limits(s.integer("attempts", 4, 1, 16), s.integer("open", 20_000, 1, 1_000_000),
-                true, s.flag("second-copies", true), false, false, s.flag("retry-after", true),
-                s.duration("longest-retry-after", 2_000, 1, HOUR), s.duration("connect", 300, 1, 60_000),
-                s.duration("idle", 30_000, 100, HOUR), 1, 0, 0);
+        Limits limits = new Limits(
+                s.integer("attempts", 4, 1, 16),
+                s.integer("open", 20_000, 1, 1_000_000),
+                true,
+                s.flag("second-copies", true),
+                false,
+                false,
+                s.flag("retry-after", true),
+                s.duration("longest-retry-after", 2_000, 1, HOUR),
+                s.duration("connect", 300, 1, 60_000),
+                s.duration("idle", 30_000, 100, HOUR),
+                1,
+                0,
+                0);
         s.end();
         return limits;
     }
 
     private static Rules rules(Section s) {
-        Rules rules = new Rules(s.duration("answer-grace", 20, 0, 1_000),
-                s.duration("drain-grace", 2_000, 0, 60_000), s.duration("ask-every", 2_000, 100, HOUR),
-                s.number("start-capacity", 0.13, 0.01, 1), s.duration("warm-up", 24_000, 0, HOUR),
-                s.number("fall-multiple", 3, 1, 100), FALL_AFTER_MS, 0);
+        Rules rules = new Rules(
+                s.duration("answer-grace", 20, 0, 1_000),
+                s.duration("drain-grace", 2_000, 0, 60_000),
+                s.duration("ask-every", 2_000, 100, HOUR),
+                s.number("start-capacity", 0.13, 0.01, 1),
+                s.duration("warm-up", 24_000, 0, HOUR),
+                s.number("fall-multiple", 3, 1, 100),
+                FALL_AFTER_MS,
+                0);
         s.end();
         return rules;
     }
 
     private static ChangePart change(Section s) {
-        ChangePart change = new ChangePart(s.duration("confirm-within", 30_000, 1_000, HOUR),
-                s.duration("ready-within", 5_000, 10, 600_000), s.integer("ready-least", 1, 0, MOST_ITEMS),
-                s.number("failed-rise", 0.1, 0.001, 1), s.number("refused-rise", 0.3, 0.001, 1),
+        ChangePart change = new ChangePart(
+                s.duration("confirm-within", 30_000, 1_000, HOUR),
+                s.duration("ready-within", 5_000, 10, 600_000),
+                s.integer("ready-least", 1, 0, MOST_ITEMS),
+                s.number("failed-rise", 0.1, 0.001, 1),
+                s.number("refused-rise", 0.3, 0.001, 1),
                 s.integer("least-count", 100, 10, 1_000_000));
         s.end();
         return change;
@@ -448,17 +505,24 @@
         if (need > attempts) {
             s.problem("need", need + " is more than attempts, which is " + attempts);
         }
-        Terms terms = new Terms(attempts, s.duration("remaining", 10_000, 1, HOUR),
-                s.number("worth", 1_000, 0, 1e6), Math.min(attempts, s.integer("unknown", 1, 0, attempts)),
-                s.integer("calls", 1, 1, 1_000), need, last, s.duration("margin", 5, 0, 60_000),
-                s.duration("wire", 1, 0, 60_000), s.number("kept", 0.5, 0, 0.9),
-                s.integer("reentries", 0, 0, Budget.MOST_HOPS - 1), s.integer("open", 20_000, 1, 1_000_000));
+        Terms terms = new Terms(
+                attempts,
+                s.duration("remaining", 10_000, 1, HOUR),
+                s.number("worth", 1_000, 0, 1e6),
+                Math.min(attempts, s.integer("unknown", 1, 0, attempts)),
+                s.integer("calls", 1, 1, 1_000),
+                need,
+                last,
+                s.duration("margin", 5, 0, 60_000),
+                s.duration("wire", 1, 0, 60_000),
+                s.number("kept", 0.5, 0, 0.9),
+                s.integer("reentries", 0, 0, Budget.MOST_HOPS - 1),
+                s.integer("open", 20_000, 1, 1_000_000));
         // The module sheds already; both together were measured to give up too much.
         boolean sheds = s.flag("shed", false);
         Shedder.Terms shed = new Shedder.Terms(s.number("floor", 0.1, 0, 1), s.number("share", 1, 0.001, 1));
         Map<String, String> keys = new LinkedHashMap<>();
-        for (String[] key : s.sections("key", 8, k -> new String[] {k.name("name", null),
-            k.text("file", null)})) {
+        for (String[] key : s.sections("key", 8, k -> new String[] {k.name("name", null), k.text("file", null)})) {
             if (key[1] == null) {
                 s.problem("key", "has no file, expected the file of its secret");
             } else if (key[0] != null && keys.put(key[0], key[1]) != null) {
@@ -470,8 +534,13 @@
     }
 
     /** What no single table shows: names and addresses that stand for two things. */
-    private void together(Section root, List<ListenerPart> listeners, List<UpstreamPart> upstreams,
-            List<ClassPart> classes, List<TenantPart> tenants, AdminPart admin) {
+    private void together(
+            Section root,
+            List<ListenerPart> listeners,
+            List<UpstreamPart> upstreams,
+            List<ClassPart> classes,
+            List<TenantPart> tenants,
+            AdminPart admin) {
         unique(root, "class", classes, ClassPart::name, "name");
         unique(root, "tenant", tenants, TenantPart::name, "name");
         unique(root, "upstream", upstreams, UpstreamPart::id, "id");
@@ -492,28 +561,29 @@
         for (int i = 0; i < upstreams.size(); i++) {
             InetSocketAddress address = upstreams.get(i).address();
             if (address != null && bound.stream().anyMatch(other -> collide(other, address))) {
-                root.itemProblem("upstream", i, "address",
-                        "is one where this balancer listens, expected another server's");
+                root.itemProblem(
+                        "upstream", i, "address", "is one where this balancer listens, expected another server's");
             }
         }
     }
 
     private static boolean collide(InetSocketAddress one, InetSocketAddress other) {
-        return one.getPort() != 0 && one.getPort() == other.getPort()
-                && (one.getAddress().equals(other.getAddress()) || one.getAddress().isAnyLocalAddress()
-                || other.getAddress().isAnyLocalAddress());
+        return one.getPort() != 0
+                && one.getPort() == other.getPort()
+                && (one.getAddress().equals(other.getAddress())
+                        || one.getAddress().isAnyLocalAddress()
+                        || other.getAddress().isAnyLocalAddress());
     }
 
-    private static <T> void unique(Section root, String list, Collection<T> items,
-            Function<T, Object> name, String key) {
+    private static <T> void unique(
+            Section root, String list, Collection<T> items, Function<T, Object> name, String key) {
         Map<Object, Integer> seen = new HashMap<>();
         int place = 0;
         for (T item : items) {
             Object value = name.apply(item);
             Integer before = value == null ? null : seen.putIfAbsent(value, place);
             if (before != null && !(value instanceof InetSocketAddress address && address.getPort() == 0)) {
-                root.itemProblem(list, place, key, "is the same as that of " + list + "[" + (before + 1)
-                        + "]");
+                root.itemProblem(list, place, key, "is the same as that of " + list + "[" + (before + 1) + "]");
             }
             place++;
         }
--- a/src/main/java/sablehinge/config/operator/ReplaySection.java
+++ b/src/main/java/sablehinge/config/operator/ReplaySection.java
@@ -37,18 +37,23 @@
     OperatorConfig.ReplayPart read(Section s) {
         String format = s.text("format", "auto");
         if (format.indexOf('$') < 0 && !LogFields.FORMATS.contains(format)) {
-            s.problem("format", Section.quote(format) + " is no format, expected one of "
-                    + String.join(", ", LogFields.FORMATS.stream().sorted().toList())
-                    + " or an nginx log_format with its variables");
+            s.problem(
+                    "format",
+                    Section.quote(format) + " is no format, expected one of "
+                            + String.join(
+                                    ", ", LogFields.FORMATS.stream().sorted().toList())
+                            + " or an nginx log_format with its variables");
         }
         ZoneId zone = ZoneOffset.UTC;
         String name = s.text("zone", "UTC");
         try {
             zone = ZoneId.of(name);
         } catch (DateTimeException e) {
-            s.problem("zone", Section.quote(name)
-                    + " is no zone of time, expected one such as \"Africa/Dakar\""
-                    + " or \"+02:00\"");
+            s.problem(
+                    "zone",
+                    Section.quote(name)
+                            + " is no zone of time, expected one such as \"Africa/Dakar\""
+                            + " or \"+02:00\"");
         }
         Section fields = s.section("fields");
         Map<String, String> map = new HashMap<>();
@@ -75,9 +80,17 @@
         Template tenant = template(s, "tenant", names);
         reference(s, "tenant", tenant, tenants);
         String host = s.text("host", null);
-        return new Rule(methods(s), host == null ? null : new Glob(host.toLowerCase(Locale.ROOT)), path,
-                named(s, "header"), named(s, "query"), serviceClass, template(s, "key", names), tenant,
-                s.duration("deadline", 0, 1, HOUR), s.integer("body", -1, 0, MOST_BODY));
+        return new Rule(
+                methods(s),
+                host == null ? null : new Glob(host.toLowerCase(Locale.ROOT)),
+                path,
+                named(s, "header"),
+                named(s, "query"),
+                serviceClass,
+                template(s, "key", names),
+                tenant,
+                s.duration("deadline", 0, 1, HOUR),
+                s.integer("body", -1, 0, MOST_BODY));
     }
 
     /** One method, or several with commas between them. */
@@ -90,9 +103,11 @@
         for (String method : text.split(",")) {
             String plain = method.strip();
             if (!plain.matches("[A-Z]{1,20}")) {
-                s.problem("method", Section.quote(text)
-                        + " is no method, expected one such as \"GET\" or several"
-                        + " such as \"GET, HEAD\"");
+                s.problem(
+                        "method",
+                        Section.quote(text)
+                                + " is no method, expected one such as \"GET\" or several"
+                                + " such as \"GET, HEAD\"");
                 return null;
             }
             methods.add(plain);
@@ -107,7 +122,8 @@
             if (name.isBlank()) {
                 throw new IllegalArgumentException("expected NAME=VALUE, or NAME for any value");
             }
-            return new Rule.Named(key.equals("header") ? name.strip().toLowerCase(Locale.ROOT) : name,
+            return new Rule.Named(
+                    key.equals("header") ? name.strip().toLowerCase(Locale.ROOT) : name,
                     new Glob(equals < 0 ? "*" : text.substring(equals + 1)));
         });
     }
--- a/src/main/java/sablehinge/config/operator/Section.java
+++ b/src/main/java/sablehinge/config/operator/Section.java
@@ -17,9 +17,9 @@
 import sablehinge.settings.Addresses;
 
 /**
- * Reads one table of an operator file. Each key is asked for once, with its type, range and default; what is
- * amiss is noted with its line and the default goes on in its place, so that one reading finds every error.
- * Once all has been asked for, {@link #end} notes the keys that nobody knows.
+ * Reads one table of an operator file. Each key is asked for once, with its type, range and default; what is amiss is
+ * noted with its line and the default goes on in its place, so that one reading finds every error. Once all has been
+ * asked for, {@link #end} notes the keys that nobody knows.
  */
 public final class Section {
 
@@ -94,9 +94,11 @@
 
     /** Text as it may stand in one line of an error. */
     public static String plain(String text, int most) {
-        String shown = text.codePoints().limit(most).map(c -> Character.isISOControl(c) ? '?' : c)
-                .collect(StringBuilder::new, StringBuilder::appendCodePoint,
-                        StringBuilder::append).toString();
+        String shown = text.codePoints()
+                .limit(most)
+                .map(c -> Character.isISOControl(c) ? '?' : c)
+                .collect(StringBuilder::new, StringBuilder::appendCodePoint, StringBuilder::append)
+                .toString();
         return shown + (text.codePointCount(0, text.length()) > most ? "…" : "");
     }
 
@@ -172,14 +174,14 @@
         }
         Matcher parts = DURATION.matcher(value instanceof String text ? text : "");
         if (!parts.matches()) {
-            problem(key, "expected a time with its unit such as \"250ms\", \"2.5s\" or \"1m\", found "
-                    + describe(value));
+            problem(
+                    key,
+                    "expected a time with its unit such as \"250ms\", \"2.5s\" or \"1m\", found " + describe(value));
             return fallback;
         }
         double millis = Double.parseDouble(parts.group(1)) * UNITS.get(parts.group(2));
         if (millis < least || millis > most) {
-            problem(key, quote((String) value) + " is out of range, expected " + millis(least) + " to "
-                    + millis(most));
+            problem(key, quote((String) value) + " is out of range, expected " + millis(least) + " to " + millis(most));
             return fallback;
         }
         return millis;
@@ -215,8 +217,10 @@
         try {
             return Addresses.parse(value);
         } catch (IllegalArgumentException e) {
-            problem(key, quote(value) + " is no numeric address with a port, expected one such as"
-                    + " \"127.0.0.1:8080\" or \"[::1]:8080\"");
+            problem(
+                    key,
+                    quote(value) + " is no numeric address with a port, expected one such as"
+                            + " \"127.0.0.1:8080\" or \"[::1]:8080\"");
             return null;
         }
     }
@@ -262,9 +266,12 @@
         Object item = array == null || place >= array.size() ? null : array.get(place);
         if (item instanceof TomlTable inner) {
             TomlPosition position = array.inputPositionOf(place);
-            new Section(inner, path(list) + "[" + (place + 1) + "]", position == null ? line
-                    : position.line(),
-                    problems).problem(key, message);
+            new Section(
+                            inner,
+                            path(list) + "[" + (place + 1) + "]",
+                            position == null ? line : position.line(),
+                            problems)
+                    .problem(key, message);
         }
     }
 
@@ -307,8 +314,8 @@
                 read.add(reader.apply(section));
                 section.end();
             } else {
-                problems.add(new Problem(at, place, "expected a table [[" + path(key) + "]], found "
-                        + describe(array.get(i))));
+                problems.add(new Problem(
+                        at, place, "expected a table [[" + path(key) + "]], found " + describe(array.get(i))));
             }
         }
         return read;
@@ -342,8 +349,9 @@
         }
         // Further than that it is another word and no slip.
         int farthest = Math.max(2, name.length() / 3);
-        String nearest = byDistance.firstKey() <= farthest ? ", did you mean " + byDistance.firstEntry()
-                .getValue() + "?" : "";
+        String nearest = byDistance.firstKey() <= farthest
+                ? ", did you mean " + byDistance.firstEntry().getValue() + "?"
+                : "";
         return what + nearest + (nearest.isEmpty() ? ", expected one of " + listed(valid) : "");
     }
 
@@ -361,7 +369,9 @@
                 }
                 int cost = from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1;
                 d[i][j] = Math.min(Math.min(d[i - 1][j] + 1, d[i][j - 1] + 1), d[i - 1][j - 1] + cost);
-                if (i > 1 && j > 1 && from.charAt(i - 1) == to.charAt(j - 2)
+                if (i > 1
+                        && j > 1
+                        && from.charAt(i - 1) == to.charAt(j - 2)
                         && from.charAt(i - 2) == to.charAt(j - 1)) {
                     d[i][j] = Math.min(d[i][j], d[i - 2][j - 2] + 1);
                 }
--- a/src/main/java/sablehinge/config/scenario/Scenario.java
+++ b/src/main/java/sablehinge/config/scenario/Scenario.java
@@ -13,17 +13,32 @@
  * @param listDelay after which the list of servers knows of a change
  * @param warmUp for how long each balancer is sent requests that don't count, before all begins
  */
-public record Scenario(long seed, InetSocketAddress entry, List<String> zones, double listDelay,
-        double warmUp, List<ClassPart> classes, List<TierPart> tiers, List<Fault> faults, RulesPart rules) {
+public record Scenario(
+        long seed,
+        InetSocketAddress entry,
+        List<String> zones,
+        double listDelay,
+        double warmUp,
+        List<ClassPart> classes,
+        List<TierPart> tiers,
+        List<Fault> faults,
+        RulesPart rules) {
 
     /**
      * A class of requests.
      *
      * @param work what a request needs over all tiers, in ms of one core at speed 1
      */
-    public record ClassPart(String name, Repeat effect, Group group, double window, double aim,
+    public record ClassPart(
+            String name,
+            Repeat effect,
+            Group group,
+            double window,
+            double aim,
             double deadline,
-            double worth, double lateWorth, double work) { }
+            double worth,
+            double lateWorth,
+            double work) {}
 
     /**
      * A tier of servers.
@@ -34,10 +49,21 @@
      * @param slowest speed of its servers, which are drawn evenly up to {@code fastest}
      * @param cell how many servers share what they remember of keys
      */
-    public record TierPart(String name, int servers, int balancers, double share, int calls, double cores,
-            double slowest, double fastest, int slots, int queue, int cell, double coldFrom,
-                    double coldFor) { }
+    public record TierPart(
+            String name,
+            int servers,
+            int balancers,
+            double share,
+            int calls,
+            double cores,
+            double slowest,
+            double fastest,
+            int slots,
+            int queue,
+            int cell,
+            double coldFrom,
+            double coldFor) {}
 
     /** The figures of the rules that balancers are told. */
-    public record RulesPart(double drainGrace, double fallMultiple, double fallAfter) { }
+    public record RulesPart(double drainGrace, double fallMultiple, double fallAfter) {}
 }
--- a/src/main/java/sablehinge/config/scenario/ScenarioFile.java
+++ b/src/main/java/sablehinge/config/scenario/ScenarioFile.java
@@ -31,15 +31,14 @@
     private static final int MOST_FAULTS = 1_000;
     private static final int MOST_BRACKETS = 4_000;
 
-    private ScenarioFile() {
-    }
+    private ScenarioFile() {}
 
     /**
      * What a reading has come to.
      *
      * @param scenario null if there are problems
      */
-    public record Checked(Scenario scenario, List<Problem> problems) { }
+    public record Checked(Scenario scenario, List<Problem> problems) {}
 
     /** Reads the file at a path; one that can't be read is a problem too. */
     public static Checked read(Path path) {
@@ -55,19 +54,20 @@
         List<Problem> problems = new ArrayList<>();
         // The parser is recursive; no scenario needs so many.
         if (text.chars().filter(c -> c == '[' || c == '{').count() > MOST_BRACKETS) {
-            return new Checked(null, List.of(new Problem(0, "", "has more than " + MOST_BRACKETS
-                    + " brackets")));
+            return new Checked(null, List.of(new Problem(0, "", "has more than " + MOST_BRACKETS + " brackets")));
         }
         TomlParseResult toml;
         try {
             toml = Toml.parse(text, TomlVersion.V1_0_0);
         } catch (StackOverflowError | RuntimeException e) {
-            return new Checked(null, List.of(new Problem(0, "", "can't be read as TOML ("
-                    + e.getClass().getSimpleName() + ")")));
+            return new Checked(
+                    null,
+                    List.of(new Problem(
+                            0, "", "can't be read as TOML (" + e.getClass().getSimpleName() + ")")));
         }
-        toml.errors().forEach(e -> problems.add(new Problem(e.position() == null ? 0 : e.position().line(),
-                "",
-                Section.plain(e.getMessage(), 200))));
+        toml.errors()
+                .forEach(e -> problems.add(new Problem(
+                        e.position() == null ? 0 : e.position().line(), "", Section.plain(e.getMessage(), 200))));
         Scenario scenario = toml.hasErrors() ? null : read(new Section(toml, "", 1, problems));
         problems.sort(Problem.BY_PLACE);
         return new Checked(problems.isEmpty() ? scenario : null, List.copyOf(problems));
@@ -95,8 +95,10 @@
         }
         List<Fault> faults = root.sections("fault", MOST_FAULTS, s -> fault(s, names));
         Section rules = root.section("rules");
-        RulesPart figures = new RulesPart(rules.duration("drain-grace", 2_000, 0, 60_000),
-                rules.number("fall-multiple", 3, 1, 100), rules.duration("fall-after", 1_500, 100, 60_000));
+        RulesPart figures = new RulesPart(
+                rules.duration("drain-grace", 2_000, 0, 60_000),
+                rules.number("fall-multiple", 3, 1, 100),
+                rules.duration("fall-after", 1_500, 100, 60_000));
         rules.end();
         root.end();
         if (classes.isEmpty()) {
@@ -116,14 +118,22 @@
 
     private static ClassPart serviceClass(Section s) {
         String name = s.name("name", null);
-        Repeat effect = s.choice("effect", Repeat.AT_MOST_ONCE, Map.of("safe", Repeat.IDEMPOTENT, "keyed",
-                Repeat.DEDUPLICATED, "unsafe", Repeat.AT_MOST_ONCE));
-        Group group = s.choice("group", Group.ALL, Map.of("all", Group.ALL, "zone", Group.ZONE, "cell",
-                Group.CELL));
+        Repeat effect = s.choice(
+                "effect",
+                Repeat.AT_MOST_ONCE,
+                Map.of("safe", Repeat.IDEMPOTENT, "keyed", Repeat.DEDUPLICATED, "unsafe", Repeat.AT_MOST_ONCE));
+        Group group = s.choice("group", Group.ALL, Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL));
         double window = s.duration("window", effect == Repeat.DEDUPLICATED ? 4_000 : 0, 1, HOUR);
         double aim = s.duration("aim", 1_000, 1, HOUR);
-        return new ClassPart(name, effect, group, window, aim, s.duration("deadline", 2.5 * aim, 1, HOUR),
-                s.number("worth", 1, 1e-6, 1e6), s.number("late-worth", 0.5, 0, 1),
+        return new ClassPart(
+                name,
+                effect,
+                group,
+                window,
+                aim,
+                s.duration("deadline", 2.5 * aim, 1, HOUR),
+                s.number("worth", 1, 1e-6, 1e6),
+                s.number("late-worth", 0.5, 0, 1),
                 s.duration("work", 10, 0, 60_000));
     }
 
@@ -134,11 +144,19 @@
         if (fastest < slowest) {
             s.problem("fastest", "is less than slowest, which is " + slowest);
         }
-        return new TierPart(name, s.integer("servers", 3, 1, MOST_SERVERS), s.integer("balancers", 1, 1, 100),
-                s.number("share", 1, 0, 1), s.integer("calls", 1, 0, 10), s.number("cores", 2, 0.1, 1_000),
-                        slowest,
-                fastest, s.integer("slots", 40, 1, 100_000), s.integer("queue", 200, 0, 1_000_000),
-                s.integer("cell", 4, 1, MOST_SERVERS), s.number("cold-from", 0.2, 0.01, 1),
+        return new TierPart(
+                name,
+                s.integer("servers", 3, 1, MOST_SERVERS),
+                s.integer("balancers", 1, 1, 100),
+                s.number("share", 1, 0, 1),
+                s.integer("calls", 1, 0, 10),
+                s.number("cores", 2, 0.1, 1_000),
+                slowest,
+                fastest,
+                s.integer("slots", 40, 1, 100_000),
+                s.integer("queue", 200, 0, 1_000_000),
+                s.integer("cell", 4, 1, MOST_SERVERS),
+                s.number("cold-from", 0.2, 0.01, 1),
                 s.duration("cold", 12_000, 0, HOUR));
     }
 
@@ -152,8 +170,13 @@
         }
         Kind kind = s.choice("kind", Kind.STALL, kinds);
         double from = s.duration("at", 0, 0, HOUR);
-        return new Fault(kind, s.choice("tier", -1, tiers), from, from + s.duration("for", 5_000, 1, HOUR),
-                s.integer("servers", 1, 1, MOST_SERVERS), s.number("size", 2, 1, 1_000),
+        return new Fault(
+                kind,
+                s.choice("tier", -1, tiers),
+                from,
+                from + s.duration("for", 5_000, 1, HOUR),
+                s.integer("servers", 1, 1, MOST_SERVERS),
+                s.number("size", 2, 1, 1_000),
                 s.number("chance", 0.1, 0, 1));
     }
 }
--- a/src/main/java/sablehinge/config/versions/SystemDisk.java
+++ b/src/main/java/sablehinge/config/versions/SystemDisk.java
@@ -25,11 +25,10 @@
     SystemDisk(Path folder) throws IOException {
         this.folder = folder;
         if (!Files.isDirectory(folder)) {
-            Files.createDirectories(folder, PosixFilePermissions.asFileAttribute(
-                    PosixFilePermissions.fromString("rwx------")));
+            Files.createDirectories(
+                    folder, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
         }
-        lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+        lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = lockFile.tryLock();
@@ -71,7 +70,10 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(
+                folder.resolve(from),
+                folder.resolve(to),
+                StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
--- a/src/main/java/sablehinge/config/versions/VersionStore.java
+++ b/src/main/java/sablehinge/config/versions/VersionStore.java
@@ -15,10 +15,8 @@
 import java.util.Map;
 
 /**
- * Versions of the configuration on disk. Each one's content is a file of its own that is never changed; one
- * small
- * file says which is confirmed and which is on trial, and is replaced whole by write, sync, rename and sync
- * of the
+ * Versions of the configuration on disk. Each one's content is a file of its own that is never changed; one small file
+ * says which is confirmed and which is on trial, and is replaced whole by write, sync, rename and sync of the
  * directory. A crash at any point leaves that file as it was or as it was to be.
  */
 public final class VersionStore implements AutoCloseable {
@@ -27,6 +25,7 @@
     private static final String NEW = ".new";
     /** Newest versions that are kept, beside the confirmed one. */
     private static final int KEPT = 40;
+
     private static final JsonMapper JSON = new JsonMapper();
 
     private final Disk disk;
@@ -72,8 +71,10 @@
         confirmed = state.path("confirmed").asInt();
         cutOff = state.path("trial").asInt();
         last = state.path("last").asInt();
-        state.path("hashes").properties().forEach(e ->
-                hashes.put(Integer.parseInt(e.getKey()), e.getValue().asText()));
+        state.path("hashes")
+                .properties()
+                .forEach(e ->
+                        hashes.put(Integer.parseInt(e.getKey()), e.getValue().asText()));
     }
 
     /** The version to serve; 0 if none was ever confirmed. */
@@ -126,7 +127,9 @@
     }
 
     private void save(int nowConfirmed, int nowTrial) throws IOException {
-        ObjectNode state = JSON.createObjectNode().put("confirmed", nowConfirmed).put("trial", nowTrial)
+        ObjectNode state = JSON.createObjectNode()
+                .put("confirmed", nowConfirmed)
+                .put("trial", nowTrial)
                 .put("last", last);
         ObjectNode kept = state.putObject("hashes");
         hashes.forEach((version, hash) -> kept.put(Integer.toString(version), hash));
--- a/src/main/java/sablehinge/consensus/Member.java
+++ b/src/main/java/sablehinge/consensus/Member.java
@@ -1,8 +1,8 @@
 package sablehinge.consensus;
 
 /**
- * A machine of the core in one life of its disk. Who loses its disk comes back as another member: it has
- * forgotten what it voted for, so nothing that was said by the one before binds it or counts for it.
+ * A machine of the core in one life of its disk. Who loses its disk comes back as another member: it has forgotten what
+ * it voted for, so nothing that was said by the one before binds it or counts for it.
  *
  * @param id tells lives apart; never 0
  * @param address where it takes records from its peers, {@code ip:port}
@@ -14,8 +14,8 @@
     private static final long FNV_PRIME = 0x100000001b3L;
 
     /**
-     * A member of the very first core, whose id all who found it reckon alike from its address. The lowest
-     * bit is set in founders' ids and clear in all others.
+     * A member of the very first core, whose id all who found it reckon alike from its address. The lowest bit is set
+     * in founders' ids and clear in all others.
      */
     public static Member founder(String address, String control) {
         long hash = FNV_OFFSET;
--- a/src/main/java/sablehinge/consensus/Members.java
+++ b/src/main/java/sablehinge/consensus/Members.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Lists of members as bytes: a count of 16 bits, and for each its id of 64 bits and its two addresses, each
- * with its length of 16 bits. Written by hand, as a decider has no streams; they read the same by
+ * Lists of members as bytes: a count of 16 bits, and for each its id of 64 bits and its two addresses, each with its
+ * length of 16 bits. Written by hand, as a decider has no streams; they read the same by
  * {@code DataInputStream.readUTF}, since addresses are ASCII.
  */
 public final class Members {
@@ -16,14 +16,17 @@
     private static final int ID = 8;
     private static final int LENGTH = 2;
 
-    private Members() {
-    }
+    private Members() {}
 
     /** Writes a list. */
     public static byte[] write(List<Member> members) {
         int size = LENGTH;
         for (Member member : members) {
-            size += ID + LENGTH + member.address().length() + LENGTH + member.control().length();
+            size += ID
+                    + LENGTH
+                    + member.address().length()
+                    + LENGTH
+                    + member.control().length();
         }
         byte[] bytes = new byte[size];
         int at = number(members.size(), LENGTH, bytes, 0);
@@ -40,8 +43,7 @@
         Reader reader = new Reader(bytes);
         int count = (int) reader.number(LENGTH);
         if (count > MOST) {
-            throw new IllegalArgumentException(
-                    "a core of " + count + " members; " + MOST + " at most are expected");
+            throw new IllegalArgumentException("a core of " + count + " members; " + MOST + " at most are expected");
         }
         List<Member> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sablehinge/consensus/MembershipPlanner.java
+++ b/src/main/java/sablehinge/consensus/MembershipPlanner.java
@@ -5,20 +5,19 @@
 import java.util.Optional;
 
 /**
- * Decides which voter comes or goes next. A leader asks it whenever the last change of the voters is
- * committed, so that voters change one at a time and any two successive majorities share a member.
+ * Decides which voter comes or goes next. A leader asks it whenever the last change of the voters is committed, so that
+ * voters change one at a time and any two successive majorities share a member.
+ *
+ * <p>A core of {@code wanted} voters, an odd number, bears the losses that the deployment states. One below it grows,
+ * one above it shrinks, and a voter that is lost or leaves goes only when a learner whose disk has everything committed
+ * is ready to take its place. Between two steps the core never bears fewer losses than before the first:
  *
- * <p>A core of {@code wanted} voters, an odd number, bears the losses that the deployment states. One below
- * it grows, one above it shrinks, and a voter that is lost or leaves goes only when a learner whose disk has
- * everything committed is ready to take its place. Between two steps the core never bears fewer losses than
- * before the first:
  * <ul>
- * <li>An odd core takes a voter that makes it even only if all its voters answer and the learner that makes
- * it odd again is ready too: an even core needs one vote more than the odd one below it and bears no
- * more.</li>
- * <li>A voter that does not answer goes before its successor comes. The other order would need the successor
- * for each commit in between, and a successor that dies then would take the majority with it.</li>
- * <li>A voter that leaves and still answers goes after its successor has come.</li>
+ *   <li>An odd core takes a voter that makes it even only if all its voters answer and the learner that makes it odd
+ *       again is ready too: an even core needs one vote more than the odd one below it and bears no more.
+ *   <li>A voter that does not answer goes before its successor comes. The other order would need the successor for each
+ *       commit in between, and a successor that dies then would take the majority with it.
+ *   <li>A voter that leaves and still answers goes after its successor has come.
  * </ul>
  *
  * <p>It has no state, no clock and no I/O.
@@ -36,8 +35,7 @@
      * @param caughtUp whether its disk has everything that is committed
      * @param leaving whether it has said lately that it is about to end
      */
-    record Replica(Member member, double silentMs, boolean caughtUp, boolean leaving) {
-    }
+    record Replica(Member member, double silentMs, boolean caughtUp, boolean leaving) {}
 
     private final int wanted;
     private final double freshMs;
@@ -132,7 +130,9 @@
         List<Replica> next = new ArrayList<>(voters);
         next.addAll(ready);
         List<Member> list = change.applied(voters.stream().map(Replica::member).toList());
-        long sound = next.stream().filter(one -> list.contains(one.member()) && isSound(one)).count();
+        long sound = next.stream()
+                .filter(one -> list.contains(one.member()) && isSound(one))
+                .count();
         return sound >= list.size() / 2 + 1;
     }
 }
--- a/src/main/java/sablehinge/consensus/Message.java
+++ b/src/main/java/sablehinge/consensus/Message.java
@@ -14,8 +14,7 @@
      * @param pre only asks whether the vote would be given; nothing follows from it
      * @param handed the leader wished it, so that having heard of a leader is no reason to refuse
      */
-    record AskVote(long term, long lastIndex, long lastTerm, boolean pre, boolean handed) implements Message {
-    }
+    record AskVote(long term, long lastIndex, long lastTerm, boolean pre, boolean handed) implements Message {}
 
     /**
      * Answers {@link AskVote}.
@@ -24,8 +23,7 @@
      * @param granted whether the vote is given
      * @param pre as asked
      */
-    record Vote(long term, boolean granted, boolean pre) implements Message {
-    }
+    record Vote(long term, boolean granted, boolean pre) implements Message {}
 
     /**
      * A leader's entries, or only its sign of life.
@@ -52,12 +50,11 @@
      * @param term the latest that the sender has seen
      * @param success whether the sender's log holds the entry before the sent ones
      * @param matchIndex up to here the sender's disk surely holds what the leader's log holds
-     * @param hint if success, up to here its memory does; else the last index worth trying, and -1 if only a
-     *     snapshot will do
+     * @param hint if success, up to here its memory does; else the last index worth trying, and -1 if only a snapshot
+     *     will do
      * @param round the highest of this leader that the sender has seen
      */
-    record Appended(long term, boolean success, long matchIndex, long hint, long round) implements Message {
-    }
+    record Appended(long term, boolean success, long matchIndex, long hint, long round) implements Message {}
 
     /**
      * A chunk of a snapshot for who is behind the start of the leader's log.
@@ -89,8 +86,7 @@
      * @param held up to this byte the sender holds the snapshot's state
      * @param round the highest of this leader that the sender has seen
      */
-    record Installing(long term, long index, int held, long round) implements Message {
-    }
+    record Installing(long term, long index, int held, long round) implements Message {}
 
     /**
      * Asks to be let in, or to hear of the leader.
@@ -98,8 +94,7 @@
      * @param self who asks
      * @param lastIndex of the log of who asks
      */
-    record Join(Member self, long lastIndex) implements Message {
-    }
+    record Join(Member self, long lastIndex) implements Message {}
 
     /**
      * Answers {@link Join} of one that the sender does not feed.
@@ -121,24 +116,21 @@
      *
      * @param term of the leader
      */
-    record TakeOver(long term) implements Message {
-    }
+    record TakeOver(long term) implements Message {}
 
     /**
-     * The sender's process is about to end, perhaps for good. Said to the leader again and again until it
-     * answers with {@link Released}.
+     * The sender's process is about to end, perhaps for good. Said to the leader again and again until it answers with
+     * {@link Released}.
      *
      * @param self who ends
      */
-    record Leave(Member self) implements Message {
-    }
+    record Leave(Member self) implements Message {}
 
     /**
-     * Answers {@link Leave}: a majority of those that stay has everything on disk that is committed, and the
-     * one that leaves is no voter any more or has no successor yet.
+     * Answers {@link Leave}: a majority of those that stay has everything on disk that is committed, and the one that
+     * leaves is no voter any more or has no successor yet.
      *
      * @param term of the leader
      */
-    record Released(long term) implements Message {
-    }
+    record Released(long term) implements Message {}
 }
--- a/src/main/java/sablehinge/consensus/PersistQueue.java
+++ b/src/main/java/sablehinge/consensus/PersistQueue.java
@@ -31,8 +31,7 @@
         }
     }
 
-    private record Held(long number, Member to, Message message) {
-    }
+    private record Held(long number, Member to, Message message) {}
 
     private final Deque<Outstanding> outstanding = new ArrayDeque<>();
     private final Deque<Held> held = new ArrayDeque<>();
--- a/src/main/java/sablehinge/consensus/RaftLog.java
+++ b/src/main/java/sablehinge/consensus/RaftLog.java
@@ -41,8 +41,7 @@
     }
 
     Entry entry(long index) {
-        return index <= base.index() ? recent.entry(index)
-                : entries.get((int) (index - base.index() - 1));
+        return index <= base.index() ? recent.entry(index) : entries.get((int) (index - base.index() - 1));
     }
 
     /** Whether entries from an index on, and the term of the one before it, are here. */
@@ -112,7 +111,8 @@
 
     /** Puts a state in the place of all entries up to an index. */
     void compact(long index, byte[] state) {
-        Snapshot snapshot = new Snapshot(index, termAt(index), lists.floorEntry(index).getValue(), state);
+        Snapshot snapshot =
+                new Snapshot(index, termAt(index), lists.floorEntry(index).getValue(), state);
         rebase(snapshot, (int) (index - base.index()));
     }
 
--- a/src/main/java/sablehinge/consensus/RaftNode.java
+++ b/src/main/java/sablehinge/consensus/RaftNode.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 
 /**
- * One member's part in the agreement of the core on one log: Raft with pre-votes, a check of the leader's
- * quorum, and changes of one member at a time that are entries of the log.
+ * One member's part in the agreement of the core on one log: Raft with pre-votes, a check of the leader's quorum, and
+ * changes of one member at a time that are entries of the log.
  *
  * <p>It decides only. All calls come from one thread, never from within one of the {@link Actions} (but
- * {@link #compact} may be called from within {@link Actions#apply}), and {@code now} is a steady clock in ms.
- * Only what is synced counts: a vote and the word that entries are held leave once the disk has them, and the
- * leader's own copy counts like any other, when its disk has it and not before. So a commit needs a majority
- * of disks, whichever they are, and a member whose disk stalls delays nobody.
+ * {@link #compact} may be called from within {@link Actions#apply}), and {@code now} is a steady clock in ms. Only what
+ * is synced counts: a vote and the word that entries are held leave once the disk has them, and the leader's own copy
+ * counts like any other, when its disk has it and not before. So a commit needs a majority of disks, whichever they
+ * are, and a member whose disk stalls delays nobody.
  */
 public final class RaftNode {
 
@@ -29,14 +29,14 @@
     public interface Actions {
 
         /**
-         * Sends a message; it may be lost, doubled or overtaken. A member whose id is 0 is known by its
-         * {@code address} only.
+         * Sends a message; it may be lost, doubled or overtaken. A member whose id is 0 is known by its {@code address}
+         * only.
          */
         void send(Member to, Message message);
 
         /**
-         * Writes and syncs, in order; {@link RaftNode#persisted} is called after. A disk that refuses is
-         * one that takes longer. Some ten changes are under way at a time.
+         * Writes and syncs, in order; {@link RaftNode#persisted} is called after. A disk that refuses is one that takes
+         * longer. Some ten changes are under way at a time.
          */
         void persist(Change change);
 
@@ -56,8 +56,7 @@
         void denied(long token);
 
         /** After {@link RaftNode#leave}: nothing that is committed hangs on this process any more. */
-        default void released() {
-        }
+        default void released() {}
     }
 
     /** How far ahead of what a peer has synced entries are sent, entries. */
@@ -89,8 +88,7 @@
     /** The part of the time for which voters wait that a lease takes of it. */
     private static final double LEASE_PART = 0.8;
 
-    private record Barrier(long token, long round, long index, double until) {
-    }
+    private record Barrier(long token, long round, long index, double until) {}
 
     private final Actions actions;
     private final Timing timing;
@@ -103,6 +101,7 @@
     private Member self;
     /** The time of the call that is under way, ms. */
     private double lastNow;
+
     private boolean running;
     private long term;
     private long votedFor;
@@ -118,6 +117,7 @@
 
     /** As a follower: up to here the log is the leader's. */
     private long verified;
+
     private long lastRound;
 
     private final Set<String> contacts = new LinkedHashSet<>();
@@ -127,26 +127,28 @@
     private long firstOfTerm;
     private double wonAt;
     private long round;
-    /**
-     * When each of the last rounds was asked, until when a lease holds, and whether this term was given up.
-     */
+    /** When each of the last rounds was asked, until when a lease holds, and whether this term was given up. */
     private final double[] askedAt = new double[ASKED];
     /** Up to where all was committed when each of the last rounds was asked. */
     private final long[] committedAt = new long[ASKED];
+
     private double leaseUntil = Double.NEGATIVE_INFINITY;
     private boolean handedOver;
     /** When this one asked for the votes of its term, and the latest question that a majority answered. */
     private double stoodAt = Double.NEGATIVE_INFINITY;
+
     private double majorityAskedAt = Double.NEGATIVE_INFINITY;
     private double heartbeatAt;
     private double handAt;
     private final List<Barrier> barriers = new ArrayList<>();
     /** The change of the voters that waits for answers to a round, and that round; null for none. */
     private VoterChange dueChange;
+
     private long dueRound;
 
     /** Since when this process is about to end, ms; infinity while it is not. */
     private double leavingSince = Double.POSITIVE_INFINITY;
+
     private double leaveAt;
     private boolean released;
 
@@ -229,10 +231,10 @@
     }
 
     /**
-     * This process is about to end, perhaps for good: leadership goes to another, and {@link
-     * Actions#released} is called once a majority of those that stay has everything on disk that is
-     * committed, and, where a learner waits to take the place, once it has taken it. Without a majority that
-     * is never. Nothing may be proposed here any more; all else goes on until the process ends.
+     * This process is about to end, perhaps for good: leadership goes to another, and {@link Actions#released} is
+     * called once a majority of those that stay has everything on disk that is committed, and, where a learner waits to
+     * take the place, once it has taken it. Without a majority that is never. Nothing may be proposed here any more;
+     * all else goes on until the process ends.
      */
     public void leave(double now) {
         if (isLeaving()) {
@@ -284,13 +286,16 @@
     /**
      * Asks for a command to be committed.
      *
-     * @return its index, or 0 if this does not lead or too many wait. It is committed when
-     *     {@link Actions#apply} has an entry of that index and of the term in which it was proposed; an entry
-     *     of another term there means that it never will be
+     * @return its index, or 0 if this does not lead or too many wait. It is committed when {@link Actions#apply} has an
+     *     entry of that index and of the term in which it was proposed; an entry of another term there means that it
+     *     never will be
      */
     public long propose(double now, byte[] command) {
-        if (!running || role != Standing.Role.LEADER || log.lastIndex() - commit >= timing.waiting()
-                || queue.isFull() || isLeaving()) {
+        if (!running
+                || role != Standing.Role.LEADER
+                || log.lastIndex() - commit >= timing.waiting()
+                || queue.isFull()
+                || isLeaving()) {
             return 0;
         }
         long index = append(now, Entry.Kind.COMMAND, command);
@@ -358,8 +363,7 @@
             }
         } else if (message instanceof Message.TakeOver take) {
             // Two that leave would hand over to each other for ever.
-            if (take.term() == term && role == Standing.Role.FOLLOWER && log.holds(self.id())
-                    && !isLeaving()) {
+            if (take.term() == term && role == Standing.Role.FOLLOWER && log.holds(self.id()) && !isLeaving()) {
                 stand(now, term + 1, true);
             }
         }
@@ -379,7 +383,10 @@
         boolean outside = role != Standing.Role.LEADER && !log.holds(self.id());
         Standing.Role shown = outside ? Standing.Role.OUTSIDER : role;
         // Lists are never changed, so the same one is an equal one; this runs with every message.
-        if (told == null || told.role() != shown || told.term() != term || told.members() != log.members()
+        if (told == null
+                || told.role() != shown
+                || told.term() != term
+                || told.members() != log.members()
                 || !Objects.equals(told.leader(), leader)) {
             told = new Standing(shown, term, leader, log.members());
             actions.standing(told);
@@ -406,8 +413,8 @@
     }
 
     private void waitForLeader(double now) {
-        electionAt = now + timing.electionLeast()
-                + random.nextDouble() * (timing.electionMost() - timing.electionLeast());
+        electionAt =
+                now + timing.electionLeast() + random.nextDouble() * (timing.electionMost() - timing.electionLeast());
     }
 
     private void commitTo(double now, long index) {
@@ -464,9 +471,9 @@
     }
 
     /**
-     * Whether this one may stand for election. A list that leaves it out counts only once it is committed:
-     * until then it may be the only one that holds that entry, and nobody with a shorter log gets its vote.
-     * It asks the voters of that list, and its own vote counts for nothing.
+     * Whether this one may stand for election. A list that leaves it out counts only once it is committed: until then
+     * it may be the only one that holds that entry, and nobody with a shorter log gets its vote. It asks the voters of
+     * that list, and its own vote counts for nothing.
      */
     private boolean mayStand() {
         return log.holds(self.id()) || log.held(self.id(), commit);
@@ -538,7 +545,10 @@
         if (!refused && ask.term() > term) {
             stepDown(now, ask.term(), null);
         }
-        boolean granted = !refused && current && ask.term() == term && role == Standing.Role.FOLLOWER
+        boolean granted = !refused
+                && current
+                && ask.term() == term
+                && role == Standing.Role.FOLLOWER
                 && (votedFor == 0 || votedFor == from.id());
         if (!granted) {
             actions.send(from, new Message.Vote(term, false, false));
@@ -643,8 +653,8 @@
                 return;
             }
             if (entry.index() <= commit) {
-                throw new IllegalStateException("entry " + entry.index() + " of term " + entry.term()
-                        + " differs from a committed one");
+                throw new IllegalStateException(
+                        "entry " + entry.index() + " of term " + entry.term() + " differs from a committed one");
             }
             log.truncate(entry.index());
             queue.truncate(entry.index());
@@ -664,12 +674,12 @@
         boolean wanted = install.part().index() > commit || log.isBare();
         Snapshot snapshot = wanted ? receiver.take(install) : null;
         if (wanted && snapshot == null) {
-            actions.send(from, new Message.Installing(term, install.part().index(), receiver.held(install),
-                    lastRound));
+            actions.send(from, new Message.Installing(term, install.part().index(), receiver.held(install), lastRound));
             return;
         }
         if (wanted) {
-            if (!log.holdsEntry(snapshot.index(), snapshot.term()) && log.lastIndex() > log.base().index()) {
+            if (!log.holdsEntry(snapshot.index(), snapshot.term())
+                    && log.lastIndex() > log.base().index()) {
                 queue.truncate(log.base().index() + 1);
             }
             log.install(snapshot);
@@ -786,8 +796,8 @@
             stepDown(now, term, null);
             return;
         }
-        peers.values().removeIf(peer -> !log.holds(peer.member.id())
-                && now - Math.max(peer.heard, peer.asked) > FORGET);
+        peers.values()
+                .removeIf(peer -> !log.holds(peer.member.id()) && now - Math.max(peer.heard, peer.asked) > FORGET);
         for (Barrier barrier : List.copyOf(barriers)) {
             if (now >= barrier.until()) {
                 barriers.remove(barrier);
@@ -841,11 +851,10 @@
         }
         peer.window.expire(now);
         int most = Math.min(timing.bytes(), peer.window.limit());
-        List<Entry> entries = withEntries && mayHaveMore(peer)
-                ? log.from(peer.next, timing.entries(), most) : List.of();
+        List<Entry> entries =
+                withEntries && mayHaveMore(peer) ? log.from(peer.next, timing.entries(), most) : List.of();
         long previous = peer.next - 1;
-        actions.send(peer.member,
-                new Message.Append(term, previous, log.termAt(previous), entries, commit, round));
+        actions.send(peer.member, new Message.Append(term, previous, log.termAt(previous), entries, commit, round));
         if (!entries.isEmpty()) {
             peer.window.sent(now, round, previous + entries.size(), bytes(entries));
         }
@@ -857,8 +866,11 @@
     private void feedSnapshot(double now, Peer peer) {
         peer.snapshot.renew(now, log.base());
         // What lies at 0 is the same in all logs, so this is a sign of life only.
-        actions.send(peer.member, peer.snapshot.isDue(now) ? peer.snapshot.next(now, term, round)
-                : new Message.Append(term, 0, 0, List.of(), 0, round));
+        actions.send(
+                peer.member,
+                peer.snapshot.isDue(now)
+                        ? peer.snapshot.next(now, term, round)
+                        : new Message.Append(term, 0, 0, List.of(), 0, round));
     }
 
     private static long bytes(List<Entry> entries) {
@@ -870,12 +882,13 @@
     }
 
     private boolean mayHaveMore(Peer peer) {
-        return peer.probing ? peer.window.isEmpty()
-                : peer.window.isOpen() && peer.next - 1 - peer.match < AHEAD;
+        return peer.probing ? peer.window.isEmpty() : peer.window.isOpen() && peer.next - 1 - peer.match < AHEAD;
     }
 
     private void feedMore(double now, Peer peer) {
-        while (peer.next <= log.lastIndex() && peer.snapshot == null && now - peer.heard <= timing.fresh()
+        while (peer.next <= log.lastIndex()
+                && peer.snapshot == null
+                && now - peer.heard <= timing.fresh()
                 && mayHaveMore(peer)) {
             feed(now, peer, true);
         }
@@ -1033,9 +1046,9 @@
     }
 
     /**
-     * Whether this one may do what only one may do. A majority has answered a question lately enough that
-     * none of it gives its vote to another yet; counted from when the question was asked, and less than they
-     * wait, as clocks differ in speed. Not in a term in which it asked another to take over.
+     * Whether this one may do what only one may do. A majority has answered a question lately enough that none of it
+     * gives its vote to another yet; counted from when the question was asked, and less than they wait, as clocks
+     * differ in speed. Not in a term in which it asked another to take over.
      */
     public boolean leases(double now) {
         // A sole member has nobody to ask, and nobody else can be voted for.
@@ -1043,9 +1056,9 @@
     }
 
     /**
-     * How long ago the latest question was asked that a majority of the members has answered, ms; infinite
-     * where this one does not lead. Unlike the time at which an answer was read, it can't be made to look
-     * recent by answers that waited in a buffer while this process stood still.
+     * How long ago the latest question was asked that a majority of the members has answered, ms; infinite where this
+     * one does not lead. Unlike the time at which an answer was read, it can't be made to look recent by answers that
+     * waited in a buffer while this process stood still.
      */
     public double sinceMajority(double now) {
         if (!running || role != Standing.Role.LEADER) {
@@ -1056,8 +1069,7 @@
 
     /** How long ago a follower heard of the leader that it names, ms; infinite where it names none. */
     public double sinceLeader(double now) {
-        return leader == null ? Double.POSITIVE_INFINITY
-                : role == Standing.Role.LEADER ? 0 : now - leaderHeard;
+        return leader == null ? Double.POSITIVE_INFINITY : role == Standing.Role.LEADER ? 0 : now - leaderHeard;
     }
 
     /** What this member can tell of its part at this moment. */
@@ -1095,8 +1107,11 @@
     private Peer heir(double now, long least) {
         Peer best = null;
         for (Peer peer : peers.values()) {
-            if (log.holds(peer.member.id()) && now - peer.heard <= timing.fresh() && !leaves(now, peer)
-                    && peer.match >= least && (best == null || peer.match > best.match)) {
+            if (log.holds(peer.member.id())
+                    && now - peer.heard <= timing.fresh()
+                    && !leaves(now, peer)
+                    && peer.match >= least
+                    && (best == null || peer.match > best.match)) {
                 best = peer;
             }
         }
@@ -1172,13 +1187,12 @@
     }
 
     private boolean hasLearner(double now) {
-        return peers.values().stream()
-                .anyMatch(peer -> isLearner(now, peer) && now - peer.heard <= timing.fresh());
+        return peers.values().stream().anyMatch(peer -> isLearner(now, peer) && now - peer.heard <= timing.fresh());
     }
 
     /**
-     * Whether a majority of the voters that stay without one has everything that is committed. Where those
-     * that stay are no majority the core is being stopped as a whole, and nobody has to wait for it.
+     * Whether a majority of the voters that stay without one has everything that is committed. Where those that stay
+     * are no majority the core is being stopped as a whole, and nobody has to wait for it.
      */
     private boolean isHeldWithout(double now, long id) {
         int stay = 0;
@@ -1222,8 +1236,8 @@
     }
 
     /**
-     * Whether a majority of the voters after a change is there at this moment. While a core is even it needs
-     * more of its voters than before or after, and who answered some time ago may be lost by now.
+     * Whether a majority of the voters after a change is there at this moment. While a core is even it needs more of
+     * its voters than before or after, and who answered some time ago may be lost by now.
      */
     private boolean isConfirmed(double now, VoterChange change) {
         List<Member> next = change.applied(log.members());
@@ -1247,12 +1261,12 @@
     }
 
     /**
-     * Whether a peer's disk has all that is committed, or had all when the latest question was asked or the
-     * one before it, which it has answered: under load, what is committed now is newer than any answer.
+     * Whether a peer's disk has all that is committed, or had all when the latest question was asked or the one before
+     * it, which it has answered: under load, what is committed now is newer than any answer.
      */
     private boolean isCaughtUp(Peer peer) {
-        boolean hadAll = peer.round > 0 && peer.round >= round - 1
-                && peer.match >= committedAt[(int) (peer.round % ASKED)];
+        boolean hadAll =
+                peer.round > 0 && peer.round >= round - 1 && peer.match >= committedAt[(int) (peer.round % ASKED)];
         return hadAll || peer.match >= commit;
     }
 
--- a/src/main/java/sablehinge/consensus/RecentEntries.java
+++ b/src/main/java/sablehinge/consensus/RecentEntries.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * The last entries that a snapshot has taken the place of, kept in memory so that a member that was away
- * for a short while gets them and no snapshot. Bounded by their number and by their bytes, which are no more
- * than the snapshot's: who needs more gets it sooner by the snapshot.
+ * The last entries that a snapshot has taken the place of, kept in memory so that a member that was away for a short
+ * while gets them and no snapshot. Bounded by their number and by their bytes, which are no more than the snapshot's:
+ * who needs more gets it sooner by the snapshot.
  */
 final class RecentEntries {
 
     static final int MOST_ENTRIES = 512;
     /** Where the snapshot is smaller, so many bytes are kept all the same. */
     static final int ALWAYS_BYTES = 64 << 10;
+
     static final int MOST_BYTES = 4 << 20;
 
     private final List<Entry> entries = new ArrayList<>();
@@ -26,8 +27,7 @@
             bytes += entry.data().length;
         }
         int dropped = 0;
-        while (dropped < entries.size()
-                && (bytes > most || entries.size() - dropped > MOST_ENTRIES)) {
+        while (dropped < entries.size() && (bytes > most || entries.size() - dropped > MOST_ENTRIES)) {
             bytes -= entries.get(dropped++).data().length;
         }
         entries.subList(0, dropped).clear();
@@ -39,7 +39,8 @@
     }
 
     boolean holds(long index) {
-        return !entries.isEmpty() && index >= entries.get(0).index()
+        return !entries.isEmpty()
+                && index >= entries.get(0).index()
                 && index <= entries.get(entries.size() - 1).index();
     }
 
--- a/src/main/java/sablehinge/consensus/SendWindow.java
+++ b/src/main/java/sablehinge/consensus/SendWindow.java
@@ -4,30 +4,32 @@
 import java.util.Deque;
 
 /**
- * How many bytes of entries may be on their way to a peer: as many as it answers within some tenths of a
- * second, so that on a slow link neither heartbeats nor their answers wait long behind entries. One message
- * may always be on its way, however large it is.
+ * How many bytes of entries may be on their way to a peer: as many as it answers within some tenths of a second, so
+ * that on a slow link neither heartbeats nor their answers wait long behind entries. One message may always be on its
+ * way, however large it is.
  */
 final class SendWindow {
 
     /** Bounds of the window, bytes. */
     static final int LEAST = 16 << 10;
+
     static final int FIRST = 64 << 10;
     static final int MOST = 4 << 20;
     /** Messages that are on their way at most. */
     static final int MOST_MESSAGES = 256;
     /** Answered sooner, the window grows; answered later, it shrinks, ms. */
     private static final double SOON = 100;
+
     private static final double LATE = 300;
     /**
-     * Bounds of the time, in ms, after which what has no answer is taken for lost: twice what the last answer
-     * took, and twice as long after each time that none came.
+     * Bounds of the time, in ms, after which what has no answer is taken for lost: twice what the last answer took, and
+     * twice as long after each time that none came.
      */
     static final double FIRST_PATIENCE = 1000;
+
     static final double MOST_PATIENCE = 16_000;
 
-    private record OnItsWay(long round, long lastIndex, long bytes, double sentAt) {
-    }
+    private record OnItsWay(long round, long lastIndex, long bytes, double sentAt) {}
 
     private final Deque<OnItsWay> onTheirWay = new ArrayDeque<>();
     private long bytes;
@@ -56,8 +58,8 @@
     }
 
     /**
-     * The peer holds the entries up to an index, and has heard a round. What was sent before that round and
-     * is not there is lost, or was overtaken, which is as good.
+     * The peer holds the entries up to an index, and has heard a round. What was sent before that round and is not
+     * there is lost, or was overtaken, which is as good.
      */
     void received(double now, long index, long round) {
         OnItsWay newest = null;
--- a/src/main/java/sablehinge/consensus/SnapshotReceiver.java
+++ b/src/main/java/sablehinge/consensus/SnapshotReceiver.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * Puts the chunks of a leader's snapshot together, in memory: nothing of it counts before it is whole, so
- * nothing of it is on disk either. It holds one snapshot at a time, that of the latest leader that sent one;
- * its memory grows with the bytes that came, not with the length that was named.
+ * Puts the chunks of a leader's snapshot together, in memory: nothing of it counts before it is whole, so nothing of it
+ * is on disk either. It holds one snapshot at a time, that of the latest leader that sent one; its memory grows with
+ * the bytes that came, not with the length that was named.
  */
 final class SnapshotReceiver {
 
     /** The largest state that is put together, bytes. */
     static final int MOST_BYTES = 64 << 20;
+
     private static final byte[] NOTHING = {};
 
     private long leaderTerm;
@@ -66,8 +67,7 @@
     }
 
     private boolean isOf(Message.Install install) {
-        return leaderTerm == install.term() && index == install.part().index()
-                && total == install.total();
+        return leaderTerm == install.term() && index == install.part().index() && total == install.total();
     }
 
     private void begin(Message.Install install) {
--- a/src/main/java/sablehinge/consensus/SnapshotSender.java
+++ b/src/main/java/sablehinge/consensus/SnapshotSender.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 
 /**
- * Sends one snapshot to one peer in chunks, one at a time: the next leaves when the peer has said up to which
- * byte it holds the state, so that at most one chunk lies before a heartbeat. A chunk is as large as the link
- * and the peer carry in some tenths of a second. Once the peer holds some of it, the snapshot stays the same
- * to its end, whatever the leader compacts meanwhile; whoever lost what it had names a lower offset and gets
- * it from there.
+ * Sends one snapshot to one peer in chunks, one at a time: the next leaves when the peer has said up to which byte it
+ * holds the state, so that at most one chunk lies before a heartbeat. A chunk is as large as the link and the peer
+ * carry in some tenths of a second. Once the peer holds some of it, the snapshot stays the same to its end, whatever
+ * the leader compacts meanwhile; whoever lost what it had names a lower offset and gets it from there.
  */
 final class SnapshotSender {
 
     /** Sizes of a chunk, bytes. */
     static final int LEAST_CHUNK = 16 << 10;
+
     static final int FIRST_CHUNK = 64 << 10;
     static final int MOST_CHUNK = 1 << 20;
     /** A chunk that was answered sooner may be followed by a larger one, ms. */
@@ -20,10 +20,11 @@
     /** One that was answered later is followed by a smaller one, ms: heartbeats wait behind it. */
     private static final double LATE = 300;
     /**
-     * Bounds of the time, in ms, after which a chunk that has no answer is sent again: twice what the last
-     * answer took, and twice as long after each time that none came.
+     * Bounds of the time, in ms, after which a chunk that has no answer is sent again: twice what the last answer took,
+     * and twice as long after each time that none came.
      */
     static final double FIRST_PATIENCE = 500;
+
     static final double MOST_PATIENCE = 2000;
 
     private Snapshot snapshot;
@@ -66,7 +67,10 @@
         sentRound = round;
         int total = snapshot.state().length;
         int end = Math.min(total, offset + chunkBytes);
-        Snapshot part = new Snapshot(snapshot.index(), snapshot.term(), snapshot.members(),
+        Snapshot part = new Snapshot(
+                snapshot.index(),
+                snapshot.term(),
+                snapshot.members(),
                 Arrays.copyOfRange(snapshot.state(), offset, end));
         return new Message.Install(term, part, offset, total, round);
     }
--- a/src/main/java/sablehinge/control/ChangeCoordinator.java
+++ b/src/main/java/sablehinge/control/ChangeCoordinator.java
@@ -13,10 +13,10 @@
 import sablehinge.state.ConfigurationState;
 
 /**
- * Takes operators' changes through the log. What becomes of a change is decided where its entry is applied,
- * from the state that the entries before it have made, and nowhere else: so each member comes to the same,
- * and a leader that has not yet applied what came before its term judges nothing. A change that ends in any
- * other way has no clear answer, and may be sent again as it was.
+ * Takes operators' changes through the log. What becomes of a change is decided where its entry is applied, from the
+ * state that the entries before it have made, and nowhere else: so each member comes to the same, and a leader that has
+ * not yet applied what came before its term judges nothing. A change that ends in any other way has no clear answer,
+ * and may be sent again as it was.
  *
  * <p>{@code now} is a steady clock in ms. All calls come from one thread.
  */
@@ -26,14 +26,13 @@
     static final double PATIENCE_MS = 900;
 
     /**
-     * An operator's order to put a configuration in the place of another. Two are the same if all of their
-     * parts are.
+     * An operator's order to put a configuration in the place of another. Two are the same if all of their parts are.
      *
      * @param basedOn the version that it is to follow
      * @param edition of the configuration, as its body says
      * @param digest of the body
      */
-    record Order(long basedOn, long edition, BodyDigest digest) { }
+    record Order(long basedOn, long edition, BodyDigest digest) {}
 
     /** The answer to an order. */
     enum Verdict {
@@ -49,7 +48,7 @@
         UNCLEAR
     }
 
-    private record Listener(double until, Consumer<Verdict> then) { }
+    private record Listener(double until, Consumer<Verdict> then) {}
 
     /** An entry of the present term that is not yet applied; those who wait for it. */
     private static final class Pending {
@@ -66,13 +65,14 @@
     private final Consumer<Runnable> later;
     /** By the index of the entry; the agreement bounds how many entries may be uncommitted. */
     private final Map<Long, Pending> pending = new HashMap<>();
+
     private long term;
 
     /**
      * Changes of a state.
      *
-     * @param later runs something after the event that is being handled, on the same thread: an answer may
-     *     lead to the next call, which may not come from within what the agreement calls
+     * @param later runs something after the event that is being handled, on the same thread: an answer may lead to the
+     *     next call, which may not come from within what the agreement calls
      */
     ChangeCoordinator(RaftNode raft, ConfigurationState configurations, Consumer<Runnable> later) {
         this.raft = raft;
@@ -108,13 +108,17 @@
         ConfigurationState.Outcome outcome = configurations.apply(entry.data());
         Pending one = pending.remove(entry.index());
         if (one != null) {
-            answer(one, entry.term() != term ? Verdict.UNCLEAR : switch (outcome) {
-                case TAKEN, REPEATED -> Verdict.TAKEN;
-                case STALE -> Verdict.STALE;
-                case OLD -> Verdict.OLD;
-                case AHEAD -> Verdict.AHEAD;
-                case FORGOTTEN -> Verdict.UNCLEAR;
-            });
+            answer(
+                    one,
+                    entry.term() != term
+                            ? Verdict.UNCLEAR
+                            : switch (outcome) {
+                                case TAKEN, REPEATED -> Verdict.TAKEN;
+                                case STALE -> Verdict.STALE;
+                                case OLD -> Verdict.OLD;
+                                case AHEAD -> Verdict.AHEAD;
+                                case FORGOTTEN -> Verdict.UNCLEAR;
+                            });
         }
         return outcome;
     }
@@ -136,7 +140,7 @@
     /** Lets time pass: who has waited too long is answered; their entry goes its way. */
     void expire(double now) {
         for (Pending one : pending.values()) {
-            for (Iterator<Listener> each = one.listeners.iterator(); each.hasNext();) {
+            for (Iterator<Listener> each = one.listeners.iterator(); each.hasNext(); ) {
                 Listener listener = each.next();
                 if (now > listener.until) {
                     each.remove();
--- a/src/main/java/sablehinge/control/ControlNode.java
+++ b/src/main/java/sablehinge/control/ControlNode.java
@@ -15,33 +15,33 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.eventloop.ClosingEventLoops;
-import sablehinge.state.ConfigurationState;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Frame;
-import sablehinge.rpc.MessageCodec;
-import sablehinge.config.ConfigException;
-import sablehinge.config.local.LocalSettings;
-import sablehinge.core.Clock;
-import sablehinge.core.Log;
-import sablehinge.api.ConfigurationCheck;
 import sablehinge.api.ApiServer;
+import sablehinge.api.ConfigurationCheck;
 import sablehinge.api.Operation;
+import sablehinge.config.ConfigException;
+import sablehinge.config.local.LocalSettings;
 import sablehinge.consensus.Change;
 import sablehinge.consensus.Entry;
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Message;
 import sablehinge.consensus.Pulse;
+import sablehinge.consensus.RaftNode;
 import sablehinge.consensus.Snapshot;
 import sablehinge.consensus.Standing;
 import sablehinge.consensus.Stored;
 import sablehinge.consensus.Timing;
-import sablehinge.consensus.RaftNode;
+import sablehinge.core.Clock;
+import sablehinge.core.Log;
+import sablehinge.eventloop.ClosingEventLoops;
+import sablehinge.rpc.Connection;
+import sablehinge.rpc.Frame;
+import sablehinge.rpc.MessageCodec;
+import sablehinge.state.ConfigurationState;
 
 /**
- * A machine of the core: it agrees with the others on the configuration, keeps it on disk, takes operators'
- * calls and, while it leads, tells the data plane the news. One thread owns all of it but the disk's work and
- * the checks of configurations, which have a thread each.
+ * A machine of the core: it agrees with the others on the configuration, keeps it on disk, takes operators' calls and,
+ * while it leads, tells the data plane the news. One thread owns all of it but the disk's work and the checks of
+ * configurations, which have a thread each.
  */
 public final class ControlNode {
 
@@ -50,16 +50,19 @@
     private static final long MS_PER_S = 1_000;
     /** What is kept of the grace time to end in, in ms. */
     private static final long END_MS = 1_000;
+
     private static final double NANOS_PER_MS = 1e6;
     /** A disk that is at one change for longer hangs, in ms; it is looked at as often. */
     private static final long HANGS_MS = 1_000;
     /** What an end of a connection between processes does when it hears nothing, in ms. */
     static final long PING_MS = 300;
+
     static final long DEAD_MS = 1_200;
     /** The log is cut to a snapshot after so many entries. */
     private static final int MOST_ENTRIES = 48;
     /** Or after so many bytes of entries, which bounds the file and what a start reads. */
     private static final long MOST_BYTES = 4 << 20;
+
     private static final int MOST_CONFIGURATION = 15 * 1024 * 1024;
     /** What the process ends with where it can't go on as who it was. */
     private static final int HALTED = 3;
@@ -81,6 +84,7 @@
     private Member self;
     /** Null, as is {@code self}, until the disk has been read. */
     private Peers peers;
+
     private Standing standing = new Standing(Standing.Role.OUTSIDER, 0, null, List.of());
     private int sinceSnapshot;
     private long bytesSinceSnapshot;
@@ -88,15 +92,18 @@
     /** Opened once nothing that is committed hangs on this process. */
     private final CountDownLatch released = new CountDownLatch(1);
 
-    private ControlNode(LocalSettings settings, long born, EventLoop loop, Supplier<RaftStore> opener,
+    private ControlNode(
+            LocalSettings settings,
+            long born,
+            EventLoop loop,
+            Supplier<RaftStore> opener,
             Connection.Observer observer) {
         this.settings = settings;
         this.born = born;
         this.loop = loop;
         connection = new Connection(loop, PING_MS, DEAD_MS, observer);
         diskWriter = new DiskWriter(opener, new Puts());
-        raft = new RaftNode(new Carries(), Timing.usual(), settings.tolerateMachines(),
-                new SecureRandom().nextLong());
+        raft = new RaftNode(new Carries(), Timing.usual(), settings.tolerateMachines(), new SecureRandom().nextLong());
         gate = new QuorumGate(new RaftContact(), loop::execute);
         changes = new ChangeCoordinator(raft, configurations, loop::execute);
         dataPlane = new DataPlane(loop, clock, settings.bounds(), gate, configurations);
@@ -107,14 +114,13 @@
     }
 
     /**
-     * Starts a machine of the core. It is heard by all who call, and takes part as soon as its disk has been
-     * read and takes writes, however long that lasts.
+     * Starts a machine of the core. It is heard by all who call, and takes part as soon as its disk has been read and
+     * takes writes, however long that lasts.
      *
-     * @param born when its process began, by {@link System#nanoTime}: whatever the process before promised a
-     *     leader, it had promised by then
+     * @param born when its process began, by {@link System#nanoTime}: whatever the process before promised a leader, it
+     *     had promised by then
      */
-    public static ControlNode start(LocalSettings settings, long born)
-            throws ConfigException, InterruptedException {
+    public static ControlNode start(LocalSettings settings, long born) throws ConfigException, InterruptedException {
         if (settings.dataDir() == null) {
             throw new ConfigException("a control node needs dataDir in its settings");
         }
@@ -129,16 +135,21 @@
     }
 
     /** The same with somebody who is told of its records. */
-    static ControlNode start(LocalSettings settings, long born, Supplier<RaftStore> opener,
-            Connection.Observer observer) throws ConfigException, InterruptedException {
+    static ControlNode start(
+            LocalSettings settings, long born, Supplier<RaftStore> opener, Connection.Observer observer)
+            throws ConfigException, InterruptedException {
         EventLoop loop = ClosingEventLoops.single("control");
         ControlNode controlNode = new ControlNode(settings, born, loop, opener, observer);
         String at = settings.ip() + ":" + settings.innerFirst();
         try {
-            await(controlNode.connection.listen(new InetSocketAddress(settings.ip(), settings.innerFirst()),
-                    controlNode.new Records()), at);
-            await(new ApiServer(loop, controlNode.operations(), MOST_CONFIGURATION).listen(
-                    address(settings.listenOn().control())), settings.listenOn().control());
+            await(
+                    controlNode.connection.listen(
+                            new InetSocketAddress(settings.ip(), settings.innerFirst()), controlNode.new Records()),
+                    at);
+            await(
+                    new ApiServer(loop, controlNode.operations(), MOST_CONFIGURATION)
+                            .listen(address(settings.listenOn().control())),
+                    settings.listenOn().control());
         } catch (IOException e) {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await();
             throw new ConfigException(e.getMessage());
@@ -152,15 +163,23 @@
 
     private List<Operation<?, ?>> operations() {
         Authority authority = new Settles();
-        return Operators.all(authority, new Sight(settings.node(), settings.zone(),
-                settings.listenOn().control(), dataPlane.registry(), dataPlane.watchServer(),
-                dataPlane.pool(), authority));
+        return Operators.all(
+                authority,
+                new Sight(
+                        settings.node(),
+                        settings.zone(),
+                        settings.listenOn().control(),
+                        dataPlane.registry(),
+                        dataPlane.watchServer(),
+                        dataPlane.pool(),
+                        authority));
     }
 
     private static void await(io.netty.channel.ChannelFuture bound, String at)
             throws IOException, InterruptedException {
         if (!bound.await().isSuccess()) {
-            throw new IOException("cannot listen on " + at + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    "cannot listen on " + at + ": " + bound.cause().getMessage());
         }
     }
 
@@ -179,9 +198,9 @@
     }
 
     /**
-     * Ends its part in the core as SIGTERM wants it: hands leadership over and returns once others hold what
-     * it holds, or when the time to end is nearly up. Whether the machine comes back is not known to it, so
-     * its place goes to another only if a learner waits for it.
+     * Ends its part in the core as SIGTERM wants it: hands leadership over and returns once others hold what it holds,
+     * or when the time to end is nearly up. Whether the machine comes back is not known to it, so its place goes to
+     * another only if a learner waits for it.
      *
      * @return whether others hold it
      */
@@ -197,11 +216,10 @@
     public void reload(LocalSettings next) {
         loop.execute(() -> {
             List<String> contacts = new ArrayList<>();
-            next.seeds().forEach(seed -> contacts.add(seed.substring(0, seed.lastIndexOf(':') + 1)
-                    + next.innerFirst()));
+            next.seeds()
+                    .forEach(seed -> contacts.add(seed.substring(0, seed.lastIndexOf(':') + 1) + next.innerFirst()));
             raft.contacts(contacts);
-            Log.info(LOG, "settings").addKeyValue("seeds", contacts.size())
-                    .log("the settings were read again");
+            Log.info(LOG, "settings").addKeyValue("seeds", contacts.size()).log("the settings were read again");
         });
     }
 
@@ -209,7 +227,8 @@
     private Member named(boolean damaged) {
         String at = settings.ip() + ":" + settings.innerFirst();
         String control = settings.listenOn().control();
-        return settings.firstStart() && !damaged ? Member.founder(at, control)
+        return settings.firstStart() && !damaged
+                ? Member.founder(at, control)
                 : Member.later(new SecureRandom().nextLong(), at, control);
     }
 
@@ -240,7 +259,9 @@
         }
         // Not at a fixed rate: after a pause of the process all that it missed would be run at once.
         loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        Log.info(LOG, "starts").addKeyValue("node", settings.node()).addKeyValue("member", self.id())
+        Log.info(LOG, "starts")
+                .addKeyValue("node", settings.node())
+                .addKeyValue("member", self.id())
                 .addKeyValue("founds", stored == null && founders.contains(self))
                 .addKeyValue("outside", stored == null && !founders.contains(self))
                 .log("takes part in the core");
@@ -290,8 +311,10 @@
                     }
                 }
             } catch (IOException | IllegalArgumentException e) {
-                Log.warn(LOG, "record-malformed").addKeyValue("kind", frame.kind())
-                        .addKeyValue("cause", e.getMessage()).log("a record can't be read");
+                Log.warn(LOG, "record-malformed")
+                        .addKeyValue("kind", frame.kind())
+                        .addKeyValue("cause", e.getMessage())
+                        .log("a record can't be read");
                 link.close();
             }
         }
@@ -333,8 +356,10 @@
         private void command(Entry entry) {
             if (changes.applied(entry) == ConfigurationState.Outcome.TAKEN) {
                 guard.goOn("configuration", dataPlane::configuration);
-                Log.info(LOG, "configuration").addKeyValue("edition", configurations.edition())
-                        .addKeyValue("index", entry.index()).log("a configuration is in force");
+                Log.info(LOG, "configuration")
+                        .addKeyValue("edition", configurations.edition())
+                        .addKeyValue("index", entry.index())
+                        .log("a configuration is in force");
             }
         }
 
@@ -347,9 +372,13 @@
         @Override
         public void standing(Standing next) {
             standing = next;
-            Log.info(LOG, "standing").addKeyValue("role", next.role()).addKeyValue("term", next.term())
-                    .addKeyValue("leader", next.leader() == null ? "" : next.leader().address())
-                    .addKeyValue("members", next.members().size()).log("the core's standing");
+            Log.info(LOG, "standing")
+                    .addKeyValue("role", next.role())
+                    .addKeyValue("term", next.term())
+                    .addKeyValue(
+                            "leader", next.leader() == null ? "" : next.leader().address())
+                    .addKeyValue("members", next.members().size())
+                    .log("the core's standing");
             changes.standing(next);
             dataPlane.standing(next);
             peers.members(next.members());
@@ -436,7 +465,8 @@
         @Override
         public void lost(StoreException why) {
             // The next process finds what is there, and is another member if that is nothing.
-            Log.error(LOG, "disk-failed").addKeyValue("code", why.code())
+            Log.error(LOG, "disk-failed")
+                    .addKeyValue("code", why.code())
                     .log("what was synced is gone: {}", why.getMessage());
             Runtime.getRuntime().halt(HALTED);
         }
--- a/src/main/java/sablehinge/control/ControlRequest.java
+++ b/src/main/java/sablehinge/control/ControlRequest.java
@@ -1,8 +1,8 @@
 package sablehinge.control;
 
 /**
- * Everything that operators and data-plane balancers ask of a control machine, with the contact with a
- * majority that its answer needs. {@link QuorumGate} holds it.
+ * Everything that operators and data-plane balancers ask of a control machine, with the contact with a majority that
+ * its answer needs. {@link QuorumGate} holds it.
  */
 enum ControlRequest {
     /** An operator sends a configuration. */
--- a/src/main/java/sablehinge/control/DataPlane.java
+++ b/src/main/java/sablehinge/control/DataPlane.java
@@ -27,8 +27,8 @@
 import sablehinge.watch.WatchServer;
 
 /**
- * What a machine of the core does for the data plane while it leads: it tells balancers the news, and holds
- * the pools of quotas and of retry budgets. Each answer passes the {@link QuorumGate}. Called on one thread.
+ * What a machine of the core does for the data plane while it leads: it tells balancers the news, and holds the pools
+ * of quotas and of retry budgets. Each answer passes the {@link QuorumGate}. Called on one thread.
  */
 final class DataPlane {
 
@@ -37,6 +37,7 @@
     private static final double GONE_MS = 12_000;
     /** News are looked at each tick: after a longer pause, in ms, it was this process that stood still. */
     private static final double STOOD_STILL_MS = 1_000;
+
     private static final byte[] NONE = new byte[0];
 
     private final EventLoop loop;
@@ -49,21 +50,27 @@
     private final RetryBudgetHolder retryBudgetHolder;
     /** Whether what is due will be sent once all that has come in together is read. */
     private boolean tellsSoon;
+
     private double toldAt;
     /** The edition in force as all are sent it; packed once for each edition, and only while this leads. */
     private byte[] packed = NONE;
+
     private long packedEdition;
     private Standing standing = new Standing(Standing.Role.OUTSIDER, 0, null, List.of());
 
-    DataPlane(EventLoop loop, Clock clock, LocalSettings.Bounds bounds, QuorumGate gate,
+    DataPlane(
+            EventLoop loop,
+            Clock clock,
+            LocalSettings.Bounds bounds,
+            QuorumGate gate,
             ConfigurationState configurations) {
         this.loop = loop;
         this.clock = clock;
         this.gate = gate;
         this.configurations = configurations;
         retryBudgetHolder = new RetryBudgetHolder(bounds);
-        pools = new Pools(loop, clock, bounds, watchServer::askers,
-                now -> gate.allows(now, ControlRequest.QUOTA_TOKENS));
+        pools = new Pools(
+                loop, clock, bounds, watchServer::askers, now -> gate.allows(now, ControlRequest.QUOTA_TOKENS));
     }
 
     /** Who is known, to be looked at. */
@@ -111,20 +118,28 @@
             elsewhere(link, new QuorumGate.Refusal(null, false));
             return;
         }
-        gate.require(clock.now(), ControlRequest.WATCH, () -> {
-            watchServer.asked(clock.now(), link, request);
-            if (request.confirm()) {
-                confirm(link, request);
-            }
-            tellSoon();
-        }, refusal -> elsewhere(link, refusal));
+        gate.require(
+                clock.now(),
+                ControlRequest.WATCH,
+                () -> {
+                    watchServer.asked(clock.now(), link, request);
+                    if (request.confirm()) {
+                        confirm(link, request);
+                    }
+                    tellSoon();
+                },
+                refusal -> elsewhere(link, refusal));
     }
 
     private void confirm(Connection.Link link, WatchRequest request) {
-        gate.require(clock.now(), ControlRequest.WATCH_CONFIRMED, () -> {
-            watchServer.confirmed(link, request.number());
-            tellSoon();
-        }, refusal -> elsewhere(link, refusal));
+        gate.require(
+                clock.now(),
+                ControlRequest.WATCH_CONFIRMED,
+                () -> {
+                    watchServer.confirmed(link, request.number());
+                    tellSoon();
+                },
+                refusal -> elsewhere(link, refusal));
     }
 
     private static void elsewhere(Connection.Link link, QuorumGate.Refusal refusal) {
@@ -133,12 +148,16 @@
     }
 
     private void claimed(Connection.Link link, Claim claim) {
-        gate.require(clock.now(), ControlRequest.RETRY_SHARES, () -> {
-            Frame answer = retryBudgetHolder.answer(clock.now(), claim);
-            if (answer != null) {
-                link.send(answer);
-            }
-        }, refusal -> { });
+        gate.require(
+                clock.now(),
+                ControlRequest.RETRY_SHARES,
+                () -> {
+                    Frame answer = retryBudgetHolder.answer(clock.now(), claim);
+                    if (answer != null) {
+                        link.send(answer);
+                    }
+                },
+                refusal -> {});
     }
 
     /** Sends the news that are due once what has come in together is read: once for all of it. */
@@ -164,10 +183,13 @@
             told.to().send(new Frame(Frame.Kind.NEWS, told.update().bytes()));
         }
         for (HealthView.Ruling ruling : watchServer.rulings()) {
-            Log.info(LOG, "health").addKeyValue("peer", ruling.node())
-                    .addKeyValue("health", ruling.health()).addKeyValue("before", ruling.before())
+            Log.info(LOG, "health")
+                    .addKeyValue("peer", ruling.node())
+                    .addKeyValue("health", ruling.health())
+                    .addKeyValue("before", ruling.before())
                     .addKeyValue("accusers", ruling.accusers())
-                    .addKeyValue("watchers", ruling.watchers()).log("what is known of a balancer");
+                    .addKeyValue("watchers", ruling.watchers())
+                    .log("what is known of a balancer");
         }
     }
 
--- a/src/main/java/sablehinge/control/DiskWriter.java
+++ b/src/main/java/sablehinge/control/DiskWriter.java
@@ -6,16 +6,16 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.core.Log;
 import sablehinge.consensus.Change;
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Stored;
+import sablehinge.core.Log;
 
 /**
- * Puts changes down, in order, however often the disk refuses: to whoever waits for them a disk that refuses
- * is one that stalls. After a refusal the store is closed, and after a pause opened from what is on disk; the
- * change that was under way is there, or it is written again. None is reported before it is synced, and none
- * twice. All calls are made on one thread; how many changes wait is bounded by who makes them.
+ * Puts changes down, in order, however often the disk refuses: to whoever waits for them a disk that refuses is one
+ * that stalls. After a refusal the store is closed, and after a pause opened from what is on disk; the change that was
+ * under way is there, or it is written again. None is reported before it is synced, and none twice. All calls are made
+ * on one thread; how many changes wait is bounded by who makes them.
  */
 final class DiskWriter {
 
@@ -31,8 +31,8 @@
         Member named(boolean damaged);
 
         /**
-         * Whether a member that the disk does not hold yet is one of those that found the core. Its name goes
-         * to the disk with its first change, in one commit; that of any other before all else.
+         * Whether a member that the disk does not hold yet is one of those that found the core. Its name goes to the
+         * disk with its first change, in one commit; that of any other before all else.
          */
         boolean founds(Member self);
 
@@ -57,10 +57,12 @@
     private boolean begun;
     /** Whether the disk is to get the name with the next change. */
     private boolean unnamed;
+
     private boolean pausing;
     private boolean ended;
     /** The store's version with all changes that were reported. */
     private long version;
+
     private volatile double busySince = Double.POSITIVE_INFINITY;
 
     /** Opens the store with each call of {@code opener}; that throws a {@link StoreException} if it can't. */
@@ -135,8 +137,11 @@
         boolean landed = opened.version() == version + 1 && !waiting.isEmpty();
         Member expected = unnamed && !landed ? null : self;
         if (!Objects.equals(expected, opened.self()) || opened.version() != version && !landed) {
-            throw new StoreException(StoreException.Code.LOST, "it holds commit " + opened.version() + " of "
-                    + opened.self() + "; commit " + version + " of " + expected + " was reported", null);
+            throw new StoreException(
+                    StoreException.Code.LOST,
+                    "it holds commit " + opened.version() + " of " + opened.self() + "; commit " + version + " of "
+                            + expected + " was reported",
+                    null);
         }
         if (landed) {
             done();
@@ -174,7 +179,9 @@
         int refusals = patience.refusals();
         long ms = Math.round(patience.lasts(host.now()));
         if (patience.well()) {
-            Log.info(LOG, "disk-well").addKeyValue("refusals", refusals).addKeyValue("ms", ms)
+            Log.info(LOG, "disk-well")
+                    .addKeyValue("refusals", refusals)
+                    .addKeyValue("ms", ms)
                     .log("the disk takes writes again");
         }
     }
@@ -191,7 +198,8 @@
         }
         double now = host.now();
         if (patience.refused(now, e.code())) {
-            Log.warn(LOG, "disk-refuses").addKeyValue("code", e.code())
+            Log.warn(LOG, "disk-refuses")
+                    .addKeyValue("code", e.code())
                     .addKeyValue("refusals", patience.refusals())
                     .addKeyValue("ms", Math.round(patience.lasts(now)))
                     .addKeyValue("waiting", waiting.size())
--- a/src/main/java/sablehinge/control/Guard.java
+++ b/src/main/java/sablehinge/control/Guard.java
@@ -5,9 +5,9 @@
 import sablehinge.core.Log;
 
 /**
- * What becomes of an error inside a control node, such as memory that ran out. A periodic task that throws is
- * never run again, and an entry whose application throws would be passed over: either leaves a process that
- * looks alive and is not what it seems.
+ * What becomes of an error inside a control node, such as memory that ran out. A periodic task that throws is never run
+ * again, and an entry whose application throws would be passed over: either leaves a process that looks alive and is
+ * not what it seems.
  */
 final class Guard {
 
@@ -41,7 +41,10 @@
 
     private static void tell(String what, Throwable e, String text) {
         try {
-            Log.error(LOG, "internal-error").addKeyValue("during", what).setCause(e).log(text);
+            Log.error(LOG, "internal-error")
+                    .addKeyValue("during", what)
+                    .setCause(e)
+                    .log(text);
         } catch (RuntimeException | Error second) {
             // Where memory has run out there may be none for a line either.
         }
--- a/src/main/java/sablehinge/control/Inquiry.java
+++ b/src/main/java/sablehinge/control/Inquiry.java
@@ -48,8 +48,13 @@
 
     @Override
     protected void answer(Consumer<Settled> answer) {
-        authority.gate().require(authority.now(), request, () -> telling.to(answer),
-                refusal -> answer.accept(Settled.elsewhere(refusal, path())));
+        authority
+                .gate()
+                .require(
+                        authority.now(),
+                        request,
+                        () -> telling.to(answer),
+                        refusal -> answer.accept(Settled.elsewhere(refusal, path())));
     }
 
     @Override
--- a/src/main/java/sablehinge/control/Operators.java
+++ b/src/main/java/sablehinge/control/Operators.java
@@ -8,14 +8,13 @@
 /** The operators' calls (PROTOCOL, "The operator"), and those of the client's verbs. */
 final class Operators {
 
-    private Operators() {
-    }
+    private Operators() {}
 
     /** All calls, settled by an authority, with what this machine sees. */
     static List<Operation<?, ?>> all(Authority authority, Sight sight) {
-        return List.of(new Replace(authority),
-                Inquiry.plain(authority, ControlRequest.CONFIG_READ, () ->
-                        newest(authority.configurations())),
+        return List.of(
+                new Replace(authority),
+                Inquiry.plain(authority, ControlRequest.CONFIG_READ, () -> newest(authority.configurations())),
                 Inquiry.worded(authority, ControlRequest.CONFIG_HISTORY, sight::editions),
                 Inquiry.worded(authority, ControlRequest.MESH_STATUS, sight::status),
                 Inquiry.worded(authority, ControlRequest.MESH_NODES, sight::nodes),
@@ -23,7 +22,8 @@
     }
 
     private static Reply newest(ConfigurationState configurations) {
-        return configurations.edition() == 0 ? Reply.error(404, "NONE", "no configuration yet")
+        return configurations.edition() == 0
+                ? Reply.error(404, "NONE", "no configuration yet")
                 : Reply.of(200, configurations.body());
     }
 }
--- a/src/main/java/sablehinge/control/Patience.java
+++ b/src/main/java/sablehinge/control/Patience.java
@@ -1,8 +1,8 @@
 package sablehinge.control;
 
 /**
- * When a disk that refuses is tried again, and which of its refusals are worth a line of the log. It decides
- * only; {@code now} is a steady clock in ms.
+ * When a disk that refuses is tried again, and which of its refusals are worth a line of the log. It decides only;
+ * {@code now} is a steady clock in ms.
  */
 final class Patience {
 
@@ -20,6 +20,7 @@
     private double toldAt = Double.NEGATIVE_INFINITY;
     /** Whether a line told of these refusals. */
     private boolean told;
+
     private StoreException.Code code;
 
     /**
--- a/src/main/java/sablehinge/control/Peers.java
+++ b/src/main/java/sablehinge/control/Peers.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
+import sablehinge.consensus.Member;
+import sablehinge.consensus.Message;
 import sablehinge.rpc.Connection;
 import sablehinge.rpc.Frame;
 import sablehinge.rpc.MessageCodec;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Message;
 
 /**
- * Connections to the other machines of the core: one to each for what is said to it. What can't be sent now
- * is dropped, as the agreement says everything again that matters.
+ * Connections to the other machines of the core: one to each for what is said to it. What can't be sent now is dropped,
+ * as the agreement says everything again that matters.
  */
 final class Peers {
 
--- a/src/main/java/sablehinge/control/Pools.java
+++ b/src/main/java/sablehinge/control/Pools.java
@@ -9,23 +9,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoublePredicate;
 import java.util.function.Supplier;
-import sablehinge.routing.Configuration;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Frame;
 import sablehinge.config.local.LocalSettings;
 import sablehinge.core.Clock;
 import sablehinge.quota.Pool;
 import sablehinge.quota.Quota;
+import sablehinge.routing.Configuration;
+import sablehinge.rpc.Connection;
+import sablehinge.rpc.Frame;
 import sablehinge.watch.Tokens;
 
 /**
- * The duty of keeping the pools of quotas. Who asks one that is dry is answered a little later, once the
- * other balancers have given up what they can do without.
+ * The duty of keeping the pools of quotas. Who asks one that is dry is answered a little later, once the other
+ * balancers have given up what they can do without.
  */
 final class Pools {
 
     /** How long others have to give something up, in ms: well below the asker's patience. */
     private static final long PULL_MS = 15;
+
     private static final int MOST_WAITING = 4_096;
 
     private final EventLoop loop;
@@ -37,10 +38,14 @@
     private final Map<String, List<Waiting>> waiting = new HashMap<>();
     private int waitingInAll;
 
-    private record Waiting(Connection.Link link, int wanted) { }
+    private record Waiting(Connection.Link link, int wanted) {}
 
-    Pools(EventLoop loop, Clock clock, LocalSettings.Bounds bounds,
-            Supplier<Collection<Connection.Link>> balancers, DoublePredicate leases) {
+    Pools(
+            EventLoop loop,
+            Clock clock,
+            LocalSettings.Bounds bounds,
+            Supplier<Collection<Connection.Link>> balancers,
+            DoublePredicate leases) {
         this.loop = loop;
         this.clock = clock;
         this.bounds = bounds;
@@ -64,8 +69,14 @@
         Map<String, Quota> quotas = new HashMap<>();
         for (Configuration.Tenant tenant : configuration.tenants()) {
             if (tenant.perSecond() > 0) {
-                quotas.put(tenant.name(), Quota.of(tenant.perSecond(), tenant.burst(), bounds.quotaWindowS(),
-                        bounds.quotaExcess(), bounds.quotaSlack()));
+                quotas.put(
+                        tenant.name(),
+                        Quota.of(
+                                tenant.perSecond(),
+                                tenant.burst(),
+                                bounds.quotaWindowS(),
+                                bounds.quotaExcess(),
+                                bounds.quotaSlack()));
             }
         }
         pool.adopt(clock.now(), quotas);
@@ -78,7 +89,8 @@
         }
         String tenant = wanted.tenant();
         int given = pool.take(clock.now(), tenant, wanted.count());
-        if (given > 0 || waitingInAll >= MOST_WAITING
+        if (given > 0
+                || waitingInAll >= MOST_WAITING
                 || !waiting.containsKey(tenant) && !pool.pulls(clock.now(), tenant)) {
             answer(link, tenant, given);
             return;
--- a/src/main/java/sablehinge/control/QuorumGate.java
+++ b/src/main/java/sablehinge/control/QuorumGate.java
@@ -9,12 +9,12 @@
 import sablehinge.consensus.Standing;
 
 /**
- * The one place where it is decided whether this machine has the contact with a majority that an answer
- * needs. It looks at the time of each act, never at what the last tick found: a process that stood still
- * finds calls in its buffers before its first tick. {@code now} is a steady clock in ms.
+ * The one place where it is decided whether this machine has the contact with a majority that an answer needs. It looks
+ * at the time of each act, never at what the last tick found: a process that stood still finds calls in its buffers
+ * before its first tick. {@code now} is a steady clock in ms.
  *
- * <p>Refusals come at once where the contact is known to be missing, and within {@link #PATIENCE_MS}
- * otherwise, which is shorter than the second after which callers go elsewhere.
+ * <p>Refusals come at once where the contact is known to be missing, and within {@link #PATIENCE_MS} otherwise, which
+ * is shorter than the second after which callers go elsewhere.
  */
 final class QuorumGate {
 
@@ -50,9 +50,9 @@
      * @param leader another machine that leads as far as is known; null where none is
      * @param leads whether this machine itself counts as the leader, without the contact that it needs
      */
-    record Refusal(Member leader, boolean leads) { }
+    record Refusal(Member leader, boolean leads) {}
 
-    private record Waiting(double until, Runnable granted, Consumer<Refusal> refused) { }
+    private record Waiting(double until, Runnable granted, Consumer<Refusal> refused) {}
 
     private final Contact contact;
     private final Consumer<Runnable> later;
@@ -62,8 +62,8 @@
     /**
      * A gate.
      *
-     * @param later runs something after the event that is being handled, on the same thread: the agreement
-     *     may not be called from within what it calls
+     * @param later runs something after the event that is being handled, on the same thread: the agreement may not be
+     *     called from within what it calls
      */
     QuorumGate(Contact contact, Consumer<Runnable> later) {
         this.contact = contact;
@@ -75,8 +75,8 @@
         return switch (what.contact()) {
             case NONE -> true;
             case LEASE -> contact.leases(now);
-            case RECENT, CONFIRMED, COMMITTED -> contact.standing().role() == Standing.Role.LEADER
-                    && contact.sinceMajority(now) <= RECENT_MS;
+            case RECENT, CONFIRMED, COMMITTED ->
+                contact.standing().role() == Standing.Role.LEADER && contact.sinceMajority(now) <= RECENT_MS;
         };
     }
 
--- a/src/main/java/sablehinge/control/RaftStore.java
+++ b/src/main/java/sablehinge/control/RaftStore.java
@@ -20,25 +20,24 @@
 import org.h2.mvstore.type.LongDataType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.rpc.MessageCodec;
-import sablehinge.core.Log;
 import sablehinge.consensus.Change;
 import sablehinge.consensus.Entry;
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Members;
 import sablehinge.consensus.Snapshot;
 import sablehinge.consensus.Stored;
+import sablehinge.core.Log;
+import sablehinge.rpc.MessageCodec;
 
 /**
- * What a member of the core has on its disk: who it is, its vote, its log. One file, {@code log.mv.db}, of
- * H2's MVStore. All calls are one thread's, at least not at the same time; none leaves a thread behind.
+ * What a member of the core has on its disk: who it is, its vote, its log. One file, {@code log.mv.db}, of H2's
+ * MVStore. All calls are one thread's, at least not at the same time; none leaves a thread behind.
  *
- * <p>When {@link #begin} or {@link #write} returns, what it was given survives a loss of power; until then
- * the disk holds what it did before or all of the change. After a refusal the store is closed; who
- * opens it again finds the one or the other, written anew, and {@link #version} tells which. An empty file
- * is made under another name, so a file {@code log.mv.db} is always whole. One that is not is kept as
- * {@code log.mv.db.damaged}; as long as that is there and nothing was begun after it, {@link #damaged} says
- * so, in later processes also.
+ * <p>When {@link #begin} or {@link #write} returns, what it was given survives a loss of power; until then the disk
+ * holds what it did before or all of the change. After a refusal the store is closed; who opens it again finds the one
+ * or the other, written anew, and {@link #version} tells which. An empty file is made under another name, so a file
+ * {@code log.mv.db} is always whole. One that is not is kept as {@code log.mv.db.damaged}; as long as that is there and
+ * nothing was begun after it, {@link #damaged} says so, in later processes also.
  */
 public final class RaftStore implements AutoCloseable {
 
@@ -69,20 +68,21 @@
     private Snapshot snapshot;
     /** The last entry's index, or the snapshot's where none follows it. */
     private long last;
+
     private boolean closed;
 
     /**
      * Opens the store in a folder, and makes both if need be.
      *
-     * @throws StoreException {@code LOCKED} if another process has it, {@code UNREADABLE} if the disk
-     *     doesn't let it be read, {@code REFUSED} if it doesn't let it be made or mended
+     * @throws StoreException {@code LOCKED} if another process has it, {@code UNREADABLE} if the disk doesn't let it be
+     *     read, {@code REFUSED} if it doesn't let it be made or mended
      */
     public static RaftStore open(Path folder) {
         try {
             return open(new SystemDisk(folder));
         } catch (IOException e) {
-            throw new StoreException(StoreException.Code.REFUSED, "folder " + folder + " can't be made: "
-                    + e.getMessage(), e);
+            throw new StoreException(
+                    StoreException.Code.REFUSED, "folder " + folder + " can't be made: " + e.getMessage(), e);
         }
     }
 
@@ -94,10 +94,10 @@
                 try {
                     return new RaftStore(disk, FILE, disk.has(ASIDE));
                 } catch (Damage e) {
-                    Log.error(LOG, "disk-damaged").addKeyValue("file", disk.file(FILE))
+                    Log.error(LOG, "disk-damaged")
+                            .addKeyValue("file", disk.file(FILE))
                             .addKeyValue("cause", e.getMessage())
-                            .log("the log is damaged; it is kept as {}, and what this member had is lost",
-                                    ASIDE);
+                            .log("the log is damaged; it is kept as {}, and what this member had is lost", ASIDE);
                     disk.rename(FILE, ASIDE);
                     disk.sync();
                 }
@@ -119,8 +119,14 @@
         try {
             // No thread, no commit but this class's, no compression; nothing of the log is read twice, so the
             // cache is small.
-            opened = new MVStore.Builder().fileName(file).autoCommitDisabled().autoCommitBufferSize(0)
-                    .autoCompactFillRate(0).cacheSize(1).cacheConcurrency(1).open();
+            opened = new MVStore.Builder()
+                    .fileName(file)
+                    .autoCommitDisabled()
+                    .autoCommitBufferSize(0)
+                    .autoCompactFillRate(0)
+                    .cacheSize(1)
+                    .cacheConcurrency(1)
+                    .open();
             channel = SealedPath.taken(file);
             // Space is used again by commits, not by time: below zero, MVStore asks no clock, and what
             // commit N no longer needs is free from the third after it on. A torn commit is always the
@@ -150,8 +156,9 @@
     }
 
     private static MVMap<Long, byte[]> map(MVStore store, String name) {
-        return store.openMap(name, new MVMap.Builder<Long, byte[]>().keyType(LongDataType.INSTANCE)
-                .valueType(ByteArrayDataType.INSTANCE));
+        return store.openMap(
+                name,
+                new MVMap.Builder<Long, byte[]>().keyType(LongDataType.INSTANCE).valueType(ByteArrayDataType.INSTANCE));
     }
 
     private static void abandon(MVStore store, SealedChannel channel) {
@@ -195,14 +202,14 @@
             return;
         }
         if (store.getCurrentVersion() != channel.version()) {
-            throw new Damage("commit " + channel.version() + " can't be read, only "
-                    + store.getCurrentVersion());
+            throw new Damage("commit " + channel.version() + " can't be read, only " + store.getCurrentVersion());
         }
         for (Map.Entry<String, String> chunk : store.getLayoutMap().entrySet()) {
             String fields = chunk.getValue();
-            if (chunk.getKey().startsWith("chunk.") && Seal.field(fields, "livePages") != 0
-                    && !channel.whole(Seal.field(fields, "block"), (int) Seal.field(fields, "len"),
-                            (int) Seal.field(fields, "chunk"))) {
+            if (chunk.getKey().startsWith("chunk.")
+                    && Seal.field(fields, "livePages") != 0
+                    && !channel.whole(Seal.field(fields, "block"), (int) Seal.field(fields, "len"), (int)
+                            Seal.field(fields, "chunk"))) {
                 throw new Damage(chunk.getKey() + " is not as it was written");
             }
         }
@@ -228,8 +235,8 @@
         long first = snapshot == null ? 1 : snapshot.index() + 1;
         last = first - 1 + entries.sizeAsLong();
         if (!entries.isEmpty() && (entries.firstKey() != first || entries.lastKey() != last)) {
-            throw new Damage("entries " + entries.firstKey() + " to " + entries.lastKey()
-                    + " where " + first + " to " + last + " are expected");
+            throw new Damage("entries " + entries.firstKey() + " to " + entries.lastKey() + " where " + first + " to "
+                    + last + " are expected");
         }
     }
 
@@ -279,8 +286,11 @@
     }
 
     private static byte[] bytes(Entry entry) {
-        return ByteBuffer.allocate(9 + entry.data().length).putLong(entry.term())
-                .put((byte) entry.kind().ordinal()).put(entry.data()).array();
+        return ByteBuffer.allocate(9 + entry.data().length)
+                .putLong(entry.term())
+                .put((byte) entry.kind().ordinal())
+                .put(entry.data())
+                .array();
     }
 
     private static byte[] bytes(Snapshot snapshot) {
@@ -311,11 +321,11 @@
     }
 
     /**
-     * Puts down who this member is together with its first change, both or neither: a founder that has its
-     * name has its founding, whenever power is lost.
+     * Puts down who this member is together with its first change, both or neither: a founder that has its name has its
+     * founding, whenever power is lost.
      *
-     * @throws StoreException {@code ORDER} if it is someone already, or the change doesn't follow on an empty
-     *     log; {@code CLOSED}, {@code REFUSED}
+     * @throws StoreException {@code ORDER} if it is someone already, or the change doesn't follow on an empty log;
+     *     {@code CLOSED}, {@code REFUSED}
      */
     public void found(Member member, Change founding) {
         open();
@@ -338,8 +348,7 @@
     /**
      * Puts down a change, all of it or nothing.
      *
-     * @throws StoreException {@code ORDER} if it doesn't follow on what is held, {@code CLOSED},
-     *     {@code REFUSED}
+     * @throws StoreException {@code ORDER} if it doesn't follow on what is held, {@code CLOSED}, {@code REFUSED}
      */
     public void write(Change change) {
         open();
@@ -359,8 +368,7 @@
         if (change.truncateFrom() != 0 && change.truncateFrom() <= base && change.snapshot() == null) {
             throw order("entries from " + change.truncateFrom() + " are in the snapshot to " + base);
         }
-        long end = change.truncateFrom() == 0 ? last
-                : Math.max(base, Math.min(last, change.truncateFrom() - 1));
+        long end = change.truncateFrom() == 0 ? last : Math.max(base, Math.min(last, change.truncateFrom() - 1));
         if (change.snapshot() != null) {
             if (change.snapshot().index() < base) {
                 throw order("a snapshot to " + change.snapshot().index() + " after one to " + base);
@@ -385,8 +393,12 @@
 
     private void apply(Change change) {
         if (change.term() != term || change.votedFor() != votedFor) {
-            state.put(VOTE, ByteBuffer.allocate(16).putLong(change.term()).putLong(change.votedFor())
-                    .array());
+            state.put(
+                    VOTE,
+                    ByteBuffer.allocate(16)
+                            .putLong(change.term())
+                            .putLong(change.votedFor())
+                            .array());
             term = change.term();
             votedFor = change.votedFor();
         }
--- a/src/main/java/sablehinge/control/RetryBudgetHolder.java
+++ b/src/main/java/sablehinge/control/RetryBudgetHolder.java
@@ -2,14 +2,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.routing.Configuration;
-import sablehinge.rpc.Frame;
 import sablehinge.config.local.LocalSettings;
-import sablehinge.watch.RetryBudgetCodec;
 import sablehinge.retrybudget.Claim;
 import sablehinge.retrybudget.Grant;
 import sablehinge.retrybudget.Holder;
 import sablehinge.retrybudget.Rule;
+import sablehinge.routing.Configuration;
+import sablehinge.rpc.Frame;
+import sablehinge.watch.RetryBudgetCodec;
 
 /** The duty of holding the budget of further tries: balancers' claims are answered under a lease only. */
 final class RetryBudgetHolder {
@@ -17,8 +17,7 @@
     private final Holder holder;
 
     RetryBudgetHolder(LocalSettings.Bounds bounds) {
-        holder = new Holder(new Rule(bounds.retryRatio(), bounds.retryWindowS() * 1_000,
-                bounds.retrySlack()));
+        holder = new Holder(new Rule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()));
     }
 
     void begin(long term) {
--- a/src/main/java/sablehinge/control/Seal.java
+++ b/src/main/java/sablehinge/control/Seal.java
@@ -6,9 +6,9 @@
 import org.h2.mvstore.DataUtils;
 
 /**
- * The last 128 bytes of a chunk, which is what MVStore writes for one commit. MVStore puts the chunk's
- * number, length and version there with a checksum of these alone; a sealed one has a checksum of all its
- * bytes, too. MVStore passes over the field that it doesn't know.
+ * The last 128 bytes of a chunk, which is what MVStore writes for one commit. MVStore puts the chunk's number, length
+ * and version there with a checksum of these alone; a sealed one has a checksum of all its bytes, too. MVStore passes
+ * over the field that it doesn't know.
  *
  * @param block where the chunk begins, in blocks of 4096 bytes
  * @param id of the chunk
@@ -24,8 +24,12 @@
 
     /** Whether bytes begin as a chunk does. */
     static boolean chunk(ByteBuffer bytes, int at) {
-        return bytes.get(at) == 'c' && bytes.get(at + 1) == 'h' && bytes.get(at + 2) == 'u'
-                && bytes.get(at + 3) == 'n' && bytes.get(at + 4) == 'k' && bytes.get(at + 5) == ':';
+        return bytes.get(at) == 'c'
+                && bytes.get(at + 1) == 'h'
+                && bytes.get(at + 2) == 'u'
+                && bytes.get(at + 3) == 'n'
+                && bytes.get(at + 4) == 'k'
+                && bytes.get(at + 5) == ':';
     }
 
     /** The checksum of a chunk. */
@@ -88,8 +92,7 @@
     /** A number of such a text, -1 if it has no such field or that is no number. */
     static long field(String fields, String name) {
         for (String field : fields.split(",")) {
-            if (field.startsWith(name) && field.length() > name.length()
-                    && field.charAt(name.length()) == ':') {
+            if (field.startsWith(name) && field.length() > name.length() && field.charAt(name.length()) == ':') {
                 try {
                     return Long.parseUnsignedLong(field.substring(name.length() + 1), 16);
                 } catch (NumberFormatException e) {
--- a/src/main/java/sablehinge/control/SealedChannel.java
+++ b/src/main/java/sablehinge/control/SealedChannel.java
@@ -11,12 +11,11 @@
 /**
  * A file of MVStore whose chunks are sealed, and are mended before MVStore reads them.
  *
- * <p>MVStore takes a chunk for whole if its first and its last bytes are there. A disk that loses power may
- * have written these and not what lies between. And it finds the newest chunk through a header that may be
- * on disk when the chunk is not; it then may take an older one for the newest. So when the file is locked
- * and before MVStore reads it, this looks for the newest chunk that is whole, takes the seal from one after
- * it, which the power cut off, and lets the header point to the newest. As each commit is synced before the
- * next, only the last may be torn.
+ * <p>MVStore takes a chunk for whole if its first and its last bytes are there. A disk that loses power may have
+ * written these and not what lies between. And it finds the newest chunk through a header that may be on disk when the
+ * chunk is not; it then may take an older one for the newest. So when the file is locked and before MVStore reads it,
+ * this looks for the newest chunk that is whole, takes the seal from one after it, which the power cut off, and lets
+ * the header point to the newest. As each commit is synced before the next, only the last may be torn.
  */
 final class SealedChannel extends FileBase {
 
@@ -66,8 +65,8 @@
             throw new Damage("no commit in it is whole");
         }
         if (!torn.isEmpty() && torn.get(0).version() > newest.version() + 1) {
-            throw new Damage("commits " + newest.version() + " to " + torn.get(0).version()
-                    + " are not whole");
+            throw new Damage(
+                    "commits " + newest.version() + " to " + torn.get(0).version() + " are not whole");
         }
         mending = true;
         for (Seal seal : torn) {
@@ -157,7 +156,9 @@
 
     @Override
     public int write(ByteBuffer bytes, long position) throws IOException {
-        if (position >= HEADER && position % Seal.BLOCK == 0 && bytes.remaining() >= Seal.BLOCK
+        if (position >= HEADER
+                && position % Seal.BLOCK == 0
+                && bytes.remaining() >= Seal.BLOCK
                 && Seal.chunk(bytes, bytes.position())) {
             Seal.set(bytes);
         }
--- a/src/main/java/sablehinge/control/SealedPath.java
+++ b/src/main/java/sablehinge/control/SealedPath.java
@@ -8,8 +8,8 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * H2's way to put one's own channel between MVStore and a file: names that begin with {@code sealed:}. It is
- * public only because H2 makes it by reflection.
+ * H2's way to put one's own channel between MVStore and a file: names that begin with {@code sealed:}. It is public
+ * only because H2 makes it by reflection.
  */
 public final class SealedPath extends FilePathWrapper {
 
@@ -21,8 +21,7 @@
     }
 
     /** For H2. */
-    public SealedPath() {
-    }
+    public SealedPath() {}
 
     /** The name for H2 of a file by its plain name. */
     static String name(String file) {
--- a/src/main/java/sablehinge/control/Settled.java
+++ b/src/main/java/sablehinge/control/Settled.java
@@ -10,7 +10,8 @@
         if (refusal.leader() != null) {
             return new Settled(Reply.elsewhere("http://" + refusal.leader().control() + path));
         }
-        return refusal.leads() ? error(503, "NO_MAJORITY", "no majority has answered")
+        return refusal.leads()
+                ? error(503, "NO_MAJORITY", "no majority has answered")
                 : error(503, "NO_LEADER", "the core has no leader at the moment");
     }
 
--- a/src/main/java/sablehinge/control/Sight.java
+++ b/src/main/java/sablehinge/control/Sight.java
@@ -6,17 +6,17 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import sablehinge.state.Registration;
-import sablehinge.state.Registry;
 import sablehinge.api.mesh.Editions;
 import sablehinge.api.mesh.Machine;
 import sablehinge.api.mesh.MeshDuties;
 import sablehinge.api.mesh.MeshNodes;
 import sablehinge.api.mesh.MeshStatus;
-import sablehinge.quota.Pool;
-import sablehinge.watch.WatchServer;
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Pulse;
+import sablehinge.quota.Pool;
+import sablehinge.state.Registration;
+import sablehinge.state.Registry;
+import sablehinge.watch.WatchServer;
 
 /** What a machine of the core can tell operators of itself and, while it leads, of the mesh. */
 final class Sight {
@@ -33,7 +33,13 @@
     private final Authority authority;
 
     /** {@code control} is where operators call this machine. */
-    Sight(String node, String zone, String control, Registry registry, WatchServer<?> queue, Pool pool,
+    Sight(
+            String node,
+            String zone,
+            String control,
+            Registry registry,
+            WatchServer<?> queue,
+            Pool pool,
             Authority authority) {
         this.node = node;
         this.zone = zone;
@@ -45,9 +51,17 @@
     }
 
     MeshStatus status() {
-        return new MeshStatus(node, zone, id(authority.self()), control,
-                authority.standing().role().name().toLowerCase(Locale.ROOT), authority.standing().term(),
-                leader(), authority.pulse().commit(), authority.configurations().edition(), members(),
+        return new MeshStatus(
+                node,
+                zone,
+                id(authority.self()),
+                control,
+                authority.standing().role().name().toLowerCase(Locale.ROOT),
+                authority.standing().term(),
+                leader(),
+                authority.pulse().commit(),
+                authority.configurations().edition(),
+                members(),
                 authority.gate().allows(authority.now(), ControlRequest.MESH_STATUS_PLANE) ? plane() : null);
     }
 
@@ -67,8 +81,7 @@
         List<Machine> members = new ArrayList<>();
         for (Member member : authority.standing().members()) {
             Double silent = pulse.silentMs().get(member.id());
-            members.add(new Machine(id(member), member.control(),
-                    silent == null ? null : Math.round(silent)));
+            members.add(new Machine(id(member), member.control(), silent == null ? null : Math.round(silent)));
         }
         return members;
     }
@@ -84,19 +97,20 @@
             known += line.gone() ? 0 : 1;
             ready += takes ? 1 : 0;
             if (!registration.upstream().isEmpty()) {
-                services.merge(registration.service(), new MeshStatus.Service(registration.service(), 1,
-                        takes ? 1 : 0,
-                        takes ? registration.berths() : 0), Sight::sum);
+                services.merge(
+                        registration.service(),
+                        new MeshStatus.Service(
+                                registration.service(), 1, takes ? 1 : 0, takes ? registration.berths() : 0),
+                        Sight::sum);
             }
         }
-        return new MeshStatus.Plane(known, ready, registry.isComplete(now),
-                cut(List.copyOf(services.values())),
-                more(services.size()));
+        return new MeshStatus.Plane(
+                known, ready, registry.isComplete(now), cut(List.copyOf(services.values())), more(services.size()));
     }
 
     private static MeshStatus.Service sum(MeshStatus.Service one, MeshStatus.Service other) {
-        return new MeshStatus.Service(one.name(), one.known() + other.known(), one.ready() + other.ready(),
-                one.berths() + other.berths());
+        return new MeshStatus.Service(
+                one.name(), one.known() + other.known(), one.ready() + other.ready(), one.berths() + other.berths());
     }
 
     MeshNodes nodes() {
@@ -104,37 +118,62 @@
         List<MeshNodes.Balancer> balancers = new ArrayList<>();
         for (Registry.Line line : registry.lines(now)) {
             Registration registration = line.registration();
-            balancers.add(new MeshNodes.Balancer(registration.node(), registration.zone(),
+            balancers.add(new MeshNodes.Balancer(
+                    registration.node(),
+                    registration.zone(),
                     registration.inbound(),
-                    registration.service(), registration.upstream(), state(line), registration.berths(),
+                    registration.service(),
+                    registration.upstream(),
+                    state(line),
+                    registration.berths(),
                     Math.round(line.silentMs())));
         }
-        return new MeshNodes(control, authority.standing().term(), registry.isComplete(now),
-                cut(balancers), more(balancers.size()), members());
+        return new MeshNodes(
+                control,
+                authority.standing().term(),
+                registry.isComplete(now),
+                cut(balancers),
+                more(balancers.size()),
+                members());
     }
 
     private static String state(Registry.Line line) {
-        return line.gone() ? "gone" : line.registration().upstream().isEmpty() ? "empty"
-                : line.registration().ready() ? "ready" : "draining";
+        return line.gone()
+                ? "gone"
+                : line.registration().upstream().isEmpty()
+                        ? "empty"
+                        : line.registration().ready() ? "ready" : "draining";
     }
 
     MeshDuties duties() {
         double now = authority.now();
         List<MeshDuties.Pool> pools = new ArrayList<>();
         for (Pool.Line line : pool.lines(now)) {
-            pools.add(new MeshDuties.Pool(line.tenant(), line.quota().perSecond(), line.quota().bound(),
-                    line.left()));
+            pools.add(new MeshDuties.Pool(
+                    line.tenant(), line.quota().perSecond(), line.quota().bound(), line.left()));
         }
-        return new MeshDuties(node, control, authority.standing().term(),
-                Math.round(authority.pulse().leaseMs()), registry.stamp(), registry.isComplete(now),
-                queue.askers().size(), cut(pools), more(pools.size()));
+        return new MeshDuties(
+                node,
+                control,
+                authority.standing().term(),
+                Math.round(authority.pulse().leaseMs()),
+                registry.stamp(),
+                registry.isComplete(now),
+                queue.askers().size(),
+                cut(pools),
+                more(pools.size()));
     }
 
     Editions editions() {
         List<Editions.Taken> taken = new ArrayList<>();
-        authority.configurations().read((edition, basedOn, at, length, digest) ->
-                taken.add(new Editions.Taken(edition, basedOn < 0 ? null : basedOn, length, digest.hex(),
-                at < 0 ? null : Instant.ofEpochMilli(at).toString())));
+        authority
+                .configurations()
+                .read((edition, basedOn, at, length, digest) -> taken.add(new Editions.Taken(
+                        edition,
+                        basedOn < 0 ? null : basedOn,
+                        length,
+                        digest.hex(),
+                        at < 0 ? null : Instant.ofEpochMilli(at).toString())));
         return new Editions(authority.configurations().edition(), taken);
     }
 
--- a/src/main/java/sablehinge/control/StoreException.java
+++ b/src/main/java/sablehinge/control/StoreException.java
@@ -12,8 +12,8 @@
         /** The file is there and can't be read; nothing was changed, and the store is not open. */
         UNREADABLE,
         /**
-         * The disk refused a write, a sync or a name: it is full, can't be written, or fails. The store is
-         * closed; the disk holds what it did before or all of the change, as shows when it is opened again.
+         * The disk refused a write, a sync or a name: it is full, can't be written, or fails. The store is closed; the
+         * disk holds what it did before or all of the change, as shows when it is opened again.
          */
         REFUSED,
         /** The change doesn't follow on what is held. Nothing was changed, and the store stays open. */
--- a/src/main/java/sablehinge/core/Answer.java
+++ b/src/main/java/sablehinge/core/Answer.java
@@ -6,8 +6,8 @@
 /**
  * The one final answer to a request; a front puts it into the words of its protocol.
  *
- * @param payload what the server answered where it served, otherwise {@link Payload#NONE}; lent for the call
- *     in which it is handed over
+ * @param payload what the server answered where it served, otherwise {@link Payload#NONE}; lent for the call in which
+ *     it is handed over
  * @param retryAfter when a refused caller ought to come back, in ms from now; 0 for no advice
  * @param spent what goes back of its budget; null for nothing
  * @param path the services that a loop has passed; empty where there is none
--- a/src/main/java/sablehinge/core/Arrival.java
+++ b/src/main/java/sablehinge/core/Arrival.java
@@ -17,12 +17,19 @@
  * @param budget what it carries of that; null where budgets are off
  * @param attempts the most servers that it may reach; 0 for as many as the version's limits allow
  */
-public record Arrival(int serviceClass, int tenant, long key, double deadline, double cost, boolean retry,
-        boolean write, HeaderText.Found<Budget> budget, int attempts) {
+public record Arrival(
+        int serviceClass,
+        int tenant,
+        long key,
+        double deadline,
+        double cost,
+        boolean retry,
+        boolean write,
+        HeaderText.Found<Budget> budget,
+        int attempts) {
 
     /** A request where budgets are off. */
-    public Arrival(int serviceClass, int tenant, long key, double deadline, double cost, boolean retry,
-            boolean write) {
+    public Arrival(int serviceClass, int tenant, long key, double deadline, double cost, boolean retry, boolean write) {
         this(serviceClass, tenant, key, deadline, cost, retry, write, null, 0);
     }
 
--- a/src/main/java/sablehinge/core/AttemptResult.java
+++ b/src/main/java/sablehinge/core/AttemptResult.java
@@ -6,8 +6,8 @@
 /**
  * How an attempt or a probe ended.
  *
- * @param payload the answer of a server that served, or of one that failed if its caller may see it; lent
- *     for the call in which it is handed over
+ * @param payload the answer of a server that served, or of one that failed if its caller may see it; lent for the call
+ *     in which it is handed over
  * @param report the load report that came with it, in the order of the settings' fields, or null
  * @param spent what came back of its budget, or null
  */
--- a/src/main/java/sablehinge/core/AttemptState.java
+++ b/src/main/java/sablehinge/core/AttemptState.java
@@ -3,12 +3,11 @@
 import sablehinge.policy.LoadBalancer.Result;
 
 /**
- * How far an attempt has come on its connection to a server, and what each way in which it can end says of
- * it. This table alone decides whether an attempt may have run ({@link Verdict}); transports report states
- * and events.
+ * How far an attempt has come on its connection to a server, and what each way in which it can end says of it. This
+ * table alone decides whether an attempt may have run ({@link Verdict}); transports report states and events.
  *
- * <p>A server can't run what it has not been sent whole. One that has begun to answer has seen more of the
- * request than we can know, so from then on only its own word proves that nothing has run.
+ * <p>A server can't run what it has not been sent whole. One that has begun to answer has seen more of the request than
+ * we can know, so from then on only its own word proves that nothing has run.
  */
 public enum AttemptState {
     /** No byte of the request has gone to a connection. */
--- a/src/main/java/sablehinge/core/ChainBudgets.java
+++ b/src/main/java/sablehinge/core/ChainBudgets.java
@@ -19,12 +19,14 @@
     final LeastTime least = new LeastTime();
     /** Whether it is clients of outside that call here, whose word on budgets counts for nothing. */
     final boolean entry;
+
     private static final double TICK_MS = 20;
     /** Share of the time of an attempt after which its end is a sign of too much work. */
     private static final double LATE = 0.8;
 
     /** Null where nothing is shed by worth here. */
     private final Shedder shedder;
+
     private PauseWatch pauses;
     private final LoopWatch loops = new LoopWatch(MOST_LOOPS);
     private final Consumer<String> report;
@@ -35,8 +37,8 @@
      * @param shed by what terms work is given up by its worth; null for none
      * @param report takes a line for operators
      */
-    public ChainBudgets(Terms terms, Shedder.Terms shed, long service, boolean entry, long seed,
-            Consumer<String> report) {
+    public ChainBudgets(
+            Terms terms, Shedder.Terms shed, long service, boolean entry, long seed, Consumer<String> report) {
         shedder = shed == null ? null : new Shedder(shed, seed);
         purses = new Purses(terms, service, seed);
         this.entry = entry;
@@ -63,10 +65,10 @@
             return true;
         }
         // Who called last: the service before this one, or at the entry the tenant.
-        String caller = admission.path().size() < 2 ? "tenant " + arrival.tenant()
+        String caller = admission.path().size() < 2
+                ? "tenant " + arrival.tenant()
                 : Long.toHexString(admission.path().get(admission.path().size() - 2));
-        return shedder.admits(now, caller, admission.call().worth(),
-                arrival.cost() > 0 ? arrival.cost() : 1);
+        return shedder.admits(now, caller, admission.call().worth(), arrival.cost() > 0 ? arrival.cost() : 1);
     }
 
     /** How an attempt ended: what is late, or was turned away by a full server, tells of too much work. */
@@ -83,8 +85,9 @@
     /** A call has come back to this service: told once a loop. */
     void looped(List<Long> path) {
         if (loops.isNew(path)) {
-            report.accept("a loop of calls: " + text(path) + "; what " + (path.size() < 2 ? "came first"
-                    : Long.toHexString(path.get(path.size() - 2))) + " sends to comes back here");
+            report.accept("a loop of calls: " + text(path) + "; what "
+                    + (path.size() < 2 ? "came first" : Long.toHexString(path.get(path.size() - 2)))
+                    + " sends to comes back here");
         }
     }
 
--- a/src/main/java/sablehinge/core/Clock.java
+++ b/src/main/java/sablehinge/core/Clock.java
@@ -7,8 +7,8 @@
     double now();
 
     /**
-     * A clock that reads the monotonic one of the system. It is set by the system's wall clock once, at its
-     * making, so that later corrections of that neither stretch a time-out nor let time run backwards.
+     * A clock that reads the monotonic one of the system. It is set by the system's wall clock once, at its making, so
+     * that later corrections of that neither stretch a time-out nor let time run backwards.
      */
     static Clock system() {
         double nanosPerMs = 1e6;
--- a/src/main/java/sablehinge/core/Core.java
+++ b/src/main/java/sablehinge/core/Core.java
@@ -18,9 +18,9 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * Owns the decision module: tells it what happens, carries out what it asks for, and sees to it that each
- * request has exactly one final answer. It decides nothing itself and knows no protocol. One thread owns it
- * with all that it calls, so nothing is locked.
+ * Owns the decision module: tells it what happens, carries out what it asks for, and sees to it that each request has
+ * exactly one final answer. It decides nothing itself and knows no protocol. One thread owns it with all that it calls,
+ * so nothing is locked.
  */
 public final class Core implements LoadBalancer.Actions {
 
@@ -39,6 +39,7 @@
     private Extras extras;
     /** Versions that are not forgotten yet, by their numbers. */
     private final Map<Integer, Live> live = new HashMap<>();
+
     private long lastId;
     private boolean deciding;
     /** The request that the module's present call is about, if it is about one. */
@@ -57,7 +58,7 @@
     }
 
     /** Something to tell the module, and the request that it is about or null. */
-    private record Event(Exchange about, Runnable call) { }
+    private record Event(Exchange about, Runnable call) {}
 
     /** A core with the given module, which is handed its actions. */
     public Core(Clock clock, Timers timers, Function<LoadBalancer.Actions, LoadBalancer> module) {
@@ -85,8 +86,8 @@
     }
 
     /**
-     * Lets requests arrive under another version from now on, or again under one that was not released. Those
-     * that have arrived keep theirs.
+     * Lets requests arrive under another version from now on, or again under one that was not released. Those that have
+     * arrived keep theirs.
      *
      * @param servers the whole list of the servers of that version
      */
@@ -111,15 +112,14 @@
     }
 
     private void forgetIfLeft(Live old) {
-        if (old.released && old.requests == 0 && old.version != version
-                && live.remove(old.version.number()) != null) {
+        if (old.released && old.requests == 0 && old.version != version && live.remove(old.version.number()) != null) {
             tell(null, () -> balancer.forget(clock.now(), old.version.settings()));
         }
     }
 
     /**
-     * Servers that a source which is not the current one's says are draining or gone: requests of an older
-     * version must not go there either.
+     * Servers that a source which is not the current one's says are draining or gone: requests of an older version must
+     * not go there either.
      */
     public void warn(Roster toldOff) {
         transport.update(toldOff);
@@ -174,8 +174,8 @@
     // ---- What happens ------------------------------------------------------------------------------
 
     /**
-     * Tells the module of an event. An action may cause an event at once, such as a connection that is
-     * refused; it waits here until the module has returned from the call in which it acted.
+     * Tells the module of an event. An action may cause an event at once, such as a connection that is refused; it
+     * waits here until the module has returned from the call in which it acted.
      */
     private void tell(Exchange about, Runnable call) {
         events.add(new Event(about, call));
@@ -240,8 +240,8 @@
     }
 
     /**
-     * Takes a request in that is still coming, to be sent on meanwhile. Its time, by which its answer, its
-     * attempt and the module's timers about it count, begins with {@link #ended}.
+     * Takes a request in that is still coming, to be sent on meanwhile. Its time, by which its answer, its attempt and
+     * the module's timers about it count, begins with {@link #ended}.
      *
      * @param arrival its deadline is what it would be if the request ended now
      */
@@ -281,17 +281,22 @@
         exchange.waits.clear();
     }
 
-    private Exchange request(Version arrivedUnder, Arrival given, Payload payload, Caller caller,
-            boolean coming) {
+    private Exchange request(Version arrivedUnder, Arrival given, Payload payload, Caller caller, boolean coming) {
         if (exchanges.size() >= arrivedUnder.settings().limits().maxOpen()) {
             return refuseBeyond(arrivedUnder, given, payload, caller);
         }
         Arrival arrival = given;
         Purses.Call budget = null;
         if (budgets != null && given.budget() != null) {
-            double worth = arrivedUnder.settings().classes().get(given.serviceClass()).worth();
-            Purses.Admission admission = budgets.purses.arrive(clock.now(), given.budget(), budgets.entry,
-                    given.deadline() - clock.now(), budgets.waited(clock.now()), worth);
+            double worth =
+                    arrivedUnder.settings().classes().get(given.serviceClass()).worth();
+            Purses.Admission admission = budgets.purses.arrive(
+                    clock.now(),
+                    given.budget(),
+                    budgets.entry,
+                    given.deadline() - clock.now(),
+                    budgets.waited(clock.now()),
+                    worth);
             if (admission.call() != null && !budgets.admits(clock.now(), given, admission)) {
                 return shed(admission, arrivedUnder, given, payload, caller);
             }
@@ -318,29 +323,39 @@
     }
 
     /** What is worth least is refused first, and is not worth another try elsewhere: all are as busy. */
-    private Exchange shed(Purses.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload,
-            Caller caller) {
+    private Exchange shed(
+            Purses.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
         LoadBalancer.Limits limits = arrivedUnder.settings().limits();
-        answer(exchange, new Answer(Answer.Kind.REFUSED, Payload.NONE, limits.retryAfter()
-                ? limits.maxRetryAfter() : 0, budgets.purses.close(admission.call(), false), List.of()));
+        answer(
+                exchange,
+                new Answer(
+                        Answer.Kind.REFUSED,
+                        Payload.NONE,
+                        limits.retryAfter() ? limits.maxRetryAfter() : 0,
+                        budgets.purses.close(admission.call(), false),
+                        List.of()));
         payload.release();
         return exchange;
     }
 
     /** What has no budget is answered at once: nothing of it has run here. */
-    private Exchange turnAway(Purses.Admission admission, Version arrivedUnder, Arrival arrival,
-            Payload payload, Caller caller) {
+    private Exchange turnAway(
+            Purses.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
         boolean loop = admission.refusal() == Purses.Refusal.LOOP;
         if (loop) {
             budgets.looped(admission.path());
         }
         LoadBalancer.Limits limits = arrivedUnder.settings().limits();
-        answer(exchange, new Answer(loop ? Answer.Kind.LOOP : Answer.Kind.REFUSED, Payload.NONE,
-                admission.refusal() == Purses.Refusal.FULL && limits.retryAfter()
-                        ? limits.maxRetryAfter() : 0,
-                admission.report(), loop ? admission.path() : List.of()));
+        answer(
+                exchange,
+                new Answer(
+                        loop ? Answer.Kind.LOOP : Answer.Kind.REFUSED,
+                        Payload.NONE,
+                        admission.refusal() == Purses.Refusal.FULL && limits.retryAfter() ? limits.maxRetryAfter() : 0,
+                        admission.report(),
+                        loop ? admission.path() : List.of()));
         payload.release();
         return exchange;
     }
@@ -352,8 +367,8 @@
             balancer.adopt(clock.now(), exchange.version.settings());
         }
         try {
-            balancer.request(clock.now(), arrival.withId(exchange.id, exchange.budget == null ? 0
-                    : exchange.budget.most()));
+            balancer.request(
+                    clock.now(), arrival.withId(exchange.id, exchange.budget == null ? 0 : exchange.budget.most()));
         } finally {
             if (late) {
                 balancer.adopt(clock.now(), version.settings());
@@ -365,8 +380,9 @@
     private Exchange refuseBeyond(Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
         LoadBalancer.Limits limits = arrivedUnder.settings().limits();
-        answer(exchange, new Answer(Answer.Kind.REFUSED, Payload.NONE,
-                limits.retryAfter() ? limits.maxRetryAfter() : 0));
+        answer(
+                exchange,
+                new Answer(Answer.Kind.REFUSED, Payload.NONE, limits.retryAfter() ? limits.maxRetryAfter() : 0));
         payload.release();
         return exchange;
     }
@@ -374,7 +390,8 @@
     /** The module has left a request without its answer; it must not stay so. */
     private void overdue(Exchange exchange) {
         if (exchange.isOpen()) {
-            Log.warn(LOG, "request-unanswered").addKeyValue("request", exchange.id)
+            Log.warn(LOG, "request-unanswered")
+                    .addKeyValue("request", exchange.id)
                     .log("a request was left without an answer");
             giveUp(exchange, Answer.Kind.UNANSWERED);
         }
@@ -392,7 +409,8 @@
 
     /** Fails what still waits for an answer, as the process is about to end. */
     public void giveUpAll() {
-        List.copyOf(exchanges.values()).stream().filter(Exchange::isOpen)
+        List.copyOf(exchanges.values()).stream()
+                .filter(Exchange::isOpen)
                 .forEach(exchange -> giveUp(exchange, Answer.Kind.UNANSWERED));
     }
 
@@ -413,9 +431,9 @@
         }
 
         /**
-         * The module learns the latency now. Were it told with the end of a body that trickles in, it would
-         * take its sender's pace for a jam, and refuse others on account of it. An attempt is given up early
-         * as the next one may be quicker; one whose answer comes already has its request's whole time.
+         * The module learns the latency now. Were it told with the end of a body that trickles in, it would take its
+         * sender's pace for a jam, and refuse others on account of it. An attempt is given up early as the next one may
+         * be quicker; one whose answer comes already has its request's whole time.
          */
         @Override
         public double begun() {
@@ -437,8 +455,8 @@
     }
 
     /**
-     * The module leaves alone what has begun, as streams are on their way to their callers. These are not:
-     * without this one would go on to its deadline though another has answered, or nobody waits any more.
+     * The module leaves alone what has begun, as streams are on their way to their callers. These are not: without this
+     * one would go on to its deadline though another has answered, or nobody waits any more.
      */
     private static void cancelBegun(Exchange exchange) {
         if (!exchange.isOpen() && exchange.version.settings().limits().cancel()) {
@@ -448,8 +466,8 @@
         }
     }
 
-    private void finished(Exchange exchange, int number, long upstream, double sentAt, double begunAt,
-            AttemptResult end) {
+    private void finished(
+            Exchange exchange, int number, long upstream, double sentAt, double begunAt, AttemptResult end) {
         exchange.running--;
         exchange.begun.remove((Integer) number);
         tracer.note(TraceEvent.ATTEMPT_ENDED, 0, exchange.id, end.result().ordinal());
@@ -469,8 +487,18 @@
         }
         double from = Math.max(sentAt, exchange.endedAt);
         double until = end.result() == Result.OK && begunAt >= from ? begunAt : clock.now();
-        tell(exchange, () -> balancer.attemptFinished(clock.now(), new Outcome(exchange.id, number, upstream,
-                end.result(), !exchange.isOpen(), until - from, end.report())));
+        tell(
+                exchange,
+                () -> balancer.attemptFinished(
+                        clock.now(),
+                        new Outcome(
+                                exchange.id,
+                                number,
+                                upstream,
+                                end.result(),
+                                !exchange.isOpen(),
+                                until - from,
+                                end.report())));
         cancelBegun(exchange);
         settle(exchange);
     }
@@ -500,9 +528,11 @@
         double now = clock.now();
         int number = exchange.sends++;
         exchange.running++;
-        if (!exchange.isOpen() || now >= exchange.deadline
+        if (!exchange.isOpen()
+                || now >= exchange.deadline
                 || number >= exchange.version.settings().limits().maxAttempts()
-                || !exchange.request.canBeSent() || exchange.coming && exchange.running > 1
+                || !exchange.request.canBeSent()
+                || exchange.coming && exchange.running > 1
                 || extras != null && exchange.isSpent()) {
             exchange.attempts.add(null);
             exchange.grants.add(null);
@@ -511,14 +541,20 @@
         }
         Purses.Grant grant = null;
         if (exchange.budget != null) {
-            grant = budgets.purses.take(exchange.budget, now, exchange.version.settings().classes()
-                    .get(exchange.serviceClass).repeat() != LoadBalancer.Repeat.AT_MOST_ONCE,
+            grant = budgets.purses.take(
+                    exchange.budget,
+                    now,
+                    exchange.version
+                                    .settings()
+                                    .classes()
+                                    .get(exchange.serviceClass)
+                                    .repeat()
+                            != LoadBalancer.Repeat.AT_MOST_ONCE,
                     budgets.least.value(now));
             exchange.grants.add(grant);
             if (grant == null) {
                 exchange.attempts.add(null);
-                finished(exchange, number, upstream, now, Double.NaN,
-                        AttemptResult.without(Result.NOT_SENT));
+                finished(exchange, number, upstream, now, Double.NaN, AttemptResult.without(Result.NOT_SENT));
                 return;
             }
         }
@@ -534,8 +570,7 @@
         }
         exchange.reaches(null);
         tracer.note(TraceEvent.CHOSEN, 0, exchange.id, upstream);
-        exchange.attempts.add(transport.send(exchange.version, upstream, exchange.request, until, grant,
-                sent));
+        exchange.attempts.add(transport.send(exchange.version, upstream, exchange.request, until, grant, sent));
     }
 
     /** An attempt that goes out once the right to it has come; a request that still comes has one only. */
@@ -572,8 +607,7 @@
         private void end(Result result) {
             if (!over) {
                 over = true;
-                finished(sent.exchange, sent.number, sent.upstream, sent.at, Double.NaN,
-                        AttemptResult.without(result));
+                finished(sent.exchange, sent.number, sent.upstream, sent.at, Double.NaN, AttemptResult.without(result));
             }
         }
 
@@ -616,19 +650,30 @@
             tracer.note(TraceEvent.ANSWERED, 0, exchange.id, answer.kind().ordinal());
         }
         Answer given = answer.payload() == Payload.NONE && exchange.failure != Payload.NONE
-                ? new Answer(Answer.Kind.FAILED, exchange.failure, 0) : answer;
+                ? new Answer(Answer.Kind.FAILED, exchange.failure, 0)
+                : answer;
         if (exchange.answer(exchange.budget == null ? given : given.with(closed(exchange, answer.kind())))
                 && observer != null) {
-            observer.answered(name, exchange.version, exchange.serviceClass, answer.kind(), exchange.sends,
+            observer.answered(
+                    name,
+                    exchange.version,
+                    exchange.serviceClass,
+                    answer.kind(),
+                    exchange.sends,
                     clock.now() - exchange.arrivedAt);
         }
     }
 
     /** A refusal promises that another try is harmless; a failure may be tried again where its class may. */
     private Report closed(Exchange exchange, Answer.Kind kind) {
-        boolean again = kind == Answer.Kind.REFUSED || kind != Answer.Kind.SERVED
-                && exchange.version.settings().classes().get(exchange.serviceClass).repeat()
-                != LoadBalancer.Repeat.AT_MOST_ONCE;
+        boolean again = kind == Answer.Kind.REFUSED
+                || kind != Answer.Kind.SERVED
+                        && exchange.version
+                                        .settings()
+                                        .classes()
+                                        .get(exchange.serviceClass)
+                                        .repeat()
+                                != LoadBalancer.Repeat.AT_MOST_ONCE;
         return budgets.purses.close(exchange.budget, again);
     }
 
@@ -650,9 +695,14 @@
     public void probe(long upstream) {
         double sentAt = clock.now();
         tracer.note(TraceEvent.PROBED, 0, 0, upstream);
-        transport.probe(version, upstream, sentAt + version.settings().limits().connectTimeout() * 2,
-                end -> tell(null, () -> balancer.probeResult(clock.now(), upstream, end.result(),
-                        clock.now() - sentAt, end.report())));
+        transport.probe(
+                version,
+                upstream,
+                sentAt + version.settings().limits().connectTimeout() * 2,
+                end -> tell(
+                        null,
+                        () -> balancer.probeResult(
+                                clock.now(), upstream, end.result(), clock.now() - sentAt, end.report())));
     }
 
     @Override
--- a/src/main/java/sablehinge/core/Exchange.java
+++ b/src/main/java/sablehinge/core/Exchange.java
@@ -13,26 +13,32 @@
     final Payload request;
     /** Infinite while the request is still coming, as its time counts from its end. */
     double deadline;
+
     final int serviceClass;
     final double arrivedAt;
     final List<Transport.Attempt> attempts = new ArrayList<>(2);
     /** How many attempts were asked for, and how many of them are out; one not sent is null in the list. */
     int sends;
+
     int running;
     /** The numbers of those out whose answer has begun to come. */
     final List<Integer> begun = new ArrayList<>(0);
+
     Timers.Timer overdue;
     /** While the request is still coming: the time that it will have, and what the attempt may take of it. */
     boolean coming;
+
     final double remaining;
     double patience;
     /** When it had come to its end, before which no attempt is measured. */
     double endedAt = Double.NEGATIVE_INFINITY;
     /** Its budget, and what each attempt was granted of it; null where budgets are off. */
     Purses.Call budget;
+
     final List<Purses.Grant> grants = new ArrayList<>(0);
     /** The most servers that it may reach, 0 for no bound; how many it may have reached. */
     private final int attemptsAtMost;
+
     int reached;
     /** What was taken for each of those but one. */
     private final ArrayDeque<Runnable> extras = new ArrayDeque<>(0);
@@ -40,10 +46,11 @@
     final List<Wait> waits = new ArrayList<>(0);
     /** What a server answered that failed it, kept for its caller; nothing where none did. */
     Payload failure = Payload.NONE;
+
     private Caller caller;
 
     /** A timer that is not set yet. */
-    record Wait(long token, double delay) { }
+    record Wait(long token, double delay) {}
 
     Exchange(long id, Version version, Arrival arrival, Payload request, double arrivedAt, Caller caller) {
         this.id = id;
--- a/src/main/java/sablehinge/core/Log.java
+++ b/src/main/java/sablehinge/core/Log.java
@@ -4,16 +4,15 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Lines of the log with an event's name as their first field, which stays when their words change. Values
- * that belong to the event are fields too, as texts and numbers.
+ * Lines of the log with an event's name as their first field, which stays when their words change. Values that belong
+ * to the event are fields too, as texts and numbers.
  */
 public final class Log {
 
     /** The field with an event's name. */
     public static final String EVENT = "event";
 
-    private Log() {
-    }
+    private Log() {}
 
     /** What an operator may want to know while looking for a fault. */
     public static LoggingEventBuilder debug(Logger log, String event) {
--- a/src/main/java/sablehinge/core/Observer.java
+++ b/src/main/java/sablehinge/core/Observer.java
@@ -12,6 +12,5 @@
      * @param attempts how many were asked for
      * @param elapsed ms since the request arrived
      */
-    void answered(String request, Version version, int serviceClass, Answer.Kind kind, int attempts,
-            double elapsed);
+    void answered(String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed);
 }
--- a/src/main/java/sablehinge/core/Passage.java
+++ b/src/main/java/sablehinge/core/Passage.java
@@ -22,8 +22,8 @@
     boolean isWritable();
 
     /**
-     * Reads at once what the kernel holds for the reader, unless it waits, and hands the writer's kernel what
-     * it can take. Where all goes well there is nothing to be done.
+     * Reads at once what the kernel holds for the reader, unless it waits, and hands the writer's kernel what it can
+     * take. Where all goes well there is nothing to be done.
      */
     void nudge();
 }
--- a/src/main/java/sablehinge/core/Payload.java
+++ b/src/main/java/sablehinge/core/Payload.java
@@ -7,7 +7,7 @@
 public interface Payload {
 
     /** A payload of nothing, which may be released any number of times. */
-    Payload NONE = () -> { };
+    Payload NONE = () -> {};
 
     /** Whether a transport can send it now: what passes through as it comes can be sent once. */
     default boolean canBeSent() {
--- a/src/main/java/sablehinge/core/TraceEvent.java
+++ b/src/main/java/sablehinge/core/TraceEvent.java
@@ -1,8 +1,8 @@
 package sablehinge.core;
 
 /**
- * What a {@link Tracer} is told of. The name of each is what a dump keeps; its value means what {@link #of}
- * says, and 0 where that is empty.
+ * What a {@link Tracer} is told of. The name of each is what a dump keeps; its value means what {@link #of} says, and 0
+ * where that is empty.
  */
 public enum TraceEvent {
     /** A caller was let in. */
--- a/src/main/java/sablehinge/core/Tracer.java
+++ b/src/main/java/sablehinge/core/Tracer.java
@@ -1,19 +1,19 @@
 package sablehinge.core;
 
 /**
- * Is told of what happens, by the thread that owns the core, as it happens: for a flight recorder. It must
- * neither wait nor allocate, as it is called some twenty times for each request.
+ * Is told of what happens, by the thread that owns the core, as it happens: for a flight recorder. It must neither wait
+ * nor allocate, as it is called some twenty times for each request.
  */
 public interface Tracer {
 
     /** Keeps nothing. */
-    Tracer OFF = (event, connection, exchange, value) -> { };
+    Tracer OFF = (event, connection, exchange, value) -> {};
 
     /**
      * Notes an event.
      *
-     * @param connection its number among the process's connections; 0 where it is about none, or where the
-     *        one before it says which
+     * @param connection its number among the process's connections; 0 where it is about none, or where the one before
+     *     it says which
      * @param exchange the request's number in core; 0 likewise
      * @param value by {@link TraceEvent#of}
      */
--- a/src/main/java/sablehinge/core/Transport.java
+++ b/src/main/java/sablehinge/core/Transport.java
@@ -4,8 +4,8 @@
 import sablehinge.budget.Purses;
 
 /**
- * Carries attempts and probes to servers, and nothing on its own account: what breaks is a result. All calls
- * are made, and all results come, on the thread that owns the core.
+ * Carries attempts and probes to servers, and nothing on its own account: what breaks is a result. All calls are made,
+ * and all results come, on the thread that owns the core.
  */
 public interface Transport {
 
@@ -13,8 +13,8 @@
     interface Progress {
 
         /**
-         * Its answer has begun to come and is not whole yet, at most once: what the body takes from here on
-         * tells of its sender's pace, and not of how long the server had it wait.
+         * Its answer has begun to come and is not whole yet, at most once: what the body takes from here on tells of
+         * its sender's pace, and not of how long the server had it wait.
          *
          * @return until when it may come, in ms of the {@link Clock}, in place of what {@code send} said
          */
@@ -36,7 +36,7 @@
         }
 
         /** The request has come to its end only now: from here on waits until the given time. */
-        default void waitUntil(double until) { }
+        default void waitUntil(double until) {}
     }
 
     /**
@@ -44,13 +44,12 @@
      *
      * @param version whose limits and rules hold for the attempt
      * @param request lent until the result has come
-     * @param until in ms of the {@link Clock}; of a request that is still coming, the time that it would have
-     *     if it ended now, and {@link Attempt#waitUntil} tells the true one
+     * @param until in ms of the {@link Clock}; of a request that is still coming, the time that it would have if it
+     *     ended now, and {@link Attempt#waitUntil} tells the true one
      * @param grant its part of the request's budget, read when it is written; null where budgets are off
      * @param progress is told, perhaps before this returns
      */
-    Attempt send(Version version, long upstream, Payload request, double until, Purses.Grant grant,
-            Progress progress);
+    Attempt send(Version version, long upstream, Payload request, double until, Purses.Grant grant, Progress progress);
 
     /** Asks a server how it does. */
     void probe(Version version, long upstream, double until, Consumer<AttemptResult> end);
