--- a/src/main/java/sablehinge/failuredetection/HashRing.java
+++ b/src/main/java/sablehinge/failuredetection/HashRing.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * Balancers in the order of hashes of their names, each of which is watched over by some of those that come
- * next. Whoever knows the same balancers comes to the same watchers; when one comes or goes, only those that
- * stand shortly before it change theirs. Watchers are drawn from the next {@link #REACH}, so nobody watches
- * over more than that, and are of as many zones as can be, so that the cut of one zone blinds none.
+ * Balancers in the order of hashes of their names, each of which is watched over by some of those that come next.
+ * Whoever knows the same balancers comes to the same watchers; when one comes or goes, only those that stand shortly
+ * before it change theirs. Watchers are drawn from the next {@link #REACH}, so nobody watches over more than that, and
+ * are of as many zones as can be, so that the cut of one zone blinds none.
  */
 public final class HashRing {
 
@@ -26,7 +26,7 @@
     private final Map<String, Integer> index = new HashMap<>();
     private final Map<Long, String> names = new HashMap<>();
 
-    private record Place(long at, String node, String zone) { }
+    private record Place(long at, String node, String zone) {}
 
     /** A ring of balancers, given with their zones. */
     public HashRing(Map<String, String> zones) {
--- a/src/main/java/sablehinge/failuredetection/HealthView.java
+++ b/src/main/java/sablehinge/failuredetection/HealthView.java
@@ -10,18 +10,17 @@
 import java.util.Set;
 
 /**
- * Joins what watchers accuse others of with what the one who keeps the roll hears itself, and rules who is
- * off. It takes both: who is heard by the keeper, or by half of its watchers that the keeper hears, is not
- * off, so one that is cut off accuses nobody. Where more than half of all are silent and no watcher hears
- * them, the fault is likelier with those who look: nothing new is ruled then. Nor is ever more than half of a
- * service's ready upstreams taken away. Who is off is so until the keeper hears it again, or none of its
- * watchers accuses it. Times are in ms of a steady clock.
+ * Joins what watchers accuse others of with what the one who keeps the roll hears itself, and rules who is off. It
+ * takes both: who is heard by the keeper, or by half of its watchers that the keeper hears, is not off, so one that is
+ * cut off accuses nobody. Where more than half of all are silent and no watcher hears them, the fault is likelier with
+ * those who look: nothing new is ruled then. Nor is ever more than half of a service's ready upstreams taken away. Who
+ * is off is so until the keeper hears it again, or none of its watchers accuses it. Times are in ms of a steady clock.
  */
 public final class HealthView {
 
     /**
-     * Silence after which the keeper doesn't hear one: each asks it again when it was answered, which is
-     * after 400 ms at the latest.
+     * Silence after which the keeper doesn't hear one: each asks it again when it was answered, which is after 400 ms
+     * at the latest.
      */
     static final double SILENT_MS = 900;
 
@@ -32,14 +31,14 @@
 
     private double begunAt = Double.NEGATIVE_INFINITY;
 
-    private record Voice(double at, List<Accusation> accusations) { }
+    private record Voice(double at, List<Accusation> accusations) {}
 
     /**
      * One on the roll whose upstream is known.
      *
      * @param ready whether it says itself that it takes new requests
      */
-    public record Subject(String node, String zone, String service, boolean ready) { }
+    public record Subject(String node, String zone, String service, boolean ready) {}
 
     /**
      * What is known of one has changed.
@@ -47,7 +46,7 @@
      * @param accusers of its watchers in touch, those who don't hear it
      * @param watchers of it that the keeper hears
      */
-    public record Ruling(String node, Health before, Health health, int accusers, int watchers) { }
+    public record Ruling(String node, Health before, Health health, int accusers, int watchers) {}
 
     /** Forgets all: another term of the keeper has begun, and all have time to be heard by it. */
     public void begin(double now) {
@@ -78,14 +77,14 @@
         Map<String, Set<String>> accusers = new HashMap<>();
         voices.forEach((watcher, voice) -> {
             if (now - voice.at() <= SILENT_MS) {
-                voice.accusations().forEach(accusation -> accusers.computeIfAbsent(accusation.node(),
-                        node -> new HashSet<>()).add(watcher));
+                voice.accusations()
+                        .forEach(accusation -> accusers.computeIfAbsent(accusation.node(), node -> new HashSet<>())
+                                .add(watcher));
             }
         });
         Map<String, Ruling> rulings = new LinkedHashMap<>();
         for (Subject subject : subjects) {
-            rulings.put(subject.node(), assess(now, subject.node(),
-                    accusers.getOrDefault(subject.node(), Set.of())));
+            rulings.put(subject.node(), assess(now, subject.node(), accusers.getOrDefault(subject.node(), Set.of())));
         }
         hold(subjects, rulings);
         List<Ruling> changed = new ArrayList<>();
@@ -95,8 +94,7 @@
                 changed.add(ruling);
             }
         });
-        voices.keySet().removeIf(node -> now - voices.get(node).at() > SILENT_MS
-                && !present.containsKey(node));
+        voices.keySet().removeIf(node -> now - voices.get(node).at() > SILENT_MS && !present.containsKey(node));
         return changed;
     }
 
@@ -174,11 +172,16 @@
         for (Subject subject : subjects) {
             Ruling ruling = rulings.get(subject.node());
             if (ruling.health().isOff() && !ruling.before().isOff()) {
-                int left = ready.getOrDefault(subject.service(), 0) / 2
-                        - taken.getOrDefault(subject.service(), 0);
+                int left = ready.getOrDefault(subject.service(), 0) / 2 - taken.getOrDefault(subject.service(), 0);
                 if (many || subject.ready() && left <= 0) {
-                    rulings.put(subject.node(), new Ruling(subject.node(), ruling.before(), Health.UNSEEN,
-                            ruling.accusers(), ruling.watchers()));
+                    rulings.put(
+                            subject.node(),
+                            new Ruling(
+                                    subject.node(),
+                                    ruling.before(),
+                                    Health.UNSEEN,
+                                    ruling.accusers(),
+                                    ruling.watchers()));
                 } else if (subject.ready()) {
                     taken.merge(subject.service(), 1, Integer::sum);
                 }
--- a/src/main/java/sablehinge/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/failuredetection/Monitor.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * What one watcher makes of the beats that it hears. It suspects who misses about three of them, wants to
- * know what answers at its address then, and accuses it once that is known; a beat takes all back at once.
- * Times are in ms of a steady clock.
+ * What one watcher makes of the beats that it hears. It suspects who misses about three of them, wants to know what
+ * answers at its address then, and accuses it once that is known; a beat takes all back at once. Times are in ms of a
+ * steady clock.
  */
 public final class Monitor {
 
@@ -26,6 +26,7 @@
 
     /** Each suspicion that proved wrong adds this part of the silence allowed, up to so many. */
     private static final double FLAP_PART = 0.5;
+
     private static final int MOST_FLAPS = 2;
     private static final double CALM_MS = 30_000;
 
@@ -108,8 +109,8 @@
     }
 
     /**
-     * What answers at the address of a suspect; true if that is a new accusation. One whose machine is there
-     * and that never spoke here may not know that it should: it is looked at again later.
+     * What answers at the address of a suspect; true if that is a new accusation. One whose machine is there and that
+     * never spoke here may not know that it should: it is looked at again later.
      */
     public boolean found(double now, String node, Evidence evidence) {
         Watched one = watched.get(node);
--- a/src/main/java/sablehinge/fold/RetryFolder.java
+++ b/src/main/java/sablehinge/fold/RetryFolder.java
@@ -5,33 +5,31 @@
 import java.util.Map;
 
 /**
- * Tells logged retries from new demand, so that a replay sends what was asked for and not what an incident
- * made of
- * it. Tries come in the order in which they began; each is a first try, or belongs under one that came
- * before.
+ * Tells logged retries from new demand, so that a replay sends what was asked for and not what an incident made of it.
+ * Tries come in the order in which they began; each is a first try, or belongs under one that came before.
  *
- * <p>Where a caller names its request (an idempotency key, a request id), the name decides: the same name
- * within a
- * stated time is the same request. Elsewhere a try belongs under an earlier one of the same caller, method
- * and target
- * that had ended badly a short time before. A bad end explains one further try and no more: whoever asks
- * three times
+ * <p>Where a caller names its request (an idempotency key, a request id), the name decides: the same name within a
+ * stated time is the same request. Elsewhere a try belongs under an earlier one of the same caller, method and target
+ * that had ended badly a short time before. A bad end explains one further try and no more: whoever asks three times
  * after one failure has asked two times anew. A caller that asks again after a success asks honestly.
  *
- * <p>Does harm where a caller polls a target that fails: its next poll is taken for a retry if it comes
- * within the
+ * <p>Does harm where a caller polls a target that fails: its next poll is taken for a retry if it comes within the
  * window, which is why that is short.
  */
 public final class RetryFolder {
 
     /**
-     * Statuses after which callers try again: no answer, timed out, refused, failed on the way (RFC 9110,
-     * 15.5 and
+     * Statuses after which callers try again: no answer, timed out, refused, failed on the way (RFC 9110, 15.5 and
      * 15.6; 425 by RFC 8470; 499 is nginx's for a caller that left).
      */
     private static boolean isBad(int status) {
-        return status <= 0 || status == 408 || status == 425 || status == 429 || status == 499
-                || status == 500 || status >= 502 && status <= 504;
+        return status <= 0
+                || status == 408
+                || status == 425
+                || status == 429
+                || status == 499
+                || status == 500
+                || status >= 502 && status <= 504;
     }
 
     /**
@@ -44,12 +42,18 @@
      * @param caller who asked, with method and target as the log has them
      * @param status its answer; 0 for none
      */
-    public record Try(double begun, double ended, String name, boolean sure, String caller, String method,
-            String target, int status) {
+    public record Try(
+            double begun,
+            double ended,
+            String name,
+            boolean sure,
+            String caller,
+            String method,
+            String target,
+            int status) {
 
         /** A try whose name, if it has one, is sure. */
-        public Try(double begun, double ended, String name, String caller, String method, String target,
-                int status) {
+        public Try(double begun, double ended, String name, String caller, String method, String target, int status) {
             this(begun, ended, name, name != null, caller, method, target, status);
         }
     }
@@ -81,12 +85,13 @@
     }
 
     /** A bad end that no later try has explained yet. */
-    private record BadEnd(long first, double at) { }
+    private record BadEnd(long first, double at) {}
 
     private final Terms terms;
     private final LinkedHashMap<String, Named> names = new LinkedHashMap<>();
     /** Bad ends by caller, method and target, the oldest first; lists are dropped when empty. */
     private final LinkedHashMap<String, ArrayDeque<BadEnd>> badEnds = new LinkedHashMap<>();
+
     private int badEndCount;
     private long tries;
     private long folded;
@@ -100,9 +105,8 @@
     /**
      * Takes the next try.
      *
-     * @return the number of the first try that it belongs under, counted from 0 over all tries; its own
-     * number if it
-     *     is a first one
+     * @return the number of the first try that it belongs under, counted from 0 over all tries; its own number if it is
+     *     a first one
      */
     public long take(Try one) {
         long number = tries++;
@@ -115,8 +119,7 @@
             folded++;
         }
         if (isBad(one.status()) && !one.sure()) {
-            badEnds.computeIfAbsent(place(one), key -> new ArrayDeque<>()).addLast(new BadEnd(first,
-                    one.ended()));
+            badEnds.computeIfAbsent(place(one), key -> new ArrayDeque<>()).addLast(new BadEnd(first, one.ended()));
             badEndCount++;
         }
         bound();
@@ -172,7 +175,8 @@
             names.remove(oldest.getKey());
         }
         while (!badEnds.isEmpty()) {
-            Map.Entry<String, ArrayDeque<BadEnd>> oldest = badEnds.entrySet().iterator().next();
+            Map.Entry<String, ArrayDeque<BadEnd>> oldest =
+                    badEnds.entrySet().iterator().next();
             if (now - oldest.getValue().peekLast().at() <= terms.window()) {
                 break;
             }
--- a/src/main/java/sablehinge/http1/BadRequestException.java
+++ b/src/main/java/sablehinge/http1/BadRequestException.java
@@ -11,8 +11,8 @@
     private final double retryAfter;
     private final double patience;
 
-    private BadRequestException(HttpResponseStatus status, String message, boolean last, double retryAfter,
-            double patience) {
+    private BadRequestException(
+            HttpResponseStatus status, String message, boolean last, double retryAfter, double patience) {
         super(message, null, false, false);
         this.status = status;
         this.last = last;
@@ -36,8 +36,7 @@
     }
 
     /** Likewise, and its caller ought to come back after so many ms. */
-    public static BadRequestException turnedAway(HttpResponseStatus status, String message,
-            double retryAfter) {
+    public static BadRequestException turnedAway(HttpResponseStatus status, String message, double retryAfter) {
         return new BadRequestException(status, message, false, retryAfter, 0);
     }
 
--- a/src/main/java/sablehinge/http1/Early.java
+++ b/src/main/java/sablehinge/http1/Early.java
@@ -10,8 +10,8 @@
 import sablehinge.core.Version;
 
 /**
- * A request that was begun before its turn on its connection: its answer is kept until then. Only what may be
- * repeated is begun so, as what comes ahead of it may close the connection.
+ * A request that was begun before its turn on its connection: its answer is kept until then. Only what may be repeated
+ * is begun so, as what comes ahead of it may close the connection.
  */
 final class Early implements Caller {
 
@@ -61,7 +61,9 @@
             // What passes through as it comes can't be held back; its client may ask again.
             kept = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
         } else {
-            Payload payload = answer.payload() == Payload.NONE ? Payload.NONE : answer.payload().keep();
+            Payload payload = answer.payload() == Payload.NONE
+                    ? Payload.NONE
+                    : answer.payload().keep();
             kept = new Answer(answer.kind(), payload, answer.retryAfter(), answer.spent(), answer.path());
         }
     }
--- a/src/main/java/sablehinge/http1/Freshness.java
+++ b/src/main/java/sablehinge/http1/Freshness.java
@@ -1,11 +1,11 @@
 package sablehinge.http1;
 
 /**
- * How long a kept connection may have rested and still be trusted with a request. Its other end may have
- * given it up with no sign, or with one that is still on its way: what is written then is a reset, and may
- * have run. Guards against upstreams, and all between, that forget connections sooner than they say. Does
- * harm where connections are dear and breaks have another cause, such as an upstream that crashes often:
- * each such break makes this balancer open more of them for some seconds.
+ * How long a kept connection may have rested and still be trusted with a request. Its other end may have given it up
+ * with no sign, or with one that is still on its way: what is written then is a reset, and may have run. Guards against
+ * upstreams, and all between, that forget connections sooner than they say. Does harm where connections are dear and
+ * breaks have another cause, such as an upstream that crashes often: each such break makes this balancer open more of
+ * them for some seconds.
  */
 final class Freshness {
 
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Whether a connection that has rested for so long may carry a request. One that must not be sent again
-     * is lost with its connection, which costs more than a new one does: it gets one that is young.
+     * Whether a connection that has rested for so long may carry a request. One that must not be sent again is lost
+     * with its connection, which costs more than a new one does: it gets one that is young.
      */
     boolean trusts(double rested, boolean resendable) {
         return rested <= (resendable ? trusted : Math.min(young, trusted));
--- a/src/main/java/sablehinge/http1/FrontDialect.java
+++ b/src/main/java/sablehinge/http1/FrontDialect.java
@@ -8,9 +8,7 @@
 import sablehinge.core.Answer;
 import sablehinge.core.Version;
 
-/**
- * What callers and a front say to each other beyond HTTP: who may ask for what, and how answers are worded.
- */
+/** What callers and a front say to each other beyond HTTP: who may ask for what, and how answers are worded. */
 public interface FrontDialect {
 
     /** What callers may do now. */
@@ -21,10 +19,7 @@
         return false;
     }
 
-    /**
-     * Whether this may run more than once, so that it may be begun before what came ahead of it is
-     * answered.
-     */
+    /** Whether this may run more than once, so that it may be begun before what came ahead of it is answered. */
     default boolean isRepeatable(HttpRequest request) {
         return false;
     }
@@ -39,8 +34,8 @@
     Checked read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException;
 
     /**
-     * What to answer to a request that can't be taken, or null to read it again a little later: what it asks
-     * for may be on its way here.
+     * What to answer to a request that can't be taken, or null to read it again a little later: what it asks for may be
+     * on its way here.
      *
      * @param mayWait whether it may be put off; false where too many are
      * @param cameAt when it was here whole, in ms of the core's clock
@@ -66,8 +61,8 @@
     void dress(HttpResponse response, Answer answer, Version version, HttpRequest request);
 
     /** Switches on the headers of budgets, where there are any. */
-    default void budgets(HeaderText text) { }
+    default void budgets(HeaderText text) {}
 
     /** Lets requests be read by the version that is about to be replaced until the given time. */
-    default void takesLate(double until) { }
+    default void takesLate(double until) {}
 }
--- a/src/main/java/sablehinge/http1/FrontTerms.java
+++ b/src/main/java/sablehinge/http1/FrontTerms.java
@@ -13,5 +13,13 @@
  * @param keptInAll as long as so many bytes fit
  * @param concurrent whether requests sent ahead of their turn are begun at once, where they may be repeated
  */
-public record FrontTerms(int headerBytes, long bodyBytes, double requestMs, double bytesPerMs,
-        double silentMs, double idleMs, int keptBytes, int keptInAll, boolean concurrent) { }
+public record FrontTerms(
+        int headerBytes,
+        long bodyBytes,
+        double requestMs,
+        double bytesPerMs,
+        double silentMs,
+        double idleMs,
+        int keptBytes,
+        int keptInAll,
+        boolean concurrent) {}
--- a/src/main/java/sablehinge/http1/Frontend.java
+++ b/src/main/java/sablehinge/http1/Frontend.java
@@ -5,12 +5,12 @@
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFactory;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
-import io.netty.channel.ChannelFactory;
 import io.netty.channel.EventLoop;
 import io.netty.channel.ServerChannel;
 import io.netty.channel.socket.DuplexChannel;
@@ -64,8 +64,8 @@
 import sablehinge.core.Version;
 
 /**
- * Takes callers' requests and writes each one's answer. A caller that sends what is of no use, or nothing,
- * has an error or the end of its connection soon, and can't hold memory or descriptors for longer.
+ * Takes callers' requests and writes each one's answer. A caller that sends what is of no use, or nothing, has an error
+ * or the end of its connection soon, and can't hold memory or descriptors for longer.
  */
 public final class Frontend {
 
@@ -75,6 +75,7 @@
     private static final int MAX_AHEAD = 16;
     /** Of those, how many are begun before their turn. */
     private static final int MAX_EARLY = 8;
+
     private static final int MAX_AHEAD_BYTES = UpstreamClient.MAX_BODY;
     private static final long SWEEP_MS = 200;
     /** How long a request that waits for news is put off each time. */
@@ -83,6 +84,7 @@
     static final int MOST_PUT_OFF = 256;
     /** How long a caller that was answered for the last time may go on sending, and how much is read. */
     private static final long LINGER_MS = 500;
+
     private static final int LINGER_BYTES = 1024 * 1024;
     /** An answer that its caller has not let in by then is given up. */
     private static final double WRITE_MS = 10_000;
@@ -96,17 +98,21 @@
     private final Set<Connection> connections = new LinkedHashSet<>();
     /** Who waits for the answer to a request, by its X-Txn. */
     private final Map<String, Connection> open = new HashMap<>();
+
     private final DoublePredicate evict = this::evictIdle;
     private Channel listening;
     private ScheduledFuture<?> sweeps;
     /** Bytes that are reserved for bodies of more than 64 KiB. */
     private int kept;
+
     private long woken;
     /** Requests that wait for news. */
     private int putOff;
+
     private boolean draining;
     /** Once its callers have been told to go elsewhere: when it lets in no more, and what then follows. */
     private double closesAt = Double.POSITIVE_INFINITY;
+
     private Runnable afterwards;
 
     /** A front for the platform's callers. */
@@ -115,8 +121,7 @@
     }
 
     /** A front on the given loop, whose connections count among the given sockets. */
-    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, Core core,
-            FrontDialect dialect) {
+    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, Core core, FrontDialect dialect) {
         this.dialect = dialect;
         this.loop = loop;
         this.sockets = sockets;
@@ -140,8 +145,9 @@
 
     /** Lets callers in where the process listens already; on the loop. */
     public void adopt(ServerSocketChannel listens) {
-        listening = server().channelFactory((ChannelFactory<ServerChannel>) () ->
-                new NioServerSocketChannel(listens)).register().channel();
+        listening = server().channelFactory((ChannelFactory<ServerChannel>) () -> new NioServerSocketChannel(listens))
+                .register()
+                .channel();
         listens(listening);
     }
 
@@ -173,9 +179,12 @@
     }
 
     private ServerBootstrap server() {
-        return new ServerBootstrap().group(loop)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .handler(new Acceptor()).childOption(ChannelOption.ALLOCATOR, memory)
+        return new ServerBootstrap()
+                .group(loop)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .handler(new Acceptor())
+                .childOption(ChannelOption.ALLOCATOR, memory)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -247,8 +256,8 @@
     }
 
     /**
-     * Before another version is taken: for so many ms a request that the new one can't take may still be
-     * read as one of the present one, by which its caller has sent it.
+     * Before another version is taken: for so many ms a request that the new one can't take may still be read as one of
+     * the present one, by which its caller has sent it.
      */
     public void takesLate(long millis) {
         dialect.takesLate(core.now() + millis);
@@ -267,9 +276,8 @@
     }
 
     /**
-     * Gives its address up while the balancer goes on elsewhere: answers ask their callers to leave, for so
-     * many
-     * ms it lets in those who don't know yet, then it closes. Callers that are at work have their answers.
+     * Gives its address up while the balancer goes on elsewhere: answers ask their callers to leave, for so many ms it
+     * lets in those who don't know yet, then it closes. Callers that are at work have their answers.
      *
      * @param done called once no connection is left
      */
@@ -290,8 +298,8 @@
     }
 
     /**
-     * Leaves new callers to another process that listens at the same address; those that it has are answered,
-     * and asked to leave with that.
+     * Leaves new callers to another process that listens at the same address; those that it has are answered, and asked
+     * to leave with that.
      */
     public void handOver() {
         draining = true;
@@ -324,8 +332,8 @@
     }
 
     /**
-     * Lets callers in again if there is room. To do so at each close, room or not, would let in more than
-     * leave and use up the descriptors, without which the virtual machine can't even load a class.
+     * Lets callers in again if there is room. To do so at each close, room or not, would let in more than leave and use
+     * up the descriptors, without which the virtual machine can't even load a class.
      */
     private void resume() {
         if (listening.isOpen() && !listening.config().isAutoRead() && sockets.roomForCaller(core.now())) {
@@ -334,13 +342,14 @@
     }
 
     /**
-     * Closes a caller's connection that nothing is at work on since before the given time, the longest such
-     * first, as it may between requests.
+     * Closes a caller's connection that nothing is at work on since before the given time, the longest such first, as
+     * it may between requests.
      */
     private boolean evictIdle(double before) {
         for (Connection connection : new ArrayList<>(connections)) {
             // One that is closed stays here until its end is told: to count it again would make no room.
-            if (connection.channel.isOpen() && connection.since < before
+            if (connection.channel.isOpen()
+                    && connection.since < before
                     && (connection.lingers() || connection.closeIfIdle())) {
                 connection.channel.close();
                 return true;
@@ -355,63 +364,75 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.channel().config().setAutoRead(false);
-            Log.warn(LOG, "caller-not-let-in").addKeyValue("cause", cause.toString())
+            Log.warn(LOG, "caller-not-let-in")
+                    .addKeyValue("cause", cause.toString())
                     .log("a caller could not be let in: {}", cause.toString());
         }
     }
 
     /** A request that is here whole, and since when, in ms. */
-    private record Arrived(FullHttpRequest request, double at) { }
+    private record Arrived(FullHttpRequest request, double at) {}
 
     /** One caller's connection: one request at a time, those sent ahead wait for their turn. */
-    private final class Connection extends ChannelInboundHandlerAdapter
-            implements Caller, Relay.Source, Relay.Sink {
+    private final class Connection extends ChannelInboundHandlerAdapter implements Caller, Relay.Source, Relay.Sink {
 
         private final Channel channel;
         private final int number = sockets.next();
         /** Null until a watch wants to see it. */
         private Outlet outlet;
+
         private final Decoder decoder = new Decoder(this, dialect.terms().headerBytes());
         private final ArrayDeque<Arrived> ahead = new ArrayDeque<>();
         /** Those of them that are begun already, in the same order. */
         private final ArrayDeque<Early> early = new ArrayDeque<>(0);
+
         private int aheadBytes;
         /** The request that is coming in, and its body so far. */
         private HttpRequest head;
+
         private ByteBuf body;
         /** What came that is no request: said once what came before it is answered, and nothing after it. */
         private BadRequestException flaw;
         /** The body that is sent on while it comes; whether the rest of one is of no use. */
         private Relay coming;
+
         private boolean skipping;
         /** Whether a body broke off that was sent on, and its request may have run for all that. */
         private boolean doubtful;
         /** What is reserved for a long body that is kept; bytes that came since it last began to wait. */
         private int reserved;
+
         private long came;
         /** Bytes of the body that have been sent on, and since when it is not read. */
         private long sent;
+
         private double pausedAt;
         /** The answer that is passed on as it comes, and whether its end can be told from a break. */
         private Relay passed;
+
         private boolean framed;
         /** The request at work; the exchange is known once the node has it. */
         private HttpRequest current;
+
         private Exchange exchange;
         /** When it was here whole; whether it waits for news. */
         private double cameAt;
+
         private boolean isPutOff;
         /** The answer that is being written. */
         private Answer said;
+
         private String txn;
         /** The version under which it came, once it is read. */
         private Version version;
         /** When it came, had its last answer, or began the request that is coming in. */
         private double since = core.now();
+
         private boolean served;
         private boolean advancing;
         /** Answers that are not yet written out. */
         private int unsent;
+
         private boolean closing;
         private int drained;
         /** Whether the last sweep found it held up though it could go on; the next one wakes it. */
@@ -422,8 +443,7 @@
         }
 
         boolean isIdle() {
-            return current == null && ahead.isEmpty() && flaw == null && !decoder.amid && unsent == 0
-                    && !closing;
+            return current == null && ahead.isEmpty() && flaw == null && !decoder.amid && unsent == 0 && !closing;
         }
 
         /** Whether it has had its last answer. */
@@ -454,18 +474,22 @@
                 }
             } else if (decoder.amid) {
                 // One that is not read from now is not to blame.
-                if ((current == null || coming != null) && channel.config().isAutoRead()
-                        && age > dialect.terms().requestMs() + came / dialect.terms().bytesPerMs()) {
+                if ((current == null || coming != null)
+                        && channel.config().isAutoRead()
+                        && age
+                                > dialect.terms().requestMs()
+                                        + came / dialect.terms().bytesPerMs()) {
                     tooSlow();
                 }
-            } else if (age > (served ? dialect.terms().idleMs() : dialect.terms().silentMs())) {
+            } else if (age
+                    > (served ? dialect.terms().idleMs() : dialect.terms().silentMs())) {
                 closeIfIdle();
             }
         }
 
         /**
-         * Whatever may have kept it from going on: what its caller can take is not held back. But the wake-up
-         * may be on its way in this very turn, so the first sweep that sees it waits for the next.
+         * Whatever may have kept it from going on: what its caller can take is not held back. But the wake-up may be on
+         * its way in this very turn, so the first sweep that sees it waits for the next.
          */
         private void wake() {
             if (held) {
@@ -581,8 +605,9 @@
                 body = Unpooled.EMPTY_BUFFER;
                 // One that waits behind another will send its body without being asked.
                 if (HttpUtil.is100ContinueExpected(begun) && current == null && ahead.isEmpty()) {
-                    channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER)).addListener(this::wrote);
+                    channel.writeAndFlush(new DefaultFullHttpResponse(
+                                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER))
+                            .addListener(this::wrote);
                 }
             }
             if (message instanceof HttpContent content && head != null) {
@@ -607,7 +632,9 @@
         private boolean append(ByteBuf part) {
             FrontTerms terms = dialect.terms();
             int size = body.readableBytes() + part.readableBytes();
-            if (size > UpstreamClient.MAX_BODY && reserved == 0 && size <= terms.keptBytes()
+            if (size > UpstreamClient.MAX_BODY
+                    && reserved == 0
+                    && size <= terms.keptBytes()
                     && HttpUtil.getContentLength(head, 0L) <= terms.keptBytes()
                     && kept + terms.keptBytes() <= terms.keptInAll()) {
                 reserved = terms.keptBytes();
@@ -619,8 +646,7 @@
             }
             if (part.isReadable()) {
                 if (body == Unpooled.EMPTY_BUFFER) {
-                    body = memory.buffer(part.readableBytes(),
-                            Math.max(terms.keptBytes(), UpstreamClient.MAX_BODY));
+                    body = memory.buffer(part.readableBytes(), Math.max(terms.keptBytes(), UpstreamClient.MAX_BODY));
                 }
                 body.writeBytes(part);
             }
@@ -700,8 +726,15 @@
 
         private void complete() throws BadRequestException {
             aheadBytes += body.readableBytes();
-            ahead.addLast(new Arrived(new DefaultFullHttpRequest(head.protocolVersion(), head.method(),
-                    head.uri(), body, head.headers(), EmptyHttpHeaders.INSTANCE), core.now()));
+            ahead.addLast(new Arrived(
+                    new DefaultFullHttpRequest(
+                            head.protocolVersion(),
+                            head.method(),
+                            head.uri(),
+                            body,
+                            head.headers(),
+                            EmptyHttpHeaders.INSTANCE),
+                    core.now()));
             head = null;
             body = null;
             if (ahead.size() > MAX_AHEAD) {
@@ -773,7 +806,10 @@
 
         /** Begins what waits for its turn and may be repeated, as far as nothing before it is not begun. */
         private void beginEarly() {
-            if (!dialect.terms().concurrent() || current == null || closing || flaw != null
+            if (!dialect.terms().concurrent()
+                    || current == null
+                    || closing
+                    || flaw != null
                     || early.size() == ahead.size()) {
                 return;
             }
@@ -838,11 +874,14 @@
                 isPutOff = true;
                 putOff++;
             }
-            loop.schedule(() -> {
-                if (current == request && exchange == null && channel.isOpen()) {
-                    begin(request);
-                }
-            }, PUT_OFF_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (current == request && exchange == null && channel.isOpen()) {
+                            begin(request);
+                        }
+                    },
+                    PUT_OFF_MS,
+                    TimeUnit.MILLISECONDS);
         }
 
         /** What is at work waits for news no more. */
@@ -854,10 +893,8 @@
         }
 
         /** Hands a request to core, whole or with its body still coming. */
-        private void begin(HttpRequest request, boolean hasBody, Payload payload)
-                throws BadRequestException {
-            Checked checked = dialect.read(request, hasBody, coming == null ? cameAt : core.now(),
-                    core.now());
+        private void begin(HttpRequest request, boolean hasBody, Payload payload) throws BadRequestException {
+            Checked checked = dialect.read(request, hasBody, coming == null ? cameAt : core.now(), core.now());
             settles();
             if (!checked.name().isEmpty()) {
                 takeName(checked.name());
@@ -866,7 +903,8 @@
             ReferenceCountUtil.retain(request);
             trace(TraceEvent.REQUEST, 0);
             Arrival arrival = checked.arrival();
-            Exchange begun = coming == null ? core.request(version, arrival, payload, this)
+            Exchange begun = coming == null
+                    ? core.request(version, arrival, payload, this)
                     : core.requestComing(version, arrival, payload, this);
             // The answer may have come already, and with it the next request.
             if (begun.isOpen()) {
@@ -899,7 +937,9 @@
                 write(dialect.status(said), Unpooled.EMPTY_BUFFER, 0);
                 return;
             }
-            write(why.status(), Unpooled.copiedBuffer(why.getMessage() + "\n", StandardCharsets.UTF_8),
+            write(
+                    why.status(),
+                    Unpooled.copiedBuffer(why.getMessage() + "\n", StandardCharsets.UTF_8),
                     why.retryAfter());
         }
 
@@ -986,9 +1026,8 @@
         }
 
         /**
-         * A part has been written, or could not be: for want of memory to encode it, say. The connection
-         * stays open then, and its caller would wait for the rest of its answer, or take what follows for
-         * that.
+         * A part has been written, or could not be: for want of memory to encode it, say. The connection stays open
+         * then, and its caller would wait for the rest of its answer, or take what follows for that.
          */
         private void wrote(Future<? super Void> written) {
             if (!written.isSuccess() && channel.isOpen()) {
@@ -1092,8 +1131,8 @@
         }
 
         /**
-         * Ends the sending, and closes once the caller has done so too or has had its time: to close on bytes
-         * that are still coming in would reset the connection and could take the answer with it.
+         * Ends the sending, and closes once the caller has done so too or has had its time: to close on bytes that are
+         * still coming in would reset the connection and could take the answer with it.
          */
         private void linger() {
             if (!channel.isActive()) {
@@ -1130,7 +1169,8 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                Log.warn(LOG, "caller-failed").addKeyValue("connection", number)
+                Log.warn(LOG, "caller-failed")
+                        .addKeyValue("connection", number)
                         .addKeyValue("cause", cause.toString())
                         .log("a caller's connection failed: {}", cause.toString());
             }
--- a/src/main/java/sablehinge/http1/HopHeaders.java
+++ b/src/main/java/sablehinge/http1/HopHeaders.java
@@ -14,13 +14,21 @@
     private static final String OURS = "Sablehinge-";
 
     static {
-        OF_A_CONNECTION.addAll(Set.of("Connection", "Keep-Alive", "Proxy-Connection",
-                "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
-                "Content-Length", "Expect"));
+        OF_A_CONNECTION.addAll(Set.of(
+                "Connection",
+                "Keep-Alive",
+                "Proxy-Connection",
+                "Proxy-Authenticate",
+                "Proxy-Authorization",
+                "TE",
+                "Trailer",
+                "Transfer-Encoding",
+                "Upgrade",
+                "Content-Length",
+                "Expect"));
     }
 
-    private HopHeaders() {
-    }
+    private HopHeaders() {}
 
     /** Adds to one message what another has and may go on with it. */
     public static void copy(HttpHeaders from, HttpHeaders to) {
@@ -33,8 +41,8 @@
     }
 
     /**
-     * What a message itself says is for its connection only. Headers of the protocol are not, whatever it
-     * says: a sender could else take out what was set after it, such as the caller's name.
+     * What a message itself says is for its connection only. Headers of the protocol are not, whatever it says: a
+     * sender could else take out what was set after it, such as the caller's name.
      */
     private static Set<String> named(HttpHeaders headers) {
         if (!headers.contains("Connection")) {
--- a/src/main/java/sablehinge/http1/LoadReport.java
+++ b/src/main/java/sablehinge/http1/LoadReport.java
@@ -10,8 +10,7 @@
     /** Beyond it no figure of a load is meant. */
     private static final double MOST = 1e9;
 
-    private LoadReport() {
-    }
+    private LoadReport() {}
 
     /** The values of the given fields in their order; null unless the text holds them all, in range. */
     static double[] parse(String text, List<String> fields) {
@@ -26,10 +25,12 @@
         }
         for (String pair : pairs.split(",")) {
             int equals = pair.indexOf('=');
-            int field = equals < 0 ? -1 : fields.indexOf(pair.substring(0, equals).strip());
+            int field =
+                    equals < 0 ? -1 : fields.indexOf(pair.substring(0, equals).strip());
             if (field >= 0) {
                 try {
-                    values[field] = Double.parseDouble(pair.substring(equals + 1).strip());
+                    values[field] =
+                            Double.parseDouble(pair.substring(equals + 1).strip());
                 } catch (NumberFormatException e) {
                     return null;
                 }
--- a/src/main/java/sablehinge/http1/Payloads.java
+++ b/src/main/java/sablehinge/http1/Payloads.java
@@ -8,12 +8,12 @@
 /** What dialects may see of payloads. */
 public final class Payloads {
 
-    private Payloads() {
-    }
+    private Payloads() {}
 
     /** The head of a payload; null where it has none. */
     public static HttpMessage head(Payload payload) {
-        return payload instanceof Passing passing ? passing.head()
+        return payload instanceof Passing passing
+                ? passing.head()
                 : payload instanceof HttpPayload whole ? whole.message() : null;
     }
 
--- a/src/main/java/sablehinge/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/http1/PlatformFront.java
@@ -17,16 +17,18 @@
 
     /** RFC 5842, section 7.2. */
     private static final HttpResponseStatus LOOP_DETECTED = new HttpResponseStatus(508, "Loop Detected");
+
     private static final int HEADER_BYTES = 8_192;
     private static final int MOST_KEPT = 256 * 1024;
     /** The slowest honest callers send 64 kB a s. */
-    private static final FrontTerms TERMS = new FrontTerms(HEADER_BYTES, UpstreamClient.MAX_PASSING, 2_400,
-            40, 2_300, 3_000, MOST_KEPT, 32 * MOST_KEPT, false);
+    private static final FrontTerms TERMS = new FrontTerms(
+            HEADER_BYTES, UpstreamClient.MAX_PASSING, 2_400, 40, 2_300, 3_000, MOST_KEPT, 32 * MOST_KEPT, false);
 
     private final Core core;
     private RequestCheck check;
     /** The check of the version before, and until when a request may still be read by it. */
     private RequestCheck late;
+
     private double lateUntil = Double.NEGATIVE_INFINITY;
     /** How budgets are read; null where they are off. */
     private HeaderText budgets;
@@ -55,8 +57,7 @@
     }
 
     @Override
-    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now)
-            throws BadRequestException {
+    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException {
         Checked checked;
         try {
             checked = check().read(request, hasBody, now);
@@ -67,8 +68,13 @@
             }
             checked = late.read(request, hasBody, now);
         }
-        return budgets == null ? checked : new Checked(checked.name(), checked.arrival()
-                .with(budgets.readBudget(request.headers().get(UpstreamClient.BUDGET))), checked.version());
+        return budgets == null
+                ? checked
+                : new Checked(
+                        checked.name(),
+                        checked.arrival()
+                                .with(budgets.readBudget(request.headers().get(UpstreamClient.BUDGET))),
+                        checked.version());
     }
 
     @Override
@@ -85,8 +91,7 @@
 
     @Override
     public ByteBuf content(Answer answer) {
-        return answer.payload() instanceof HttpPayload served ? served.message().content()
-                : Unpooled.EMPTY_BUFFER;
+        return answer.payload() instanceof HttpPayload served ? served.message().content() : Unpooled.EMPTY_BUFFER;
     }
 
     @Override
--- a/src/main/java/sablehinge/http1/PlatformUpstream.java
+++ b/src/main/java/sablehinge/http1/PlatformUpstream.java
@@ -18,8 +18,8 @@
 
     private static final UpstreamTerms TERMS = new UpstreamTerms(300, Freshness.YOUNG_MS, 10_000, false);
     /** The headers of a request that go on with it; the rest is a caller's own affair or worse. */
-    private static final List<String> PASSED_ON = List.of("X-Txn", "Idempotency-Key", "X-Lane", "X-Org",
-            "Cookie", "X-Resent", "X-Estimate", "X-Labels");
+    private static final List<String> PASSED_ON =
+            List.of("X-Txn", "Idempotency-Key", "X-Lane", "X-Org", "Cookie", "X-Resent", "X-Estimate", "X-Labels");
     /** How budgets are written; null where they are off. */
     private HeaderText budgets;
 
@@ -57,20 +57,22 @@
     @Override
     public Result judge(HttpResponse answer) {
         int status = answer.status().code();
-        boolean turnedAway = (status == 503 || status == 504)
-                && "1".equals(answer.headers().get("X-Turned-Away"));
+        boolean turnedAway =
+                (status == 503 || status == 504) && "1".equals(answer.headers().get("X-Turned-Away"));
         return turnedAway ? Result.FULL : status == 200 ? Result.OK : Result.ERROR;
     }
 
     @Override
     public double[] report(HttpMessage answer, Settings settings) {
-        return settings.reports() != Reports.PIGGYBACK ? null
+        return settings.reports() != Reports.PIGGYBACK
+                ? null
                 : LoadReport.parse(answer.headers().get("X-Pressure"), settings.reportFields());
     }
 
     @Override
     public Report spent(HttpMessage answer) {
-        return budgets == null ? null
+        return budgets == null
+                ? null
                 : budgets.readReport(answer.headers().get(UpstreamClient.SPENT)).value();
     }
 
--- a/src/main/java/sablehinge/http1/Relay.java
+++ b/src/main/java/sablehinge/http1/Relay.java
@@ -5,8 +5,8 @@
 import sablehinge.core.Passage;
 
 /**
- * A body that passes through as it comes, once, from whoever reads it to whoever writes it. What is not
- * written is not read: the writer sets the pace, so that little of it is held. Both ends are on one loop.
+ * A body that passes through as it comes, once, from whoever reads it to whoever writes it. What is not written is not
+ * read: the writer sets the pace, so that little of it is held. Both ends are on one loop.
  */
 final class Relay implements Passage {
 
@@ -47,6 +47,7 @@
     private Sink sink;
     /** Whether its last part has come; whether the rest won't come; whether nothing more comes of it. */
     private boolean ended;
+
     private boolean broken;
     private boolean over;
     private boolean paused;
--- a/src/main/java/sablehinge/http1/RequestCheck.java
+++ b/src/main/java/sablehinge/http1/RequestCheck.java
@@ -24,8 +24,8 @@
 import sablehinge.policy.LoadBalancer.ServiceClass;
 
 /**
- * Checks what callers send against the protocol before anything of it goes further. What an upstream might
- * read in another way than this balancer, such as where a body ends, must not reach it.
+ * Checks what callers send against the protocol before anything of it goes further. What an upstream might read in
+ * another way than this balancer, such as where a body ends, must not reach it.
  */
 final class RequestCheck {
 
@@ -33,6 +33,7 @@
     private static final int LINE_BYTES = 4_096;
     /** An id or a key: it goes on as it came, so it must be plain. */
     private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
+
     private static final Pattern TARGET = Pattern.compile("/[!-~]{0,2047}");
     private static final Pattern DIGITS = Pattern.compile("[0-9]{1,18}");
     /** Narrower than what Java takes for a number, which includes NaN, hexadecimals and suffixes. */
@@ -53,7 +54,9 @@
     static class Decoder extends HttpRequestDecoder {
 
         Decoder(int headerBytes) {
-            super(new HttpDecoderConfig().setMaxChunkSize(UpstreamClient.PART).setMaxHeaderSize(headerBytes)
+            super(new HttpDecoderConfig()
+                    .setMaxChunkSize(UpstreamClient.PART)
+                    .setMaxHeaderSize(headerBytes)
                     .setMaxInitialLineLength(Math.max(LINE_BYTES, headerBytes / 2)));
         }
 
@@ -71,9 +74,12 @@
     static void head(HttpRequest head, long bodyBytes) throws BadRequestException {
         if (!head.decoderResult().isSuccess()) {
             Throwable cause = head.decoderResult().cause();
-            throw new BadRequestException(cause instanceof TooLongHttpLineException
-                    ? HttpResponseStatus.REQUEST_URI_TOO_LONG : cause instanceof TooLongHttpHeaderException
-                    ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST,
+            throw new BadRequestException(
+                    cause instanceof TooLongHttpLineException
+                            ? HttpResponseStatus.REQUEST_URI_TOO_LONG
+                            : cause instanceof TooLongHttpHeaderException
+                                    ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+                                    : HttpResponseStatus.BAD_REQUEST,
                     "malformed HTTP");
         }
         if (head.protocolVersion().majorVersion() != 1) {
@@ -82,8 +88,10 @@
         HttpHeaders headers = head.headers();
         String coding = single(headers, HttpHeaderNames.TRANSFER_ENCODING);
         String length = single(headers, HttpHeaderNames.CONTENT_LENGTH);
-        if (coding != null && (length != null || !coding.strip().equalsIgnoreCase("chunked")
-                || head.protocolVersion().equals(HttpVersion.HTTP_1_0))) {
+        if (coding != null
+                && (length != null
+                        || !coding.strip().equalsIgnoreCase("chunked")
+                        || head.protocolVersion().equals(HttpVersion.HTTP_1_0))) {
             throw new BadRequestException("the end of the body is in doubt");
         }
         if (length != null && !DIGITS.matcher(length).matches()) {
@@ -146,9 +154,17 @@
         }
         double estimate = number(headers, "X-Estimate");
         // No client of this class waits longer, whatever it says; what is kept for it must not stay either.
-        return new Checked(txn, new Arrival(place, tenantIndex, key(single(headers, "Cookie")),
-                now + Math.min(type.deadline(), remaining * MS), Double.isNaN(estimate) ? 0 : estimate / MS,
-                "1".equals(single(headers, "X-Resent")), !get), version);
+        return new Checked(
+                txn,
+                new Arrival(
+                        place,
+                        tenantIndex,
+                        key(single(headers, "Cookie")),
+                        now + Math.min(type.deadline(), remaining * MS),
+                        Double.isNaN(estimate) ? 0 : estimate / MS,
+                        "1".equals(single(headers, "X-Resent")),
+                        !get),
+                version);
     }
 
     private static String firstPart(String uri) {
--- a/src/main/java/sablehinge/http1/SocketKind.java
+++ b/src/main/java/sablehinge/http1/SocketKind.java
@@ -8,9 +8,8 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 
 /**
- * What the connections of both ends are: sockets of the system, or channels in virtual time that a test
- * plays the other end of. Those are {@link io.netty.channel.socket.DuplexChannel}s that know
- * {@code SO_LINGER}.
+ * What the connections of both ends are: sockets of the system, or channels in virtual time that a test plays the other
+ * end of. Those are {@link io.netty.channel.socket.DuplexChannel}s that know {@code SO_LINGER}.
  */
 public interface SocketKind {
 
--- a/src/main/java/sablehinge/http1/Sockets.java
+++ b/src/main/java/sablehinge/http1/Sockets.java
@@ -8,9 +8,9 @@
 import sablehinge.core.Tracer;
 
 /**
- * Counts the process's connections against the descriptors that it may hold. A caller that waits in the
- * backlog already counts as taken, so calls to upstreams leave room for callers, and an idle connection
- * gives way to whoever needs its descriptor.
+ * Counts the process's connections against the descriptors that it may hold. A caller that waits in the backlog already
+ * counts as taken, so calls to upstreams leave room for callers, and an idle connection gives way to whoever needs its
+ * descriptor.
  */
 public final class Sockets {
 
@@ -23,6 +23,7 @@
 
     /** Callers that are accepted at once at most, and the part of all connections kept free for them. */
     private static final int BATCH = 16;
+
     private static final int SPARE_SHARE = 10;
 
     private final int descriptors;
@@ -98,8 +99,8 @@
     }
 
     /**
-     * Whether one more caller may be let in, after idle connections have gone for a batch of them: callers
-     * are accepted several at a time, and a crowd must not wait while others only rest here.
+     * Whether one more caller may be let in, after idle connections have gone for a batch of them: callers are accepted
+     * several at a time, and a crowd must not wait while others only rest here.
      */
     boolean roomForCaller(double now) {
         int spare = Math.min(BATCH, limit / SPARE_SHARE);
@@ -131,8 +132,8 @@
     }
 
     /**
-     * Handles at once what the kernel holds for a channel: bytes, the peer's end of the stream, callers in
-     * the backlog. What it says about a connection is then as fresh as can be.
+     * Handles at once what the kernel holds for a channel: bytes, the peer's end of the stream, callers in the backlog.
+     * What it says about a connection is then as fresh as can be.
      */
     void readNow(Channel channel) {
         if (channel.isOpen()) {
--- a/src/main/java/sablehinge/http1/UpstreamClient.java
+++ b/src/main/java/sablehinge/http1/UpstreamClient.java
@@ -68,8 +68,8 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /**
- * Carries attempts and probes to upstreams, one at a time on a connection, and reports how each ended. It
- * sends nothing twice: what breaks is an outcome.
+ * Carries attempts and probes to upstreams, one at a time on a connection, and reports how each ended. It sends nothing
+ * twice: what breaks is an outcome.
  */
 public final class UpstreamClient implements Transport {
 
@@ -81,11 +81,13 @@
     static final int PART = 32 * 1024;
     /** The part of an upstream's idle limit after which a connection is closed from this side. */
     private static final double IDLE_SHARE = 0.7;
+
     private static final long SWEEP_MS = 1_000;
     private static final int MILLI = 3;
     private static final double NANOS_PER_MS = 1e6;
     /** The headers of budgets, down and up. */
     static final String BUDGET = "Sablehinge-Budget";
+
     static final String SPENT = "Sablehinge-Spent";
     /** How each answer begins. */
     private static final byte[] BEGINNING = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
@@ -93,6 +95,7 @@
     private static final int MOST_STALLS = 5;
     /** One that is being passed on already can't be tried again, and may rest for so many checks. */
     private static final int MOST_RESTS = 16;
+
     private static final long LOOK_MS = 1_000;
     /** Most answers of the kind 1xx that may come ahead of one. */
     private static final int MOST_AHEAD = 16;
@@ -104,6 +107,7 @@
     private final Map<Long, Target> targets = new HashMap<>();
     /** Of the version under which requests arrive. */
     private Settings settings;
+
     private Freshness freshness;
     private final UpstreamDialect dialect;
 
@@ -113,14 +117,17 @@
     }
 
     /** A transport on the given loop, whose connections count among the given sockets. */
-    public UpstreamClient(EventLoop loop, Clock clock, Sockets sockets, ByteBufAllocator memory,
-            UpstreamDialect dialect) {
+    public UpstreamClient(
+            EventLoop loop, Clock clock, Sockets sockets, ByteBufAllocator memory, UpstreamDialect dialect) {
         this.dialect = dialect;
         this.loop = loop;
         this.clock = clock;
         this.sockets = sockets;
-        bootstrap = new Bootstrap().group(loop).channelFactory(sockets.kind().connecting())
-                .option(ChannelOption.ALLOCATOR, memory).option(ChannelOption.TCP_NODELAY, true)
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channelFactory(sockets.kind().connecting())
+                .option(ChannelOption.ALLOCATOR, memory)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -129,7 +136,8 @@
                     }
                 });
         if (dialect.terms().wary()) {
-            bootstrap.option(ChannelOption.SO_KEEPALIVE, true)
+            bootstrap
+                    .option(ChannelOption.SO_KEEPALIVE, true)
                     .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), 1)
                     .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), 1)
                     .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), 2);
@@ -150,6 +158,7 @@
         double toldOff = Double.NaN;
         /** Whether it is on the list no more. */
         boolean gone;
+
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
         /** What waits for a connection to it, and so has not been sent. */
         final Set<Attempt> waiting = new HashSet<>();
@@ -166,7 +175,8 @@
     public void adopt(Version version) {
         Settings before = settings;
         settings = version.settings();
-        if (before == null || before.limits().connectionIdle() != settings.limits().connectionIdle()) {
+        if (before == null
+                || before.limits().connectionIdle() != settings.limits().connectionIdle()) {
             trustYoung(dialect.terms().youngMs());
         }
     }
@@ -184,8 +194,9 @@
             }
             Target target = targets.computeIfAbsent(member.upstream().id(), id -> new Target());
             Member before = target.member;
-            if (before != null && (before.upstream().startedAt() != member.upstream().startedAt()
-                    || !before.address().equals(member.address()))) {
+            if (before != null
+                    && (before.upstream().startedAt() != member.upstream().startedAt()
+                            || !before.address().equals(member.address()))) {
                 target.closeIdle();
             }
             target.member = member;
@@ -212,20 +223,23 @@
             target.closeIdle();
             if (dialect.terms().wary()) {
                 // It may be gone without a word: what has not been sent goes elsewhere once the module knows.
-                loop.execute(() -> List.copyOf(target.waiting)
-                        .forEach(attempt -> attempt.giveUp(Event.NO_CONNECTION)));
+                loop.execute(() -> List.copyOf(target.waiting).forEach(attempt -> attempt.giveUp(Event.NO_CONNECTION)));
             }
         }
     }
 
     @Override
-    public Transport.Attempt send(Version version, long upstream, Payload request, double until,
-            Purses.Grant grant, Progress progress) {
+    public Transport.Attempt send(
+            Version version, long upstream, Payload request, double until, Purses.Grant grant, Progress progress) {
         Passing passing = request instanceof Passing one ? one : null;
-        HttpRequest message = (HttpRequest) (passing == null ? ((HttpPayload) request).message()
-                : passing.head());
-        Attempt attempt = new Attempt(version.settings(), message, passing, grant, until, (result, payload) ->
-                progress.ended(result(version.settings(), result, payload)));
+        HttpRequest message = (HttpRequest) (passing == null ? ((HttpPayload) request).message() : passing.head());
+        Attempt attempt = new Attempt(
+                version.settings(),
+                message,
+                passing,
+                grant,
+                until,
+                (result, payload) -> progress.ended(result(version.settings(), result, payload)));
         attempt.progress = progress;
         attempt.start(targets.get(upstream));
         return attempt;
@@ -237,20 +251,29 @@
         }
         HttpMessage head = Payloads.head(payload);
         boolean told = result == Result.OK || result == Result.ERROR && dialect.keeps(head);
-        return new AttemptResult(result, told ? payload : Payload.NONE, dialect.report(head, settings),
-                dialect.spent(head));
+        return new AttemptResult(
+                result, told ? payload : Payload.NONE, dialect.report(head, settings), dialect.spent(head));
     }
 
     /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
     @Override
     public void probe(Version version, long upstream, double until, Consumer<AttemptResult> end) {
         List<String> fields = version.settings().reportFields();
-        FullHttpRequest question = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                fields.isEmpty() ? "/ping" : "/_load", Unpooled.EMPTY_BUFFER);
-        new Attempt(version.settings(), question, null, null, until, (result, payload) ->
-                end.accept(new AttemptResult(result, Payload.NONE, result != Result.OK
-                        || !(payload instanceof HttpPayload whole) ? null : LoadReport.parse(
-                                whole.message().content().toString(StandardCharsets.UTF_8), fields))))
+        FullHttpRequest question = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, HttpMethod.GET, fields.isEmpty() ? "/ping" : "/_load", Unpooled.EMPTY_BUFFER);
+        new Attempt(
+                        version.settings(),
+                        question,
+                        null,
+                        null,
+                        until,
+                        (result, payload) -> end.accept(new AttemptResult(
+                                result,
+                                Payload.NONE,
+                                result != Result.OK || !(payload instanceof HttpPayload whole)
+                                        ? null
+                                        : LoadReport.parse(
+                                                whole.message().content().toString(StandardCharsets.UTF_8), fields))))
                 .start(targets.get(upstream));
     }
 
@@ -318,8 +341,8 @@
     private boolean evictIdle() {
         Target longest = null;
         for (Target target : targets.values()) {
-            if (!target.idle.isEmpty() && (longest == null
-                    || target.idle.peekFirst().idleSince < longest.idle.peekFirst().idleSince)) {
+            if (!target.idle.isEmpty()
+                    && (longest == null || target.idle.peekFirst().idleSince < longest.idle.peekFirst().idleSince)) {
                 longest = target;
             }
         }
@@ -336,10 +359,12 @@
         private final HttpRequest request;
         /** The body where it passes through; null where it is whole. */
         private final Passing passing;
+
         private final Purses.Grant grant;
         private final BiConsumer<Result, Payload> end;
         /** Null for a probe, of which nobody hears before its end. */
         private Progress progress;
+
         private double until;
         private Future<?> expiry;
         private Target target;
@@ -349,16 +374,22 @@
         private AttemptState state = AttemptState.UNSENT;
         /** The write of its last byte; null before that. */
         private ChannelFuture lastWrite;
+
         private boolean over;
         private Budget budget;
         /** When a part of its body was last written. */
         private double movedAt;
         /** When it was written, and how long its connection had rested by then; NaN for a new one. */
         private double begunAt;
+
         private double rested = Double.NaN;
 
         /** {@code end} is called once; the response is not to be kept. */
-        private Attempt(Settings terms, HttpRequest request, Passing passing, Purses.Grant grant,
+        private Attempt(
+                Settings terms,
+                HttpRequest request,
+                Passing passing,
+                Purses.Grant grant,
                 double until,
                 BiConsumer<Result, Payload> end) {
             this.terms = terms;
@@ -439,7 +470,10 @@
             boolean drained = now >= target.toldOff + terms.rules().drainGrace();
             budget = grant == null ? null : grant.budget(now);
             boolean dead = grant != null && budget == null;
-            if (drained || dead || now >= until && !comes() || passing != null && passing.body().isTaken()) {
+            if (drained
+                    || dead
+                    || now >= until && !comes()
+                    || passing != null && passing.body().isTaken()) {
                 connection.park(target);
                 end(state.ends(Event.NO_CONNECTION), Payload.NONE);
                 return;
@@ -447,8 +481,7 @@
             connection.carry(this);
             state = state.partSent();
             if (passing != null) {
-                HttpRequest copy = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(),
-                        request.uri());
+                HttpRequest copy = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
                 setHeaders(copy, now);
                 if (passing.length() >= 0) {
                     copy.headers().set("Content-Length", passing.length());
@@ -464,8 +497,8 @@
                 return;
             }
             ByteBuf content = ((FullHttpRequest) request).content();
-            FullHttpRequest copy = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(),
-                    request.uri(), content.retainedDuplicate());
+            FullHttpRequest copy = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, request.method(), request.uri(), content.retainedDuplicate());
             setHeaders(copy, now);
             if (content.isReadable() || copy.method().equals(HttpMethod.POST)) {
                 copy.headers().set("Content-Length", content.readableBytes());
@@ -489,8 +522,8 @@
         }
 
         /**
-         * How far it has come by now. The write itself is asked, as its listeners may be told a turn later:
-         * Netty puts them off once they are nested deeply, and a reset could come first.
+         * How far it has come by now. The write itself is asked, as its listeners may be told a turn later: Netty puts
+         * them off once they are nested deeply, and a reset could come first.
          */
         private AttemptState reached() {
             if (lastWrite != null && lastWrite.isSuccess()) {
@@ -517,8 +550,8 @@
         }
 
         /**
-         * While a body comes its request has no deadline, and its caller is not read while the upstream takes
-         * nothing: without this, one that never reads again would hold both for good.
+         * While a body comes its request has no deadline, and its caller is not read while the upstream takes nothing:
+         * without this, one that never reads again would hold both for good.
          */
         private void look() {
             if (over || isWhole()) {
@@ -599,8 +632,8 @@
         }
 
         /**
-         * Ends the attempt with its connection. That is closed first: what the module sends in answer to the
-         * outcome would otherwise overtake it, and be a second copy.
+         * Ends the attempt with its connection. That is closed first: what the module sends in answer to the outcome
+         * would otherwise overtake it, and be a second copy.
          */
         private void giveUp(Event event) {
             if (!over) {
@@ -626,11 +659,15 @@
 
         /** An answer, with its body or with the beginning of that. */
         private void answered(HttpResponse head, Payload payload) {
-            end(reached().ends(switch (dialect.judge(head)) {
-                case OK -> Event.SERVED_ANSWER;
-                case FULL -> Event.REFUSED_ANSWER;
-                default -> Event.FAILED_ANSWER;
-            }), payload);
+            end(
+                    reached()
+                            .ends(
+                                    switch (dialect.judge(head)) {
+                                        case OK -> Event.SERVED_ANSWER;
+                                        case FULL -> Event.REFUSED_ANSWER;
+                                        default -> Event.FAILED_ANSWER;
+                                    }),
+                    payload);
         }
 
         private void end(Result result, Payload payload) {
@@ -675,8 +712,8 @@
     }
 
     /**
-     * Looks at the bytes ahead of the decoder. That keeps part of a line unseen, so bytes that no request
-     * waits for could lie there and be taken for the start of the next answer.
+     * Looks at the bytes ahead of the decoder. That keeps part of a line unseen, so bytes that no request waits for
+     * could lie there and be taken for the start of the next answer.
      */
     private static final class Decoder extends HttpResponseDecoder {
 
@@ -740,16 +777,19 @@
         final Decoder decoder = new Decoder(this);
         /** When it was last given back; NaN while it is new. */
         double idleSince = Double.NaN;
+
         private Attempt carried;
         private Target home;
         /** Whether an answer has come in part, and more since the last check; the checks so far. */
         private boolean amid;
+
         private boolean moved;
         private int checks;
         private int informational;
         private Future<?> check;
         /** The answer that is coming: its head, its body so far, and the body once it passes through. */
         private HttpResponse head;
+
         private ByteBuf body = Unpooled.EMPTY_BUFFER;
         private Relay relay;
         private long passed;
@@ -839,7 +879,10 @@
         /** An answer that has begun and stands still will not be whole in time. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (carried != null && head != null && !told && dialect.passable(head)
+            if (carried != null
+                    && head != null
+                    && !told
+                    && dialect.passable(head)
                     && dialect.answers(carried.request, head)) {
                 told = true;
                 carried.begun();
@@ -927,8 +970,12 @@
 
         private void beginToPass() {
             Attempt attempt = carried;
-            if (attempt == null || attempt.over || !attempt.isWhole() || !channel.isActive()
-                    || !dialect.passable(head) || !dialect.answers(attempt.request, head)) {
+            if (attempt == null
+                    || attempt.over
+                    || !attempt.isWhole()
+                    || !channel.isActive()
+                    || !dialect.passable(head)
+                    || !dialect.answers(attempt.request, head)) {
                 spoilt();
                 return;
             }
@@ -980,7 +1027,9 @@
 
         /** Whether the end of the connection is the end of the answer: a process that dies resets it. */
         private boolean endsWithConnection() {
-            return !reset && !HttpUtil.isKeepAlive(head) && !HttpUtil.isTransferEncodingChunked(head)
+            return !reset
+                    && !HttpUtil.isKeepAlive(head)
+                    && !HttpUtil.isTransferEncodingChunked(head)
                     && !HttpUtil.isContentLengthSet(head);
         }
 
@@ -992,8 +1041,8 @@
 
         private void whole() {
             HttpResponse answer = head;
-            FullHttpResponse response = new DefaultFullHttpResponse(answer.protocolVersion(),
-                    answer.status(), body, answer.headers(), EmptyHttpHeaders.INSTANCE);
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    answer.protocolVersion(), answer.status(), body, answer.headers(), EmptyHttpHeaders.INSTANCE);
             body = Unpooled.EMPTY_BUFFER;
             boolean delimited = endsWithConnection();
             head = null;
@@ -1035,8 +1084,7 @@
             }
             Attempt attempt = carried;
             carried = null;
-            boolean keep = !attempt.over && attempt.isWhole() && HttpUtil.isKeepAlive(response)
-                    && !decoder.holdsMore();
+            boolean keep = !attempt.over && attempt.isWhole() && HttpUtil.isKeepAlive(response) && !decoder.holdsMore();
             attempt.answered(response, new HttpPayload(response));
             // Only now: the module's next send must not read from a connection that is being read.
             if (keep && channel.isActive()) {
--- a/src/main/java/sablehinge/http1/UpstreamDialect.java
+++ b/src/main/java/sablehinge/http1/UpstreamDialect.java
@@ -55,7 +55,7 @@
     }
 
     /** Switches on the headers of budgets, where there are any. */
-    default void budgets(HeaderText text) { }
+    default void budgets(HeaderText text) {}
 
     /** Whether an answer that is no success is told to the caller where nothing better comes. */
     default boolean keeps(HttpMessage answer) {
--- a/src/main/java/sablehinge/judge/Breach.java
+++ b/src/main/java/sablehinge/judge/Breach.java
@@ -12,5 +12,10 @@
 public record Breach(Rule rule, String txn, String what, List<Evidence> timeline) {
 
     /** The four rules. */
-    public enum Rule { ANSWER, EFFECT, DRAIN, COLD }
+    public enum Rule {
+        ANSWER,
+        EFFECT,
+        DRAIN,
+        COLD
+    }
 }
--- a/src/main/java/sablehinge/judge/Evidence.java
+++ b/src/main/java/sablehinge/judge/Evidence.java
@@ -23,7 +23,11 @@
     }
 
     /** Whether the body of an answer is one that a server made for this request. */
-    enum Echo { SAME, OTHER, UNKNOWN }
+    enum Echo {
+        SAME,
+        OTHER,
+        UNKNOWN
+    }
 
     /** What a server did with an attempt. */
     enum How {
@@ -55,12 +59,24 @@
      * @param answered when the answer's last byte had come
      * @param status of the answer; 0 for none
      */
-    record Tried(double at, String caller, String balancer, String txn, String first, String serviceClass,
-            String key, double sent, double until, double answered, End end, int status, Echo echo)
-            implements Evidence { }
+    record Tried(
+            double at,
+            String caller,
+            String balancer,
+            String txn,
+            String first,
+            String serviceClass,
+            String key,
+            double sent,
+            double until,
+            double answered,
+            End end,
+            int status,
+            Echo echo)
+            implements Evidence {}
 
     /** An answer that came to a caller who had one already. */
-    record Unasked(double at, String caller, String balancer, String txn) implements Evidence { }
+    record Unasked(double at, String caller, String balancer, String txn) implements Evidence {}
 
     /**
      * An attempt at a server.
@@ -70,19 +86,30 @@
      * @param begun when its first byte came
      * @param taken when its last byte came
      */
-    record Ran(double at, String server, String zone, int cell, String balancer, String txn, String key,
-            String serviceClass, String about, double begun, double taken, How how) implements Evidence { }
+    record Ran(
+            double at,
+            String server,
+            String zone,
+            int cell,
+            String balancer,
+            String txn,
+            String key,
+            String serviceClass,
+            String about,
+            double begun,
+            double taken,
+            How how)
+            implements Evidence {}
 
     /** A balancer was told of a server's state: up, draining or removed. */
-    record Told(double at, String balancer, String server, String state) implements Evidence { }
+    record Told(double at, String balancer, String server, String state) implements Evidence {}
 
-    /** A cold server was pushed over; {@code informed} is the share of its work from balancers that knew it
-     * cold. */
-    record Fell(double at, String server, double informed) implements Evidence { }
+    /** A cold server was pushed over; {@code informed} is the share of its work from balancers that knew it cold. */
+    record Fell(double at, String server, double informed) implements Evidence {}
 
     /** A party ended: a balancer was killed, or asked to end, so that what it had may be lost. */
-    record Ended(double at, String party) implements Evidence { }
+    record Ended(double at, String party) implements Evidence {}
 
     /** What a balancer says of a request, to explain and not to judge. */
-    record Noted(double at, String balancer, String txn, String text) implements Evidence { }
+    record Noted(double at, String balancer, String txn, String text) implements Evidence {}
 }
--- a/src/main/java/sablehinge/judge/Judge.java
+++ b/src/main/java/sablehinge/judge/Judge.java
@@ -25,16 +25,16 @@
 import sablehinge.judge.Terms.Group;
 
 /**
- * Judges the four rules by what callers and servers saw. Evidence comes about in the order of time; what
- * was seen of
- * a request is held until no more of it can come.
+ * Judges the four rules by what callers and servers saw. Evidence comes about in the order of time; what was seen of a
+ * request is held until no more of it can come.
  */
 public final class Judge {
 
     /** Requests that are held at most; beyond it the oldest is judged early, and counted as such. */
     public static final int MOST_HELD = 1_000_000;
-    private static final Comparator<Evidence> IN_ORDER = Comparator.comparingDouble(Judge::begun)
-            .thenComparingDouble(Evidence::at);
+
+    private static final Comparator<Evidence> IN_ORDER =
+            Comparator.comparingDouble(Judge::begun).thenComparingDouble(Evidence::at);
 
     private final Terms terms;
     private final Consumer<Breach> breaches;
@@ -42,6 +42,7 @@
     private final LinkedHashMap<String, Trace> traces = new LinkedHashMap<>();
     /** For each balancer and server what it was told, in order. */
     private final Map<String, Map<String, List<Told>>> told = new HashMap<>();
+
     private final Map<String, Double> ended = new HashMap<>();
     private double newest = Double.NEGATIVE_INFINITY;
     private long requests;
@@ -74,8 +75,11 @@
             ended.merge(end.party(), end.at(), Math::min);
         } else if (one instanceof Fell fell) {
             if (fell.informed() >= 2.0 / 3) {
-                breaches.accept(new Breach(Rule.COLD, fell.server(), "the cold server " + fell.server()
-                        + " was pushed over by balancers that knew that it was cold", List.of(fell)));
+                breaches.accept(new Breach(
+                        Rule.COLD,
+                        fell.server(),
+                        "the cold server " + fell.server() + " was pushed over by balancers that knew that it was cold",
+                        List.of(fell)));
             }
         } else {
             keep(txn(one), one);
@@ -154,7 +158,8 @@
 
     private void told(Told now) {
         told.computeIfAbsent(now.balancer(), name -> new HashMap<>())
-                .computeIfAbsent(now.server(), name -> new ArrayList<>()).add(now);
+                .computeIfAbsent(now.server(), name -> new ArrayList<>())
+                .add(now);
     }
 
     private void drain(Ran ran, List<Evidence> seen) {
@@ -168,9 +173,17 @@
         if (off != null && ran.begun() > off.at() + terms.drainGrace()) {
             List<Evidence> all = new ArrayList<>(seen);
             all.add(off);
-            breach(Rule.DRAIN, ran.txn(), String.format(Locale.ROOT,
-                    "%s sent to %s %.0f ms after it was told that this is %s", ran.balancer(), ran.server(),
-                    ran.begun() - off.at(), off.state()), all);
+            breach(
+                    Rule.DRAIN,
+                    ran.txn(),
+                    String.format(
+                            Locale.ROOT,
+                            "%s sent to %s %.0f ms after it was told that this is %s",
+                            ran.balancer(),
+                            ran.server(),
+                            ran.begun() - off.at(),
+                            off.state()),
+                    all);
         }
     }
 
@@ -214,37 +227,45 @@
             }
             case BROKEN -> {
                 if (!Double.isNaN(tried.sent()) && !endedWith(tried)) {
-                    breach(Rule.ANSWER, txn, tried.balancer() + " ended its connection without an answer",
-                            seen);
+                    breach(Rule.ANSWER, txn, tried.balancer() + " ended its connection without an answer", seen);
                 }
             }
             case ANSWERED -> {
                 if (tried.answered() > latest) {
-                    breach(Rule.ANSWER, txn, String.format(Locale.ROOT,
-                            "%s answered %.0f ms after its time was up", tried.balancer(),
-                            tried.answered() - tried.until()), seen);
+                    breach(
+                            Rule.ANSWER,
+                            txn,
+                            String.format(
+                                    Locale.ROOT,
+                                    "%s answered %.0f ms after its time was up",
+                                    tried.balancer(),
+                                    tried.answered() - tried.until()),
+                            seen);
                 }
                 if (tried.status() == 200 && tried.echo() == Echo.OTHER) {
-                    breach(Rule.ANSWER, txn, tried.balancer()
-                            + " served it with what no server made for it", seen);
-                } else if (tried.status() == 200 && terms.serversWhole()
+                    breach(Rule.ANSWER, txn, tried.balancer() + " served it with what no server made for it", seen);
+                } else if (tried.status() == 200
+                        && terms.serversWhole()
                         && attempts.stream().noneMatch(ran -> ran.how() == How.SERVED)) {
                     unexplained++;
                 }
                 for (Ran ran : attempts) {
                     if (ran.begun() > tried.answered() + terms.slack()) {
-                        breach(Rule.ANSWER, txn, tried.balancer() + " sent it to " + ran.server()
-                                + " after it had been answered", seen);
+                        breach(
+                                Rule.ANSWER,
+                                txn,
+                                tried.balancer() + " sent it to " + ran.server() + " after it had been answered",
+                                seen);
                     }
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /**
-     * Whether the balancer that had it ended while it did; who is killed may lose what it holds. Its end is
-     * noted before it is killed, so that one that comes later excuses nothing.
+     * Whether the balancer that had it ended while it did; who is killed may lose what it holds. Its end is noted
+     * before it is killed, so that one that comes later excuses nothing.
      */
     private boolean endedWith(Tried tried) {
         Double at = ended.get(tried.balancer());
@@ -261,25 +282,38 @@
                 // A request whose last byte was never written can't run, which who wrote it knows at once;
                 // that
                 // one was turned away is known once it was.
-                boolean possible = before.how().mayHaveRun()
-                        || before.how() == How.TURNED_AWAY && before.at() > ran.begun();
-                if (possible && !(type.effect() == Effect.KEYED && inGroup(type.group(), before, ran)
-                        && ran.begun() <= before.begun() + type.window() + terms.slack())) {
-                    breach(Rule.EFFECT, tried.txn(), tried.balancer() + " sent it to " + ran.server()
-                            + (ran.begun() < before.at() ? " while it was out at "
-                                    : " though it may have run at ")
-                            + before.server() + (type.effect() == Effect.KEYED
-                            ? ", outside the group or the window that drops repeats" : ""), seen);
+                boolean possible =
+                        before.how().mayHaveRun() || before.how() == How.TURNED_AWAY && before.at() > ran.begun();
+                if (possible
+                        && !(type.effect() == Effect.KEYED
+                                && inGroup(type.group(), before, ran)
+                                && ran.begun() <= before.begun() + type.window() + terms.slack())) {
+                    breach(
+                            Rule.EFFECT,
+                            tried.txn(),
+                            tried.balancer() + " sent it to " + ran.server()
+                                    + (ran.begun() < before.at()
+                                            ? " while it was out at "
+                                            : " though it may have run at ")
+                                    + before.server()
+                                    + (type.effect() == Effect.KEYED
+                                            ? ", outside the group or the window that drops repeats"
+                                            : ""),
+                            seen);
                     return;
                 }
             }
         }
         boolean refused = tried.end() == End.ANSWERED && (tried.status() == 429 || tried.status() == 503);
         if (refused && !(type.effect() == Effect.KEYED && type.group() == Group.ALL)) {
-            attempts.stream().filter(ran -> ran.how().mayHaveRun()).findFirst().ifPresent(ran ->
-                    breach(Rule.EFFECT, tried.txn(), tried.balancer()
-                            + " refused it though it may have run at "
-                            + ran.server(), seen));
+            attempts.stream()
+                    .filter(ran -> ran.how().mayHaveRun())
+                    .findFirst()
+                    .ifPresent(ran -> breach(
+                            Rule.EFFECT,
+                            tried.txn(),
+                            tried.balancer() + " refused it though it may have run at " + ran.server(),
+                            seen));
         }
     }
 
--- a/src/main/java/sablehinge/judge/Terms.java
+++ b/src/main/java/sablehinge/judge/Terms.java
@@ -13,15 +13,29 @@
  * @param callersWhole whether every caller's record is there
  * @param serversWhole likewise every server's
  */
-public record Terms(Map<String, ClassTerms> classes, double answerGrace, double drainGrace, double slack,
-        double hold, boolean callersWhole, boolean serversWhole) {
+public record Terms(
+        Map<String, ClassTerms> classes,
+        double answerGrace,
+        double drainGrace,
+        double slack,
+        double hold,
+        boolean callersWhole,
+        boolean serversWhole) {
 
     /** May it run again? */
-    public enum Effect { SAFE, KEYED, UNSAFE }
+    public enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Who drops a repeat of a keyed request. */
-    public enum Group { ALL, ZONE, CELL }
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** A class; the group and the window, in ms, count for keyed ones only. */
-    public record ClassTerms(Effect effect, Group group, double window) { }
+    public record ClassTerms(Effect effect, Group group, double window) {}
 }
--- a/src/main/java/sablehinge/log/DirectProvider.java
+++ b/src/main/java/sablehinge/log/DirectProvider.java
@@ -9,9 +9,9 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Logback as the mesh's daemons want it, without its search for settings: that compares versions, looks for
- * files and tells itself of it in texts, which is a tenth of the processor time of a start. SLF4J makes one
- * by the name that {@link #name} has it look for.
+ * Logback as the mesh's daemons want it, without its search for settings: that compares versions, looks for files and
+ * tells itself of it in texts, which is a tenth of the processor time of a start. SLF4J makes one by the name that
+ * {@link #name} has it look for.
  */
 public final class DirectProvider implements SLF4JServiceProvider {
 
--- a/src/main/java/sablehinge/log/JsonLines.java
+++ b/src/main/java/sablehinge/log/JsonLines.java
@@ -12,10 +12,10 @@
 
     /** Frames of one exception that are written: a line has a bound. */
     private static final int MOST_FRAMES = 40;
+
     private static final int MOST_STACK_CHARS = 8_192;
 
-    private JsonLines() {
-    }
+    private JsonLines() {}
 
     static Encoder<ILoggingEvent> encoder(LoggerContext loggers) {
         LogstashFieldNames names = new LogstashFieldNames();
--- a/src/main/java/sablehinge/log/LimitedAppender.java
+++ b/src/main/java/sablehinge/log/LimitedAppender.java
@@ -68,8 +68,7 @@
         }
         fields.add(new KeyValuePair(DROPPED, dropped));
         more.setKeyValuePairs(fields);
-        more.setMessage(line.getFormattedMessage() + " (" + dropped
-                + " lines before this one were dropped)");
+        more.setMessage(line.getFormattedMessage() + " (" + dropped + " lines before this one were dropped)");
         return more;
     }
 }
--- a/src/main/java/sablehinge/log/LogTerms.java
+++ b/src/main/java/sablehinge/log/LogTerms.java
@@ -15,11 +15,15 @@
 public record LogTerms(Format format, Level level, Map<String, Level> levels, int limit) {
 
     /** How lines look. */
-    public enum Format { TEXT, JSON, PAIRS }
+    public enum Format {
+        TEXT,
+        JSON,
+        PAIRS
+    }
 
     /** The parts of the program that have a level of their own; {@code netty} is the library below them. */
-    public static final List<String> SUBSYSTEMS = List.of("cli", "core", "http1", "membership", "netty",
-            "node", "recorder", "control", "sidecar");
+    public static final List<String> SUBSYSTEMS =
+            List.of("cli", "core", "http1", "membership", "netty", "node", "recorder", "control", "sidecar");
 
     /** Where nothing is said of it, as on the platform. */
     public static final LogTerms USUAL = new LogTerms(Format.TEXT, Level.INFO, Map.of(), 10);
--- a/src/main/java/sablehinge/log/Logging.java
+++ b/src/main/java/sablehinge/log/Logging.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logback, which finds it as a service before it looks for files: a start neither reads nor parses
- * any. Lines go to the standard error stream.
+ * Sets up logback, which finds it as a service before it looks for files: a start neither reads nor parses any. Lines
+ * go to the standard error stream.
  */
 public final class Logging extends ContextAwareBase implements Configurator {
 
@@ -70,12 +70,13 @@
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
         console.setContext(loggers);
         console.setTarget("System.err");
-        console.setEncoder(terms.format() == LogTerms.Format.JSON ? JsonLines.encoder(loggers)
-                : wrapped(loggers, terms.format() == LogTerms.Format.PAIRS ? new PairLines()
-                        : new TextLines()));
+        console.setEncoder(
+                terms.format() == LogTerms.Format.JSON
+                        ? JsonLines.encoder(loggers)
+                        : wrapped(
+                                loggers, terms.format() == LogTerms.Format.PAIRS ? new PairLines() : new TextLines()));
         console.start();
-        LimitedAppender limited = new LimitedAppender(console, terms.limit(),
-                () -> System.nanoTime() / NANOS_PER_MS);
+        LimitedAppender limited = new LimitedAppender(console, terms.limit(), () -> System.nanoTime() / NANOS_PER_MS);
         limited.setContext(loggers);
         limited.setName(LIMITED);
         limited.start();
--- a/src/main/java/sablehinge/log/PairLines.java
+++ b/src/main/java/sablehinge/log/PairLines.java
@@ -7,10 +7,7 @@
 import java.io.StringWriter;
 import org.slf4j.event.KeyValuePair;
 
-/**
- * A line of key=value pairs for each event: its time in ms since 1970, level, logger, its own pairs, its
- * words.
- */
+/** A line of key=value pairs for each event: its time in ms since 1970, level, logger, its own pairs, its words. */
 final class PairLines extends LayoutBase<ILoggingEvent> {
 
     @Override
--- a/src/main/java/sablehinge/log/TextLines.java
+++ b/src/main/java/sablehinge/log/TextLines.java
@@ -9,8 +9,8 @@
 import java.time.ZoneId;
 
 /**
- * Lines as java.util.logging writes them, which the platform's log has always been. Not by a pattern: what
- * patterns know is loaded at each start, 0.6 MB (docs/design/log.md).
+ * Lines as java.util.logging writes them, which the platform's log has always been. Not by a pattern: what patterns
+ * know is loaded at each start, 0.6 MB (docs/design/log.md).
  */
 final class TextLines extends LayoutBase<ILoggingEvent> {
 
@@ -20,10 +20,16 @@
     @Override
     public String doLayout(ILoggingEvent line) {
         StackTraceElement[] callers = line.getCallerData();
-        String from = callers.length == 0 ? line.getLoggerName() : callers[0].getClassName() + " "
-                + callers[0].getMethodName();
-        return String.format(FORM, line.getInstant().atZone(ZoneId.systemDefault()), from,
-                name(line.getLevel()), line.getFormattedMessage(), stack(line));
+        String from = callers.length == 0
+                ? line.getLoggerName()
+                : callers[0].getClassName() + " " + callers[0].getMethodName();
+        return String.format(
+                FORM,
+                line.getInstant().atZone(ZoneId.systemDefault()),
+                from,
+                name(line.getLevel()),
+                line.getFormattedMessage(),
+                stack(line));
     }
 
     private static String name(Level level) {
--- a/src/main/java/sablehinge/mapping/LogFields.java
+++ b/src/main/java/sablehinge/mapping/LogFields.java
@@ -6,11 +6,21 @@
 public final class LogFields {
 
     /** What a map of fields may name. */
-    public static final Set<String> WANTED = Set.of("time", "end_time", "duration_ms", "duration_s", "caller",
-            "method", "target", "status", "bytes", "request_bytes", "id", "host");
+    public static final Set<String> WANTED = Set.of(
+            "time",
+            "end_time",
+            "duration_ms",
+            "duration_s",
+            "caller",
+            "method",
+            "target",
+            "status",
+            "bytes",
+            "request_bytes",
+            "id",
+            "host");
     /** Formats that are known by a name; any other is an nginx {@code log_format} with its variables. */
     public static final Set<String> FORMATS = Set.of("auto", "common", "combined", "haproxy", "har", "json");
 
-    private LogFields() {
-    }
+    private LogFields() {}
 }
--- a/src/main/java/sablehinge/mapping/Mapping.java
+++ b/src/main/java/sablehinge/mapping/Mapping.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Says what logged requests are, by the first rule that is for them. Without any rules the first part of
- * the path
- * is the class and the second the key.
+ * Says what logged requests are, by the first rule that is for them. Without any rules the first part of the path is
+ * the class and the second the key.
  */
 public final class Mapping {
 
     /** Parts of a path that a shape shows. */
     private static final int MOST_PARTS = 6;
+
     private static final int LONGEST_PART = 24;
 
     private final List<Rule> rules;
@@ -47,8 +47,8 @@
         }
         int second = first == end ? end : target.indexOf('/', first + 1);
         second = second < 0 || second > end ? end : second;
-        return new Mapped(target.substring(1, first), first == end ? "" : target.substring(first + 1, second),
-                "", 0, -1);
+        return new Mapped(
+                target.substring(1, first), first == end ? "" : target.substring(first + 1, second), "", 0, -1);
     }
 
     /** A request with what varies left out, so that requests of one kind can be counted as such. */
@@ -59,8 +59,8 @@
         }
         String[] parts = asked.path().split("/", MOST_PARTS + 2);
         for (int i = 0; i < parts.length && i <= MOST_PARTS; i++) {
-            boolean varies = parts[i].length() > LONGEST_PART || parts[i].chars()
-                    .anyMatch(Character::isDigit);
+            boolean varies =
+                    parts[i].length() > LONGEST_PART || parts[i].chars().anyMatch(Character::isDigit);
             shape.append(i == 0 ? "" : "/").append(varies ? "{}" : parts[i]);
         }
         return shape.append(parts.length > MOST_PARTS + 1 ? "/…" : "").toString();
--- a/src/main/java/sablehinge/mapping/PathPattern.java
+++ b/src/main/java/sablehinge/mapping/PathPattern.java
@@ -8,11 +8,9 @@
 import java.util.Set;
 
 /**
- * A path such as {@code /tiles/{z}/{x}/*}: a part in braces takes one part of the path by a name, a star
- * takes
- * one without, and {@code **} or {@code {name...}} at the end take all that is left, which may be nothing.
- * A part
- * may have text round its name or star: {@code {y}.png}.
+ * A path such as {@code /tiles/{z}/{x}/*}: a part in braces takes one part of the path by a name, a star takes one
+ * without, and {@code **} or {@code {name...}} at the end take all that is left, which may be nothing. A part may have
+ * text round its name or star: {@code {y}.png}.
  */
 public final class PathPattern {
 
@@ -23,8 +21,7 @@
             if (name == null) {
                 return text.equals(head);
             }
-            return text.length() > head.length() + tail.length() && text.startsWith(head)
-                    && text.endsWith(tail);
+            return text.length() > head.length() + tail.length() && text.startsWith(head) && text.endsWith(tail);
         }
     }
 
@@ -44,8 +41,7 @@
             boolean last = i == pieces.length - 1;
             if (piece.equals("**") || piece.endsWith("...}") && piece.startsWith("{")) {
                 if (!last) {
-                    throw new IllegalArgumentException(piece
-                            + " takes all that is left, expected it at the end");
+                    throw new IllegalArgumentException(piece + " takes all that is left, expected it at the end");
                 }
                 open = true;
                 if (!piece.equals("**")) {
@@ -75,8 +71,7 @@
         if (tail.matches(".*[*{}].*") || brace >= 0 && star >= 0) {
             throw new IllegalArgumentException("more than one name or star in " + piece);
         }
-        return new Part(piece.substring(0, from), brace < 0 ? "" : name(piece.substring(from + 1, to - 1)),
-                tail);
+        return new Part(piece.substring(0, from), brace < 0 ? "" : name(piece.substring(from + 1, to - 1)), tail);
     }
 
     private String name(String name) {
--- a/src/main/java/sablehinge/mapping/Rule.java
+++ b/src/main/java/sablehinge/mapping/Rule.java
@@ -14,8 +14,17 @@
  * @param deadline how long the caller waits, in ms; 0 for the class's own
  * @param body bytes of the request's body; -1 for the replay's own
  */
-public record Rule(Set<String> methods, Glob host, PathPattern path, Named header, Named query,
-        Template serviceClass, Template key, Template tenant, double deadline, int body) {
+public record Rule(
+        Set<String> methods,
+        Glob host,
+        PathPattern path,
+        Named header,
+        Named query,
+        Template serviceClass,
+        Template key,
+        Template tenant,
+        double deadline,
+        int body) {
 
     /** A value by its name: of a header in lower case, of a query parameter as it stands. */
     public record Named(String name, Glob value) {
@@ -38,7 +47,8 @@
             return null;
         }
         String name = serviceClass.fill(asked, found);
-        return name.isEmpty() ? null : new Mapped(name, key.fill(asked, found), tenant.fill(asked, found),
-                deadline, body);
+        return name.isEmpty()
+                ? null
+                : new Mapped(name, key.fill(asked, found), tenant.fill(asked, found), deadline, body);
     }
 }
--- a/src/main/java/sablehinge/mapping/Template.java
+++ b/src/main/java/sablehinge/mapping/Template.java
@@ -15,7 +15,7 @@
     private static final Set<String> OWN = Set.of("method", "host", "path", "caller");
 
     /** Fixed text, or the name of what is filled in. */
-    private record Part(String text, boolean filled) { }
+    private record Part(String text, boolean filled) {}
 
     private final List<Part> parts = new ArrayList<>();
 
@@ -39,8 +39,8 @@
                 throw new IllegalArgumentException("a { without its }");
             }
             String name = text.substring(open + 1, close);
-            boolean prefixed = name.startsWith("query.") && name.length() > 6
-                    || name.startsWith("header.") && name.length() > 7;
+            boolean prefixed =
+                    name.startsWith("query.") && name.length() > 6 || name.startsWith("header.") && name.length() > 7;
             if (!prefixed && !names.contains(name) && !OWN.contains(name)) {
                 throw new IllegalArgumentException("nothing is called {" + name + "}, expected a name of the"
                         + " path pattern, {method}, {host}, {path}, {caller}, {query.NAME} or {header.NAME}");
@@ -76,8 +76,10 @@
                 case "host" -> asked.host();
                 case "path" -> asked.path();
                 case "caller" -> asked.caller();
-                default -> part.text.startsWith("query.") ? asked.query(part.text.substring(6))
-                        : asked.headers().get(part.text.substring(7));
+                default ->
+                    part.text.startsWith("query.")
+                            ? asked.query(part.text.substring(6))
+                            : asked.headers().get(part.text.substring(7));
             };
         }
         return value == null ? "" : value;
--- a/src/main/java/sablehinge/membership/Discovery.java
+++ b/src/main/java/sablehinge/membership/Discovery.java
@@ -33,9 +33,8 @@
 import sablehinge.policy.LoadBalancer.Change;
 
 /**
- * Asks discovery for the list of upstreams and watches its changes. Whatever goes wrong with a call, a
- * garbled answer or none at all, is {@link Change#FAILED} once, and the old list holds; when to ask again is
- * the module's decision.
+ * Asks discovery for the list of upstreams and watches its changes. Whatever goes wrong with a call, a garbled answer
+ * or none at all, is {@link Change#FAILED} once, and the old list holds; when to ask again is the module's decision.
  */
 public final class Discovery implements Registry {
 
@@ -67,6 +66,7 @@
     private boolean watching;
     /** The watch's connection, kept from call to call, and its call that is out. */
     private Channel kept;
+
     private Call watch;
 
     /**
@@ -75,29 +75,38 @@
      * @param known the version of the list that the listener has already
      * @param watchMillis how long a watch waits for news, in ms
      */
-    public Discovery(EventLoop loop, InetSocketAddress address, long known, RosterParser parser,
-            ByteBufAllocator memory, Listener listener, int watchMillis) {
+    public Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            long known,
+            RosterParser parser,
+            ByteBufAllocator memory,
+            Listener listener,
+            int watchMillis) {
         this.loop = loop;
         this.parser = parser;
         this.listener = listener;
         this.watchMillis = watchMillis;
         this.address = address;
         version = known;
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, memory).option(ChannelOption.TCP_NODELAY, true)
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.ALLOCATOR, memory)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(),
-                                new HttpObjectAggregator(MAX_LIST), new Answers());
+                        channel.pipeline()
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Answers());
                     }
                 });
     }
 
     /**
-     * Begins the watch, or ends it. One that is out ends quietly, and the new one goes over a connection of
-     * its own: nothing but the want of an answer tells a dead connection from one with no news.
+     * Begins the watch, or ends it. One that is out ends quietly, and the new one goes over a connection of its own:
+     * nothing but the want of an answer tells a dead connection from one with no news.
      */
     @Override
     public void watch(boolean on) {
@@ -112,8 +121,8 @@
     }
 
     /**
-     * Goes over to another discovery. The call that is out there ends quietly, as nothing has failed, and
-     * the new one is asked for its whole list at once: its versions need not go on from the old one's.
+     * Goes over to another discovery. The call that is out there ends quietly, as nothing has failed, and the new one
+     * is asked for its whole list at once: its versions need not go on from the old one's.
      */
     public void moveTo(InetSocketAddress other) {
         if (other.equals(address)) {
@@ -135,9 +144,9 @@
     }
 
     private void watchOn() {
-        watch = version == UNTOLD ? new Call("", CONNECT_TIMEOUT_MS + LATE_MS, this::watched)
-                : new Call("?index=" + version + "&wait=" + watchMillis, watchMillis + LATE_MS,
-                        this::watched);
+        watch = version == UNTOLD
+                ? new Call("", CONNECT_TIMEOUT_MS + LATE_MS, this::watched)
+                : new Call("?index=" + version + "&wait=" + watchMillis, watchMillis + LATE_MS, this::watched);
         watch.start(kept);
     }
 
@@ -219,8 +228,8 @@
         private void ask(Channel connection) {
             channel = connection;
             channel.pipeline().get(Answers.class).asked = this;
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    "/catalog/members" + query, Unpooled.EMPTY_BUFFER);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, HttpMethod.GET, "/catalog/members" + query, Unpooled.EMPTY_BUFFER);
             request.headers().set("Host", address.getHostString());
             channel.writeAndFlush(request).addListener(write -> {
                 if (!write.isSuccess()) {
@@ -252,7 +261,8 @@
             try {
                 roster = read(response);
             } catch (IOException | IllegalArgumentException e) {
-                Log.warn(LOG, "list-malformed").addKeyValue("cause", e.getMessage())
+                Log.warn(LOG, "list-malformed")
+                        .addKeyValue("cause", e.getMessage())
                         .log("discovery's answer is of no use: {}", e.getMessage());
                 fail();
                 return;
@@ -300,7 +310,8 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                Log.warn(LOG, "discovery-failed").addKeyValue("cause", cause.toString())
+                Log.warn(LOG, "discovery-failed")
+                        .addKeyValue("cause", cause.toString())
                         .log("the connection to discovery failed: {}", cause.toString());
             }
             if (asked != null) {
--- a/src/main/java/sablehinge/membership/Maintenance.java
+++ b/src/main/java/sablehinge/membership/Maintenance.java
@@ -12,9 +12,9 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * Which upstreams operators have taken out, over what discovery says. One that is out is passed on as
- * draining, so that the rule on drains holds for it; one that is back counts as started when it came back,
- * unless discovery knows of a start since it was taken out. It has no clock and does no I/O.
+ * Which upstreams operators have taken out, over what discovery says. One that is out is passed on as draining, so that
+ * the rule on drains holds for it; one that is back counts as started when it came back, unless discovery knows of a
+ * start since it was taken out. It has no clock and does no I/O.
  */
 public final class Maintenance {
 
@@ -27,10 +27,11 @@
     private final Map<Long, Double> out = new HashMap<>();
     /** Who came back without a start that discovery knows of. */
     private final Map<Long, Stay> back = new HashMap<>();
+
     private long version;
 
     /** A time out that is over, in ms of the clock. */
-    private record Stay(double from, double until) { }
+    private record Stay(double from, double until) {}
 
     /** Takes in what discovery says; returns what is to be passed on. */
     public Roster take(Roster news) {
@@ -53,7 +54,8 @@
 
     /** The whole list as it is to be passed on. */
     public Roster whole() {
-        return new Roster(version, true, listed.values().stream().map(this::shown).toList());
+        return new Roster(
+                version, true, listed.values().stream().map(this::shown).toList());
     }
 
     /** Whether an upstream is listed, or out and so awaited back. */
@@ -113,7 +115,15 @@
 
     private static Member with(Member member, State state, double startedAt) {
         Upstream upstream = member.upstream();
-        return new Member(new Upstream(upstream.id(), upstream.zone(), upstream.kind(), upstream.cell(),
-                state, upstream.weight(), startedAt), member.address());
+        return new Member(
+                new Upstream(
+                        upstream.id(),
+                        upstream.zone(),
+                        upstream.kind(),
+                        upstream.cell(),
+                        state,
+                        upstream.weight(),
+                        startedAt),
+                member.address());
     }
 }
--- a/src/main/java/sablehinge/membership/RosterParser.java
+++ b/src/main/java/sablehinge/membership/RosterParser.java
@@ -24,8 +24,8 @@
     private static final int MOST_NAMES = 1_000;
 
     /**
-     * Reads a list; throws {@link IllegalArgumentException} if any part of it is amiss, since half a list
-     * would drop upstreams that are well.
+     * Reads a list; throws {@link IllegalArgumentException} if any part of it is amiss, since half a list would drop
+     * upstreams that are well.
      */
     public Roster parse(JsonNode list) {
         JsonNode servers = list.get("servers");
@@ -44,15 +44,21 @@
         if (id.isEmpty()) {
             throw new IllegalArgumentException("an upstream without an id");
         }
-        State state = switch (entry.path("state").asText("")) {
-            case "up" -> State.READY;
-            case "draining" -> State.DRAINING;
-            case "removed" -> State.REMOVED;
-            default -> throw new IllegalArgumentException("upstream " + id + " has no known state");
-        };
-        Upstream upstream = new Upstream(number(id), index(zones, entry.path("zone").asText("")),
-                index(kinds, entry.path("kind").asText("")), entry.path("cell").asInt(0), state,
-                entry.path("weight").asDouble(1), entry.path("started_ms").asDouble(0));
+        State state =
+                switch (entry.path("state").asText("")) {
+                    case "up" -> State.READY;
+                    case "draining" -> State.DRAINING;
+                    case "removed" -> State.REMOVED;
+                    default -> throw new IllegalArgumentException("upstream " + id + " has no known state");
+                };
+        Upstream upstream = new Upstream(
+                number(id),
+                index(zones, entry.path("zone").asText("")),
+                index(kinds, entry.path("kind").asText("")),
+                entry.path("cell").asInt(0),
+                state,
+                entry.path("weight").asDouble(1),
+                entry.path("started_ms").asDouble(0));
         String address = entry.path("addr").asText("");
         // Who is gone needs no address.
         boolean none = address.isEmpty() && state == State.REMOVED;
--- a/src/main/java/sablehinge/node/AccessLog.java
+++ b/src/main/java/sablehinge/node/AccessLog.java
@@ -17,10 +17,8 @@
 import sablehinge.core.Version;
 
 /**
- * A line of JSON for each answer. A thread of its own writes them: the loop never waits for the disk, and
- * what comes
- * faster than that can write is dropped and counted. At a bound the file is renamed and begun anew; one old
- * one is
+ * A line of JSON for each answer. A thread of its own writes them: the loop never waits for the disk, and what comes
+ * faster than that can write is dropped and counted. At a bound the file is renamed and begun anew; one old one is
  * kept.
  */
 final class AccessLog {
@@ -28,6 +26,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(AccessLog.class);
     /** Lines that may wait to be written. */
     static final int MOST_WAITING = 16_384;
+
     private static final String END = "";
 
     private final Path file;
@@ -50,22 +49,34 @@
     }
 
     private BufferedWriter open() throws IOException {
-        BufferedWriter opened = Files.newBufferedWriter(file, StandardCharsets.UTF_8,
-                StandardOpenOption.CREATE,
-                StandardOpenOption.APPEND);
+        BufferedWriter opened = Files.newBufferedWriter(
+                file, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         bytes = Files.size(file);
         return opened;
     }
 
     /** Notes an answer; {@code at} is its time in ms since 1970. */
-    void note(double at, String request, Version version, int serviceClass, Answer.Kind kind, int attempts,
+    void note(
+            double at,
+            String request,
+            Version version,
+            int serviceClass,
+            Answer.Kind kind,
+            int attempts,
             double elapsed) {
         // Ids are plain ASCII, see http1.RequestCheck; only two of its characters have a meaning here.
         String id = request.replace("\\", "\\\\").replace("\"", "\\\"");
-        String line = String.format(Locale.ROOT,
+        String line = String.format(
+                Locale.ROOT,
                 "{\"at_ms\":%.0f,\"request\":\"%s\",\"version\":%d,\"class\":\"%s\","
-                + "\"outcome\":\"%s\",\"attempts\":%d,\"ms\":%.1f}%n", at, id, version.number(),
-                version.classes().get(serviceClass), kind.name().toLowerCase(Locale.ROOT), attempts, elapsed);
+                        + "\"outcome\":\"%s\",\"attempts\":%d,\"ms\":%.1f}%n",
+                at,
+                id,
+                version.number(),
+                version.classes().get(serviceClass),
+                kind.name().toLowerCase(Locale.ROOT),
+                attempts,
+                elapsed);
         if (!lines.offer(line)) {
             dropped.incrementAndGet();
         }
@@ -93,7 +104,8 @@
             } catch (IOException e) {
                 // A full disk costs lines and nothing else.
                 dropped.incrementAndGet();
-                Log.warn(LOG, "access-log-failed").addKeyValue("cause", e.getMessage())
+                Log.warn(LOG, "access-log-failed")
+                        .addKeyValue("cause", e.getMessage())
                         .log("the access log can't be written: {}", e.getMessage());
             } catch (InterruptedException e) {
                 return;
@@ -113,8 +125,7 @@
         closeFile();
         // A rotation that failed half way must not fail for good for want of the old file.
         if (Files.exists(file)) {
-            Files.move(file, file.resolveSibling(file.getFileName() + ".1"),
-                    StandardCopyOption.REPLACE_EXISTING);
+            Files.move(file, file.resolveSibling(file.getFileName() + ".1"), StandardCopyOption.REPLACE_EXISTING);
         }
         out = open();
     }
--- a/src/main/java/sablehinge/node/AdminHandler.java
+++ b/src/main/java/sablehinge/node/AdminHandler.java
@@ -55,8 +55,11 @@
             reply.accept(AdminServer.error(REFUSED, "this balancer has no [recorder]"));
             return;
         }
-        node.recording().dump((path, why) -> reply.accept(why != null ? AdminServer.error(REFUSED, why)
-                : new Reply(200, JSON.createObjectNode().put("path", path.toString()))));
+        node.recording()
+                .dump((path, why) -> reply.accept(
+                        why != null
+                                ? AdminServer.error(REFUSED, why)
+                                : new Reply(200, JSON.createObjectNode().put("path", path.toString()))));
     }
 
     private static int number(Request request, String name) {
@@ -64,15 +67,24 @@
     }
 
     private void simple(ChangeDecider.Reply done, Consumer<Reply> reply) {
-        reply.accept(done.done() ? new Reply(200, status().put("message", done.message()))
-                : AdminServer.error(REFUSED, done.message()));
+        reply.accept(
+                done.done()
+                        ? new Reply(200, status().put("message", done.message()))
+                        : AdminServer.error(REFUSED, done.message()));
     }
 
     private void content(int version, Consumer<Reply> reply) {
         int wanted = version == 0 ? versions.decider().confirmed() : version;
-        versions.content(wanted, (bytes, failure) -> reply.accept(failure != null
-                ? AdminServer.error(404, failure) : new Reply(200, JSON.createObjectNode()
-                .put("version", wanted).put("content", new String(bytes, StandardCharsets.UTF_8)))));
+        versions.content(
+                wanted,
+                (bytes, failure) -> reply.accept(
+                        failure != null
+                                ? AdminServer.error(404, failure)
+                                : new Reply(
+                                        200,
+                                        JSON.createObjectNode()
+                                                .put("version", wanted)
+                                                .put("content", new String(bytes, StandardCharsets.UTF_8)))));
     }
 
     private void stage(Request request, Consumer<Reply> reply) {
@@ -84,7 +96,9 @@
             } else {
                 ObjectNode body = JSON.createObjectNode().put("error", "the file is wrong");
                 ArrayNode problems = body.putArray("problems");
-                staged.problems().forEach(p -> problems.addObject().put("line", p.line()).put("key", p.key())
+                staged.problems().forEach(p -> problems.addObject()
+                        .put("line", p.line())
+                        .put("key", p.key())
                         .put("message", p.message()));
                 reply.accept(new Reply(BAD_FILE, body));
             }
@@ -93,7 +107,9 @@
 
     private void apply(Request request, Consumer<Reply> reply) {
         int version = number(request, "version");
-        ChangeDecider.Reply begun = versions.apply(version, number(request, "confirm_within_ms"),
+        ChangeDecider.Reply begun = versions.apply(
+                version,
+                number(request, "confirm_within_ms"),
                 "true".equals(request.query().get("automatic")));
         if (begun.done()) {
             whenPast(version, Phase.TRIAL, reply);
@@ -119,15 +135,21 @@
             node.timers().at(node.clock().now() + LOOK_MS, () -> whenPast(version, phase, reply));
             return;
         }
-        Past past = decider.past().stream().filter(one -> one.version() == version).findFirst().orElse(null);
-        reply.accept(past == null || past.kept() ? new Reply(200, status())
-                : AdminServer.error(REFUSED, "version " + version + " is undone: " + past.reason()));
+        Past past = decider.past().stream()
+                .filter(one -> one.version() == version)
+                .findFirst()
+                .orElse(null);
+        reply.accept(
+                past == null || past.kept()
+                        ? new Reply(200, status())
+                        : AdminServer.error(REFUSED, "version " + version + " is undone: " + past.reason()));
     }
 
     private ObjectNode status() {
         ChangeDecider decider = versions.decider();
         double now = node.clock().now();
-        ObjectNode status = JSON.createObjectNode().put("current", node.core().version().number())
+        ObjectNode status = JSON.createObjectNode()
+                .put("current", node.core().version().number())
                 .put("confirmed", decider.confirmed());
         ObjectNode change = status.putObject("change");
         change.put("phase", decider.phase().name().toLowerCase(Locale.ROOT));
@@ -138,14 +160,18 @@
         ObjectNode staged = status.putObject("staged");
         decider.stagedVersions().forEach((version, base) -> staged.put(Integer.toString(version), base));
         ArrayNode past = status.putArray("past");
-        decider.past().forEach(one -> past.addObject().put("version", one.version())
-                .put("at_ms", Math.round(one.at())).put("outcome", one.kept() ? "confirmed" : "undone")
+        decider.past().forEach(one -> past.addObject()
+                .put("version", one.version())
+                .put("at_ms", Math.round(one.at()))
+                .put("outcome", one.kept() ? "confirmed" : "undone")
                 .put("reason", one.reason()));
         if (node.recording() != null) {
             node.recording().status(status);
         }
-        return status.put("last_undo_ms", versions.undoMs()).put("versions_at_work", node.core().versions())
-                .put("requests_at_work", node.core().requests()).put("connections", node.sockets().open())
+        return status.put("last_undo_ms", versions.undoMs())
+                .put("versions_at_work", node.core().versions())
+                .put("requests_at_work", node.core().requests())
+                .put("connections", node.sockets().open())
                 .put("access_log_dropped", node.droppedLines());
     }
 }
--- a/src/main/java/sablehinge/node/LoopVitals.java
+++ b/src/main/java/sablehinge/node/LoopVitals.java
@@ -20,8 +20,7 @@
     private final LongSupplier memory;
 
     /** Of the given parts; {@code memory} tells the bytes of direct memory that buffers use. */
-    public LoopVitals(Core core, Sockets sockets, Supplier<Collection<Frontend>> fronts,
-            LongSupplier memory) {
+    public LoopVitals(Core core, Sockets sockets, Supplier<Collection<Frontend>> fronts, LongSupplier memory) {
         this.core = core;
         this.sockets = sockets;
         this.fronts = fronts;
--- a/src/main/java/sablehinge/node/Node.java
+++ b/src/main/java/sablehinge/node/Node.java
@@ -42,13 +42,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
     /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
     private static final int PAGE = 8_192;
+
     private static final int CHUNK_ORDER = 6;
     private static final int CACHED = 32;
     /** How long new connections may still come after SIGTERM, with time to spare. */
     private static final long LATE_CONNECTIONS_MS = 550;
+
     private static final long DRAIN_CHECK_MS = 10;
     /** SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more: less is used of it. */
     private static final double LONGEST_DRAIN_MS = 3_000;
+
     private static final double DRAIN_SLACK_MS = 550;
     /** The time that is kept of it to answer what has come, once callers are asked to leave. */
     private static final double LAST_ANSWERS_MS = 1_650;
@@ -60,6 +63,7 @@
 
     /** The system property that names the directory of a flight recorder's dumps; absent, there is none. */
     private static final String FLIGHT = "sablehinge.flight";
+
     private static final int FLIGHT_BYTES = 1 << 20;
     private static final int FLIGHT_DUMPS = 10;
 
@@ -75,23 +79,28 @@
     private final Maintenance maintenance = new Maintenance();
     /** Null where nothing is shared with another process of this balancer. */
     private Shared shared;
+
     private CallServer calls;
     /** The names of those that are out, by their numbers. */
     private final Map<Long, String> out = new HashMap<>();
+
     private boolean leaving;
 
-    private Node(PlatformConfig config, EventLoop loop,
-            Function<LoadBalancer.Actions, LoadBalancer> module) {
+    private Node(PlatformConfig config, EventLoop loop, Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.config = config;
         this.loop = loop;
-        memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED,
-                CACHED, false);
+        memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
         sockets = new Sockets(config.sockets());
         core = new Core(clock, new LoopTimers(loop, clock), module);
         upstreams = new UpstreamClient(loop, clock, sockets, memory);
-        discovery = new Discovery(loop, config.discovery(), config.known().version(),
-                new RosterParser(config.zones(), config.kinds(), false), memory, this::told,
-                        Discovery.WATCH_MS);
+        discovery = new Discovery(
+                loop,
+                config.discovery(),
+                config.known().version(),
+                new RosterParser(config.zones(), config.kinds(), false),
+                memory,
+                this::told,
+                Discovery.WATCH_MS);
         frontend = new Frontend(loop, sockets, memory, core);
     }
 
@@ -128,8 +137,16 @@
     private void recordIfAsked() throws InterruptedException {
         String folder = System.getProperty(FLIGHT);
         if (folder != null) {
-            Recording recording = new Recording(config.name(), FLIGHT_BYTES, Path.of(folder), FLIGHT_DUMPS,
-                    Watch.Terms.USUAL, loop, core, sockets, () -> List.of(frontend),
+            Recording recording = new Recording(
+                    config.name(),
+                    FLIGHT_BYTES,
+                    Path.of(folder),
+                    FLIGHT_DUMPS,
+                    Watch.Terms.USUAL,
+                    loop,
+                    core,
+                    sockets,
+                    () -> List.of(frontend),
                     memory::pinnedDirectMemory);
             loop.submit(recording::begin).sync();
         }
@@ -182,8 +199,7 @@
 
     private void turn(String id, boolean suspends) {
         long number = RosterParser.number(id);
-        Roster change = suspends ? maintenance.suspend(number, clock.now())
-                : maintenance.restore(number, clock.now());
+        Roster change = suspends ? maintenance.suspend(number, clock.now()) : maintenance.restore(number, clock.now());
         if (suspends) {
             out.put(number, id);
         } else {
@@ -191,7 +207,8 @@
         }
         if (!change.members().isEmpty()) {
             core.told(Change.DELTA, change);
-            Log.info(LOG, suspends ? "server-taken-out" : "server-put-back").addKeyValue("server", id)
+            Log.info(LOG, suspends ? "server-taken-out" : "server-put-back")
+                    .addKeyValue("server", id)
                     .log("operators {} {}", suspends ? "took out" : "put back", id);
         }
     }
@@ -208,7 +225,8 @@
             noted.forEach(id -> turn(id, true));
             sockets.share(shared.another(false) ? 2 : 1);
         } catch (IOException | RuntimeException e) {
-            Log.warn(LOG, "shared-unreadable").addKeyValue("cause", e.toString())
+            Log.warn(LOG, "shared-unreadable")
+                    .addKeyValue("cause", e.toString())
                     .log("what the processes of this balancer share can't be read: {}", e.toString());
         }
     }
@@ -237,23 +255,25 @@
     }
 
     /**
-     * Stops as SIGTERM wants it. Callers go on using the connections that they have, and may have nowhere
-     * else to go while another balancer restarts too, so they are served as before for as long as there is
-     * time to answer what has come. Then they are asked to leave. Where another process of this balancer
-     * serves already, new callers are left to it, and answers ask the others to leave from the first on.
-     * Returns when the process may end.
+     * Stops as SIGTERM wants it. Callers go on using the connections that they have, and may have nowhere else to go
+     * while another balancer restarts too, so they are served as before for as long as there is time to answer what has
+     * come. Then they are asked to leave. Where another process of this balancer serves already, new callers are left
+     * to it, and answers ask the others to leave from the first on. Returns when the process may end.
      */
     public void drain() throws InterruptedException {
-        double longest = core.version().settings().classes().stream().mapToDouble(ServiceClass::deadline)
-                .max().orElse(0);
+        double longest = core.version().settings().classes().stream()
+                .mapToDouble(ServiceClass::deadline)
+                .max()
+                .orElse(0);
         double begun = clock.now();
         double latest = begun + Math.min(longest, LONGEST_DRAIN_MS) + DRAIN_SLACK_MS;
         boolean handsOver = hasSuccessor();
         if (handsOver) {
             loop.submit(() -> {
-                leaving = true;
-                frontend.handOver();
-            }).sync();
+                        leaving = true;
+                        frontend.handOver();
+                    })
+                    .sync();
         }
         double rest = Math.max(LATE_CONNECTIONS_MS, latest - begun - LAST_ANSWERS_MS);
         while (clock.now() < begun + rest && !(handsOver && isLeft())) {
@@ -280,7 +300,8 @@
                 shared.close();
             }
         } catch (IOException e) {
-            Log.warn(LOG, "shared-not-left").addKeyValue("cause", e.toString())
+            Log.warn(LOG, "shared-not-left")
+                    .addKeyValue("cause", e.toString())
                     .log("what the processes of this balancer share can't be left: {}", e.toString());
         }
     }
@@ -291,8 +312,8 @@
     }
 
     /**
-     * Takes a configuration over that was read as this one's successor: where discovery is, and the settings
-     * for what arrives from now on. What has come keeps those under which it came.
+     * Takes a configuration over that was read as this one's successor: where discovery is, and the settings for what
+     * arrives from now on. What has come keeps those under which it came.
      */
     public void reload(PlatformConfig changed) {
         loop.execute(() -> {
@@ -304,9 +325,9 @@
             }
             frontend.takesLate(LATE_REQUESTS_MS);
             core.adopt(next, maintenance.whole());
-            loop.schedule(() -> core.release(before.number()), 2 * LATE_REQUESTS_MS,
-                    TimeUnit.MILLISECONDS);
-            Log.info(LOG, "settings-taken").addKeyValue("version", next.number())
+            loop.schedule(() -> core.release(before.number()), 2 * LATE_REQUESTS_MS, TimeUnit.MILLISECONDS);
+            Log.info(LOG, "settings-taken")
+                    .addKeyValue("version", next.number())
                     .log("takes version {} of its settings", next.number());
         });
     }
--- a/src/main/java/sablehinge/node/OperatorNode.java
+++ b/src/main/java/sablehinge/node/OperatorNode.java
@@ -67,9 +67,9 @@
     private final UpstreamClient transport;
     /** Null where budgets are off. */
     private final HeaderText budgets;
+
     private final VersionStore store;
-    private final ExecutorService files = Executors.newSingleThreadExecutor(
-            new DefaultThreadFactory("files", true));
+    private final ExecutorService files = Executors.newSingleThreadExecutor(new DefaultThreadFactory("files", true));
     private final Versions versions;
     private final Path file;
     private AdminServer admin;
@@ -94,8 +94,12 @@
         }
     }
 
-    private OperatorNode(Path file, First first, VersionStore store,
-            Function<LoadBalancer.Actions, LoadBalancer> module, HeaderText text) {
+    private OperatorNode(
+            Path file,
+            First first,
+            VersionStore store,
+            Function<LoadBalancer.Actions, LoadBalancer> module,
+            HeaderText text) {
         this.file = file;
         this.store = store;
         loop = ClosingEventLoops.single("node");
@@ -107,7 +111,11 @@
         budgets = text;
         if (part != null) {
             transport.budgets(budgets);
-            core.budgets(new ChainBudgets(part.terms(), part.shed(), serviceId(part.service()), part.entry(),
+            core.budgets(new ChainBudgets(
+                    part.terms(),
+                    part.shed(),
+                    serviceId(part.service()),
+                    part.entry(),
                     ThreadLocalRandom.current().nextLong(),
                     line -> Log.warn(LOG, "budget").log(line)));
         }
@@ -129,8 +137,7 @@
             try {
                 secrets.put(key.getKey(), OperatorFile.bytes(secret));
             } catch (IOException e) {
-                throw new IOException("budget key " + key.getKey() + ": " + key.getValue() + ": "
-                        + e.getMessage(), e);
+                throw new IOException("budget key " + key.getKey() + ": " + key.getValue() + ": " + e.getMessage(), e);
             }
         }
         try {
@@ -141,8 +148,7 @@
     }
 
     /**
-     * Starts by an operator file. The version that was last confirmed is served, not the file, if there is
-     * one.
+     * Starts by an operator file. The version that was last confirmed is served, not the file, if there is one.
      *
      * @param adopt whether the file is to be served in any case, as a new confirmed version
      */
@@ -162,7 +168,9 @@
         if (checked.config() == null) {
             throw new StartException("", checked.problems());
         }
-        Path state = file.toAbsolutePath().getParent().resolve(checked.config().node().state());
+        Path state = file.toAbsolutePath()
+                .getParent()
+                .resolve(checked.config().node().state());
         VersionStore store;
         try {
             store = VersionStore.in(state);
@@ -181,9 +189,10 @@
                 // Only now: a file that could not be served must not be what the next start insists on.
                 node.confirm(first.number());
             }
-            Log.info(LOG, "serves").addKeyValue("name", first.config().node().name())
-                    .addKeyValue("version", first.number()).log("serves as {} under version {}",
-                            first.config().node().name(), first.number());
+            Log.info(LOG, "serves")
+                    .addKeyValue("name", first.config().node().name())
+                    .addKeyValue("version", first.number())
+                    .log("serves as {} under version {}", first.config().node().name(), first.number());
             return node;
         } catch (IOException e) {
             if (node != null) {
@@ -204,15 +213,19 @@
     }
 
     /** A version to serve first. */
-    private record First(int number, OperatorConfig config) { }
+    private record First(int number, OperatorConfig config) {}
 
     private static First first(VersionStore store, byte[] bytes, OperatorConfig given, boolean adopt)
             throws IOException {
         if (store.cutOff() != 0) {
-            Log.warn(LOG, "version-cut-off").addKeyValue("version", store.cutOff())
+            Log.warn(LOG, "version-cut-off")
+                    .addKeyValue("version", store.cutOff())
                     .addKeyValue("current", store.confirmed())
-                    .log("configuration: version {} was on trial when the process ended"
-                            + " and is undone; version {} serves", store.cutOff(), store.confirmed());
+                    .log(
+                            "configuration: version {} was on trial when the process ended"
+                                    + " and is undone; version {} serves",
+                            store.cutOff(),
+                            store.confirmed());
             store.mark(0);
         }
         if (store.confirmed() == 0 || adopt) {
@@ -220,10 +233,13 @@
         }
         byte[] confirmed = store.content(store.confirmed());
         if (!Arrays.equals(confirmed, bytes)) {
-            Log.warn(LOG, "file-differs").addKeyValue("current", store.confirmed())
-                    .log("configuration: the operator file is not version {}, which serves;"
-                            + " `config apply` or SIGHUP would try it, --adopt at the start takes it"
-                            + " as it is", store.confirmed());
+            Log.warn(LOG, "file-differs")
+                    .addKeyValue("current", store.confirmed())
+                    .log(
+                            "configuration: the operator file is not version {}, which serves;"
+                                    + " `config apply` or SIGHUP would try it, --adopt at the start takes it"
+                                    + " as it is",
+                            store.confirmed());
         }
         OperatorFile.Checked checked = OperatorFile.parse(confirmed);
         if (checked.config() == null) {
@@ -237,9 +253,10 @@
     private void confirm(int number) throws IOException, InterruptedException {
         try {
             files.submit(() -> {
-                store.confirm(number);
-                return null;
-            }).get();
+                        store.confirm(number);
+                        return null;
+                    })
+                    .get();
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e);
         }
@@ -248,15 +265,16 @@
     private void begin(OperatorConfig first, Path state) throws IOException, InterruptedException {
         Logging.apply(first.log());
         if (first.node().accessLog() != null) {
-            accessLog = new AccessLog(file.toAbsolutePath().getParent().resolve(first.node().accessLog()),
-                    ACCESS_LOG_BYTES);
+            accessLog = new AccessLog(
+                    file.toAbsolutePath().getParent().resolve(first.node().accessLog()), ACCESS_LOG_BYTES);
         }
         RecorderPart part = first.recorder();
         if (part != null) {
             recording = recording(first.node().name(), part);
             loop.submit(recording::begin).sync();
         }
-        loop.submit(() -> versions.start(ThreadLocalRandom.current().nextLong())).sync();
+        loop.submit(() -> versions.start(ThreadLocalRandom.current().nextLong()))
+                .sync();
         for (ListenerPart place : Versions.places(first)) {
             Frontend front = front();
             front.bind(place.address(), false);
@@ -278,10 +296,19 @@
     }
 
     private Recording recording(String name, RecorderPart part) {
-        return new Recording(name, (int) (part.mib() * (1 << 20)), part.directory() == null ? null
-                : file.toAbsolutePath().getParent().resolve(part.directory()), part.keep(),
-                new Watch.Terms(part.tick(), part.stall(), part.turn(), part.overdue(), part.quiet(),
-                part.atRestKib() * 1024L), loop, core, sockets, versions::listening,
+        return new Recording(
+                name,
+                (int) (part.mib() * (1 << 20)),
+                part.directory() == null
+                        ? null
+                        : file.toAbsolutePath().getParent().resolve(part.directory()),
+                part.keep(),
+                new Watch.Terms(
+                        part.tick(), part.stall(), part.turn(), part.overdue(), part.quiet(), part.atRestKib() * 1024L),
+                loop,
+                core,
+                sockets,
+                versions::listening,
                 memory::pinnedDirectMemory);
     }
 
@@ -317,10 +344,10 @@
         return front;
     }
 
-    Discovery discovery(InetSocketAddress address, List<String> zones, List<String> kinds,
-            Discovery.Listener listener) {
-        return new Discovery(loop, address, -1, new RosterParser(zones, kinds, true), memory, listener,
-                Discovery.WATCH_MS);
+    Discovery discovery(
+            InetSocketAddress address, List<String> zones, List<String> kinds, Discovery.Listener listener) {
+        return new Discovery(
+                loop, address, -1, new RosterParser(zones, kinds, true), memory, listener, Discovery.WATCH_MS);
     }
 
     /** Null where there is none. */
@@ -335,12 +362,12 @@
 
     /** Where callers are let in, in the order of the file. */
     public List<InetSocketAddress> addresses() throws InterruptedException {
-        return onLoop(() -> versions.fronts().values().stream().map(Frontend::address).toList());
+        return onLoop(
+                () -> versions.fronts().values().stream().map(Frontend::address).toList());
     }
 
     /** Notes an answer in the access log, if there is one. */
-    void note(String request, Version version, int serviceClass, Answer.Kind kind, int attempts,
-            double elapsed) {
+    void note(String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed) {
         if (accessLog != null) {
             accessLog.note(clock.now(), request, version, serviceClass, kind, attempts, elapsed);
         }
@@ -362,7 +389,8 @@
                 byte[] bytes = OperatorFile.bytes(file);
                 loop.execute(() -> versions.stage(bytes, 0, this::reloaded));
             } catch (IOException e) {
-                Log.warn(LOG, "file-unreadable").addKeyValue("cause", e.getMessage())
+                Log.warn(LOG, "file-unreadable")
+                        .addKeyValue("cause", e.getMessage())
                         .log("configuration: the operator file {}", e.getMessage());
             }
         });
@@ -378,22 +406,24 @@
             }
         }
         for (Problem problem : staged.problems()) {
-            Log.warn(LOG, "file-malformed").addKeyValue("line", problem.line())
-                    .addKeyValue("key", problem.key()).addKeyValue("problem", problem.message())
+            Log.warn(LOG, "file-malformed")
+                    .addKeyValue("line", problem.line())
+                    .addKeyValue("key", problem.key())
+                    .addKeyValue("problem", problem.message())
                     .log("configuration: {}", problem.in(file.getFileName().toString()));
         }
         if (why != null) {
-            Log.warn(LOG, "file-refused").addKeyValue("reason", why)
+            Log.warn(LOG, "file-refused")
+                    .addKeyValue("reason", why)
                     .log("configuration: the operator file is not applied: {}", why);
         }
     }
 
-    /**
-     * Stops as SIGTERM wants it: answers what has come, lets callers go, and returns when nothing is left.
-     */
+    /** Stops as SIGTERM wants it: answers what has come, lets callers go, and returns when nothing is left. */
     public void drain() throws InterruptedException {
-        double longest = onLoop(() -> versions.config().classes().stream().mapToDouble(c ->
-                c.deadline()).max()
+        double longest = onLoop(() -> versions.config().classes().stream()
+                .mapToDouble(c -> c.deadline())
+                .max()
                 .orElse(0));
         double latest = clock.now() + longest + DRAIN_SLACK_MS;
         loop.submit(() -> versions.listening().forEach(Frontend::beginDrain)).sync();
--- a/src/main/java/sablehinge/node/Preparation.java
+++ b/src/main/java/sablehinge/node/Preparation.java
@@ -15,8 +15,7 @@
 import sablehinge.http1.UpstreamClient;
 
 /**
- * Makes a version ready beside the traffic: binds the listeners that are not there yet, waits for its first
- * list of
+ * Makes a version ready beside the traffic: binds the listeners that are not there yet, waits for its first list of
  * servers, and reaches as many as the file asks for. Ends once, with the reason if it can't.
  */
 final class Preparation {
@@ -39,8 +38,13 @@
     private int reached;
     private boolean over;
 
-    Preparation(OperatorConfig config, ServerSource source, UpstreamClient transport, Clock clock,
-            Timers timers, Consumer<String> end) {
+    Preparation(
+            OperatorConfig config,
+            ServerSource source,
+            UpstreamClient transport,
+            Clock clock,
+            Timers timers,
+            Consumer<String> end) {
         this.config = config;
         this.source = source;
         this.transport = transport;
@@ -58,7 +62,7 @@
             front.open(part.address(), failure -> {
                 binding--;
                 if (failure == null && over) {
-                    front.retire(0, () -> { });
+                    front.retire(0, () -> {});
                 } else if (failure == null) {
                     bound.put(part, front);
                     servers();
@@ -110,7 +114,8 @@
 
     private void reach() {
         trying++;
-        int patience = (int) Math.max(1, Math.min(deadline - clock.now(), config.limits().connectTimeout()));
+        int patience = (int)
+                Math.max(1, Math.min(deadline - clock.now(), config.limits().connectTimeout()));
         transport.reach(untried.poll(), patience, up -> {
             trying--;
             reached += up ? 1 : 0;
--- a/src/main/java/sablehinge/node/Recording.java
+++ b/src/main/java/sablehinge/node/Recording.java
@@ -33,6 +33,7 @@
     private static final int GAUGES_EVERY = 4;
     /** A tick that is later than this is noted, in ms. */
     private static final double LATE_MS = 50;
+
     private static final long NANOS_PER_US = 1_000;
 
     private final EventLoop loop;
@@ -55,15 +56,28 @@
      * @param folder where dumps are kept; null for nowhere
      * @param keep how many
      */
-    Recording(String name, int bytes, Path folder, int keep, Watch.Terms terms, EventLoop loop, Core core,
-            Sockets sockets, Supplier<Collection<Frontend>> fronts, LongSupplier memory) {
+    Recording(
+            String name,
+            int bytes,
+            Path folder,
+            int keep,
+            Watch.Terms terms,
+            EventLoop loop,
+            Core core,
+            Sockets sockets,
+            Supplier<Collection<Frontend>> fronts,
+            LongSupplier memory) {
         this.loop = loop;
         this.core = core;
         this.sockets = sockets;
         vitals = new LoopVitals(core, sockets, fronts, memory);
         recorder = new FlightRecorder(new Ring(bytes), System::nanoTime);
         watch = new Watch(terms);
-        watchdog = new Watchdog(recorder.ring(), name, System::nanoTime, terms.turn() + terms.tick(),
+        watchdog = new Watchdog(
+                recorder.ring(),
+                name,
+                System::nanoTime,
+                terms.turn() + terms.tick(),
                 folder == null ? null : new DumpFolder(folder, keep),
                 text -> Log.warn(LOG, "recorder").log(text));
     }
@@ -95,7 +109,11 @@
         }
         for (Alarm alarm : watch.tick(now, vitals)) {
             alarms++;
-            recorder.note(TraceEvent.ALARM, alarm.connection(), alarm.exchange(), alarm.kind().ordinal());
+            recorder.note(
+                    TraceEvent.ALARM,
+                    alarm.connection(),
+                    alarm.exchange(),
+                    alarm.kind().ordinal());
             watchdog.alarm(alarm);
         }
     }
@@ -107,8 +125,10 @@
 
     /** Adds what it has seen. */
     ObjectNode status(ObjectNode status) {
-        status.putObject("recorder").put("events", recorder.ring().written())
-                .put("ring_events", recorder.ring().capacity()).put("alarms", alarms)
+        status.putObject("recorder")
+                .put("events", recorder.ring().written())
+                .put("ring_events", recorder.ring().capacity())
+                .put("alarms", alarms)
                 .put("woken", vitals.woken());
         return status;
     }
--- a/src/main/java/sablehinge/node/ServerSource.java
+++ b/src/main/java/sablehinge/node/ServerSource.java
@@ -20,6 +20,7 @@
     private final BiConsumer<Change, Roster> listener;
     /** Null where the file lists the servers. */
     private Discovery discovery;
+
     private boolean told;
     private boolean fetching;
     private long version;
@@ -30,14 +31,13 @@
 
     /** Servers that an operator file lists. */
     static ServerSource listed(Roster roster) {
-        ServerSource source = new ServerSource((change, news) -> { });
+        ServerSource source = new ServerSource((change, news) -> {});
         source.take(roster);
         return source;
     }
 
     /** Servers that a discovery tells of; {@code maker} makes it, given what hears of them. */
-    static ServerSource discovered(Function<Discovery.Listener, Discovery> maker,
-            BiConsumer<Change, Roster> listener) {
+    static ServerSource discovered(Function<Discovery.Listener, Discovery> maker, BiConsumer<Change, Roster> listener) {
         ServerSource source = new ServerSource(listener);
         source.discovery = maker.apply(source::told);
         return source;
--- a/src/main/java/sablehinge/node/Shared.java
+++ b/src/main/java/sablehinge/node/Shared.java
@@ -18,9 +18,9 @@
 import java.util.UUID;
 
 /**
- * What two processes of one balancer tell each other while one takes over from the other: who is there and
- * which upstreams are out. A process is a file that it holds locked, so that its death shows whatever kills
- * it; an upstream is a file that is there or not, so that nothing is ever read half.
+ * What two processes of one balancer tell each other while one takes over from the other: who is there and which
+ * upstreams are out. A process is a file that it holds locked, so that its death shows whatever kills it; an upstream
+ * is a file that is there or not, so that nothing is ever read half.
  */
 final class Shared implements AutoCloseable {
 
@@ -81,8 +81,8 @@
         Set<String> ids = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(upstreams)) {
             for (Path file : files) {
-                ids.add(new String(Base64.getUrlDecoder().decode(file.getFileName().toString()),
-                        StandardCharsets.UTF_8));
+                ids.add(new String(
+                        Base64.getUrlDecoder().decode(file.getFileName().toString()), StandardCharsets.UTF_8));
             }
         }
         return ids;
@@ -91,8 +91,8 @@
     /** Notes that an upstream is out, or no more. */
     void out(String id, boolean out) {
         // An id never becomes part of a path as it is.
-        Path file = upstreams.resolve(Base64.getUrlEncoder().withoutPadding()
-                .encodeToString(id.getBytes(StandardCharsets.UTF_8)));
+        Path file = upstreams.resolve(
+                Base64.getUrlEncoder().withoutPadding().encodeToString(id.getBytes(StandardCharsets.UTF_8)));
         try {
             if (!out) {
                 Files.deleteIfExists(file);
--- a/src/main/java/sablehinge/node/Versions.java
+++ b/src/main/java/sablehinge/node/Versions.java
@@ -38,11 +38,9 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /**
- * Carries changes of the configuration out: what {@link ChangeDecider} asks for, on the sockets, in core and
- * on the
- * disk. All of it runs on the loop but for files and parsing, which have a thread of their own, one task
- * after
- * another; the loop never waits for it.
+ * Carries changes of the configuration out: what {@link ChangeDecider} asks for, on the sockets, in core and on the
+ * disk. All of it runs on the loop but for files and parsing, which have a thread of their own, one task after another;
+ * the loop never waits for it.
  */
 final class Versions implements ChangeDecider.Actions, Observer {
 
@@ -77,6 +75,7 @@
     private final Map<ListenerPart, Frontend> fronts = new LinkedHashMap<>();
     /** Those that are being given up, which a change may want back. */
     private final Map<ListenerPart, Frontend> leaving = new HashMap<>();
+
     private final Map<InetSocketAddress, ServerSource> discovered = new HashMap<>();
     private final List<String> zones = new ArrayList<>();
     private final List<String> kinds = new ArrayList<>();
@@ -105,8 +104,10 @@
     }
 
     private Running current() {
-        return known.get(node.core().version() == null ? decider.confirmed()
-                : node.core().version().number());
+        return known.get(
+                node.core().version() == null
+                        ? decider.confirmed()
+                        : node.core().version().number());
     }
 
     /** Starts core with the first version. */
@@ -119,8 +120,9 @@
     /** Its listeners without their names, which may change; only a port that the system picks needs one. */
     static List<ListenerPart> places(OperatorConfig config) {
         List<ListenerPart> places = new ArrayList<>();
-        config.listeners().forEach(part -> places.add(part.address().getPort() == 0 ? part
-                : new ListenerPart("", part.address())));
+        config.listeners()
+                .forEach(part ->
+                        places.add(part.address().getPort() == 0 ? part : new ListenerPart("", part.address())));
         return places;
     }
 
@@ -164,7 +166,8 @@
         }
         return discovered.computeIfAbsent(address, a -> {
             AtomicReference<ServerSource> made = new AtomicReference<>();
-            made.set(ServerSource.discovered(told -> node.discovery(a, zones, kinds, told),
+            made.set(ServerSource.discovered(
+                    told -> node.discovery(a, zones, kinds, told),
                     (change, roster) -> told(made.get(), change, roster)));
             return made.get();
         });
@@ -190,7 +193,8 @@
             try {
                 value = task.call();
             } catch (Exception e) {
-                failure = e.getMessage() == null ? e.getClass().getSimpleName()
+                failure = e.getMessage() == null
+                        ? e.getClass().getSimpleName()
                         : e.getMessage().lines().findFirst().orElse("");
             }
             T made = value;
@@ -204,7 +208,7 @@
     }
 
     /** What a staging came to: a number, or problems of the file, or a refusal. */
-    record Staged(int version, List<Problem> problems, String refusal) { }
+    record Staged(int version, List<Problem> problems, String refusal) {}
 
     /** Checks content and puts it down as a version over a base; a base of 0 is the confirmed one. */
     void stage(byte[] content, int base, Consumer<Staged> end) {
@@ -212,8 +216,9 @@
         OperatorConfig running = current().config;
         onFiles(() -> OperatorFile.parse(content), (checked, failure) -> {
             Reply may = decider.mayStage(over);
-            String refusal = failure != null ? failure : !may.done() ? may.message()
-                    : checked.config() == null ? null : fixed(running, checked.config());
+            String refusal = failure != null
+                    ? failure
+                    : !may.done() ? may.message() : checked.config() == null ? null : fixed(running, checked.config());
             if (refusal != null || checked.config() == null) {
                 end.accept(new Staged(0, checked == null ? List.of() : checked.problems(), refusal));
                 return;
@@ -230,8 +235,10 @@
                 }
                 read(number, checked.config());
                 decider.staged(number, over);
-                known.keySet().removeIf(n -> n != decider.confirmed() && n != decider.candidate()
-                        && !decider.stagedVersions().containsKey(n));
+                known.keySet()
+                        .removeIf(n -> n != decider.confirmed()
+                                && n != decider.candidate()
+                                && !decider.stagedVersions().containsKey(n));
                 end.accept(new Staged(number, List.of(), null));
             });
         });
@@ -254,9 +261,12 @@
                 || !running.node().name().equals(next.node().name())) {
             return "node.name, state, descriptors and access-log can't change while the process runs";
         }
-        long names = zones.size() + kinds.size() + next.zones().size() + next.kinds().size();
-        return names <= MOST_NAMES ? null : "over " + MOST_NAMES
-                + " names of zones and kinds since the process began; restart it to forget the old ones";
+        long names =
+                zones.size() + kinds.size() + next.zones().size() + next.kinds().size();
+        return names <= MOST_NAMES
+                ? null
+                : "over " + MOST_NAMES
+                        + " names of zones and kinds since the process began; restart it to forget the old ones";
     }
 
     Reply drop(int version) {
@@ -271,14 +281,22 @@
     Reply apply(int version, double confirmWithin, boolean automatic) {
         Running running = known.get(version);
         if (running != null && node.core().versions() >= MOST_ALIVE) {
-            return new Reply(false, "requests of " + node.core().versions()
-                    + " versions are at work; try again when they are answered");
+            return new Reply(
+                    false,
+                    "requests of " + node.core().versions()
+                            + " versions are at work; try again when they are answered");
         }
-        OperatorConfig.ChangePart part = running == null ? current().config.change()
-                : running.config.change();
-        Reply reply = decider.apply(node.clock().now(), version, new Terms(
-                confirmWithin > 0 ? confirmWithin : part.confirmWithin(), part.readyWithin(),
-                part.failedRise(), part.refusedRise(), part.leastCount(), automatic));
+        OperatorConfig.ChangePart part = running == null ? current().config.change() : running.config.change();
+        Reply reply = decider.apply(
+                node.clock().now(),
+                version,
+                new Terms(
+                        confirmWithin > 0 ? confirmWithin : part.confirmWithin(),
+                        part.readyWithin(),
+                        part.failedRise(),
+                        part.refusedRise(),
+                        part.leastCount(),
+                        automatic));
         if (reply.done()) {
             said("applied", version, "configuration: version {} is applied");
             tickSoon();
@@ -335,8 +353,10 @@
         } else if (Double.isNaN(bare)) {
             bare = now;
         } else if (now - bare >= terms.readyWithin()) {
-            decider.partFailed(now, decider.candidate(), ready + " servers are ready, at least "
-                    + terms.readyLeast() + " must be");
+            decider.partFailed(
+                    now,
+                    decider.candidate(),
+                    ready + " servers are ready, at least " + terms.readyLeast() + " must be");
         }
     }
 
@@ -350,10 +370,12 @@
     }
 
     private void write(Writing writing, Consumer<String> end) {
-        onFiles(() -> {
-            writing.run();
-            return null;
-        }, (nothing, failure) -> end.accept(failure));
+        onFiles(
+                () -> {
+                    writing.run();
+                    return null;
+                },
+                (nothing, failure) -> end.accept(failure));
     }
 
     @Override
@@ -367,8 +389,13 @@
             Frontend left = leaving.remove(part);
             return left != null && left.stay() && back.put(part, left) == null;
         });
-        preparation = new Preparation(running.config, running.source, node.transport(), node.clock(),
-                node.timers(), failure -> decider.prepared(node.clock().now(), version, failure));
+        preparation = new Preparation(
+                running.config,
+                running.source,
+                node.transport(),
+                node.clock(),
+                node.timers(),
+                failure -> decider.prepared(node.clock().now(), version, failure));
         preparation.bound().putAll(back);
         preparation.start(missing, node::front);
     }
@@ -396,7 +423,9 @@
 
     @Override
     public void writeConfirmed(int version) {
-        write(() -> store.confirm(version), failure -> decider.written(node.clock().now(), version, failure));
+        write(
+                () -> store.confirm(version),
+                failure -> decider.written(node.clock().now(), version, failure));
     }
 
     @Override
@@ -411,12 +440,14 @@
             adopt(known.get(to));
         }
         undoMs = node.clock().now() - begun;
-        Log.warn(LOG, "version-undone").addKeyValue("version", version).addKeyValue("current", to)
+        Log.warn(LOG, "version-undone")
+                .addKeyValue("version", version)
+                .addKeyValue("current", to)
                 .addKeyValue("reason", reason)
                 .log("configuration: version {} is undone, version {} is current: {}", version, to, reason);
         giveUp(version, to);
         // If the disk fails here too, the mark stays, which says the same to the next start.
-        write(() -> store.mark(0), failure -> { });
+        write(() -> store.mark(0), failure -> {});
     }
 
     @Override
@@ -440,21 +471,21 @@
             }
         }
         node.core().release(version);
-        if (left != null && left.source != null && left.source != kept.source
-                && left.config.discovery() != null) {
+        if (left != null && left.source != null && left.source != kept.source && left.config.discovery() != null) {
             left.source.watch(false);
             discovered.remove(left.config.discovery());
         }
     }
 
     @Override
-    public void answered(String request, Version version, int serviceClass, Answer.Kind kind, int attempts,
-            double elapsed) {
-        Outcome outcome = switch (kind) {
-            case SERVED -> Outcome.SERVED;
-            case REFUSED -> Outcome.REFUSED;
-            case FAILED, UNANSWERED, BROKEN, LOOP -> Outcome.FAILED;
-        };
+    public void answered(
+            String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed) {
+        Outcome outcome =
+                switch (kind) {
+                    case SERVED -> Outcome.SERVED;
+                    case REFUSED -> Outcome.REFUSED;
+                    case FAILED, UNANSWERED, BROKEN, LOOP -> Outcome.FAILED;
+                };
         decider.answered(node.clock().now(), version.number(), outcome);
         node.note(request, version, serviceClass, kind, attempts, elapsed);
     }
--- a/src/main/java/sablehinge/pace/Client.java
+++ b/src/main/java/sablehinge/pace/Client.java
@@ -3,8 +3,7 @@
 import java.util.SplittableRandom;
 
 /**
- * What a client does about one request: how long it waits for each try, and whether it tries again. It
- * never tries
+ * What a client does about one request: how long it waits for each try, and whether it tries again. It never tries
  * again what may have run and must not run twice.
  */
 public final class Client {
@@ -19,8 +18,8 @@
      * @param honour the chance, 0 to 1, that a client does as Retry-After says
      * @param mostRetryAfter how long it waits at most if it does
      */
-    public record Terms(int retries, double leastShare, double mostShare, double backoff, double honour,
-            double mostRetryAfter) {
+    public record Terms(
+            int retries, double leastShare, double mostShare, double backoff, double honour, double mostRetryAfter) {
 
         /** As the clients of the deployment are. */
         public static Terms usual() {
@@ -29,11 +28,17 @@
     }
 
     /** May a try be made again although it may have run? */
-    public enum Repeat { ALWAYS, WITHIN_WINDOW, NEVER }
+    public enum Repeat {
+        ALWAYS,
+        WITHIN_WINDOW,
+        NEVER
+    }
 
     /** How a try came out. */
     public enum Outcome {
-        SERVED, REFUSED, FAILED,
+        SERVED,
+        REFUSED,
+        FAILED,
         /** Nobody took it. */
         UNREACHABLE
     }
@@ -48,16 +53,16 @@
     /**
      * A client of a request that waits so many ms in all.
      *
-     * @param window ms from the first try on within which a repeat is dropped; for {@link
-     * Repeat#WITHIN_WINDOW}
+     * @param window ms from the first try on within which a repeat is dropped; for {@link Repeat#WITHIN_WINDOW}
      */
     public Client(Terms terms, Repeat repeat, double deadline, double window, SplittableRandom random) {
         this.terms = terms;
         this.repeat = repeat;
         this.deadline = deadline;
         this.window = window;
-        double share = terms.mostShare() > terms.leastShare() ? random.nextDouble(terms.leastShare(),
-                terms.mostShare()) : terms.leastShare();
+        double share = terms.mostShare() > terms.leastShare()
+                ? random.nextDouble(terms.leastShare(), terms.mostShare())
+                : terms.leastShare();
         patience = terms.retries() == 0 ? deadline : deadline * share;
     }
 
@@ -82,8 +87,10 @@
         if (outcome == Outcome.REFUSED && retryAfter > 0 && random.nextDouble() < terms.honour()) {
             wait = Math.max(wait, Math.min(retryAfter, terms.mostRetryAfter()));
         }
-        boolean harmless = outcome == Outcome.REFUSED || outcome == Outcome.UNREACHABLE
-                || repeat == Repeat.ALWAYS || repeat == Repeat.WITHIN_WINDOW && elapsed + wait < window;
+        boolean harmless = outcome == Outcome.REFUSED
+                || outcome == Outcome.UNREACHABLE
+                || repeat == Repeat.ALWAYS
+                || repeat == Repeat.WITHIN_WINDOW && elapsed + wait < window;
         return harmless && elapsed + wait < deadline ? wait : Double.NaN;
     }
 
--- a/src/main/java/sablehinge/pace/Pace.java
+++ b/src/main/java/sablehinge/pace/Pace.java
@@ -7,10 +7,8 @@
 import java.util.SplittableRandom;
 
 /**
- * When a logged request is due in a replay, and how often. Time is compressed evenly, so that the mix of
- * every slice is
- * the log's. A rate that is scaled up sends copies, each within a second of the log from its original; one
- * that is
+ * When a logged request is due in a replay, and how often. Time is compressed evenly, so that the mix of every slice is
+ * the log's. A rate that is scaled up sends copies, each within a second of the log from its original; one that is
  * scaled down leaves out evenly within each class.
  *
  * @param <T> a request
@@ -19,6 +17,7 @@
 
     /** How far a copy may lie from its original, in ms of the log. */
     private static final double SPREAD = 1_000;
+
     private static final int MOST_CLASSES = 10_000;
     /** Copies that wait for their time at most; beyond it the first one goes early. */
     static final int MOST_WAITING = 1 << 18;
@@ -31,7 +30,7 @@
      * @param from ms since 1970 from which on requests are taken; NaN for the log's beginning
      * @param to likewise until when, itself not included; NaN for its end
      */
-    public record Terms(double compress, double rateScale, double from, double to, long seed) { }
+    public record Terms(double compress, double rateScale, double from, double to, long seed) {}
 
     /** Takes requests in the order in which they are due. */
     public interface Sink<T> {
@@ -40,14 +39,14 @@
         void due(double due, int copy, T request);
     }
 
-    private record Copy<T>(double time, long order, int copy, T request) { }
+    private record Copy<T>(double time, long order, int copy, T request) {}
 
     private final Terms terms;
     private final Sink<T> sink;
     private final SplittableRandom random;
     private final Map<String, double[]> owed = new HashMap<>();
-    private final PriorityQueue<Copy<T>> waiting = new PriorityQueue<>(
-            Comparator.<Copy<T>>comparingDouble(Copy::time).thenComparingLong(Copy::order));
+    private final PriorityQueue<Copy<T>> waiting =
+            new PriorityQueue<>(Comparator.<Copy<T>>comparingDouble(Copy::time).thenComparingLong(Copy::order));
     private double start = Double.NaN;
     private double last;
     private long order;
@@ -75,9 +74,8 @@
         }
         release(time);
         // Beyond the bound all classes share one account.
-        double[] owes = owed.computeIfAbsent(owed.size() < MOST_CLASSES ? serviceClass : "",
-                name -> new double[] {
-            terms.rateScale() < 1 ? random.nextDouble() : 0});
+        double[] owes = owed.computeIfAbsent(owed.size() < MOST_CLASSES ? serviceClass : "", name ->
+                new double[] {terms.rateScale() < 1 ? random.nextDouble() : 0});
         owes[0] += terms.rateScale();
         // A sum of tenths may lie a little under a whole.
         int copies = (int) Math.floor(owes[0] + 1e-9);
--- a/src/main/java/sablehinge/policy/Call.java
+++ b/src/main/java/sablehinge/policy/Call.java
@@ -15,6 +15,7 @@
         final double sentAt;
         /** Own attempts that were in flight there when it was sent. */
         final int behind;
+
         LoadBalancer.Result result;
         boolean streaming;
         /** Whether it was taken as a sign of overload while it was out. */
@@ -42,6 +43,7 @@
     double restsUntil = Double.NEGATIVE_INFINITY;
     /** When an answer stops being worth its work. */
     double usefulEnd;
+
     final int most;
     int running;
     boolean done;
--- a/src/main/java/sablehinge/policy/ClassRecord.java
+++ b/src/main/java/sablehinge/policy/ClassRecord.java
@@ -7,6 +7,7 @@
 
     /** Its place in the servers' records; a class keeps it from one version of the settings to the next. */
     final int index;
+
     final LoadBalancer.ServiceClass type;
     /** Served latency in ms for a request of mean cost on a mean server. */
     final Mean latency;
@@ -20,12 +21,12 @@
     ClassRecord leader;
     /** Share of the work asked for that is refused at once, and when it was last moved. */
     double pressure;
+
     double feltAt;
     /** How many times the expected latency only the slowest calls take. */
     double slowRatio;
 
-    ClassRecord(int index, LoadBalancer.ServiceClass type, double firstLatency, double firstRatio,
-            double gain) {
+    ClassRecord(int index, LoadBalancer.ServiceClass type, double firstLatency, double firstRatio, double gain) {
         this.index = index;
         this.type = type;
         latency = new Mean(firstLatency, gain);
@@ -46,8 +47,7 @@
     }
 
     boolean sharesPlacement(ClassRecord other) {
-        return Objects.equals(type.zones(), other.type.zones())
-                && Objects.equals(type.kinds(), other.type.kinds());
+        return Objects.equals(type.zones(), other.type.zones()) && Objects.equals(type.kinds(), other.type.kinds());
     }
 
     boolean isBound() {
