--- a/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
+++ b/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
@@ -17,10 +17,10 @@
 /**
  * All decisions of sablehinge. Read {@link LoadBalancer} (LoadBalancer.java) first: it is the interface.
  *
- * <p>The ordinary path: every server has a cost l = base + p * (1/s - 1), where base is its smoothed served
- * latency, s its windowed success share and p the class's steady time-out; each call goes to a ready server
- * drawn at random in proportion to 1/l. The file follows a request: arrival, the draw, the send, the
- * outcome, the next attempt or the final answer; then the evidence behind l, then the server list.
+ * <p>The ordinary path: every server has a cost l = base + p * (1/s - 1), where base is its smoothed served latency, s
+ * its windowed success share and p the class's steady time-out; each call goes to a ready server drawn at random in
+ * proportion to 1/l. The file follows a request: arrival, the draw, the send, the outcome, the next attempt or the
+ * final answer; then the evidence behind l, then the server list.
  */
 public final class LatencyWeightedBalancer implements LoadBalancer {
 
@@ -72,6 +72,7 @@
     private static final double SLOW_STEP = 0.05;
     /** That delay over the expected latency, at first and within bounds: for even and long-tailed classes. */
     private static final double FIRST_SLOW_RATIO = 3;
+
     private static final double LEAST_SLOW_RATIO = 1.5;
     private static final double MOST_SLOW_RATIO = 10;
     /** Without second copies an attempt that may be repeated is given up after this many such delays. */
@@ -96,9 +97,11 @@
     private static final double STRAINED = 0.5;
     /** Change of the share of work refused in a second of signs of overload, and in one of the opposite. */
     private static final double PRESSURE_UP = 0.9;
+
     private static final double PRESSURE_DOWN = 0.22;
     /** The longest time in ms for which one outcome stands. */
     private static final double LONGEST_GAP = 250;
+
     private static final double MOST_PRESSURE = 0.95;
     private static final int PLAN_STEPS = 10;
     /** The longest wait advised to a refused client, of its aim: it should come back in good time. */
@@ -116,6 +119,7 @@
     private final Extras extras;
     /** Of the version of the settings that holds for what arrives now, and all that are not forgotten. */
     private Settings settings;
+
     private View current;
     private final List<View> views = new ArrayList<>();
     private SplittableRandom random;
@@ -123,11 +127,13 @@
     private final Map<Long, Call> calls = new HashMap<>();
     /** Rule 5: the requests of each key that are not settled; looked up by key only, dropped when empty. */
     private final Map<Long, ArrayDeque<Call>> lines = new HashMap<>();
+
     private Server.Kind[] kinds;
     private double extraCalls;
     private double coldUntil = Double.NEGATIVE_INFINITY;
     /** When the registry was last heard of or asked, and how long its silence is trusted. */
     private double heardAt;
+
     private double trust;
     /** Own calls of late for each ready server. */
     private double evidence;
@@ -147,7 +153,7 @@
     }
 
     /** Calls beyond the first: earned by a request, kept, taken after no run; aims to hold one. */
-    public record Extras(double perRequest, double saved, double redraw, double hold) { }
+    public record Extras(double perRequest, double saved, double redraw, double hold) {}
 
     @Override
     public void start(double now, Settings given, long seed) {
@@ -165,7 +171,9 @@
     /** A view for each, and one record of the servers: rules 3 and 4 hold over all versions together. */
     @Override
     public void adopt(double now, Settings given) {
-        current = views.stream().filter(view -> view.settings == given).findFirst()
+        current = views.stream()
+                .filter(view -> view.settings == given)
+                .findFirst()
                 .orElseGet(() -> begin(given, current));
         settings = given;
         kinds = Arrays.copyOf(kinds, Math.max(kinds.length, given.kinds()));
@@ -183,8 +191,9 @@
             ServiceClass type = given.classes().get(i);
             ClassRecord old = before == null ? null : before.named(type.name());
             int place = old != null ? old.index : taken.nextClearBit(0);
-            records[i] = old != null ? new ClassRecord(old, type) : new ClassRecord(place, type,
-                    FIRST_GUESS * type.aim(), FIRST_SLOW_RATIO, FLEET_GAIN);
+            records[i] = old != null
+                    ? new ClassRecord(old, type)
+                    : new ClassRecord(place, type, FIRST_GUESS * type.aim(), FIRST_SLOW_RATIO, FLEET_GAIN);
             if (old == null) {
                 taken.set(place);
                 places = Math.max(places, place + 1);
@@ -192,7 +201,10 @@
             }
         }
         for (ClassRecord c : records) {
-            c.leader = Arrays.stream(records).filter(c::sharesPlacement).findFirst().orElse(c);
+            c.leader = Arrays.stream(records)
+                    .filter(c::sharesPlacement)
+                    .findFirst()
+                    .orElse(c);
         }
         views.add(view);
         return view;
@@ -235,13 +247,17 @@
     }
 
     /**
-     * Sends the next attempt. A request that never ran is held while it waits for its turn, or for a server
-     * that is ready, open to it and warm enough; it is refused as soon as that cannot end in time.
+     * Sends the next attempt. A request that never ran is held while it waits for its turn, or for a server that is
+     * ready, open to it and warm enough; it is refused as soon as that cannot end in time.
      */
     private void dispatch(Call call, double now) {
         double latest = call.usefulEnd - TOO_LATE * expected(call) - ahead(call);
-        double patient = Math.min(latest, call.arrivedAt + Math.min(extras.hold * call.type.aim(),
-                HOLD_SHARE * (call.request.deadline() - call.arrivedAt)));
+        double patient = Math.min(
+                latest,
+                call.arrivedAt
+                        + Math.min(
+                                extras.hold * call.type.aim(),
+                                HOLD_SHARE * (call.request.deadline() - call.arrivedAt)));
         boolean itsTurn = call.line == null || call.line.peekFirst() == call;
         Server server = itsTurn && now < latest ? draw(call, true, now) : null;
         if (server != null) {
@@ -256,13 +272,17 @@
 
     /** Rule 5: the time that the requests before it in its line are expected to take. */
     private static double ahead(Call call) {
-        return call.line == null ? 0 : call.line.stream().takeWhile(other -> other != call)
-                .mapToDouble(LatencyWeightedBalancer::expected).sum();
+        return call.line == null
+                ? 0
+                : call.line.stream()
+                        .takeWhile(other -> other != call)
+                        .mapToDouble(LatencyWeightedBalancer::expected)
+                        .sum();
     }
 
     /**
-     * Rule 5: a request leaves its line once it is over, no attempt is out and none that was given up may
-     * still be running; then the next one goes. One that leaves before its turn moves nobody.
+     * Rule 5: a request leaves its line once it is over, no attempt is out and none that was given up may still be
+     * running; then the next one goes. One that leaves before its turn moves nobody.
      */
     private void leaveLine(Call call, double now) {
         boolean first = call.line.peekFirst() == call;
@@ -277,8 +297,8 @@
     // ---- Overload: when every l rises together, weights say nothing ---------------------------------
 
     /**
-     * Under overload all would be late, so a part of the work is refused before any is spent on it: only
-     * where clients arrive, since further down a refusal wastes what was done above.
+     * Under overload all would be late, so a part of the work is refused before any is spent on it: only where clients
+     * arrive, since further down a refusal wastes what was done above.
      */
     private boolean shed(Call call) {
         for (ClassRecord c : current.classes) {
@@ -292,13 +312,15 @@
     }
 
     /**
-     * How much of each class to refuse so that the pressure's share of their work goes, at least loss: the
-     * cheapest worth per work first, but no class more than pays: the worst one counts by itself too.
-     * Classes of one placement share their pressure: what is bound to crowded servers is shed alone.
+     * How much of each class to refuse so that the pressure's share of their work goes, at least loss: the cheapest
+     * worth per work first, but no class more than pays: the worst one counts by itself too. Classes of one placement
+     * share their pressure: what is bound to crowded servers is shed alone.
      */
     private void planShedding(ClassRecord leader) {
-        ClassRecord[] cheapestFirst = Arrays.stream(current.classes).filter(c -> c.leader == leader)
-                .sorted(Comparator.comparingDouble(c -> worth(c) / work(c))).toArray(ClassRecord[]::new);
+        ClassRecord[] cheapestFirst = Arrays.stream(current.classes)
+                .filter(c -> c.leader == leader)
+                .sorted(Comparator.comparingDouble(c -> worth(c) / work(c)))
+                .toArray(ClassRecord[]::new);
         double allWork = Arrays.stream(cheapestFirst).mapToDouble(this::work).sum();
         double allWorth = Arrays.stream(cheapestFirst).mapToDouble(this::worth).sum();
         double forWorst = settings.goal().worstClass();
@@ -334,15 +356,16 @@
     // ---- The draw ----------------------------------------------------------------------------------
 
     /**
-     * A ready server at random in proportion to 1/l, or null if none may be used; one that the request has
-     * tried only when all have been tried and nothing is out.
+     * A ready server at random in proportion to 1/l, or null if none may be used; one that the request has tried only
+     * when all have been tried and nothing is out.
      */
     private Server draw(Call call, boolean untried, double now) {
         double total = 0;
         double tries = 0;
         for (Server server : call.view.ready) {
             tries += server.tries;
-            boolean usable = mayGoTo(call, server, now) && !(untried && call.tried(server))
+            boolean usable = mayGoTo(call, server, now)
+                    && !(untried && call.tried(server))
                     && (server.coldBudget >= 1 || warmth(server, now) >= 1);
             server.weight = usable ? 1 / cost(server, call, now) : 0;
             total += server.weight;
@@ -381,7 +404,8 @@
             l *= 1 + crossing;
         }
         if (!server.preferred) {
-            l *= 1 + OUTSIDE / Math.pow(1 + evidence, 2)
+            l *= 1
+                    + OUTSIDE / Math.pow(1 + evidence, 2)
                     + CONNECTION * (terms.prices().connection() + terms.prices().handshake());
         }
         // Weights even out latencies, yet only those who are free can make room for those who are bound.
@@ -394,12 +418,12 @@
     }
 
     /**
-     * The latency to expect behind the calls in flight there, by Little's law: served latencies and the
-     * calls in flight when they were sent tell at what rate the server works. The price of crossing keeps
-     * calls at home even where they queue until they are late, while other zones stand idle and clients
-     * are refused. That shows here as soon as the calls gather, before any comes back late, and is over as
-     * soon as they are gone, whatever made the server slow: a burst, a pause, a sick core. Does harm where
-     * one call is worth less than a crossing, or where a server got faster and its record tells of a jam.
+     * The latency to expect behind the calls in flight there, by Little's law: served latencies and the calls in flight
+     * when they were sent tell at what rate the server works. The price of crossing keeps calls at home even where they
+     * queue until they are late, while other zones stand idle and clients are refused. That shows here as soon as the
+     * calls gather, before any comes back late, and is over as soon as they are gone, whatever made the server slow: a
+     * burst, a pause, a sick core. Does harm where one call is worth less than a crossing, or where a server got faster
+     * and its record tells of a jam.
      */
     private static double crowding(Server server, Call call) {
         double each = server.base(BASE_POOL) * expected(call) / (1 + Math.max(ROOM, server.crowd(BASE_POOL)));
@@ -409,7 +433,8 @@
     /** Rules 6 and 2: placement; an attempt that may have run ties a request to its group, or ends it. */
     private boolean mayGoTo(Call call, Server server, double now) {
         Limits limits = call.limits();
-        if (call.attempts.size() >= call.most || call.running > 0 && !limits.parallel()
+        if (call.attempts.size() >= call.most
+                || call.running > 0 && !limits.parallel()
                 || !call.type.admits(server.listed)) {
             return false;
         }
@@ -420,9 +445,10 @@
         }
         Upstream from = first.server.listed;
         Upstream to = server.listed;
-        return c.repeat() == Repeat.DEDUPLICATED && now < first.sentAt + c.memory()
-                && (c.group() == Group.ALL || (c.group() == Group.ZONE
-                ? from.zone() == to.zone() : from.cell() == to.cell()));
+        return c.repeat() == Repeat.DEDUPLICATED
+                && now < first.sentAt + c.memory()
+                && (c.group() == Group.ALL
+                        || (c.group() == Group.ZONE ? from.zone() == to.zone() : from.cell() == to.cell()));
     }
 
     // ---- Rule 4: servers that have just started ----------------------------------------------------
@@ -438,17 +464,18 @@
     }
 
     /**
-     * Every request earns the cold servers open to it a part of a call: their warmth's share of the traffic
-     * times what the rule allows, less a margin. Shares need no history and add up over siblings that do
-     * alike. Counting requests, not sends, lets a fleet that is cold as a whole begin; the half that is
-     * taken as warm at least keeps it from being pushed over.
+     * Every request earns the cold servers open to it a part of a call: their warmth's share of the traffic times what
+     * the rule allows, less a margin. Shares need no history and add up over siblings that do alike. Counting requests,
+     * not sends, lets a fleet that is cold as a whole begin; the half that is taken as warm at least keeps it from
+     * being pushed over.
      */
     private void earnColdBudget(Call call, double now) {
         if (now >= coldUntil) {
             return;
         }
-        List<Server> open = call.view.ready.stream().filter(server ->
-                call.type.admits(server.listed)).toList();
+        List<Server> open = call.view.ready.stream()
+                .filter(server -> call.type.admits(server.listed))
+                .toList();
         double warm = open.stream().mapToDouble(server -> warmth(server, now)).sum();
         double part = Math.min(1, COLD_MARGIN * settings.rules().fallMultiple());
         part /= Math.max(warm, open.size() / 2.0);
@@ -504,9 +531,11 @@
                 attempt.strained = true;
                 feelPressure(call.record.leader, false, now);
             }
-        } else if (!call.streaming && call.attempts.size() == number + 1
+        } else if (!call.streaming
+                && call.attempts.size() == number + 1
                 && call.attempts.get(number).result == null
-                && extraCalls >= 1 && call.record.leader.pressure < CALM
+                && extraCalls >= 1
+                && call.record.leader.pressure < CALM
                 && call.usefulEnd - now > expected(call)) {
             Server server = draw(call, true, now);
             if (server != null) {
@@ -521,7 +550,8 @@
     @Override
     public void attemptFinished(double now, Outcome outcome) {
         Call call = calls.get(outcome.requestId());
-        if (call == null || outcome.attempt() >= call.attempts.size()
+        if (call == null
+                || outcome.attempt() >= call.attempts.size()
                 || call.attempts.get(outcome.attempt()).result != null) {
             return;
         }
@@ -529,15 +559,18 @@
         attempt.result = outcome.result();
         attempt.server.out.remove(attempt);
         call.running--;
-        if (outcome.result() == Result.TIMEOUT || outcome.result() == Result.RESET
+        if (outcome.result() == Result.TIMEOUT
+                || outcome.result() == Result.RESET
                 || outcome.result() == Result.CANCELLED) {
             call.restsUntil = now + call.view.settings.rules().orderSettle();
         }
         learn(attempt, outcome, now);
         boolean inGoodTime = outcome.elapsed() < strainedAfter(call);
         // What breaks at once tells of a sick server: to refuse others would not help.
-        boolean sick = inGoodTime && (outcome.result() == Result.ERROR || outcome.result() == Result.RESET
-                || outcome.result() == Result.CONNECT_FAILED);
+        boolean sick = inGoodTime
+                && (outcome.result() == Result.ERROR
+                        || outcome.result() == Result.RESET
+                        || outcome.result() == Result.CONNECT_FAILED);
         if (settings.tier() == 0 && !attempt.strained && outcome.result() != Result.CANCELLED && !sick) {
             feelPressure(call.record.leader, outcome.result() == Result.OK && inGoodTime, now);
         }
@@ -555,9 +588,9 @@
     }
 
     /**
-     * Idle connections of many balancers fill a server's table, and it turns callers away though it has
-     * time to spare. Whoever meets a full table gives back what it does not use there, as long as idle ones
-     * last. Elsewhere connections stay: a failed connect may as well mean that a server is down.
+     * Idle connections of many balancers fill a server's table, and it turns callers away though it has time to spare.
+     * Whoever meets a full table gives back what it does not use there, as long as idle ones last. Elsewhere
+     * connections stay: a failed connect may as well mean that a server is down.
      */
     private void freeConnection(Server server, Result result, double now) {
         if (result == Result.CONNECT_FAILED) {
@@ -569,10 +602,10 @@
     }
 
     /**
-     * A watch may be dead without a sign, its registry restarted or cut off, and what is listed as ready be
-     * long gone or draining. That shows in servers that take nothing: then the watch is begun anew, which
-     * brings what was missed. Guards against any silent loss of news; a server that crashed unnoticed looks
-     * the same, so the questions grow rare while no news comes, lest a whole fleet's flood the registry.
+     * A watch may be dead without a sign, its registry restarted or cut off, and what is listed as ready be long gone
+     * or draining. That shows in servers that take nothing: then the watch is begun anew, which brings what was missed.
+     * Guards against any silent loss of news; a server that crashed unnoticed looks the same, so the questions grow
+     * rare while no news comes, lest a whole fleet's flood the registry.
      */
     private void doubtList(Server server, Result result, double now) {
         if (result == Result.FULL || result == Result.CONNECT_FAILED) {
@@ -580,7 +613,9 @@
         } else if (result == Result.OK) {
             server.doubts = 0;
         }
-        if (settings.subscribe() && server.doubts >= DOUBTS && server.listed.state() == State.READY
+        if (settings.subscribe()
+                && server.doubts >= DOUBTS
+                && server.listed.state() == State.READY
                 && now - heardAt >= trust) {
             heardAt = now;
             trust *= 2;
@@ -602,7 +637,8 @@
     /** Rule 1's one final answer: a refusal only where trying again is known to be harmless. */
     private void answerUnserved(Call call, double now) {
         ServiceClass c = call.type;
-        boolean harmless = c.repeat() == Repeat.IDEMPOTENT || call.firstMaybeRun() == null
+        boolean harmless = c.repeat() == Repeat.IDEMPOTENT
+                || call.firstMaybeRun() == null
                 || c.repeat() == Repeat.DEDUPLICATED && c.group() == Group.ALL;
         if (harmless) {
             actions.refuse(call.id, call.limits().retryAfter() ? comeBackAfter(call) : 0);
@@ -621,7 +657,10 @@
     /** The request has its answer: copies still out only waste work. */
     private void over(Call call, double now) {
         for (Attempt attempt : call.attempts) {
-            if (!call.done && attempt.result == null && !attempt.streaming && call.limits().cancel()) {
+            if (!call.done
+                    && attempt.result == null
+                    && !attempt.streaming
+                    && call.limits().cancel()) {
                 actions.cancel(call.id, attempt.number);
             }
         }
@@ -685,8 +724,8 @@
     }
 
     /**
-     * Each sign stands for the time since the one before: the level moves as fast where traffic is thin, or
-     * where so much is refused that few outcomes come, and does not outlast its cause.
+     * Each sign stands for the time since the one before: the level moves as fast where traffic is thin, or where so
+     * much is refused that few outcomes come, and does not outlast its cause.
      */
     private static void feelPressure(ClassRecord leader, boolean fine, double now) {
         double seconds = Math.min(LONGEST_GAP, now - leader.feltAt) / 1_000;
@@ -754,10 +793,10 @@
             } else if (known == null || known.listed.startedAt() != upstream.startedAt()) {
                 // A restart is a new server: cold, with a clean record.
                 Server.Kind kind = kinds[Math.min(upstream.kind(), kinds.length - 1)];
-                servers.put(upstream.id(),
-                        new Server(upstream, kind, places, now, random.nextDouble()));
+                servers.put(upstream.id(), new Server(upstream, kind, places, now, random.nextDouble()));
                 if (upstream.startedAt() != 0) {
-                    coldUntil = Math.max(coldUntil, upstream.startedAt() + settings.rules().warmUp());
+                    coldUntil = Math.max(
+                            coldUntil, upstream.startedAt() + settings.rules().warmUp());
                 }
             } else {
                 known.listed = upstream;
@@ -776,23 +815,23 @@
     /** Rule 3: only ready servers are ever drawn; what drains or is gone leaves at once, for all versions. */
     private void chooseReady() {
         for (View view : views) {
-            view.ready = servers.values().stream().filter(s -> s.listed.state() == State.READY
-                    && view.listed.contains(s.listed.id())).toList();
+            view.ready = servers.values().stream()
+                    .filter(s -> s.listed.state() == State.READY && view.listed.contains(s.listed.id()))
+                    .toList();
         }
         chooseSubset(current.ready);
     }
 
     /**
-     * Every so many-th server in an order by zone and machine type, each sibling beginning at its own place:
-     * a subset is a small picture of the fleet, and every server is in as many subsets as the others. Each
-     * round of siblings shuffles anew, so that no two servers share all their callers.
+     * Every so many-th server in an order by zone and machine type, each sibling beginning at its own place: a subset
+     * is a small picture of the fleet, and every server is in as many subsets as the others. Each round of siblings
+     * shuffles anew, so that no two servers share all their callers.
      */
     private void chooseSubset(List<Server> ready) {
         int stride = (int) Math.max(1, ready.size() / SUBSET);
         long round = settings.position() / stride;
         List<Server> ordered = new ArrayList<>(ready);
-        ordered.forEach(server -> server.weight =
-                new SplittableRandom(server.listed.id() * 31 + round).nextDouble());
+        ordered.forEach(server -> server.weight = new SplittableRandom(server.listed.id() * 31 + round).nextDouble());
         ordered.sort(Comparator.<Server>comparingInt(server -> server.listed.zone())
                 .thenComparingInt(server -> server.listed.kind())
                 .thenComparingDouble(server -> server.weight));
--- a/src/main/java/sablehinge/policy/LoadBalancer.java
+++ b/src/main/java/sablehinge/policy/LoadBalancer.java
@@ -5,9 +5,9 @@
 /**
  * The decisions of one load balancer instance: events go in, actions come out.
  *
- * <p>An instance has no clock, thread or socket of its own. Its host calls one event method at a time, with
- * the time of the event, and carries out what is asked of {@link Actions} during that call. All times are ms;
- * the clock never goes back and has no special zero. Same events, settings and seed give the same actions.
+ * <p>An instance has no clock, thread or socket of its own. Its host calls one event method at a time, with the time of
+ * the event, and carries out what is asked of {@link Actions} during that call. All times are ms; the clock never goes
+ * back and has no special zero. Same events, settings and seed give the same actions.
  */
 public interface LoadBalancer {
 
@@ -24,15 +24,15 @@
     void request(double now, Request request);
 
     /**
-     * Other settings hold for what arrives from now on; what has come keeps its own, and goes only to servers
-     * listed under both. An object may be handed in again. A {@link Change#FULL} list follows if they differ.
+     * Other settings hold for what arrives from now on; what has come keeps its own, and goes only to servers listed
+     * under both. An object may be handed in again. A {@link Change#FULL} list follows if they differ.
      */
     default void adopt(double now, Settings settings) {
         throw new UnsupportedOperationException("the settings stay as they were at the start");
     }
 
     /** Nothing that came under such settings is left, and nothing goes back to them. */
-    default void forget(double now, Settings settings) { }
+    default void forget(double now, Settings settings) {}
 
     /** How an attempt ended; one such event for every {@link Actions#send}. */
     void attemptFinished(double now, Outcome outcome);
@@ -47,10 +47,10 @@
     void timer(double now, long token);
 
     /** The result of a probe; {@code report} is null where none came. */
-    default void probeResult(double now, long upstream, Result result, double elapsed, double[] report) { }
+    default void probeResult(double now, long upstream, Result result, double elapsed, double[] report) {}
 
     /** A message from another instance of the same tier. */
-    default void peerMessage(double now, int sender, byte[] payload) { }
+    default void peerMessage(double now, int sender, byte[] payload) {}
 
     /** What an instance can ask of its host; all of it takes effect at the time of the event at hand. */
     interface Actions {
@@ -93,10 +93,19 @@
     }
 
     /** The kinds of news about upstreams. */
-    enum Change { DELTA, FULL, CACHED, FAILED }
+    enum Change {
+        DELTA,
+        FULL,
+        CACHED,
+        FAILED
+    }
 
     /** An upstream's state; a removed one is listed only in a {@link Change#DELTA}. */
-    enum State { REMOVED, READY, DRAINING }
+    enum State {
+        REMOVED,
+        READY,
+        DRAINING
+    }
 
     /**
      * One upstream as listed.
@@ -127,12 +136,27 @@
      * @param write whether it changes something
      * @param attempts the most that it may have, where the limits allow more; 0 for as many as they do
      */
-    record Request(long id, int serviceClass, int tenant, long key, double deadline, double cost,
-            boolean retry, boolean write, int attempts) { }
+    record Request(
+            long id,
+            int serviceClass,
+            int tenant,
+            long key,
+            double deadline,
+            double cost,
+            boolean retry,
+            boolean write,
+            int attempts) {}
 
     /** How an attempt or a probe ended. */
     enum Result {
-        OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT;
+        OK,
+        ERROR,
+        FULL,
+        TIMEOUT,
+        CONNECT_FAILED,
+        RESET,
+        CANCELLED,
+        NOT_SENT;
 
         /** Whether this proves that the attempt never ran. */
         public boolean neverRan() {
@@ -147,20 +171,43 @@
      * @param elapsed time since the attempt was sent
      * @param report the upstream's load report in the order of {@link Settings#reportFields}, or null
      */
-    record Outcome(long requestId, int attempt, long upstream, Result result, boolean closed, double elapsed,
-            double[] report) { }
+    record Outcome(
+            long requestId,
+            int attempt,
+            long upstream,
+            Result result,
+            boolean closed,
+            double elapsed,
+            double[] report) {}
 
     /** Whether a request of a class may run more than once. */
-    enum Repeat { IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE }
+    enum Repeat {
+        IDEMPOTENT,
+        DEDUPLICATED,
+        AT_MOST_ONCE
+    }
 
     /** Which upstreams drop repeats of a request of a deduplicated class. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How load reports come, if at all. */
-    enum Reports { PIGGYBACK, PROBE, NONE }
+    enum Reports {
+        PIGGYBACK,
+        PROBE,
+        NONE
+    }
 
     /** What an upstream's weight means. */
-    enum WeightKind { NONE, NOMINAL, ROUGH, LIVE }
+    enum WeightKind {
+        NONE,
+        NOMINAL,
+        ROUGH,
+        LIVE
+    }
 
     /**
      * A class of requests.
@@ -176,9 +223,21 @@
      * @param kinds the only machine types it may be sent to; null where any will do, empty where none will
      * @param crossing growth of l across zones beside what the site's price makes of it, as for large bodies
      */
-    record ServiceClass(String name, double aim, double aimStretch, double deadline, double worth,
-            double lateWorth, Repeat repeat, Group group, double memory, boolean streamed, boolean inOrder,
-            List<Integer> zones, List<Integer> kinds, double crossing) {
+    record ServiceClass(
+            String name,
+            double aim,
+            double aimStretch,
+            double deadline,
+            double worth,
+            double lateWorth,
+            Repeat repeat,
+            Group group,
+            double memory,
+            boolean streamed,
+            boolean inOrder,
+            List<Integer> zones,
+            List<Integer> kinds,
+            double crossing) {
 
         /** Whether placement allows an upstream for this class, at any attempt. */
         public boolean admits(Upstream upstream) {
@@ -188,7 +247,7 @@
     }
 
     /** A tenant, its share of the service and its quota in requests per second over all instances. */
-    record Tenant(String name, double share, double quotaPerSecond) { }
+    record Tenant(String name, double share, double quotaPerSecond) {}
 
     /**
      * What a site allows.
@@ -196,31 +255,63 @@
      * @param cpuPerRequest microseconds of CPU for a request with its outcomes; 0 for no limit
      * @param cpuPerSecond microseconds of CPU for an instance in a second
      */
-    record Limits(int maxAttempts, int maxOpen, boolean cancel, boolean parallel, boolean probes,
-            boolean peers, boolean retryAfter, double maxRetryAfter, double connectTimeout,
-            double connectionIdle, int streamsPerConnection, double cpuPerRequest, double cpuPerSecond) { }
+    record Limits(
+            int maxAttempts,
+            int maxOpen,
+            boolean cancel,
+            boolean parallel,
+            boolean probes,
+            boolean peers,
+            boolean retryAfter,
+            double maxRetryAfter,
+            double connectTimeout,
+            double connectionIdle,
+            int streamsPerConnection,
+            double cpuPerRequest,
+            double cpuPerSecond) {}
 
     /**
      * The figures of the rules; see {@code docs/design.md}.
      *
      * @param orderSettle how long a key rests after an attempt that may still run was given up
      */
-    record Rules(double answerGrace, double drainGrace, double askEvery, double startCapacity, double warmUp,
-            double fallMultiple, double fallAfter, double orderSettle) { }
+    record Rules(
+            double answerGrace,
+            double drainGrace,
+            double askEvery,
+            double startCapacity,
+            double warmUp,
+            double fallMultiple,
+            double fallAfter,
+            double orderSettle) {}
 
     /**
      * The weights of the parts of the result; a part that a site leaves out weighs 0.
      *
-     * @param tail worth counts in full only while at most the share {@code tailMiss} misses its aim;
-     *     what is refused inside the aim is no miss
+     * @param tail worth counts in full only while at most the share {@code tailMiss} misses its aim; what is refused
+     *     inside the aim is no miss
      * @param nines tenfold steps by which the unserved worth lies below the whole, full at {@code topNines}
      */
-    record Goal(double whole, double worstWindow, double worstClass, double worstTenant, double tail,
-            double tailMiss, double nines, double topNines) { }
+    record Goal(
+            double whole,
+            double worstWindow,
+            double worstClass,
+            double worstTenant,
+            double tail,
+            double tailMiss,
+            double nines,
+            double topNines) {}
 
     /** Points taken off the result, each for its share or rate. */
-    record Prices(double crossZone, double probe, double waste, double lateFail, double connection,
-            double handshake, double peer, double registry) { }
+    record Prices(
+            double crossZone,
+            double probe,
+            double waste,
+            double lateFail,
+            double connection,
+            double handshake,
+            double peer,
+            double registry) {}
 
     /**
      * What an instance is told at its start.
@@ -234,9 +325,27 @@
      * @param worthByWork whether worth counts per unit of work rather than per request
      * @param overShareWorth what a request beyond its tenant's share is worth, of its class's worth
      */
-    record Settings(int position, int siblings, int tier, int tiers, int zone, int zones, int kinds,
-            boolean subscribe, boolean passesDeadline, boolean warmKeys, boolean retriesMarked,
-            boolean worthByWork, double overShareWorth, WeightKind weightKind, Reports reports,
-            List<String> reportFields, List<ServiceClass> classes, List<Tenant> tenants, Limits limits,
-            Rules rules, Goal goal, Prices prices) { }
+    record Settings(
+            int position,
+            int siblings,
+            int tier,
+            int tiers,
+            int zone,
+            int zones,
+            int kinds,
+            boolean subscribe,
+            boolean passesDeadline,
+            boolean warmKeys,
+            boolean retriesMarked,
+            boolean worthByWork,
+            double overShareWorth,
+            WeightKind weightKind,
+            Reports reports,
+            List<String> reportFields,
+            List<ServiceClass> classes,
+            List<Tenant> tenants,
+            Limits limits,
+            Rules rules,
+            Goal goal,
+            Prices prices) {}
 }
--- a/src/main/java/sablehinge/policy/Server.java
+++ b/src/main/java/sablehinge/policy/Server.java
@@ -23,11 +23,13 @@
     final ArrayDeque<Call.Attempt> out = new ArrayDeque<>();
     /** Served latencies relative to what was expected, and how many. */
     double latencySum;
+
     double latencyCount;
     /** Own calls in flight there when these were sent. */
     double crowdSum;
     /** Calls served and ended there, of all classes and of each. */
     double served;
+
     double tries;
     double[] servedOf;
     double[] triesOf;
@@ -41,6 +43,7 @@
     int doubts;
     /** Scratch for one draw. */
     double weight;
+
     private double fadedAt;
 
     Server(LoadBalancer.Upstream listed, Kind kind, int classes, double now, double coldBudget) {
--- a/src/main/java/sablehinge/policy/View.java
+++ b/src/main/java/sablehinge/policy/View.java
@@ -11,6 +11,7 @@
     final ClassRecord[] classes;
     /** The servers listed under it, by id, and those of them that are ready now under any. */
     Set<Long> listed;
+
     List<Server> ready = List.of();
 
     View(LoadBalancer.Settings settings, ClassRecord[] classes, Set<Long> listed) {
@@ -21,6 +22,9 @@
 
     /** What was seen of a class of that name; null if it has none. */
     ClassRecord named(String name) {
-        return Arrays.stream(classes).filter(c -> c.type.name().equals(name)).findFirst().orElse(null);
+        return Arrays.stream(classes)
+                .filter(c -> c.type.name().equals(name))
+                .findFirst()
+                .orElse(null);
     }
 }
--- a/src/main/java/sablehinge/quota/Bucket.java
+++ b/src/main/java/sablehinge/quota/Bucket.java
@@ -15,10 +15,7 @@
         this.first = first;
     }
 
-    /**
-     * Sets its part of the quota; tokens beyond the new bound are lost, and a greater one brings none at
-     * once.
-     */
+    /** Sets its part of the quota; tokens beyond the new bound are lost, and a greater one brings none at once. */
     public void set(double now, Quota part) {
         fill(now);
         perMs = part.perSecond() / MS;
--- a/src/main/java/sablehinge/quota/Pool.java
+++ b/src/main/java/sablehinge/quota/Pool.java
@@ -11,6 +11,7 @@
 
     /** Others are asked again for what they can do without after so many ms, and no answer counts later. */
     private static final double PULL_MS = 100;
+
     private final Map<String, Bucket> buckets = new HashMap<>();
     private final Map<String, Double> pulledAt = new HashMap<>();
 
@@ -34,7 +35,7 @@
      * @param quota what comes into it, and the most that it holds
      * @param left in it
      */
-    public record Line(String tenant, Quota quota, double left) { }
+    public record Line(String tenant, Quota quota, double left) {}
 
     /** All pools, in the order of the tenants' names. */
     public List<Line> lines(double now) {
--- a/src/main/java/sablehinge/quota/Quota.java
+++ b/src/main/java/sablehinge/quota/Quota.java
@@ -1,10 +1,10 @@
 package sablehinge.quota;
 
 /**
- * How a tenant's quota is divided. One part is divided evenly and held without asking, so that a balancer
- * that is cut off goes on with it; the rest is a pool with one keeper, from which whoever has run out takes
- * what it needs at once. Where the pool is dry, its keeper asks all for what they can do without. Tokens only
- * move, so nothing is ever out twice.
+ * How a tenant's quota is divided. One part is divided evenly and held without asking, so that a balancer that is cut
+ * off goes on with it; the rest is a pool with one keeper, from which whoever has run out takes what it needs at once.
+ * Where the pool is dry, its keeper asks all for what they can do without. Tokens only move, so nothing is ever out
+ * twice.
  *
  * @param perSecond requests a second over all balancers
  * @param bound requests above that which may come at once, over all balancers
@@ -15,9 +15,8 @@
     public static final double EVEN = 0.6;
 
     /**
-     * The quota of a tenant under a rule that counts within windows (RULES, QUOTA). Half of what the rule
-     * grants
-     * above the tenant's own figures stays unused: what is on its way while parts change, and restarts.
+     * The quota of a tenant under a rule that counts within windows (RULES, QUOTA). Half of what the rule grants above
+     * the tenant's own figures stays unused: what is on its way while parts change, and restarts.
      *
      * @param perS the tenant's requests a second
      * @param burst the tenant's requests on top
--- a/src/main/java/sablehinge/recorder/Dump.java
+++ b/src/main/java/sablehinge/recorder/Dump.java
@@ -14,9 +14,9 @@
 import sablehinge.core.TraceEvent;
 
 /**
- * A ring as it was at a moment, and why it was kept. As bytes: the mark, the length of the head, the head as
- * JSON in UTF-8, the events in four little-endian words each, CRC-32C (RFC 3720) of all that. Events are
- * named in the head, so that one release reads the dump of another.
+ * A ring as it was at a moment, and why it was kept. As bytes: the mark, the length of the head, the head as JSON in
+ * UTF-8, the events in four little-endian words each, CRC-32C (RFC 3720) of all that. Events are named in the head, so
+ * that one release reads the dump of another.
  *
  * @param node whose it is
  * @param atMillis when it was made, ms since 1970
@@ -27,12 +27,20 @@
  * @param lost events that the ring no longer had
  * @param events oldest first
  */
-public record Dump(String node, long atMillis, long atMicros, String reason, String detail, String stack,
-        long lost, List<Event> events) {
+public record Dump(
+        String node,
+        long atMillis,
+        long atMicros,
+        String reason,
+        String detail,
+        String stack,
+        long lost,
+        List<Event> events) {
 
     private static final byte[] MARK = "SHFR0001".getBytes(StandardCharsets.US_ASCII);
     /** A ring of 1 GiB and its head, far more than any that is made. */
     private static final int MOST_HEAD = 1 << 20;
+
     private static final JsonMapper JSON = new JsonMapper();
 
     /**
@@ -42,38 +50,47 @@
      * @param name by {@link TraceEvent}
      * @param of what the value is; empty for none
      */
-    public record Event(long micros, String name, int connection, long exchange, long value, String of) { }
+    public record Event(long micros, String name, int connection, long exchange, long value, String of) {}
 
     /** A dump of a ring's present content. */
-    static Dump of(Ring ring, String node, long atMillis, long atMicros, String reason, String detail,
-            String stack) {
+    static Dump of(Ring ring, String node, long atMillis, long atMicros, String reason, String detail, String stack) {
         long[] words = ring.copy();
         TraceEvent[] kinds = TraceEvent.values();
         List<Event> events = new ArrayList<>(words.length / Ring.WORDS);
         for (int i = 0; i < words.length; i += Ring.WORDS) {
             TraceEvent kind = kinds[(int) words[i + 1]];
-            events.add(new Event(words[i], kind.name(), (int) (words[i + 1] >>> 32), words[i + 2],
-                    words[i + 3], kind.of()));
+            events.add(new Event(
+                    words[i], kind.name(), (int) (words[i + 1] >>> 32), words[i + 2], words[i + 3], kind.of()));
         }
-        return new Dump(node, atMillis, atMicros, reason, detail, stack, ring.written() - events.size(),
-                events);
+        return new Dump(node, atMillis, atMicros, reason, detail, stack, ring.written() - events.size(), events);
     }
 
     /** As it is kept in a file. */
     byte[] bytes() throws IOException {
         List<String> names = events.stream().map(Event::name).distinct().toList();
-        ObjectNode head = JSON.createObjectNode().put("node", node).put("at_ms", atMillis)
-                .put("at_us", atMicros).put("reason", reason).put("detail", detail).put("stack", stack)
-                .put("lost", lost).put("count", events.size());
-        names.forEach(name -> head.withArray("events").addObject().put("name", name)
+        ObjectNode head = JSON.createObjectNode()
+                .put("node", node)
+                .put("at_ms", atMillis)
+                .put("at_us", atMicros)
+                .put("reason", reason)
+                .put("detail", detail)
+                .put("stack", stack)
+                .put("lost", lost)
+                .put("count", events.size());
+        names.forEach(name -> head.withArray("events")
+                .addObject()
+                .put("name", name)
                 .put("of", TraceEvent.valueOf(name).of()));
         byte[] text = JSON.writeValueAsBytes(head);
-        ByteBuffer out = ByteBuffer.allocate(MARK.length + Integer.BYTES + text.length
-                + events.size() * Ring.EVENT_BYTES + Integer.BYTES).order(ByteOrder.LITTLE_ENDIAN);
+        ByteBuffer out = ByteBuffer.allocate(
+                        MARK.length + Integer.BYTES + text.length + events.size() * Ring.EVENT_BYTES + Integer.BYTES)
+                .order(ByteOrder.LITTLE_ENDIAN);
         out.put(MARK).putInt(text.length).put(text);
         for (Event one : events) {
-            out.putLong(one.micros).putLong((long) one.connection << 32 | names.indexOf(one.name))
-                    .putLong(one.exchange).putLong(one.value);
+            out.putLong(one.micros)
+                    .putLong((long) one.connection << 32 | names.indexOf(one.name))
+                    .putLong(one.exchange)
+                    .putLong(one.value);
         }
         out.putInt(sum(out.array(), out.position()));
         return out.array();
@@ -97,7 +114,9 @@
             expect(in.get() == MARK[i], i, "the mark of a dump, \"SHFR0001\"");
         }
         int length = in.getInt();
-        expect(length > 0 && length <= MOST_HEAD && length <= in.remaining() - Integer.BYTES, MARK.length,
+        expect(
+                length > 0 && length <= MOST_HEAD && length <= in.remaining() - Integer.BYTES,
+                MARK.length,
                 "the length of the head, 1 to " + MOST_HEAD + " and within the file, not " + length);
         int end = bytes.length - Integer.BYTES;
         expect(in.getInt(end) == sum(bytes, end), end, "the CRC-32C of what is before it");
@@ -110,8 +129,10 @@
         int start = in.position() + length;
         in.position(start);
         int count = head.path("count").asInt(-1);
-        expect(count >= 0 && (long) count * Ring.EVENT_BYTES == end - start, start, count + " events of "
-                + Ring.EVENT_BYTES + " bytes");
+        expect(
+                count >= 0 && (long) count * Ring.EVENT_BYTES == end - start,
+                start,
+                count + " events of " + Ring.EVENT_BYTES + " bytes");
         JsonNode names = head.path("events");
         List<Event> events = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -120,12 +141,23 @@
             long both = in.getLong();
             JsonNode name = names.path((int) both);
             expect(name.isObject(), at + Long.BYTES, "the number of one of the head's events");
-            events.add(new Event(micros, name.path("name").asText(), (int) (both >>> 32), in.getLong(),
-                    in.getLong(), name.path("of").asText()));
+            events.add(new Event(
+                    micros,
+                    name.path("name").asText(),
+                    (int) (both >>> 32),
+                    in.getLong(),
+                    in.getLong(),
+                    name.path("of").asText()));
         }
-        return new Dump(head.path("node").asText(), head.path("at_ms").asLong(), head.path("at_us").asLong(),
-                head.path("reason").asText(), head.path("detail").asText(), head.path("stack").asText(),
-                head.path("lost").asLong(), List.copyOf(events));
+        return new Dump(
+                head.path("node").asText(),
+                head.path("at_ms").asLong(),
+                head.path("at_us").asLong(),
+                head.path("reason").asText(),
+                head.path("detail").asText(),
+                head.path("stack").asText(),
+                head.path("lost").asLong(),
+                List.copyOf(events));
     }
 
     private static void expect(boolean holds, int offset, String what) throws IOException {
--- a/src/main/java/sablehinge/recorder/DumpFolder.java
+++ b/src/main/java/sablehinge/recorder/DumpFolder.java
@@ -13,13 +13,14 @@
 import java.util.List;
 
 /**
- * The directory where dumps are kept: each is there whole or not at all, and the oldest go so that there are
- * never more than so many.
+ * The directory where dumps are kept: each is there whole or not at all, and the oldest go so that there are never more
+ * than so many.
  */
 public final class DumpFolder {
 
     /** How the names of dumps end. */
     public static final String SUFFIX = ".flight";
+
     private static final String PART = ".part";
 
     private final Path folder;
@@ -35,12 +36,15 @@
     Path write(Dump dump) throws IOException {
         Files.createDirectories(folder);
         // By time, so that the names' order is that of the dumps.
-        String name = String.format(java.util.Locale.ROOT, "%015d-%s", dump.atMillis(),
+        String name = String.format(
+                java.util.Locale.ROOT,
+                "%015d-%s",
+                dump.atMillis(),
                 dump.reason().toLowerCase(java.util.Locale.ROOT));
         Path part = folder.resolve(name + PART);
         Path whole = folder.resolve(name + SUFFIX);
-        try (FileChannel out = FileChannel.open(part, StandardOpenOption.CREATE,
-                StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+        try (FileChannel out = FileChannel.open(
+                part, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer bytes = ByteBuffer.wrap(dump.bytes());
             while (bytes.hasRemaining()) {
                 out.write(bytes);
--- a/src/main/java/sablehinge/recorder/FlightRecorder.java
+++ b/src/main/java/sablehinge/recorder/FlightRecorder.java
@@ -5,9 +5,9 @@
 import sablehinge.core.Tracer;
 
 /**
- * Keeps what it is told of in a {@link Ring}. An event of core and one of a connection that belong together
- * follow each other in one call, so that neither needs to know of the other: which connection a request came
- * on and which one carries an attempt is filled in here.
+ * Keeps what it is told of in a {@link Ring}. An event of core and one of a connection that belong together follow each
+ * other in one call, so that neither needs to know of the other: which connection a request came on and which one
+ * carries an attempt is filled in here.
  */
 public final class FlightRecorder implements Tracer {
 
@@ -17,6 +17,7 @@
     private final LongSupplier nanos;
     /** The connection that a request was read on last, and the request for which a server was chosen last. */
     private int read;
+
     private long chosen;
 
     /** Records into a ring, with the time of a clock that never goes back, in ns. */
@@ -40,7 +41,7 @@
             case CHOSEN -> chosen = exchange;
             case PROBED -> chosen = 0;
             case CONNECTING, REUSED -> about = chosen;
-            default -> { }
+            default -> {}
         }
         ring.write(nanos.getAsLong() / NANOS_PER_US, on, event.ordinal(), about, value);
     }
--- a/src/main/java/sablehinge/recorder/Ring.java
+++ b/src/main/java/sablehinge/recorder/Ring.java
@@ -4,8 +4,8 @@
 import java.lang.invoke.VarHandle;
 
 /**
- * The last events, in four words each: one thread writes and never waits, any may copy it meanwhile. What
- * was overwritten under a copy is not in it.
+ * The last events, in four words each: one thread writes and never waits, any may copy it meanwhile. What was
+ * overwritten under a copy is not in it.
  */
 public final class Ring {
 
@@ -13,6 +13,7 @@
     static final int WORDS = 4;
     /** Bytes of an event. */
     public static final int EVENT_BYTES = WORDS * Long.BYTES;
+
     private static final VarHandle WRITTEN;
 
     static {
--- a/src/main/java/sablehinge/recorder/Timeline.java
+++ b/src/main/java/sablehinge/recorder/Timeline.java
@@ -17,7 +17,7 @@
      * @param millis before the dump, negative
      * @param exchange the request that it belongs to; 0 where none is known
      */
-    public record Step(double millis, Event event, long exchange) { }
+    public record Step(double millis, Event event, long exchange) {}
 
     private final Dump dump;
     private final List<Step> steps = new ArrayList<>();
@@ -38,7 +38,7 @@
             switch (event.name()) {
                 // The next request on it is another one.
                 case "WRITTEN", "UPSTREAM_CLOSED", "CALLER_CLOSED", "LAST_BYTE" -> carries.remove(connection);
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -58,7 +58,8 @@
     /** The numbers of its connections, with how many events each has. */
     public Map<Integer, Integer> connections() {
         Map<Integer, Integer> counts = new TreeMap<>();
-        steps.stream().filter(step -> step.event.connection() != 0)
+        steps.stream()
+                .filter(step -> step.event.connection() != 0)
                 .forEach(step -> counts.merge(step.event.connection(), 1, Integer::sum));
         return counts;
     }
@@ -83,7 +84,7 @@
      *
      * @param from ms before the dump, negative; likewise {@code to}
      */
-    public record Span(String state, double from, double to) { }
+    public record Span(String state, double from, double to) {}
 
     /** The spans of a connection, in order; the last one ends with the dump. */
     public List<Span> spans(int connection) {
@@ -110,8 +111,8 @@
     /** How often each event happened in a second, by name. */
     public Map<String, Double> rates() {
         Map<String, Double> rates = new TreeMap<>();
-        double seconds = steps.isEmpty() ? 0 : Math.max(1e-3, (steps.get(steps.size() - 1).millis
-                - steps.get(0).millis) / 1e3);
+        double seconds =
+                steps.isEmpty() ? 0 : Math.max(1e-3, (steps.get(steps.size() - 1).millis - steps.get(0).millis) / 1e3);
         steps.forEach(step -> rates.merge(step.event.name(), 1 / seconds, Double::sum));
         return rates;
     }
@@ -119,8 +120,11 @@
     /** The largest value of each event that has one which is an amount, by name. */
     public Map<String, Long> peaks() {
         Map<String, Long> peaks = new TreeMap<>();
-        steps.stream().map(Step::event).filter(event -> event.of().equals("bytes")
-                || event.of().equals("count") || event.of().equals("us"))
+        steps.stream()
+                .map(Step::event)
+                .filter(event -> event.of().equals("bytes")
+                        || event.of().equals("count")
+                        || event.of().equals("us"))
                 .forEach(event -> peaks.merge(event.name(), event.value(), Math::max));
         return peaks;
     }
--- a/src/main/java/sablehinge/recorder/Watch.java
+++ b/src/main/java/sablehinge/recorder/Watch.java
@@ -10,8 +10,8 @@
 import sablehinge.recorder.Alarm.Kind;
 
 /**
- * Holds what a process does against what it promises, at each tick. It keeps no clock and does nothing but
- * look, save that a body that stands still is nudged: only so can it be told whether its ends are ready.
+ * Holds what a process does against what it promises, at each tick. It keeps no clock and does nothing but look, save
+ * that a body that stands still is nudged: only so can it be told whether its ends are ready.
  */
 public final class Watch {
 
@@ -41,6 +41,7 @@
         double since;
         /** Since when it has been seen to be held up though both ends are ready; NaN while it isn't. */
         double heldSince = Double.NaN;
+
         int nudged;
         boolean told;
     }
@@ -126,10 +127,15 @@
         }
         if (now - seen.heldSince >= terms.stall) {
             seen.told = true;
-            alarm(unread ? Kind.LOST_WAKE_UP : Kind.UNWRITTEN, one.connection(), 0, (unread
-                    ? "nothing is read for it, though it can take more, "
-                    : "nobody has flushed " + one.unwritten() + " bytes ") + "for "
-                    + Math.round(now - seen.heldSince) + " ms");
+            alarm(
+                    unread ? Kind.LOST_WAKE_UP : Kind.UNWRITTEN,
+                    one.connection(),
+                    0,
+                    (unread
+                                    ? "nothing is read for it, though it can take more, "
+                                    : "nobody has flushed " + one.unwritten() + " bytes ")
+                            + "for "
+                            + Math.round(now - seen.heldSince) + " ms");
         } else if (now - seen.since >= terms.stall) {
             nudge(now, one, seen);
         }
@@ -147,10 +153,15 @@
         if (seen.nudged >= MOVED_BY_NUDGES) {
             seen.told = true;
             boolean unread = one.moved() > moved;
-            alarm(unread ? Kind.UNREAD : Kind.UNWRITTEN, one.connection(), 0, (unread
-                    ? one.moved() - moved + " bytes had come and were not read"
-                    : unwritten - one.unwritten() + " bytes could be written and were not") + " for "
-                    + Math.round(now - seen.since) + " ms");
+            alarm(
+                    unread ? Kind.UNREAD : Kind.UNWRITTEN,
+                    one.connection(),
+                    0,
+                    (unread
+                                    ? one.moved() - moved + " bytes had come and were not read"
+                                    : unwritten - one.unwritten() + " bytes could be written and were not")
+                            + " for "
+                            + Math.round(now - seen.since) + " ms");
         }
         // Only what moves by itself clears the count.
         seen.moved = one.moved();
@@ -163,8 +174,7 @@
         vitals.overdue(terms.overdue, id -> {
             still.add(id);
             if (!late.contains(id)) {
-                alarm(Kind.OVERDUE, 0, id, "it is past its deadline by over " + Math.round(terms.overdue)
-                        + " ms");
+                alarm(Kind.OVERDUE, 0, id, "it is past its deadline by over " + Math.round(terms.overdue) + " ms");
             }
         });
         late = still;
@@ -197,7 +207,6 @@
     }
 
     private static String counts(Vitals vitals) {
-        return "bytes kept " + vitals.kept() + ", connections " + vitals.descriptors() + ", busy "
-                + vitals.busy();
+        return "bytes kept " + vitals.kept() + ", connections " + vitals.descriptors() + ", busy " + vitals.busy();
     }
 }
--- a/src/main/java/sablehinge/recorder/Watchdog.java
+++ b/src/main/java/sablehinge/recorder/Watchdog.java
@@ -12,8 +12,8 @@
 import java.util.stream.Stream;
 
 /**
- * The thread beside the loop: it notices that the loop stands still, while it does, and writes dumps, for
- * which the loop never waits. It gives up at most one dump a minute of its own accord.
+ * The thread beside the loop: it notices that the loop stands still, while it does, and writes dumps, for which the
+ * loop never waits. It gives up at most one dump a minute of its own accord.
  */
 public final class Watchdog {
 
@@ -25,7 +25,7 @@
     private static final long NANOS_PER_MS = 1_000_000;
 
     /** A dump that is to be made; {@code done} hears its place or, as a text, why there is none. */
-    private record Wanted(String reason, String detail, BiConsumer<Path, String> done) { }
+    private record Wanted(String reason, String detail, BiConsumer<Path, String> done) {}
 
     private final Ring ring;
     private final String node;
@@ -43,6 +43,7 @@
     private int passedOver;
     /** Alarms for which there was no room; by the loop. */
     private final AtomicInteger crowded = new AtomicInteger();
+
     private boolean told;
 
     /**
@@ -53,8 +54,7 @@
      * @param folder null for none: a dump is then told to the log in short
      * @param log takes a line
      */
-    public Watchdog(Ring ring, String node, LongSupplier nanos, double turn, DumpFolder folder,
-            Consumer<String> log) {
+    public Watchdog(Ring ring, String node, LongSupplier nanos, double turn, DumpFolder folder, Consumer<String> log) {
         this.ring = ring;
         this.node = node;
         this.nanos = nanos;
@@ -79,7 +79,8 @@
     /** Something is wrong: it is told to the log, and dumped unless that was done within the last minute. */
     public void alarm(Alarm alarm) {
         String detail = (alarm.connection() == 0 ? "" : "connection " + alarm.connection() + ": ")
-                + (alarm.exchange() == 0 ? "" : "request " + alarm.exchange() + ": ") + alarm.detail();
+                + (alarm.exchange() == 0 ? "" : "request " + alarm.exchange() + ": ")
+                + alarm.detail();
         if (!wanted.offer(new Wanted(alarm.kind().name(), detail, null))) {
             crowded.incrementAndGet();
         }
@@ -127,12 +128,19 @@
             told = false;
         } else if (!told) {
             told = true;
-            String stack = Stream.of(loop.getStackTrace()).limit(MOST_FRAMES)
-                    .map(StackTraceElement::toString).collect(Collectors.joining("\n"));
+            String stack = Stream.of(loop.getStackTrace())
+                    .limit(MOST_FRAMES)
+                    .map(StackTraceElement::toString)
+                    .collect(Collectors.joining("\n"));
             // Whoever had no turn either can't tell a busy loop from a process that got no CPU.
-            keep("HUNG", "the loop has stood still for " + Math.round(still) + " ms, " + loop.getState()
-                    + (own > turn / 2 ? "; so has this thread, for " + Math.round(own)
-                    + " ms: the process had no CPU or was stopped" : ""), stack);
+            keep(
+                    "HUNG",
+                    "the loop has stood still for " + Math.round(still) + " ms, " + loop.getState()
+                            + (own > turn / 2
+                                    ? "; so has this thread, for " + Math.round(own)
+                                            + " ms: the process had no CPU or was stopped"
+                                    : ""),
+                    stack);
         }
         return now;
     }
@@ -158,8 +166,7 @@
     }
 
     private Dump dump(String reason, String detail, String stack) {
-        return Dump.of(ring, node, System.currentTimeMillis(), nanos.getAsLong() / 1_000, reason, detail,
-                stack);
+        return Dump.of(ring, node, System.currentTimeMillis(), nanos.getAsLong() / 1_000, reason, detail, stack);
     }
 
     private void keep(String reason, String detail, String stack) {
@@ -189,11 +196,13 @@
     /** The last events in a line, where there is no place for all of them. */
     private static String inShort(Dump dump, String stack) {
         int count = dump.events().size();
-        return "; " + dump.events().subList(Math.max(0, count - IN_SHORT), count).stream()
-                .map(e -> (e.micros() - dump.atMicros()) / 1_000 + " ms " + e.name()
-                + (e.connection() == 0 ? "" : " c" + e.connection())
-                + (e.exchange() == 0 ? "" : " r" + e.exchange()) + (e.of().isEmpty() ? "" : " " + e.value()))
-                .collect(Collectors.joining(", ")) + (stack.isEmpty() ? "" : "; in "
-                + stack.lines().limit(6).collect(Collectors.joining(" < ")));
+        return "; "
+                + dump.events().subList(Math.max(0, count - IN_SHORT), count).stream()
+                        .map(e -> (e.micros() - dump.atMicros()) / 1_000 + " ms " + e.name()
+                                + (e.connection() == 0 ? "" : " c" + e.connection())
+                                + (e.exchange() == 0 ? "" : " r" + e.exchange())
+                                + (e.of().isEmpty() ? "" : " " + e.value()))
+                        .collect(Collectors.joining(", "))
+                + (stack.isEmpty() ? "" : "; in " + stack.lines().limit(6).collect(Collectors.joining(" < ")));
     }
 }
--- a/src/main/java/sablehinge/replay/Formats.java
+++ b/src/main/java/sablehinge/replay/Formats.java
@@ -10,15 +10,14 @@
     private static final int LOOKED_AT = 1 << 15;
     private static final int LINES = 50;
 
-    private Formats() {
-    }
+    private Formats() {}
 
     /** A reader for a log that was opened; {@link IllegalArgumentException} for a format of no use. */
     static EntryReader reader(String name, Inputs.Peekable in, LogOptions options, Unreadable unreadable)
             throws IOException {
-        String format = options.format().equals("auto") ? guess(peek(name, in, unreadable))
-                : options.format();
-        return format.equals("har") ? new HarEntries(name, in, unreadable)
+        String format = options.format().equals("auto") ? guess(peek(name, in, unreadable)) : options.format();
+        return format.equals("har")
+                ? new HarEntries(name, in, unreadable)
                 : new LineEntries(name, in, format(format, options), unreadable);
     }
 
@@ -37,8 +36,7 @@
             case "common" -> new NginxFormat(NginxFormat.COMMON);
             case "combined" -> new NginxFormat(NginxFormat.COMBINED);
             case "haproxy" -> new HaproxyFormat(options.zone());
-            case "json" -> new JsonLinesFormat(options.fields().isEmpty() ? JsonLinesFormat.USUAL
-                    : options.fields());
+            case "json" -> new JsonLinesFormat(options.fields().isEmpty() ? JsonLinesFormat.USUAL : options.fields());
             default -> {
                 if (format.indexOf('$') < 0) {
                     throw new IllegalArgumentException("unknown format " + format + ", expected auto, common,"
@@ -59,7 +57,8 @@
             // A line of JSON has its fields side by side; a HAR file has but one, log.
             return text.substring(1).stripLeading().matches("(?s)\"log\"\\s*:\\s*\\{.*") ? "har" : "json";
         }
-        List<String> lines = text.lines().filter(line -> !line.isBlank()).limit(LINES).toList();
+        List<String> lines =
+                text.lines().filter(line -> !line.isBlank()).limit(LINES).toList();
         String best = "combined";
         long most = 0;
         for (String name : new String[] {"combined", "common", "haproxy"}) {
--- a/src/main/java/sablehinge/replay/HaproxyFormat.java
+++ b/src/main/java/sablehinge/replay/HaproxyFormat.java
@@ -12,21 +12,22 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads lines of HAProxy's HTTP log (HAProxy configuration manual, 8.2.3), with or without what syslog puts
- * before.
- * Its times have no zone, so that has to be told; at a change of clocks an hour is there twice, of which the
- * one
- * nearer to the line before is taken, and an hour is missing, whose times are taken to lie behind the gap.
+ * Reads lines of HAProxy's HTTP log (HAProxy configuration manual, 8.2.3), with or without what syslog puts before. Its
+ * times have no zone, so that has to be told; at a change of clocks an hour is there twice, of which the one nearer to
+ * the line before is taken, and an hour is missing, whose times are taken to lie behind the gap.
  */
 public final class HaproxyFormat implements LogFormat {
 
-    private static final DateTimeFormatter TIME = new DateTimeFormatterBuilder().parseCaseInsensitive()
-            .appendPattern("dd/MMM/yyyy:HH:mm:ss.SSS").toFormatter(Locale.ROOT);
+    private static final DateTimeFormatter TIME = new DateTimeFormatterBuilder()
+            .parseCaseInsensitive()
+            .appendPattern("dd/MMM/yyyy:HH:mm:ss.SSS")
+            .toFormatter(Locale.ROOT);
     /** From the caller's address on; each field is bounded by a blank, so that matching is linear. */
     private static final Pattern LINE = Pattern.compile("(\\S+):(\\d{1,5}) \\[([^\\]]{1,40})\\] (\\S+) (\\S+)"
             + " (-?\\d+)/(-?\\d+)/(-?\\d+)/(-?\\d+)/\\+?(-?\\d+) (-?\\d{1,3}) \\+?(\\d{1,18})"
             + " (\\S+) (\\S+) (\\S+)"
             + " \\S+ \\S+( \\{[^}]*\\}){0,2} \"(.*?)\"?$");
+
     private static final Pattern START = Pattern.compile("\\S+:\\d{1,5} \\[");
 
     private final ZoneId zone;
@@ -60,14 +61,23 @@
         boolean whole = first > 0;
         // A request that HAProxy could not read is logged as <BADREQ>.
         String method = whole ? request.substring(0, first) : "";
-        String target = whole ? request.substring(first + 1, last > first ? last : request.length())
-                : request;
+        String target = whole ? request.substring(first + 1, last > first ? last : request.length()) : request;
         int status = Integer.parseInt(fields.group(11));
         double total = Double.parseDouble(fields.group(10));
         Targets.Split split = Targets.split(target);
-        return new LogEntry(time, total < 0 ? Double.NaN : total, fields.group(1), method, split.target(),
-                Math.max(0, status), Long.parseLong(fields.group(12)), -1, null, false, split.host(),
-                        Map.of());
+        return new LogEntry(
+                time,
+                total < 0 ? Double.NaN : total,
+                fields.group(1),
+                method,
+                split.target(),
+                Math.max(0, status),
+                Long.parseLong(fields.group(12)),
+                -1,
+                null,
+                false,
+                split.host(),
+                Map.of());
     }
 
     private double instant(LocalDateTime local) {
--- a/src/main/java/sablehinge/replay/HarEntries.java
+++ b/src/main/java/sablehinge/replay/HarEntries.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * The requests of a HAR file (HTTP Archive 1.2), read as a stream: bodies, which are most of such a file, are
- * passed over unread. Entries without an address of their caller are taken to be of one caller for each file.
+ * The requests of a HAR file (HTTP Archive 1.2), read as a stream: bodies, which are most of such a file, are passed
+ * over unread. Entries without an address of their caller are taken to be of one caller for each file.
  */
 final class HarEntries implements EntryReader {
 
@@ -32,8 +32,13 @@
     HarEntries(String name, InputStream in, Unreadable unreadable) throws IOException {
         this.name = name;
         this.unreadable = unreadable;
-        parser = JsonFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-                .maxNestingDepth(MOST_DEPTH).maxStringLength(MOST_TEXT).build()).build().createParser(in);
+        parser = JsonFactory.builder()
+                .streamReadConstraints(StreamReadConstraints.builder()
+                        .maxNestingDepth(MOST_DEPTH)
+                        .maxStringLength(MOST_TEXT)
+                        .build())
+                .build()
+                .createParser(in);
     }
 
     /** What has been read of one entry. */
@@ -80,8 +85,8 @@
                 throw e;
             } catch (IOException | RuntimeException e) {
                 ended = true;
-                unreadable.note(name, line(), "the file can't be read on from entry " + (number + 1) + ": "
-                        + Logs.message(e));
+                unreadable.note(
+                        name, line(), "the file can't be read on from entry " + (number + 1) + ": " + Logs.message(e));
             }
         }
         return null;
@@ -193,24 +198,34 @@
             try {
                 time = OffsetDateTime.parse(fields.started).toInstant().toEpochMilli();
             } catch (DateTimeException e) {
-                unreadable.note(name, line, "expected a startedDateTime such as 2026-12-01T06:30:05.250+00:00"
-                        + " in entry " + number);
+                unreadable.note(
+                        name,
+                        line,
+                        "expected a startedDateTime such as 2026-12-01T06:30:05.250+00:00" + " in entry " + number);
                 return null;
             }
         }
         String key = fields.headers.get("idempotency-key");
         String id = key == null ? fields.headers.get("x-request-id") : key;
         String forwarded = fields.headers.get("x-forwarded-for");
-        String caller = fields.caller != null ? fields.caller : forwarded != null
-                ? forwarded.split(",", 2)[0].strip() : name;
+        String caller =
+                fields.caller != null ? fields.caller : forwarded != null ? forwarded.split(",", 2)[0].strip() : name;
         Targets.Split split = Targets.split(fields.url);
         // A browser that got no answer writes a status of 0, and some a time of -1.
         double duration = fields.duration >= 0 ? fields.duration : Double.NaN;
-        return new LogEntry(time, duration, caller, fields.method, split.target(),
+        return new LogEntry(
+                time,
+                duration,
+                caller,
+                fields.method,
+                split.target(),
                 fields.status >= 0 && fields.status <= 999 ? (int) fields.status : 0,
-                (long) Math.max(0, fields.bytes), (long) Math.max(-1, fields.requestBytes), id, id != null,
+                (long) Math.max(0, fields.bytes),
+                (long) Math.max(-1, fields.requestBytes),
+                id,
+                id != null,
                 split.host() == null ? Targets.host(fields.headers.get("host")) : split.host(),
-                        fields.headers);
+                fields.headers);
     }
 
     @Override
--- a/src/main/java/sablehinge/replay/Inputs.java
+++ b/src/main/java/sablehinge/replay/Inputs.java
@@ -9,18 +9,17 @@
 import java.util.zip.GZIPInputStream;
 
 /**
- * Opens logs by name, {@code -} for standard input, and unpacks gzip (RFC 1952) and Zstandard (RFC 8878),
- * which it
+ * Opens logs by name, {@code -} for standard input, and unpacks gzip (RFC 1952) and Zstandard (RFC 8878), which it
  * knows by their first bytes and not by the name.
  */
 final class Inputs {
 
     /** Standard input's name. */
     static final String STDIN = "-";
+
     private static final int BUFFER = 1 << 16;
 
-    private Inputs() {
-    }
+    private Inputs() {}
 
     /** A log's plain bytes; the error says in its message what is wrong, without the name. */
     static Peekable open(String name, InputStream standard) throws IOException {
@@ -54,8 +53,8 @@
     }
 
     /**
-     * A stream whose next bytes can be looked at. It knows where it ends: a reader of gzip takes 0 bytes
-     * available for the end and would drop the members that a pipe has not brought yet.
+     * A stream whose next bytes can be looked at. It knows where it ends: a reader of gzip takes 0 bytes available for
+     * the end and would drop the members that a pipe has not brought yet.
      */
     static final class Peekable extends FilterInputStream {
 
--- a/src/main/java/sablehinge/replay/Inspection.java
+++ b/src/main/java/sablehinge/replay/Inspection.java
@@ -17,6 +17,7 @@
 
     /** Keys in an answer of JSON. */
     private static final int TOP_KEYS = 100;
+
     private static final int TOP_SHAPES = 10;
     private static final int MOST_KEYS = 100_000;
     private static final int MOST_CLASSES = 10_000;
@@ -54,8 +55,7 @@
         if (!mapped.key().isEmpty()) {
             keys.add(mapped.key());
             // What a log has as a key may be as long as a line.
-            topKeys.add(mapped.key().length() > LONGEST_KEY ? mapped.key().substring(0, LONGEST_KEY)
-                    : mapped.key());
+            topKeys.add(mapped.key().length() > LONGEST_KEY ? mapped.key().substring(0, LONGEST_KEY) : mapped.key());
         }
     }
 
@@ -67,10 +67,14 @@
     /** All of it, as JSON. */
     public ObjectNode json() {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
-        json.put("requests", counts.requests()).put("folded", counts.folded())
-                .put("missing_time", counts.missingTime()).put("out_of_order", counts.outOfOrder())
-                .put("unplaced", counts.late()).put("clock_jumps", counts.clockJumps())
-                .put("unmatched", counts.unmatched()).put("unreadable", counts.unreadable());
+        json.put("requests", counts.requests())
+                .put("folded", counts.folded())
+                .put("missing_time", counts.missingTime())
+                .put("out_of_order", counts.outOfOrder())
+                .put("unplaced", counts.late())
+                .put("clock_jumps", counts.clockJumps())
+                .put("unmatched", counts.unmatched())
+                .put("unreadable", counts.unreadable());
         object(json.putObject("classes"), classes.top(Integer.MAX_VALUE));
         json.put("keys", keys.count()).put("keys_exact", keys.isExact());
         object(json.putObject("top_keys"), topKeys.top(TOP_KEYS));
@@ -79,8 +83,8 @@
         counts.firstUnreadable().forEach(json.putArray("first_unreadable")::add);
         json.put("from", time(counts.from())).put("to", time(counts.to()));
         ObjectNode rate = json.putObject("rate");
-        rate.put("slice_s", rates.width() / 1_000).put("from", time(counts.requests() == 0 ? Double.NaN
-                : rates.from()));
+        rate.put("slice_s", rates.width() / 1_000)
+                .put("from", time(counts.requests() == 0 ? Double.NaN : rates.from()));
         for (long count : rates.counts()) {
             rate.withArray("requests").add(count);
         }
@@ -98,28 +102,33 @@
 
     /** All of it, for people. */
     public void print(PrintWriter out) {
-        out.printf(Locale.ROOT, "requests      %,d, from %s to %s%n", counts.requests(), time(counts.from()),
+        out.printf(
+                Locale.ROOT,
+                "requests      %,d, from %s to %s%n",
+                counts.requests(),
+                time(counts.from()),
                 time(counts.to()));
-        out.printf(Locale.ROOT, "folded        %,d retries, which are no demand of their own%n",
-                counts.folded());
+        out.printf(Locale.ROOT, "folded        %,d retries, which are no demand of their own%n", counts.folded());
         out.printf(Locale.ROOT, "missing time  %,d, placed between their neighbours%n", counts.missingTime());
-        out.printf(Locale.ROOT, "out of order  %,d, of which %,d came too late for their place%n",
-                counts.outOfOrder(), counts.late());
+        out.printf(
+                Locale.ROOT,
+                "out of order  %,d, of which %,d came too late for their place%n",
+                counts.outOfOrder(),
+                counts.late());
         if (counts.clockJumps() > 0) {
             out.printf(Locale.ROOT, "clock         was set back %,d times%n", counts.clockJumps());
         }
         out.printf(Locale.ROOT, "unmatched     %,d requests that no rule is for%n", counts.unmatched());
-        shapes.top(TOP_SHAPES).forEach((shape, count) -> out.printf(Locale.ROOT, "    %,12d  %s%n", count,
-                printable(shape)));
+        shapes.top(TOP_SHAPES)
+                .forEach((shape, count) -> out.printf(Locale.ROOT, "    %,12d  %s%n", count, printable(shape)));
         out.printf(Locale.ROOT, "unreadable    %,d%n", counts.unreadable());
         counts.firstUnreadable().forEach(line -> out.println("    " + printable(line)));
         out.println("classes");
-        classes.top(Integer.MAX_VALUE).forEach((name, count) -> out.printf(Locale.ROOT, "    %,12d  %s%n",
-                count,
-                printable(name)));
+        classes.top(Integer.MAX_VALUE)
+                .forEach((name, count) -> out.printf(Locale.ROOT, "    %,12d  %s%n", count, printable(name)));
         out.printf(Locale.ROOT, "keys          %s%,d%n", keys.isExact() ? "" : "about ", keys.count());
-        topKeys.top(TOP_SHAPES).forEach((key, count) -> out.printf(Locale.ROOT, "    %,12d  %s%n", count,
-                printable(key)));
+        topKeys.top(TOP_SHAPES)
+                .forEach((key, count) -> out.printf(Locale.ROOT, "    %,12d  %s%n", count, printable(key)));
         long[] slices = rates.counts(ROWS);
         long most = 0;
         for (long slice : slices) {
@@ -128,16 +137,21 @@
         double seconds = rates.width() / 1_000 * Math.max(1, (rates.counts().length + ROWS - 1) / ROWS);
         out.println("rate, a second");
         for (int i = 0; i < slices.length; i++) {
-            out.printf(Locale.ROOT, "    %s  %,10.1f  %s%n", time(rates.from() + i * seconds * 1_000),
-                    slices[i] / seconds, "#".repeat((int) (BAR * slices[i] / Math.max(1, most))));
+            out.printf(
+                    Locale.ROOT,
+                    "    %s  %,10.1f  %s%n",
+                    time(rates.from() + i * seconds * 1_000),
+                    slices[i] / seconds,
+                    "#".repeat((int) (BAR * slices[i] / Math.max(1, most))));
         }
         out.flush();
     }
 
     /** A terminal obeys what logs may hold. */
     private static String printable(String text) {
-        return text.codePoints().map(c -> Character.isISOControl(c) ? '?' : c)
+        return text.codePoints()
+                .map(c -> Character.isISOControl(c) ? '?' : c)
                 .collect(StringBuilder::new, StringBuilder::appendCodePoint, StringBuilder::append)
-                        .toString();
+                .toString();
     }
 }
--- a/src/main/java/sablehinge/replay/JsonLinesFormat.java
+++ b/src/main/java/sablehinge/replay/JsonLinesFormat.java
@@ -1,8 +1,8 @@
 package sablehinge.replay;
 
+import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.StreamReadConstraints;
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -17,11 +17,9 @@
 import sablehinge.mapping.LogFields;
 
 /**
- * Reads lines that are each a JSON object, by a map from what is wanted to the name of the field that has it.
- * A name
- * may lead into inner objects with dots. A time may be text of ISO 8601 with its zone, or a number: seconds
- * since
- * 1970, or milliseconds where it is too large for seconds of this century.
+ * Reads lines that are each a JSON object, by a map from what is wanted to the name of the field that has it. A name
+ * may lead into inner objects with dots. A time may be text of ISO 8601 with its zone, or a number: seconds since 1970,
+ * or milliseconds where it is too large for seconds of this century.
  */
 public final class JsonLinesFormat implements LogFormat {
 
@@ -30,20 +28,27 @@
     /** What is read where no map is given: the names that are common among servers. */
     public static final Map<String, String> USUAL = Map.ofEntries(
             Map.entry("time", "time|timestamp|@timestamp|ts|at_ms"),
-            Map.entry("duration_ms", "duration_ms|ms"), Map.entry("duration_s", "duration|request_time"),
+            Map.entry("duration_ms", "duration_ms|ms"),
+            Map.entry("duration_s", "duration|request_time"),
             Map.entry("caller", "caller|client|client_ip|remote_addr"),
-            Map.entry("method", "method|request_method"), Map.entry("target",
-                    "target|uri|path|url|request_uri"),
-            Map.entry("status", "status|code"), Map.entry("bytes", "bytes|body_bytes_sent"),
+            Map.entry("method", "method|request_method"),
+            Map.entry("target", "target|uri|path|url|request_uri"),
+            Map.entry("status", "status|code"),
+            Map.entry("bytes", "bytes|body_bytes_sent"),
             Map.entry("request_bytes", "request_bytes|request_length"),
-            Map.entry("id", "idempotency_key|id|request_id"), Map.entry("host", "host|http_host"));
+            Map.entry("id", "idempotency_key|id|request_id"),
+            Map.entry("host", "host|http_host"));
     /** Seconds up to the year 2100. */
     private static final double MOST_SECONDS = 4.1e9;
+
     private static final int MOST_DEPTH = 32;
 
     private final boolean ends;
-    private final ObjectMapper json = new JsonMapper(JsonFactory.builder().streamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(MOST_DEPTH).build()).build())
+    private final ObjectMapper json = new JsonMapper(JsonFactory.builder()
+                    .streamReadConstraints(StreamReadConstraints.builder()
+                            .maxNestingDepth(MOST_DEPTH)
+                            .build())
+                    .build())
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     /** For each thing wanted the places where it may stand, the first that is there to be taken. */
     private final Map<String, String[][]> paths;
@@ -52,13 +57,14 @@
     public JsonLinesFormat(Map<String, String> fields) {
         for (String name : fields.keySet()) {
             if (!WANTED.contains(name)) {
-                throw new IllegalArgumentException("nothing is called " + name + ", expected one of "
-                        + WANTED);
+                throw new IllegalArgumentException("nothing is called " + name + ", expected one of " + WANTED);
             }
         }
-        paths = fields.entrySet().stream().collect(Collectors.toUnmodifiableMap(
-                Map.Entry::getKey, entry -> Arrays.stream(entry.getValue().split("\\|"))
-                        .map(path -> path.split("\\.")).toArray(String[][]::new)));
+        paths = fields.entrySet().stream()
+                .collect(Collectors.toUnmodifiableMap(Map.Entry::getKey, entry -> Arrays.stream(
+                                entry.getValue().split("\\|"))
+                        .map(path -> path.split("\\."))
+                        .toArray(String[][]::new)));
         ends = fields.containsKey("end_time") && !fields.containsKey("time");
     }
 
@@ -88,11 +94,19 @@
         Targets.Split split = Targets.split(target);
         String host = text(object, "host");
         String id = text(object, "id");
-        return new LogEntry(time(object), duration, caller == null ? "-" : caller, method == null ? "GET"
-                : method, split.target(), status >= 0 && status <= 999 ? (int) status : 0,
-                (long) Math.max(0, number(object, "bytes", 0)), (long) number(object, "request_bytes", -1),
-                        id,
-                id != null, split.host() == null ? Targets.host(host) : split.host(), Map.of());
+        return new LogEntry(
+                time(object),
+                duration,
+                caller == null ? "-" : caller,
+                method == null ? "GET" : method,
+                split.target(),
+                status >= 0 && status <= 999 ? (int) status : 0,
+                (long) Math.max(0, number(object, "bytes", 0)),
+                (long) number(object, "request_bytes", -1),
+                id,
+                id != null,
+                split.host() == null ? Targets.host(host) : split.host(),
+                Map.of());
     }
 
     @Override
@@ -116,8 +130,9 @@
     /** Where a thing that is wanted may stand, for errors. */
     private String places(String wanted) {
         String[][] places = paths.get(wanted);
-        return places == null ? "no field, as the map names none" : Arrays.stream(places)
-                .map(path -> String.join(".", path)).collect(Collectors.joining(" or "));
+        return places == null
+                ? "no field, as the map names none"
+                : Arrays.stream(places).map(path -> String.join(".", path)).collect(Collectors.joining(" or "));
     }
 
     private String text(JsonNode object, String wanted) {
--- a/src/main/java/sablehinge/replay/LineEntries.java
+++ b/src/main/java/sablehinge/replay/LineEntries.java
@@ -32,8 +32,7 @@
                 throw e;
             } catch (IOException | RuntimeException e) {
                 // A packed file that is cut off, or spoilt: what came before it counts, and that it ended.
-                unreadable.note(name, lines.number() + 1, "the file can't be read on from here: "
-                        + Logs.message(e));
+                unreadable.note(name, lines.number() + 1, "the file can't be read on from here: " + Logs.message(e));
                 ended = true;
                 return null;
             }
@@ -41,8 +40,7 @@
                 return null;
             }
             if (lines.tooLong()) {
-                unreadable.note(name, lines.number(), "expected at most " + LineReader.MOST_BYTES
-                        + " bytes in a line");
+                unreadable.note(name, lines.number(), "expected at most " + LineReader.MOST_BYTES + " bytes in a line");
                 continue;
             }
             if (line.isBlank()) {
--- a/src/main/java/sablehinge/replay/LineReader.java
+++ b/src/main/java/sablehinge/replay/LineReader.java
@@ -10,6 +10,7 @@
 
     /** Bytes of a line at most: four times what servers let a request line and its headers have together. */
     static final int MOST_BYTES = 1 << 18;
+
     private static final int BUFFER = 1 << 16;
 
     private final InputStream in;
@@ -69,8 +70,7 @@
             return;
         }
         if (begunBytes + count > begun.length) {
-            begun = Arrays.copyOf(begun, Math.min(MOST_BYTES, Math.max(begunBytes + count,
-                    begun.length * 2)));
+            begun = Arrays.copyOf(begun, Math.min(MOST_BYTES, Math.max(begunBytes + count, begun.length * 2)));
         }
         System.arraycopy(buffer, from, begun, begunBytes, count);
         begunBytes += count;
--- a/src/main/java/sablehinge/replay/LogEntry.java
+++ b/src/main/java/sablehinge/replay/LogEntry.java
@@ -5,9 +5,8 @@
 /**
  * One request of an access log.
  *
- * @param time when the request came, or when it ended where {@link LogFormat#timeIsEnd}, in ms since 1970;
- * NaN
- *     where the log has none
+ * @param time when the request came, or when it ended where {@link LogFormat#timeIsEnd}, in ms since 1970; NaN where
+ *     the log has none
  * @param duration how long the request took, in ms; NaN where the log doesn't tell
  * @param target path and query as they were asked for
  * @param status 0 where there was no answer
@@ -18,5 +17,16 @@
  * @param host null where the log doesn't tell
  * @param headers by their names in lower case, those that the log has
  */
-public record LogEntry(double time, double duration, String caller, String method, String target, int status,
-        long bytes, long requestBytes, String id, boolean sure, String host, Map<String, String> headers) { }
+public record LogEntry(
+        double time,
+        double duration,
+        String caller,
+        String method,
+        String target,
+        int status,
+        long bytes,
+        long requestBytes,
+        String id,
+        boolean sure,
+        String host,
+        Map<String, String> headers) {}
--- a/src/main/java/sablehinge/replay/Logs.java
+++ b/src/main/java/sablehinge/replay/Logs.java
@@ -14,18 +14,17 @@
 import sablehinge.replay.OrderedLog.Placed;
 
 /**
- * Several logs as one: the requests that were asked for, in the order of time, with logged retries folded.
- * What is
- * held is bounded, whatever the logs' size.
+ * Several logs as one: the requests that were asked for, in the order of time, with logged retries folded. What is held
+ * is bounded, whatever the logs' size.
  */
 public final class Logs implements Closeable {
 
     /** Files that are open at a time. */
     public static final int MOST_FILES = 500;
+
     private static final int LEAST_HELD = 500;
 
-    /** Hears of each logged try, in the order of time; for measuring the folding on logs whose truth is
-     * known. */
+    /** Hears of each logged try, in the order of time; for measuring the folding on logs whose truth is known. */
     public interface Tries {
 
         /**
@@ -38,14 +37,14 @@
         void tried(long number, long first, long bytes);
     }
 
-    private record Head(OrderedLog log, int place, double time) { }
+    private record Head(OrderedLog log, int place, double time) {}
 
     private final List<OrderedLog> logs = new ArrayList<>();
-    private final PriorityQueue<Head> heads = new PriorityQueue<>(Comparator.comparingDouble(Head::time)
-            .thenComparingInt(Head::place));
+    private final PriorityQueue<Head> heads =
+            new PriorityQueue<>(Comparator.comparingDouble(Head::time).thenComparingInt(Head::place));
     private final RetryFolder folder;
     private final Unreadable unreadable;
-    private Tries listener = (number, under, bytes) -> { };
+    private Tries listener = (number, under, bytes) -> {};
     private long tries;
     private long requests;
     private long unmatched;
@@ -126,8 +125,8 @@
             double time = placed.time();
             long number = tries++;
             double ended = time + (held.duration() >= 0 ? held.duration() : 0);
-            long under = folder.take(new RetryFolder.Try(time, ended, held.id(), held.sure(), held.caller(),
-                    held.method(), held.target(), held.status()));
+            long under = folder.take(new RetryFolder.Try(
+                    time, ended, held.id(), held.sure(), held.caller(), held.method(), held.target(), held.status()));
             listener.tried(number, under, held.bytes());
             if (under != number) {
                 continue;
@@ -147,28 +146,44 @@
     }
 
     /** What a reading has come to so far; see {@link #counts}. */
-    public record Counts(long requests, long folded, long missingTime, long outOfOrder, long late,
-            long clockJumps, long unmatched, long unreadable, List<String> firstUnreadable, double from,
-            double to) { }
+    public record Counts(
+            long requests,
+            long folded,
+            long missingTime,
+            long outOfOrder,
+            long late,
+            long clockJumps,
+            long unmatched,
+            long unreadable,
+            List<String> firstUnreadable,
+            double from,
+            double to) {}
 
     /**
-     * The counts so far. Requests are first tries, of which some are unmatched; {@code late} ones came so
-     * late
-     * that their place had passed; {@code from} and {@code to} are NaN where no time is known.
+     * The counts so far. Requests are first tries, of which some are unmatched; {@code late} ones came so late that
+     * their place had passed; {@code from} and {@code to} are NaN where no time is known.
      */
     public Counts counts() {
         long missing = logs.stream().mapToLong(OrderedLog::missing).sum();
         boolean timed = missing < tries;
-        return new Counts(requests, folder.folded(), missing,
+        return new Counts(
+                requests,
+                folder.folded(),
+                missing,
                 logs.stream().mapToLong(OrderedLog::outOfOrder).sum(),
                 logs.stream().mapToLong(OrderedLog::late).sum(),
-                logs.stream().mapToLong(OrderedLog::jumps).sum(), unmatched, unreadable.count(),
-                unreadable.first(), timed ? first : Double.NaN, timed ? last : Double.NaN);
+                logs.stream().mapToLong(OrderedLog::jumps).sum(),
+                unmatched,
+                unreadable.count(),
+                unreadable.first(),
+                timed ? first : Double.NaN,
+                timed ? last : Double.NaN);
     }
 
     /** An exception's words, or its kind where it has none. */
     static String message(Throwable e) {
-        String text = e.getMessage() == null ? "" : e.getMessage().lines().findFirst().orElse("");
+        String text =
+                e.getMessage() == null ? "" : e.getMessage().lines().findFirst().orElse("");
         return text.isEmpty() ? e.getClass().getSimpleName() : text;
     }
 
--- a/src/main/java/sablehinge/replay/NginxFormat.java
+++ b/src/main/java/sablehinge/replay/NginxFormat.java
@@ -1,10 +1,10 @@
 package sablehinge.replay;
 
 import java.time.DateTimeException;
+import java.time.OffsetDateTime;
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
 import java.time.format.DateTimeFormatterBuilder;
-import java.time.OffsetDateTime;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -13,31 +13,33 @@
 import java.util.Set;
 
 /**
- * Reads lines by an nginx {@code log_format} given as its own text (nginx, ngx_http_log_module). The Common
- * Log Format
+ * Reads lines by an nginx {@code log_format} given as its own text (nginx, ngx_http_log_module). The Common Log Format
  * and the Combined one are such formats. Variables that nothing here needs are passed over.
  */
 public final class NginxFormat implements LogFormat {
 
     /** The Common Log Format (W3C httpd 3.0). */
-    public static final String COMMON = "$remote_addr - $remote_user [$time_local] \"$request\" $status"
-            + " $body_bytes_sent";
+    public static final String COMMON =
+            "$remote_addr - $remote_user [$time_local] \"$request\" $status" + " $body_bytes_sent";
     /** nginx's predefined {@code combined}, which Apache has too. */
     public static final String COMBINED = COMMON + " \"$http_referer\" \"$http_user_agent\"";
 
-    private static final DateTimeFormatter TIME_LOCAL = new DateTimeFormatterBuilder().parseCaseInsensitive()
-            .appendPattern("dd/MMM/yyyy:HH:mm:ss Z").toFormatter(Locale.ROOT);
+    private static final DateTimeFormatter TIME_LOCAL = new DateTimeFormatterBuilder()
+            .parseCaseInsensitive()
+            .appendPattern("dd/MMM/yyyy:HH:mm:ss Z")
+            .toFormatter(Locale.ROOT);
     private static final double MS = 1_000;
     /** Headers by which callers name a request over its tries; nginx's own request_id is new with each. */
     private static final Set<String> IDS = Set.of("http_idempotency_key", "http_x_request_id");
 
     /** A variable and the text that must follow it. */
-    private record Part(String variable, String literal) { }
+    private record Part(String variable, String literal) {}
 
     private final String head;
     private final List<Part> parts = new ArrayList<>();
     /** The last time that was read, as it stood: a busy log has many lines of one second. */
     private String lastText = "";
+
     private double lastTime;
 
     /** What one line has been read into. */
@@ -67,15 +69,14 @@
             int end = at + 1;
             boolean braces = end < format.length() && format.charAt(end) == '{';
             int from = braces ? ++end : end;
-            while (end < format.length() && (Character.isLetterOrDigit(format.charAt(end))
-                    || format.charAt(end) == '_')) {
+            while (end < format.length()
+                    && (Character.isLetterOrDigit(format.charAt(end)) || format.charAt(end) == '_')) {
                 end++;
             }
             String variable = format.substring(from, end);
             if (variable.isEmpty() || braces && (end >= format.length() || format.charAt(end) != '}')) {
-                throw new IllegalArgumentException("character " + (at + 1)
-                        + " of the log format: expected the name"
-                        + " of a variable");
+                throw new IllegalArgumentException(
+                        "character " + (at + 1) + " of the log format: expected the name" + " of a variable");
             }
             end += braces ? 1 : 0;
             int next = format.indexOf('$', end);
@@ -100,8 +101,7 @@
         for (Part part : parts) {
             int end = part.literal.isEmpty() ? line.length() : end(line, at, part.literal);
             if (end < 0) {
-                throw new UnreadableLineException(at, "$" + part.variable + " and then \"" + part.literal
-                        + "\"");
+                throw new UnreadableLineException(at, "$" + part.variable + " and then \"" + part.literal + "\"");
             }
             take(fields, part.variable, line.substring(at, end), at);
             at = end + part.literal.length();
@@ -110,9 +110,19 @@
             throw new UnreadableLineException(at, "the end of the line");
         }
         Targets.Split split = Targets.split(fields.target);
-        return new LogEntry(fields.time, fields.duration, fields.caller, fields.method, split.target(),
-                fields.status, fields.bytes, fields.requestBytes, fields.key != null ? fields.key : fields.id,
-                fields.key != null, split.host() == null ? fields.host : split.host(), fields.headers);
+        return new LogEntry(
+                fields.time,
+                fields.duration,
+                fields.caller,
+                fields.method,
+                split.target(),
+                fields.status,
+                fields.bytes,
+                fields.requestBytes,
+                fields.key != null ? fields.key : fields.id,
+                fields.key != null,
+                split.host() == null ? fields.host : split.host(),
+                fields.headers);
     }
 
     /** nginx writes a line once the request has ended, and so is its time. */
@@ -153,12 +163,12 @@
                 }
             }
             case "status" -> fields.status = (int) number(text, at, "a status", 999);
-            case "body_bytes_sent", "bytes_sent" -> fields.bytes = number(text, at, "a number of bytes",
-                    Long.MAX_VALUE);
+            case "body_bytes_sent", "bytes_sent" ->
+                fields.bytes = number(text, at, "a number of bytes", Long.MAX_VALUE);
             case "request_time" -> fields.duration = text.equals("-") ? Double.NaN : seconds(text, at);
             // $request_length counts the head too, so that it says nothing of the body.
-            case "content_length", "http_content_length" -> fields.requestBytes = number(text, at,
-                    "a number of bytes", Long.MAX_VALUE);
+            case "content_length", "http_content_length" ->
+                fields.requestBytes = number(text, at, "a number of bytes", Long.MAX_VALUE);
             case "host", "http_host" -> fields.host = Targets.host(text);
             case "request_id" -> fields.id = text.equals("-") || text.isEmpty() ? null : text;
             default -> {
@@ -202,12 +212,17 @@
             time = seconds(text, at);
         } else {
             try {
-                time = (variable.equals("time_local") ? OffsetDateTime.parse(text, TIME_LOCAL)
-                        : OffsetDateTime.parse(text)).withOffsetSameInstant(ZoneOffset.UTC).toInstant()
+                time = (variable.equals("time_local")
+                                ? OffsetDateTime.parse(text, TIME_LOCAL)
+                                : OffsetDateTime.parse(text))
+                        .withOffsetSameInstant(ZoneOffset.UTC)
+                        .toInstant()
                         .toEpochMilli();
             } catch (DateTimeException e) {
-                throw new UnreadableLineException(at, variable.equals("time_local")
-                        ? "a time such as 10/Oct/2026:13:55:36 +0000"
+                throw new UnreadableLineException(
+                        at,
+                        variable.equals("time_local")
+                                ? "a time such as 10/Oct/2026:13:55:36 +0000"
                                 : "a time such as 2026-10-10T13:55:36+00:00");
             }
         }
@@ -254,7 +269,9 @@
             char c = text.charAt(i);
             if (c == '\\' && i + 1 < text.length()) {
                 char next = text.charAt(i + 1);
-                if (next == 'x' && i + 3 < text.length() && Character.digit(text.charAt(i + 2), 16) >= 0
+                if (next == 'x'
+                        && i + 3 < text.length()
+                        && Character.digit(text.charAt(i + 2), 16) >= 0
                         && Character.digit(text.charAt(i + 3), 16) >= 0) {
                     plain.append((char) Integer.parseInt(text.substring(i + 2, i + 4), 16));
                     i += 3;
--- a/src/main/java/sablehinge/replay/OrderedLog.java
+++ b/src/main/java/sablehinge/replay/OrderedLog.java
@@ -13,6 +13,7 @@
 
     /** Times by which it is seen whether a log has whole seconds only. */
     private static final int SAMPLE = 200;
+
     private static final int MOST_BODY = 1 << 16;
 
     /**
@@ -20,11 +21,21 @@
      *
      * @param shape of one that no rule is for; otherwise null
      */
-    record Held(double duration, String caller, String method, String target, int status, String id,
-            boolean sure, Mapped mapped, String shape, int body, long bytes) { }
+    record Held(
+            double duration,
+            String caller,
+            String method,
+            String target,
+            int status,
+            String id,
+            boolean sure,
+            Mapped mapped,
+            String shape,
+            int body,
+            long bytes) {}
 
     /** A request and when it began. */
-    record Placed(double time, Held held) { }
+    record Placed(double time, Held held) {}
 
     private final EntryReader entries;
     private final Mapping mapping;
@@ -32,20 +43,19 @@
     private final Timeline<Held> logged;
     /** Where the log's times are ends: what has left the first line is ordered again by its beginning. */
     private final Timeline<Held> byBegin;
+
     private final double window;
     private final ArrayDeque<LogEntry> sample = new ArrayDeque<>();
     private boolean ended;
 
-    OrderedLog(EntryReader entries, LogOptions options, double window, int mostHeld, long seed)
-            throws IOException {
+    OrderedLog(EntryReader entries, LogOptions options, double window, int mostHeld, long seed) throws IOException {
         this.entries = entries;
         this.mapping = options.mapping();
         this.window = window;
         Timeline.Sink<Held> out = (time, held) -> ready.add(new Placed(time, held));
-        byBegin = entries.timeIsEnd() ? new Timeline<>(new Timeline.Terms(window, mostHeld, false, seed), out)
-                : null;
-        logged = new Timeline<>(new Timeline.Terms(window, mostHeld, wholeSeconds(), seed),
-                byBegin == null ? out : this::ended);
+        byBegin = entries.timeIsEnd() ? new Timeline<>(new Timeline.Terms(window, mostHeld, false, seed), out) : null;
+        logged = new Timeline<>(
+                new Timeline.Terms(window, mostHeld, wholeSeconds(), seed), byBegin == null ? out : this::ended);
     }
 
     private boolean wholeSeconds() throws IOException {
@@ -92,13 +102,21 @@
     }
 
     private Held held(LogEntry entry) {
-        Asked asked = new Asked(entry.method(), entry.host(), entry.target(), entry.caller(),
-                entry.headers());
+        Asked asked = new Asked(entry.method(), entry.host(), entry.target(), entry.caller(), entry.headers());
         Mapped mapped = mapping.map(asked);
-        int body = mapped != null && mapped.body() >= 0 ? mapped.body()
-                : (int) Math.min(MOST_BODY, entry.requestBytes());
-        return new Held(entry.duration(), entry.caller(), entry.method(), entry.target(), entry.status(),
-                entry.id(), entry.sure(), mapped, mapped == null ? Mapping.shape(asked) : null, body,
+        int body =
+                mapped != null && mapped.body() >= 0 ? mapped.body() : (int) Math.min(MOST_BODY, entry.requestBytes());
+        return new Held(
+                entry.duration(),
+                entry.caller(),
+                entry.method(),
+                entry.target(),
+                entry.status(),
+                entry.id(),
+                entry.sure(),
+                mapped,
+                mapped == null ? Mapping.shape(asked) : null,
+                body,
                 entry.bytes());
     }
 
--- a/src/main/java/sablehinge/replay/SampleDay.java
+++ b/src/main/java/sablehinge/replay/SampleDay.java
@@ -11,10 +11,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A log made up by seed, with all that real ones have: a rise and a fall of the rate, keys of which few are
- * common,
- * callers who try again, lines out of order and without time. What is true of it is known: each line's
- * bytes are the
+ * A log made up by seed, with all that real ones have: a rise and a fall of the rate, keys of which few are common,
+ * callers who try again, lines out of order and without time. What is true of it is known: each line's bytes are the
  * number of the request that it belongs to.
  */
 public final class SampleDay {
@@ -23,16 +21,19 @@
     public static final String FORMAT = "$remote_addr [$msec] \"$request\" $status $body_bytes_sent "
             + "$request_time"
             + " \"$http_idempotency_key\"";
+
     private static final double START = 1_785_736_800_000.0;
     private static final int KEYS = 2_000;
     private static final double ZIPF = 0.8;
     private static final int CALLERS = 20_000;
 
     /** A class, its share of the requests, and whether callers name their requests. */
-    private record Kind(String name, String method, double share, boolean named) { }
+    private record Kind(String name, String method, double share, boolean named) {}
 
-    private static final List<Kind> KINDS = List.of(new Kind("tile-order", "POST", 0.45, true),
-            new Kind("credit-spend", "POST", 0.25, false), new Kind("tile", "GET", 0.3, false));
+    private static final List<Kind> KINDS = List.of(
+            new Kind("tile-order", "POST", 0.45, true),
+            new Kind("credit-spend", "POST", 0.25, false),
+            new Kind("tile", "GET", 0.3, false));
 
     /**
      * What the log is like.
@@ -44,9 +45,8 @@
      * @param retries the share of lines that are retries
      * @param again the share of requests that ask honestly once more after a success
      */
-    public record Terms(double seconds, double peak, double displaced, double timeless, double retries,
-            double again,
-            long seed) {
+    public record Terms(
+            double seconds, double peak, double displaced, double timeless, double retries, double again, long seed) {
 
         /** As the replay's measurement wants it. */
         public static Terms usual(double seconds, double peak, long seed) {
@@ -55,15 +55,21 @@
     }
 
     /** A try, by when its line is written. */
-    private record Line(double place, double ended, double took, String caller, String request, int status,
+    private record Line(
+            double place,
+            double ended,
+            double took,
+            String caller,
+            String request,
+            int status,
             long number,
-            String name) { }
+            String name) {}
 
     private final Terms terms;
     private final SplittableRandom random;
     private final double[] zipf = new double[KEYS];
-    private final PriorityQueue<Line> lines = new PriorityQueue<>(Comparator.comparingDouble(Line::place)
-            .thenComparingLong(Line::number));
+    private final PriorityQueue<Line> lines =
+            new PriorityQueue<>(Comparator.comparingDouble(Line::place).thenComparingLong(Line::number));
     private final Map<String, Long> classes = new HashMap<>();
     private final Map<String, Long> keys = new HashMap<>();
     private long requests;
@@ -85,8 +91,8 @@
     public void write(Writer out) throws IOException {
         double time = 0;
         while (true) {
-            double rate = terms.peak() * (0.05
-                    + 0.95 * Math.pow(Math.sin(Math.PI * time / terms.seconds() / 1_000), 2));
+            double rate =
+                    terms.peak() * (0.05 + 0.95 * Math.pow(Math.sin(Math.PI * time / terms.seconds() / 1_000), 2));
             time += -Math.log(1 - random.nextDouble()) / rate * 1_000;
             if (time >= terms.seconds() * 1_000) {
                 break;
@@ -104,8 +110,7 @@
 
     private void request(double time) {
         double draw = random.nextDouble();
-        Kind kind = KINDS.get(draw < KINDS.get(0).share ? 0 : draw < KINDS.get(0).share + KINDS.get(1).share
-                ? 1 : 2);
+        Kind kind = KINDS.get(draw < KINDS.get(0).share ? 0 : draw < KINDS.get(0).share + KINDS.get(1).share ? 1 : 2);
         String key = kind.name.substring(0, 1) + key();
         int host = random.nextInt(CALLERS);
         String caller = "10." + host / 65_536 + "." + host / 256 % 256 + "." + host % 256;
@@ -133,13 +138,20 @@
         for (int i = 0; i < 4; i++) {
             boolean fails = i < 3 && random.nextDouble() < again;
             int status = !fails ? 200 : new int[] {503, 504, 500, 499, 429}[random.nextInt(5)];
-            double took = status == 504 || status == 499 ? random.nextDouble(400, 1_000)
+            double took = status == 504 || status == 499
+                    ? random.nextDouble(400, 1_000)
                     : Math.max(1, -Math.log(1 - random.nextDouble()) * 30);
             double ended = at + took;
             boolean late = random.nextDouble() < terms.displaced();
-            lines.add(new Line(late ? ended + random.nextDouble(50, 3_000) : ended, ended, took, caller,
-                    target, status,
-                    number, name));
+            lines.add(new Line(
+                    late ? ended + random.nextDouble(50, 3_000) : ended,
+                    ended,
+                    took,
+                    caller,
+                    target,
+                    status,
+                    number,
+                    name));
             tries++;
             retried += i > 0 ? 1 : 0;
             if (!fails) {
@@ -155,7 +167,11 @@
         long millis = Math.round(START + line.ended);
         out.write(line.caller);
         out.write(" [");
-        out.write(timeless ? "-" : millis / 1_000 + "." + Long.toString(1_000 + millis % 1_000).substring(1));
+        out.write(
+                timeless
+                        ? "-"
+                        : millis / 1_000 + "."
+                                + Long.toString(1_000 + millis % 1_000).substring(1));
         out.write("] \"");
         out.write(line.request);
         out.write("\" ");
--- a/src/main/java/sablehinge/replay/Targets.java
+++ b/src/main/java/sablehinge/replay/Targets.java
@@ -5,15 +5,15 @@
 /** Targets of requests in the forms of RFC 9112, 3.2. */
 final class Targets {
 
-    private Targets() {
-    }
+    private Targets() {}
 
     /** A target without its authority; the host is null if there was none. */
-    record Split(String target, String host) { }
+    record Split(String target, String host) {}
 
     /** Takes {@code http://host:port/path} apart; what has no authority stays as it is. */
     static Split split(String target) {
-        int scheme = target.startsWith("http://") || target.startsWith("HTTP://") ? 7
+        int scheme = target.startsWith("http://") || target.startsWith("HTTP://")
+                ? 7
                 : target.startsWith("https://") || target.startsWith("HTTPS://") ? 8 : 0;
         if (scheme == 0) {
             return new Split(target, null);
--- a/src/main/java/sablehinge/replay/ZstdFrames.java
+++ b/src/main/java/sablehinge/replay/ZstdFrames.java
@@ -4,8 +4,7 @@
 import java.io.InputStream;
 
 /**
- * Leaves out the skippable frames among Zstandard's (RFC 8878, 3.1.2), which parallel and seekable packers
- * write
+ * Leaves out the skippable frames among Zstandard's (RFC 8878, 3.1.2), which parallel and seekable packers write
  * between the others and which the decoder takes for an error. All else goes through as it is.
  */
 final class ZstdFrames extends InputStream {
@@ -16,7 +15,12 @@
     private static final int[] SIZE_BYTES = {0, 2, 4, 8};
 
     /** What comes next. */
-    private enum Stage { FRAME, BLOCK, CHECKSUM, UNKNOWN }
+    private enum Stage {
+        FRAME,
+        BLOCK,
+        CHECKSUM,
+        UNKNOWN
+    }
 
     private final InputStream in;
     private final byte[] head = new byte[18];
@@ -64,8 +68,7 @@
         return read(one, 0, 1) < 0 ? -1 : one[0] & 0xff;
     }
 
-    /** Reads what tells how much follows; false at the end. What is cut off is left to the decoder to find.
-     * */
+    /** Reads what tells how much follows; false at the end. What is cut off is left to the decoder to find. */
     private boolean advance() throws IOException {
         switch (stage) {
             case FRAME -> {
@@ -83,7 +86,8 @@
                     boolean single = (descriptor & 0x20) != 0;
                     int size = descriptor >> 6 & 3;
                     checksum = (descriptor & 4) != 0;
-                    more((single ? 0 : 1) + DICTIONARY_BYTES[descriptor & 3]
+                    more((single ? 0 : 1)
+                            + DICTIONARY_BYTES[descriptor & 3]
                             + (single && size == 0 ? 1 : SIZE_BYTES[size]));
                     stage = Stage.BLOCK;
                 } else {
--- a/src/main/java/sablehinge/replay/run/Keys.java
+++ b/src/main/java/sablehinge/replay/run/Keys.java
@@ -5,8 +5,7 @@
 /** Logged keys as the number that the protocol's cookie carries. */
 public final class Keys {
 
-    private Keys() {
-    }
+    private Keys() {}
 
     /** 16 hexadecimal digits, the same for a key each time: FNV-1a over its characters, mixed. */
     public static String number(String key) {
--- a/src/main/java/sablehinge/replay/run/Lane.java
+++ b/src/main/java/sablehinge/replay/run/Lane.java
@@ -39,21 +39,21 @@
 import sablehinge.replay.run.Tally.Outcome;
 
 /**
- * Sends requests when they are due, whatever becomes of those before: an answer's lateness never delays the
- * next
- * request, and latency counts from when a request was due (Tene, How not to measure latency, 2015: no
- * coordinated
+ * Sends requests when they are due, whatever becomes of those before: an answer's lateness never delays the next
+ * request, and latency counts from when a request was due (Tene, How not to measure latency, 2015: no coordinated
  * omission). One event loop owns a lane with all its clients and connections.
  */
 final class Lane {
 
     /** Requests that wait for their time at most. */
     static final int MOST_AHEAD = 20_000;
+
     private static final int CONNECT_MS = 1_000;
     /** How long after a try's time is up its connection stays, so that an answer that is late is seen. */
     private static final double LINGER_MS = 150;
     /** An idle connection is left alone after so long: balancers close theirs about then. */
     private static final long IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+
     private static final double NANOS = 1e6;
     private static final int ECHO = 160;
 
@@ -61,6 +61,7 @@
     private final List<Target> targets;
     /** Open to one balancer at most: one that is stuck must not use up those to the others. */
     private final int mostConnections;
+
     private final Client.Terms clients;
     private final SplittableRandom random;
     private final String name;
@@ -117,6 +118,7 @@
         boolean begun;
         /** Whether it has come out for its client; its connection may still wait for a late answer. */
         boolean over;
+
         boolean sentAgain;
         boolean noted;
         ScheduledFuture<?> expiry;
@@ -138,9 +140,15 @@
         void unasked(Unasked unasked);
     }
 
-    Lane(EventLoop loop, String name, List<Target> targets, int mostConnections, Client.Terms clients,
+    Lane(
+            EventLoop loop,
+            String name,
+            List<Target> targets,
+            int mostConnections,
+            Client.Terms clients,
             long seed,
-            long start, LoadRecord record) {
+            long start,
+            LoadRecord record) {
         this.loop = loop;
         this.name = name;
         this.targets = targets;
@@ -185,8 +193,7 @@
 
     private void sendDue() {
         long now = System.nanoTime();
-        for (Planned next = ahead.peek(); next != null && next.due() - now <= 0
-                && !stopped; next = ahead.peek()) {
+        for (Planned next = ahead.peek(); next != null && next.due() - now <= 0 && !stopped; next = ahead.peek()) {
             ahead.poll();
             begin(next, now);
             now = System.nanoTime();
@@ -195,8 +202,12 @@
 
     private void begin(Planned planned, long now) {
         tally.asked(sinceStart(planned.due()), (now - planned.due()) / NANOS);
-        Client client = new Client(clients, planned.plan().repeat(), planned.deadline(),
-                planned.plan().terms().window(), random);
+        Client client = new Client(
+                clients,
+                planned.plan().repeat(),
+                planned.deadline(),
+                planned.plan().terms().window(),
+                random);
         boolean keyed = planned.plan().terms().effect() == Effect.KEYED;
         outstanding++;
         attempt(new Whole(planned, client, keyed ? id() + id() : ""), now);
@@ -244,15 +255,19 @@
         one.target.open++;
         tally.connections++;
         Connection connection = new Connection(one.target);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS).option(ChannelOption.TCP_NODELAY,
-                        true)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(), connection);
                     }
-                }).connect(one.target.address).addListener((ChannelFuture up) -> {
+                })
+                .connect(one.target.address)
+                .addListener((ChannelFuture up) -> {
                     connection.channel = up.channel();
                     if (!up.isSuccess()) {
                         closed(one.target);
@@ -302,13 +317,19 @@
             one.connection = this;
             Planned planned = one.whole.planned;
             Effect effect = planned.plan().terms().effect();
-            ByteBuf body = effect == Effect.SAFE ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(
-                    new byte[Math.max(0, planned.body())]);
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST, planned.target(), body);
+            ByteBuf body = effect == Effect.SAFE
+                    ? Unpooled.EMPTY_BUFFER
+                    : Unpooled.wrappedBuffer(new byte[Math.max(0, planned.body())]);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST,
+                    planned.target(),
+                    body);
             double left = Math.max(0, one.until - Stamps.now());
-            request.headers().set("Host", "app.svc").set("X-Txn", one.txn).set("X-Lane",
-                    planned.serviceClass())
+            request.headers()
+                    .set("Host", "app.svc")
+                    .set("X-Txn", one.txn)
+                    .set("X-Lane", planned.serviceClass())
                     .set("X-Remaining", seconds(left));
             if (effect != Effect.SAFE) {
                 request.headers().set("Content-Length", body.readableBytes());
@@ -334,7 +355,8 @@
         /** Seconds to the tenth of a ms; formats take longer than all the rest of a request. */
         private String seconds(double millis) {
             long tenths = Math.round(millis * 10);
-            return tenths / 10_000 + "." + Long.toString(10_000 + tenths % 10_000).substring(1);
+            return tenths / 10_000 + "."
+                    + Long.toString(10_000 + tenths % 10_000).substring(1);
         }
 
         @Override
@@ -355,8 +377,8 @@
                 }
                 if (message instanceof HttpContent part) {
                     int count = Math.min(ECHO - start.length(), part.content().readableBytes());
-                    start.append(part.content().toString(part.content().readerIndex(), count,
-                            StandardCharsets.ISO_8859_1));
+                    start.append(
+                            part.content().toString(part.content().readerIndex(), count, StandardCharsets.ISO_8859_1));
                     if (message instanceof LastHttpContent) {
                         if (part.decoderResult().isSuccess()) {
                             answered();
@@ -427,8 +449,7 @@
     /** What a stand-in says in its first line: for which request it made this body. */
     private static Echo echo(CharSequence start, String txn) {
         String text = start.toString();
-        return !text.startsWith("txn=") ? Echo.UNKNOWN : text.startsWith(txn + "\n", 4) ? Echo.SAME
-                : Echo.OTHER;
+        return !text.startsWith("txn=") ? Echo.UNKNOWN : text.startsWith(txn + "\n", 4) ? Echo.SAME : Echo.OTHER;
     }
 
     private static double retryAfter(String text) {
@@ -453,13 +474,16 @@
             note(one, End.UNREACHABLE);
             return;
         }
-        loop.schedule(() -> {
-            if (one.connection.current == one) {
-                one.connection.current = null;
-                note(one, End.SILENT);
-                one.connection.channel.close();
-            }
-        }, (long) LINGER_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (one.connection.current == one) {
+                        one.connection.current = null;
+                        note(one, End.SILENT);
+                        one.connection.channel.close();
+                    }
+                },
+                (long) LINGER_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void comeOut(Try one, End end) {
@@ -489,9 +513,20 @@
         }
         one.noted = true;
         Planned planned = one.whole.planned;
-        record.tried(new Tried(Stamps.now(), name, one.target.name, one.txn, one.whole.first,
-                planned.serviceClass(), one.whole.key, one.sentAt == 0 ? Double.NaN : Stamps.at(one.sentAt),
-                one.until, one.answered, end, one.status, one.echo));
+        record.tried(new Tried(
+                Stamps.now(),
+                name,
+                one.target.name,
+                one.txn,
+                one.whole.first,
+                planned.serviceClass(),
+                one.whole.key,
+                one.sentAt == 0 ? Double.NaN : Stamps.at(one.sentAt),
+                one.until,
+                one.answered,
+                end,
+                one.status,
+                one.echo));
     }
 
     /** A try is over for its client: another one, or the request has come out. */
@@ -502,12 +537,12 @@
         double elapsed = (now - whole.planned.due()) / NANOS;
         double wait = stopped ? Double.NaN : whole.client.next(elapsed, outcome, one.retryAfter, random);
         if (!Double.isNaN(wait)) {
-            loop.schedule(() -> attempt(whole, System.nanoTime()), (long) (wait * NANOS),
-                    TimeUnit.NANOSECONDS);
+            loop.schedule(() -> attempt(whole, System.nanoTime()), (long) (wait * NANOS), TimeUnit.NANOSECONDS);
             return;
         }
         outstanding--;
-        Outcome result = outcome != Client.Outcome.SERVED ? counted
+        Outcome result = outcome != Client.Outcome.SERVED
+                ? counted
                 : elapsed <= whole.planned.plan().aim() ? Outcome.IN_TIME : Outcome.LATE;
         tally.ended(whole.planned.serviceClass(), sinceStart(now), result, elapsed);
     }
--- a/src/main/java/sablehinge/replay/run/Load.java
+++ b/src/main/java/sablehinge/replay/run/Load.java
@@ -29,9 +29,9 @@
 /** A replay: reads requests, sends each when it is due, and counts what becomes of them. */
 public final class Load {
 
-    /** The grace and the slack of a judgement, in ms; each limit of the protocol is 50 ms longer on
-     * sockets. */
+    /** The grace and the slack of a judgement, in ms; each limit of the protocol is 50 ms longer on sockets. */
     private static final double ANSWER_GRACE = 70;
+
     private static final double DRAIN_GRACE = 2_050;
     private static final double SLACK = 250;
     private static final int MOST_CLASSES = 1_000;
@@ -48,9 +48,15 @@
      * @param connections open at a time at most, over all lanes
      * @param body bytes of bodies of which the log tells nothing
      */
-    public record Options(List<InetSocketAddress> targets, Map<String, ClassPlan> classes,
+    public record Options(
+            List<InetSocketAddress> targets,
+            Map<String, ClassPlan> classes,
             Client.Terms clients,
-            Pace.Terms pace, int lanes, int connections, int body, long seed) { }
+            Pace.Terms pace,
+            int lanes,
+            int connections,
+            int body,
+            long seed) {}
 
     /** Where requests come from, in the order of time; null after the last. */
     public interface Source {
@@ -88,9 +94,15 @@
             for (InetSocketAddress address : options.targets()) {
                 targets.add(new Lane.Target(address, address.getHostString() + ":" + address.getPort()));
             }
-            lanes.add(new Lane(loop, "clients-" + i, targets, Math.max(1,
-                    options.connections() / options.lanes()),
-                    options.clients(), seeds.nextLong(), start, new Lane.LoadRecord() {
+            lanes.add(new Lane(
+                    loop,
+                    "clients-" + i,
+                    targets,
+                    Math.max(1, options.connections() / options.lanes()),
+                    options.clients(),
+                    seeds.nextLong(),
+                    start,
+                    new Lane.LoadRecord() {
                         @Override
                         public void tried(Tried tried) {
                             record.accept(tried);
@@ -101,7 +113,8 @@
                             record.accept(unasked);
                         }
                     }));
-            laneThreads[i] = loop.submit(() -> Thread.currentThread().getId()).sync().getNow();
+            laneThreads[i] =
+                    loop.submit(() -> Thread.currentThread().getId()).sync().getNow();
         }
     }
 
@@ -147,7 +160,9 @@
     public long[] progress() throws InterruptedException {
         long[] sums = new long[2];
         for (Lane lane : lanes) {
-            long[] one = lane.loop().submit(() -> new long[] {lane.tally().requests, lane.tally().ended()})
+            long[] one = lane.loop()
+                    .submit(() ->
+                            new long[] {lane.tally().requests, lane.tally().ended()})
                     .sync()
                     .getNow();
             sums[0] += one[0];
@@ -158,12 +173,22 @@
 
     private void due(double due, int copy, Demand demand) {
         String name = demand.mapped().serviceClass();
-        ClassPlan plan = plans.computeIfAbsent(name, key -> ClassPlan.unknown(plans.size() < MOST_CLASSES
-                && List.of("GET", "HEAD", "OPTIONS").contains(demand.method()) ? Effect.SAFE
-                        : Effect.UNSAFE));
+        ClassPlan plan = plans.computeIfAbsent(
+                name,
+                key -> ClassPlan.unknown(
+                        plans.size() < MOST_CLASSES
+                                        && List.of("GET", "HEAD", "OPTIONS").contains(demand.method())
+                                ? Effect.SAFE
+                                : Effect.UNSAFE));
         double deadline = demand.mapped().deadline() > 0 ? demand.mapped().deadline() : plan.deadline();
-        Planned planned = new Planned(start + (long) (due * NANOS), name, plan, target(name, demand.target()),
-                demand.mapped().key(), demand.mapped().tenant(), deadline,
+        Planned planned = new Planned(
+                start + (long) (due * NANOS),
+                name,
+                plan,
+                target(name, demand.target()),
+                demand.mapped().key(),
+                demand.mapped().tenant(),
+                deadline,
                 demand.body() >= 0 ? demand.body() : options.body());
         Lane lane = lanes.get(turn++ % lanes.size());
         try {
@@ -179,8 +204,8 @@
     /** A target whose first part is the class, as the protocol wants it, of plain characters only. */
     static String target(String serviceClass, String logged) {
         String own = "/" + serviceClass;
-        boolean has = logged.startsWith(own) && (logged.length() == own.length()
-                || "/?".indexOf(logged.charAt(own.length())) >= 0);
+        boolean has = logged.startsWith(own)
+                && (logged.length() == own.length() || "/?".indexOf(logged.charAt(own.length())) >= 0);
         StringBuilder plain = new StringBuilder();
         for (byte b : (has ? logged : own + (logged.startsWith("/") ? logged : "/" + logged))
                 .getBytes(StandardCharsets.UTF_8)) {
@@ -202,7 +227,8 @@
         double longest = 0;
         for (Map.Entry<String, ClassPlan> one : plans.entrySet()) {
             classes.put(one.getKey(), one.getValue().terms());
-            longest = Math.max(longest, one.getValue().deadline() + one.getValue().terms().window());
+            longest = Math.max(
+                    longest, one.getValue().deadline() + one.getValue().terms().window());
         }
         return new Terms(classes, ANSWER_GRACE, DRAIN_GRACE, SLACK, longest + 5_000, true, serversWhole);
     }
@@ -217,7 +243,6 @@
             Lane lane = lanes.get(i);
             lane.loop().submit(() -> all.add(lane.tally())).sync();
         }
-        return new LoadResult(options, all, unmatched, Stamps.at(start), (ended - start) / NANOS, cpu / NANOS,
-                stopped);
+        return new LoadResult(options, all, unmatched, Stamps.at(start), (ended - start) / NANOS, cpu / NANOS, stopped);
     }
 }
--- a/src/main/java/sablehinge/replay/run/LoadResult.java
+++ b/src/main/java/sablehinge/replay/run/LoadResult.java
@@ -19,6 +19,7 @@
     private static final double MOST_LATE = 5;
     /** Half a core for so many requests a second is what the generator may use. */
     private static final double RATE_OF_HALF_A_CORE = 1_700;
+
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
     private final Load.Options options;
@@ -29,7 +30,12 @@
     private final double cpuMillis;
     private final boolean stopped;
 
-    LoadResult(Load.Options options, Tally tally, long unmatched, double start, double millis,
+    LoadResult(
+            Load.Options options,
+            Tally tally,
+            long unmatched,
+            double start,
+            double millis,
             double cpuMillis,
             boolean stopped) {
         this.options = options;
@@ -73,19 +79,27 @@
     public List<String> doubts() {
         List<String> doubts = new ArrayList<>();
         if (sendError(99) > MOST_LATE) {
-            doubts.add(String.format(Locale.ROOT,
+            doubts.add(String.format(
+                    Locale.ROOT,
                     "the generator ran late: by %.1f ms at p99, %.0f ms is allowed",
-                    sendError(99), MOST_LATE));
+                    sendError(99),
+                    MOST_LATE));
         }
         double allowed = 0.5 * Math.max(1, rate() / RATE_OF_HALF_A_CORE);
         if (cores() > allowed) {
-            doubts.add(String.format(Locale.ROOT,
-                    "the generator kept %.2f cores busy at %.0f requests a second, "
-                    + "%.2f are allowed", cores(), rate(), allowed));
+            doubts.add(String.format(
+                    Locale.ROOT,
+                    "the generator kept %.2f cores busy at %.0f requests a second, " + "%.2f are allowed",
+                    cores(),
+                    rate(),
+                    allowed));
         }
         if (tally.waited > 0) {
-            doubts.add(String.format(Locale.ROOT, "%d tries waited for a connection, of which %d may be open",
-                    tally.waited, options.connections()));
+            doubts.add(String.format(
+                    Locale.ROOT,
+                    "%d tries waited for a connection, of which %d may be open",
+                    tally.waited,
+                    options.connections()));
         }
         return doubts;
     }
@@ -97,21 +111,31 @@
     /** All of it, as JSON; latencies in ms from when a request was due to its last byte. */
     public ObjectNode json() {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
-        json.put("requests", tally.requests).put("tries", tally.tries).put("unmatched", unmatched)
-                .put("started", Instant.ofEpochMilli((long) start).toString()).put("seconds", millis / 1_000)
-                .put("rate_per_s", rate()).put("stopped", stopped);
+        json.put("requests", tally.requests)
+                .put("tries", tally.tries)
+                .put("unmatched", unmatched)
+                .put("started", Instant.ofEpochMilli((long) start).toString())
+                .put("seconds", millis / 1_000)
+                .put("rate_per_s", rate())
+                .put("stopped", stopped);
         json.put("figures_count", doubts().isEmpty());
         doubts().forEach(json.putArray("doubts")::add);
-        json.put("send_error_p50_ms", sendError(50)).put("send_error_p99_ms", sendError(99))
-                .put("send_error_max_ms", sendError(100)).put("generator_cores", cores())
-                .put("connections", tally.connections).put("sent_again", tally.again)
-                .put("answers_unasked", tally.unasked).put("bodies_of_others", tally.wrongBodies);
+        json.put("send_error_p50_ms", sendError(50))
+                .put("send_error_p99_ms", sendError(99))
+                .put("send_error_max_ms", sendError(100))
+                .put("generator_cores", cores())
+                .put("connections", tally.connections)
+                .put("sent_again", tally.again)
+                .put("answers_unasked", tally.unasked)
+                .put("bodies_of_others", tally.wrongBodies);
         ObjectNode settings = json.putObject("settings");
-        settings.put("compress", options.pace().compress()).put("rate_scale", options.pace().rateScale())
-                .put("seed", options.seed()).put("retries", options.clients().retries())
+        settings.put("compress", options.pace().compress())
+                .put("rate_scale", options.pace().rateScale())
+                .put("seed", options.seed())
+                .put("retries", options.clients().retries())
                 .put("deadlines_compressed", false);
-        options.targets().forEach(target -> settings.withArray("targets").add(target.getHostString() + ":"
-                + target.getPort()));
+        options.targets()
+                .forEach(target -> settings.withArray("targets").add(target.getHostString() + ":" + target.getPort()));
         ObjectNode classes = json.putObject("classes");
         Histogram all = new Histogram(3_600_000_000L, 3);
         for (Map.Entry<String, Tally.OfClass> one : tally.classes.entrySet()) {
@@ -125,8 +149,10 @@
         for (int i = 0; i < Tally.SLICES; i++) {
             Tally.Slice slice = tally.slices[i];
             if (slice != null) {
-                ObjectNode own = slices.addObject().put("from_s", i * tally.sliceWidth / 1_000)
-                        .put("seconds", tally.sliceWidth / 1_000).put("asked", slice.asked);
+                ObjectNode own = slices.addObject()
+                        .put("from_s", i * tally.sliceWidth / 1_000)
+                        .put("seconds", tally.sliceWidth / 1_000)
+                        .put("asked", slice.asked);
                 outcomes(own, slice.outcomes);
                 if (slice.latency != null) {
                     latency(own.putObject("latency_ms"), slice.latency);
@@ -144,31 +170,48 @@
 
     private static void latency(ObjectNode into, Histogram latency) {
         for (double percentile : PERCENTILES) {
-            String name = percentile == 100 ? "max" : "p" + (percentile == 99.9 ? "999"
-                    : String.valueOf((int) percentile));
-            into.put(name, latency.getTotalCount() == 0 ? null
-                    : latency.getValueAtPercentile(percentile) / 1e3);
+            String name =
+                    percentile == 100 ? "max" : "p" + (percentile == 99.9 ? "999" : String.valueOf((int) percentile));
+            into.put(name, latency.getTotalCount() == 0 ? null : latency.getValueAtPercentile(percentile) / 1e3);
         }
     }
 
     /** The main figures, for people. */
     public void print(PrintWriter out) {
-        out.printf(Locale.ROOT, "%,d requests in %,d tries, %.1f s, %.0f a second%s%n", tally.requests,
+        out.printf(
+                Locale.ROOT,
+                "%,d requests in %,d tries, %.1f s, %.0f a second%s%n",
+                tally.requests,
                 tally.tries,
-                millis / 1_000, rate(), stopped ? ", stopped before the end" : "");
-        out.printf("%-20s %10s %8s %8s %8s %10s %11s %9s %9s%n", "class", "in time", "late", "refused",
-                "failed",
-                "unanswered", "unreachable", "p50 ms", "p99 ms");
+                millis / 1_000,
+                rate(),
+                stopped ? ", stopped before the end" : "");
+        out.printf(
+                "%-20s %10s %8s %8s %8s %10s %11s %9s %9s%n",
+                "class", "in time", "late", "refused", "failed", "unanswered", "unreachable", "p50 ms", "p99 ms");
         tally.classes.forEach((name, own) -> {
-            out.printf(Locale.ROOT, "%-20s %,10d %,8d %,8d %,8d %,10d %,11d", name, own.outcomes[0],
+            out.printf(
+                    Locale.ROOT,
+                    "%-20s %,10d %,8d %,8d %,8d %,10d %,11d",
+                    name,
+                    own.outcomes[0],
                     own.outcomes[1],
-                    own.outcomes[2], own.outcomes[3], own.outcomes[4], own.outcomes[5]);
-            out.printf(Locale.ROOT, " %9.1f %9.1f%n", own.latency.getValueAtPercentile(50) / 1e3,
+                    own.outcomes[2],
+                    own.outcomes[3],
+                    own.outcomes[4],
+                    own.outcomes[5]);
+            out.printf(
+                    Locale.ROOT,
+                    " %9.1f %9.1f%n",
+                    own.latency.getValueAtPercentile(50) / 1e3,
                     own.latency.getValueAtPercentile(99) / 1e3);
         });
-        out.printf(Locale.ROOT,
+        out.printf(
+                Locale.ROOT,
                 "sent late by %.2f ms at p99, %.1f ms at most; the generator kept %.2f cores busy%n",
-                sendError(99), sendError(100), cores());
+                sendError(99),
+                sendError(100),
+                cores());
         if (unmatched > 0) {
             out.printf(Locale.ROOT, "%,d requests were not sent, as no rule is for them%n", unmatched);
         }
--- a/src/main/java/sablehinge/replay/run/Planned.java
+++ b/src/main/java/sablehinge/replay/run/Planned.java
@@ -8,5 +8,12 @@
  * @param key empty for none; likewise the tenant
  * @param deadline ms
  */
-record Planned(long due, String serviceClass, ClassPlan plan, String target, String key, String tenant,
-        double deadline, int body) { }
+record Planned(
+        long due,
+        String serviceClass,
+        ClassPlan plan,
+        String target,
+        String key,
+        String tenant,
+        double deadline,
+        int body) {}
--- a/src/main/java/sablehinge/replay/run/Tally.java
+++ b/src/main/java/sablehinge/replay/run/Tally.java
@@ -9,10 +9,18 @@
 
     /** An hour in µs; what takes longer counts as that. */
     private static final long MOST = 3_600_000_000L;
+
     static final int SLICES = 300;
 
     /** How a request, over all its tries, came out. */
-    enum Outcome { IN_TIME, LATE, REFUSED, FAILED, UNANSWERED, UNREACHABLE }
+    enum Outcome {
+        IN_TIME,
+        LATE,
+        REFUSED,
+        FAILED,
+        UNANSWERED,
+        UNREACHABLE
+    }
 
     /** The requests of a class. */
     static final class OfClass {
@@ -145,6 +153,8 @@
 
     /** Requests that have come out. */
     long ended() {
-        return classes.values().stream().flatMapToLong(c -> java.util.Arrays.stream(c.outcomes)).sum();
+        return classes.values().stream()
+                .flatMapToLong(c -> java.util.Arrays.stream(c.outcomes))
+                .sum();
     }
 }
--- a/src/main/java/sablehinge/replay/run/Warmup.java
+++ b/src/main/java/sablehinge/replay/run/Warmup.java
@@ -27,8 +27,7 @@
 import sablehinge.pace.Client;
 
 /**
- * Lets the code that sends be compiled before it counts: a generator that has just started would send its
- * first
+ * Lets the code that sends be compiled before it counts: a generator that has just started would send its first
  * requests a tenth of a second late. The requests go to a server within this process.
  */
 final class Warmup {
@@ -39,8 +38,7 @@
 
     private static final AtomicBoolean DONE = new AtomicBoolean();
 
-    private Warmup() {
-    }
+    private Warmup() {}
 
     /** Once for each process: what is compiled stays so. */
     static void run(int lanes) throws InterruptedException {
@@ -49,34 +47,51 @@
         }
         ClosingEventLoops group = new ClosingEventLoops(lanes + 1, "warm-up");
         try {
-            Channel server = new ServerBootstrap().group((EventLoop) group.next())
-                    .channel(NioServerSocketChannel.class).childHandler(new ChannelInitializer<Channel>() {
+            Channel server = new ServerBootstrap()
+                    .group((EventLoop) group.next())
+                    .channel(NioServerSocketChannel.class)
+                    .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(new HttpServerCodec(),
-                                    new HttpObjectAggregator(1 << 17),
-                                    new Served());
+                            channel.pipeline()
+                                    .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 17), new Served());
                         }
-                    }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+                    })
+                    .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                    .sync()
+                    .channel();
             long start = System.nanoTime();
             Lane[] all = new Lane[lanes];
             for (int i = 0; i < lanes; i++) {
-                all[i] = new Lane((EventLoop) group.next(), "warm-up", List.of(new Lane.Target(
-                        (InetSocketAddress) server.localAddress(), "warm-up")), 100, Client.Terms.usual(),
-                                i, start,
+                all[i] = new Lane(
+                        (EventLoop) group.next(),
+                        "warm-up",
+                        List.of(new Lane.Target((InetSocketAddress) server.localAddress(), "warm-up")),
+                        100,
+                        Client.Terms.usual(),
+                        i,
+                        start,
                         new Lane.LoadRecord() {
                             @Override
-                            public void tried(Tried tried) { }
+                            public void tried(Tried tried) {}
 
                             @Override
-                            public void unasked(Unasked unasked) { }
+                            public void unasked(Unasked unasked) {}
                         });
             }
             ClassPlan[] plans = {ClassPlan.unknown(Effect.SAFE), ClassPlan.unknown(Effect.KEYED)};
             for (int i = 0; i < REQUESTS; i++) {
-                all[i % lanes].add(new Planned(start + i * EVERY_NANOS, "warm-up", plans[i & 1], "/warm-up/"
-                        + i,
-                        "k" + i, "", 1_000, 200), PATIENCE_MS);
+                all[i % lanes].add(
+                        new Planned(
+                                start + i * EVERY_NANOS,
+                                "warm-up",
+                                plans[i & 1],
+                                "/warm-up/" + i,
+                                "k" + i,
+                                "",
+                                1_000,
+                                200),
+                        PATIENCE_MS);
             }
             long latest = start + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
             for (Lane lane : all) {
@@ -94,9 +109,11 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
                     HttpResponseStatus.OK,
-                    Unpooled.copiedBuffer("txn=" + request.headers().get("X-Txn") + "\n",
+                    Unpooled.copiedBuffer(
+                            "txn=" + request.headers().get("X-Txn") + "\n",
                             java.nio.charset.StandardCharsets.US_ASCII));
             response.headers().set("Content-Length", response.content().readableBytes());
             ctx.writeAndFlush(response);
--- a/src/main/java/sablehinge/retrybudget/Claim.java
+++ b/src/main/java/sablehinge/retrybudget/Claim.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a balancer tells the holder of the pools, and what it wants. Counts only grow, so that one which is
- * lost, doubled or late does no harm.
+ * What a balancer tells the holder of the pools, and what it wants. Counts only grow, so that one which is lost,
+ * doubled or late does no harm.
  *
  * @param life of the balancer's process
  * @param number counts its claims up
@@ -31,5 +31,5 @@
      * @param share up to which it may be spent from now on: what is above has been given back
      * @param wanted further tokens, 0 to 65,535
      */
-    public record Line(String service, int requests, int calls, int spent, int share, int wanted) { }
+    public record Line(String service, int requests, int calls, int spent, int share, int wanted) {}
 }
--- a/src/main/java/sablehinge/retrybudget/Grant.java
+++ b/src/main/java/sablehinge/retrybudget/Grant.java
@@ -17,5 +17,5 @@
     }
 
     /** A service's share. */
-    public record Line(String service, int share) { }
+    public record Line(String service, int share) {}
 }
--- a/src/main/java/sablehinge/retrybudget/Holder.java
+++ b/src/main/java/sablehinge/retrybudget/Holder.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 
 /**
- * Keeps the pools of further tries, one for each service, while it holds the duty: it earns by the requests
- * that balancers tell of, and gives out shares that follow what they want.
+ * Keeps the pools of further tries, one for each service, while it holds the duty: it earns by the requests that
+ * balancers tell of, and gives out shares that follow what they want.
  *
- * <p>A pool begins empty with each holder, and a request is counted once, by whom it is told. So it does not
- * matter what a holder before gave out: that was paid by other requests. What is in hand and out together is
- * bounded; a share is out until its balancer tells that it was spent or gives it back, or until its end, when
- * it counts as spent. A run that is repeated makes its calls again, which count as repeats there: a token of
- * a service is only given with as much of the pools that its runs call as they do on the mean.
+ * <p>A pool begins empty with each holder, and a request is counted once, by whom it is told. So it does not matter
+ * what a holder before gave out: that was paid by other requests. What is in hand and out together is bounded; a share
+ * is out until its balancer tells that it was spent or gives it back, or until its end, when it counts as spent. A run
+ * that is repeated makes its calls again, which count as repeats there: a token of a service is only given with as much
+ * of the pools that its runs call as they do on the mean.
  */
 public final class Holder {
 
@@ -25,6 +25,7 @@
     static final double LASTS_MS = 1_000;
     /** How long a silent balancer's counts are kept, in ms. */
     private static final double FORGOTTEN_MS = 5_000;
+
     private static final int MOST_OWNERS = 4_096;
     /** The part of what is in hand that one balancer is given at once: others may want some too. */
     private static final int PARTS = 2;
@@ -34,6 +35,7 @@
     private static final double UNSEEN = 4;
     /** Counts of runs and calls are halved once there are so many runs. */
     private static final double MANY = 4_000;
+
     private static final double LEAST_CALLS = 0.005;
     /** How far calls of calls are followed. */
     private static final int DEPTH = 3;
@@ -138,7 +140,9 @@
         for (Claim.Line line : claim.lines()) {
             if (pools.containsKey(line.service())) {
                 told.add(line.service());
-                settle(owner.parts.computeIfAbsent(line.service(), Part::new), anew ? 0 : line.spent(),
+                settle(
+                        owner.parts.computeIfAbsent(line.service(), Part::new),
+                        anew ? 0 : line.spent(),
                         anew ? 0 : line.share());
             }
         }
@@ -190,8 +194,7 @@
     private void settle(Part part, int spent, int share) {
         Pool pool = pools.get(part.service);
         // Beyond its share: arrivals that nobody was asked for, such as what an upstream turned away.
-        pool.level = Math.max(-rule.bound(), pool.level - Math.max(0, spent - Math.max(part.share,
-                part.spent)));
+        pool.level = Math.max(-rule.bound(), pool.level - Math.max(0, spent - Math.max(part.share, part.spent)));
         int open = part.open();
         int kept = Math.max(0, Math.min(share, part.share) - spent);
         int used = Math.min(open, Math.max(0, spent - part.spent));
@@ -267,8 +270,8 @@
         pools.forEach((service, pool) -> {
             if (pool.runs > MANY) {
                 pool.runs /= 2;
-                pools.values().forEach(callee -> callee.callers.computeIfPresent(service,
-                        (caller, calls) -> calls / 2));
+                pools.values()
+                        .forEach(callee -> callee.callers.computeIfPresent(service, (caller, calls) -> calls / 2));
             }
         });
     }
@@ -298,7 +301,7 @@
     }
 
     private void expire(double now) {
-        for (Iterator<Owner> each = owners.values().iterator(); each.hasNext();) {
+        for (Iterator<Owner> each = owners.values().iterator(); each.hasNext(); ) {
             Owner owner = each.next();
             if (now >= owner.end) {
                 forfeit(owner);
--- a/src/main/java/sablehinge/retrybudget/Shares.java
+++ b/src/main/java/sablehinge/retrybudget/Shares.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * What one balancer may send beyond the first try of each request, by services: its share of the pool, which
- * follows what it needs and has an end, and the tokens that are reserved for it, which do without a holder.
+ * What one balancer may send beyond the first try of each request, by services: its share of the pool, which follows
+ * what it needs and has an end, and the tokens that are reserved for it, which do without a holder.
  */
 public final class Shares {
 
@@ -18,14 +18,17 @@
     static final double LASTS_MS = 900;
     /** Least time between two claims, where something is wanted and where there is only something to tell. */
     private static final double URGENT_MS = 15;
+
     private static final double USUAL_MS = 400;
     /** What is wanted: what was used or refused of late, for so long ahead. */
     private static final double FADE_MS = 1_000;
+
     private static final double AHEAD = 0.6;
     private static final double ROUNDED = 0.5;
     private static final int MOST_WANTED = 1_000;
     /** How long a further try waits for an answer, in ms, and how many of a service do. */
     private static final double PATIENCE_MS = 60;
+
     private static final int MOST_WAITING = 256;
     /** What must be left for others before a second copy beside one that is out is sent. */
     private static final int KEPT = 1;
@@ -53,16 +56,20 @@
         int epoch;
         /** What was last told of requests and calls, and of spending. */
         int told;
+
         int toldSpent;
         /** Uses and refusals of late, faded. */
         double need;
+
         double needAt = Double.NEGATIVE_INFINITY;
         boolean urgent;
         /** What it was to have in hand by the last claim, and whether it got less: then none is spare. */
         int target;
+
         boolean scarce;
         /** When the reserved tokens that were used are back. */
         final ArrayDeque<Double> resting = new ArrayDeque<>();
+
         final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
 
         Runnable spend() {
@@ -89,11 +96,11 @@
     }
 
     /** Who waits for a token, and until when. */
-    private record Waiting(double until, Consumer<Runnable> then) { }
+    private record Waiting(double until, Consumer<Runnable> then) {}
 
     /**
-     * No shares yet. The reserved tokens are there at once: what a process before may have used of them is
-     * covered by what of the rule's slack is not given out.
+     * No shares yet. The reserved tokens are there at once: what a process before may have used of them is covered by
+     * what of the rule's slack is not given out.
      *
      * @param life names this process's life among all others
      * @param beside the service of the upstream on this machine
@@ -107,8 +114,7 @@
     /** The services that there are; what is kept of others is dropped. */
     public void adopt(Collection<String> services) {
         parts.keySet().retainAll(services);
-        services.stream().limit(Claim.MOST).forEach(service ->
-                parts.computeIfAbsent(service, name -> new Part()));
+        services.stream().limit(Claim.MOST).forEach(service -> parts.computeIfAbsent(service, name -> new Part()));
     }
 
     /** Which of so many balancers this is, from 0, by an order that all of them have. */
@@ -134,8 +140,8 @@
     }
 
     /**
-     * Takes a token for a further try. Where the share has none it waits for a claim's answer, and then takes
-     * one of those that are reserved; a spare one does neither.
+     * Takes a token for a further try. Where the share has none it waits for a claim's answer, and then takes one of
+     * those that are reserved; a spare one does neither.
      *
      * @param spare whether one that is out may yet do: then some must be left
      * @param then is told once, perhaps before this returns: of what gives the token back, or of null
@@ -205,14 +211,13 @@
         List<Claim.Line> lines = new ArrayList<>();
         parts.forEach((service, part) -> {
             boolean asked = part.requests + part.calls != part.told;
-            int wanted = Math.min(MOST_WANTED, Math.max(part.waiting.size(),
-                    (int) Math.ceil(AHEAD * part.need(now) - ROUNDED)));
+            int wanted = Math.min(
+                    MOST_WANTED, Math.max(part.waiting.size(), (int) Math.ceil(AHEAD * part.need(now) - ROUNDED)));
             int open = Math.max(0, part.share - part.spent);
             part.share -= Math.max(0, open - wanted);
-            if (asked || part.spent != part.toldSpent
-                    || part.share > part.spent || wanted > 0) {
-                lines.add(new Claim.Line(service, part.requests, part.calls, part.spent, part.share,
-                        Math.max(0, wanted - open)));
+            if (asked || part.spent != part.toldSpent || part.share > part.spent || wanted > 0) {
+                lines.add(new Claim.Line(
+                        service, part.requests, part.calls, part.spent, part.share, Math.max(0, wanted - open)));
                 part.told = part.requests + part.calls;
                 part.toldSpent = part.spent;
             }
--- a/src/main/java/sablehinge/routing/Configuration.java
+++ b/src/main/java/sablehinge/routing/Configuration.java
@@ -9,8 +9,8 @@
  * @param limits what clients may send
  * @param tenants whose keys are known; empty where no request needs a key
  */
-public record Configuration(long edition, Limits limits, List<Tenant> tenants, List<Route> routes,
-        List<Service> services) {
+public record Configuration(
+        long edition, Limits limits, List<Tenant> tenants, List<Route> routes, List<Service> services) {
 
     /** A configuration whose lists can't be changed. */
     public Configuration {
@@ -27,7 +27,7 @@
      * @param headerMs in which a head that has begun must be whole
      * @param idleMs that a connection may rest between requests
      */
-    public record Limits(int headerBytes, long bodyBytes, double headerMs, double idleMs) { }
+    public record Limits(int headerBytes, long bodyBytes, double headerMs, double idleMs) {}
 
     /**
      * Who sends requests.
@@ -46,7 +46,11 @@
     }
 
     /** What may be repeated: {@link #SAFE} requests may run more than once, others once at most. */
-    public enum Kind { SAFE, UNSAFE, UPLOAD }
+    public enum Kind {
+        SAFE,
+        UNSAFE,
+        UPLOAD
+    }
 
     /**
      * A route.
@@ -60,8 +64,17 @@
      * @param timeoutMs for which a try may be held
      * @param attempts upstreams that one try may go to
      */
-    public record Route(String name, String host, String prefix, Kind kind, double targetMs, int priority,
-            boolean open, List<Share> split, double timeoutMs, int attempts) {
+    public record Route(
+            String name,
+            String host,
+            String prefix,
+            Kind kind,
+            double targetMs,
+            int priority,
+            boolean open,
+            List<Share> split,
+            double timeoutMs,
+            int attempts) {
 
         /** A route whose list can't be changed. */
         public Route {
@@ -70,7 +83,7 @@
     }
 
     /** A service's part of a route; parts are relative to each other, and 0 gets nothing. */
-    public record Share(String service, double part) { }
+    public record Share(String service, double part) {}
 
     /**
      * A service.
@@ -78,5 +91,5 @@
      * @param healthPath which its upstreams answer while they are well
      * @param connCap connections that one upstream takes
      */
-    public record Service(String name, String healthPath, int connCap) { }
+    public record Service(String name, String healthPath, int connCap) {}
 }
--- a/src/main/java/sablehinge/routing/Hosts.java
+++ b/src/main/java/sablehinge/routing/Hosts.java
@@ -5,7 +5,7 @@
 /** The one form that names of hosts are compared in. */
 public final class Hosts {
 
-    private Hosts() { }
+    private Hosts() {}
 
     /**
      * A host as routes name it.
--- a/src/main/java/sablehinge/routing/Plan.java
+++ b/src/main/java/sablehinge/routing/Plan.java
@@ -9,9 +9,9 @@
 /**
  * One configuration, made ready for asking. It never changes and may be asked by any thread.
  *
- * <p>It trusts that the configuration has been checked. What a check would have refused does no harm here:
- * of two routes at one place, and of two owners of one name or key, the first one holds. Written without
- * lambdas and streams, which cost a process's start more than the plan itself does.
+ * <p>It trusts that the configuration has been checked. What a check would have refused does no harm here: of two
+ * routes at one place, and of two owners of one name or key, the first one holds. Written without lambdas and streams,
+ * which cost a process's start more than the plan itself does.
  */
 public final class Plan {
 
@@ -53,7 +53,7 @@
      *
      * @param index of the route among those of the configuration, from 0
      */
-    public record Found(Configuration.Route route, int index) { }
+    public record Found(Configuration.Route route, int index) {}
 
     /** What this plan was made from. */
     public Configuration configuration() {
@@ -61,9 +61,9 @@
     }
 
     /**
-     * The route of a request: among those of its host the one with the longest prefix that begins its path.
-     * The path is taken byte for byte as sent, up to a question mark or hash: dots and percent signs in it
-     * mean nothing. The host of a target in absolute form counts before the header's (RFC 9112, 3.2.2).
+     * The route of a request: among those of its host the one with the longest prefix that begins its path. The path is
+     * taken byte for byte as sent, up to a question mark or hash: dots and percent signs in it mean nothing. The host
+     * of a target in absolute form counts before the header's (RFC 9112, 3.2.2).
      *
      * @param hostHeader as sent, with or without a port; may be null
      * @param target as in the request line
--- a/src/main/java/sablehinge/rpc/Connection.java
+++ b/src/main/java/sablehinge/rpc/Connection.java
@@ -20,18 +20,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * Connections that carry records between processes of the system. Both ends ping each other while they have
- * nothing to say: a cut is silent, and only an answer tells that the other end is there.
+ * Connections that carry records between processes of the system. Both ends ping each other while they have nothing to
+ * say: a cut is silent, and only an answer tells that the other end is there.
  */
 public final class Connection {
 
-    /**
-     * The largest record, in bytes: a configuration with thousands of routes, or a snapshot that holds it.
-     */
+    /** The largest record, in bytes: a configuration with thousands of routes, or a snapshot that holds it. */
     public static final int MOST_BYTES = 16 * 1024 * 1024;
+
     private static final int LENGTH_BYTES = 4;
     /** What may wait to be written to one that doesn't read, in bytes; what comes beyond is dropped. */
     private static final int MOST_WAITING = 2 * MOST_BYTES;
+
     private static final int CONNECT_MS = 700;
     private static final Frame.Kind[] KINDS = Frame.Kind.values();
 
@@ -45,29 +45,29 @@
     public interface Observer {
 
         /** Of one that observes nothing. */
-        Observer NONE = new Observer() { };
+        Observer NONE = new Observer() {};
 
         /** A record was handed to the operating system or waits for it. */
-        default void sent(Frame.Kind kind, int bytes) { }
+        default void sent(Frame.Kind kind, int bytes) {}
 
         /** A record was read. */
-        default void received(Frame.Kind kind, int bytes) { }
+        default void received(Frame.Kind kind, int bytes) {}
 
         /** A connection is about to be made; handlers may still be put before its others. */
-        default void connects(Channel channel, InetSocketAddress to) { }
+        default void connects(Channel channel, InetSocketAddress to) {}
     }
 
     /** What one end of a connection hears. */
     public interface Handler {
 
         /** The connection is up. */
-        default void opened(Link link) { }
+        default void opened(Link link) {}
 
         /** A record has come. */
         void came(Link link, Frame frame);
 
         /** The connection is over, or never came up; called once. */
-        default void closed(Link link) { }
+        default void closed(Link link) {}
     }
 
     /**
@@ -96,19 +96,25 @@
 
     /** Takes connections at an address. */
     public ChannelFuture listen(InetSocketAddress address, Handler handler) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         equip(channel, new Link(channel, handler));
                     }
-                }).bind(address);
+                })
+                .bind(address);
     }
 
     /** Connects to an address; the handler hears what comes of it. */
     public Link connect(InetSocketAddress address, Handler handler) {
-        Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        Bootstrap bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                 .handler(new ChannelInitializer<Channel>() {
@@ -132,8 +138,11 @@
 
     /** Makes a channel one end of a connection. */
     static void equip(Channel channel, Link link) {
-        channel.pipeline().addLast(link.new Ear(), new LengthFieldBasedFrameDecoder(MOST_BYTES + 1, 0,
-                LENGTH_BYTES, 0, LENGTH_BYTES), link);
+        channel.pipeline()
+                .addLast(
+                        link.new Ear(),
+                        new LengthFieldBasedFrameDecoder(MOST_BYTES + 1, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                        link);
     }
 
     /** One end of a connection. */
@@ -163,7 +172,9 @@
                 return;
             }
             ByteBuf out = channel.alloc().buffer(LENGTH_BYTES + 1 + frame.body().length);
-            out.writeInt(1 + frame.body().length).writeByte(frame.kind().ordinal()).writeBytes(frame.body());
+            out.writeInt(1 + frame.body().length)
+                    .writeByte(frame.kind().ordinal())
+                    .writeBytes(frame.body());
             observer.sent(frame.kind(), out.readableBytes());
             channel.writeAndFlush(out);
         }
--- a/src/main/java/sablehinge/rpc/MessageCodec.java
+++ b/src/main/java/sablehinge/rpc/MessageCodec.java
@@ -15,8 +15,8 @@
 import sablehinge.consensus.Snapshot;
 
 /**
- * Messages of the core as bytes: one byte that says which, then its fields in order, numbers big-endian. What
- * comes in is checked against bounds before anything is made of it.
+ * Messages of the core as bytes: one byte that says which, then its fields in order, numbers big-endian. What comes in
+ * is checked against bounds before anything is made of it.
  */
 public final class MessageCodec {
 
@@ -38,8 +38,7 @@
     private static final int LEAVE = 10;
     private static final int RELEASED = 11;
 
-    private MessageCodec() {
-    }
+    private MessageCodec() {}
 
     /** Writes a message. */
     public static byte[] write(Message message) {
@@ -134,15 +133,15 @@
         int kind = in.readUnsignedByte();
         switch (kind) {
             case ASK_VOTE:
-                return new Message.AskVote(in.readLong(), in.readLong(), in.readLong(), in.readBoolean(),
-                        in.readBoolean());
+                return new Message.AskVote(
+                        in.readLong(), in.readLong(), in.readLong(), in.readBoolean(), in.readBoolean());
             case VOTE:
                 return new Message.Vote(in.readLong(), in.readBoolean(), in.readBoolean());
             case APPEND:
                 return readAppend(in);
             case APPENDED:
-                return new Message.Appended(in.readLong(), in.readBoolean(), in.readLong(), in.readLong(),
-                        in.readLong());
+                return new Message.Appended(
+                        in.readLong(), in.readBoolean(), in.readLong(), in.readLong(), in.readLong());
             case INSTALL:
                 return readInstall(in);
             case INSTALLING:
@@ -150,8 +149,7 @@
             case JOIN:
                 return new Message.Join(readMember(in), in.readLong());
             case GUIDE:
-                return new Message.Guide(in.readLong(), in.readBoolean() ? readMember(in) : null,
-                        readMembers(in));
+                return new Message.Guide(in.readLong(), in.readBoolean() ? readMember(in) : null, readMembers(in));
             case TAKE_OVER:
                 return new Message.TakeOver(in.readLong());
             case LEAVE:
@@ -170,8 +168,8 @@
         int total = in.readInt();
         Snapshot part = readSnapshot(in);
         if (offset < 0 || total > MOST_BYTES || total - part.state().length < offset) {
-            throw new IOException("bytes " + offset + " to " + ((long) offset + part.state().length)
-                    + " of a state of " + total);
+            throw new IOException(
+                    "bytes " + offset + " to " + ((long) offset + part.state().length) + " of a state of " + total);
         }
         return new Message.Install(term, part, offset, total, round);
     }
@@ -270,8 +268,7 @@
     public static List<Member> readMembers(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
         if (count > Members.MOST) {
-            throw new IOException("a core of " + count + " members; " + Members.MOST
-                    + " at most are expected");
+            throw new IOException("a core of " + count + " members; " + Members.MOST + " at most are expected");
         }
         List<Member> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sablehinge/settings/Addresses.java
+++ b/src/main/java/sablehinge/settings/Addresses.java
@@ -8,20 +8,17 @@
 /** Addresses as configurations and lists write them. */
 public final class Addresses {
 
-    private Addresses() {
-    }
+    private Addresses() {}
 
     /** A numeric address with its port; there is no DNS to ask for any other. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] ip = NetUtil.createByteArrayFromIpAddressString(
-                colon < 0 ? text : text.substring(0, colon));
+        byte[] ip = NetUtil.createByteArrayFromIpAddressString(colon < 0 ? text : text.substring(0, colon));
         if (ip == null) {
             throw new IllegalArgumentException("'" + text + "' is no address with a port");
         }
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(ip),
-                    Integer.parseInt(text.substring(colon + 1)));
+            return new InetSocketAddress(InetAddress.getByAddress(ip), Integer.parseInt(text.substring(colon + 1)));
         } catch (UnknownHostException | IllegalArgumentException e) {
             throw new IllegalArgumentException("'" + text + "' is no address with a port", e);
         }
--- a/src/main/java/sablehinge/settings/SettingsParser.java
+++ b/src/main/java/sablehinge/settings/SettingsParser.java
@@ -46,7 +46,10 @@
 
     public static Settings parse(byte[] text) {
         try {
-            String decoded = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(text)).toString();
+            String decoded = StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(text))
+                    .toString();
             return new SettingsParser(decoded).settings();
         } catch (CharacterCodingException e) {
             throw new MalformedInputException("the settings are not UTF-8");
@@ -57,32 +60,72 @@
         if (!values.containsKey("services.count")) {
             throw new MalformedInputException("setting services.count is missing");
         }
-        return new Settings(integer("position"), integer("siblings"), integer("tier"),
-                Math.max(1, names("stages").size()), integer("zone"), Math.max(1, names("zones").size()),
+        return new Settings(
+                integer("position"),
+                integer("siblings"),
+                integer("tier"),
+                Math.max(1, names("stages").size()),
+                integer("zone"),
+                Math.max(1, names("zones").size()),
                 Math.max(1, names("machineTypes").size()),
                 choice("registryMode", Map.of("automatic", false, "subscribe", true)),
-                bool("familyInfo.passesDeadline", false), bool("familyInfo.warmKeys", false),
+                bool("familyInfo.passesDeadline", false),
+                bool("familyInfo.warmKeys", false),
                 bool("callers.marksRetry", false),
                 choice("worthBy", Map.of("request", false, "work", true)),
                 number("overShareWorth", 1),
-                choice("weightKind", Map.of("silent", WeightKind.NONE, "nominal", WeightKind.NOMINAL,
-                        "rough", WeightKind.ROUGH, "live", WeightKind.LIVE)),
-                choice("stats.how", Map.of("piggyback", Reports.PIGGYBACK, "pull", Reports.PROBE,
-                        "silent", Reports.NONE)),
-                names("stats.fields"), items("services", this::serviceClass), items("tenants", this::tenant),
-                limits(), rules(), goal(), prices());
+                choice(
+                        "weightKind",
+                        Map.of(
+                                "silent",
+                                WeightKind.NONE,
+                                "nominal",
+                                WeightKind.NOMINAL,
+                                "rough",
+                                WeightKind.ROUGH,
+                                "live",
+                                WeightKind.LIVE)),
+                choice(
+                        "stats.how",
+                        Map.of("piggyback", Reports.PIGGYBACK, "pull", Reports.PROBE, "silent", Reports.NONE)),
+                names("stats.fields"),
+                items("services", this::serviceClass),
+                items("tenants", this::tenant),
+                limits(),
+                rules(),
+                goal(),
+                prices());
     }
 
     private ServiceClass serviceClass(String path) {
-        Repeat repeat = choice(path + "idempotency", Map.of("idempotent", Repeat.IDEMPOTENT,
-                "deduplicated", Repeat.DEDUPLICATED, "at_most_once", Repeat.AT_MOST_ONCE));
+        Repeat repeat = choice(
+                path + "idempotency",
+                Map.of(
+                        "idempotent",
+                        Repeat.IDEMPOTENT,
+                        "deduplicated",
+                        Repeat.DEDUPLICATED,
+                        "at_most_once",
+                        Repeat.AT_MOST_ONCE));
         boolean deduplicated = repeat == Repeat.DEDUPLICATED;
-        Group group = deduplicated ? choice(path + "group",
-                Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL)) : Group.ALL;
-        return new ServiceClass(text(path + "name"), number(path + "aim"), number(path + "aimStretch", 0),
-                number(path + "deadline"), number(path + "worth"), number(path + "lateValue"), repeat, group,
-                deduplicated ? number(path + "memorySpan") : 0, bool(path + "streamed"),
-                bool(path + "byArrival", false), indices(path + "runsIn"), indices(path + "boundTo"), 0);
+        Group group = deduplicated
+                ? choice(path + "group", Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL))
+                : Group.ALL;
+        return new ServiceClass(
+                text(path + "name"),
+                number(path + "aim"),
+                number(path + "aimStretch", 0),
+                number(path + "deadline"),
+                number(path + "worth"),
+                number(path + "lateValue"),
+                repeat,
+                group,
+                deduplicated ? number(path + "memorySpan") : 0,
+                bool(path + "streamed"),
+                bool(path + "byArrival", false),
+                indices(path + "runsIn"),
+                indices(path + "boundTo"),
+                0);
     }
 
     private Tenant tenant(String path) {
@@ -90,29 +133,56 @@
     }
 
     private Limits limits() {
-        return new Limits(integer("limits.attemptsCap"), integer("limits.maxOpen"), bool("limits.cancel"),
-                bool("limits.parallelTries"), bool("limits.probes"), bool("limits.peers"),
-                bool("limits.retryAfter"), number("limits.maxRetryAfter"), number("limits.connectTimeout"),
-                number("limits.connIdle"), integer("limits.streamsPerConn"),
-                number("limits.cpuUsPerRequest", 0), number("limits.cpuUsPerS", 0));
+        return new Limits(
+                integer("limits.attemptsCap"),
+                integer("limits.maxOpen"),
+                bool("limits.cancel"),
+                bool("limits.parallelTries"),
+                bool("limits.probes"),
+                bool("limits.peers"),
+                bool("limits.retryAfter"),
+                number("limits.maxRetryAfter"),
+                number("limits.connectTimeout"),
+                number("limits.connIdle"),
+                integer("limits.streamsPerConn"),
+                number("limits.cpuUsPerRequest", 0),
+                number("limits.cpuUsPerS", 0));
     }
 
     private Rules rules() {
-        return new Rules(number("rules.graceToAnswer"), number("rules.drainGrace"), number("rules.askEvery"),
-                number("rules.startCapacity"), number("rules.warmUp"), number("rules.fallMultiple"),
-                number("rules.tipAfter"), number("rules.orderSettle", 0));
+        return new Rules(
+                number("rules.graceToAnswer"),
+                number("rules.drainGrace"),
+                number("rules.askEvery"),
+                number("rules.startCapacity"),
+                number("rules.warmUp"),
+                number("rules.fallMultiple"),
+                number("rules.tipAfter"),
+                number("rules.orderSettle", 0));
     }
 
     private Goal goal() {
-        return new Goal(number("goal.whole"), number("goal.worstWindow"), number("goal.worstClass"),
-                number("goal.worstTenant"), number("goal.tail", 0), number("goal.tailMiss", 0),
-                number("goal.logLossPart", 0), number("goal.topNines", 0));
+        return new Goal(
+                number("goal.whole"),
+                number("goal.worstWindow"),
+                number("goal.worstClass"),
+                number("goal.worstTenant"),
+                number("goal.tail", 0),
+                number("goal.tailMiss", 0),
+                number("goal.logLossPart", 0),
+                number("goal.topNines", 0));
     }
 
     private Prices prices() {
-        return new Prices(number("prices.crossZone"), number("prices.probe"), number("prices.waste"),
-                number("prices.lateFail"), number("prices.connection"), number("prices.handshake"),
-                number("prices.peer"), number("prices.registryMode"));
+        return new Prices(
+                number("prices.crossZone"),
+                number("prices.probe"),
+                number("prices.waste"),
+                number("prices.lateFail"),
+                number("prices.connection"),
+                number("prices.handshake"),
+                number("prices.peer"),
+                number("prices.registryMode"));
     }
 
     private String text(String key) {
--- a/src/main/java/sablehinge/sidecar/Beats.java
+++ b/src/main/java/sablehinge/sidecar/Beats.java
@@ -1,27 +1,25 @@
 package sablehinge.sidecar;
 
 import java.util.function.Consumer;
+import sablehinge.admission.UpstreamLifecycle.Heartbeat;
 import sablehinge.api.Asked;
 import sablehinge.api.Headed;
 import sablehinge.api.Operation;
-import sablehinge.admission.UpstreamLifecycle.Heartbeat;
 import sablehinge.api.Reply;
 
 /** The calls of the upstream beside a balancer (PROTOCOL, "Which upstreams there are"). */
 final class Beats {
 
-    private Beats() {
-    }
+    private Beats() {}
 
     /** That a beat was heard. */
-    record Heard() { }
+    record Heard() {}
 
     /** An upstream has left. */
-    record SignOff(String id) { }
+    record SignOff(String id) {}
 
     /**
-     * The operation of heartbeats. One of an upstream elsewhere is not acknowledged: the gate before it is
-     * not here.
+     * The operation of heartbeats. One of an upstream elsewhere is not acknowledged: the gate before it is not here.
      *
      * @param app the address of the upstream of the own machine, {@code ip:port}
      */
--- a/src/main/java/sablehinge/sidecar/HeartbeatReader.java
+++ b/src/main/java/sablehinge/sidecar/HeartbeatReader.java
@@ -8,8 +8,8 @@
 import sablehinge.api.CallException;
 
 /**
- * Reads heartbeats token by token. A mapper would do it in a line, and takes a tenth of a second to load, in
- * which a process that has just begun could not hear its upstream.
+ * Reads heartbeats token by token. A mapper would do it in a line, and takes a tenth of a second to load, in which a
+ * process that has just begun could not hear its upstream.
  */
 final class HeartbeatReader {
 
@@ -25,11 +25,10 @@
     private int coldMs;
     private long callCount;
 
-    private HeartbeatReader() { }
+    private HeartbeatReader() {}
 
     /**
-     * The heartbeat in a body. What may be missing: {@code berths} (1), {@code coldLeftMs} and
-     * {@code callCount} (0).
+     * The heartbeat in a body. What may be missing: {@code berths} (1), {@code coldLeftMs} and {@code callCount} (0).
      *
      * @param id of the life that it is of
      * @param app the address of the upstream of the own machine, {@code ip:port}
@@ -79,12 +78,11 @@
         }
         require("address", address);
         if (!address.equals(app)) {
-            throw new CallException(MISDIRECTED, "ELSEWHERE", "the upstream here is at " + app + ", not at "
-                    + address);
+            throw new CallException(MISDIRECTED, "ELSEWHERE", "the upstream here is at " + app + ", not at " + address);
         }
         require("depot", service);
-        return new Heartbeat(id, service, unloading, Math.max(1, Math.min(MOST_BERTHS, berths)),
-                Math.max(0, coldMs), callCount);
+        return new Heartbeat(
+                id, service, unloading, Math.max(1, Math.min(MOST_BERTHS, berths)), Math.max(0, coldMs), callCount);
     }
 
     private static void require(String name, String value) {
--- a/src/main/java/sablehinge/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/sidecar/InboundFront.java
@@ -15,8 +15,8 @@
 import sablehinge.http1.FrontTerms;
 
 /**
- * What balancers say to the balancer beside an upstream. It looks at no configuration: the one that drew the
- * upstream names its life, and how long the request may wait here. Each answer of our own has the verdict.
+ * What balancers say to the balancer beside an upstream. It looks at no configuration: the one that drew the upstream
+ * names its life, and how long the request may wait here. Each answer of our own has the verdict.
  */
 final class InboundFront implements FrontDialect {
 
@@ -26,8 +26,8 @@
     private static final double IDLE_MS = 40_000;
     private static final long BODY_BYTES = 1L << 30;
     private static final int SLOWEST = 10;
-    private static final FrontTerms TERMS = new FrontTerms(HEADER_BYTES, BODY_BYTES, SLOW_MS, SLOWEST,
-            IDLE_MS, IDLE_MS, KEPT, 64 * KEPT, false);
+    private static final FrontTerms TERMS =
+            new FrontTerms(HEADER_BYTES, BODY_BYTES, SLOW_MS, SLOWEST, IDLE_MS, IDLE_MS, KEPT, 64 * KEPT, false);
 
     private final Core core;
 
@@ -41,8 +41,7 @@
     }
 
     @Override
-    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now)
-            throws BadRequestException {
+    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException {
         HttpHeaders headers = request.headers();
         String meant = MeshHeaders.single(headers, MeshHeaders.DELIVER);
         if (meant == null) {
@@ -52,8 +51,10 @@
         double patience = MeshHeaders.millis(headers, MeshHeaders.PATIENCE, 0);
         int rank = (int) MeshHeaders.millis(headers, MeshHeaders.RANK, 0);
         headers.remove(MeshHeaders.PATIENCE).remove(MeshHeaders.RANK);
-        return new Checked("", new Arrival(0, rank, MeshHeaders.life(meant), cameAt + left,
-                Math.min(patience, left), false, false), core.version());
+        return new Checked(
+                "",
+                new Arrival(0, rank, MeshHeaders.life(meant), cameAt + left, Math.min(patience, left), false, false),
+                core.version());
     }
 
     @Override
@@ -70,8 +71,13 @@
     public void dress(HttpResponse response, Answer answer, Version version, HttpRequest request) {
         MeshAnswers.dress(response, answer, request);
         boolean refused = answer == null || answer.kind() == Answer.Kind.REFUSED;
-        response.headers().set(MeshHeaders.VERDICT, refused ? MeshHeaders.PROVEN
-                : sablehinge.http1.Payloads.head(answer.payload()) != null ? MeshHeaders.RAN
-                : MeshHeaders.DOUBT);
+        response.headers()
+                .set(
+                        MeshHeaders.VERDICT,
+                        refused
+                                ? MeshHeaders.PROVEN
+                                : sablehinge.http1.Payloads.head(answer.payload()) != null
+                                        ? MeshHeaders.RAN
+                                        : MeshHeaders.DOUBT);
     }
 }
--- a/src/main/java/sablehinge/sidecar/MeshAnswers.java
+++ b/src/main/java/sablehinge/sidecar/MeshAnswers.java
@@ -14,8 +14,7 @@
 /** How answers of the mesh are worded: an upstream's as it came, our own by what is known of the request. */
 final class MeshAnswers {
 
-    private MeshAnswers() {
-    }
+    private MeshAnswers() {}
 
     static HttpResponseStatus status(Answer answer) {
         if (Payloads.head(answer.payload()) instanceof HttpResponse given) {
@@ -40,7 +39,8 @@
 
     static ByteBuf content(Answer answer) {
         return Payloads.head(answer.payload()) instanceof HttpResponse given && promises(given.status())
-                ? Unpooled.EMPTY_BUFFER : Payloads.content(answer.payload());
+                ? Unpooled.EMPTY_BUFFER
+                : Payloads.content(answer.payload());
     }
 
     /** Copies the headers of an upstream's answer; our own names the try, as every answer does. */
--- a/src/main/java/sablehinge/sidecar/MeshHeaders.java
+++ b/src/main/java/sablehinge/sidecar/MeshHeaders.java
@@ -17,16 +17,17 @@
     static final String NOT_RUN = "Sablehinge-Not-Run";
     /** Between balancers: how long the request may wait for a slot, in ms, and its rank. */
     static final String PATIENCE = "Sablehinge-Patience";
+
     static final String RANK = "Sablehinge-Rank";
     /** Between balancers: what is known of the request; and where its upstream is leaving, that. */
     static final String VERDICT = "Sablehinge-Verdict";
+
     static final String PROVEN = "not-run";
     static final String RAN = "ran";
     static final String DOUBT = "may-have-run";
     private static final int MOST_MS = 600_000;
 
-    private MeshHeaders() {
-    }
+    private MeshHeaders() {}
 
     /** A header's one value, or null; two could be read as either. */
     static String single(HttpHeaders headers, String name) throws BadRequestException {
--- a/src/main/java/sablehinge/sidecar/MeshUpstream.java
+++ b/src/main/java/sablehinge/sidecar/MeshUpstream.java
@@ -18,11 +18,13 @@
 
     /** Silence gives no ground to end an answer sooner than its deadline, nor does a pause in it. */
     private static final long STALL_MS = 5_000;
+
     private static final double YOUNG_MS = 60_000;
     private static final long STUCK_MS = 10_000;
     private static final UpstreamTerms TO_BALANCERS = new UpstreamTerms(STALL_MS, YOUNG_MS, STUCK_MS, true);
     /** An upstream that breaks off an answer serves on over its other connections. */
     private static final UpstreamTerms TO_UPSTREAM = new UpstreamTerms(STALL_MS, YOUNG_MS, STUCK_MS, false);
+
     private static final int MISDIRECTED = 421;
 
     private final Clock clock;
@@ -31,7 +33,7 @@
 
     /** The dialect to other balancers. */
     MeshUpstream(Clock clock) {
-        this(clock, true, () -> { });
+        this(clock, true, () -> {});
     }
 
     /** The dialect to the upstream of the own machine; {@code turnedAway} hears of each refusal there. */
@@ -98,19 +100,19 @@
 
     private Result verdict(HttpResponse answer) {
         HttpHeaders headers = answer.headers();
-        if (toBalancers ? MeshHeaders.PROVEN.equals(headers.get(MeshHeaders.VERDICT))
+        if (toBalancers
+                ? MeshHeaders.PROVEN.equals(headers.get(MeshHeaders.VERDICT))
                 : headers.contains(MeshHeaders.NOT_RUN) || answer.status().code() == MISDIRECTED) {
             return Result.FULL;
         }
         boolean served = answer.status().codeClass() == HttpStatusClass.SUCCESS
-                && headers.contains(MeshHeaders.STAMP) && headers.contains(MeshHeaders.TRY)
+                && headers.contains(MeshHeaders.STAMP)
+                && headers.contains(MeshHeaders.TRY)
                 && !headers.contains("Content-Encoding");
         return served ? Result.OK : Result.ERROR;
     }
 
-    /**
-     * A success that lacks its stamp must not reach a client, and neither must what was encoded on the way.
-     */
+    /** A success that lacks its stamp must not reach a client, and neither must what was encoded on the way. */
     @Override
     public boolean keeps(HttpMessage answer) {
         return answer instanceof HttpResponse response
--- a/src/main/java/sablehinge/sidecar/NewsClient.java
+++ b/src/main/java/sablehinge/sidecar/NewsClient.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Frame;
 import sablehinge.core.Clock;
 import sablehinge.core.Log;
-import sablehinge.watch.WatchRequest;
-import sablehinge.watch.Update;
+import sablehinge.retrybudget.Grant;
+import sablehinge.rpc.Connection;
+import sablehinge.rpc.Frame;
 import sablehinge.watch.RetryBudgetCodec;
 import sablehinge.watch.Tokens;
-import sablehinge.retrybudget.Grant;
+import sablehinge.watch.Update;
+import sablehinge.watch.WatchRequest;
 
 /**
- * Asks the core for news, one machine of it at a time: whoever does not lead names who does. An ask that is
- * not answered in time, or a connection that breaks, leads to the next machine that is known.
+ * Asks the core for news, one machine of it at a time: whoever does not lead names who does. An ask that is not
+ * answered in time, or a connection that breaks, leads to the next machine that is known.
  */
 final class NewsClient implements Connection.Handler {
 
@@ -124,11 +124,14 @@
         askedAt = clock.now();
         link.send(new Frame(Frame.Kind.ASK, teller.request(++number).bytes()));
         int waitsFor = number;
-        loop.schedule(() -> {
-            if (number == waitsFor && link != null) {
-                link.close();
-            }
-        }, (long) PATIENCE_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (number == waitsFor && link != null) {
+                        link.close();
+                    }
+                },
+                (long) PATIENCE_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void reach(String at) {
@@ -141,8 +144,8 @@
             to = known.get(Math.floorMod(next++, known.size()));
         }
         int colon = to.lastIndexOf(':');
-        link = connection.connect(new InetSocketAddress(to.substring(0, colon),
-                Integer.parseInt(to.substring(colon + 1))), this);
+        link = connection.connect(
+                new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1))), this);
     }
 
     @Override
--- a/src/main/java/sablehinge/sidecar/NewsFilter.java
+++ b/src/main/java/sablehinge/sidecar/NewsFilter.java
@@ -3,8 +3,8 @@
 import sablehinge.watch.Update;
 
 /**
- * Decides which news of the core a balancer takes. A machine that was deposed may still answer, and a process
- * that has just started must not begin with a configuration of which nobody knows whether it is the newest.
+ * Decides which news of the core a balancer takes. A machine that was deposed may still answer, and a process that has
+ * just started must not begin with a configuration of which nobody knows whether it is the newest.
  */
 final class NewsFilter {
 
