--- a/src/main/java/sablehinge/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/sidecar/OutboundFront.java
@@ -8,8 +8,6 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import sablehinge.routing.Configuration;
-import sablehinge.routing.Plan;
 import sablehinge.core.Answer;
 import sablehinge.core.Arrival;
 import sablehinge.core.Version;
@@ -17,6 +15,8 @@
 import sablehinge.http1.Checked;
 import sablehinge.http1.FrontDialect;
 import sablehinge.http1.FrontTerms;
+import sablehinge.routing.Configuration;
+import sablehinge.routing.Plan;
 
 /** What the clients of a machine, and its upstream, say to the balancer there (PROTOCOL, "Requests"). */
 final class OutboundFront implements FrontDialect {
@@ -26,8 +26,8 @@
     private static final int KEPT_IN_ALL = 48 * KEPT;
     private static final int SLOWEST = 10;
     /** Before any configuration is known. */
-    private static final FrontTerms FIRST = new FrontTerms(HEADER_BYTES, KEPT, 5_000, SLOWEST, 15_000,
-            15_000, KEPT, KEPT_IN_ALL, true);
+    private static final FrontTerms FIRST =
+            new FrontTerms(HEADER_BYTES, KEPT, 5_000, SLOWEST, 15_000, 15_000, KEPT, KEPT_IN_ALL, true);
     /** A client sends a body over a link, not from memory: its time is more than that of a head. */
     private static final double LENIENT = 1.5;
     /** The part of its aim that a request may wait for a slot: after that its answer would come late. */
@@ -40,6 +40,7 @@
     private static final double HELD_OF_TIME = HELD_OF_AIM / 7;
     /** Advice to who was refused for want of news, in ms: at least this, at most this part of its time. */
     private static final double COME_BACK_MS = 300;
+
     private static final double LATEST_RETURN = 0.3;
 
     private final String caller;
@@ -79,8 +80,15 @@
         version = as;
         classes = places;
         Configuration.Limits limits = next.configuration().limits();
-        terms = new FrontTerms(Math.max(HEADER_BYTES / 4, limits.headerBytes()), limits.bodyBytes(),
-                limits.headerMs() * LENIENT, SLOWEST, limits.idleMs(), limits.idleMs(), KEPT, KEPT_IN_ALL,
+        terms = new FrontTerms(
+                Math.max(HEADER_BYTES / 4, limits.headerBytes()),
+                limits.bodyBytes(),
+                limits.headerMs() * LENIENT,
+                SLOWEST,
+                limits.idleMs(),
+                limits.idleMs(),
+                KEPT,
+                KEPT_IN_ALL,
                 true);
     }
 
@@ -101,8 +109,7 @@
     }
 
     @Override
-    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now)
-            throws BadRequestException {
+    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException {
         HttpHeaders headers = request.headers();
         if (Double.isNaN(firstCameAt)) {
             firstCameAt = cameAt;
@@ -124,8 +131,7 @@
             throw BadRequestException.turnedAway(HttpResponseStatus.UNAUTHORIZED, "unknown key")
                     .heldFor(held(route));
         }
-        double given = Math.min(route.timeoutMs(),
-                MeshHeaders.millis(headers, MeshHeaders.LEFT, route.timeoutMs()));
+        double given = Math.min(route.timeoutMs(), MeshHeaders.millis(headers, MeshHeaders.LEFT, route.timeoutMs()));
         double left = given - (now - cameAt);
         if (left <= 0) {
             throw BadRequestException.turnedAway(HttpResponseStatus.SERVICE_UNAVAILABLE, "its time is over");
@@ -136,7 +142,9 @@
         String service = plan.choose(route, random.nextDouble());
         retryBudget.came(service, tenant == null && plan.wantsKeys());
         int rank = tenant != null && tenant.priority() >= 0 ? tenant.priority() : route.priority();
-        headers.remove(MeshHeaders.KEY).remove(MeshHeaders.SENDER).remove(MeshHeaders.DELIVER)
+        headers.remove(MeshHeaders.KEY)
+                .remove(MeshHeaders.SENDER)
+                .remove(MeshHeaders.DELIVER)
                 .remove(MeshHeaders.VERDICT);
         headers.set(MeshHeaders.CALLER, caller);
         if (tenant != null) {
@@ -144,8 +152,18 @@
         }
         headers.set(MeshHeaders.PATIENCE, cameAt + PATIENCE * Math.min(route.targetMs(), given));
         headers.set(MeshHeaders.RANK, rank);
-        return new Checked("", new Arrival(classes.get(Terms.name(route, service)), 0, 0, now + left, 0,
-                false, route.kind() != Configuration.Kind.SAFE).within(route.attempts()), version);
+        return new Checked(
+                "",
+                new Arrival(
+                                classes.get(Terms.name(route, service)),
+                                0,
+                                0,
+                                now + left,
+                                0,
+                                false,
+                                route.kind() != Configuration.Kind.SAFE)
+                        .within(route.attempts()),
+                version);
     }
 
     private void claim(Configuration.Tenant tenant, Configuration.Route route, double left, double now)
@@ -153,11 +171,11 @@
         Quotas.Claim claim = quotas.claim(now, tenant);
         if (claim == Quotas.Claim.ASKED) {
             // The answer of the tenant's pool is a round trip away.
-            throw BadRequestException.turnedAway(HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota",
-                    COME_BACK_MS).heldFor(held(route));
+            throw BadRequestException.turnedAway(HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", COME_BACK_MS)
+                    .heldFor(held(route));
         } else if (claim == Quotas.Claim.REFUSED) {
-            throw BadRequestException.turnedAway(HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota",
-                    Math.min(quotas.next(tenant), left));
+            throw BadRequestException.turnedAway(
+                    HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", Math.min(quotas.next(tenant), left));
         }
     }
 
@@ -170,24 +188,27 @@
     }
 
     /**
-     * Nothing has run, and it may be tried again once there is news: nobody knows when that will be, and what
-     * has taken long already is likely to take as long again.
+     * Nothing has run, and it may be tried again once there is news: nobody knows when that will be, and what has taken
+     * long already is likely to take as long again.
      */
     private BadRequestException withoutNews(double time, double now) {
         double comeBack = Math.max(COME_BACK_MS, now - firstCameAt);
-        return BadRequestException.turnedAway(HttpResponseStatus.SERVICE_UNAVAILABLE, "no configuration yet",
-                Math.min(comeBack, LATEST_RETURN * time)).heldFor(held(time));
+        return BadRequestException.turnedAway(
+                        HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        "no configuration yet",
+                        Math.min(comeBack, LATEST_RETURN * time))
+                .heldFor(held(time));
     }
 
     /**
-     * A key or route that is not known here may be newer than what is known here. Where nobody says in time
-     * that it is not, the request is refused as one that has not run, and not as one that never may.
+     * A key or route that is not known here may be newer than what is known here. Where nobody says in time that it is
+     * not, the request is refused as one that has not run, and not as one that never may.
      */
     @Override
     public BadRequestException refusal(BadRequestException why, boolean mayWait, double cameAt, double now) {
         int status = why.status().code();
-        boolean unknown = status == HttpResponseStatus.UNAUTHORIZED.code()
-                || status == HttpResponseStatus.NOT_FOUND.code();
+        boolean unknown =
+                status == HttpResponseStatus.UNAUTHORIZED.code() || status == HttpResponseStatus.NOT_FOUND.code();
         if (unknown && confirming.confirmedAt() >= cameAt) {
             return why;
         }
@@ -197,8 +218,12 @@
             }
             return null;
         }
-        return unknown ? BadRequestException.turnedAway(HttpResponseStatus.SERVICE_UNAVAILABLE,
-                "not known whether this is the newest configuration", COME_BACK_MS) : why;
+        return unknown
+                ? BadRequestException.turnedAway(
+                        HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        "not known whether this is the newest configuration",
+                        COME_BACK_MS)
+                : why;
     }
 
     @Override
--- a/src/main/java/sablehinge/sidecar/Pulse.java
+++ b/src/main/java/sablehinge/sidecar/Pulse.java
@@ -37,8 +37,8 @@
     /** Reads what {@link #bytes} wrote; fails on anything else. */
     static Pulse read(byte[] bytes) throws IOException {
         if (bytes.length != BYTES || bytes[0] != VERSION) {
-            throw new IOException(bytes.length + " bytes that are no beat; " + BYTES + " of version "
-                    + VERSION + " are expected");
+            throw new IOException(
+                    bytes.length + " bytes that are no beat; " + BYTES + " of version " + VERSION + " are expected");
         }
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, 1, BYTES - 1));
         return new Pulse(in.readLong(), in.readInt(), in.readInt());
--- a/src/main/java/sablehinge/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/sidecar/Quotas.java
@@ -4,30 +4,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ObjIntConsumer;
-import sablehinge.routing.Configuration;
 import sablehinge.config.local.LocalSettings;
 import sablehinge.quota.Bucket;
 import sablehinge.quota.Quota;
+import sablehinge.routing.Configuration;
 
 /** This balancer's even parts of the tenants' quotas, and what it takes from the pools beside them. */
 final class Quotas {
 
-    /**
-     * How long an answer from the pool is waited for, and how long an empty one is not asked again, in ms.
-     */
+    /** How long an answer from the pool is waited for, and how long an empty one is not asked again, in ms. */
     private static final double PATIENCE_MS = 60;
+
     private static final double EMPTY_MS = 100;
     private static final double FIRST = 0.5;
     /** Claims fade over this time, in ms; tokens are asked for a part of it ahead, and some are kept. */
     private static final double FADE_MS = 1_000;
+
     private static final double AHEAD = 0.1;
     private static final int MOST_AT_ONCE = 20;
     private static final double KEPT = 0.5;
     /** Balancers that are reckoned with until a complete roster has told how many there are. */
     private static final int RECKONED = 16;
     /**
-     * For so long after another leader has begun, in ms, no fewer are reckoned with than before it: who is
-     * cut off from it may be on no roster of its, and goes on with its part.
+     * For so long after another leader has begun, in ms, no fewer are reckoned with than before it: who is cut off from
+     * it may be on no roster of its, and goes on with its part.
      */
     static final double HELD_MS = 48_000;
 
@@ -37,12 +37,17 @@
     private int least = RECKONED;
     /** Whether the last roster was complete; one that is not begins another leader's. */
     private boolean whole;
+
     private int held = 1;
     private double heldUntil = Double.NEGATIVE_INFINITY;
     private int balancers = RECKONED;
 
     /** What became of a request's claim on its tenant's quota. */
-    enum Claim { GRANTED, ASKED, REFUSED }
+    enum Claim {
+        GRANTED,
+        ASKED,
+        REFUSED
+    }
 
     private static final class Metered {
         Quota quota;
@@ -71,8 +76,12 @@
         for (Configuration.Tenant tenant : tenants) {
             if (tenant.perSecond() > 0) {
                 Metered one = before.getOrDefault(tenant.name(), new Metered());
-                one.quota = Quota.of(tenant.perSecond(), tenant.burst(), bounds.quotaWindowS(),
-                        bounds.quotaExcess(), bounds.quotaSlack());
+                one.quota = Quota.of(
+                        tenant.perSecond(),
+                        tenant.burst(),
+                        bounds.quotaWindowS(),
+                        bounds.quotaExcess(),
+                        bounds.quotaSlack());
                 one.bucket.set(now, one.quota.even(balancers));
                 metered.put(tenant.name(), one);
             }
@@ -80,10 +89,10 @@
     }
 
     /**
-     * Among how many balancers the even part is divided; to be told before the tenants that come with the
-     * same news, as the first tokens are a part of the even part. A leader that has just begun has heard of
-     * few; until its roster is complete, and for {@link #HELD_MS} at least, no fewer are reckoned with than
-     * the last complete one before it held: all of them may still hold their parts.
+     * Among how many balancers the even part is divided; to be told before the tenants that come with the same news, as
+     * the first tokens are a part of the even part. A leader that has just begun has heard of few; until its roster is
+     * complete, and for {@link #HELD_MS} at least, no fewer are reckoned with than the last complete one before it
+     * held: all of them may still hold their parts.
      *
      * @param size balancers on the roster
      * @param complete whether all that live are on it
--- a/src/main/java/sablehinge/sidecar/Readiness.java
+++ b/src/main/java/sablehinge/sidecar/Readiness.java
@@ -16,7 +16,7 @@
     }
 
     /** Whether they may. */
-    record State(boolean ready) { }
+    record State(boolean ready) {}
 
     @Override
     protected void answer(Consumer<State> answer) {
--- a/src/main/java/sablehinge/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/sidecar/RetryBudget.java
@@ -4,18 +4,18 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Consumer;
-import sablehinge.routing.Configuration;
-import sablehinge.state.Registration;
-import sablehinge.rpc.Frame;
 import sablehinge.config.local.LocalSettings;
 import sablehinge.core.Clock;
 import sablehinge.core.Extras;
 import sablehinge.core.Version;
-import sablehinge.watch.RetryBudgetCodec;
 import sablehinge.retrybudget.Claim;
 import sablehinge.retrybudget.Grant;
 import sablehinge.retrybudget.Rule;
 import sablehinge.retrybudget.Shares;
+import sablehinge.routing.Configuration;
+import sablehinge.rpc.Frame;
+import sablehinge.state.Registration;
+import sablehinge.watch.RetryBudgetCodec;
 
 /** Bounds the further tries of this balancer's requests by its shares, which it asks the core for. */
 final class RetryBudget implements Extras {
@@ -34,8 +34,8 @@
         depot = settings.depot();
         long life = MeshHeaders.life(node + " " + System.currentTimeMillis() + " " + System.nanoTime());
         LocalSettings.Bounds bounds = settings.bounds();
-        shares = new Shares(new Rule(bounds.retryRatio(), bounds.retryWindowS() * 1_000,
-                bounds.retrySlack()), life, depot);
+        shares = new Shares(
+                new Rule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()), life, depot);
     }
 
     /** Takes the services of a configuration over. */
--- a/src/main/java/sablehinge/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/sidecar/Sidecar.java
@@ -12,13 +12,10 @@
 import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.routing.Configuration;
-import sablehinge.routing.Plan;
 import sablehinge.admission.AdmissionController;
 import sablehinge.admission.UpstreamLifecycle;
-import sablehinge.state.Registration;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Frame;
+import sablehinge.api.ApiServer;
+import sablehinge.api.ConfigurationReader;
 import sablehinge.config.ConfigException;
 import sablehinge.config.local.LocalSettings;
 import sablehinge.core.Clock;
@@ -28,28 +25,30 @@
 import sablehinge.core.Roster;
 import sablehinge.core.Roster.Member;
 import sablehinge.core.Version;
-import sablehinge.api.ConfigurationReader;
-import sablehinge.api.ApiServer;
+import sablehinge.eventloop.ClosingEventLoops;
 import sablehinge.http1.Frontend;
 import sablehinge.http1.Sockets;
 import sablehinge.http1.UpstreamClient;
-import sablehinge.eventloop.ClosingEventLoops;
 import sablehinge.node.LoopTimers;
-import sablehinge.watch.WatchRequest;
-import sablehinge.watch.PackedConfiguration;
-import sablehinge.watch.Update;
-import sablehinge.watch.Tokens;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 import sablehinge.retrybudget.Grant;
+import sablehinge.routing.Configuration;
+import sablehinge.routing.Plan;
+import sablehinge.rpc.Connection;
+import sablehinge.rpc.Frame;
+import sablehinge.state.Registration;
+import sablehinge.watch.PackedConfiguration;
+import sablehinge.watch.Tokens;
+import sablehinge.watch.Update;
+import sablehinge.watch.WatchRequest;
 
 /**
- * The balancer of a machine with an upstream. Outbound it takes the requests that begin on its machine,
- * draws an
- * upstream for each and sends it to the balancer there; inbound it admits what others send to the upstream of
- * its own machine. All that it knows can be asked for again. One thread owns all of it.
+ * The balancer of a machine with an upstream. Outbound it takes the requests that begin on its machine, draws an
+ * upstream for each and sends it to the balancer there; inbound it admits what others send to the upstream of its own
+ * machine. All that it knows can be asked for again. One thread owns all of it.
  */
 public final class Sidecar {
 
@@ -65,10 +64,12 @@
     private static final double UNHEARD_MS = 2_300;
     /** Of that, the last part, in which the other balancers are told to draw this upstream no more. */
     private static final double TOLD_MS = 500;
+
     private static final double ENDS_BEFORE_MS = 600;
     private static final long DRAIN_CHECK_MS = 20;
     /** Balancers that are reckoned with for further tries until the roll is complete. */
     private static final int RECKONED = 16;
+
     private static final Registry NO_REGISTRY = new Registry() {
         @Override
         public void fetch() {
@@ -100,6 +101,7 @@
     private final Map<String, Registration> registry = new LinkedHashMap<>();
     /** When upstreams are warm, as first told, by their lives. */
     private final Map<String, Double> startedAt = new HashMap<>();
+
     private final Map<Integer, Version> versions = new HashMap<>();
     private Version version;
     private long edition;
@@ -110,6 +112,7 @@
     private boolean leaving;
     /** Whether the upstream beside is to be drawn no more, as this process is about to end. */
     private boolean shuts;
+
     private final UpstreamLifecycle lifecycle;
     private final double startedListeningAt = clock.now();
 
@@ -118,8 +121,8 @@
         this.loop = loop;
         zones = new ArrayList<>(settings.zones().keySet());
         zones.sort(null);
-        PooledByteBufAllocator memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED,
-                CACHED, false);
+        PooledByteBufAllocator memory =
+                new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
         sockets = new Sockets(settings.limits().fds() - 200);
         LoopTimers timers = new LoopTimers(loop, clock);
         quotas = new Quotas(settings.bounds(), this::askPool);
@@ -129,38 +132,45 @@
             admission = new AdmissionController(actions);
             return admission;
         });
-        lifecycle = new UpstreamLifecycle(admission, MeshHeaders::life, settings.bounds().unloadMs(),
-                settings.beatMs());
-        routes = new OutboundFront(settings.depot(), quotas, retryBudget, new OutboundFront.Confirming() {
-            @Override
-            public void ask() {
-                if (!wantsConfirmation) {
-                    wantsConfirmation = true;
-                    update.askNow();
-                }
-            }
-
-            @Override
-            public double confirmedAt() {
-                return confirmedAt;
-            }
-        }, System.nanoTime());
+        lifecycle = new UpstreamLifecycle(
+                admission, MeshHeaders::life, settings.bounds().unloadMs(), settings.beatMs());
+        routes = new OutboundFront(
+                settings.depot(),
+                quotas,
+                retryBudget,
+                new OutboundFront.Confirming() {
+                    @Override
+                    public void ask() {
+                        if (!wantsConfirmation) {
+                            wantsConfirmation = true;
+                            update.askNow();
+                        }
+                    }
+
+                    @Override
+                    public double confirmedAt() {
+                        return confirmedAt;
+                    }
+                },
+                System.nanoTime());
         outFront = new Frontend(loop, sockets, memory, outbound, routes);
         inFront = new Frontend(loop, sockets, memory, inbound, new InboundFront(inbound));
-        UpstreamClient peers = new UpstreamClient(loop, clock, sockets, memory,
-                new MeshUpstream(clock));
-        UpstreamClient app = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock,
-                retryBudget::turnedAway));
+        UpstreamClient peers = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
+        UpstreamClient app =
+                new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, retryBudget::turnedAway));
         Version first = Terms.gate();
         Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
-        inbound.start(first, 1, new Roster(1, true, List.of(new Member(own,
-                ListeningSockets.address(settings.app())))), app, NO_REGISTRY);
+        inbound.start(
+                first,
+                1,
+                new Roster(1, true, List.of(new Member(own, ListeningSockets.address(settings.app())))),
+                app,
+                NO_REGISTRY);
         version = new Version(0, first.settings(), first.classes(), List.of(), false);
         versions.put(0, version);
         outbound.bound(retryBudget);
         outbound.start(version, System.nanoTime(), new Roster(0, true, List.of()), peers, NO_REGISTRY);
-        update = new NewsClient(loop, clock, new Connection(loop, PING_MS, DEAD_MS), contacts(settings),
-                new Telling());
+        update = new NewsClient(loop, clock, new Connection(loop, PING_MS, DEAD_MS), contacts(settings), new Telling());
         watchers = new Watchers(loop, clock, settings, update::askNow);
     }
 
@@ -175,34 +185,42 @@
         EventLoop loop = ClosingEventLoops.single("sidecar");
         Sidecar[] made = new Sidecar[1];
         loop.submit(() -> {
-            made[0] = new Sidecar(settings, loop);
-        }).sync();
+                    made[0] = new Sidecar(settings, loop);
+                })
+                .sync();
         Sidecar sidecar = made[0];
         LocalSettings.ListenOn at = settings.listenOn();
         try {
             loop.submit(() -> {
-                sidecar.outFront.adopt(listening.outbound());
-                sidecar.update.start();
-            }).sync();
+                        sidecar.outFront.adopt(listening.outbound());
+                        sidecar.update.start();
+                    })
+                    .sync();
             sidecar.inFront.bind(ListeningSockets.address(at.inbound()), false);
-            new ApiServer(loop, List.of(Beats.beats(settings.app(), sidecar::heard),
-                    Beats.signOffs(sidecar::signedOff)), MOST_BEAT).adopt(listening.control());
+            new ApiServer(
+                            loop,
+                            List.of(Beats.beats(settings.app(), sidecar::heard), Beats.signOffs(sidecar::signedOff)),
+                            MOST_BEAT)
+                    .adopt(listening.control());
             sidecar.watchers.listen();
-            sidecar.opens(new ApiServer(loop, List.of(new Readiness(sidecar::isReady)), MOST_BEAT),
-                    at.ready());
+            sidecar.opens(new ApiServer(loop, List.of(new Readiness(sidecar::isReady)), MOST_BEAT), at.ready());
         } catch (IOException e) {
             throw new ConfigException(e.getMessage());
         }
         loop.scheduleAtFixedRate(sidecar::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        Log.info(LOG, "starts").addKeyValue("node", settings.node()).addKeyValue("service", settings.depot())
+        Log.info(LOG, "starts")
+                .addKeyValue("node", settings.node())
+                .addKeyValue("service", settings.depot())
                 .log("asks for news");
         return sidecar;
     }
 
     private void opens(ApiServer apiServer, String at) throws IOException, InterruptedException {
-        io.netty.channel.ChannelFuture bound = apiServer.listen(ListeningSockets.address(at)).await();
+        io.netty.channel.ChannelFuture bound =
+                apiServer.listen(ListeningSockets.address(at)).await();
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + at + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    "cannot listen on " + at + ": " + bound.cause().getMessage());
         }
     }
 
@@ -220,7 +238,9 @@
             update.askNow();
         }
         if (before == null || !before.id().equals(beat.id())) {
-            Log.info(LOG, "upstream").addKeyValue("id", beat.id()).addKeyValue("berths", beat.berths())
+            Log.info(LOG, "upstream")
+                    .addKeyValue("id", beat.id())
+                    .addKeyValue("berths", beat.berths())
                     .addKeyValue("unloading", beat.unloading())
                     .addKeyValue("after-ms", (long) (now - startedListeningAt))
                     .log("an upstream is heard");
@@ -240,8 +260,7 @@
     /** Those that wait at the gate when it closes are refused then, and not by the next tick. */
     private void leaves(String id, double closesInMs) {
         Log.info(LOG, "upstream-leaves").addKeyValue("id", id).log("the upstream leaves");
-        loop.schedule(() -> lifecycle.tick(clock.now()), (long) Math.max(0, closesInMs) + 1,
-                TimeUnit.MILLISECONDS);
+        loop.schedule(() -> lifecycle.tick(clock.now()), (long) Math.max(0, closesInMs) + 1, TimeUnit.MILLISECONDS);
     }
 
     private void tick() {
@@ -254,10 +273,15 @@
 
     private Registration self() {
         UpstreamLifecycle.Heartbeat present = lifecycle.present();
-        return new Registration(settings.node(), settings.zone(), settings.listenOn().inbound(),
+        return new Registration(
+                settings.node(),
+                settings.zone(),
+                settings.listenOn().inbound(),
                 present == null ? settings.depot() : present.service(),
-                present == null ? "" : present.id(), lifecycle.isReady() && !shuts,
-                present == null ? 0 : present.berths(), present == null ? 0 : present.coldMs());
+                present == null ? "" : present.id(),
+                lifecycle.isReady() && !shuts,
+                present == null ? 0 : present.berths(),
+                present == null ? 0 : present.coldMs());
     }
 
     private void claim(Frame frame) {
@@ -274,8 +298,15 @@
 
         @Override
         public WatchRequest request(int number) {
-            return new WatchRequest(number, self(), edition, rollTerm, rollStamp, wantsConfirmation,
-                    watchers.accusations(), watchers.vouched());
+            return new WatchRequest(
+                    number,
+                    self(),
+                    edition,
+                    rollTerm,
+                    rollStamp,
+                    wantsConfirmation,
+                    watchers.accusations(),
+                    watchers.vouched());
         }
 
         @Override
@@ -313,15 +344,21 @@
         edition = next;
         Map<String, Integer> places = new HashMap<>();
         Version before = version;
-        version = Terms.version(before.number() + 1, configuration, kinds, places,
+        version = Terms.version(
+                before.number() + 1,
+                configuration,
+                kinds,
+                places,
                 Terms.Place.of(settings.node(), zones.indexOf(settings.zone()), zones.size()));
         routes.adopt(new Plan(configuration), version, places);
         quotas.adopt(now, configuration.tenants());
         retryBudget.adopt(configuration);
         outbound.adopt(version, roster(now));
         outbound.release(before.number());
-        Log.info(LOG, "configuration").addKeyValue("edition", next)
-                .addKeyValue("routes", configuration.routes().size()).log("a configuration is in force here");
+        Log.info(LOG, "configuration")
+                .addKeyValue("edition", next)
+                .addKeyValue("routes", configuration.routes().size())
+                .log("a configuration is in force here");
     }
 
     private void enter(double now, Update told) {
@@ -350,14 +387,23 @@
         List<Member> members = new ArrayList<>();
         for (Registration registration : registry.values()) {
             Integer kind = kinds.get(registration.service());
-            if (!registration.upstream().isEmpty() && kind != null && kind < version.settings().kinds()) {
-                double began = startedAt.computeIfAbsent(registration.upstream(), id ->
-                        registration.coldMs() > 0
-                        ? now + registration.coldMs() - Terms.WARM_UP_MS : 0);
-                members.add(new Member(new Upstream(MeshHeaders.life(registration.upstream()),
-                        Math.max(0, zones.indexOf(registration.zone())), kind, 0,
-                        registration.ready() ? State.READY : State.DRAINING, 1, began),
-                        ListeningSockets.address(registration.inbound()), registration.upstream()));
+            if (!registration.upstream().isEmpty()
+                    && kind != null
+                    && kind < version.settings().kinds()) {
+                double began = startedAt.computeIfAbsent(
+                        registration.upstream(),
+                        id -> registration.coldMs() > 0 ? now + registration.coldMs() - Terms.WARM_UP_MS : 0);
+                members.add(new Member(
+                        new Upstream(
+                                MeshHeaders.life(registration.upstream()),
+                                Math.max(0, zones.indexOf(registration.zone())),
+                                kind,
+                                0,
+                                registration.ready() ? State.READY : State.DRAINING,
+                                1,
+                                began),
+                        ListeningSockets.address(registration.inbound()),
+                        registration.upstream()));
             }
         }
         // A set: a list would be walked for each of them, of whom there may be hundreds.
@@ -369,8 +415,7 @@
     public void reload(LocalSettings next) {
         loop.execute(() -> {
             update.seeds(contacts(next));
-            Log.info(LOG, "settings").addKeyValue("seeds", next.seeds().size())
-                    .log("the settings were read again");
+            Log.info(LOG, "settings").addKeyValue("seeds", next.seeds().size()).log("the settings were read again");
         });
     }
 
@@ -388,34 +433,40 @@
     public void drain() throws InterruptedException {
         double begun = clock.now();
         loop.submit(() -> {
-            leaving = true;
-            Log.info(LOG, "drain").log("leaves");
-        }).sync();
+                    leaving = true;
+                    Log.info(LOG, "drain").log("leaves");
+                })
+                .sync();
         // Its upstream is well: it serves the others until the door is about to shut, since while balancers
         // are stopped in turn each of them is out for longer than the next one waits.
         TimeUnit.MILLISECONDS.sleep((long) (UNHEARD_MS - TOLD_MS));
         loop.submit(() -> {
-            shuts = true;
-            update.askNow();
-        }).sync();
+                    shuts = true;
+                    update.askNow();
+                })
+                .sync();
         TimeUnit.MILLISECONDS.sleep((long) TOLD_MS);
         // Whoever comes from here on finds no one, rather than someone who has no time left to answer: where
         // few balancers of a zone are in, clients keep coming to one that says it is not ready.
         loop.submit(() -> {
-            outFront.handOver();
-            inFront.handOver();
-        }).sync();
+                    outFront.handOver();
+                    inFront.handOver();
+                })
+                .sync();
         double end = begun + settings.bounds().graceS() * 1_000 - ENDS_BEFORE_MS;
         boolean done = false;
         while (!done && clock.now() < end) {
-            done = loop.submit(() -> outFront.endDrain() & inFront.endDrain()).sync().getNow();
+            done = loop.submit(() -> outFront.endDrain() & inFront.endDrain())
+                    .sync()
+                    .getNow();
             TimeUnit.MILLISECONDS.sleep(DRAIN_CHECK_MS);
         }
         if (!done) {
             loop.submit(() -> {
-                outbound.giveUpAll();
-                inbound.giveUpAll();
-            }).sync();
+                        outbound.giveUpAll();
+                        inbound.giveUpAll();
+                    })
+                    .sync();
             TimeUnit.MILLISECONDS.sleep(DRAIN_CHECK_MS);
         }
         Log.info(LOG, "ends").addKeyValue("done", done).log("ends");
--- a/src/main/java/sablehinge/sidecar/Watchers.java
+++ b/src/main/java/sablehinge/sidecar/Watchers.java
@@ -27,7 +27,6 @@
 import java.util.concurrent.ThreadLocalRandom;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.state.Registration;
 import sablehinge.config.ConfigException;
 import sablehinge.config.local.LocalSettings;
 import sablehinge.core.Clock;
@@ -36,13 +35,13 @@
 import sablehinge.failuredetection.Evidence;
 import sablehinge.failuredetection.HashRing;
 import sablehinge.failuredetection.Monitor;
+import sablehinge.state.Registration;
 import sablehinge.watch.Update;
 
 /**
- * Sends beats to those that the ring names as watchers of this balancer, and watches over those that name it.
- * Beats are datagrams to the first of the inner ports, as many ticks apart as make {@link Monitor#BEAT_MS}.
- * The
- * loop of its balancer owns it.
+ * Sends beats to those that the ring names as watchers of this balancer, and watches over those that name it. Beats are
+ * datagrams to the first of the inner ports, as many ticks apart as make {@link Monitor#BEAT_MS}. The loop of its
+ * balancer owns it.
  */
 final class Watchers {
 
@@ -61,6 +60,7 @@
     private final Map<String, Registration> known = new HashMap<>();
     /** Of whom the present keeper of the roll knows. */
     private final Set<String> kept = new HashSet<>();
+
     private final long place;
     private final int life = ThreadLocalRandom.current().nextInt();
     private HashRing hashRing = new HashRing(Map.of());
@@ -77,18 +77,24 @@
         this.settings = settings;
         this.update = update;
         place = HashRing.place(settings.node());
-        reaching = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        reaching = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, REACH_MS)
                 .handler(new ChannelInboundHandlerAdapter());
     }
 
     /** Hears beats from now on. */
     void listen() throws ConfigException, InterruptedException {
-        ChannelFuture bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                .handler(new Hears()).bind(settings.ip(), settings.innerFirst()).await();
+        ChannelFuture bound = new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .handler(new Hears())
+                .bind(settings.ip(), settings.innerFirst())
+                .await();
         if (!bound.isSuccess()) {
-            throw new ConfigException("cannot hear beats on " + settings.ip() + ":" + settings.innerFirst()
-                    + ": " + bound.cause().getMessage());
+            throw new ConfigException("cannot hear beats on " + settings.ip() + ":" + settings.innerFirst() + ": "
+                    + bound.cause().getMessage());
         }
         channel = bound.channel();
     }
@@ -124,16 +130,15 @@
         }
         hashRing = new HashRing(zones);
         beatTo = new ArrayList<>();
-        hashRing.watchers(settings.node()).forEach(watcher ->
-                beatTo.add(new InetSocketAddress(at(watcher).getAddress(), settings.innerFirst())));
+        hashRing.watchers(settings.node())
+                .forEach(watcher -> beatTo.add(new InetSocketAddress(at(watcher).getAddress(), settings.innerFirst())));
         watch.over(clock.now(), hashRing.watched(settings.node()));
     }
 
     private InetSocketAddress at(String node) {
         String inbound = known.get(node).inbound();
         int colon = inbound.lastIndexOf(':');
-        return new InetSocketAddress(inbound.substring(0, colon),
-                Integer.parseInt(inbound.substring(colon + 1)));
+        return new InetSocketAddress(inbound.substring(0, colon), Integer.parseInt(inbound.substring(colon + 1)));
     }
 
     /** Called often: beats when it is time, and looks for those that have not. */
@@ -180,7 +185,9 @@
         }
         Evidence evidence = evidence(connect.cause());
         if (watch.found(clock.now(), node, evidence)) {
-            Log.info(LOG, "accuses").addKeyValue("peer", node).addKeyValue("evidence", evidence)
+            Log.info(LOG, "accuses")
+                    .addKeyValue("peer", node)
+                    .addKeyValue("evidence", evidence)
                     .log("a balancer is not heard");
             update.run();
         }
@@ -192,7 +199,8 @@
             return Evidence.FROZEN;
         }
         return cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)
-                ? Evidence.RESET : Evidence.SILENT;
+                ? Evidence.RESET
+                : Evidence.SILENT;
     }
 
     /** Takes beats in. */
@@ -212,8 +220,10 @@
                 }
             } catch (IOException e) {
                 if (malformed++ % EACH_MALFORMED == 0) {
-                    Log.warn(LOG, "beat-malformed").addKeyValue("from", packet.sender())
-                            .addKeyValue("dropped", malformed).addKeyValue("cause", e.getMessage())
+                    Log.warn(LOG, "beat-malformed")
+                            .addKeyValue("from", packet.sender())
+                            .addKeyValue("dropped", malformed)
+                            .addKeyValue("cause", e.getMessage())
                             .log("a beat can't be read");
                 }
             }
--- a/src/main/java/sablehinge/standin/Balancers.java
+++ b/src/main/java/sablehinge/standin/Balancers.java
@@ -22,8 +22,14 @@
      *
      * @param startedMillis when it last started, in ms since 1970; 0 for long ago
      */
-    record Listed(String id, InetSocketAddress address, String zone, String kind, int cell, String state,
-            long startedMillis) { }
+    record Listed(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            int cell,
+            String state,
+            long startedMillis) {}
 
     /**
      * A balancer that is wanted.
@@ -33,8 +39,17 @@
      * @param listen its port may be 0
      * @param known the servers that it knows from its start
      */
-    record Spec(String name, int tier, int position, int siblings, String zone, InetSocketAddress listen,
-            InetSocketAddress discovery, long seed, Scenario scenario, List<Listed> known) { }
+    record Spec(
+            String name,
+            int tier,
+            int position,
+            int siblings,
+            String zone,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            long seed,
+            Scenario scenario,
+            List<Listed> known) {}
 
     /** Starts one, which serves once this returns; the error says why it doesn't. */
     Running start(Spec spec) throws Exception;
--- a/src/main/java/sablehinge/standin/Caller.java
+++ b/src/main/java/sablehinge/standin/Caller.java
@@ -32,14 +32,14 @@
 import sablehinge.judge.Evidence.Unasked;
 
 /**
- * A server's calls to the tier behind, through its own balancer. Nobody tries them again here: that is the
- * balancer's
+ * A server's calls to the tier behind, through its own balancer. Nobody tries them again here: that is the balancer's
  * part. The server's event loop owns it.
  */
 final class Caller {
 
     /** How long after a call's time is up its connection stays, so that an answer that is late is seen. */
     private static final long LINGER_MS = 150;
+
     private static final long IDLE_MS = 1_500;
     private static final int MOST_BODY = 1 << 17;
 
@@ -66,7 +66,11 @@
         private boolean noted;
         private boolean again;
 
-        private Call(String txn, String serviceClass, String key, double until,
+        private Call(
+                String txn,
+                String serviceClass,
+                String key,
+                double until,
                 DefaultFullHttpRequest request,
                 Consumer<Boolean> end) {
             this.txn = txn;
@@ -80,9 +84,20 @@
         private void note(End how, double answered, int status, Echo echo) {
             if (!noted) {
                 noted = true;
-                record.accept(new Tried(Stamps.now(), name, balancer, txn, txn, serviceClass, key, sent,
+                record.accept(new Tried(
+                        Stamps.now(),
+                        name,
+                        balancer,
+                        txn,
+                        txn,
+                        serviceClass,
+                        key,
+                        sent,
                         until,
-                        answered, how, status, echo));
+                        answered,
+                        how,
+                        status,
+                        echo));
             }
         }
 
@@ -108,8 +123,7 @@
         }
     }
 
-    Caller(EventLoop loop, String name, String balancer, InetSocketAddress address,
-            Consumer<Evidence> record) {
+    Caller(EventLoop loop, String name, String balancer, InetSocketAddress address, Consumer<Evidence> record) {
         this.loop = loop;
         this.name = name;
         this.balancer = balancer;
@@ -118,13 +132,24 @@
     }
 
     /** Makes a call; {@code end} hears once whether it was served. */
-    Call call(String txn, boolean get, String serviceClass, String key, String cookie, double until,
+    Call call(
+            String txn,
+            boolean get,
+            String serviceClass,
+            String key,
+            String cookie,
+            double until,
             Consumer<Boolean> end) {
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                get ? HttpMethod.GET : HttpMethod.POST, "/" + serviceClass,
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                get ? HttpMethod.GET : HttpMethod.POST,
+                "/" + serviceClass,
                 get ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer("call", StandardCharsets.US_ASCII));
         double left = until - Stamps.now();
-        request.headers().set("Host", "app.svc").set("X-Txn", txn).set("X-Lane", serviceClass)
+        request.headers()
+                .set("Host", "app.svc")
+                .set("X-Txn", txn)
+                .set("X-Lane", serviceClass)
                 .set("X-Remaining", String.format(Locale.ROOT, "%.4f", Math.max(0, left) / 1_000));
         if (!get) {
             request.headers().set("Content-Length", request.content().readableBytes());
@@ -152,15 +177,20 @@
 
     private void connect(Call call) {
         Connection connection = new Connection();
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000)
-                        .handler(new ChannelInitializer<Channel>() {
+                .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY),
-                                connection);
+                        channel.pipeline()
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY), connection);
                     }
-                }).connect(address).addListener((ChannelFuture up) -> {
+                })
+                .connect(address)
+                .addListener((ChannelFuture up) -> {
                     connection.channel = up.channel();
                     if (!up.isSuccess()) {
                         call.note(End.UNREACHABLE, Double.NaN, 0, Echo.UNKNOWN);
@@ -181,13 +211,16 @@
         if (call.connection == null || call.connection.waits != call) {
             call.note(End.UNREACHABLE, Double.NaN, 0, Echo.UNKNOWN);
         } else {
-            loop.schedule(() -> {
-                if (call.connection.waits == call) {
-                    call.connection.waits = null;
-                    call.note(End.SILENT, Double.NaN, 0, Echo.UNKNOWN);
-                    call.connection.channel.close();
-                }
-            }, LINGER_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (call.connection.waits == call) {
+                            call.connection.waits = null;
+                            call.note(End.SILENT, Double.NaN, 0, Echo.UNKNOWN);
+                            call.connection.channel.close();
+                        }
+                    },
+                    LINGER_MS,
+                    TimeUnit.MILLISECONDS);
         }
         call.end.accept(false);
     }
@@ -231,11 +264,11 @@
             before = call.txn;
             used = true;
             int status = response.status().code();
-            String start = response.content().toString(0, Math.min(160, response.content().readableBytes()),
-                    StandardCharsets.ISO_8859_1);
-            Echo echo = !start.startsWith("txn=") ? Echo.UNKNOWN : start.startsWith(call.txn + "\n", 4)
-                    ? Echo.SAME
-                    : Echo.OTHER;
+            String start = response.content()
+                    .toString(0, Math.min(160, response.content().readableBytes()), StandardCharsets.ISO_8859_1);
+            Echo echo = !start.startsWith("txn=")
+                    ? Echo.UNKNOWN
+                    : start.startsWith(call.txn + "\n", 4) ? Echo.SAME : Echo.OTHER;
             call.note(End.ANSWERED, Stamps.now(), status, echo);
             if (HttpUtil.isKeepAlive(response) && !closed) {
                 since = Stamps.now();
--- a/src/main/java/sablehinge/standin/Directory.java
+++ b/src/main/java/sablehinge/standin/Directory.java
@@ -37,8 +37,7 @@
 import sablehinge.judge.Evidence.Told;
 
 /**
- * The list of servers of a tier, and watches on it, by PROTOCOL. Each balancer asks at an address of its
- * own, and is
+ * The list of servers of a tier, and watches on it, by PROTOCOL. Each balancer asks at an address of its own, and is
  * told addresses of its own, so that servers can tell who sends. One event loop owns it.
  */
 final class Directory {
@@ -46,7 +45,7 @@
     private static final int MOST_WAIT_MS = 60_000;
 
     /** A server as the list has it. */
-    record Entry(String id, String zone, String kind, int cell, String state, long startedMillis) { }
+    record Entry(String id, String zone, String kind, int cell, String state, long startedMillis) {}
 
     /** Where a server listens for a balancer. */
     interface Addresses {
@@ -55,7 +54,7 @@
     }
 
     /** An answer that is owed: to a watch, or to anybody while the list is silent. */
-    private record Owed(String balancer, ChannelHandlerContext ctx, long index, double until) { }
+    private record Owed(String balancer, ChannelHandlerContext ctx, long index, double until) {}
 
     private final EventLoop loop;
     private final Addresses addresses;
@@ -63,12 +62,14 @@
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     /** For each version the entry that it changed. */
     private final List<Entry> changes = new ArrayList<>();
+
     private final List<Owed> owed = new ArrayList<>();
     private final List<Channel> listeners = new ArrayList<>();
     /** What each balancer was last told of each server. */
     private final Map<String, Map<String, String>> told = new HashMap<>();
     /** Balancers that know of the last start of a server, as BALANCER SERVER; read by the servers' loops. */
     private final Set<String> knowsStart = ConcurrentHashMap.newKeySet();
+
     private boolean silent;
     private ScheduledFuture<?> due;
 
@@ -84,14 +85,18 @@
 
     /** Opens a balancer's place to ask. */
     InetSocketAddress open(String balancer) throws InterruptedException {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 12),
-                                new Asked(balancer));
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 12), new Asked(balancer));
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync();
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync();
         listeners.add(bound.channel());
         return (InetSocketAddress) bound.channel().localAddress();
     }
@@ -101,9 +106,14 @@
         List<Balancers.Listed> listed = new ArrayList<>();
         for (Entry entry : entries.values()) {
             if (!entry.state.equals("removed")) {
-                listed.add(new Balancers.Listed(entry.id, addresses.of(entry.id, balancer), entry.zone,
+                listed.add(new Balancers.Listed(
+                        entry.id,
+                        addresses.of(entry.id, balancer),
+                        entry.zone,
                         entry.kind,
-                        entry.cell, entry.state, entry.startedMillis));
+                        entry.cell,
+                        entry.state,
+                        entry.startedMillis));
                 told.computeIfAbsent(balancer, name -> new HashMap<>()).put(entry.id, entry.state);
                 if (entry.startedMillis > 0) {
                     knowsStart.add(balancer + ' ' + entry.id);
@@ -152,8 +162,9 @@
             due.cancel(false);
         }
         double next = owed.stream().mapToDouble(Owed::until).min().orElse(Double.NaN);
-        due = Double.isNaN(next) ? null : loop.schedule(this::tellAll, (long) Math.max(1, next - now + 1),
-                TimeUnit.MILLISECONDS);
+        due = Double.isNaN(next)
+                ? null
+                : loop.schedule(this::tellAll, (long) Math.max(1, next - now + 1), TimeUnit.MILLISECONDS);
     }
 
     private void answer(Owed one) {
@@ -177,10 +188,15 @@
         var servers = json.putArray("servers");
         for (Entry entry : wanted.values()) {
             InetSocketAddress address = addresses.of(entry.id, one.balancer);
-            servers.addObject().put("id", entry.id).put("addr", address.getHostString() + ":"
-                    + address.getPort())
-                    .put("zone", entry.zone).put("kind", entry.kind).put("cell", entry.cell)
-                    .put("state", entry.state).put("weight", 1.0).put("started_ms", entry.startedMillis);
+            servers.addObject()
+                    .put("id", entry.id)
+                    .put("addr", address.getHostString() + ":" + address.getPort())
+                    .put("zone", entry.zone)
+                    .put("kind", entry.kind)
+                    .put("cell", entry.cell)
+                    .put("state", entry.state)
+                    .put("weight", 1.0)
+                    .put("started_ms", entry.startedMillis);
         }
         write(one.ctx, HttpResponseStatus.OK, json.toString(), () -> wrote(one.balancer, full, wanted));
     }
@@ -208,11 +224,10 @@
         }
     }
 
-    private static void write(ChannelHandlerContext ctx, HttpResponseStatus status, String body,
-            Runnable written) {
+    private static void write(ChannelHandlerContext ctx, HttpResponseStatus status, String body, Runnable written) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(bytes));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(bytes));
         response.headers().set("Content-Length", bytes.length).set("Content-Type", "application/json");
         ctx.writeAndFlush(response).addListener(done -> {
             if (done.isSuccess()) {
@@ -234,7 +249,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             if (!query.path().equals("/catalog/members")) {
-                write(ctx, HttpResponseStatus.NOT_FOUND, "{}", () -> { });
+                write(ctx, HttpResponseStatus.NOT_FOUND, "{}", () -> {});
                 return;
             }
             long index = number(query, "index", -1);
@@ -245,7 +260,8 @@
 
         private static long number(QueryStringDecoder query, String name, long fallback) {
             try {
-                return Long.parseLong(query.parameters().getOrDefault(name, List.of()).get(0));
+                return Long.parseLong(
+                        query.parameters().getOrDefault(name, List.of()).get(0));
             } catch (IndexOutOfBoundsException | NumberFormatException e) {
                 return fallback;
             }
--- a/src/main/java/sablehinge/standin/Fleet.java
+++ b/src/main/java/sablehinge/standin/Fleet.java
@@ -38,10 +38,8 @@
 import sablehinge.station.Faults.Strike;
 
 /**
- * Tiers of stand-in servers with balancers before each, and what befalls them. Clients reach the first tier
- * at the
- * entries; each server of an earlier tier has a balancer of its own for the next, which starts and stops
- * with it.
+ * Tiers of stand-in servers with balancers before each, and what befalls them. Clients reach the first tier at the
+ * entries; each server of an earlier tier has a balancer of its own for the next, which starts and stops with it.
  */
 public final class Fleet implements AutoCloseable {
 
@@ -64,10 +62,11 @@
     private final Map<String, Running> running = new LinkedHashMap<>();
     private final List<InetSocketAddress> entries = new ArrayList<>();
     /** Starts and kills what takes time, one after another, and strikes when it is due. */
-    private final ScheduledExecutorService keeper = Executors.newSingleThreadScheduledExecutor(
-            new DefaultThreadFactory("keeper", true));
+    private final ScheduledExecutorService keeper =
+            Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("keeper", true));
     /** When all was up; in the far future before. */
     private volatile double begun;
+
     private volatile boolean closed;
     /** Whether what is seen is recorded: not while the fleet warms up. */
     private volatile boolean recording;
@@ -79,8 +78,8 @@
      * @param record hears what servers and lists saw, on their threads
      * @param story hears in words what befalls the fleet
      */
-    public Fleet(Scenario scenario, Balancers balancers, int threads, Consumer<Evidence> record,
-            Consumer<String> story) {
+    public Fleet(
+            Scenario scenario, Balancers balancers, int threads, Consumer<Evidence> record, Consumer<String> story) {
         this.scenario = scenario;
         this.balancers = balancers;
         this.record = one -> {
@@ -89,7 +88,9 @@
             }
         };
         this.story = story;
-        faults = new Faults(scenario.faults(), scenario.tiers().stream().map(TierPart::servers).toList(),
+        faults = new Faults(
+                scenario.faults(),
+                scenario.tiers().stream().map(TierPart::servers).toList(),
                 scenario.seed());
         ClosingEventLoops group = new ClosingEventLoops(threads, "standin");
         for (int i = 0; i < threads; i++) {
@@ -103,9 +104,10 @@
         begun = Stamps.now() + 1e12;
         try {
             keeper.submit(() -> {
-                build();
-                return null;
-            }).get(START_S, TimeUnit.SECONDS);
+                        build();
+                        return null;
+                    })
+                    .get(START_S, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             close();
             throw e.getCause() instanceof Exception cause ? cause : e;
@@ -120,8 +122,10 @@
         SplittableRandom random = new SplittableRandom(scenario.seed());
         double start = Stamps.now();
         for (int tier = 0; tier < scenario.tiers().size(); tier++) {
-            Directory directory = new Directory(loops.get(tier % loops.size()),
-                    (server, balancer) -> servers.get(server).address(balancer), record);
+            Directory directory = new Directory(
+                    loops.get(tier % loops.size()),
+                    (server, balancer) -> servers.get(server).address(balancer),
+                    record);
             directories.add(directory);
             tiers.add(new ArrayList<>());
             Map<Integer, Map<String, Long>> cells = new HashMap<>();
@@ -129,14 +133,21 @@
             for (int i = 0; i < part.servers(); i++) {
                 int cell = i / part.cell();
                 String zone = scenario.zones().get(i % scenario.zones().size());
-                double speed = part.fastest() > part.slowest() ? random.nextDouble(part.slowest(),
-                        part.fastest())
+                double speed = part.fastest() > part.slowest()
+                        ? random.nextDouble(part.slowest(), part.fastest())
                         : part.slowest();
                 // Those of a cell share a loop, as they share what they remember.
-                Server server = new Server(new Server.Place(part.name() + "-" + (i + 1), tier, i, zone, cell),
-                        loops.get((tier + cell) % loops.size()), scenario, faults, this::begun, directory,
-                        cells.computeIfAbsent(cell, key -> new HashMap<>()), speed, random.nextLong(),
-                                record);
+                Server server = new Server(
+                        new Server.Place(part.name() + "-" + (i + 1), tier, i, zone, cell),
+                        loops.get((tier + cell) % loops.size()),
+                        scenario,
+                        faults,
+                        this::begun,
+                        directory,
+                        cells.computeIfAbsent(cell, key -> new HashMap<>()),
+                        speed,
+                        random.nextLong(),
+                        record);
                 tiers.get(tier).add(server);
                 servers.put(server.place().name(), server);
             }
@@ -149,20 +160,27 @@
                     senders.add("entry-" + (i + 1));
                 }
             } else {
-                tiers.get(tier - 1).forEach(server -> senders.add("of-" + server.place().name()));
+                tiers.get(tier - 1)
+                        .forEach(server -> senders.add("of-" + server.place().name()));
             }
             for (Server server : tiers.get(tier)) {
                 for (String sender : senders) {
                     server.listenFor(sender);
                 }
                 Entry entry = entry(server, "up", 0);
-                directories.get(tier).loop().submit(() -> directories.get(server.place().tier())
-                        .change(entry)).sync();
+                directories
+                        .get(tier)
+                        .loop()
+                        .submit(() -> directories.get(server.place().tier()).change(entry))
+                        .sync();
             }
             for (int i = 0; i < senders.size(); i++) {
-                String zone = tier == 0 ? scenario.zones().get(i % scenario.zones().size())
+                String zone = tier == 0
+                        ? scenario.zones().get(i % scenario.zones().size())
                         : tiers.get(tier - 1).get(i).place().zone();
-                int port = tier == 0 && scenario.entry().getPort() != 0 ? scenario.entry().getPort() + i : 0;
+                int port = tier == 0 && scenario.entry().getPort() != 0
+                        ? scenario.entry().getPort() + i
+                        : 0;
                 Running balancer = balancer(senders.get(i), tier, i, senders.size(), zone, port);
                 if (tier == 0) {
                     entries.add(balancer.address());
@@ -175,8 +193,13 @@
         warmUp();
         begun = Stamps.now();
         recording = true;
-        story.accept(String.format(Locale.ROOT, "%d servers in %d tiers and %d balancers are up after %.1f s",
-                servers.size(), tiers.size(), running.size(), (begun - start) / 1_000));
+        story.accept(String.format(
+                Locale.ROOT,
+                "%d servers in %d tiers and %d balancers are up after %.1f s",
+                servers.size(),
+                tiers.size(),
+                running.size(),
+                (begun - start) / 1_000));
         schedule();
     }
 
@@ -188,13 +211,19 @@
         CountDownLatch left = new CountDownLatch(each * entries.size());
         EventLoop loop = loops.get(0);
         for (InetSocketAddress entry : entries) {
-            Caller calls = new Caller(loop, "warm-up", "entry", entry, one -> { });
+            Caller calls = new Caller(loop, "warm-up", "entry", entry, one -> {});
             for (int i = 0; i < each; i++) {
                 String id = "warm-up-" + entry.getPort() + "-" + i;
-                loop.schedule(() -> calls.call(id, type.effect() == Repeat.IDEMPOTENT, type.name(), keyed
-                        ? id : "",
-                        null, Stamps.now() + type.deadline(), served -> left.countDown()),
-                                i * WARM_UP_EVERY_MS,
+                loop.schedule(
+                        () -> calls.call(
+                                id,
+                                type.effect() == Repeat.IDEMPOTENT,
+                                type.name(),
+                                keyed ? id : "",
+                                null,
+                                Stamps.now() + type.deadline(),
+                                served -> left.countDown()),
+                        i * WARM_UP_EVERY_MS,
                         TimeUnit.MILLISECONDS);
             }
         }
@@ -205,8 +234,12 @@
 
     private Entry entry(Server server, String state, long startedMillis) {
         Server.Place place = server.place();
-        return new Entry(place.name(), place.zone(), scenario.tiers().get(place.tier()).name(),
-                place.cell(), state,
+        return new Entry(
+                place.name(),
+                place.zone(),
+                scenario.tiers().get(place.tier()).name(),
+                place.cell(),
+                state,
                 startedMillis);
     }
 
@@ -214,10 +247,19 @@
             throws Exception {
         Directory directory = directories.get(tier);
         InetSocketAddress asks = directory.open(name);
-        List<Balancers.Listed> known = directory.loop().submit(() -> directory.listed(name)).sync().getNow();
-        Running one = balancers.start(new Spec(name, tier, position, siblings, zone,
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), port), asks,
-                scenario.seed() * 1_000_003 + running.size(), scenario, known));
+        List<Balancers.Listed> known =
+                directory.loop().submit(() -> directory.listed(name)).sync().getNow();
+        Running one = balancers.start(new Spec(
+                name,
+                tier,
+                position,
+                siblings,
+                zone,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                asks,
+                scenario.seed() * 1_000_003 + running.size(),
+                scenario,
+                known));
         running.put(name, one);
         return one;
     }
@@ -225,9 +267,14 @@
     /** A server's way to the next tier; null for those of the last. */
     private Caller caller(Server server) {
         Running own = running.get("of-" + server.place().name());
-        return own == null ? null : new Caller(server.loop(), server.place().name(), "of-" + server.place()
-                .name(),
-                own.address(), record);
+        return own == null
+                ? null
+                : new Caller(
+                        server.loop(),
+                        server.place().name(),
+                        "of-" + server.place().name(),
+                        own.address(),
+                        record);
     }
 
     /** Where clients reach the first tier. */
@@ -245,24 +292,25 @@
         Map<String, ClassTerms> classes = new HashMap<>();
         double longest = 0;
         for (ClassPart part : scenario.classes()) {
-            Effect effect = switch (part.effect()) {
-                case IDEMPOTENT -> Effect.SAFE;
-                case DEDUPLICATED -> Effect.KEYED;
-                case AT_MOST_ONCE -> Effect.UNSAFE;
-            };
-            classes.put(part.name(), new ClassTerms(effect, Group.valueOf(part.group().name()),
-                    part.window()));
+            Effect effect =
+                    switch (part.effect()) {
+                        case IDEMPOTENT -> Effect.SAFE;
+                        case DEDUPLICATED -> Effect.KEYED;
+                        case AT_MOST_ONCE -> Effect.UNSAFE;
+                    };
+            classes.put(
+                    part.name(),
+                    new ClassTerms(effect, Group.valueOf(part.group().name()), part.window()));
             longest = Math.max(longest, part.deadline() + part.window());
         }
-        return new Terms(classes, ANSWER_GRACE, scenario.rules().drainGrace() + 50, SLACK, longest + 5_000,
-                true,
-                true);
+        return new Terms(classes, ANSWER_GRACE, scenario.rules().drainGrace() + 50, SLACK, longest + 5_000, true, true);
     }
 
     // ---- What befalls it ---------------------------------------------------------------------------
 
     private void schedule() {
-        for (Strike strike : faults.strikes().stream().sorted(Comparator.comparingDouble(Strike::from))
+        for (Strike strike : faults.strikes().stream()
+                .sorted(Comparator.comparingDouble(Strike::from))
                 .toList()) {
             at(strike.from(), () -> strike(strike, true));
             at(strike.until(), () -> strike(strike, false));
@@ -271,21 +319,29 @@
 
     private void at(double elapsed, Runnable what) {
         double wait = begun + elapsed - Stamps.now();
-        keeper.schedule(() -> {
-            if (!closed) {
-                what.run();
-            }
-        }, (long) (Math.max(0, wait) * MICROS), TimeUnit.NANOSECONDS);
+        keeper.schedule(
+                () -> {
+                    if (!closed) {
+                        what.run();
+                    }
+                },
+                (long) (Math.max(0, wait) * MICROS),
+                TimeUnit.NANOSECONDS);
     }
 
     private void strike(Strike strike, boolean begins) {
         Server server = tiers.get(strike.tier()).get(strike.server());
         String name = server.place().name();
         String kind = strike.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
-        story.accept(String.format(Locale.ROOT, "%5.1f s  %s: %s %s", (Stamps.now() - begun) / 1_000,
-                strike.kind() == Kind.SILENT_LIST ? "the list of " + scenario.tiers().get(strike.tier())
-                        .name() : name,
-                kind, begins ? "begins" : "is over"));
+        story.accept(String.format(
+                Locale.ROOT,
+                "%5.1f s  %s: %s %s",
+                (Stamps.now() - begun) / 1_000,
+                strike.kind() == Kind.SILENT_LIST
+                        ? "the list of " + scenario.tiers().get(strike.tier()).name()
+                        : name,
+                kind,
+                begins ? "begins" : "is over"));
         switch (strike.kind()) {
             case REFUSE -> server.loop().execute(begins ? () -> server.refuse(false) : server::reopen);
             case HANG -> server.loop().execute(begins ? () -> server.refuse(true) : server::reopen);
@@ -310,7 +366,7 @@
                 Directory directory = directories.get(strike.tier());
                 directory.loop().execute(() -> directory.silence(begins));
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -328,8 +384,13 @@
         int next = server.place().tier() + 1;
         try {
             if (next < tiers.size()) {
-                balancer("of-" + server.place().name(), next, server.place().number(),
-                        tiers.get(server.place().tier()).size(), server.place().zone(), 0);
+                balancer(
+                        "of-" + server.place().name(),
+                        next,
+                        server.place().number(),
+                        tiers.get(server.place().tier()).size(),
+                        server.place().zone(),
+                        0);
             }
             server.loop().submit(() -> server.start(true, caller(server))).sync();
             list(server, "up", System.currentTimeMillis());
@@ -341,8 +402,12 @@
     /** The list knows of it after its delay. */
     private void list(Server server, String state, long startedMillis) {
         Directory directory = directories.get(server.place().tier());
-        directory.loop().schedule(() -> directory.change(entry(server, state, startedMillis)),
-                (long) scenario.listDelay(), TimeUnit.MILLISECONDS);
+        directory
+                .loop()
+                .schedule(
+                        () -> directory.change(entry(server, state, startedMillis)),
+                        (long) scenario.listDelay(),
+                        TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -351,8 +416,10 @@
         keeper.shutdownNow();
         running.forEach((name, balancer) -> {
             record.accept(new Ended(Stamps.now(), name));
-            record.accept(new Ended(Stamps.now(), balancer.address().getHostString() + ":"
-                    + balancer.address().getPort()));
+            record.accept(new Ended(
+                    Stamps.now(),
+                    balancer.address().getHostString() + ":"
+                            + balancer.address().getPort()));
             balancer.kill();
         });
         running.clear();
--- a/src/main/java/sablehinge/standin/Server.java
+++ b/src/main/java/sablehinge/standin/Server.java
@@ -54,8 +54,7 @@
 import sablehinge.station.Station;
 
 /**
- * A stand-in for a server of a tier, by PROTOCOL. It listens at an address of its own for each balancer, so
- * that what
+ * A stand-in for a server of a tier, by PROTOCOL. It listens at an address of its own for each balancer, so that what
  * it writes down says who sent. One event loop owns it.
  */
 final class Server {
@@ -77,6 +76,7 @@
     private final Map<String, Listening> listening = new LinkedHashMap<>();
     /** Where it listens for whom; read by the directory's loop. */
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
+
     private final Map<Long, Work> works = new HashMap<>();
     private final Set<Connection> connections = new HashSet<>();
     private Station station;
@@ -88,7 +88,7 @@
     private double latency;
 
     /** Which server it is. */
-    record Place(String name, int tier, int number, String zone, int cell) { }
+    record Place(String name, int tier, int number, String zone, int cell) {}
 
     /** A port for one balancer. */
     private static final class Listening {
@@ -130,9 +130,17 @@
         }
     }
 
-    Server(Place place, EventLoop loop, Scenario scenario, Faults faults, DoubleSupplier begun,
+    Server(
+            Place place,
+            EventLoop loop,
+            Scenario scenario,
+            Faults faults,
+            DoubleSupplier begun,
             Directory directory,
-            Map<String, Long> keys, double speed, long seed, Consumer<Evidence> record) {
+            Map<String, Long> keys,
+            double speed,
+            long seed,
+            Consumer<Evidence> record) {
         this.place = place;
         this.loop = loop;
         this.scenario = scenario;
@@ -143,9 +151,15 @@
         this.record = record;
         random = new SplittableRandom(seed);
         TierPart tier = scenario.tiers().get(place.tier);
-        terms = new Station.Terms(tier.cores(), speed, tier.slots(), tier.queue(), tier.coldFrom(),
+        terms = new Station.Terms(
+                tier.cores(),
+                speed,
+                tier.slots(),
+                tier.queue(),
+                tier.coldFrom(),
                 tier.coldFor(),
-                scenario.rules().fallMultiple(), scenario.rules().fallAfter());
+                scenario.rules().fallMultiple(),
+                scenario.rules().fallAfter());
     }
 
     Place place() {
@@ -169,26 +183,33 @@
     void listenFor(String balancer) throws InterruptedException {
         ChannelFuture bound = bind(balancer, 0, 1_024).await();
         if (!bound.isSuccess()) {
-            throw new IllegalStateException(place.name + " can't listen: " + bound.cause().getMessage());
+            throw new IllegalStateException(
+                    place.name + " can't listen: " + bound.cause().getMessage());
         }
         loop.submit(() -> {
-            Listening one = new Listening();
-            one.channel = bound.channel();
-            one.port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
-            listening.put(balancer, one);
-            addresses.put(balancer, (InetSocketAddress) bound.channel().localAddress());
-        }).sync();
+                    Listening one = new Listening();
+                    one.channel = bound.channel();
+                    one.port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
+                    listening.put(balancer, one);
+                    addresses.put(balancer, (InetSocketAddress) bound.channel().localAddress());
+                })
+                .sync();
     }
 
     private ChannelFuture bind(String balancer, int port, int backlog) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, backlog).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, backlog)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpServerCodec(), new Connection(channel, balancer));
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
     // ---- Life --------------------------------------------------------------------------------------
@@ -218,16 +239,17 @@
         if (!hang) {
             return;
         }
-        listening.forEach((balancer, one) -> bind(balancer, one.port, 1)
-                .addListener((ChannelFuture bound) -> {
+        listening.forEach((balancer, one) -> bind(balancer, one.port, 1).addListener((ChannelFuture bound) -> {
             if (bound.isSuccess()) {
                 one.channel = bound.channel();
                 one.channel.config().setAutoRead(false);
                 // With these the kernel's queue is full, and it answers no further one.
                 for (int i = 0; i < 3; i++) {
-                    one.fillers.add(new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                            .handler(new ChannelInboundHandlerAdapter()).connect(bound.channel()
-                                    .localAddress())
+                    one.fillers.add(new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .handler(new ChannelInboundHandlerAdapter())
+                            .connect(bound.channel().localAddress())
                             .channel());
                 }
             }
@@ -239,7 +261,9 @@
         listening.forEach((balancer, one) -> {
             one.fillers.forEach(Channel::close);
             one.fillers.clear();
-            if (one.channel != null && one.channel.isOpen() && one.channel.config().isAutoRead()) {
+            if (one.channel != null
+                    && one.channel.isOpen()
+                    && one.channel.config().isAutoRead()) {
                 return;
             }
             ChannelFuture closed = one.channel == null ? null : one.channel.close();
@@ -271,8 +295,7 @@
         });
     }
 
-    /** From now on it says nothing, or speaks again; connections that were open then are reset. On the
-     * loop. */
+    /** From now on it says nothing, or speaks again; connections that were open then are reset. On the loop. */
     void vanish(boolean on) {
         silent = on;
         if (on) {
@@ -317,9 +340,13 @@
         if (work.callsLeft > 0) {
             work.inCalls = true;
             work.callsLeft--;
-            work.call = caller.call(String.format(Locale.ROOT, "%016x", random.nextLong()),
-                    work.type.effect() == Repeat.IDEMPOTENT, work.type.name(),
-                    work.key.isEmpty() ? "" : work.key + "-" + work.callsLeft, work.cookie, work.until,
+            work.call = caller.call(
+                    String.format(Locale.ROOT, "%016x", random.nextLong()),
+                    work.type.effect() == Repeat.IDEMPOTENT,
+                    work.type.name(),
+                    work.key.isEmpty() ? "" : work.key + "-" + work.callsLeft,
+                    work.cookie,
+                    work.until,
                     served -> called(work, served));
         } else if (work.inCalls && work.rest > 0) {
             work.inCalls = false;
@@ -379,8 +406,19 @@
     }
 
     private void note(Connection from, String txn, String key, double first, double taken, How how) {
-        record.accept(new Ran(Stamps.now(), place.name, place.zone, place.cell, from.balancer, txn, key,
-                from.serviceClass, from.about, first, taken, how));
+        record.accept(new Ran(
+                Stamps.now(),
+                place.name,
+                place.zone,
+                place.cell,
+                from.balancer,
+                txn,
+                key,
+                from.serviceClass,
+                from.about,
+                first,
+                taken,
+                how));
     }
 
     private static double remaining(HttpRequest head) {
@@ -466,7 +504,9 @@
                 return;
             }
             String name = path.split("[/?]", 3)[1];
-            ClassPart type = scenario.classes().stream().filter(c -> c.name().equals(name)).findFirst()
+            ClassPart type = scenario.classes().stream()
+                    .filter(c -> c.name().equals(name))
+                    .findFirst()
                     .orElse(null);
             if (type == null) {
                 answer(400, "no such class", false);
@@ -492,9 +532,12 @@
                 reset();
                 return;
             }
-            boolean in = remaining(request) > 0 && station.arrive(Stamps.now(), taken.id,
-                    taken.callsLeft == 0 ? amount : amount - taken.rest, directory.knowsStart(balancer,
-                            place.name));
+            boolean in = remaining(request) > 0
+                    && station.arrive(
+                            Stamps.now(),
+                            taken.id,
+                            taken.callsLeft == 0 ? amount : amount - taken.rest,
+                            directory.knowsStart(balancer, place.name));
             if (!Double.isNaN(station.fell()) && up) {
                 record.accept(new Fell(Stamps.now(), place.name, station.informed()));
                 note(this, txn, key, begun, taken.taken, How.RESET);
@@ -530,8 +573,7 @@
         }
 
         private String report() {
-            return String.format(Locale.ROOT, "TEXT queue=%d, eps=0, latency_ms=%.2f", station.queued(),
-                    latency);
+            return String.format(Locale.ROOT, "TEXT queue=%d, eps=0, latency_ms=%.2f", station.queued(), latency);
         }
 
         void answer(int status, String text, boolean close) {
@@ -549,8 +591,8 @@
 
         private static FullHttpResponse response(int status, String text) {
             ByteBuf body = Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(status), body);
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), body);
             response.headers().set("Content-Length", body.readableBytes());
             return response;
         }
@@ -573,8 +615,10 @@
         /** Writes what is no HTTP. */
         void spoil() {
             work = null;
-            channel.pipeline().firstContext().writeAndFlush(Unpooled.copiedBuffer(
-                    "HTTP/1.1 2o0 \u0001\r\nContent-Length: -4\r\n\r\n", StandardCharsets.US_ASCII))
+            channel.pipeline()
+                    .firstContext()
+                    .writeAndFlush(Unpooled.copiedBuffer(
+                            "HTTP/1.1 2o0 \u0001\r\nContent-Length: -4\r\n\r\n", StandardCharsets.US_ASCII))
                     .addListener(ChannelFutureListener.CLOSE);
         }
 
--- a/src/main/java/sablehinge/standin/mesh/Beating.java
+++ b/src/main/java/sablehinge/standin/mesh/Beating.java
@@ -22,8 +22,7 @@
     private volatile boolean ended;
 
     /** Begins to beat. */
-    public Beating(StandInUpstream upstream, InetSocketAddress control, String zone, long everyMs,
-            Ledger ledger) {
+    public Beating(StandInUpstream upstream, InetSocketAddress control, String zone, long everyMs, Ledger ledger) {
         this.upstream = upstream;
         this.control = control;
         this.zone = zone;
@@ -44,13 +43,26 @@
 
     private synchronized boolean call(String name) {
         StandInUpstream.Terms terms = upstream.terms();
-        String body = JsonNodeFactory.instance.objectNode().put("depot", terms.depot())
-                .put("address", terms.address().getAddress().getHostAddress() + ":"
-                        + upstream.address().getPort()).put("zone", zone).put("edition", "v1")
-                .put("berths", terms.berths()).put("state", upstream.isUnloading() ? "unloading" : "ready")
-                .put("coldLeftMs", 0).put("callCount", ++count).toString();
+        String body = JsonNodeFactory.instance
+                .objectNode()
+                .put("depot", terms.depot())
+                .put(
+                        "address",
+                        terms.address().getAddress().getHostAddress() + ":"
+                                + upstream.address().getPort())
+                .put("zone", zone)
+                .put("edition", "v1")
+                .put("berths", terms.berths())
+                .put("state", upstream.isUnloading() ? "unloading" : "ready")
+                .put("coldLeftMs", 0)
+                .put("callCount", ++count)
+                .toString();
         try {
-            Message answer = Call.once(control, PATIENCE_MS, "POST", "/sablehinge/" + name + "/" + terms.id(),
+            Message answer = Call.once(
+                    control,
+                    PATIENCE_MS,
+                    "POST",
+                    "/sablehinge/" + name + "/" + terms.id(),
                     Map.of("Host", "control", "Content-Type", "application/json"),
                     body.getBytes(StandardCharsets.UTF_8));
             return answer != null && answer.status() / 100 == 2;
--- a/src/main/java/sablehinge/standin/mesh/Call.java
+++ b/src/main/java/sablehinge/standin/mesh/Call.java
@@ -29,8 +29,7 @@
     }
 
     /** Sends a request with its body in chunks or with a length. */
-    void send(String method, String uri, Map<String, String> headers, byte[] body, boolean chunked)
-            throws IOException {
+    void send(String method, String uri, Map<String, String> headers, byte[] body, boolean chunked) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         text(out, method + " " + uri + " HTTP/1.1\r\n");
         for (Map.Entry<String, String> header : headers.entrySet()) {
@@ -67,8 +66,9 @@
     }
 
     /** One request on a connection of its own. */
-    static Message once(InetSocketAddress to, int patienceMs, String method, String uri,
-            Map<String, String> headers, byte[] body) throws IOException {
+    static Message once(
+            InetSocketAddress to, int patienceMs, String method, String uri, Map<String, String> headers, byte[] body)
+            throws IOException {
         try (Call call = new Call(to, patienceMs)) {
             call.send(method, uri, headers, body, false);
             return call.receive();
--- a/src/main/java/sablehinge/standin/mesh/Clients.java
+++ b/src/main/java/sablehinge/standin/mesh/Clients.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clients of one machine: one sends single requests of all routes, another safe ones in a row without
- * waiting. What is promised not to have run is sent once more, as another try.
+ * The clients of one machine: one sends single requests of all routes, another safe ones in a row without waiting. What
+ * is promised not to have run is sent once more, as another try.
  */
 public final class Clients implements AutoCloseable {
 
@@ -34,8 +34,13 @@
     private volatile boolean ended;
 
     /** Clients of the machine with that outbound address, whose upstream is of that service. */
-    public Clients(String name, InetSocketAddress outbound, String depot, List<MeshVersion.Route> routes,
-            long everyMs, Ledger ledger) {
+    public Clients(
+            String name,
+            InetSocketAddress outbound,
+            String depot,
+            List<MeshVersion.Route> routes,
+            long everyMs,
+            Ledger ledger) {
         this.name = name;
         this.outbound = outbound;
         this.depot = depot;
@@ -46,8 +51,7 @@
 
     /** Begins to send. */
     public void start() {
-        threads.add(new Thread(() -> singles(new SplittableRandom(SEED * name.hashCode())),
-                name + " singles"));
+        threads.add(new Thread(() -> singles(new SplittableRandom(SEED * name.hashCode())), name + " singles"));
         threads.add(new Thread(() -> rows(new SplittableRandom(SEED * name.hashCode() + 1)), name + " rows"));
         threads.forEach(thread -> {
             thread.setDaemon(true);
@@ -56,13 +60,21 @@
     }
 
     private Ledger.Sent draw(SplittableRandom random, MeshVersion.Route route, byte[] body, String id) {
-        String method = switch (route.kind()) {
-            case SAFE -> "GET";
-            case UNSAFE -> "POST";
-            case UPLOAD -> "PUT";
-        };
-        return new Ledger.Sent(id, depot, route.kind(), method, route.prefix() + random.nextInt(1_000)
-                + "?of=" + name, route.prefix(), Message.sum(body), Ledger.now());
+        String method =
+                switch (route.kind()) {
+                    case SAFE -> "GET";
+                    case UNSAFE -> "POST";
+                    case UPLOAD -> "PUT";
+                };
+        return new Ledger.Sent(
+                id,
+                depot,
+                route.kind(),
+                method,
+                route.prefix() + random.nextInt(1_000) + "?of=" + name,
+                route.prefix(),
+                Message.sum(body),
+                Ledger.now());
     }
 
     private static String id(SplittableRandom random) {
@@ -84,9 +96,16 @@
     }
 
     private void note(Ledger.Sent one, Message answer) {
-        ledger.answered(answer == null ? new Ledger.Answered(one.id(), 0, null, null, 0, Ledger.now())
-                : new Ledger.Answered(one.id(), answer.status(), answer.header("Sablehinge-Try-Id"),
-                        answer.header("Sablehinge-Postmark"), Message.sum(answer.body()), Ledger.now()));
+        ledger.answered(
+                answer == null
+                        ? new Ledger.Answered(one.id(), 0, null, null, 0, Ledger.now())
+                        : new Ledger.Answered(
+                                one.id(),
+                                answer.status(),
+                                answer.header("Sablehinge-Try-Id"),
+                                answer.header("Sablehinge-Postmark"),
+                                Message.sum(answer.body()),
+                                Ledger.now()));
     }
 
     private void singles(SplittableRandom random) {
@@ -94,8 +113,10 @@
         try {
             for (int i = 0; !ended; i++) {
                 MeshVersion.Route route = routes.get(i % routes.size());
-                byte[] body = new byte[route.kind() == Ledger.Kind.SAFE ? 0
-                        : random.nextInt(route.kind() == Ledger.Kind.UPLOAD ? LARGE : SMALL)];
+                byte[] body = new byte
+                        [route.kind() == Ledger.Kind.SAFE
+                                ? 0
+                                : random.nextInt(route.kind() == Ledger.Kind.UPLOAD ? LARGE : SMALL)];
                 for (int j = 0; j < body.length; j++) {
                     body[j] = (byte) random.nextInt();
                 }
@@ -141,7 +162,8 @@
     }
 
     private void rows(SplittableRandom random) {
-        List<MeshVersion.Route> safe = routes.stream().filter(r -> r.kind() == Ledger.Kind.SAFE).toList();
+        List<MeshVersion.Route> safe =
+                routes.stream().filter(r -> r.kind() == Ledger.Kind.SAFE).toList();
         try {
             while (!ended) {
                 row(random, safe);
@@ -157,8 +179,7 @@
         int answers = 0;
         try (Call call = new Call(outbound, PATIENCE_MS)) {
             for (int i = 0; i < ROW; i++) {
-                Ledger.Sent one = draw(random, safe.get(random.nextInt(safe.size())), new byte[0],
-                        id(random));
+                Ledger.Sent one = draw(random, safe.get(random.nextInt(safe.size())), new byte[0], id(random));
                 waiting.add(one);
                 send(call, one, new byte[0], false);
             }
--- a/src/main/java/sablehinge/standin/mesh/Daemon.java
+++ b/src/main/java/sablehinge/standin/mesh/Daemon.java
@@ -27,15 +27,15 @@
 
     /** Starts it by a command. */
     public void start(List<String> command) {
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().put(SETTINGS, settings.toString());
         try {
             saidBefore = Files.exists(log) ? Files.size(log) : 0;
             process = builder.start();
         } catch (IOException e) {
-            throw new MeshException(MeshException.Code.DAEMON, name + " can't be started: " + e.getMessage(),
-                    e);
+            throw new MeshException(MeshException.Code.DAEMON, name + " can't be started: " + e.getMessage(), e);
         }
     }
 
@@ -62,7 +62,10 @@
 
     /** The processor time that it has used, in ms; 0 where the system does not say. */
     public long cpuMs() {
-        return process.info().totalCpuDuration().map(java.time.Duration::toMillis).orElse(0L);
+        return process.info()
+                .totalCpuDuration()
+                .map(java.time.Duration::toMillis)
+                .orElse(0L);
     }
 
     /** Ends it at once, and returns when it is gone. */
--- a/src/main/java/sablehinge/standin/mesh/Ledger.java
+++ b/src/main/java/sablehinge/standin/mesh/Ledger.java
@@ -9,7 +9,11 @@
 public final class Ledger {
 
     /** What may be repeated of a request. */
-    public enum Kind { SAFE, UNSAFE, UPLOAD }
+    public enum Kind {
+        SAFE,
+        UNSAFE,
+        UPLOAD
+    }
 
     /**
      * A try that a caller sent.
@@ -18,8 +22,8 @@
      * @param prefix of the route that it is for
      * @param sum of its body
      */
-    public record Sent(String id, String depot, Kind kind, String method, String uri, String prefix, long sum,
-            double at) { }
+    public record Sent(
+            String id, String depot, Kind kind, String method, String uri, String prefix, long sum, double at) {}
 
     /**
      * What came back for a try.
@@ -28,14 +32,24 @@
      * @param id that the answer names, or null
      * @param stamp that it carries, or null
      */
-    public record Answered(String of, int status, String id, String stamp, long sum, double at) { }
+    public record Answered(String of, int status, String id, String stamp, long sum, double at) {}
 
     /** A request that an upstream began to work on; {@code answer} is the sum of what it answers. */
-    public record Run(String id, String service, String upstream, String method, String uri, long sum,
-            String caller, String sender, String stamp, long answer, double at) { }
+    public record Run(
+            String id,
+            String service,
+            String upstream,
+            String method,
+            String uri,
+            long sum,
+            String caller,
+            String sender,
+            String stamp,
+            long answer,
+            double at) {}
 
     /** That a machine acknowledged an upstream's call, {@code gone} when it is the last one. */
-    public record Left(String upstream, boolean gone, double at) { }
+    public record Left(String upstream, boolean gone, double at) {}
 
     private final ConcurrentHashMap<String, Sent> sent = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<Answered> answered = new ConcurrentLinkedQueue<>();
--- a/src/main/java/sablehinge/standin/mesh/MeshJudge.java
+++ b/src/main/java/sablehinge/standin/mesh/MeshJudge.java
@@ -30,10 +30,10 @@
         Map<String, Ledger.Sent> sent = new HashMap<>();
         ledger.sent().forEach(one -> sent.put(one.id(), one));
         Map<String, List<Ledger.Run>> runs = new HashMap<>();
-        ledger.runs().forEach(run -> runs.computeIfAbsent(run.id(), id -> new ArrayList<>()).add(run));
+        ledger.runs().forEach(run -> runs.computeIfAbsent(run.id(), id -> new ArrayList<>())
+                .add(run));
         ledger.strays().forEach(words -> breach("MIXED", words));
-        ledger.answered().forEach(one -> answer(one, sent.get(one.of()), runs.getOrDefault(one.of(),
-                List.of())));
+        ledger.answered().forEach(one -> answer(one, sent.get(one.of()), runs.getOrDefault(one.of(), List.of())));
         ledger.runs().forEach(run -> run(run, sent.get(run.id())));
         runs.forEach((id, of) -> {
             if (of.size() > 1 && sent.containsKey(id) && sent.get(id).kind() != Ledger.Kind.SAFE) {
@@ -51,7 +51,9 @@
 
     private void answer(Ledger.Answered one, Ledger.Sent sent, List<Ledger.Run> runs) {
         if (one.status() / 100 == 2) {
-            Ledger.Run by = runs.stream().filter(run -> run.stamp().equals(one.stamp())).findFirst()
+            Ledger.Run by = runs.stream()
+                    .filter(run -> run.stamp().equals(one.stamp()))
+                    .findFirst()
                     .orElse(null);
             if (!one.of().equals(one.id())) {
                 breach("MIXED", one.of() + " got the answer of " + one.id());
@@ -60,17 +62,19 @@
             } else if (by.answer() != one.sum()) {
                 breach("MIXED", one.of() + " got a body that its upstream did not send");
             }
-        } else if (!runs.isEmpty() && sent.kind() != Ledger.Kind.SAFE
+        } else if (!runs.isEmpty()
+                && sent.kind() != Ledger.Kind.SAFE
                 && Set.of(408, 421, 429, 503).contains(one.status())) {
             breach("REFUSED", one.of() + " got " + one.status() + " and yet ran");
-        } else if (one.status() / 100 == 4 && one.status() != 429 && one.status() != 408
-                && one.status() != 421) {
+        } else if (one.status() / 100 == 4 && one.status() != 429 && one.status() != 408 && one.status() != 421) {
             breach("DENIED", one.of() + " got " + one.status());
         }
     }
 
     private void run(Ledger.Run run, Ledger.Sent sent) {
-        if (sent == null || !sent.method().equals(run.method()) || !sent.uri().equals(run.uri())
+        if (sent == null
+                || !sent.method().equals(run.method())
+                || !sent.uri().equals(run.uri())
                 || sent.sum() != run.sum()) {
             breach("UNASKED", run.id() + " ran at " + run.upstream() + " in a form that nobody sent");
             return;
@@ -85,7 +89,8 @@
         boolean now = false;
         for (int i = 0; i < orders.size(); i++) {
             boolean allows = orders.get(i).version().allows(sent.prefix(), run.service());
-            boolean replaced = i + 1 < orders.size() && sent.at() > orders.get(i + 1).ackedAt() + editionMs;
+            boolean replaced =
+                    i + 1 < orders.size() && sent.at() > orders.get(i + 1).ackedAt() + editionMs;
             ever |= allows && orders.get(i).sentAt() <= run.at();
             now |= allows && !replaced;
         }
@@ -100,7 +105,8 @@
         Set<String> seen = new HashSet<>();
         for (Ledger.Left left : ledger.left()) {
             double until = left.at() + unloadMs;
-            ledger.runs().stream().filter(run -> run.upstream().equals(left.upstream()) && run.at() > until)
+            ledger.runs().stream()
+                    .filter(run -> run.upstream().equals(left.upstream()) && run.at() > until)
                     .filter(run -> seen.add(run.stamp()))
                     .forEach(run -> breach("DRAIN", run.id() + " ran at " + run.upstream() + " too late"));
         }
@@ -125,7 +131,8 @@
                 unclear.clear();
             }
         }
-        boolean there = newest == null || Operator.same(body, newest.version())
+        boolean there = newest == null
+                || Operator.same(body, newest.version())
                 || unclear.stream().anyMatch(one -> Operator.same(body, one.version()));
         return there ? null : newest;
     }
--- a/src/main/java/sablehinge/standin/mesh/MeshPlan.java
+++ b/src/main/java/sablehinge/standin/mesh/MeshPlan.java
@@ -5,8 +5,7 @@
 import java.util.Locale;
 
 /**
- * Where everything of a small mesh is: each machine has a loopback address of its own, all have the same
- * ports.
+ * Where everything of a small mesh is: each machine has a loopback address of its own, all have the same ports.
  *
  * @param prefix the first three numbers of all addresses, such as 127.0.0
  * @param control nodes how many machines the core has
@@ -22,6 +21,7 @@
     public static final int BEAT_MS = 500;
     /** The zone of all machines. */
     public static final String ZONE = "valley";
+
     private static final int CORE = 11;
     private static final int SIDECARS = 21;
     private static final int INNER = 7780;
@@ -30,7 +30,8 @@
     private static final int INBOUND = 7703;
     private static final int READY = 7704;
     private static final int APP = 7705;
-    private static final String REST = """
+    private static final String REST =
+            """
             firstStart = %s
             counted = %s
             beatMs = %d
@@ -93,7 +94,9 @@
             seeds.add('"' + coreControl(i) + '"');
         }
         String machines = role.equals("control") ? "core" : "sidecar";
-        return String.format(Locale.ROOT, """
+        return String.format(
+                Locale.ROOT,
+                """
                 node = "%s"
                 role = "%s"
                 machineClass = "%s"
@@ -103,8 +106,17 @@
                 region = "hills"
                 innerPorts = [%d,%d]
                 seeds = %s
-                """, node, role, machines, machines.equals("core") ? "control" : "sidecar", prefix, last,
-                ZONE, INNER, INNER + 15, seeds);
+                """,
+                node,
+                role,
+                machines,
+                machines.equals("core") ? "control" : "sidecar",
+                prefix,
+                last,
+                ZONE,
+                INNER,
+                INNER + 15,
+                seeds);
     }
 
     /** The settings file of a machine of the core. */
--- a/src/main/java/sablehinge/standin/mesh/MeshVersion.java
+++ b/src/main/java/sablehinge/standin/mesh/MeshVersion.java
@@ -19,6 +19,7 @@
     public static final String TENANT = "tenant-1";
     /** Its key. */
     public static final String KEY = "k3y0f7h3d3m0";
+
     private static final int TIMEOUT_MS = 4_000;
     private static final int TARGET_MS = 600;
 
@@ -39,13 +40,17 @@
 
     /** Whether a service may run the requests of a prefix. */
     boolean allows(String prefix, String service) {
-        return routes.stream().anyMatch(r -> r.prefix().equals(prefix) && r.services().contains(service));
+        return routes.stream()
+                .anyMatch(r -> r.prefix().equals(prefix) && r.services().contains(service));
     }
 
     /** The body of the operator's call. */
     public byte[] body() {
         ObjectNode root = JsonNodeFactory.instance.objectNode().put("edition", edition);
-        root.putObject("limits").put("headerBytes", 16_384).put("bodyBytes", 64 << 20).put("headerMs", 3_000)
+        root.putObject("limits")
+                .put("headerBytes", 16_384)
+                .put("bodyBytes", 64 << 20)
+                .put("headerMs", 3_000)
                 .put("idleMs", 15_000);
         ObjectNode tenant = root.putArray("senders").addObject().put("name", TENANT);
         tenant.putArray("passes").add(KEY);
@@ -53,22 +58,30 @@
         ObjectNode gate = root.putArray("gates").addObject().put("station", HOST);
         ArrayNode rules = gate.putArray("regulations");
         for (Route route : routes) {
-            ObjectNode rule = rules.addObject().put("name", "r" + route.prefix().replace('/', '-'))
+            ObjectNode rule = rules.addObject()
+                    .put("name", "r" + route.prefix().replace('/', '-'))
                     .put("kind", route.kind().name().toLowerCase(java.util.Locale.ROOT))
-                    .put("targetMs", TARGET_MS).put("priority", 1).put("open", false);
+                    .put("targetMs", TARGET_MS)
+                    .put("priority", 1)
+                    .put("open", false);
             rule.putObject("sorting").put("lanePrefix", route.prefix());
             ObjectNode dispatch = rule.putObject("dispatch");
             if (route.services().size() == 1) {
                 dispatch.put("depot", route.services().get(0));
             } else {
                 ArrayNode split = dispatch.putArray("split");
-                route.services().forEach(one -> split.addObject().put("depot", one).put("share", 50));
+                route.services()
+                        .forEach(one -> split.addObject().put("depot", one).put("share", 50));
             }
             dispatch.put("timeoutMs", TIMEOUT_MS).put("attempts", 2);
         }
         ArrayNode fleets = root.putArray("fleets");
-        services.forEach(one -> fleets.addObject().put("name", one).put("healthPath", "/health")
-                .put("connCap", 110).put("protocol", "h1").put("tls", false));
+        services.forEach(one -> fleets.addObject()
+                .put("name", one)
+                .put("healthPath", "/health")
+                .put("connCap", 110)
+                .put("protocol", "h1")
+                .put("tls", false));
         return root.toString().getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/sablehinge/standin/mesh/Message.java
+++ b/src/main/java/sablehinge/standin/mesh/Message.java
@@ -63,16 +63,17 @@
             if (colon < 1) {
                 throw new IOException("no header: " + line);
             }
-            headers.merge(line.substring(0, colon).toLowerCase(Locale.ROOT),
-                    line.substring(colon + 1).strip(), (a, b) -> a + ", " + b);
+            headers.merge(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).strip(),
+                    (a, b) -> a + ", " + b);
         }
-        boolean bodyless = start.startsWith("HTTP/1.1 1") || start.startsWith("HTTP/1.1 204")
-                || start.startsWith("HTTP/1.1 304");
+        boolean bodyless =
+                start.startsWith("HTTP/1.1 1") || start.startsWith("HTTP/1.1 204") || start.startsWith("HTTP/1.1 304");
         return new Message(start, headers, bodyless ? new byte[0] : body(in, start, headers));
     }
 
-    private static byte[] body(InputStream in, String start, Map<String, String> headers)
-            throws IOException {
+    private static byte[] body(InputStream in, String start, Map<String, String> headers) throws IOException {
         if ("chunked".equalsIgnoreCase(headers.get("transfer-encoding"))) {
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             for (int size = size(in); size > 0; size = size(in)) {
--- a/src/main/java/sablehinge/standin/mesh/Operator.java
+++ b/src/main/java/sablehinge/standin/mesh/Operator.java
@@ -25,7 +25,7 @@
     private int next;
 
     /** A configuration that was sent; {@code ackedAt} is NaN where no acknowledgement has come. */
-    public record Order(MeshVersion version, double sentAt, double ackedAt) { }
+    public record Order(MeshVersion version, double sentAt, double ackedAt) {}
 
     /** An operator that knows these machines. */
     public Operator(List<InetSocketAddress> core) {
@@ -53,9 +53,12 @@
             orders.add(new Order(version, sentAt, ackedAt));
         }
         if (answer.status() != 200) {
-            throw new MeshException(MeshException.Code.TIMEOUT, "configuration " + version.edition()
-                    + " was answered with " + answer.start() + " " + new String(answer.body(),
-                    java.nio.charset.StandardCharsets.UTF_8), null);
+            throw new MeshException(
+                    MeshException.Code.TIMEOUT,
+                    "configuration " + version.edition()
+                            + " was answered with " + answer.start() + " "
+                            + new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8),
+                    null);
         }
     }
 
@@ -84,8 +87,13 @@
     public int leader() {
         for (int i = 0; i < core.size(); i++) {
             try {
-                Message answer = Call.once(core.get(i), PATIENCE_MS, "GET", "/sablehinge/Config.Read",
-                        Map.of("Host", "control"), new byte[0]);
+                Message answer = Call.once(
+                        core.get(i),
+                        PATIENCE_MS,
+                        "GET",
+                        "/sablehinge/Config.Read",
+                        Map.of("Host", "control"),
+                        new byte[0]);
                 if (answer != null && answer.status() == 200) {
                     return i;
                 }
@@ -96,8 +104,8 @@
         return -1;
     }
 
-    private Message until(long withinMs, String method, String path, Map<String, String> headers,
-            byte[] body) throws InterruptedException {
+    private Message until(long withinMs, String method, String path, Map<String, String> headers, byte[] body)
+            throws InterruptedException {
         double end = Ledger.now() + withinMs;
         Message last = null;
         while (Ledger.now() < end) {
@@ -106,8 +114,8 @@
                 if (answer != null) {
                     last = answer;
                     int status = answer.status();
-                    if (status < 300 || status >= 400 && status < 500 && status != 404 && status != 408
-                            && status != 429) {
+                    if (status < 300
+                            || status >= 400 && status < 500 && status != 404 && status != 408 && status != 429) {
                         return answer;
                     }
                 }
@@ -117,12 +125,13 @@
             next++;
             TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
         }
-        throw new MeshException(MeshException.Code.TIMEOUT, path + " has no answer that counts; the last was "
-                + (last == null ? "none" : last.start()), null);
+        throw new MeshException(
+                MeshException.Code.TIMEOUT,
+                path + " has no answer that counts; the last was " + (last == null ? "none" : last.start()),
+                null);
     }
 
-    private Message follow(String method, String path, Map<String, String> headers, byte[] body)
-            throws IOException {
+    private Message follow(String method, String path, Map<String, String> headers, byte[] body) throws IOException {
         InetSocketAddress to = core.get(Math.floorMod(next, core.size()));
         Message answer = Call.once(to, PATIENCE_MS, method, path, headers, body);
         for (int i = 0; i < HOPS && answer != null && answer.status() == 307; i++) {
--- a/src/main/java/sablehinge/standin/mesh/SmallMesh.java
+++ b/src/main/java/sablehinge/standin/mesh/SmallMesh.java
@@ -14,8 +14,8 @@
 import java.util.stream.Stream;
 
 /**
- * Three control nodes and three sidecars as child processes on loopback, with a stand-in upstream beside each
- * sidecar, clients on each machine, and an operator. All of it ends when this is closed.
+ * Three control nodes and three sidecars as child processes on loopback, with a stand-in upstream beside each sidecar,
+ * clients on each machine, and an operator. All of it ends when this is closed.
  */
 public final class SmallMesh implements AutoCloseable {
 
@@ -23,6 +23,7 @@
     public static final String BASALT = "basalt";
     /** The service of one. */
     public static final String MARL = "marl";
+
     private static final int CONTROL_NODES = 3;
     private static final int BERTHS = 12;
     private static final int WORK_MS = 12;
@@ -51,7 +52,9 @@
     public SmallMesh(Commands commands) {
         this.commands = commands;
         ThreadLocalRandom random = ThreadLocalRandom.current();
-        plan = new MeshPlan("127." + random.nextInt(1, 255) + "." + random.nextInt(1, 255), CONTROL_NODES,
+        plan = new MeshPlan(
+                "127." + random.nextInt(1, 255) + "." + random.nextInt(1, 255),
+                CONTROL_NODES,
                 List.of(BASALT, BASALT, MARL));
         List<InetSocketAddress> core = new ArrayList<>();
         for (int i = 0; i < CONTROL_NODES; i++) {
@@ -68,8 +71,7 @@
                 write("sidecar-" + i, plan.sidecarSettings(i), sidecars);
             }
         } catch (IOException e) {
-            throw new MeshException(MeshException.Code.FILE, "the folder can't be made: " + e.getMessage(),
-                    e);
+            throw new MeshException(MeshException.Code.FILE, "the folder can't be made: " + e.getMessage(), e);
         }
     }
 
@@ -109,11 +111,15 @@
 
     /** A version of the usual routes, whose reads go to one service. */
     public MeshVersion version(long edition, long basedOn, String reads) {
-        return new MeshVersion(edition, basedOn, List.of(
-                new MeshVersion.Route("/read/", Ledger.Kind.SAFE, List.of(reads)),
-                new MeshVersion.Route("/both/", Ledger.Kind.SAFE, List.of(BASALT, MARL)),
-                new MeshVersion.Route("/write/", Ledger.Kind.UNSAFE, List.of(BASALT)),
-                new MeshVersion.Route("/put/", Ledger.Kind.UPLOAD, List.of(MARL))), List.of(BASALT, MARL));
+        return new MeshVersion(
+                edition,
+                basedOn,
+                List.of(
+                        new MeshVersion.Route("/read/", Ledger.Kind.SAFE, List.of(reads)),
+                        new MeshVersion.Route("/both/", Ledger.Kind.SAFE, List.of(BASALT, MARL)),
+                        new MeshVersion.Route("/write/", Ledger.Kind.UNSAFE, List.of(BASALT)),
+                        new MeshVersion.Route("/put/", Ledger.Kind.UPLOAD, List.of(MARL))),
+                List.of(BASALT, MARL));
     }
 
     /** Starts all daemons and upstreams, has a configuration taken, and returns when all balancers are in. */
@@ -158,11 +164,18 @@
     /** Starts an upstream on each machine, in a new life. */
     public void upstreamsCome() {
         for (int i = 0; i < sidecars.size(); i++) {
-            StandInUpstream upstream = new StandInUpstream(new StandInUpstream.Terms("i-" + i + "-"
-                    + Long.toHexString(ThreadLocalRandom.current().nextLong()), plan.services().get(i),
-                    Call.address(plan.app(i)), BERTHS, WORK_MS), ledger);
-            upstreams.add(new Beating(upstream, Call.address(plan.control(i)), MeshPlan.ZONE,
-                    MeshPlan.BEAT_MS, ledger));
+            StandInUpstream upstream = new StandInUpstream(
+                    new StandInUpstream.Terms(
+                            "i-" + i + "-"
+                                    + Long.toHexString(
+                                            ThreadLocalRandom.current().nextLong()),
+                            plan.services().get(i),
+                            Call.address(plan.app(i)),
+                            BERTHS,
+                            WORK_MS),
+                    ledger);
+            upstreams.add(
+                    new Beating(upstream, Call.address(plan.control(i)), MeshPlan.ZONE, MeshPlan.BEAT_MS, ledger));
         }
     }
 
@@ -193,7 +206,8 @@
     public void restart(int place, int start) {
         if (start > 0) {
             try {
-                Files.writeString(folder.resolve("core-" + place + ".toml"),
+                Files.writeString(
+                        folder.resolve("core-" + place + ".toml"),
                         plan.controlSettings(place, data(place).toString(), false));
             } catch (IOException e) {
                 throw new MeshException(MeshException.Code.FILE, e.getMessage(), e);
@@ -207,12 +221,18 @@
         double end = Ledger.now() + START_MS;
         while (!isReady(place)) {
             if (!sidecars.get(place).runs()) {
-                throw new MeshException(MeshException.Code.DAEMON, "sidecar " + place + " has ended:\n"
-                        + sidecars.get(place).said(), null);
+                throw new MeshException(
+                        MeshException.Code.DAEMON,
+                        "sidecar " + place + " has ended:\n"
+                                + sidecars.get(place).said(),
+                        null);
             }
             if (Ledger.now() > end) {
-                throw new MeshException(MeshException.Code.TIMEOUT, "sidecar " + place + " is not ready:\n"
-                        + sidecars.get(place).said(), null);
+                throw new MeshException(
+                        MeshException.Code.TIMEOUT,
+                        "sidecar " + place + " is not ready:\n"
+                                + sidecars.get(place).said(),
+                        null);
             }
             TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
         }
@@ -221,8 +241,13 @@
     /** Whether a balancer says that it is ready. */
     public boolean isReady(int place) {
         try {
-            Message answer = Call.once(Call.address(plan.ready(place)), PROBE_MS, "GET",
-                    "/sablehinge/ready", Map.of("Host", "ready"), new byte[0]);
+            Message answer = Call.once(
+                    Call.address(plan.ready(place)),
+                    PROBE_MS,
+                    "GET",
+                    "/sablehinge/ready",
+                    Map.of("Host", "ready"),
+                    new byte[0]);
             return answer != null && answer.status() == 200;
         } catch (IOException e) {
             return false;
@@ -233,8 +258,13 @@
     public void load(long everyMs) {
         List<MeshVersion.Route> routes = version(1, 0, BASALT).routes();
         for (int i = 0; i < sidecars.size(); i++) {
-            Clients one = new Clients("machine-" + i, Call.address(plan.outbound(i)), plan.services().get(i),
-                    routes, everyMs, ledger);
+            Clients one = new Clients(
+                    "machine-" + i,
+                    Call.address(plan.outbound(i)),
+                    plan.services().get(i),
+                    routes,
+                    everyMs,
+                    ledger);
             one.start();
             clients.add(one);
         }
@@ -256,9 +286,9 @@
     public void keepLogs(Path to) {
         try (Stream<Path> files = Files.list(folder)) {
             Files.createDirectories(to);
-            for (Path file : files.filter(f -> f.toString().matches(".*\\.(log|toml)")).toList()) {
-                Files.copy(file, to.resolve(file.getFileName()),
-                        java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+            for (Path file :
+                    files.filter(f -> f.toString().matches(".*\\.(log|toml)")).toList()) {
+                Files.copy(file, to.resolve(file.getFileName()), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             }
         } catch (IOException e) {
             throw new MeshException(MeshException.Code.FILE, "logs can't be kept: " + e.getMessage(), e);
--- a/src/main/java/sablehinge/standin/mesh/StandInUpstream.java
+++ b/src/main/java/sablehinge/standin/mesh/StandInUpstream.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * An upstream by PROTOCOL: it works on so many requests at once, turns away what is not meant for it, stamps
- * its answers, tells the balancer beside it that it lives, and writes down what it runs.
+ * An upstream by PROTOCOL: it works on so many requests at once, turns away what is not meant for it, stamps its
+ * answers, tells the balancer beside it that it lives, and writes down what it runs.
  */
 public final class StandInUpstream implements AutoCloseable {
 
@@ -44,7 +44,7 @@
      * @param berths how many requests it works on at once
      * @param workMs the longest that one takes
      */
-    public record Terms(String id, String depot, InetSocketAddress address, int berths, int workMs) { }
+    public record Terms(String id, String depot, InetSocketAddress address, int berths, int workMs) {}
 
     /** An upstream that serves once this returns. */
     public StandInUpstream(Terms terms, Ledger ledger) {
@@ -57,8 +57,8 @@
             listener.setReuseAddress(true);
             listener.bind(terms.address(), CONNECTIONS);
         } catch (IOException e) {
-            throw new MeshException(MeshException.Code.ADDRESS, "cannot listen on " + terms.address() + ": "
-                    + e.getMessage(), e);
+            throw new MeshException(
+                    MeshException.Code.ADDRESS, "cannot listen on " + terms.address() + ": " + e.getMessage(), e);
         }
         daemon("accepts " + terms.id(), this::accept);
     }
@@ -151,13 +151,21 @@
     }
 
     private boolean turnAway(Socket socket, int status, String words, String id) throws IOException {
-        return write(socket, "HTTP/1.1 " + status + " " + words + "\r\nSablehinge-Not-Run: 1\r\n"
-                + (id == null ? "" : "Sablehinge-Try-Id: " + id + "\r\n"), new byte[0], false);
+        return write(
+                socket,
+                "HTTP/1.1 " + status + " " + words + "\r\nSablehinge-Not-Run: 1\r\n"
+                        + (id == null ? "" : "Sablehinge-Try-Id: " + id + "\r\n"),
+                new byte[0],
+                false);
     }
 
     private boolean health(Socket socket) throws IOException {
-        return write(socket, "HTTP/1.1 " + (unloading ? "503 Draining" : "200 OK")
-                + "\r\nSablehinge-Answered-By: " + terms.id() + "\r\n", new byte[0], false);
+        return write(
+                socket,
+                "HTTP/1.1 " + (unloading ? "503 Draining" : "200 OK") + "\r\nSablehinge-Answered-By: " + terms.id()
+                        + "\r\n",
+                new byte[0],
+                false);
     }
 
     private boolean run(Socket socket, Message request, String id) throws IOException, InterruptedException {
@@ -165,14 +173,27 @@
         String stamp = Integer.toHexString(terms.id().hashCode()) + "." + number;
         long sum = Message.sum(request.body());
         byte[] body = ("ran " + id + " at " + terms.id() + ", " + request.body().length + " bytes of sum "
-                + Long.toHexString(sum) + "\n" + ".".repeat((int) (number % PADDING)))
+                        + Long.toHexString(sum) + "\n" + ".".repeat((int) (number % PADDING)))
                 .getBytes(StandardCharsets.UTF_8);
-        ledger.ran(new Ledger.Run(id, terms.depot(), terms.id(), request.word(0), request.word(1), sum,
-                request.header("Sablehinge-Caller"), request.header("Sablehinge-Sender"), stamp,
-                Message.sum(body), Ledger.now()));
+        ledger.ran(new Ledger.Run(
+                id,
+                terms.depot(),
+                terms.id(),
+                request.word(0),
+                request.word(1),
+                sum,
+                request.header("Sablehinge-Caller"),
+                request.header("Sablehinge-Sender"),
+                stamp,
+                Message.sum(body),
+                Ledger.now()));
         TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(1 + terms.workMs()));
-        return write(socket, "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: " + id + "\r\nSablehinge-Postmark: "
-                + stamp + "\r\nContent-Type: text/plain\r\n", body, number % 3 == 0);
+        return write(
+                socket,
+                "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: " + id + "\r\nSablehinge-Postmark: " + stamp
+                        + "\r\nContent-Type: text/plain\r\n",
+                body,
+                number % 3 == 0);
     }
 
     private boolean write(Socket socket, String head, byte[] body, boolean chunked) throws IOException {
--- a/src/main/java/sablehinge/standin/mesh/Tally.java
+++ b/src/main/java/sablehinge/standin/mesh/Tally.java
@@ -15,14 +15,14 @@
 
     /** The part of the tries that a small mesh serves at least, if it is well. */
     public static final double ENOUGH = 0.9;
+
     private final Map<Ledger.Kind, List<Double>> served = new EnumMap<>(Ledger.Kind.class);
     private final Map<Ledger.Kind, int[]> counts = new EnumMap<>(Ledger.Kind.class);
     private final Map<String, Integer> ran = new TreeMap<>();
     private int tries;
     private int good;
 
-    private Tally() {
-    }
+    private Tally() {}
 
     /** The sums of a ledger. */
     public static Tally of(Ledger ledger) {
@@ -60,14 +60,31 @@
 
     /** Prints a line a kind and a line an upstream. */
     public void print(PrintStream out) {
-        out.printf(Locale.ROOT, "%-8s %7s %7s %8s %7s %10s %10s%n", "kind", "tries", "served", "refused",
-                "failed", "median ms", "99% ms");
+        out.printf(
+                Locale.ROOT,
+                "%-8s %7s %7s %8s %7s %10s %10s%n",
+                "kind",
+                "tries",
+                "served",
+                "refused",
+                "failed",
+                "median ms",
+                "99% ms");
         counts.forEach((kind, row) -> {
-            double[] times = served.getOrDefault(kind, List.of()).stream().mapToDouble(t -> t).toArray();
+            double[] times = served.getOrDefault(kind, List.of()).stream()
+                    .mapToDouble(t -> t)
+                    .toArray();
             Arrays.sort(times);
-            out.printf(Locale.ROOT, "%-8s %7d %7d %8d %7d %10.1f %10.1f%n",
-                    kind.name().toLowerCase(Locale.ROOT), row[0], times.length, row[1], row[2],
-                    at(times, 0.5), at(times, 0.99));
+            out.printf(
+                    Locale.ROOT,
+                    "%-8s %7d %7d %8d %7d %10.1f %10.1f%n",
+                    kind.name().toLowerCase(Locale.ROOT),
+                    row[0],
+                    times.length,
+                    row[1],
+                    row[2],
+                    at(times, 0.5),
+                    at(times, 0.99));
         });
         ran.forEach((upstream, number) -> out.printf(Locale.ROOT, "ran at %-32s %7d%n", upstream, number));
     }
--- a/src/main/java/sablehinge/state/BodyDigest.java
+++ b/src/main/java/sablehinge/state/BodyDigest.java
@@ -10,8 +10,8 @@
 import java.util.Locale;
 
 /**
- * Tells the body of one configuration from all others: SHA-256, or, for what was taken under a state format
- * before the third, the two checksums that were kept then.
+ * Tells the body of one configuration from all others: SHA-256, or, for what was taken under a state format before the
+ * third, the two checksums that were kept then.
  */
 public final class BodyDigest {
 
@@ -23,6 +23,7 @@
 
     /** Null where the checksums below stand in its place. */
     private final byte[] sha256;
+
     private final long fnv;
     private final int hash;
 
@@ -66,7 +67,9 @@
 
     /** In hexadecimal digits: 64 of SHA-256, or 16 of FNV-1a where no more is known. */
     public String hex() {
-        return sha256 == null ? String.format(Locale.ROOT, "%016x", fnv) : HexFormat.of().formatHex(sha256);
+        return sha256 == null
+                ? String.format(Locale.ROOT, "%016x", fnv)
+                : HexFormat.of().formatHex(sha256);
     }
 
     void write(DataOutputStream out) throws IOException {
@@ -95,7 +98,9 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof BodyDigest that && fnv == that.fnv && hash == that.hash
+        return other instanceof BodyDigest that
+                && fnv == that.fnv
+                && hash == that.hash
                 && Arrays.equals(sha256, that.sha256);
     }
 
--- a/src/main/java/sablehinge/state/ConfigurationState.java
+++ b/src/main/java/sablehinge/state/ConfigurationState.java
@@ -10,18 +10,20 @@
 import java.util.Map;
 
 /**
- * The state that the core agrees upon: the newest configuration and which ones were taken before it. It
- * changes by committed commands only, alike on every member.
+ * The state that the core agrees upon: the newest configuration and which ones were taken before it. It changes by
+ * committed commands only, alike on every member.
  */
 public final class ConfigurationState {
 
     /** Editions that are remembered, so that an order that is repeated late still has its true answer. */
     private static final int MOST_TAKEN = 2_000;
+
     private static final int FORMAT = 3;
     /** States of this format have checksums of bodies in the place of digests. */
     private static final int CHECKSUM_FORMAT = 2;
     /** States of this format do not tell either what an edition was based on, nor when it was taken. */
     private static final int BARE_FORMAT = 1;
+
     private static final int COMMAND_FORMAT = 1;
     /** What is not known of an edition that was taken under the bare format. */
     private static final long UNKNOWN = -1;
@@ -53,8 +55,8 @@
      *
      * @param length of its body in bytes
      * @param basedOn the edition that it took the place of; -1 where that is not known
-     * @param at when it was proposed, by the time of day of whoever proposed it, in ms since 1970; -1 where
-     *     that is not known. It is only ever told, and nothing is decided by it
+     * @param at when it was proposed, by the time of day of whoever proposed it, in ms since 1970; -1 where that is not
+     *     known. It is only ever told, and nothing is decided by it
      */
     private record Taken(int length, BodyDigest digest, long basedOn, long at) {
 
@@ -70,8 +72,7 @@
          * One of them.
          *
          * @param basedOn the edition that it took the place of; -1 where that is not known
-         * @param at when it was proposed, in ms since 1970 by the proposer's time of day; -1 where that is
-         *     not known
+         * @param at when it was proposed, in ms since 1970 by the proposer's time of day; -1 where that is not known
          * @param length of the configuration in bytes
          */
         void taken(long edition, long basedOn, long at, int length, BodyDigest digest);
@@ -184,8 +185,8 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(state))) {
             int format = in.readByte();
             if (format < BARE_FORMAT || format > FORMAT) {
-                throw new IllegalArgumentException("a state of format " + format + "; " + BARE_FORMAT
-                        + " to " + FORMAT + " are expected");
+                throw new IllegalArgumentException(
+                        "a state of format " + format + "; " + BARE_FORMAT + " to " + FORMAT + " are expected");
             }
             edition = in.readLong();
             body = new byte[in.readInt()];
@@ -203,9 +204,10 @@
 
     private static Taken readTaken(int format, DataInputStream in) throws IOException {
         int length = in.readInt();
-        BodyDigest digest = format <= CHECKSUM_FORMAT ? BodyDigest.checksums(in.readLong(), in.readInt())
-                : BodyDigest.read(in);
-        return format == BARE_FORMAT ? new Taken(length, digest, UNKNOWN, UNKNOWN)
+        BodyDigest digest =
+                format <= CHECKSUM_FORMAT ? BodyDigest.checksums(in.readLong(), in.readInt()) : BodyDigest.read(in);
+        return format == BARE_FORMAT
+                ? new Taken(length, digest, UNKNOWN, UNKNOWN)
                 : new Taken(length, digest, in.readLong(), in.readLong());
     }
 
--- a/src/main/java/sablehinge/state/Registration.java
+++ b/src/main/java/sablehinge/state/Registration.java
@@ -12,5 +12,12 @@
  * @param berths requests that the upstream works on at once
  * @param coldMs how much longer the upstream was slow when its life was first told
  */
-public record Registration(String node, String zone, String inbound, String service, String upstream,
-        boolean ready, int berths, int coldMs) { }
+public record Registration(
+        String node,
+        String zone,
+        String inbound,
+        String service,
+        String upstream,
+        boolean ready,
+        int berths,
+        int coldMs) {}
--- a/src/main/java/sablehinge/state/Registry.java
+++ b/src/main/java/sablehinge/state/Registry.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * Which data-plane balancers there are, and what is beside them: what they last told the one who keeps the
- * roll. It is not agreed upon and on no disk, since each of them tells it anew to whoever keeps it next. Each
- * entry has the stamp of its last change, so that who knows all up to a stamp is told what came after. Who is
- * ruled off is told as not ready until it tells of itself again.
+ * Which data-plane balancers there are, and what is beside them: what they last told the one who keeps the roll. It is
+ * not agreed upon and on no disk, since each of them tells it anew to whoever keeps it next. Each entry has the stamp
+ * of its last change, so that who knows all up to a stamp is told what came after. Who is ruled off is told as not
+ * ready until it tells of itself again.
  */
 public final class Registry {
 
@@ -29,10 +29,17 @@
         boolean lost;
 
         Registration told() {
-            return off ? new Registration(registration.node(), registration.zone(), registration.inbound(),
-                    registration.service(),
-                    registration.upstream(), false, registration.berths(), registration.coldMs())
-                            : registration;
+            return off
+                    ? new Registration(
+                            registration.node(),
+                            registration.zone(),
+                            registration.inbound(),
+                            registration.service(),
+                            registration.upstream(),
+                            false,
+                            registration.berths(),
+                            registration.coldMs())
+                    : registration;
         }
     }
 
@@ -70,9 +77,12 @@
 
     /** How long it stays cold passes by itself, and is no news. */
     private static boolean sameBut(Registration one, Registration other) {
-        return one.upstream().equals(other.upstream()) && one.ready() == other.ready()
-                && one.inbound().equals(other.inbound()) && one.service().equals(other.service())
-                && one.berths() == other.berths() && one.zone().equals(other.zone());
+        return one.upstream().equals(other.upstream())
+                && one.ready() == other.ready()
+                && one.inbound().equals(other.inbound())
+                && one.service().equals(other.service())
+                && one.berths() == other.berths()
+                && one.zone().equals(other.zone());
     }
 
     /** Others hear one that tells nothing here: it stays, as they know it where it never told anything. */
@@ -106,8 +116,8 @@
     }
 
     /**
-     * This process stood still for some ms until now: what was said to it meanwhile waits in its buffers, so
-     * that this time counts as nobody's silence.
+     * This process stood still for some ms until now: what was said to it meanwhile waits in its buffers, so that this
+     * time counts as nobody's silence.
      */
     public void stoodStill(double now, double ms) {
         rows.values().forEach(row -> row.heardAt = Math.min(now, row.heardAt + ms));
@@ -119,9 +129,8 @@
         for (Row row : rows.values()) {
             Registration known = row.registration;
             if (now - row.heardAt > goneAfter && !known.upstream().isEmpty()) {
-                row.registration = new Registration(known.node(), known.zone(), known.inbound(),
-                        known.service(), "",
-                        false, 0, 0);
+                row.registration =
+                        new Registration(known.node(), known.zone(), known.inbound(), known.service(), "", false, 0, 0);
                 row.lost = known.ready();
                 row.stamp = ++stamp;
                 news = true;
@@ -161,20 +170,21 @@
      * @param silentMs since it last told of itself
      * @param gone whether that is so long that it counts as gone
      */
-    public record Line(Registration registration, double silentMs, boolean gone) { }
+    public record Line(Registration registration, double silentMs, boolean gone) {}
 
     /** All that is on the roll, in the order of the nodes' names. */
     public List<Line> lines(double now) {
         List<Line> lines = new ArrayList<>(rows.size());
-        rows.values().forEach(row -> lines.add(new Line(row.registration, now - row.heardAt,
-                now - row.heardAt > goneAfter)));
+        rows.values()
+                .forEach(
+                        row -> lines.add(new Line(row.registration, now - row.heardAt, now - row.heardAt > goneAfter)));
         lines.sort(Comparator.comparing(line -> line.registration().node()));
         return lines;
     }
 
     /**
-     * Balancers among which a quota is divided: also those that fell silent without having left, until they
-     * are forgotten. One that is cut off goes on with its part, which nobody else may have meanwhile.
+     * Balancers among which a quota is divided: also those that fell silent without having left, until they are
+     * forgotten. One that is cut off goes on with its part, which nobody else may have meanwhile.
      */
     public int sharers() {
         int sharers = 0;
--- a/src/main/java/sablehinge/station/Faults.java
+++ b/src/main/java/sablehinge/station/Faults.java
@@ -38,8 +38,7 @@
 
         /** Whether it strikes requests by chance rather than the whole server. */
         public boolean byChance() {
-            return this == ERROR || this == RESET_BEFORE || this == RESET_AFTER || this == HALF
-                    || this == SPOIL;
+            return this == ERROR || this == RESET_BEFORE || this == RESET_AFTER || this == HALF || this == SPOIL;
         }
     }
 
@@ -51,12 +50,10 @@
      * @param size how many times slower; for {@link Kind#SLOW}
      * @param chance of a request to be struck, 0 to 1; for those {@link Kind#byChance}
      */
-    public record Fault(Kind kind, int tier, double from, double until, int servers, double size,
-            double chance) { }
+    public record Fault(Kind kind, int tier, double from, double until, int servers, double size, double chance) {}
 
     /** A fault of one server; {@code server} is its place in its tier. */
-    public record Strike(Kind kind, int tier, int server, double from, double until, double size,
-            double chance) {
+    public record Strike(Kind kind, int tier, int server, double from, double until, double size, double chance) {
 
         boolean holds(double at) {
             return at >= from && at < until;
@@ -83,8 +80,8 @@
                 }
                 for (int i = 0; i < fault.servers && !left.isEmpty(); i++) {
                     int server = left.remove(random.nextInt(left.size()));
-                    strikes.add(new Strike(fault.kind, tier, server, fault.from, fault.until, fault.size,
-                            fault.chance));
+                    strikes.add(
+                            new Strike(fault.kind, tier, server, fault.from, fault.until, fault.size, fault.chance));
                 }
             }
         }
@@ -97,8 +94,7 @@
 
     /** Whether a server is struck by a kind of fault. */
     public boolean struck(Kind kind, int tier, int server, double at) {
-        return strikes.stream().anyMatch(s -> s.kind == kind && s.tier == tier && s.server == server
-                && s.holds(at));
+        return strikes.stream().anyMatch(s -> s.kind == kind && s.tier == tier && s.server == server && s.holds(at));
     }
 
     /** How many times slower a server is. */
--- a/src/main/java/sablehinge/station/Station.java
+++ b/src/main/java/sablehinge/station/Station.java
@@ -11,10 +11,8 @@
 import java.util.Map;
 
 /**
- * What a server does with work: so many requests share its cores evenly, some wait, the rest are turned
- * away. One that
- * has just started is cold and can do a part of it, which rises evenly; sent too much in that time it falls
- * over.
+ * What a server does with work: so many requests share its cores evenly, some wait, the rest are turned away. One that
+ * has just started is cold and can do a part of it, which rises evenly; sent too much in that time it falls over.
  */
 public final class Station {
 
@@ -23,6 +21,7 @@
     private static final double STEP = 5;
     /** Work that counts as done: times since 1970 have steps of a quarter of that as doubles. */
     private static final double DONE = 1e-3;
+
     private static final int WINDOWS = 30;
 
     /**
@@ -34,8 +33,15 @@
      * @param coldFor until when it has all
      * @param fallMultiple of its present capacity that makes it fall over, sent for {@code fallAfter}
      */
-    public record Terms(double cores, double speed, int slots, int queue, double coldFrom, double coldFor,
-            double fallMultiple, double fallAfter) { }
+    public record Terms(
+            double cores,
+            double speed,
+            int slots,
+            int queue,
+            double coldFrom,
+            double coldFor,
+            double fallMultiple,
+            double fallAfter) {}
 
     /** A request that has a slot or waits for one. */
     private static final class Job {
@@ -66,6 +72,7 @@
     private final Map<Long, Job> jobs = new HashMap<>();
     /** Those that are at work on a core. */
     private final LinkedHashMap<Long, Job> running = new LinkedHashMap<>();
+
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
     private double time;
@@ -109,8 +116,7 @@
     }
 
     /**
-     * A request has come; whether it was taken in. All work that is sent counts for a fall, also what is
-     * turned away.
+     * A request has come; whether it was taken in. All work that is sent counts for a fall, also what is turned away.
      *
      * @param work what it needs up to its first wait for the tier behind
      * @param knows whether who sends it knows that this server is cold
@@ -214,12 +220,10 @@
             least = Math.min(least, job.left);
         }
         // A cold one gets faster: looked at again, it is done sooner than now seems.
-        return warmth(time) < 1 ? time + Math.min(STEP, Math.max(0, least / pace)) : time + Math.max(0,
-                least / pace);
+        return warmth(time) < 1 ? time + Math.min(STEP, Math.max(0, least / pace)) : time + Math.max(0, least / pace);
     }
 
-    /** Lets time pass; those who have done their work up to a wait or an end, in the order in which they
-     * did. */
+    /** Lets time pass; those who have done their work up to a wait or an end, in the order in which they did. */
     public List<Long> advance(double now) {
         List<Long> done = new ArrayList<>();
         while (time < now) {
--- a/src/main/java/sablehinge/tally/Commonest.java
+++ b/src/main/java/sablehinge/tally/Commonest.java
@@ -6,10 +6,9 @@
 import java.util.Map;
 
 /**
- * Counts of names, exact while there are few; beyond a bound, the commonest ones with a known error (Misra
- * and
- * Gries, Finding repeated elements, 1982; taken away by the median as in Anderson et al., A high-performance
- * algorithm for identifying frequent items in data streams, 2017).
+ * Counts of names, exact while there are few; beyond a bound, the commonest ones with a known error (Misra and Gries,
+ * Finding repeated elements, 1982; taken away by the median as in Anderson et al., A high-performance algorithm for
+ * identifying frequent items in data streams, 2017).
  */
 public final class Commonest {
 
@@ -36,7 +35,10 @@
         }
         counts.put(name, new long[] {times});
         if (counts.size() > most) {
-            long median = counts.values().stream().mapToLong(c -> c[0]).sorted().skip(counts.size() / 2)
+            long median = counts.values().stream()
+                    .mapToLong(c -> c[0])
+                    .sorted()
+                    .skip(counts.size() / 2)
                     .findFirst()
                     .orElse(1);
             taken += median;
@@ -52,10 +54,11 @@
     /** The commonest names and their counts, the commonest first, ties by name. */
     public Map<String, Long> top(int number) {
         Map<String, Long> top = new LinkedHashMap<>();
-        counts.entrySet().stream().sorted(Comparator.<Map.Entry<String,
-                long[]>>comparingLong(e -> -e.getValue()[0])
-                .thenComparing(Map.Entry::getKey)).limit(number).forEach(e -> top.put(e.getKey(),
-                        e.getValue()[0]));
+        counts.entrySet().stream()
+                .sorted(Comparator.<Map.Entry<String, long[]>>comparingLong(e -> -e.getValue()[0])
+                        .thenComparing(Map.Entry::getKey))
+                .limit(number)
+                .forEach(e -> top.put(e.getKey(), e.getValue()[0]));
         return top;
     }
 
--- a/src/main/java/sablehinge/tally/Distinct.java
+++ b/src/main/java/sablehinge/tally/Distinct.java
@@ -3,8 +3,7 @@
 import java.util.Arrays;
 
 /**
- * How many different names there were: exact up to a bound, beyond it an estimate by adaptive sampling
- * (Wegman;
+ * How many different names there were: exact up to a bound, beyond it an estimate by adaptive sampling (Wegman;
  * Flajolet, On adaptive sampling, 1990), whose standard error is about 1.2 over the root of the bound.
  */
 public final class Distinct {
@@ -69,7 +68,8 @@
         long[] old = table;
         table = new long[size];
         held = 0;
-        Arrays.stream(old).filter(hash -> hash != 0 && Long.numberOfTrailingZeros(hash) >= level)
+        Arrays.stream(old)
+                .filter(hash -> hash != 0 && Long.numberOfTrailingZeros(hash) >= level)
                 .forEach(this::insert);
     }
 
--- a/src/main/java/sablehinge/tally/Rates.java
+++ b/src/main/java/sablehinge/tally/Rates.java
@@ -3,9 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Events over time, in slices that grow as the time does, so that a second and a year both fit. The slices
- * are
- * whole multiples of their width since 1970.
+ * Events over time, in slices that grow as the time does, so that a second and a year both fit. The slices are whole
+ * multiples of their width since 1970.
  */
 public final class Rates {
 
--- a/src/main/java/sablehinge/timeline/Timeline.java
+++ b/src/main/java/sablehinge/timeline/Timeline.java
@@ -7,13 +7,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Puts logged events on one line of time. They come in the order of the log and leave in the order of time,
- * however
- * long the log is: an event waits until all that may still come before it has come, or until too many wait. A
- * time that
- * is missing lies between its neighbours; a clock that is set back is taken to go on; times in whole seconds
- * are
- * spread over their second by seed, in the log's order, so that they are no burst.
+ * Puts logged events on one line of time. They come in the order of the log and leave in the order of time, however
+ * long the log is: an event waits until all that may still come before it has come, or until too many wait. A time that
+ * is missing lies between its neighbours; a clock that is set back is taken to go on; times in whole seconds are spread
+ * over their second by seed, in the log's order, so that they are no burst.
  *
  * @param <T> what an event carries
  */
@@ -21,6 +18,7 @@
 
     /** Events in a row that must lie far back before the clock counts as set back; fewer are stragglers. */
     private static final int JUMP = 20;
+
     private static final double SECOND = 1_000;
 
     /** Takes events as they leave. */
@@ -38,15 +36,15 @@
      * @param secondSteps whether times are whole seconds
      * @param seed of the spread within a second
      */
-    public record Terms(double window, int mostHeld, boolean secondSteps, long seed) { }
+    public record Terms(double window, int mostHeld, boolean secondSteps, long seed) {}
 
-    private record Held<T>(double time, long order, T item) { }
+    private record Held<T>(double time, long order, T item) {}
 
     private final Terms terms;
     private final Sink<T> sink;
     private final SplittableRandom random;
-    private final PriorityQueue<Held<T>> held = new PriorityQueue<>(
-            Comparator.<Held<T>>comparingDouble(Held::time).thenComparingLong(Held::order));
+    private final PriorityQueue<Held<T>> held =
+            new PriorityQueue<>(Comparator.<Held<T>>comparingDouble(Held::time).thenComparingLong(Held::order));
     private final List<T> untimed = new ArrayList<>();
     private long order;
     private double newest = Double.NEGATIVE_INFINITY;
@@ -54,6 +52,7 @@
     private double left = Double.NEGATIVE_INFINITY;
     /** What is added to the log's times, as its clock was set back. */
     private double shift;
+
     private int farBack;
     private long missing;
     private long outOfOrder;
@@ -119,8 +118,9 @@
     }
 
     private void release() {
-        while (!held.isEmpty() && (held.size() > terms.mostHeld()
-                || held.peek().time() < newest - terms.window() - (terms.secondSteps() ? SECOND : 0))) {
+        while (!held.isEmpty()
+                && (held.size() > terms.mostHeld()
+                        || held.peek().time() < newest - terms.window() - (terms.secondSteps() ? SECOND : 0))) {
             leave();
         }
     }
@@ -170,9 +170,7 @@
         return outOfOrder;
     }
 
-    /**
-     * Events that came so late that their place had passed; they stand at the time of the one before them.
-     */
+    /** Events that came so late that their place had passed; they stand at the time of the one before them. */
     public long late() {
         return late;
     }
--- a/src/main/java/sablehinge/watch/Bytes.java
+++ b/src/main/java/sablehinge/watch/Bytes.java
@@ -10,8 +10,7 @@
 /** Records as bytes. */
 final class Bytes {
 
-    private Bytes() {
-    }
+    private Bytes() {}
 
     /** What writes a record. */
     interface Writing {
--- a/src/main/java/sablehinge/watch/PackedConfiguration.java
+++ b/src/main/java/sablehinge/watch/PackedConfiguration.java
@@ -8,18 +8,18 @@
 import sablehinge.rpc.Connection;
 
 /**
- * A configuration as it travels to sidecars: one byte for the format, four for the length of the body, and
- * the body deflated (RFC 1950, whose checksum tells what was torn). The leader packs each edition once,
- * whatever the number of sidecars; each of them unpacks it once.
+ * A configuration as it travels to sidecars: one byte for the format, four for the length of the body, and the body
+ * deflated (RFC 1950, whose checksum tells what was torn). The leader packs each edition once, whatever the number of
+ * sidecars; each of them unpacks it once.
  */
 public final class PackedConfiguration {
 
     /** The longest body that is unpacked, in bytes. */
     static final int MOST_BYTES = Connection.MOST_BYTES;
+
     private static final int DEFLATED = 1;
 
-    private PackedConfiguration() {
-    }
+    private PackedConfiguration() {}
 
     /** Packs the body of a configuration. */
     public static byte[] pack(byte[] body) {
@@ -45,8 +45,7 @@
         }
         int length = in.readInt();
         if (length < 0 || length > MOST_BYTES) {
-            throw new IOException("a configuration of " + length + " bytes; " + MOST_BYTES
-                    + " at most are expected");
+            throw new IOException("a configuration of " + length + " bytes; " + MOST_BYTES + " at most are expected");
         }
         Inflater inflater = new Inflater();
         try {
--- a/src/main/java/sablehinge/watch/Registrations.java
+++ b/src/main/java/sablehinge/watch/Registrations.java
@@ -8,8 +8,7 @@
 /** Registrations in records. */
 final class Registrations {
 
-    private Registrations() {
-    }
+    private Registrations() {}
 
     static void write(Registration registration, DataOutputStream out) throws IOException {
         out.writeUTF(registration.node());
@@ -23,7 +22,14 @@
     }
 
     static Registration read(DataInputStream in) throws IOException {
-        return new Registration(in.readUTF(), in.readUTF(), in.readUTF(), in.readUTF(), in.readUTF(),
-                in.readBoolean(), in.readUnsignedShort(), in.readInt());
+        return new Registration(
+                in.readUTF(),
+                in.readUTF(),
+                in.readUTF(),
+                in.readUTF(),
+                in.readUTF(),
+                in.readBoolean(),
+                in.readUnsignedShort(),
+                in.readInt());
     }
 }
--- a/src/main/java/sablehinge/watch/RetryBudgetCodec.java
+++ b/src/main/java/sablehinge/watch/RetryBudgetCodec.java
@@ -10,8 +10,7 @@
 /** Claims on shares of further tries, and what is granted of them, in records. */
 public final class RetryBudgetCodec {
 
-    private RetryBudgetCodec() {
-    }
+    private RetryBudgetCodec() {}
 
     /** Writes a claim. */
     public static byte[] bytes(Claim claim) {
@@ -42,8 +41,8 @@
         int count = Bytes.bounded(in.readUnsignedByte(), Claim.MOST);
         List<Claim.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            lines.add(new Claim.Line(in.readUTF(), in.readInt(), in.readInt(), in.readInt(), in.readInt(),
-                    in.readUnsignedShort()));
+            lines.add(new Claim.Line(
+                    in.readUTF(), in.readInt(), in.readInt(), in.readInt(), in.readInt(), in.readUnsignedShort()));
         }
         ended(in);
         return new Claim(life, number, term, service, lines);
--- a/src/main/java/sablehinge/watch/Update.java
+++ b/src/main/java/sablehinge/watch/Update.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.state.Registration;
 import sablehinge.rpc.Connection;
+import sablehinge.state.Registration;
 
 /**
  * The answer to an ask.
@@ -23,8 +23,18 @@
  * @param registrations that changed since the stamp of the ask
  * @param core where the members of the core take records
  */
-public record Update(int number, boolean confirmed, long edition, byte[] body, long term, long stamp,
-        boolean whole, boolean complete, int size, List<Registration> registrations, List<String> core) {
+public record Update(
+        int number,
+        boolean confirmed,
+        long edition,
+        byte[] body,
+        long term,
+        long stamp,
+        boolean whole,
+        boolean complete,
+        int size,
+        List<Registration> registrations,
+        List<String> core) {
 
     private static final int MOST = 10_000;
 
@@ -83,7 +93,6 @@
         for (int i = 0; i < count; i++) {
             core.add(in.readUTF());
         }
-        return new Update(number, confirmed, edition, body, term, stamp, whole, complete, size,
-                registrations, core);
+        return new Update(number, confirmed, edition, body, term, stamp, whole, complete, size, registrations, core);
     }
 }
--- a/src/main/java/sablehinge/watch/WatchRequest.java
+++ b/src/main/java/sablehinge/watch/WatchRequest.java
@@ -5,10 +5,10 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.state.Registration;
 import sablehinge.failuredetection.Accusation;
 import sablehinge.failuredetection.Evidence;
 import sablehinge.failuredetection.Monitor;
+import sablehinge.state.Registration;
 
 /**
  * A data-plane balancer asks for news.
@@ -22,9 +22,15 @@
  * @param accusations whom it watches over and doesn't hear; {@link Monitor#MOST} at most
  * @param vouched whom it hears, and the keeper of the roll doesn't know of; as many at most
  */
-public record WatchRequest(int number, Registration registration, long edition, long term, long stamp,
+public record WatchRequest(
+        int number,
+        Registration registration,
+        long edition,
+        long term,
+        long stamp,
         boolean confirm,
-        List<Accusation> accusations, List<Registration> vouched) {
+        List<Accusation> accusations,
+        List<Registration> vouched) {
 
     private static final Evidence[] EVIDENCE = Evidence.values();
 
@@ -69,8 +75,8 @@
         int count = Bytes.bounded(in.readUnsignedByte(), Monitor.MOST);
         List<Accusation> accusations = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            accusations.add(new Accusation(in.readUTF(),
-                    EVIDENCE[Bytes.bounded(in.readUnsignedByte(), EVIDENCE.length - 1)]));
+            accusations.add(
+                    new Accusation(in.readUTF(), EVIDENCE[Bytes.bounded(in.readUnsignedByte(), EVIDENCE.length - 1)]));
         }
         count = Bytes.bounded(in.readUnsignedByte(), Monitor.MOST);
         List<Registration> vouched = new ArrayList<>(count);
--- a/src/main/java/sablehinge/watch/WatchServer.java
+++ b/src/main/java/sablehinge/watch/WatchServer.java
@@ -6,14 +6,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.state.Registration;
-import sablehinge.state.Registry;
 import sablehinge.failuredetection.Health;
 import sablehinge.failuredetection.HealthView;
+import sablehinge.state.Registration;
+import sablehinge.state.Registry;
 
 /**
- * Answers data-plane balancers that ask for news: at once where there is some, and after a while where there
- * is none. It decides when and with what; whoever leads the core keeps one.
+ * Answers data-plane balancers that ask for news: at once where there is some, and after a while where there is none.
+ * It decides when and with what; whoever leads the core keeps one.
  *
  * @param <K> what names an asker's connection
  */
@@ -24,10 +24,11 @@
     /** How often it is ruled on who is off, in ms. */
     private static final double JUDGE_MS = 40;
     /**
-     * How often one asker is sent a configuration while many come in succession, in ms; the first two of them
-     * are told at once. Reading one of thousands of routes takes a narrow machine a good part of a second.
+     * How often one asker is sent a configuration while many come in succession, in ms; the first two of them are told
+     * at once. Reading one of thousands of routes takes a narrow machine a good part of a second.
      */
     private static final double CONFIGURATION_EVERY_MS = 1_000;
+
     private static final byte[] NONE = new byte[0];
 
     private final Registry registry;
@@ -60,7 +61,7 @@
     }
 
     /** An answer for whoever asked. */
-    public record Told<K>(K to, Update update) { }
+    public record Told<K>(K to, Update update) {}
 
     /** A desk over a roll, which it keeps up. */
     public WatchServer(Registry registry) {
@@ -76,8 +77,8 @@
     }
 
     /**
-     * The committed configuration as {@link PackedConfiguration} packs it, and where the members of the core
-     * take records.
+     * The committed configuration as {@link PackedConfiguration} packs it, and where the members of the core take
+     * records.
      */
     public void holds(long newest, byte[] newestBody, List<String> members) {
         edition = newest;
@@ -157,9 +158,8 @@
     private void judge(double now) {
         List<HealthView.Subject> subjects = new ArrayList<>();
         List<Registration> present = registry.present();
-        present.forEach(registration -> subjects.add(new HealthView.Subject(registration.node(),
-                registration.zone(),
-                registration.service(), registration.ready())));
+        present.forEach(registration -> subjects.add(new HealthView.Subject(
+                registration.node(), registration.zone(), registration.service(), registration.ready())));
         List<HealthView.Ruling> changed = healthView.judge(now, subjects);
         changed.forEach(ruling -> registry.rule(ruling.node(), ruling.health().isOff()));
         for (Registration registration : present) {
@@ -192,10 +192,17 @@
         if (newer) {
             asker.hasConfiguration(round.now);
         }
-        return new Update(request.number(), asker.confirmed, edition, newer ? body : NONE, term,
+        return new Update(
+                request.number(),
+                asker.confirmed,
+                edition,
+                newer ? body : NONE,
+                term,
                 registry.stamp(),
-                whole, complete, round.sharers, changed ? round.since(whole ? 0 : request.stamp())
-                        : List.of(),
+                whole,
+                complete,
+                round.sharers,
+                changed ? round.since(whole ? 0 : request.stamp()) : List.of(),
                 core);
     }
 }
--- a/src/main/java/sablehinge/wire/LittleEndian.java
+++ b/src/main/java/sablehinge/wire/LittleEndian.java
@@ -13,8 +13,7 @@
     private static final VarHandle FLOAT = view(float[].class);
     private static final VarHandle DOUBLE = view(double[].class);
 
-    private LittleEndian() {
-    }
+    private LittleEndian() {}
 
     private static VarHandle view(Class<?> arrayType) {
         return MethodHandles.byteArrayViewVarHandle(arrayType, ByteOrder.LITTLE_ENDIAN);
--- a/src/main/java/sablehinge/wire/Main.java
+++ b/src/main/java/sablehinge/wire/Main.java
@@ -1,24 +1,23 @@
 package sablehinge.wire;
 
-import sablehinge.settings.MalformedInputException;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
-import java.io.FileInputStream;
 import java.io.FileDescriptor;
+import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
 import sablehinge.policy.LatencyWeightedBalancer;
+import sablehinge.settings.MalformedInputException;
 
 /** The command line: {@code wire} reads batches on standard input and answers on standard output. */
 public final class Main {
 
     private static final int BUFFER_BYTES = 1 << 16;
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs the adapter and exits with its status. */
     public static void main(String[] args) {
--- a/src/main/java/sablehinge/wire/WireHost.java
+++ b/src/main/java/sablehinge/wire/WireHost.java
@@ -1,7 +1,5 @@
 package sablehinge.wire;
 
-import sablehinge.settings.MalformedInputException;
-import sablehinge.settings.SettingsParser;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -18,6 +16,8 @@
 import sablehinge.policy.LoadBalancer.Settings;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
+import sablehinge.settings.MalformedInputException;
+import sablehinge.settings.SettingsParser;
 
 /** Reads batches of events, hands each to its instance, and answers every batch with one reply. */
 final class WireHost {
@@ -27,6 +27,7 @@
     static final int ENTRY_BYTES = 24;
     /** Far above any batch seen, far below what an array can hold. */
     private static final long MAX_FRAME_BYTES = 1L << 29;
+
     private static final int LISTS = 16;
     private static final int MAX_REPORT_VALUES = 4;
 
@@ -36,6 +37,7 @@
     private final Map<Integer, Hosted> instances = new HashMap<>();
     /** Upstream lists belong to the process: the same text for every instance that refers to it. */
     private final List<List<Upstream>> lists = new ArrayList<>();
+
     private double clock = Double.NEGATIVE_INFINITY;
     private long frame;
 
@@ -43,7 +45,7 @@
     private int tailAt;
 
     /** An instance with the settings against which its events are checked. */
-    private record Hosted(LoadBalancer balancer, Settings settings) { }
+    private record Hosted(LoadBalancer balancer, Settings settings) {}
 
     WireHost(Function<LoadBalancer.Actions, LoadBalancer> factory) {
         this.factory = factory;
@@ -114,8 +116,8 @@
         }
         Hosted hosted = instances.get(instance);
         if (hosted == null) {
-            throw new MalformedInputException("event " + code + " for unknown instance "
-                    + Integer.toUnsignedString(instance));
+            throw new MalformedInputException(
+                    "event " + code + " for unknown instance " + Integer.toUnsignedString(instance));
         }
         if (code == 9) {
             instances.remove(instance);
@@ -195,8 +197,7 @@
         }
         List<Upstream> list = lists.get(listNumber(at + 10));
         if (list == null) {
-            throw new MalformedInputException("list " + LittleEndian.getShort(body, at + 10)
-                    + " was never given");
+            throw new MalformedInputException("list " + LittleEndian.getShort(body, at + 10) + " was never given");
         }
         return () -> balancer.upstreamsChanged(now, change, list);
     }
@@ -224,9 +225,13 @@
             if (!Float.isFinite(weight)) {
                 throw new MalformedInputException("list entry " + i + ": capacity hint " + weight);
             }
-            list.add(new Upstream(LittleEndian.getUpstream(body, entry),
-                    LittleEndian.getShort(body, entry + 6), LittleEndian.getByte(body, entry + 8),
-                    LittleEndian.getShort(body, entry + 9), State.values()[state], weight,
+            list.add(new Upstream(
+                    LittleEndian.getUpstream(body, entry),
+                    LittleEndian.getShort(body, entry + 6),
+                    LittleEndian.getByte(body, entry + 8),
+                    LittleEndian.getShort(body, entry + 9),
+                    State.values()[state],
+                    weight,
                     number(entry + 16, "start time")));
         }
         lists.set(number, List.copyOf(list));
@@ -243,28 +248,49 @@
         }
         int flags = LittleEndian.getByte(body, at + 40);
         double cost = (flags & 1) != 0 ? Math.max(0, number(at + 32, "cost hint")) : 0;
-        return new Request(LittleEndian.getLong(body, at + 5), serviceClass, tenant,
-                LittleEndian.getLong(body, at + 16), number(at + 24, "deadline"), cost,
-                (flags & 2) != 0, (flags & 4) != 0, 0);
+        return new Request(
+                LittleEndian.getLong(body, at + 5),
+                serviceClass,
+                tenant,
+                LittleEndian.getLong(body, at + 16),
+                number(at + 24, "deadline"),
+                cost,
+                (flags & 2) != 0,
+                (flags & 4) != 0,
+                0);
     }
 
     private Outcome readOutcome(int at) {
-        return new Outcome(LittleEndian.getLong(body, at + 5), LittleEndian.getShort(body, at + 21),
-                LittleEndian.getUpstream(body, at + 15), result(LittleEndian.getByte(body, at + 14)),
-                LittleEndian.getByte(body, at + 13) != 0, number(at + 23, "elapsed"), report(at + 31));
+        return new Outcome(
+                LittleEndian.getLong(body, at + 5),
+                LittleEndian.getShort(body, at + 21),
+                LittleEndian.getUpstream(body, at + 15),
+                result(LittleEndian.getByte(body, at + 14)),
+                LittleEndian.getByte(body, at + 13) != 0,
+                number(at + 23, "elapsed"),
+                report(at + 31));
     }
 
     private static Result result(int code) {
         switch (code) {
-            case 10: return Result.OK;
-            case 20: return Result.ERROR;
-            case 30: return Result.FULL;
-            case 40: return Result.TIMEOUT;
-            case 50: return Result.CONNECT_FAILED;
-            case 60: return Result.RESET;
-            case 70: return Result.CANCELLED;
-            case 80: return Result.NOT_SENT;
-            default: throw new MalformedInputException("unknown outcome " + code);
+            case 10:
+                return Result.OK;
+            case 20:
+                return Result.ERROR;
+            case 30:
+                return Result.FULL;
+            case 40:
+                return Result.TIMEOUT;
+            case 50:
+                return Result.CONNECT_FAILED;
+            case 60:
+                return Result.RESET;
+            case 70:
+                return Result.CANCELLED;
+            case 80:
+                return Result.NOT_SENT;
+            default:
+                throw new MalformedInputException("unknown outcome " + code);
         }
     }
 
@@ -297,8 +323,8 @@
         long bytes = LittleEndian.getUnsignedInt(body, at + 4) * unit;
         long size = body.length - tailAt;
         if (offset + bytes > size) {
-            throw new MalformedInputException("offset " + offset + " with " + bytes
-                    + " bytes leaves the tail of " + size);
+            throw new MalformedInputException(
+                    "offset " + offset + " with " + bytes + " bytes leaves the tail of " + size);
         }
         return tailAt + (int) offset;
     }
--- a/src/test/java/sablehinge/admission/AdmissionControllerTest.java
+++ b/src/test/java/sablehinge/admission/AdmissionControllerTest.java
@@ -91,8 +91,8 @@
     }
 
     private void ends(double now, long id, Result result) {
-        admission.attemptFinished(now, new Outcome(id, 0, AdmissionController.UPSTREAM, result,
-                result == Result.OK, 1, null));
+        admission.attemptFinished(
+                now, new Outcome(id, 0, AdmissionController.UPSTREAM, result, result == Result.OK, 1, null));
     }
 
     @Test
--- a/src/test/java/sablehinge/admission/UpstreamLifecycleTest.java
+++ b/src/test/java/sablehinge/admission/UpstreamLifecycleTest.java
@@ -13,8 +13,8 @@
 import sablehinge.policy.LoadBalancer.Request;
 
 /**
- * What heartbeats and sign-offs do to the gate (RULES, DRAIN), through ends and starts of the balancer's
- * process: every order of a few events, with requests tried all the while. The time is the test's.
+ * What heartbeats and sign-offs do to the gate (RULES, DRAIN), through ends and starts of the balancer's process: every
+ * order of a few events, with requests tried all the while. The time is the test's.
  */
 class UpstreamLifecycleTest {
 
@@ -26,11 +26,20 @@
     private static final String NEXT = "i-2";
     /** Between two events; together with a start they fit into {@code unloadMs}, alone they may not. */
     private static final double[] GAPS = {150, 1_100, 2_600};
+
     private static final double TRIED_EVERY_MS = 50;
     private static final int STEPS = 5;
 
     /** What may happen to the balancer beside an upstream. */
-    private enum Event { READY_BEAT, UNLOADING_BEAT, LATE_READY_BEAT, KILL, START, HEALTH_ANSWER, SIGN_OFF }
+    private enum Event {
+        READY_BEAT,
+        UNLOADING_BEAT,
+        LATE_READY_BEAT,
+        KILL,
+        START,
+        HEALTH_ANSWER,
+        SIGN_OFF
+    }
 
     /** The balancer's machine: its process, if it runs, and what the upstream beside has seen. */
     private static final class Machine implements Actions {
@@ -42,6 +51,7 @@
         private boolean leaves;
         /** When this machine first acknowledged that the life leaves; it must get nothing so long after. */
         private double leavesAt = Double.POSITIVE_INFINITY;
+
         private double latest = Double.NEGATIVE_INFINITY;
 
         void start() {
@@ -115,8 +125,7 @@
                 now += TRIED_EVERY_MS;
                 if (runs()) {
                     lifecycle.tick(now);
-                    gate.request(now, new Request(++requests, 0, 0, number(LIFE), now + 10_000, 100, false,
-                            true, 0));
+                    gate.request(now, new Request(++requests, 0, 0, number(LIFE), now + 10_000, 100, false, true, 0));
                 }
             }
         }
@@ -237,7 +246,8 @@
         machine.befalls(Event.UNLOADING_BEAT);
         double at = machine.now;
         machine.passes(2 * UNLOAD_MS);
-        assertTrue(machine.latest > at + UNLOAD_MS / 4 && machine.latest < at + UNLOAD_MS * 3 / 4,
+        assertTrue(
+                machine.latest > at + UNLOAD_MS / 4 && machine.latest < at + UNLOAD_MS * 3 / 4,
                 "served until " + (machine.latest - at) + " ms after");
     }
 
--- a/src/test/java/sablehinge/api/ConfigurationCheckTest.java
+++ b/src/test/java/sablehinge/api/ConfigurationCheckTest.java
@@ -52,8 +52,11 @@
     @Test
     void aFieldThatIsMistypedIsNamedWhereOneIsMissed() {
         CheckException e = refused(with("\"lanePrefix\"", "\"lanePrefx\""));
-        assertTrue(e.getMessage().endsWith("/sorting/lanePrefix: this field was expected, found none; "
-                + "the nearest one there is \"lanePrefx\""), e.getMessage());
+        assertTrue(
+                e.getMessage()
+                        .endsWith("/sorting/lanePrefix: this field was expected, found none; "
+                                + "the nearest one there is \"lanePrefx\""),
+                e.getMessage());
     }
 
     @Test
@@ -62,65 +65,94 @@
         assertEquals(read, ConfigurationReader.read(EXAMPLE.getBytes(StandardCharsets.UTF_8)));
         assertEquals(7, read.edition());
         assertEquals(new Configuration.Limits(16_384, 67_108_864, 3_000, 15_000), read.limits());
-        assertEquals(List.of(new Configuration.Tenant("hule930",
-                List.of("3fexd9dnn2ctnfzs989a", "nu6wsjnbanfqasnmgkcu"), 1, 83, 83)), read.tenants());
-        assertEquals(new Configuration.Route("r-puxsr7i", "ficu95.example", "/lohu930/",
-                Configuration.Kind.SAFE, 600, 2, false, List.of(new Configuration.Share("huvo11a", 90),
-                        new Configuration.Share("wuno96b", 10)), 4_000, 2), read.routes().get(0));
-        assertEquals(new Configuration.Route("r-427eya6", "ficu95.example", "/pufi791/",
-                Configuration.Kind.UNSAFE, 800, 1, false, List.of(new Configuration.Share("huvo11a", 1)),
-                5_000, 2), read.routes().get(1));
-        assertEquals(new Configuration.Service("wuno96b", "/health", 110), read.services().get(1));
+        assertEquals(
+                List.of(new Configuration.Tenant(
+                        "hule930", List.of("3fexd9dnn2ctnfzs989a", "nu6wsjnbanfqasnmgkcu"), 1, 83, 83)),
+                read.tenants());
+        assertEquals(
+                new Configuration.Route(
+                        "r-puxsr7i",
+                        "ficu95.example",
+                        "/lohu930/",
+                        Configuration.Kind.SAFE,
+                        600,
+                        2,
+                        false,
+                        List.of(new Configuration.Share("huvo11a", 90), new Configuration.Share("wuno96b", 10)),
+                        4_000,
+                        2),
+                read.routes().get(0));
+        assertEquals(
+                new Configuration.Route(
+                        "r-427eya6",
+                        "ficu95.example",
+                        "/pufi791/",
+                        Configuration.Kind.UNSAFE,
+                        800,
+                        1,
+                        false,
+                        List.of(new Configuration.Share("huvo11a", 1)),
+                        5_000,
+                        2),
+                read.routes().get(1));
+        assertEquals(
+                new Configuration.Service("wuno96b", "/health", 110),
+                read.services().get(1));
         Plan plan = new Plan(read);
-        assertEquals("r-puxsr7i", plan.find("ficu95.example", "/lohu930/2f").route().name());
+        assertEquals(
+                "r-puxsr7i", plan.find("ficu95.example", "/lohu930/2f").route().name());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '\0', value = {
-        "\"split\":[{\"depot\":\"huvo11a\" | \"split\":[{\"depot\":\"huvo12a\" | UNKNOWN_SERVICE "
-                + "| /gates/0/regulations/0/dispatch/split/0/depot",
-        "\"dispatch\":{\"depot\":\"huvo11a\" | \"dispatch\":{\"depot\":\"\" | SCHEMA "
-                + "| /gates/0/regulations/1/dispatch/depot",
-        "\"/pufi791/\" | \"/lohu930/\" | SAME_PLACE | /gates/0/regulations/1/sorting/lanePrefix",
-        "\"/pufi791/\" | \"/pufi791\" | BAD_PREFIX | /gates/0/regulations/1/sorting/lanePrefix",
-        "\"/pufi791/\" | \"pufi791/\" | BAD_PREFIX | /gates/0/regulations/1/sorting/lanePrefix",
-        "\"share\":10 | \"share\":-0.5 | BELOW_ZERO | /gates/0/regulations/0/dispatch/split/1/share",
-        "\"timeoutMs\":4000 | \"timeoutMs\":600001 | LONG_TIMEOUT "
-                + "| /gates/0/regulations/0/dispatch/timeoutMs",
-        "\"timeoutMs\":4000 | \"timeoutMs\":1e400 | SCHEMA | /gates/0/regulations/0/dispatch/timeoutMs",
-        "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000,\"attempts\":0 | NO_ATTEMPTS "
-                + "| /gates/0/regulations/1/dispatch/attempts",
-        "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000,\"attempts\":-3 | NO_ATTEMPTS "
-                + "| /gates/0/regulations/1/dispatch/attempts",
-        "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000 | SCHEMA "
-                + "| /gates/0/regulations/1/dispatch/attempts",
-        "\"depot\":\"huvo11a\",\"timeoutMs\":5000 | \"timeoutMs\":5000 | SCHEMA "
-                + "| /gates/0/regulations/1/dispatch",
-        "\"depot\":\"huvo11a\",\"timeoutMs\":5000 | \"depot\":\"huvo11a\",\"split\":[{\"depot\":\"huvo11a\","
-                + "\"share\":1}],\"timeoutMs\":5000 | SCHEMA | /gates/0/regulations/1/dispatch",
-        "\"priority\":1,\"perS\":83,\"burst\":83} | \"priority\":1},{\"name\":\"b\",\"passes\":"
-                + "[\"q\",\"nu6wsjnbanfqasnmgkcu\"]} | SHARED_KEY | /senders/1/passes/1",
-        "\"priority\":1,\"perS\":83,\"burst\":83} | \"priority\":1},{\"name\":\"hule930\",\"passes\":[]} "
-                + "| SAME_NAME | /senders/1/name",
-        "\"name\":\"wuno96b\" | \"name\":\"huvo11a\" | SAME_NAME | /fleets/1/name",
-        "\"edition\":7 | \"edition\":0 | SCHEMA | /edition",
-        "\"edition\":7 | \"edition\":7.5 | SCHEMA | /edition",
-        "\"edition\":7 | \"edition\":\"7\" | SCHEMA | /edition",
-        "\"edition\":7 | \"edition\":null | SCHEMA | /edition",
-        "\"edition\":7 | \"edition\":9223372036854775808 | SCHEMA | /edition",
-        "\"edition\":7 | \"issue\":7 | SCHEMA | /edition",
-        "\"gates\" | \"gate\" | SCHEMA | /gates",
-        "\"fleets\" | \"fleet\" | SCHEMA | /fleets",
-        "\"kind\":\"safe\" | \"kind\":\"sure\" | SCHEMA | /gates/0/regulations/0/kind",
-        "\"open\":false,\"sorting\":{\"lanePrefix\":\"/lohu930/\"} | \"open\":0,\"sorting\":{} | SCHEMA "
-                + "| /gates/0/regulations/0/open",
-        "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000,\"attempts\":1e301 | SCHEMA "
-                + "| /gates/0/regulations/1/dispatch/attempts",
-        "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000,\"attempts\":0.9 | SCHEMA "
-                + "| /gates/0/regulations/1/dispatch/attempts",
-        "\"headerBytes\":16384 | \"headerBytes\":4294967297.0 | SCHEMA | /limits/headerBytes",
-        "\"headerBytes\":16384 | \"headerBytes\":18446744073709551617 | SCHEMA | /limits/headerBytes",
-        "\"headerBytes\":16384 | \"headerBytes\":-1 | SCHEMA | /limits/headerBytes"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '\0',
+            value = {
+                "\"split\":[{\"depot\":\"huvo11a\" | \"split\":[{\"depot\":\"huvo12a\" | UNKNOWN_SERVICE "
+                        + "| /gates/0/regulations/0/dispatch/split/0/depot",
+                "\"dispatch\":{\"depot\":\"huvo11a\" | \"dispatch\":{\"depot\":\"\" | SCHEMA "
+                        + "| /gates/0/regulations/1/dispatch/depot",
+                "\"/pufi791/\" | \"/lohu930/\" | SAME_PLACE | /gates/0/regulations/1/sorting/lanePrefix",
+                "\"/pufi791/\" | \"/pufi791\" | BAD_PREFIX | /gates/0/regulations/1/sorting/lanePrefix",
+                "\"/pufi791/\" | \"pufi791/\" | BAD_PREFIX | /gates/0/regulations/1/sorting/lanePrefix",
+                "\"share\":10 | \"share\":-0.5 | BELOW_ZERO | /gates/0/regulations/0/dispatch/split/1/share",
+                "\"timeoutMs\":4000 | \"timeoutMs\":600001 | LONG_TIMEOUT "
+                        + "| /gates/0/regulations/0/dispatch/timeoutMs",
+                "\"timeoutMs\":4000 | \"timeoutMs\":1e400 | SCHEMA | /gates/0/regulations/0/dispatch/timeoutMs",
+                "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000,\"attempts\":0 | NO_ATTEMPTS "
+                        + "| /gates/0/regulations/1/dispatch/attempts",
+                "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000,\"attempts\":-3 | NO_ATTEMPTS "
+                        + "| /gates/0/regulations/1/dispatch/attempts",
+                "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000 | SCHEMA "
+                        + "| /gates/0/regulations/1/dispatch/attempts",
+                "\"depot\":\"huvo11a\",\"timeoutMs\":5000 | \"timeoutMs\":5000 | SCHEMA "
+                        + "| /gates/0/regulations/1/dispatch",
+                "\"depot\":\"huvo11a\",\"timeoutMs\":5000 | \"depot\":\"huvo11a\",\"split\":[{\"depot\":\"huvo11a\","
+                        + "\"share\":1}],\"timeoutMs\":5000 | SCHEMA | /gates/0/regulations/1/dispatch",
+                "\"priority\":1,\"perS\":83,\"burst\":83} | \"priority\":1},{\"name\":\"b\",\"passes\":"
+                        + "[\"q\",\"nu6wsjnbanfqasnmgkcu\"]} | SHARED_KEY | /senders/1/passes/1",
+                "\"priority\":1,\"perS\":83,\"burst\":83} | \"priority\":1},{\"name\":\"hule930\",\"passes\":[]} "
+                        + "| SAME_NAME | /senders/1/name",
+                "\"name\":\"wuno96b\" | \"name\":\"huvo11a\" | SAME_NAME | /fleets/1/name",
+                "\"edition\":7 | \"edition\":0 | SCHEMA | /edition",
+                "\"edition\":7 | \"edition\":7.5 | SCHEMA | /edition",
+                "\"edition\":7 | \"edition\":\"7\" | SCHEMA | /edition",
+                "\"edition\":7 | \"edition\":null | SCHEMA | /edition",
+                "\"edition\":7 | \"edition\":9223372036854775808 | SCHEMA | /edition",
+                "\"edition\":7 | \"issue\":7 | SCHEMA | /edition",
+                "\"gates\" | \"gate\" | SCHEMA | /gates",
+                "\"fleets\" | \"fleet\" | SCHEMA | /fleets",
+                "\"kind\":\"safe\" | \"kind\":\"sure\" | SCHEMA | /gates/0/regulations/0/kind",
+                "\"open\":false,\"sorting\":{\"lanePrefix\":\"/lohu930/\"} | \"open\":0,\"sorting\":{} | SCHEMA "
+                        + "| /gates/0/regulations/0/open",
+                "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000,\"attempts\":1e301 | SCHEMA "
+                        + "| /gates/0/regulations/1/dispatch/attempts",
+                "\"timeoutMs\":5000,\"attempts\":2 | \"timeoutMs\":5000,\"attempts\":0.9 | SCHEMA "
+                        + "| /gates/0/regulations/1/dispatch/attempts",
+                "\"headerBytes\":16384 | \"headerBytes\":4294967297.0 | SCHEMA | /limits/headerBytes",
+                "\"headerBytes\":16384 | \"headerBytes\":18446744073709551617 | SCHEMA | /limits/headerBytes",
+                "\"headerBytes\":16384 | \"headerBytes\":-1 | SCHEMA | /limits/headerBytes"
+            })
     void eachKindOfInvalid(String from, String to, CheckException.Code code, String place) {
         CheckException e = refused(with(from, to));
         assertEquals(code + " " + place, e.code() + " " + e.place(), e.getMessage());
@@ -129,17 +161,21 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '\0', value = {
-        "\"timeoutMs\":4000 | \"timeoutMs\":600000",
-        "\"share\":10 | \"share\":0",
-        "\"edition\":7 | \"edition\":9223372036854775807",
-        "\"edition\":7 | \"new\":{\"depot\":[{}]},\"edition\":7",
-        "\"kind\":\"safe\" | \"kind\":\"upload\"",
-        "\"nu6wsjnbanfqasnmgkcu\" | \"3fexd9dnn2ctnfzs989a\"",
-        "\"priority\":1,\"perS\":83,\"burst\":83 | \"perS\":null",
-        "\"station\":\"ficu95.example\", | \"station\":\"FICU95.example:80\",",
-        "\"senders\" | \"unsent\"",
-        "\"wuno96b\" | \"w\\u00fcno\""})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '\0',
+            value = {
+                "\"timeoutMs\":4000 | \"timeoutMs\":600000",
+                "\"share\":10 | \"share\":0",
+                "\"edition\":7 | \"edition\":9223372036854775807",
+                "\"edition\":7 | \"new\":{\"depot\":[{}]},\"edition\":7",
+                "\"kind\":\"safe\" | \"kind\":\"upload\"",
+                "\"nu6wsjnbanfqasnmgkcu\" | \"3fexd9dnn2ctnfzs989a\"",
+                "\"priority\":1,\"perS\":83,\"burst\":83 | \"perS\":null",
+                "\"station\":\"ficu95.example\", | \"station\":\"FICU95.example:80\",",
+                "\"senders\" | \"unsent\"",
+                "\"wuno96b\" | \"w\\u00fcno\""
+            })
     void whatIsStillValid(String from, String to) {
         String body = with(from, to);
         assertEquals(ConfigurationReader.read(body.getBytes(StandardCharsets.UTF_8)), check(body));
@@ -161,10 +197,12 @@
 
     @Test
     void hostsThatDifferInCaseOnlyAreOne() {
-        CheckException e = refused(with("}],\"fleets\"", "},{\"station\":\"FICU95.example.\",\"regulations\":"
-                + "[{\"name\":\"r\",\"kind\":\"safe\","
-                + "\"sorting\":{\"lanePrefix\":\"/pufi791/\"},\"dispatch\":"
-                + "{\"depot\":\"huvo11a\",\"timeoutMs\":1,\"attempts\":1}}]}],\"fleets\""));
+        CheckException e = refused(with(
+                "}],\"fleets\"",
+                "},{\"station\":\"FICU95.example.\",\"regulations\":"
+                        + "[{\"name\":\"r\",\"kind\":\"safe\","
+                        + "\"sorting\":{\"lanePrefix\":\"/pufi791/\"},\"dispatch\":"
+                        + "{\"depot\":\"huvo11a\",\"timeoutMs\":1,\"attempts\":1}}]}],\"fleets\""));
         assertEquals(CheckException.Code.SAME_PLACE, e.code());
         assertEquals("/gates/1/regulations/0/sorting/lanePrefix", e.place());
     }
@@ -172,26 +210,31 @@
     @Test
     void theNearestServiceIsNamed() {
         CheckException e = refused(with("{\"depot\":\"wuno96b\"", "{\"depot\":\"wumo69b\""));
-        assertTrue(e.getMessage().endsWith("found \"wumo69b\"; the nearest one is \"wuno96b\""),
-                e.getMessage());
+        assertTrue(e.getMessage().endsWith("found \"wumo69b\"; the nearest one is \"wuno96b\""), e.getMessage());
     }
 
     @Test
     void allProblemsAreToldUpToTwenty() {
-        assertEquals(3, refused(with("\"attempts\":2", "\"attempts\":0").replace("10}", "-1}")).problems()
-                .size());
+        assertEquals(
+                3,
+                refused(with("\"attempts\":2", "\"attempts\":0").replace("10}", "-1}"))
+                        .problems()
+                        .size());
         StringBuilder services = new StringBuilder("\"fleets\":[");
         for (int i = 0; i < 30; i++) {
             services.append("{},");
         }
-        assertEquals(20, refused(with("\"fleets\":[", services.toString())).problems().size());
+        assertEquals(
+                20,
+                refused(with("\"fleets\":[", services.toString())).problems().size());
     }
 
     @Test
     void keysAreNeverTold() {
         CheckException e = refused(with("\"nu6wsjnbanfqasnmgkcu\"", "[\"secret\"],77777,\"\""));
-        e.problems().forEach(problem -> assertFalse(problem.text().contains("secret")
-                || problem.text().contains("7777"), problem.text()));
+        e.problems()
+                .forEach(problem -> assertFalse(
+                        problem.text().contains("secret") || problem.text().contains("7777"), problem.text()));
         assertEquals("/senders/0/passes/1", e.place());
     }
 
@@ -208,9 +251,22 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", " ", "{}{}", "{\"edition\":1}x", "{\"a\":1,\"a\":2}",
-        "{\"a\":{\"b\":1,\"b\":1}}",
-        "{a:1}", "{\"a\":NaN}", "{\"a\":01}", "{\"a\":\"\u0001\"}", "{\"a\":1,}", "nul", "/**/{}"})
+    @ValueSource(
+            strings = {
+                "",
+                " ",
+                "{}{}",
+                "{\"edition\":1}x",
+                "{\"a\":1,\"a\":2}",
+                "{\"a\":{\"b\":1,\"b\":1}}",
+                "{a:1}",
+                "{\"a\":NaN}",
+                "{\"a\":01}",
+                "{\"a\":\"\u0001\"}",
+                "{\"a\":1,}",
+                "nul",
+                "/**/{}"
+            })
     void noJson(String body) {
         CheckException e = refused(body);
         assertEquals(CheckException.Code.NOT_JSON, e.code(), e.getMessage());
@@ -221,27 +277,28 @@
     @ValueSource(strings = {"1", "null", "[]", "\"x\"", "true"})
     void noObject(String body) {
         assertEquals(CheckException.Code.SCHEMA, refused(body).code());
-        assertThrows(CheckException.class,
-                () -> ConfigurationReader.read(body.getBytes(StandardCharsets.UTF_8)));
+        assertThrows(CheckException.class, () -> ConfigurationReader.read(body.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
     void tooDeepAndNoUtf8() {
         assertEquals(CheckException.Code.NOT_JSON, refused("[".repeat(100_000)).code());
-        assertEquals(CheckException.Code.NOT_JSON,
+        assertEquals(
+                CheckException.Code.NOT_JSON,
                 refused("{\"a\":" + "[".repeat(100) + "]".repeat(100) + "}").code());
         byte[] bad = EXAMPLE.getBytes(StandardCharsets.UTF_8);
         bad[EXAMPLE.indexOf("huvo")] = (byte) 0xff;
-        assertEquals(CheckException.Code.NOT_JSON,
-                assertThrows(CheckException.class, () -> ConfigurationCheck.check(bad)).code());
+        assertEquals(
+                CheckException.Code.NOT_JSON,
+                assertThrows(CheckException.class, () -> ConfigurationCheck.check(bad))
+                        .code());
     }
 
     @Test
     void editions() {
         Configuration next = check(EXAMPLE);
         assertDoesNotThrow(() -> ConfigurationCheck.checkEdition(next, 6));
-        CheckException e =
-                assertThrows(CheckException.class, () -> ConfigurationCheck.checkEdition(next, 7));
+        CheckException e = assertThrows(CheckException.class, () -> ConfigurationCheck.checkEdition(next, 7));
         assertEquals(CheckException.Code.OLD_EDITION, e.code());
         assertEquals("/edition: a number above 7 was expected, found 7", e.getMessage());
     }
--- a/src/test/java/sablehinge/api/SpoiltPropertyTest.java
+++ b/src/test/java/sablehinge/api/SpoiltPropertyTest.java
@@ -13,8 +13,9 @@
 /** Whatever a body holds, the answer is a configuration or a refusal with a place. */
 class SpoiltPropertyTest {
 
-    private static final String[] BITS = {"null", "{}", "[]", "0", "-1", "1e9", "\"\"", "true", ",", "}", "]",
-        "{\"a\":1}", "[[1]]", "\"name\":", "\u00e9"};
+    private static final String[] BITS = {
+        "null", "{}", "[]", "0", "-1", "1e9", "\"\"", "true", ",", "}", "]", "{\"a\":1}", "[[1]]", "\"name\":", "\u00e9"
+    };
 
     private static Configuration checked(byte[] body) {
         try {
@@ -35,8 +36,11 @@
 
     /** Takes some bytes out, or a value, and puts something else there. */
     @Property(tries = 4_000)
-    void aPieceIsReplaced(@ForAll @IntRange(max = 1_500) int from, @ForAll @IntRange(max = 12) int length,
-            @ForAll @IntRange(max = 14) int bit, @ForAll boolean whole) {
+    void aPieceIsReplaced(
+            @ForAll @IntRange(max = 1_500) int from,
+            @ForAll @IntRange(max = 12) int length,
+            @ForAll @IntRange(max = 14) int bit,
+            @ForAll boolean whole) {
         String example = ConfigurationCheckTest.EXAMPLE;
         int start = Math.min(from, example.length());
         int end = Math.min(start + length, example.length());
