--- a/src/test/java/sablehinge/control/RaftStoreTest.java
+++ b/src/test/java/sablehinge/control/RaftStoreTest.java
@@ -33,7 +33,8 @@
     }
 
     private static Change append(long... indexes) {
-        return new Change(1, 1, 0, 0, Arrays.stream(indexes).mapToObj(i -> entry(i, 100)).toList(), null);
+        return new Change(
+                1, 1, 0, 0, Arrays.stream(indexes).mapToObj(i -> entry(i, 100)).toList(), null);
     }
 
     private static List<Long> indexes(RaftStore store) {
@@ -54,8 +55,10 @@
             assertEquals(7, stored.term());
             assertEquals(42, stored.votedFor());
             assertArrayEquals(entry(2, 300_000).data(), stored.entries().get(1).data());
-            assertEquals(StoreException.Code.LOCKED, assertThrows(StoreException.class,
-                    () -> RaftStore.open(folder.resolve("a/b"))).code());
+            assertEquals(
+                    StoreException.Code.LOCKED,
+                    assertThrows(StoreException.class, () -> RaftStore.open(folder.resolve("a/b")))
+                            .code());
         }
     }
 
@@ -70,15 +73,15 @@
             store.write(new Change(3, 1, 0, 0, List.of(), new Snapshot(2, 1, List.of(SELF), new byte[] {1})));
             assertEquals(List.of(3L, 4L), indexes(store));
             // One that reaches beyond the log, with what follows it.
-            store.write(new Change(4, 1, 0, 3, List.of(entry(11, 5)),
-                    new Snapshot(10, 1, List.of(SELF), new byte[] {2})));
+            store.write(
+                    new Change(4, 1, 0, 3, List.of(entry(11, 5)), new Snapshot(10, 1, List.of(SELF), new byte[] {2})));
         }
         try (RaftStore store = RaftStore.open(disk)) {
             assertEquals(List.of(11L), indexes(store));
             assertEquals(10, store.load().snapshot().index());
             assertThrows(StoreException.class, () -> store.write(new Change(1, 1, 0, 5, List.of(), null)));
-            store.write(new Change(2, 1, 0, 1, List.of(entry(21, 5)),
-                    new Snapshot(20, 1, List.of(SELF), new byte[] {3})));
+            store.write(
+                    new Change(2, 1, 0, 1, List.of(entry(21, 5)), new Snapshot(20, 1, List.of(SELF), new byte[] {3})));
             assertEquals(List.of(21L), indexes(store));
         }
     }
@@ -86,8 +89,10 @@
     @Test
     void refusesWhatDoesNotFollowAndStaysOpen() {
         try (RaftStore store = RaftStore.open(new CrashDisk(1))) {
-            assertEquals(StoreException.Code.ORDER,
-                    assertThrows(StoreException.class, () -> store.write(append(1))).code());
+            assertEquals(
+                    StoreException.Code.ORDER,
+                    assertThrows(StoreException.class, () -> store.write(append(1)))
+                            .code());
             store.begin(SELF);
             store.write(append(1, 2));
             assertThrows(StoreException.class, () -> store.begin(SELF));
@@ -160,10 +165,11 @@
         store.begin(SELF);
         store.write(append(1, 2));
         disk.room = disk.bytes(RaftStore.FILE).length + 20_000;
-        StoreException full = assertThrows(StoreException.class,
-                () -> store.write(new Change(2, 9, 9, 2, List.of(entry(2, 90_000)), null)));
+        StoreException full = assertThrows(
+                StoreException.class, () -> store.write(new Change(2, 9, 9, 2, List.of(entry(2, 90_000)), null)));
         assertEquals(StoreException.Code.REFUSED, full.code());
-        assertEquals(StoreException.Code.CLOSED,
+        assertEquals(
+                StoreException.Code.CLOSED,
                 assertThrows(StoreException.class, () -> store.write(append(3))).code());
         disk.room = Long.MAX_VALUE;
         try (RaftStore again = RaftStore.open(disk)) {
@@ -205,8 +211,7 @@
             store.begin(SELF);
             int forces = disk.forces;
             for (int i = 1; i <= count; i++) {
-                Snapshot snapshot = i % 64 == 0
-                        ? new Snapshot(i - 8, 1, List.of(SELF), new byte[200_000]) : null;
+                Snapshot snapshot = i % 64 == 0 ? new Snapshot(i - 8, 1, List.of(SELF), new byte[200_000]) : null;
                 store.write(new Change(i, 1, 0, 0, List.of(entry(i, 50_000)), snapshot));
                 longest = Math.max(longest, disk.bytes(RaftStore.FILE).length);
             }
--- a/src/test/java/sablehinge/core/AttemptStateTest.java
+++ b/src/test/java/sablehinge/core/AttemptStateTest.java
@@ -16,7 +16,8 @@
 class AttemptStateTest {
 
     /** The rows are events; the columns UNSENT, PARTLY_SENT, SENT, ANSWERED_EARLY, ANSWERING. */
-    private static final String TABLE = """
+    private static final String TABLE =
+            """
             NO_ROOM           NOT_RUN      NOT_RUN      MAY_HAVE_RUN MAY_HAVE_RUN MAY_HAVE_RUN
             NO_CONNECTION     NOT_RUN      NOT_RUN      MAY_HAVE_RUN MAY_HAVE_RUN MAY_HAVE_RUN
             WRITE_FAILED      NOT_RUN      NOT_RUN      MAY_HAVE_RUN MAY_HAVE_RUN MAY_HAVE_RUN
@@ -52,9 +53,17 @@
 
     /** The module reckons with kinds of failure beside the verdict. */
     @ParameterizedTest
-    @CsvSource({"SENT,DEADLINE,TIMEOUT", "SENT,CONNECTION_ENDED,RESET", "SENT,MALFORMED_ANSWER,ERROR",
-        "UNSENT,NO_ROOM,NOT_SENT", "UNSENT,NO_CONNECTION,CONNECT_FAILED", "SENT,REFUSED_ANSWER,FULL",
-        "SENT,CANCELLED,CANCELLED", "ANSWERING,SERVED_ANSWER,OK", "ANSWERED_EARLY,SERVED_ANSWER,ERROR"})
+    @CsvSource({
+        "SENT,DEADLINE,TIMEOUT",
+        "SENT,CONNECTION_ENDED,RESET",
+        "SENT,MALFORMED_ANSWER,ERROR",
+        "UNSENT,NO_ROOM,NOT_SENT",
+        "UNSENT,NO_CONNECTION,CONNECT_FAILED",
+        "SENT,REFUSED_ANSWER,FULL",
+        "SENT,CANCELLED,CANCELLED",
+        "ANSWERING,SERVED_ANSWER,OK",
+        "ANSWERED_EARLY,SERVED_ANSWER,ERROR"
+    })
     void eachEndHasItsKind(AttemptState state, Event event, Result result) {
         assertEquals(result, state.ends(event));
     }
--- a/src/test/java/sablehinge/core/CoreTest.java
+++ b/src/test/java/sablehinge/core/CoreTest.java
@@ -37,28 +37,47 @@
 class CoreTest {
 
     private static Settings settings(Repeat repeat, int attempts, int mostOpen) {
-        ServiceClass one = new ServiceClass("one", 500, 0, 1_000, 1, 0.5, repeat, Group.ALL, 1_000, false,
+        ServiceClass one =
+                new ServiceClass("one", 500, 0, 1_000, 1, 0.5, repeat, Group.ALL, 1_000, false, false, null, null, 0);
+        return new Settings(
+                0,
+                1,
+                0,
+                1,
+                0,
+                1,
+                1,
                 false,
-                null, null, 0);
-        return new Settings(0, 1, 0, 1, 0, 1, 1, false, true, false, false, false, 1, WeightKind.NONE,
+                true,
+                false,
+                false,
+                false,
+                1,
+                WeightKind.NONE,
                 Reports.NONE,
-                List.of(), List.of(one), List.of(), new Limits(attempts, mostOpen, true, true, false, false,
-                        true,
-                500, 100, 30_000, 1, 0, 0), new Rules(20, 500, 10_000, 0.2, 10_000, 3, 1_500, 0),
-                new Goal(1, 0, 0, 0, 0, 0, 0, 0), new Prices(0, 0, 0, 0, 0, 0, 0, 0));
+                List.of(),
+                List.of(one),
+                List.of(),
+                new Limits(attempts, mostOpen, true, true, false, false, true, 500, 100, 30_000, 1, 0, 0),
+                new Rules(20, 500, 10_000, 0.2, 10_000, 3, 1_500, 0),
+                new Goal(1, 0, 0, 0, 0, 0, 0, 0),
+                new Prices(0, 0, 0, 0, 0, 0, 0, 0));
     }
 
     private static Version version(int number, SplittableRandom random) {
-        return new Version(number, settings(Repeat.values()[random.nextInt(3)], 1 + random.nextInt(4), 1_000),
-                List.of("one"), List.of(), false);
+        return new Version(
+                number,
+                settings(Repeat.values()[random.nextInt(3)], 1 + random.nextInt(4), 1_000),
+                List.of("one"),
+                List.of(),
+                false);
     }
 
     private static Roster roster(SplittableRandom random) {
         List<Roster.Member> members = new ArrayList<>();
         for (long id = 1; id <= 4; id++) {
             if (random.nextInt(4) > 0) {
-                members.add(new Roster.Member(new Upstream(id, 0, 0, 0, State.READY, 1, 0),
-                        new InetSocketAddress(1)));
+                members.add(new Roster.Member(new Upstream(id, 0, 0, 0, State.READY, 1, 0), new InetSocketAddress(1)));
             }
         }
         return new Roster(1, true, members);
@@ -67,7 +86,7 @@
     /** One world: a clock, timers, a transport, and the core in the middle. */
     private static final class World implements Timers, Transport, Registry {
 
-        private record Alarm(double at, long order, Runnable call, boolean[] off) { }
+        private record Alarm(double at, long order, Runnable call, boolean[] off) {}
 
         /** An attempt that is out. */
         private final class Out implements Attempt {
@@ -111,6 +130,7 @@
             boolean gone;
             /** Whether it is taken in before it has ended, and whether it has. */
             boolean comes;
+
             boolean ended;
 
             Asked(Version version) {
@@ -134,8 +154,8 @@
         }
 
         final SplittableRandom random;
-        final PriorityQueue<Alarm> alarms = new PriorityQueue<>(
-                Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
+        final PriorityQueue<Alarm> alarms =
+                new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
         final List<Out> out = new ArrayList<>();
         final List<Asked> asked = new ArrayList<>();
         final Map<Integer, Integer> forgotten = new HashMap<>();
@@ -234,8 +254,8 @@
         }
 
         @Override
-        public Attempt send(Version version, long upstream, Payload request, double until,
-                Purses.Grant grant, Progress progress) {
+        public Attempt send(
+                Version version, long upstream, Payload request, double until, Purses.Grant grant, Progress progress) {
             Asked own = (Asked) request;
             assertEquals(own.version, version, "an attempt under another version");
             assertEquals(0, own.released, "an attempt with what was given back");
@@ -256,19 +276,19 @@
         }
 
         @Override
-        public void closeIdle(long upstream) { }
+        public void closeIdle(long upstream) {}
 
         @Override
-        public void update(Roster roster) { }
+        public void update(Roster roster) {}
 
         @Override
-        public void adopt(Version version) { }
+        public void adopt(Version version) {}
 
         @Override
-        public void fetch() { }
+        public void fetch() {}
 
         @Override
-        public void watch(boolean on) { }
+        public void watch(boolean on) {}
 
         /** The rest of a request comes, if it was still coming; whoever has left sends no rest. */
         void end(int place) {
@@ -284,7 +304,8 @@
             asked.add(one);
             one.comes = random.nextInt(4) == 0;
             Arrival arrival = new Arrival(0, 0, 0, now + 1_000, 0, false, true);
-            one.exchange = one.comes ? core.requestComing(one.version, arrival, one, one)
+            one.exchange = one.comes
+                    ? core.requestComing(one.version, arrival, one, one)
                     : core.request(one.version, arrival, one, one);
         }
     }
@@ -327,7 +348,8 @@
                 case 2, 3, 4 -> {
                     if (!world.out.isEmpty()) {
                         Result[] ends = {Result.OK, Result.OK, Result.ERROR, Result.FULL, Result.RESET};
-                        world.out.get(world.random.nextInt(world.out.size()))
+                        world.out
+                                .get(world.random.nextInt(world.out.size()))
                                 .finish(ends[world.random.nextInt(ends.length)]);
                     }
                 }
@@ -370,9 +392,8 @@
         World world = new World(9);
         List<Double> fired = new ArrayList<>();
         List<LoadBalancer.Outcome> outcomes = new ArrayList<>();
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy
-                .newProxyInstance(CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class},
-                (self, method, arguments) -> {
+        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
                     switch (method.getName()) {
                         case "request" -> {
                             actions.setTimer(1, world.now + 100);
@@ -382,7 +403,7 @@
                         }
                         case "timer" -> fired.add(world.now);
                         case "attemptFinished" -> outcomes.add((LoadBalancer.Outcome) arguments[1]);
-                        default -> { }
+                        default -> {}
                     }
                     return null;
                 }));
@@ -390,8 +411,7 @@
         core.start(only, 9, roster(new SplittableRandom(8)), world, world);
         World.Asked one = world.new Asked(only);
         one.comes = true;
-        Exchange exchange = core.requestComing(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true),
-                one, one);
+        Exchange exchange = core.requestComing(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
         assertEquals(Result.NOT_SENT, outcomes.remove(0).result());
         world.advance(60_000);
         assertEquals(List.of(), fired);
@@ -415,9 +435,8 @@
     @Test
     void whatHasBegunEndsOnceNobodyWaits() {
         World world = new World(3);
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy
-                .newProxyInstance(CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class},
-                (self, method, arguments) -> {
+        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
                     if (method.getName().equals("request")) {
                         actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
                         actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
@@ -428,8 +447,7 @@
         core.start(only, 3, roster(new SplittableRandom(8)), world, world);
         for (boolean leaves : new boolean[] {true, false}) {
             World.Asked one = world.new Asked(only);
-            Exchange exchange = core.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true),
-                    one, one);
+            Exchange exchange = core.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
             for (World.Out out : List.copyOf(world.out)) {
                 out.progress.begun();
             }
@@ -449,14 +467,13 @@
         World world = new World(5);
         List<Double> begun = new ArrayList<>();
         List<LoadBalancer.Outcome> outcomes = new ArrayList<>();
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy
-                .newProxyInstance(CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class},
-                (self, method, arguments) -> {
+        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
                     switch (method.getName()) {
                         case "request" -> actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
                         case "streamStarted" -> begun.add((Double) arguments[3]);
                         case "attemptFinished" -> outcomes.add((LoadBalancer.Outcome) arguments[1]);
-                        default -> { }
+                        default -> {}
                     }
                     return null;
                 }));
@@ -471,16 +488,17 @@
             world.out.get(0).finish(result);
         }
         assertEquals(List.of(30L, 30L), begun.stream().map(Math::round).toList());
-        assertEquals(List.of(30L, 930L), outcomes.stream().map(one -> Math.round(one.elapsed())).toList());
+        assertEquals(
+                List.of(30L, 930L),
+                outcomes.stream().map(one -> Math.round(one.elapsed())).toList());
     }
 
     /** Also a module that breaks its word sends nothing for what has its answer. */
     @Test
     void nothingIsSentOnceItIsAnswered() {
         World world = new World(6);
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy
-                .newProxyInstance(CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class},
-                (self, method, arguments) -> {
+        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
                     if (method.getName().equals("request")) {
                         long id = ((LoadBalancer.Request) arguments[1]).id();
                         actions.send(id, 1, 0);
@@ -505,9 +523,8 @@
     @Test
     void nothingIsLeftOutForWhatIsGivenUp() {
         World world = new World(7);
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy
-                .newProxyInstance(CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class},
-                (self, method, arguments) -> {
+        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
                     if (method.getName().equals("request")) {
                         actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
                     }
@@ -552,7 +569,11 @@
         }
         assertEquals(3, world.core.requests());
         assertEquals(3, world.out.size());
-        assertEquals(List.of(0, 0, 0, 1, 1), world.asked.stream().map(one -> one.answers).toList());
-        assertEquals(List.of(0, 0, 0, 1, 1), world.asked.stream().map(one -> one.released).toList());
+        assertEquals(
+                List.of(0, 0, 0, 1, 1),
+                world.asked.stream().map(one -> one.answers).toList());
+        assertEquals(
+                List.of(0, 0, 0, 1, 1),
+                world.asked.stream().map(one -> one.released).toList());
     }
 }
--- a/src/test/java/sablehinge/eventloop/ClosingEventLoopsTest.java
+++ b/src/test/java/sablehinge/eventloop/ClosingEventLoopsTest.java
@@ -28,15 +28,25 @@
 
     private final CountDownLatch closed = new CountDownLatch(1);
     private final EventLoop loop = ClosingEventLoops.single("closing");
-    private final Channel listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .childHandler(new ChannelInboundHandlerAdapter()).bind(ANY).syncUninterruptibly().channel();
-    private final Channel connection = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+    private final Channel listener = new ServerBootstrap()
+            .group(loop)
+            .channel(NioServerSocketChannel.class)
+            .childHandler(new ChannelInboundHandlerAdapter())
+            .bind(ANY)
+            .syncUninterruptibly()
+            .channel();
+    private final Channel connection = new Bootstrap()
+            .group(loop)
+            .channel(NioSocketChannel.class)
             .handler(new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelInactive(ChannelHandlerContext ctx) {
                     closed.countDown();
                 }
-            }).connect(listener.localAddress()).syncUninterruptibly().channel();
+            })
+            .connect(listener.localAddress())
+            .syncUninterruptibly()
+            .channel();
 
     private void assertAllIsClosed() throws Exception {
         assertFalse(listener.isOpen(), "the listener is open");
@@ -70,8 +80,12 @@
         Channel[] late = new Channel[1];
         loop.execute(() -> {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-            late[0] = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                    .handler(new ChannelInboundHandlerAdapter()).connect(listener.localAddress()).channel();
+            late[0] = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .handler(new ChannelInboundHandlerAdapter())
+                    .connect(listener.localAddress())
+                    .channel();
         });
         assertTrue(loop.terminationFuture().await(20, TimeUnit.SECONDS));
         assertFalse(late[0].isOpen(), "the late connection is open");
--- a/src/test/java/sablehinge/failuredetection/HashRingTest.java
+++ b/src/test/java/sablehinge/failuredetection/HashRingTest.java
@@ -55,7 +55,8 @@
             assertFalse(watchers.contains(node));
             assertTrue(hashRing.watched(node).size() <= HashRing.REACH);
             watchers.forEach(watcher -> assertTrue(hashRing.watched(watcher).contains(node)));
-            hashRing.watched(node).forEach(other -> assertTrue(hashRing.watchers(other).contains(node)));
+            hashRing.watched(node)
+                    .forEach(other -> assertTrue(hashRing.watchers(other).contains(node)));
             if (zones.size() <= HashRing.REACH + 1) {
                 Set<String> others = new HashSet<>(zones.values());
                 others.remove(zones.get(node));
@@ -76,7 +77,8 @@
         zones.remove(one);
         HashRing without = new HashRing(zones);
         long changed = zones.keySet().stream()
-                .filter(node -> !with.watchers(node).equals(without.watchers(node))).count();
+                .filter(node -> !with.watchers(node).equals(without.watchers(node)))
+                .count();
         assertTrue(changed <= HashRing.REACH, changed + " of " + zones.size());
     }
 }
--- a/src/test/java/sablehinge/failuredetection/HealthViewTest.java
+++ b/src/test/java/sablehinge/failuredetection/HealthViewTest.java
@@ -58,8 +58,9 @@
     /** The first so many of its watchers accuse one. */
     private Map<String, List<Accusation>> accused(String node, int watchers, Evidence evidence) {
         Map<String, List<Accusation>> accusations = new HashMap<>();
-        hashRing.watchers(node).subList(0, watchers).forEach(watcher ->
-                accusations.put(watcher, List.of(new Accusation(node, evidence))));
+        hashRing.watchers(node)
+                .subList(0, watchers)
+                .forEach(watcher -> accusations.put(watcher, List.of(new Accusation(node, evidence))));
         return accusations;
     }
 
@@ -114,8 +115,9 @@
     @Test
     void whoIsNoWatcherOfOneCanNotAccuseIt() {
         Map<String, List<Accusation>> all = new HashMap<>();
-        subjects.stream().filter(other -> !hashRing.watchers("n1").contains(other.node())).forEach(other ->
-                all.put(other.node(), List.of(new Accusation("n1", Evidence.RESET))));
+        subjects.stream()
+                .filter(other -> !hashRing.watchers("n1").contains(other.node()))
+                .forEach(other -> all.put(other.node(), List.of(new Accusation("n1", Evidence.RESET))));
         only(later(Set.of("n1"), all), Health.CUT_FROM_CORE);
     }
 
@@ -136,13 +138,16 @@
     /** Those listed are silent, and whoever watches over them says so. */
     private void fall(Set<String> fallen) {
         Map<String, List<Accusation>> accusations = new HashMap<>();
-        fallen.forEach(node -> hashRing.watchers(node).forEach(watcher -> accusations.computeIfAbsent(watcher,
-                name -> new ArrayList<>()).add(new Accusation(node, Evidence.SILENT))));
+        fallen.forEach(node -> hashRing.watchers(node).forEach(watcher -> accusations
+                .computeIfAbsent(watcher, name -> new ArrayList<>())
+                .add(new Accusation(node, Evidence.SILENT))));
         later(fallen, accusations);
     }
 
     private long off() {
-        return subjects.stream().filter(subject -> healthView.health(subject.node()).isOff()).count();
+        return subjects.stream()
+                .filter(subject -> healthView.health(subject.node()).isOff())
+                .count();
     }
 
     @Test
--- a/src/test/java/sablehinge/fleet/FiguresTest.java
+++ b/src/test/java/sablehinge/fleet/FiguresTest.java
@@ -20,8 +20,8 @@
 
     @Test
     void aLineThroughPointsOnALineIsThatLine() {
-        LinearFit fit = LinearFit.through(List.of(new LinearFit.Point(30, 70), new LinearFit.Point(100, 210),
-                new LinearFit.Point(300, 610)));
+        LinearFit fit = LinearFit.through(
+                List.of(new LinearFit.Point(30, 70), new LinearFit.Point(100, 210), new LinearFit.Point(300, 610)));
         assertEquals(2, fit.slope(), SMALL);
         assertEquals(1, fit.fit(), SMALL);
         assertEquals(1_370, fit.at(680), SMALL);
@@ -29,8 +29,8 @@
 
     @Test
     void whatGrowsWithTheSquareFitsALineLess() {
-        LinearFit fit = LinearFit.through(List.of(new LinearFit.Point(0, 0), new LinearFit.Point(1, 1),
-                new LinearFit.Point(2, 4)));
+        LinearFit fit = LinearFit.through(
+                List.of(new LinearFit.Point(0, 0), new LinearFit.Point(1, 1), new LinearFit.Point(2, 4)));
         assertEquals(2, fit.slope(), SMALL);
         assertEquals(12.0 / 13, fit.fit(), SMALL);
     }
@@ -52,8 +52,14 @@
     void whatAProcessUsedIsReadFromTheSystemsTexts() {
         String stat = "77 (a (b) c) S 1 77 77 0 -1 4194560 9 0 0 0 120 30 0 0 20 0 12 0 100 0 0";
         List<String> status = List.of("Name:\ta b", "VmHWM:\t    2048 kB", "VmRSS:\t    1024 kB");
-        List<String> io = List.of("rchar: 1000", "wchar: 2000", "syscr: 10", "syscw: 20", "read_bytes: 0",
-                "write_bytes: 4096", "cancelled_write_bytes: 0");
+        List<String> io = List.of(
+                "rchar: 1000",
+                "wchar: 2000",
+                "syscr: 10",
+                "syscw: 20",
+                "read_bytes: 0",
+                "write_bytes: 4096",
+                "cancelled_write_bytes: 0");
         Usage usage = Usage.parse(stat, status, io);
         assertEquals(new Usage(1_500, 1 << 20, 2 << 20, 1_000, 2_000, 10, 20, 4_096), usage);
         Usage later = new Usage(1_600, 3 << 20, 4 << 20, 1_500, 2_100, 11, 22, 8_192);
@@ -68,7 +74,8 @@
         assertEquals(50, one.routes().size());
         assertEquals(3, one.tenants().size());
         for (int i = 0; i < one.routes().size(); i++) {
-            assertEquals(i != 7 && i != 8, one.routes().get(i).equals(next.routes().get(i)), "route " + i);
+            assertEquals(
+                    i != 7 && i != 8, one.routes().get(i).equals(next.routes().get(i)), "route " + i);
         }
     }
 
@@ -81,7 +88,8 @@
             assertEquals(settings.region(), "region-" + region);
         }
         for (int i = 0; i < 6; i++) {
-            assertEquals(FleetPlan.regionOfZone(FleetPlan.controlZone(i)),
+            assertEquals(
+                    FleetPlan.regionOfZone(FleetPlan.controlZone(i)),
                     plan.regionAt(new InetSocketAddress(plan.controlIp(i), 1)));
         }
     }
--- a/src/test/java/sablehinge/fold/RetryFolderTest.java
+++ b/src/test/java/sablehinge/fold/RetryFolderTest.java
@@ -108,11 +108,9 @@
     }
 
     /** One logged try and the request it really belongs to. */
-    private record Known(Try logged, int request) { }
+    private record Known(Try logged, int request) {}
 
-    /**
-     * A log of callers who ask, try again after a bad end as clients do, and ask for the same things again.
-     */
+    /** A log of callers who ask, try again after a bad end as clients do, and ask for the same things again. */
     private static List<Known> log(long seed, int requests, double named, double bad) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Known> log = new ArrayList<>();
@@ -125,8 +123,16 @@
                 boolean fails = random.nextDouble() < bad;
                 int[] bads = {0, 499, 503, 504, 429, 502};
                 double ended = at + 20 + random.nextInt(400);
-                log.add(new Known(new Try(at, ended, name, caller, "GET", target,
-                        fails ? bads[random.nextInt(bads.length)] : 200), request));
+                log.add(new Known(
+                        new Try(
+                                at,
+                                ended,
+                                name,
+                                caller,
+                                "GET",
+                                target,
+                                fails ? bads[random.nextInt(bads.length)] : 200),
+                        request));
                 if (!fails) {
                     break;
                 }
@@ -137,10 +143,7 @@
         return log;
     }
 
-    /**
-     * Counts tries that were folded rightly, folded though they were first, and not folded though they were
-     * not.
-     */
+    /** Counts tries that were folded rightly, folded though they were first, and not folded though they were not. */
     private static int[] judge(List<Known> log) {
         RetryFolder own = new RetryFolder(Terms.usual());
         Map<Integer, Long> firsts = new HashMap<>();
@@ -169,10 +172,7 @@
         }
     }
 
-    /**
-     * Without names it is a guess: held to a share of errors on logs where callers come back to the same
-     * tiles.
-     */
+    /** Without names it is a guess: held to a share of errors on logs where callers come back to the same tiles. */
     @Test
     void guessesAreRarelyWrong() {
         int[] sum = new int[3];
--- a/src/test/java/sablehinge/http1/CrowdTest.java
+++ b/src/test/java/sablehinge/http1/CrowdTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import sablehinge.policy.LatencyWeightedBalancer;
 import java.io.IOException;
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
 import sablehinge.rig.Script;
--- a/src/test/java/sablehinge/http1/FrontendTest.java
+++ b/src/test/java/sablehinge/http1/FrontendTest.java
@@ -30,42 +30,44 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "GET /nothing/7 HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: nothing\r\nX-Remaining: 1\r\n\r\n",
-        "GET / HTTP/1.1\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: soon\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: -1\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: NaN\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\nX-Estimate: x\r\n\r\n",
-        "POST /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
-        "GET /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n\r\n",
-        "POST /tile-order HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: tile-order\r\nX-Remaining: 1\r\n\r\n",
-        "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nContent-Length: many\r\n\r\n",
-        "no request at all\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n",
-        "GET /tile-order HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
-        "GET http://a/look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Txn: 2\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 0x1p3\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1d\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1 2\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
-        "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n"
-            + "Content-Length: 1\r\n\r\nb",
-        "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
-            + "Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n",
-        "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
-            + "Content-Length: -1\r\n\r\n",
-        "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
-            + "Content-Length: 0\r\nContent-Length: 1\r\n\r\nb",
-        "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
-            + "Transfer-Encoding: gzip\r\n\r\n",
-        "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
-            + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
-        "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
-            + "Content-Length: 60\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-            + "POST /credit-spend HTTP/1.1\r\nX-Txn: 2\r\n"})
+    @ValueSource(
+            strings = {
+                "GET /nothing/7 HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: nothing\r\nX-Remaining: 1\r\n\r\n",
+                "GET / HTTP/1.1\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: soon\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: -1\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: NaN\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\nX-Estimate: x\r\n\r\n",
+                "POST /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
+                "GET /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n\r\n",
+                "POST /tile-order HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: tile-order\r\nX-Remaining: 1\r\n\r\n",
+                "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nContent-Length: many\r\n\r\n",
+                "no request at all\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Remaining: 1\r\n\r\n",
+                "GET /tile-order HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
+                "GET http://a/look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Txn: 2\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 0x1p3\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1d\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1 2\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n\r\n",
+                "GET /look-up HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: look-up\r\nX-Remaining: 1\r\n"
+                        + "Content-Length: 1\r\n\r\nb",
+                "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
+                        + "Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n",
+                "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
+                        + "Content-Length: -1\r\n\r\n",
+                "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
+                        + "Content-Length: 0\r\nContent-Length: 1\r\n\r\nb",
+                "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
+                        + "Transfer-Encoding: gzip\r\n\r\n",
+                "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
+                        + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+                "POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\nX-Remaining: 1\r\n"
+                        + "Content-Length: 60\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+                        + "POST /credit-spend HTTP/1.1\r\nX-Txn: 2\r\n"
+            })
     void aMalformedRequestIsTheCallersFault(String request) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
@@ -126,7 +128,7 @@
             assertEquals(400, caller.read().status());
             assertTrue(caller.ended());
             assertEquals(1, Script.next(stage.script.gone));
-            stage.script.onOutcome = outcome -> { };
+            stage.script.onOutcome = outcome -> {};
             assertEquals(0, stage.upstreams.get(0).waiting());
         }
     }
@@ -401,7 +403,7 @@
             assertEquals(500, caller.read().status());
             assertEquals(1, Script.next(script.gone));
             script.onRequest = request -> script.sendTo(0, request, 0);
-            script.onOpen = (actions, outcome) -> { };
+            script.onOpen = (actions, outcome) -> {};
             stage.servesStill();
         }
     }
@@ -409,7 +411,7 @@
     @Test
     void aRequestThatTheModuleForgetsFailsSoonAfterItsDeadline() throws Exception {
         try (Stage stage = new Stage().start()) {
-            stage.script.onRequest = request -> { };
+            stage.script.onRequest = request -> {};
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "0.1"));
             assertEquals(504, caller.read().status());
--- a/src/test/java/sablehinge/http1/PassingTest.java
+++ b/src/test/java/sablehinge/http1/PassingTest.java
@@ -78,8 +78,10 @@
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
             int first = UpstreamClient.MAX_BODY + 1;
-            upstream.write("HTTP/1.1 200 OK\r\n" + (inChunks ? "Transfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(first) + "\r\n" : "Content-Length: " + LONG + "\r\n\r\n"));
+            upstream.write("HTTP/1.1 200 OK\r\n"
+                    + (inChunks
+                            ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(first) + "\r\n"
+                            : "Content-Length: " + LONG + "\r\n\r\n"));
             upstream.socket.getOutputStream().write(body, 0, first);
             // Served, and timed, before the rest is there.
             InputStream in = caller.socket.getInputStream();
@@ -322,7 +324,10 @@
             try (Stage stage = new Stage(2).start()) {
                 stage.script.onOpen = (actions, outcome) -> {
                     if (outcome.attempt() == 0) {
-                        actions.send(outcome.requestId(), stage.script.upstreams.get(1).id(), 0);
+                        actions.send(
+                                outcome.requestId(),
+                                stage.script.upstreams.get(1).id(),
+                                0);
                     } else {
                         actions.fail(outcome.requestId());
                     }
--- a/src/test/java/sablehinge/http1/UpstreamClientTest.java
+++ b/src/test/java/sablehinge/http1/UpstreamClientTest.java
@@ -1,12 +1,10 @@
 package sablehinge.http1;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import sablehinge.policy.LoadBalancer.Change;
-import sablehinge.policy.LoadBalancer.Result;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,6 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import sablehinge.policy.LoadBalancer.Change;
+import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.rig.Backlog;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
@@ -85,13 +85,15 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "",
-        "HTTP/1.1 200 OK\r\nContent-Le",
-        "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-        // Delimited by the end of the connection only: a crash would look the same.
-        "HTTP/1.1 200 OK\r\n\r\nhalf"})
+    @ValueSource(
+            strings = {
+                "",
+                "HTTP/1.1 200 OK\r\nContent-Le",
+                "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+                // Delimited by the end of the connection only: a crash would look the same.
+                "HTTP/1.1 200 OK\r\n\r\nhalf"
+            })
     void aConnectionThatEndsBeforeTheWholeAnswerIsAReset(String part) throws Exception {
         for (boolean abruptly : new boolean[] {false, true}) {
             try (Stage stage = new Stage().start()) {
@@ -134,8 +136,12 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"})
+    @ValueSource(
+            strings = {
+                "nonsense\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
+            })
     void aMalformedAnswerIsAnError(String answer) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
@@ -151,20 +157,22 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "noise that has no end of a line",
-        "HTTX",
-        "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
-        "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab",
-        "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nab",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more",
-        // These would go on for ever, or never do.
-        "HTTP/1.1 200 OK\r\nContent-Le",
-        "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-        "HTTP/1.1 200 OK\r\n\r\nhalf"})
+    @ValueSource(
+            strings = {
+                "noise that has no end of a line",
+                "HTTX",
+                "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab",
+                "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nab",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more",
+                // These would go on for ever, or never do.
+                "HTTP/1.1 200 OK\r\nContent-Le",
+                "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\n\r\nhalf"
+            })
     void aSpoiltAnswerIsAFailureThatMayHaveRunAndEndsItsConnection(String answer) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
@@ -207,8 +215,7 @@
             caller.write(Stage.get("1", "10"));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
-            upstream.write("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n"
-                    + "Link: x\r\n\r\nHTTP/1");
+            upstream.write("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + "Link: x\r\n\r\nHTTP/1");
             takenIn(stage);
             upstream.write(Stage.ok("served").substring(6));
             assertEquals("served", caller.read().body());
@@ -216,8 +223,13 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"H", "noise", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy",
-        "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nco"})
+    @ValueSource(
+            strings = {
+                "H",
+                "noise",
+                "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy",
+                "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nco"
+            })
     void whatFollowsAnAnswerIsNotTakenForTheNext(String more) throws Exception {
         for (boolean later : new boolean[] {false, true}) {
             try (Stage stage = new Stage().start()) {
@@ -250,11 +262,15 @@
     @Test
     void onlyWhatTheProtocolNamesGoesOn() throws Exception {
         try (Stage stage = new Stage().start()) {
-            stage.caller().write(Stage.get("1", "10").replace("Host:", "Authorization: secret\r\n"
-                    + "X-Turned-Away: 1\r\nX-Labels: a=1\r\nHost:"));
+            stage.caller()
+                    .write(Stage.get("1", "10")
+                            .replace(
+                                    "Host:",
+                                    "Authorization: secret\r\n" + "X-Turned-Away: 1\r\nX-Labels: a=1\r\nHost:"));
             Peer.Message passed = stage.upstreams.get(0).accept().read();
             assertEquals("a=1", passed.header("X-Labels"));
-            assertEquals(java.util.Set.of("host", "x-txn", "x-lane", "x-labels", "x-remaining"),
+            assertEquals(
+                    java.util.Set.of("host", "x-txn", "x-lane", "x-labels", "x-remaining"),
                     passed.headers().keySet());
         }
     }
@@ -264,7 +280,7 @@
         try (Stage stage = new Stage()) {
             stage.sockets = 64 + 5;
             stage.start();
-            stage.script.onRequest = request -> { };
+            stage.script.onRequest = request -> {};
             for (int i = 0; i < 4; i++) {
                 stage.caller().write(Stage.get("r" + i, "20"));
             }
@@ -469,7 +485,8 @@
 
     @Test
     void aConnectionThatNeverComesUpNeverRan() throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
+        try (Stage stage = new Stage();
+                Backlog full = new Backlog()) {
             stage.connectTimeout = 200;
             stage.script.onStart = () -> stage.script.actions.watch(true);
             stage.start();
@@ -483,7 +500,8 @@
 
     @Test
     void anAttemptThatWaitsToConnectDoesNotBeginAfterTheGraceOfADrain() throws Exception {
-        try (Stage stage = new Stage(); Backlog full = new Backlog()) {
+        try (Stage stage = new Stage();
+                Backlog full = new Backlog()) {
             stage.connectTimeout = 15_000;
             stage.drainGrace = 50;
             stage.script.onStart = () -> stage.script.actions.watch(true);
--- a/src/test/java/sablehinge/judge/JudgeTest.java
+++ b/src/test/java/sablehinge/judge/JudgeTest.java
@@ -28,24 +28,47 @@
 
 class JudgeTest {
 
-    private static final Terms TERMS = new Terms(Map.of("safe", new ClassTerms(Effect.SAFE, Group.ALL, 0),
-            "keyed", new ClassTerms(Effect.KEYED, Group.CELL, 4_000), "open", new ClassTerms(Effect.KEYED,
-                    Group.ALL,
-            4_000), "zoned", new ClassTerms(Effect.KEYED, Group.ZONE, 4_000), "unsafe",
-            new ClassTerms(Effect.UNSAFE, Group.ALL, 0)), 70, 2_050, 100, 10_000, true, true);
+    private static final Terms TERMS = new Terms(
+            Map.of(
+                    "safe",
+                    new ClassTerms(Effect.SAFE, Group.ALL, 0),
+                    "keyed",
+                    new ClassTerms(Effect.KEYED, Group.CELL, 4_000),
+                    "open",
+                    new ClassTerms(Effect.KEYED, Group.ALL, 4_000),
+                    "zoned",
+                    new ClassTerms(Effect.KEYED, Group.ZONE, 4_000),
+                    "unsafe",
+                    new ClassTerms(Effect.UNSAFE, Group.ALL, 0)),
+            70,
+            2_050,
+            100,
+            10_000,
+            true,
+            true);
 
     private final List<Breach> breaches = new ArrayList<>();
     private final Judge judge = new Judge(TERMS, breaches::add);
 
     private static Tried tried(String type, double sent, double answered, End end, int status) {
-        return new Tried(Double.isNaN(answered) ? sent + 1_150 : answered, "c", "b1", "q1", "q1", type, "",
+        return new Tried(
+                Double.isNaN(answered) ? sent + 1_150 : answered,
+                "c",
+                "b1",
+                "q1",
+                "q1",
+                type,
+                "",
                 sent,
-                sent + 1_000, answered, end, status, status == 200 ? Echo.SAME : Echo.UNKNOWN);
+                sent + 1_000,
+                answered,
+                end,
+                status,
+                status == 200 ? Echo.SAME : Echo.UNKNOWN);
     }
 
     private static Ran ran(int server, double begun, double ended, How how) {
-        return new Ran(ended, "s" + server, "z" + server % 2, server / 2, "b1", "q1", "", "", "", begun,
-                begun, how);
+        return new Ran(ended, "s" + server, "z" + server % 2, server / 2, "b1", "q1", "", "", "", begun, begun, how);
     }
 
     /** The rules that are broken, in the order of finding. */
@@ -92,12 +115,14 @@
 
     @Test
     void twoAnswersAndAnAnswerOfAnotherRequestAreBreaches() {
-        assertEquals(List.of(Rule.ANSWER), rules(ran(1, 5, 20, How.SERVED), tried("safe", 0, 30,
-                End.ANSWERED, 200),
-                new Unasked(35, "c", "b1", "q1")));
+        assertEquals(
+                List.of(Rule.ANSWER),
+                rules(
+                        ran(1, 5, 20, How.SERVED),
+                        tried("safe", 0, 30, End.ANSWERED, 200),
+                        new Unasked(35, "c", "b1", "q1")));
         breaches.clear();
-        Tried other = new Tried(30, "c", "b1", "q2", "q2", "safe", "", 0, 1_000, 30, End.ANSWERED, 200,
-                Echo.OTHER);
+        Tried other = new Tried(30, "c", "b1", "q2", "q2", "safe", "", 0, 1_000, 30, End.ANSWERED, 200, Echo.OTHER);
         assertEquals(List.of(Rule.ANSWER), rules(other));
         assertEquals("q2", breaches.get(0).txn());
     }
@@ -105,32 +130,40 @@
     @Test
     void aSendAfterTheAnswerIsABreach() {
         assertEquals(List.of(), rules(ran(1, 129, 140, How.SERVED), tried("safe", 0, 30, End.ANSWERED, 200)));
-        assertEquals(List.of(Rule.ANSWER), rules(ran(1, 131, 140, How.SERVED),
-                tried("safe", 0, 30, End.ANSWERED, 200)));
+        assertEquals(
+                List.of(Rule.ANSWER), rules(ran(1, 131, 140, How.SERVED), tried("safe", 0, 30, End.ANSWERED, 200)));
     }
 
     @Test
     void anUnsafeRequestMayGoOnOnlyAfterProofThatItNeverRan() {
         for (How proof : List.of(How.TURNED_AWAY, How.CUT)) {
-            assertEquals(List.of(), rules(ran(1, 5, 10, proof), ran(2, 11, 20, How.SERVED),
-                    tried("unsafe", 0, 30, End.ANSWERED, 200)), proof.toString());
+            assertEquals(
+                    List.of(),
+                    rules(ran(1, 5, 10, proof), ran(2, 11, 20, How.SERVED), tried("unsafe", 0, 30, End.ANSWERED, 200)),
+                    proof.toString());
         }
         for (How doubt : List.of(How.ERROR, How.RESET, How.CANCELLED, How.SERVED)) {
             breaches.clear();
-            assertEquals(List.of(Rule.EFFECT), rules(ran(1, 5, 10, doubt), ran(2, 11, 20, How.SERVED),
-                    tried("unsafe", 0, 30, End.ANSWERED, 200)), doubt.toString());
+            assertEquals(
+                    List.of(Rule.EFFECT),
+                    rules(ran(1, 5, 10, doubt), ran(2, 11, 20, How.SERVED), tried("unsafe", 0, 30, End.ANSWERED, 200)),
+                    doubt.toString());
         }
         breaches.clear();
-        assertEquals(List.of(Rule.EFFECT), rules(ran(1, 5, 15, How.TURNED_AWAY), ran(2, 11, 20, How.SERVED),
-                tried("unsafe", 0, 30, End.ANSWERED, 200)), "nobody could know yet that it was turned away");
+        assertEquals(
+                List.of(Rule.EFFECT),
+                rules(
+                        ran(1, 5, 15, How.TURNED_AWAY),
+                        ran(2, 11, 20, How.SERVED),
+                        tried("unsafe", 0, 30, End.ANSWERED, 200)),
+                "nobody could know yet that it was turned away");
         assertTrue(breaches.get(0).what().contains("s2 while it was out at s1"));
         assertEquals(List.of(), new ArrayList<>(rules2("safe")), "a safe one may run as often as it likes");
     }
 
     private List<Rule> rules2(String type) {
         breaches.clear();
-        return rules(ran(1, 5, 10, How.ERROR), ran(2, 6, 20, How.SERVED), tried(type, 0, 30, End.ANSWERED,
-                200));
+        return rules(ran(1, 5, 10, How.ERROR), ran(2, 6, 20, How.SERVED), tried(type, 0, 30, End.ANSWERED, 200));
     }
 
     @Test
@@ -146,35 +179,38 @@
 
     private List<Rule> keyed(String type, int first, int second, double at) {
         breaches.clear();
-        Tried last = new Tried(at + 30, "c", "b1", "q1", "q1", type, "k", 0, 10_000, at + 30, End.ANSWERED,
-                200,
-                Echo.SAME);
+        Tried last =
+                new Tried(at + 30, "c", "b1", "q1", "q1", type, "k", 0, 10_000, at + 30, End.ANSWERED, 200, Echo.SAME);
         return rules(ran(first, 5, 10, How.RESET), ran(second, at, at + 20, How.SERVED), last);
     }
 
     @Test
     void aRefusalOfWhatMayHaveRunIsABreachWhereTryingAgainDoesHarm() {
-        Map.of("safe", false, "open", false, "keyed", true, "zoned", true, "unsafe", true).forEach((type,
-                harm) -> {
-            for (int status : new int[] {429, 503}) {
-                breaches.clear();
-                assertEquals(harm ? List.of(Rule.EFFECT) : List.of(), rules(ran(1, 5, 10, How.ERROR),
-                        tried(type, 0, 30, End.ANSWERED, status)), type);
-                breaches.clear();
-                assertEquals(List.of(), rules(ran(1, 5, 10, How.TURNED_AWAY),
-                        tried(type, 0, 30, End.ANSWERED, status)), type);
-            }
-        });
+        Map.of("safe", false, "open", false, "keyed", true, "zoned", true, "unsafe", true)
+                .forEach((type, harm) -> {
+                    for (int status : new int[] {429, 503}) {
+                        breaches.clear();
+                        assertEquals(
+                                harm ? List.of(Rule.EFFECT) : List.of(),
+                                rules(ran(1, 5, 10, How.ERROR), tried(type, 0, 30, End.ANSWERED, status)),
+                                type);
+                        breaches.clear();
+                        assertEquals(
+                                List.of(),
+                                rules(ran(1, 5, 10, How.TURNED_AWAY), tried(type, 0, 30, End.ANSWERED, status)),
+                                type);
+                    }
+                });
     }
 
     @Test
     void drainsCountFromTheFirstNewsUntilItIsUpAgain() {
         assertEquals(List.of(), drained(2_100, new Told(50, "b1", "s1", "draining")));
         assertEquals(List.of(Rule.DRAIN), drained(2_101, new Told(50, "b1", "s1", "draining")));
-        assertEquals(List.of(Rule.DRAIN), drained(2_101, new Told(50, "b1", "s1", "draining"),
-                new Told(2_000, "b1", "s1", "removed")));
-        assertEquals(List.of(), drained(2_101, new Told(50, "b1", "s1", "draining"), new Told(90, "b1",
-                "s1", "up")));
+        assertEquals(
+                List.of(Rule.DRAIN),
+                drained(2_101, new Told(50, "b1", "s1", "draining"), new Told(2_000, "b1", "s1", "removed")));
+        assertEquals(List.of(), drained(2_101, new Told(50, "b1", "s1", "draining"), new Told(90, "b1", "s1", "up")));
         assertEquals(List.of(), drained(2_101, new Told(50, "b2", "s1", "draining")), "another one was told");
         assertEquals(List.of(), drained(2_101, new Told(50, "b1", "s2", "draining")), "of another one");
     }
@@ -186,9 +222,20 @@
         fresh.take(ran(1, begun, begun + 5, How.SERVED));
         // What is told after the send says nothing of it.
         fresh.take(new Told(begun + 6, "b1", "s1", "up"));
-        fresh.take(new Tried(begun + 10, "c", "b1", "q1", "q1", "safe", "", begun - 5, begun + 995, begun
-                + 10,
-                End.ANSWERED, 200, Echo.SAME));
+        fresh.take(new Tried(
+                begun + 10,
+                "c",
+                "b1",
+                "q1",
+                "q1",
+                "safe",
+                "",
+                begun - 5,
+                begun + 995,
+                begun + 10,
+                End.ANSWERED,
+                200,
+                Echo.SAME));
         fresh.end();
         return breaches.stream().map(Breach::rule).toList();
     }
@@ -211,10 +258,14 @@
 
     @Test
     void theTimelineHasAllPartiesInOrder() {
-        rules(tried("unsafe", 0, 30, End.ANSWERED, 200), ran(2, 11, 20, How.SERVED), ran(1, 5, 10, How.ERROR),
+        rules(
+                tried("unsafe", 0, 30, End.ANSWERED, 200),
+                ran(2, 11, 20, How.SERVED),
+                ran(1, 5, 10, How.ERROR),
                 new Noted(31, "b1", "q1", "served after 2 attempts"));
-        List<String> order = breaches.get(0).timeline().stream().map(one -> one.getClass().getSimpleName()
-                + (one instanceof Ran ran ? ran.server() : "")).toList();
+        List<String> order = breaches.get(0).timeline().stream()
+                .map(one -> one.getClass().getSimpleName() + (one instanceof Ran ran ? ran.server() : ""))
+                .toList();
         assertEquals(List.of("Tried", "Rans1", "Rans2", "Noted"), order);
     }
 
@@ -222,9 +273,8 @@
     void whatIsHeldIsBoundedAndTheOldestIsJudgedFirst() {
         Judge bounded = new Judge(TERMS, breaches::add, 100);
         for (int i = 0; i < 1_000; i++) {
-            bounded.take(new Tried(i, "c", "b1", "q" + i, "q" + i, "safe", "", i, i + 10, i + 5,
-                    End.ANSWERED, 503,
-                    Echo.UNKNOWN));
+            bounded.take(new Tried(
+                    i, "c", "b1", "q" + i, "q" + i, "safe", "", i, i + 10, i + 5, End.ANSWERED, 503, Echo.UNKNOWN));
             assertTrue(bounded.held() <= 100);
         }
         assertEquals(900, bounded.early());
@@ -236,9 +286,8 @@
     void whatIsOldEnoughIsJudgedAndForgotten() {
         for (int i = 0; i < 1_000; i++) {
             double at = i * 100.0;
-            judge.take(new Tried(at, "c", "b1", "q" + i, "q" + i, "safe", "", at, at + 10, at + 5,
-                    End.ANSWERED, 503,
-                    Echo.UNKNOWN));
+            judge.take(new Tried(
+                    at, "c", "b1", "q" + i, "q" + i, "safe", "", at, at + 10, at + 5, End.ANSWERED, 503, Echo.UNKNOWN));
             assertTrue(judge.held() <= 102);
         }
         assertEquals(0, judge.early());
@@ -277,21 +326,41 @@
             if (!may || last == How.SERVED) {
                 break;
             }
-            int server = type.equals("keyed") && mayHaveRun ? cell * 2 + random.nextInt(2)
-                    : random.nextInt(6);
+            int server = type.equals("keyed") && mayHaveRun ? cell * 2 + random.nextInt(2) : random.nextInt(6);
             cell = server / 2;
             last = How.values()[random.nextInt(How.values().length)];
             double took = random.nextDouble(1, 100);
-            history.add(new Ran(time + took, "s" + server, "z" + server % 2, cell, "b1", txn, "", "", "",
+            history.add(new Ran(
+                    time + took,
+                    "s" + server,
+                    "z" + server % 2,
+                    cell,
+                    "b1",
+                    txn,
+                    "",
+                    "",
+                    "",
                     time + 0.5,
-                    time + 0.6, last));
+                    time + 0.6,
+                    last));
             mayHaveRun |= last.mayHaveRun();
             time += took + 1;
         }
         boolean harm = mayHaveRun && (type.equals("unsafe") || type.equals("keyed"));
         int status = last == How.SERVED ? 200 : harm || random.nextBoolean() ? 502 : 503;
-        history.add(new Tried(time + 1, "c", "b1", txn, txn, type, "", at, at + 1_000, time + 1,
-                End.ANSWERED, status,
+        history.add(new Tried(
+                time + 1,
+                "c",
+                "b1",
+                txn,
+                txn,
+                type,
+                "",
+                at,
+                at + 1_000,
+                time + 1,
+                End.ANSWERED,
+                status,
                 status == 200 ? Echo.SAME : Echo.UNKNOWN));
     }
 }
--- a/src/test/java/sablehinge/log/LoggingTest.java
+++ b/src/test/java/sablehinge/log/LoggingTest.java
@@ -84,14 +84,15 @@
         TimeZone before = TimeZone.getDefault();
         TimeZone.setDefault(TimeZone.getTimeZone("UTC"));
         try {
-            String text = written(new LogTerms(LogTerms.Format.TEXT, Level.INFO, Map.of(), 5),
-                    log -> {
-                        Log.warn(log, "caller-failed").addKeyValue("cause", "x").log("it failed: {}", "x");
-                        log.error("worse");
-                    });
+            String text = written(new LogTerms(LogTerms.Format.TEXT, Level.INFO, Map.of(), 5), log -> {
+                Log.warn(log, "caller-failed").addKeyValue("cause", "x").log("it failed: {}", "x");
+                log.error("worse");
+            });
             String[] all = text.split("\n");
-            assertTrue(all[0].matches("[A-Z][a-z]{2} [0-9]{2}, 20[0-9]{2} 1?[0-9]:[0-9]{2}:[0-9]{2} [AP]M "
-                    + "sablehinge\\.log\\.LoggingTest lambda\\$linesOfTextAreThoseOfOld\\$[0-9]+"), all[0]);
+            assertTrue(
+                    all[0].matches("[A-Z][a-z]{2} [0-9]{2}, 20[0-9]{2} 1?[0-9]:[0-9]{2}:[0-9]{2} [AP]M "
+                            + "sablehinge\\.log\\.LoggingTest lambda\\$linesOfTextAreThoseOfOld\\$[0-9]+"),
+                    all[0]);
             assertEquals("WARNING: it failed: x", all[1]);
             assertEquals("SEVERE: worse", all[3]);
             assertEquals(4, all.length);
@@ -103,10 +104,13 @@
     @Test
     void aLineOfJsonHasItsFieldsAndABoundedStack() throws IOException {
         Exception thrown = new IllegalStateException("why\nso");
-        thrown.setStackTrace(java.util.stream.IntStream.range(0, 5_000).mapToObj(i -> new StackTraceElement(
-                "some.Deep", "call" + i, "Deep.java", i)).toArray(StackTraceElement[]::new));
+        thrown.setStackTrace(java.util.stream.IntStream.range(0, 5_000)
+                .mapToObj(i -> new StackTraceElement("some.Deep", "call" + i, "Deep.java", i))
+                .toArray(StackTraceElement[]::new));
         String text = written(json(5, Map.of()), log -> Log.error(log, "list-failed")
-                .addKeyValue("version", 3).setCause(thrown).log("a \"list\"\n{}", "x"));
+                .addKeyValue("version", 3)
+                .setCause(thrown)
+                .log("a \"list\"\n{}", "x"));
         assertEquals(1, text.lines().count(), text);
         JsonNode line = JsonMapper.builder().build().readTree(text);
         assertEquals("list-failed", line.path("event").asText());
--- a/src/test/java/sablehinge/mapping/MappingTest.java
+++ b/src/test/java/sablehinge/mapping/MappingTest.java
@@ -24,8 +24,17 @@
 
     private static Rule rule(String path, String serviceClass, String key) {
         PathPattern pattern = new PathPattern(path);
-        return new Rule(null, null, pattern, null, null, new Template(serviceClass, pattern.names()),
-                new Template(key, pattern.names()), new Template("", Set.of()), 0, -1);
+        return new Rule(
+                null,
+                null,
+                pattern,
+                null,
+                null,
+                new Template(serviceClass, pattern.names()),
+                new Template(key, pattern.names()),
+                new Template("", Set.of()),
+                0,
+                -1);
     }
 
     private static Mapped by(String path, String key, String target) {
@@ -45,14 +54,17 @@
 
     @Test
     void aPathIsTakenApartByItsPattern() {
-        assertEquals("7-3-5", by("/tiles/{z}/{x}/{y}.png", "{z}-{x}-{y}", "/tiles/7/3/5.png?v=1").key());
+        assertEquals(
+                "7-3-5",
+                by("/tiles/{z}/{x}/{y}.png", "{z}-{x}-{y}", "/tiles/7/3/5.png?v=1")
+                        .key());
         assertEquals("5", by("/t/*/{y}", "{y}", "/t/anything/5").key());
         assertEquals("a/b/c", by("/t/{rest...}", "{rest}", "/t/a/b/c").key());
         assertEquals("", by("/t/{rest...}", "{rest}", "/t").key());
         assertEquals("", by("/t/**", "", "/t/a/b").key());
         assertEquals("", by("/**", "", "/").key());
-        for (String other : List.of("/tiles/7/3", "/tiles/7/3/5", "/tiles/7/3/.png", "/tiles/7/3/5.png/x",
-                "/tile/7/3/5.png", "*")) {
+        for (String other : List.of(
+                "/tiles/7/3", "/tiles/7/3/5", "/tiles/7/3/.png", "/tiles/7/3/5.png/x", "/tile/7/3/5.png", "*")) {
             assertNull(by("/tiles/{z}/{x}/{y}.png", "", other), other);
         }
         assertNull(by("/t/{rest...}", "", "/tt"));
@@ -63,10 +75,15 @@
     void theFirstRuleThatFitsWins() {
         Rule first = rule("/t/{a}", "first", "");
         Rule second = rule("/t/**", "second", "");
-        assertEquals("first", new Mapping(List.of(first, second)).map(asked("GET", "/t/1")).serviceClass());
-        assertEquals("second", new Mapping(List.of(first, second)).map(asked("GET", "/t/1/2"))
-                .serviceClass());
-        assertEquals("second", new Mapping(List.of(second, first)).map(asked("GET", "/t/1")).serviceClass());
+        assertEquals(
+                "first",
+                new Mapping(List.of(first, second)).map(asked("GET", "/t/1")).serviceClass());
+        assertEquals(
+                "second",
+                new Mapping(List.of(first, second)).map(asked("GET", "/t/1/2")).serviceClass());
+        assertEquals(
+                "second",
+                new Mapping(List.of(second, first)).map(asked("GET", "/t/1")).serviceClass());
         assertNull(new Mapping(List.of(first, second)).map(asked("GET", "/u")));
     }
 
@@ -77,36 +94,59 @@
         Rule.Named query = new Rule.Named("f", new Glob("png"));
         Template tenant = new Template("{header.X-Partner}", Set.of());
         Template key = new Template("{method} {host} {path} {caller} {query.k}{query.none}", Set.of());
-        Mapping all = new Mapping(List.of(new Rule(Set.of("GET", "HEAD"), new Glob("*.example"), null, header,
-                query, fixed, key, tenant, 1_500, 64)));
-        assertEquals(new Mapped("c", "HEAD tiles.example /a 10.0.0.1 7", "council-7", 1_500, 64),
+        Mapping all = new Mapping(List.of(new Rule(
+                Set.of("GET", "HEAD"), new Glob("*.example"), null, header, query, fixed, key, tenant, 1_500, 64)));
+        assertEquals(
+                new Mapped("c", "HEAD tiles.example /a 10.0.0.1 7", "council-7", 1_500, 64),
                 all.map(asked("HEAD", "/a?f=png&k=7")));
         assertNull(all.map(asked("POST", "/a?f=png")));
         assertNull(all.map(asked("GET", "/a?f=jpg")));
         assertNull(all.map(asked("GET", "/a?ff=png")));
-        assertNull(all.map(new Asked("GET", "tiles.other", "/a?f=png", "", Map.of("x-partner",
-                "council-7"))));
+        assertNull(all.map(new Asked("GET", "tiles.other", "/a?f=png", "", Map.of("x-partner", "council-7"))));
         assertNull(all.map(new Asked("GET", null, "/a?f=png", "", Map.of("x-partner", "council-7"))));
         assertNull(all.map(new Asked("GET", "a.example", "/a?f=png", "", Map.of())));
     }
 
     @Test
     void aClassThatComesToNothingIsNoMatch() {
-        Mapping byQuery = new Mapping(List.of(new Rule(null, null, null, null, null,
-                new Template("{query.class}", Set.of()), new Template("", Set.of()), new Template("",
-                        Set.of()),
-                0, -1)));
+        Mapping byQuery = new Mapping(List.of(new Rule(
+                null,
+                null,
+                null,
+                null,
+                null,
+                new Template("{query.class}", Set.of()),
+                new Template("", Set.of()),
+                new Template("", Set.of()),
+                0,
+                -1)));
         assertNull(byQuery.map(asked("GET", "/a")));
         assertEquals("x", byQuery.map(asked("GET", "/a?class=x")).serviceClass());
     }
 
     @Test
     void whatIsWrongWithAPatternIsTold() {
-        Map<String, String> bad = Map.of("tiles", "begins with /", "/{a", "without its }", "/a}",
+        Map<String, String> bad = Map.of(
+                "tiles",
+                "begins with /",
+                "/{a",
+                "without its }",
+                "/a}",
                 "without its {",
-                "/{a}{b}", "more than one", "/{a}/{a}", "twice", "/**/x", "at the end", "/{1}",
-                        "expected a name",
-                "/{rest...}/x", "at the end", "/*{a}", "more than one", "/a**", "more than one");
+                "/{a}{b}",
+                "more than one",
+                "/{a}/{a}",
+                "twice",
+                "/**/x",
+                "at the end",
+                "/{1}",
+                "expected a name",
+                "/{rest...}/x",
+                "at the end",
+                "/*{a}",
+                "more than one",
+                "/a**",
+                "more than one");
         bad.forEach((text, why) -> {
             String message = assertThrows(IllegalArgumentException.class, () -> new PathPattern(text), text)
                     .getMessage();
@@ -126,12 +166,11 @@
 
     /** Against the same pattern as a regular expression, which is not bounded in time as this is. */
     @Property(tries = 2_000)
-    void aGlobIsWhatItsRegularExpressionIs(@ForAll @CharRange(from = 'a',
-            to = 'b') @StringLength(max = 12) String text,
+    void aGlobIsWhatItsRegularExpressionIs(
+            @ForAll @CharRange(from = 'a', to = 'b') @StringLength(max = 12) String text,
             @ForAll @StringLength(max = 8) @CharRange(from = 'a', to = 'c') String pattern) {
         String glob = pattern.replace('c', '*');
-        assertEquals(text.matches(pattern.replace("c", ".*")), new Glob(glob).matches(text), glob + " "
-                + text);
+        assertEquals(text.matches(pattern.replace("c", ".*")), new Glob(glob).matches(text), glob + " " + text);
     }
 
     @Test
--- a/src/test/java/sablehinge/membership/DiscoveryTest.java
+++ b/src/test/java/sablehinge/membership/DiscoveryTest.java
@@ -3,9 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import sablehinge.eventloop.ClosingEventLoops;
-import sablehinge.policy.LatencyWeightedBalancer;
-import sablehinge.policy.LoadBalancer.Change;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -17,6 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import sablehinge.config.PlatformConfig;
+import sablehinge.eventloop.ClosingEventLoops;
+import sablehinge.policy.LatencyWeightedBalancer;
+import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
 import sablehinge.rig.Script;
@@ -42,16 +42,24 @@
         try (stage) {
             started();
             Peer watch = stage.discovery.accept();
-            assertEquals("GET /catalog/members?index=41&wait=20000 HTTP/1.1", watch.read().first());
+            assertEquals(
+                    "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
+                    watch.read().first());
             watch.write(Stage.ok(Stage.roster(45, false, Stage.entry(0, "127.0.0.1:1", "draining"))));
             assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertEquals("GET /catalog/members?index=45&wait=20000 HTTP/1.1", watch.read().first());
+            assertEquals(
+                    "GET /catalog/members?index=45&wait=20000 HTTP/1.1",
+                    watch.read().first());
             watch.write(Stage.ok(Stage.roster(46, false)));
             assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertEquals("GET /catalog/members?index=46&wait=20000 HTTP/1.1", watch.read().first());
+            assertEquals(
+                    "GET /catalog/members?index=46&wait=20000 HTTP/1.1",
+                    watch.read().first());
             watch.write(Stage.ok(Stage.roster(47, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}")));
             assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            assertEquals("GET /catalog/members?index=47&wait=20000 HTTP/1.1", watch.read().first());
+            assertEquals(
+                    "GET /catalog/members?index=47&wait=20000 HTTP/1.1",
+                    watch.read().first());
         }
     }
 
@@ -64,17 +72,26 @@
             two.maxAttempts = 3;
             two.start(LatencyWeightedBalancer::new);
             Peer silent = two.discovery.accept();
-            assertEquals("GET /catalog/members?index=41&wait=20000 HTTP/1.1", silent.read().first());
+            assertEquals(
+                    "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
+                    silent.read().first());
             Peer caller = two.caller();
             caller.write(Stage.get("d1", "5"));
             assertEquals(503, caller.read().status());
             // Nobody waits for the old one any more, and what it missed is asked for.
             Peer watch = two.discovery.accept();
-            assertEquals("GET /catalog/members?index=41&wait=20000 HTTP/1.1", watch.read().first());
+            assertEquals(
+                    "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
+                    watch.read().first());
             assertTrue(silent.ended());
-            watch.write(Stage.ok(Stage.roster(42, false, "{\"id\":\"s-00000000\",\"state\":\"removed\"}",
+            watch.write(Stage.ok(Stage.roster(
+                    42,
+                    false,
+                    "{\"id\":\"s-00000000\",\"state\":\"removed\"}",
                     Stage.entry(1, two.upstreams.get(1).address(), "up"))));
-            assertEquals("GET /catalog/members?index=42&wait=20000 HTTP/1.1", watch.read().first());
+            assertEquals(
+                    "GET /catalog/members?index=42&wait=20000 HTTP/1.1",
+                    watch.read().first());
             caller.write(Stage.get("d2", "5"));
             Peer upstream = two.upstreams.get(1).accept();
             upstream.read();
@@ -84,14 +101,16 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "",
-        "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
-        "garbage\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":",
-        "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"version\":",
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
-        "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"})
+    @ValueSource(
+            strings = {
+                "",
+                "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+                "garbage\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"version\":",
+                "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"version\":",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
+                "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"
+            })
     void anAnswerOfNoUseIsAFailureAndTheOldListHolds(String answer) throws Exception {
         try (stage) {
             started();
@@ -108,7 +127,8 @@
                 stage.script.actions.watch(true);
             };
             stage.caller().write(Stage.get("again", "10"));
-            assertEquals("GET /catalog/members?index=41&wait=20000 HTTP/1.1",
+            assertEquals(
+                    "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
                     stage.discovery.accept().read().first());
         }
     }
@@ -127,7 +147,8 @@
         try (stage) {
             stage.start(sablehinge.policy.LatencyWeightedBalancer::new);
             stage.discovery.accept().reset();
-            assertEquals("GET /catalog/members?index=41&wait=20000 HTTP/1.1",
+            assertEquals(
+                    "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
                     stage.discovery.accept().read().first());
         }
     }
@@ -140,12 +161,19 @@
             Files.writeString(file, stage.config());
             LinkedBlockingQueue<Change> told = new LinkedBlockingQueue<>();
             PlatformConfig config = PlatformConfig.read(file.toString());
-            Discovery discovery = new Discovery(loop, config.discovery(), config.known().version(),
-                    new RosterParser(config.zones(), config.kinds(), false), ByteBufAllocator.DEFAULT,
-                    (change, roster) -> told.add(change), 100);
+            Discovery discovery = new Discovery(
+                    loop,
+                    config.discovery(),
+                    config.known().version(),
+                    new RosterParser(config.zones(), config.kinds(), false),
+                    ByteBufAllocator.DEFAULT,
+                    (change, roster) -> told.add(change),
+                    100);
             loop.execute(() -> discovery.watch(true));
             Peer watch = stage.discovery.accept();
-            assertEquals("GET /catalog/members?index=41&wait=100 HTTP/1.1", watch.read().first());
+            assertEquals(
+                    "GET /catalog/members?index=41&wait=100 HTTP/1.1",
+                    watch.read().first());
             assertTrue(watch.ended());
             assertEquals(Change.FAILED, Script.next(told));
         } finally {
@@ -182,7 +210,9 @@
     @Test
     void anotherDiscoveryIsAskedForItsWholeListAndTheOldOneLeftQuietly() throws Exception {
         Path file = Files.createTempFile("node", ".json");
-        try (stage; Listener second = new Listener(); Listener third = new Listener()) {
+        try (stage;
+                Listener second = new Listener();
+                Listener third = new Listener()) {
             started();
             Peer old = stage.discovery.accept();
             old.read();
@@ -193,11 +223,13 @@
                 Peer fresh = move.accept();
                 assertEquals("GET /catalog/members HTTP/1.1", fresh.read().first());
                 assertTrue(old.ended());
-                fresh.write(Stage.ok(Stage.roster(7, true,
-                        Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
+                fresh.write(Stage.ok(Stage.roster(
+                        7, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
                 // No failure came before it.
                 assertEquals(Change.FULL, Script.next(stage.script.changes));
-                assertEquals("GET /catalog/members?index=7&wait=20000 HTTP/1.1", fresh.read().first());
+                assertEquals(
+                        "GET /catalog/members?index=7&wait=20000 HTTP/1.1",
+                        fresh.read().first());
                 old = fresh;
             }
             stage.servesStill();
@@ -209,7 +241,8 @@
     @Test
     void aNewDiscoveryThatFailsIsStillAskedForItsWholeList() throws Exception {
         Path file = Files.createTempFile("node", ".json");
-        try (stage; Listener second = new Listener()) {
+        try (stage;
+                Listener second = new Listener()) {
             started();
             stage.discovery.accept().read();
             Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
--- a/src/test/java/sablehinge/membership/MaintenanceTest.java
+++ b/src/test/java/sablehinge/membership/MaintenanceTest.java
@@ -49,11 +49,20 @@
         assertEquals(State.DRAINING, only(out.suspend(1, 100)).state());
         assertTrue(out.suspend(1, 200).members().isEmpty(), "a second call changes nothing");
         // Restarted meanwhile: gone, and listed anew.
-        assertEquals(State.REMOVED, only(out.take(list(false, member(1, State.REMOVED, 0)))).state());
+        assertEquals(
+                State.REMOVED,
+                only(out.take(list(false, member(1, State.REMOVED, 0)))).state());
         assertTrue(out.knows(1), "it is awaited back");
-        assertEquals(State.DRAINING, only(out.take(list(false, member(1, State.READY, 300)))).state());
-        assertEquals(State.DRAINING, out.take(list(true, member(1, State.READY, 300))).members().get(0)
-                .upstream().state());
+        assertEquals(
+                State.DRAINING,
+                only(out.take(list(false, member(1, State.READY, 300)))).state());
+        assertEquals(
+                State.DRAINING,
+                out.take(list(true, member(1, State.READY, 300)))
+                        .members()
+                        .get(0)
+                        .upstream()
+                        .state());
         // One call back undoes both; discovery knows when it started.
         Upstream back = only(out.restore(1, 400));
         assertEquals(State.READY, back.state());
@@ -68,7 +77,8 @@
         out.suspend(1, 100);
         assertEquals(400, only(out.restore(1, 400)).startedAt());
         assertEquals(400, only(out.take(list(true, member(1, State.READY, 50)))).startedAt());
-        assertEquals(350, only(out.take(list(false, member(1, State.READY, 350)))).startedAt());
+        assertEquals(
+                350, only(out.take(list(false, member(1, State.READY, 350)))).startedAt());
         assertTrue(out.restore(1, 500).members().isEmpty(), "it is back already");
     }
 
@@ -84,14 +94,25 @@
     }
 
     /** What can happen to an upstream: the clock goes on by one for each. */
-    private enum Kind { UP, DRAINING, GONE, RESTARTED, ALL, SUSPEND, RESTORE }
+    private enum Kind {
+        UP,
+        DRAINING,
+        GONE,
+        RESTARTED,
+        ALL,
+        SUSPEND,
+        RESTORE
+    }
 
-    private record Event(Kind kind, long id) { }
+    private record Event(Kind kind, long id) {}
 
     @Provide
     Arbitrary<List<Event>> stories() {
-        return Combinators.combine(Arbitraries.of(Kind.values()), Arbitraries.longs().between(1, 4))
-                .as(Event::new).list().ofMaxSize(80);
+        return Combinators.combine(
+                        Arbitraries.of(Kind.values()), Arbitraries.longs().between(1, 4))
+                .as(Event::new)
+                .list()
+                .ofMaxSize(80);
     }
 
     /** After any story, what is passed on is discovery's list but for who is out, and who was is cold. */
@@ -108,24 +129,31 @@
             now++;
             Upstream known = discovery.get(event.id());
             double started = known == null ? 0 : known.startedAt();
-            Roster told = switch (event.kind()) {
-                case UP -> maintenance.take(list(false, member(event.id(), State.READY, started)));
-                case DRAINING -> maintenance.take(list(false, member(event.id(), State.DRAINING, started)));
-                case GONE -> maintenance.take(list(false, member(event.id(), State.REMOVED, started)));
-                case RESTARTED -> maintenance.take(list(false, member(event.id(), State.READY, now)));
-                case ALL -> {
-                    List<Member> all = new ArrayList<>();
-                    discovery.values().forEach(one -> all.add(new Member(one, PLACE)));
-                    yield maintenance.take(new Roster(8, true, all));
-                }
-                case SUSPEND -> maintenance.suspend(event.id(), now);
-                case RESTORE -> maintenance.restore(event.id(), now);
-            };
+            Roster told =
+                    switch (event.kind()) {
+                        case UP -> maintenance.take(list(false, member(event.id(), State.READY, started)));
+                        case DRAINING -> maintenance.take(list(false, member(event.id(), State.DRAINING, started)));
+                        case GONE -> maintenance.take(list(false, member(event.id(), State.REMOVED, started)));
+                        case RESTARTED -> maintenance.take(list(false, member(event.id(), State.READY, now)));
+                        case ALL -> {
+                            List<Member> all = new ArrayList<>();
+                            discovery.values().forEach(one -> all.add(new Member(one, PLACE)));
+                            yield maintenance.take(new Roster(8, true, all));
+                        }
+                        case SUSPEND -> maintenance.suspend(event.id(), now);
+                        case RESTORE -> maintenance.restore(event.id(), now);
+                    };
             switch (event.kind()) {
-                case UP -> discovery.put(event.id(), member(event.id(), State.READY, started).upstream());
-                case DRAINING -> discovery.put(event.id(),
-                        member(event.id(), State.DRAINING, started).upstream());
-                case RESTARTED -> discovery.put(event.id(), member(event.id(), State.READY, now).upstream());
+                case UP ->
+                    discovery.put(
+                            event.id(), member(event.id(), State.READY, started).upstream());
+                case DRAINING ->
+                    discovery.put(
+                            event.id(),
+                            member(event.id(), State.DRAINING, started).upstream());
+                case RESTARTED ->
+                    discovery.put(
+                            event.id(), member(event.id(), State.READY, now).upstream());
                 case GONE -> {
                     discovery.remove(event.id());
                     restored.remove(event.id());
@@ -140,7 +168,7 @@
                         restored.put(event.id(), now);
                     }
                 }
-                default -> { }
+                default -> {}
             }
             if (told.full()) {
                 passed.clear();
--- a/src/test/java/sablehinge/node/BudgetsTest.java
+++ b/src/test/java/sablehinge/node/BudgetsTest.java
@@ -34,6 +34,7 @@
 
     @TempDir
     private Path folder;
+
     private final List<AutoCloseable> open = new ArrayList<>();
 
     /** A server: calls the next balancer for each request, if it has one, and answers what that says. */
@@ -96,8 +97,7 @@
             if (budget != null && !strips) {
                 headers.put("Sablehinge-Budget", budget);
             }
-            return ask(next, request.first().split(" ")[1].substring(1), headers,
-                    request.header("X-Remaining"));
+            return ask(next, request.first().split(" ")[1].substring(1), headers, request.header("X-Remaining"));
         }
     }
 
@@ -108,10 +108,11 @@
         }
     }
 
-    private static Peer.Message ask(InetSocketAddress balancer, String type, Map<String, String> headers,
-            String remaining) throws IOException {
+    private static Peer.Message ask(
+            InetSocketAddress balancer, String type, Map<String, String> headers, String remaining) throws IOException {
         StringBuilder more = new StringBuilder();
-        headers.forEach((name, value) -> more.append(name).append(": ").append(value).append("\r\n"));
+        headers.forEach(
+                (name, value) -> more.append(name).append(": ").append(value).append("\r\n"));
         try (Peer caller = Peer.to(balancer)) {
             caller.write((type.equals("credit-spend") ? "POST /" : "GET /") + type + " HTTP/1.1\r\nX-Txn: t"
                     + IDS.incrementAndGet() + "\r\nX-Lane: " + type + "\r\nX-Remaining: " + remaining + "\r\n"
@@ -129,7 +130,8 @@
     /** A balancer before some servers, with lines of its table of budgets; null for none. */
     private InetSocketAddress balancer(String name, String budget, Server... servers) throws Exception {
         Path own = Files.createDirectories(folder.resolve(name));
-        StringBuilder text = new StringBuilder("""
+        StringBuilder text = new StringBuilder(
+                """
                 [[listener]]
                 address = "127.0.0.1:0"
                 [[class]]
@@ -142,8 +144,11 @@
                 deadline = "10s"
                 """);
         for (int i = 0; i < servers.length; i++) {
-            text.append("[[upstream]]\nid = \"s").append(i).append("\"\naddress = \"")
-                    .append(servers[i].listener.address()).append("\"\n");
+            text.append("[[upstream]]\nid = \"s")
+                    .append(i)
+                    .append("\"\naddress = \"")
+                    .append(servers[i].listener.address())
+                    .append("\"\n");
         }
         if (budget != null) {
             text.append("[budget]\n").append(budget).append('\n');
@@ -156,7 +161,10 @@
 
     /** What has come with a call: its path as ids. */
     private static List<Long> path(Peer.Message request) {
-        return new HeaderText(null).readBudget(request.header("Sablehinge-Budget")).value().path();
+        return new HeaderText(null)
+                .readBudget(request.header("Sablehinge-Budget"))
+                .value()
+                .path();
     }
 
     @Test
@@ -170,10 +178,18 @@
         Peer.Message answer = ask(entry, "look-up");
         assertEquals(200, answer.status());
         assertNull(answer.header("Sablehinge-Budget"));
-        assertEquals(List.of(OperatorNode.serviceId("front"), OperatorNode.serviceId("render"),
-                OperatorNode.serviceId("store")), path(store.seen.peek()));
-        Budget last = new HeaderText(null).readBudget(store.seen.peek().header("Sablehinge-Budget")).value();
-        Budget first = new HeaderText(null).readBudget(front.seen.peek().header("Sablehinge-Budget")).value();
+        assertEquals(
+                List.of(
+                        OperatorNode.serviceId("front"),
+                        OperatorNode.serviceId("render"),
+                        OperatorNode.serviceId("store")),
+                path(store.seen.peek()));
+        Budget last = new HeaderText(null)
+                .readBudget(store.seen.peek().header("Sablehinge-Budget"))
+                .value();
+        Budget first = new HeaderText(null)
+                .readBudget(front.seen.peek().header("Sablehinge-Budget"))
+                .value();
         assertEquals(1, last.attempts());
         assertTrue(last.remaining() < first.remaining() && first.remaining() < 5_000);
     }
@@ -184,8 +200,7 @@
         Server store = new Server();
         store.status = 500;
         Server render = new Server();
-        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true\nattempts = 3",
-                store);
+        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true\nattempts = 3", store);
         Server front = new Server();
         front.next = balancer("render", "service = \"render\"\nentry = false\nattempts = 3", render);
         InetSocketAddress entry = balancer("front", "service = \"front\"\nattempts = 3", front);
@@ -219,14 +234,13 @@
     @Test
     void aLoopOfOneNamesItsPath() throws Exception {
         Server server = new Server();
-        InetSocketAddress entry = balancer("front", "service = \"front\"\nentry = false\nunknown = 8",
-                server);
+        InetSocketAddress entry = balancer("front", "service = \"front\"\nentry = false\nunknown = 8", server);
         server.next = entry;
         assertTrue(ask(entry, "look-up").status() >= 500);
         assertEquals(1, server.seen.size());
         String id = Long.toHexString(OperatorNode.serviceId("front"));
-        Peer.Message loop = ask(entry, "look-up",
-                Map.of("Sablehinge-Budget", server.seen.peek().header("Sablehinge-Budget")), "5");
+        Peer.Message loop = ask(
+                entry, "look-up", Map.of("Sablehinge-Budget", server.seen.peek().header("Sablehinge-Budget")), "5");
         assertEquals(508, loop.status());
         assertEquals(id + " > " + id, loop.header("Sablehinge-Path"));
         assertTrue(loop.header("Sablehinge-Spent").contains("again=0"));
@@ -237,16 +251,30 @@
     @Test
     void whatIsDeadOnArrivalIsNeverSentOn() throws Exception {
         Server store = new Server();
-        InetSocketAddress balancer = balancer("store", "service = \"store\"\nentry = false\nlast = true",
-                store);
+        InetSocketAddress balancer = balancer("store", "service = \"store\"\nentry = false\nlast = true", store);
         HeaderText text = new HeaderText(null);
-        Peer.Message dead = ask(balancer, "credit-spend",
-                Map.of("Sablehinge-Budget", text.write(new Budget(1, 4, 3, 1, List.of()))), "5");
+        Peer.Message dead = ask(
+                balancer,
+                "credit-spend",
+                Map.of("Sablehinge-Budget", text.write(new Budget(1, 4, 3, 1, List.of()))),
+                "5");
         assertEquals(503, dead.status());
-        assertEquals(503, ask(balancer, "look-up", Map.of("Sablehinge-Budget",
-                text.write(new Budget(2, 4, 900, 1, List.of()))), "0.004").status());
-        assertEquals(503, ask(balancer, "look-up", Map.of("Sablehinge-Budget",
-                text.write(new Budget(3, 0, 900, 1, List.of()))), "5").status());
+        assertEquals(
+                503,
+                ask(
+                                balancer,
+                                "look-up",
+                                Map.of("Sablehinge-Budget", text.write(new Budget(2, 4, 900, 1, List.of()))),
+                                "0.004")
+                        .status());
+        assertEquals(
+                503,
+                ask(
+                                balancer,
+                                "look-up",
+                                Map.of("Sablehinge-Budget", text.write(new Budget(3, 0, 900, 1, List.of()))),
+                                "5")
+                        .status());
         assertEquals(0, store.seen.size());
     }
 
@@ -257,8 +285,7 @@
         store.status = 500;
         Server render = new Server();
         render.strips = true;
-        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true\nunknown = 1",
-                store);
+        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true\nunknown = 1", store);
         InetSocketAddress entry = balancer("front", "service = \"front\"\nattempts = 2", render);
         assertTrue(ask(entry, "look-up").status() >= 500);
         assertTrue(store.seen.size() <= 2, store.seen.size() + " attempts");
@@ -284,11 +311,16 @@
         Files.write(Files.createDirectories(folder.resolve("store")).resolve("k1"), secret);
         Server store = new Server();
         store.status = 500;
-        InetSocketAddress balancer = balancer("store", "service = \"store\"\nentry = false\nlast = true\n"
-                + "unknown = 0\n[[budget.key]]\nname = \"k1\"\nfile = \"k1\"", store);
+        InetSocketAddress balancer = balancer(
+                "store",
+                "service = \"store\"\nentry = false\nlast = true\n"
+                        + "unknown = 0\n[[budget.key]]\nname = \"k1\"\nfile = \"k1\"",
+                store);
         Budget budget = new Budget(1, 2, 900, 1, List.of());
-        assertEquals(503, ask(balancer, "look-up",
-                Map.of("Sablehinge-Budget", new HeaderText(null).write(budget)), "5").status());
+        assertEquals(
+                503,
+                ask(balancer, "look-up", Map.of("Sablehinge-Budget", new HeaderText(null).write(budget)), "5")
+                        .status());
         assertEquals(0, store.seen.size());
         String signed = new HeaderText(new Keys(Map.of("k1", secret))).write(budget);
         ask(balancer, "look-up", Map.of("Sablehinge-Budget", signed), "5");
--- a/src/test/java/sablehinge/node/OperationTest.java
+++ b/src/test/java/sablehinge/node/OperationTest.java
@@ -83,9 +83,15 @@
     void whatIsWrongIsOwedANo() throws Exception {
         try (Stage stage = stage(1)) {
             stage.start();
-            for (String bad : List.of("SUSPEND s-nobody", "RESTORE s-nobody", "SUSPEND", "STATUS now", "",
+            for (String bad : List.of(
+                    "SUSPEND s-nobody",
+                    "RESTORE s-nobody",
+                    "SUSPEND",
+                    "STATUS now",
+                    "",
                     "x",
-                    "SUSPEND " + ONE + " " + ONE, "x".repeat(600))) {
+                    "SUSPEND " + ONE + " " + ONE,
+                    "x".repeat(600))) {
                 assertTrue(stage.call(bad).startsWith("fail "), bad);
             }
             // A line that ends with the sending is one too.
@@ -130,8 +136,9 @@
             early.write(Stage.get("early", "10"));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
-            stage.node.reload(next(stage, stage.config().replace("look-up", "look-out")
-                    .replace("\"attemptsCap\":4", "\"attemptsCap\":2")));
+            stage.node.reload(next(
+                    stage,
+                    stage.config().replace("look-up", "look-out").replace("\"attemptsCap\":4", "\"attemptsCap\":2")));
             assertEquals(2, Script.next(stage.script.adopted).limits().maxAttempts());
             Peer caller = stage.caller();
             caller.write(Stage.get("new", "10").replace("look-up", "look-out"));
@@ -157,7 +164,12 @@
         try (Stage stage = stage(1)) {
             stage.start();
             String good = stage.config();
-            List<String> broken = List.of("", "{", "null", good.substring(0, good.length() / 2), good + "}",
+            List<String> broken = List.of(
+                    "",
+                    "{",
+                    "null",
+                    good.substring(0, good.length() / 2),
+                    good + "}",
                     good.replace("\"deadline\":2500.0", "\"deadline\":-5"),
                     good.replace("\"deadline\":2500.0", "\"deadline\":0"),
                     good.replace("\"deadline\":2500.0", "\"deadline\":\"2500\""),
@@ -166,10 +178,12 @@
                     good.replace("\"attemptsCap\":4", "\"attemptsCap\":0"),
                     good.replace("\"attemptsCap\":4", "\"attemptsCap\":1.5"),
                     good.replace("\"attemptsCap\":4", "\"attemptsCap\":null"),
-                    good.replace("\"attemptsCap\":4,", ""), good.replace("\"warmUp\":24000.0,", ""),
+                    good.replace("\"attemptsCap\":4,", ""),
+                    good.replace("\"warmUp\":24000.0,", ""),
                     good.replace("\"callers\":{\"marksRetry\":false},", ""),
                     good.replace("\"sockets\":1024", "\"files\":1024"),
-                    good.replace("\"look-up\"", "\"credit-spend\""), good.replace("\"dakar-a\"", "\"b\""));
+                    good.replace("\"look-up\"", "\"credit-spend\""),
+                    good.replace("\"dakar-a\"", "\"b\""));
             for (String text : broken) {
                 assertThrows(ConfigException.class, () -> next(stage, text), text);
             }
--- a/src/test/java/sablehinge/node/OperatorNodeTest.java
+++ b/src/test/java/sablehinge/node/OperatorNodeTest.java
@@ -87,7 +87,9 @@
                 for (int i = 0; i < 500; i++) {
                     callers.get(i).write(i % 2 == 0 ? Stage.get("r" + i, "10") : Stage.spend("r" + i, "x"));
                 }
-                while (stage.servers.get(2).seen.size() + stage.servers.get(3).seen.size() < 500) {
+                while (stage.servers.get(2).seen.size()
+                                + stage.servers.get(3).seen.size()
+                        < 500) {
                     assertFalse(Thread.interrupted(), "the time is up");
                     Thread.onSpinWait();
                 }
@@ -106,16 +108,22 @@
                 for (int i = 0; i < 500; i++) {
                     Peer.Message answer = callers.get(i).read();
                     assertEquals("2", version(answer), "r" + i);
-                    assertTrue(answer.status() == 200 || answer.status() == 502 || i % 2 == 0
-                            && answer.status() == 503, "r" + i + ": " + answer);
+                    assertTrue(
+                            answer.status() == 200 || answer.status() == 502 || i % 2 == 0 && answer.status() == 503,
+                            "r" + i + ": " + answer);
                     served += answer.status() == 200 ? 1 : 0;
                     assertNull(second(callers.get(i)));
                 }
                 assertTrue(served > 100, served + " served");
                 for (int i = 0; i < 500; i++) {
                     String txn = "r" + i;
-                    assertEquals(0, stage.servers.get(0).count(txn) + stage.servers.get(1).count(txn), txn);
-                    long sent = stage.servers.get(2).count(txn) + stage.servers.get(3).count(txn);
+                    assertEquals(
+                            0,
+                            stage.servers.get(0).count(txn)
+                                    + stage.servers.get(1).count(txn),
+                            txn);
+                    long sent = stage.servers.get(2).count(txn)
+                            + stage.servers.get(3).count(txn);
                     assertTrue(i % 2 == 0 ? sent >= 1 : sent == 1, txn + " was sent " + sent + " times");
                 }
                 stage.until(status -> status.path("versions_at_work").asInt() == 1);
@@ -142,8 +150,7 @@
             assertEquals(200, stage.apply(next).path("status").asInt());
             stage.servers.get(2).close();
             for (int i = 0; i < 30; i++) {
-                Peer.Message answer = stage.ask(i % 2 == 0 ? Stage.get("r" + i, "5") : Stage.spend("r" + i,
-                        ""));
+                Peer.Message answer = stage.ask(i % 2 == 0 ? Stage.get("r" + i, "5") : Stage.spend("r" + i, ""));
                 assertEquals(200, answer.status(), "r" + i);
                 assertEquals("2", version(answer));
             }
@@ -155,12 +162,10 @@
         try (OperatorStage stage = new OperatorStage(3)) {
             stage.start(stage.text(0));
             stage.servers.get(2).close();
-            int next = stage.stage(stage.text("127.0.0.1:0",
-                    "[change]\nready-within = \"400ms\"\nready-least = 2\n",
-                    1, 2));
+            int next = stage.stage(
+                    stage.text("127.0.0.1:0", "[change]\nready-within = \"400ms\"\nready-least = 2\n", 1, 2));
             JsonNode refused = stage.apply(next);
-            assertEquals("version 2 is undone: reached 1 of at least 2 servers within 400 ms",
-                    reason(refused));
+            assertEquals("version 2 is undone: reached 1 of at least 2 servers within 400 ms", reason(refused));
             assertEquals("1", version(stage.ask(Stage.get("a", "5"))));
             assertEquals(0, stage.servers.get(1).seen.size());
         }
@@ -168,13 +173,11 @@
 
     @Test
     void aListenerThatCantBeHadUndoesTheChange() throws Exception {
-        try (OperatorStage stage = new OperatorStage(1); ServerSocket taken = new ServerSocket(0, 1,
-                java.net.InetAddress.getLoopbackAddress())) {
+        try (OperatorStage stage = new OperatorStage(1);
+                ServerSocket taken = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             stage.start(stage.text(0));
-            JsonNode refused = stage.apply(stage.stage(stage.text("127.0.0.1:" + taken.getLocalPort(), "",
-                    0)));
-            assertTrue(reason(refused).startsWith("version 2 is undone: cannot listen on"),
-                    reason(refused));
+            JsonNode refused = stage.apply(stage.stage(stage.text("127.0.0.1:" + taken.getLocalPort(), "", 0)));
+            assertTrue(reason(refused).startsWith("version 2 is undone: cannot listen on"), reason(refused));
             assertEquals("1", version(stage.ask(Stage.get("a", "5"))));
         }
     }
@@ -295,8 +298,7 @@
             }
             JsonNode past = stage.status().path("past").get(0);
             assertEquals("undone", past.path("outcome").asText());
-            assertTrue(past.path("reason").asText().startsWith("failed answers rose from 0.0% to "),
-                    past.toString());
+            assertTrue(past.path("reason").asText().startsWith("failed answers rose from 0.0% to "), past.toString());
             assertEquals("1", version(stage.ask(Stage.get("after", "5"))));
         }
     }
@@ -358,11 +360,11 @@
                 change(stage, i);
             }
             JsonNode status = stage.until(now -> now.path("versions_at_work").asInt() == 1
-                    && now.path("requests_at_work").asInt() == 0 && now.path("connections").asInt() <= 4);
+                    && now.path("requests_at_work").asInt() == 0
+                    && now.path("connections").asInt() <= 4);
             assertEquals(0, status.path("staged").size());
             assertTrue(descriptors() <= files + 4, descriptors() + " descriptors after " + files);
-            assertTrue(Thread.activeCount() <= threads + 2, Thread.activeCount() + " threads after "
-                    + threads);
+            assertTrue(Thread.activeCount() <= threads + 2, Thread.activeCount() + " threads after " + threads);
         }
     }
 
@@ -395,7 +397,11 @@
             assertEquals("1", version(stage.ask(Stage.get("a", "5"))));
             Files.createDirectory(stage.folder.resolve("sablehinge-state/state.json.new"));
             Files.delete(stage.folder.resolve("sablehinge-state/v000002.toml.new"));
-            assertEquals(409, stage.admin("POST", "/config/stage", stage.text(0)).path("status").asInt());
+            assertEquals(
+                    409,
+                    stage.admin("POST", "/config/stage", stage.text(0))
+                            .path("status")
+                            .asInt());
             Files.delete(stage.folder.resolve("sablehinge-state/state.json.new"));
             assertEquals(2, stage.stage(stage.text(0)));
         }
@@ -407,21 +413,22 @@
             stage.start(stage.text(0));
             JsonNode wrong = stage.admin("POST", "/config/stage", stage.text(0) + "[limit]\n");
             assertEquals(422, wrong.path("status").asInt());
-            assertEquals("unknown key, did you mean limits?",
+            assertEquals(
+                    "unknown key, did you mean limits?",
                     wrong.path("problems").get(0).path("message").asText());
             int two = stage.stage(stage.text(1));
             int three = stage.stage(stage.text(0, 1));
             stage.apply(two);
-            assertEquals("version 2 is on trial; confirm it or roll it back first",
-                    reason(stage.apply(three)));
+            assertEquals("version 2 is on trial; confirm it or roll it back first", reason(stage.apply(three)));
             stage.confirm();
-            assertEquals("version 3 was staged over version 1, but version 2 is current",
-                    reason(stage.apply(three)));
-            assertEquals("it is based on version 1, but version 2 is current",
+            assertEquals("version 3 was staged over version 1, but version 2 is current", reason(stage.apply(three)));
+            assertEquals(
+                    "it is based on version 1, but version 2 is current",
                     reason(stage.admin("POST", "/config/stage?base=1", stage.text(0))));
-            assertEquals("node.name, state, descriptors and access-log can't change while the process runs",
-                    reason(stage.admin("POST", "/config/stage", stage.text(0).replace("[node]",
-                            "[node]\nname = \"other\""))));
+            assertEquals(
+                    "node.name, state, descriptors and access-log can't change while the process runs",
+                    reason(stage.admin(
+                            "POST", "/config/stage", stage.text(0).replace("[node]", "[node]\nname = \"other\""))));
         }
     }
 
@@ -429,8 +436,7 @@
     void theOperatorFileIsTakenAgainAtASignal() throws Exception {
         try (OperatorStage stage = new OperatorStage(2)) {
             stage.start(stage.text(0));
-            Files.writeString(stage.file, stage.text("127.0.0.1:0", "[change]\nconfirm-within = \"1s\"\n",
-                    1));
+            Files.writeString(stage.file, stage.text("127.0.0.1:0", "[change]\nconfirm-within = \"1s\"\n", 1));
             stage.node.reload();
             stage.until(status -> status.path("confirmed").asInt() == 2);
             Files.writeString(stage.file, "nonsense");
@@ -445,26 +451,28 @@
 
     @Test
     void aVersionOfAnotherDiscoveryWaitsForItsFirstList() throws Exception {
-        try (OperatorStage stage = new OperatorStage(2); Listener silent = new Listener()) {
+        try (OperatorStage stage = new OperatorStage(2);
+                Listener silent = new Listener()) {
             stage.start(stage.text(0));
             String bySilent = "discovery = \"" + silent.address() + "\"\n"
                     + stage.text("127.0.0.1:0", "[change]\nready-within = \"400ms\"\n");
             assertEquals(0, silent.waiting());
-            assertEquals("version 2 is undone: no list of servers came within 400 ms",
+            assertEquals(
+                    "version 2 is undone: no list of servers came within 400 ms",
                     reason(stage.apply(stage.stage(bySilent))));
             assertEquals("1", version(stage.ask(Stage.get("a", "5"))));
         }
     }
 
-    /**
-     * A discovery that goes on through a change: its news counts for both versions, and is not asked for
-     * anew.
-     */
+    /** A discovery that goes on through a change: its news counts for both versions, and is not asked for anew. */
     @Test
     void aDiscoveryGoesOnThroughAChange() throws Exception {
-        try (OperatorStage stage = new OperatorStage(2); Listener discovery = new Listener()) {
-            String[] up = {Stage.entry(0, stage.servers.get(0).address(), "up"),
-                Stage.entry(1, stage.servers.get(1).address(), "up")};
+        try (OperatorStage stage = new OperatorStage(2);
+                Listener discovery = new Listener()) {
+            String[] up = {
+                Stage.entry(0, stage.servers.get(0).address(), "up"),
+                Stage.entry(1, stage.servers.get(1).address(), "up")
+            };
             String text = "discovery = \"" + discovery.address() + "\"\n" + stage.text("127.0.0.1:0", "");
             stage.start(text);
             Peer watch = discovery.accept();
@@ -474,8 +482,8 @@
             assertEquals(200, stage.ask(Stage.get("a", "5")).status());
             stage.apply(stage.stage(text + "[limits]\nattempts = 2\n"));
             assertEquals("2", version(stage.ask(Stage.get("b", "5"))));
-            watch.write(Stage.ok(Stage.roster(6, false, Stage.entry(0, stage.servers.get(0).address(),
-                    "draining"))));
+            watch.write(Stage.ok(
+                    Stage.roster(6, false, Stage.entry(0, stage.servers.get(0).address(), "draining"))));
             assertTrue(watch.read().first().startsWith("GET /catalog/members?index=6&"));
             int before = stage.servers.get(0).seen.size();
             stage.admin("POST", "/config/rollback", "");
@@ -489,20 +497,21 @@
 
     @Test
     void aTrialWithoutReadyServersIsUndone() throws Exception {
-        try (OperatorStage stage = new OperatorStage(2); Listener discovery = new Listener()) {
+        try (OperatorStage stage = new OperatorStage(2);
+                Listener discovery = new Listener()) {
             stage.start(stage.text(0));
-            int next = stage.stage("discovery = \"" + discovery.address() + "\"\n" + stage.text("127.0.0.1:0",
-                    "[change]\nready-within = \"500ms\"\n"));
+            int next = stage.stage("discovery = \"" + discovery.address() + "\"\n"
+                    + stage.text("127.0.0.1:0", "[change]\nready-within = \"500ms\"\n"));
             Thread lists = new Thread(() -> {
                 try {
                     Peer fetch = discovery.accept();
                     fetch.read();
-                    fetch.write(Stage.ok(Stage.roster(5, true,
-                            Stage.entry(1, stage.servers.get(1).address(), "up"))));
+                    fetch.write(Stage.ok(Stage.roster(
+                            5, true, Stage.entry(1, stage.servers.get(1).address(), "up"))));
                     Peer watch = discovery.accept();
                     watch.read();
-                    watch.write(Stage.ok(Stage.roster(6, false,
-                            Stage.entry(1, stage.servers.get(1).address(), "removed"))));
+                    watch.write(Stage.ok(Stage.roster(
+                            6, false, Stage.entry(1, stage.servers.get(1).address(), "removed"))));
                 } catch (IOException | InterruptedException e) {
                     // The test then waits in vain for the undoing, and fails.
                 }
@@ -510,7 +519,8 @@
             lists.start();
             stage.apply(next);
             JsonNode status = stage.until(now -> now.path("past").size() == 1);
-            assertEquals("0 servers are ready, at least 1 must be",
+            assertEquals(
+                    "0 servers are ready, at least 1 must be",
                     status.path("past").get(0).path("reason").asText());
             assertEquals("1", version(stage.ask(Stage.get("a", "5"))));
             lists.join();
@@ -548,23 +558,29 @@
             var json = new com.fasterxml.jackson.databind.json.JsonMapper();
             JsonNode first = json.readTree(lines.get(0));
             assertEquals("a\"b\\\\", first.path("request").asText());
-            assertEquals("1 look-up served 1", first.path("version").asText() + " "
-                    + first.path("class").asText()
-                    + " " + first.path("outcome").asText() + " " + first.path("attempts").asText());
+            assertEquals(
+                    "1 look-up served 1",
+                    first.path("version").asText() + " "
+                            + first.path("class").asText()
+                            + " " + first.path("outcome").asText() + " "
+                            + first.path("attempts").asText());
             JsonNode second = json.readTree(lines.get(1));
-            assertEquals("2 credit-spend failed 1", second.path("version").asText() + " "
-                    + second.path("class").asText() + " " + second.path("outcome").asText() + " "
-                    + second.path("attempts").asText());
+            assertEquals(
+                    "2 credit-spend failed 1",
+                    second.path("version").asText() + " "
+                            + second.path("class").asText() + " "
+                            + second.path("outcome").asText() + " "
+                            + second.path("attempts").asText());
         }
     }
 
     @Test
     void aFileThatCouldNotBeServedIsNotWhatTheNextStartInsistsOn() throws Exception {
-        try (OperatorStage stage = new OperatorStage(1); ServerSocket taken = new ServerSocket(0, 1,
-                java.net.InetAddress.getLoopbackAddress())) {
+        try (OperatorStage stage = new OperatorStage(1);
+                ServerSocket taken = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             Files.writeString(stage.file, stage.text("127.0.0.1:" + taken.getLocalPort(), "", 0));
-            OperatorNode.StartException failed = assertThrows(OperatorNode.StartException.class,
-                    () -> OperatorNode.start(stage.file, false));
+            OperatorNode.StartException failed =
+                    assertThrows(OperatorNode.StartException.class, () -> OperatorNode.start(stage.file, false));
             assertTrue(failed.getMessage().startsWith("cannot listen on "), failed.getMessage());
             stage.start(stage.text(0));
             assertEquals(200, stage.ask(Stage.get("a", "5")).status());
@@ -584,7 +600,8 @@
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text("127.0.0.1:0", "[limits]\nopen = 2\n", 0));
             stage.servers.get(0).plan = seen -> new Plan(0, 0);
-            try (Peer one = stage.caller(); Peer other = stage.caller()) {
+            try (Peer one = stage.caller();
+                    Peer other = stage.caller()) {
                 one.write(Stage.spend("a", ""));
                 other.write(Stage.spend("b", ""));
                 stage.servers.get(0).await(2);
@@ -605,16 +622,19 @@
     void anAdminPortWantsItsToken() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             Files.writeString(stage.folder.resolve("token"), "a token of some length\n");
-            stage.start(stage.text("127.0.0.1:0",
-                    "[admin]\nlisten = \"127.0.0.1:0\"\ntoken-file = \"token\"\n",
-                    0));
+            stage.start(stage.text("127.0.0.1:0", "[admin]\nlisten = \"127.0.0.1:0\"\ntoken-file = \"token\"\n", 0));
             var address = stage.node.adminAddress();
-            assertEquals(200, OperatorStage.admin(address, "a token of some length", "GET", "/config/status",
-                    "")
-                    .path("status").asInt());
+            assertEquals(
+                    200,
+                    OperatorStage.admin(address, "a token of some length", "GET", "/config/status", "")
+                            .path("status")
+                            .asInt());
             for (String token : new String[] {null, "", "a token of some lengtH"}) {
-                assertEquals(401, OperatorStage.admin(address, token, "POST", "/config/rollback", "")
-                        .path("status").asInt());
+                assertEquals(
+                        401,
+                        OperatorStage.admin(address, token, "POST", "/config/rollback", "")
+                                .path("status")
+                                .asInt());
             }
         }
     }
@@ -623,10 +643,12 @@
     void theSocketIsItsOwnersOnly() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
-            assertEquals("rw-------", java.nio.file.attribute.PosixFilePermissions.toString(
-                    Files.getPosixFilePermissions(stage.folder.resolve("sablehinge-state/admin.sock"))));
-            OperatorNode.StartException taken = assertThrows(OperatorNode.StartException.class,
-                    () -> OperatorNode.start(stage.file, false));
+            assertEquals(
+                    "rw-------",
+                    java.nio.file.attribute.PosixFilePermissions.toString(
+                            Files.getPosixFilePermissions(stage.folder.resolve("sablehinge-state/admin.sock"))));
+            OperatorNode.StartException taken =
+                    assertThrows(OperatorNode.StartException.class, () -> OperatorNode.start(stage.file, false));
             assertTrue(taken.getMessage().contains("is in use by another process"), taken.getMessage());
         }
     }
--- a/src/test/java/sablehinge/node/RecordingTest.java
+++ b/src/test/java/sablehinge/node/RecordingTest.java
@@ -38,15 +38,41 @@
             Dump dump = dumped(stage.admin("POST", "/recorder/dump", ""));
             assertEquals("ASKED", dump.reason());
             Timeline timeline = new Timeline(dump);
-            long request = timeline.steps(0, 0).stream().filter(step -> step.event().name()
-                    .equals("ARRIVED")).findFirst().orElseThrow().exchange();
-            List<String> names = timeline.steps(request, 0).stream().map(step -> step.event().name())
+            long request = timeline.steps(0, 0).stream()
+                    .filter(step -> step.event().name().equals("ARRIVED"))
+                    .findFirst()
+                    .orElseThrow()
+                    .exchange();
+            List<String> names = timeline.steps(request, 0).stream()
+                    .map(step -> step.event().name())
                     .toList();
-            assertEquals(List.of("ARRIVED", "CHOSEN", "CONNECTING", "CONNECTED", "SENT", "FIRST_BYTE",
-                    "LAST_BYTE", "ANSWERED", "WRITTEN", "ATTEMPT_ENDED"), names.stream().sorted(
-                    java.util.Comparator.comparingInt(name -> List.of("ARRIVED", "CHOSEN", "CONNECTING",
-                    "CONNECTED", "SENT", "FIRST_BYTE", "LAST_BYTE", "ANSWERED", "WRITTEN",
-                    "ATTEMPT_ENDED").indexOf(name))).toList(), names.toString());
+            assertEquals(
+                    List.of(
+                            "ARRIVED",
+                            "CHOSEN",
+                            "CONNECTING",
+                            "CONNECTED",
+                            "SENT",
+                            "FIRST_BYTE",
+                            "LAST_BYTE",
+                            "ANSWERED",
+                            "WRITTEN",
+                            "ATTEMPT_ENDED"),
+                    names.stream()
+                            .sorted(java.util.Comparator.comparingInt(name -> List.of(
+                                            "ARRIVED",
+                                            "CHOSEN",
+                                            "CONNECTING",
+                                            "CONNECTED",
+                                            "SENT",
+                                            "FIRST_BYTE",
+                                            "LAST_BYTE",
+                                            "ANSWERED",
+                                            "WRITTEN",
+                                            "ATTEMPT_ENDED")
+                                    .indexOf(name)))
+                            .toList(),
+                    names.toString());
             assertTrue(stage.status().path("recorder").path("events").asLong() > 10);
             assertEquals(0, stage.status().path("recorder").path("alarms").asInt());
         }
@@ -82,8 +108,11 @@
             JsonNode said = stage.admin("POST", "/recorder/dump", "");
             assertEquals(409, said.path("status").asInt());
             assertEquals("this balancer has no [recorder]", said.path("error").asText());
-            assertEquals("recorder can't change while the process runs", stage.admin("POST", "/config/stage",
-                    stage.text("127.0.0.1:0", SECTION, 0)).path("error").asText());
+            assertEquals(
+                    "recorder can't change while the process runs",
+                    stage.admin("POST", "/config/stage", stage.text("127.0.0.1:0", SECTION, 0))
+                            .path("error")
+                            .asText());
         }
     }
 }
--- a/src/test/java/sablehinge/node/SharedTest.java
+++ b/src/test/java/sablehinge/node/SharedTest.java
@@ -39,7 +39,8 @@
 
     @Test
     void whoIsOutIsSeenByTheOther() throws Exception {
-        try (Shared first = new Shared(folder); Shared second = new Shared(folder)) {
+        try (Shared first = new Shared(folder);
+                Shared second = new Shared(folder)) {
             first.out("../a b/é", true);
             first.out("s-1", true);
             first.out("s-1", true);
@@ -48,8 +49,8 @@
             second.out("s-1", false);
             assertEquals(Set.of("../a b/é"), first.out());
             // No folder, no yes.
-            Files.walk(folder.resolve("out")).sorted((a, b) -> b.compareTo(a)).forEach(path ->
-                    path.toFile().delete());
+            Files.walk(folder.resolve("out")).sorted((a, b) -> b.compareTo(a)).forEach(path -> path.toFile()
+                    .delete());
             assertThrows(UncheckedIOException.class, () -> first.out("s-2", true));
         }
     }
--- a/src/test/java/sablehinge/pace/PaceTest.java
+++ b/src/test/java/sablehinge/pace/PaceTest.java
@@ -18,13 +18,14 @@
 
 class PaceTest {
 
-    private record Due(double at, int copy, String request) { }
+    private record Due(double at, int copy, String request) {}
 
     private static List<Due> play(Pace.Terms terms, Map<Double, String> log) {
         List<Due> due = new ArrayList<>();
         Pace<String> pace = new Pace<>(terms, (at, copy, request) -> due.add(new Due(at, copy, request)));
-        log.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(e -> pace.take(e.getKey(),
-                e.getValue().substring(0, 1), e.getValue()));
+        log.entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .forEach(e -> pace.take(e.getKey(), e.getValue().substring(0, 1), e.getValue()));
         pace.end();
         return due;
     }
@@ -35,16 +36,17 @@
 
     @Test
     void timeIsCompressedFromTheFirstRequestOn() {
-        assertEquals(List.of(new Due(0, 0, "a"), new Due(100, 0, "b")), play(terms(12, 1),
-                Map.of(5_000.0, "a", 6_200.0, "b")));
+        assertEquals(
+                List.of(new Due(0, 0, "a"), new Due(100, 0, "b")),
+                play(terms(12, 1), Map.of(5_000.0, "a", 6_200.0, "b")));
     }
 
     @Test
     void whatLiesOutsideTheTimesIsLeftOut() {
         Pace.Terms middle = new Pace.Terms(1, 1, 1_000, 2_000, 1);
-        assertEquals(List.of(new Due(0, 0, "b"), new Due(999, 0, "c")), play(middle, Map.of(999.0, "a",
-                1_000.0, "b",
-                1_999.0, "c", 2_000.0, "d")));
+        assertEquals(
+                List.of(new Due(0, 0, "b"), new Due(999, 0, "c")),
+                play(middle, Map.of(999.0, "a", 1_000.0, "b", 1_999.0, "c", 2_000.0, "d")));
     }
 
     @Test
@@ -66,12 +68,12 @@
 
     /** The mix of classes is kept in every stretch and not only in the sum. */
     @Property(tries = 200)
-    void anyScaleKeepsTheMix(@ForAll @DoubleRange(min = 0.05, max = 5) double scale,
+    void anyScaleKeepsTheMix(
+            @ForAll @DoubleRange(min = 0.05, max = 5) double scale,
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         Map<String, double[]> counts = new HashMap<>();
         SplittableRandom random = new SplittableRandom(seed);
-        Pace<String> pace = new Pace<>(new Pace.Terms(1, scale, Double.NaN, Double.NaN, seed), (at, copy,
-                request) -> {
+        Pace<String> pace = new Pace<>(new Pace.Terms(1, scale, Double.NaN, Double.NaN, seed), (at, copy, request) -> {
             counts.get(request)[1]++;
         });
         for (int i = 0; i < 2_000; i++) {
@@ -130,15 +132,12 @@
     @Test
     void retryAfterIsHonouredInPartAndUpToABound() {
         assertEquals(700, next(client(Repeat.NEVER), 50, Outcome.REFUSED, 700));
-        assertEquals(Double.NaN, next(client(Repeat.NEVER), 50, Outcome.REFUSED, 5_000),
-                "no time is left then");
-        assertEquals(100, next(client(Repeat.NEVER), 50, Outcome.REFUSED, 30),
-                "never sooner than its own wait");
+        assertEquals(Double.NaN, next(client(Repeat.NEVER), 50, Outcome.REFUSED, 5_000), "no time is left then");
+        assertEquals(100, next(client(Repeat.NEVER), 50, Outcome.REFUSED, 30), "never sooner than its own wait");
         int honoured = 0;
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 10_000; i++) {
-            Client half = new Client(new Client.Terms(2, 0.4, 0.4, 100, 0.3, 2_000), Repeat.NEVER, 10_000,
-                    0, random);
+            Client half = new Client(new Client.Terms(2, 0.4, 0.4, 100, 0.3, 2_000), Repeat.NEVER, 10_000, 0, random);
             half.begin(0);
             honoured += half.next(1, Outcome.REFUSED, 700, random) == 700 ? 1 : 0;
         }
@@ -149,8 +148,8 @@
     @Property(tries = 2_000)
     void noClientGoesBeyondItsBounds(@ForAll @LongRange(min = 0, max = 1_000_000_000) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Client.Terms terms = new Client.Terms(random.nextInt(5), 0.3, 0.9, random.nextDouble(500),
-                random.nextDouble(), 2_000);
+        Client.Terms terms =
+                new Client.Terms(random.nextInt(5), 0.3, 0.9, random.nextDouble(500), random.nextDouble(), 2_000);
         Repeat repeat = Repeat.values()[random.nextInt(3)];
         double deadline = random.nextDouble(10, 5_000);
         Client client = new Client(terms, repeat, deadline, 1_000, random);
--- a/src/test/java/sablehinge/policy/Bench.java
+++ b/src/test/java/sablehinge/policy/Bench.java
@@ -18,14 +18,15 @@
 /** One instance in virtual time: hands it events, keeps its actions, rings its timers. */
 final class Bench implements LoadBalancer.Actions {
 
-    record Sent(long request, int attempt, long upstream, double timeout, double at) { }
+    record Sent(long request, int attempt, long upstream, double timeout, double at) {}
 
-    private record Alarm(double at, long order, long token) { }
+    private record Alarm(double at, long order, long token) {}
 
     final List<Sent> sends = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
     /** The advice of the last refusal on when to return. */
     double retryAfter;
+
     final List<Long> failed = new ArrayList<>();
     final List<Sent> cancelled = new ArrayList<>();
     final Set<Long> open = new HashSet<>();
@@ -48,7 +49,8 @@
     }
 
     void list(Change change, Sites.Server... servers) {
-        balancer.upstreamsChanged(now, change, Arrays.stream(servers).map(Sites.Server::listed).toList());
+        balancer.upstreamsChanged(
+                now, change, Arrays.stream(servers).map(Sites.Server::listed).toList());
     }
 
     void adopt(Settings next) {
@@ -76,8 +78,18 @@
     /** A request that may have so many attempts. */
     void bounded(long id, int serviceClass, int attempts) {
         open.add(id);
-        balancer.request(now, new Request(id, serviceClass, 0, id,
-                now + settings.classes().get(serviceClass).deadline(), 0, false, false, attempts));
+        balancer.request(
+                now,
+                new Request(
+                        id,
+                        serviceClass,
+                        0,
+                        id,
+                        now + settings.classes().get(serviceClass).deadline(),
+                        0,
+                        false,
+                        false,
+                        attempts));
     }
 
     /** A request with a key and its class's whole deadline. */
@@ -91,8 +103,9 @@
 
     /** An outcome whose host has not yet heard that the request is over. */
     void finishUnclosed(Sent sent, Result result) {
-        balancer.attemptFinished(now, new Outcome(sent.request(), sent.attempt(), sent.upstream(), result,
-                false, now - sent.at(), null));
+        balancer.attemptFinished(
+                now,
+                new Outcome(sent.request(), sent.attempt(), sent.upstream(), result, false, now - sent.at(), null));
     }
 
     void timer(long token) {
@@ -106,8 +119,16 @@
         if (result == Result.OK) {
             open.remove(sent.request());
         }
-        balancer.attemptFinished(now, new Outcome(sent.request(), sent.attempt(), sent.upstream(), result,
-                !open.contains(sent.request()), elapsed, null));
+        balancer.attemptFinished(
+                now,
+                new Outcome(
+                        sent.request(),
+                        sent.attempt(),
+                        sent.upstream(),
+                        result,
+                        !open.contains(sent.request()),
+                        elapsed,
+                        null));
     }
 
     void streamStarted(Sent sent) {
--- a/src/test/java/sablehinge/policy/EmbeddingExampleTest.java
+++ b/src/test/java/sablehinge/policy/EmbeddingExampleTest.java
@@ -16,13 +16,14 @@
     static LoadBalancer host(LoadBalancer.Actions actions, LoadBalancer.Settings settings, double now) {
         LoadBalancer balancer = new LatencyWeightedBalancer(actions);
         balancer.start(now, settings, 42);
-        balancer.upstreamsChanged(now, LoadBalancer.Change.CACHED, List.of(
-                new LoadBalancer.Upstream(1, 0, 0, 0, LoadBalancer.State.READY, 1, 0)));
+        balancer.upstreamsChanged(
+                now,
+                LoadBalancer.Change.CACHED,
+                List.of(new LoadBalancer.Upstream(1, 0, 0, 0, LoadBalancer.State.READY, 1, 0)));
         // A client's request: the balancer answers with actions.send(7, 1, time-out) during this call.
         balancer.request(now, new LoadBalancer.Request(7, 0, 0, 0, now + 2_000, 0, false, false, 0));
         // The attempt was served after 12 ms; 'true' says that the client has its answer.
-        balancer.attemptFinished(now + 12, new LoadBalancer.Outcome(7, 0, 1, LoadBalancer.Result.OK, true, 12,
-                null));
+        balancer.attemptFinished(now + 12, new LoadBalancer.Outcome(7, 0, 1, LoadBalancer.Result.OK, true, 12, null));
         return balancer;
     }
     // example ends
--- a/src/test/java/sablehinge/policy/ModuleTest.java
+++ b/src/test/java/sablehinge/policy/ModuleTest.java
@@ -109,7 +109,8 @@
 
     @Test
     void oneOverdueCallIsEnoughToAvoidItsServer() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 5);
+        Bench bench =
+                new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 5);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.request(0, 0);
         long hung = bench.lastSend().upstream();
@@ -146,9 +147,19 @@
 
     @Test
     void aKeyedRequestStaysInItsGroupAndWindow() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.DEDUPLICATED).group(Group.CELL)
-                .memory(500).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1).cell(0), Sites.server(2).cell(0), Sites.server(3).cell(1));
+        Bench bench = new Bench(
+                Sites.plain()
+                        .tier(1)
+                        .repeat(Repeat.DEDUPLICATED)
+                        .group(Group.CELL)
+                        .memory(500)
+                        .build(),
+                1);
+        bench.list(
+                Change.CACHED,
+                Sites.server(1).cell(0),
+                Sites.server(2).cell(0),
+                Sites.server(3).cell(1));
         for (int i = 0; i < 50; i++) {
             bench.request(i, 0);
             Bench.Sent first = bench.lastSend();
@@ -173,7 +184,10 @@
     void nothingGoesToAServerThatDrainsOrIsGone() {
         Bench bench = new Bench(Sites.plain().build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
-        bench.list(Change.DELTA, Sites.server(1).state(State.DRAINING), Sites.server(2).state(State.REMOVED));
+        bench.list(
+                Change.DELTA,
+                Sites.server(1).state(State.DRAINING),
+                Sites.server(2).state(State.REMOVED));
         for (int i = 0; i < 100; i++) {
             bench.request(i, 0);
             assertEquals(3, bench.lastSend().upstream());
@@ -332,8 +346,7 @@
     @Test
     void aColdServerIsNotFloodedWhenAllOthersFail() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-        bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2), Sites.server(3),
-                Sites.server(4));
+        bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2), Sites.server(3), Sites.server(4));
         int toCold = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
@@ -475,7 +488,8 @@
 
     @Test
     void overloadIsFeltWhileCallsAreStillOut() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+        Bench bench =
+                new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         int i = 0;
         for (; i < 40; i++) {
@@ -494,7 +508,8 @@
     @Test
     void errorsThatComeAtOnceAreNoSignOfOverload() {
         for (Result result : new Result[] {Result.ERROR, Result.FULL}) {
-            Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+            Bench bench = new Bench(
+                    Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
             bench.list(Change.CACHED, Sites.server(1));
             for (int i = 0; i < 200; i++) {
                 bench.request(i, 0);
@@ -502,15 +517,21 @@
                     bench.finishAfter(bench.lastSend(), result, 5);
                 }
             }
-            long shed = 200 - bench.sends.stream().map(Bench.Sent::request).distinct().count();
+            long shed = 200
+                    - bench.sends.stream().map(Bench.Sent::request).distinct().count();
             assertEquals(result == Result.FULL, shed > 0, shed + " refused without a try");
         }
     }
 
     @Test
     void aSickServerAtHomeIsLeftEvenWhereACrossingIsDear() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).crossZone(0.2).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).zone(1), Sites.server(3).zone(1));
+        Bench bench = new Bench(
+                Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).crossZone(0.2).build(), 1);
+        bench.list(
+                Change.CACHED,
+                Sites.server(1),
+                Sites.server(2).zone(1),
+                Sites.server(3).zone(1));
         long sick = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
@@ -525,8 +546,13 @@
 
     @Test
     void aSickServerThatFailsAtOnceIsNotTakenForAFreeOne() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).crossZone(0.2).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).zone(1), Sites.server(3).zone(1));
+        Bench bench = new Bench(
+                Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).crossZone(0.2).build(), 1);
+        bench.list(
+                Change.CACHED,
+                Sites.server(1),
+                Sites.server(2).zone(1),
+                Sites.server(3).zone(1));
         ArrayDeque<Bench.Sent> out = new ArrayDeque<>();
         int lost = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -564,7 +590,8 @@
         int[] drawn = new int[49];
         int inEight = 0;
         for (int position = 0; position < siblings; position++) {
-            Bench bench = new Bench(Sites.plain().tier(1).siblings(siblings).position(position).build(), 1);
+            Bench bench = new Bench(
+                    Sites.plain().tier(1).siblings(siblings).position(position).build(), 1);
             Sites.Server[] list = new Sites.Server[48];
             for (int i = 0; i < list.length; i++) {
                 list[i] = Sites.server(i + 1).kind(i % 2);
@@ -632,7 +659,8 @@
 
     @Test
     void workStopsAtTheAimWhereALateAnswerIsWorthNothing() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+        Bench bench =
+                new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         bench.request(1, 0);
         assertEquals(Sites.AIM, bench.lastSend().timeout());
@@ -671,7 +699,8 @@
 
     @Test
     void aMachineTypeThatFailsIsAvoidedAlsoAtServersNotYetTried() {
-        Bench bench = new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 3);
+        Bench bench =
+                new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 3);
         Sites.Server[] list = new Sites.Server[80];
         for (int i = 0; i < list.length; i++) {
             list[i] = Sites.server(i + 1).kind(i % 2);
@@ -700,7 +729,9 @@
         bench.keyed(3, 0, 8);
         bench.keyed(4, 0, 0);
         bench.keyed(5, 0, 0);
-        assertEquals(List.of(1L, 3L, 4L, 5L), bench.sends.stream().map(Bench.Sent::request).toList());
+        assertEquals(
+                List.of(1L, 3L, 4L, 5L),
+                bench.sends.stream().map(Bench.Sent::request).toList());
         bench.advance(50);
         bench.finish(bench.sends.get(0), Result.OK);
         assertEquals(2, bench.lastSend().request());
@@ -748,7 +779,8 @@
 
     @Test
     void aWaitingRequestIsAnsweredInTime() {
-        Bench bench = new Bench(Sites.plain().inOrder(true).repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        Bench bench = new Bench(
+                Sites.plain().inOrder(true).repeat(Repeat.AT_MOST_ONCE).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.keyed(1, 0, 7);
         bench.keyed(2, 0, 7);
@@ -761,7 +793,10 @@
     @Test
     void aBoundClassGoesOnlyWhereItMayAlsoWhenItsServersFail() {
         Bench bench = new Bench(Sites.plain().onlyZones(1).onlyKinds(1).tier(1).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1).zone(1), Sites.server(2).kind(1),
+        bench.list(
+                Change.CACHED,
+                Sites.server(1).zone(1),
+                Sites.server(2).kind(1),
                 Sites.server(3).zone(1).kind(1));
         for (int i = 0; i < 200; i++) {
             bench.request(i, 0);
@@ -829,8 +864,12 @@
     @Test
     void aFleetThatIsColdAsAWholeIsNotLeftIdle() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-        bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2).startedAt(NOW),
-                Sites.server(3).startedAt(NOW), Sites.server(4).startedAt(NOW));
+        bench.list(
+                Change.CACHED,
+                Sites.server(1).startedAt(NOW),
+                Sites.server(2).startedAt(NOW),
+                Sites.server(3).startedAt(NOW),
+                Sites.server(4).startedAt(NOW));
         for (int i = 0; i < 400; i++) {
             bench.request(i, 0);
             int before = bench.sends.size();
--- a/src/test/java/sablehinge/policy/ProjectTest.java
+++ b/src/test/java/sablehinge/policy/ProjectTest.java
@@ -21,7 +21,9 @@
         long count = 0;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(POLICY, "*.java")) {
             for (Path file : files) {
-                count += Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
+                count += Files.readAllLines(file).stream()
+                        .filter(line -> !line.isBlank())
+                        .count();
             }
         }
         assertTrue(count > 0 && count <= 1_200, count + " lines that are not blank");
--- a/src/test/java/sablehinge/policy/RandomEventsTest.java
+++ b/src/test/java/sablehinge/policy/RandomEventsTest.java
@@ -52,8 +52,9 @@
     private static final class Driver {
         private static final int SERVERS = 6;
         private static final double SETTLE = 100;
-        private static final Result[] UNSERVED = {Result.ERROR, Result.FULL, Result.TIMEOUT,
-            Result.CONNECT_FAILED, Result.RESET, Result.NOT_SENT};
+        private static final Result[] UNSERVED = {
+            Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET, Result.NOT_SENT
+        };
 
         private final SplittableRandom random;
         private final Repeat repeat;
@@ -67,6 +68,7 @@
         private final State[] states = new State[SERVERS];
         /** Sends whose outcome has not come. */
         private final List<Bench.Sent> out = new ArrayList<>();
+
         private final Map<Long, List<Bench.Sent>> byRequest = new HashMap<>();
         private final Set<Bench.Sent> provenUnrun = new HashSet<>();
         private final Map<Long, Double> deadlines = new HashMap<>();
@@ -78,6 +80,7 @@
         private final Map<Long, Double> rested = new HashMap<>();
         /** Since a server was last listed anew: its start, sends to it, what all requests earned it. */
         private final double[] started = new double[SERVERS];
+
         private final int[] sentTo = new int[SERVERS];
         private final double[] earned = new double[SERVERS];
         private int seen;
@@ -92,8 +95,14 @@
             streamed = random.nextInt(4) == 0;
             inOrder = !streamed && random.nextBoolean();
             placed = random.nextInt(3) == 0;
-            Sites.Builder site = Sites.plain().repeat(repeat).group(group).memory(700).parallel(parallel)
-                    .streamed(streamed).inOrder(inOrder).siblings(3)
+            Sites.Builder site = Sites.plain()
+                    .repeat(repeat)
+                    .group(group)
+                    .memory(700)
+                    .parallel(parallel)
+                    .streamed(streamed)
+                    .inOrder(inOrder)
+                    .siblings(3)
                     .lateWorth(random.nextBoolean() ? 0.3 : 0);
             bench = new Bench((placed ? site.onlyZones(1).onlyKinds(0) : site).build(), seed);
             for (int i = 0; i < SERVERS; i++) {
@@ -105,12 +114,23 @@
 
         private void step() {
             switch (random.nextInt(12)) {
-                case 0, 1, 2, 3: arrive(); break;
-                case 4, 5, 6, 7: finishOne(); break;
-                case 8: changeList(); break;
-                case 9: leave(); break;
-                case 10: stream(); break;
-                default: advance(random.nextDouble() * 200);
+                case 0, 1, 2, 3:
+                    arrive();
+                    break;
+                case 4, 5, 6, 7:
+                    finishOne();
+                    break;
+                case 8:
+                    changeList();
+                    break;
+                case 9:
+                    leave();
+                    break;
+                case 10:
+                    stream();
+                    break;
+                default:
+                    advance(random.nextDouble() * 200);
             }
         }
 
@@ -121,8 +141,8 @@
             classOf.put(id, random.nextInt(2));
             keyOf.put(id, (long) random.nextInt(4));
             earn(classOf.get(id));
-            bench.request(id, classOf.get(id), deadline, random.nextInt(3) == 0 ? random.nextInt(100) : 0,
-                    keyOf.get(id));
+            bench.request(
+                    id, classOf.get(id), deadline, random.nextInt(3) == 0 ? random.nextInt(100) : 0, keyOf.get(id));
         }
 
         /** Whether a request's class may go to a server at all. */
@@ -209,8 +229,9 @@
             int server = (int) sent.upstream() - 1;
             if (started[server] != 0 && sent.at() - started[server] < 10_000) {
                 sentTo[server]++;
-                assertTrue(sentTo[server] <= 1 + earned[server] + 1e-9, where + ": rule 4: " + sentTo[server]
-                        + " of " + earned[server]);
+                assertTrue(
+                        sentTo[server] <= 1 + earned[server] + 1e-9,
+                        where + ": rule 4: " + sentTo[server] + " of " + earned[server]);
             }
         }
 
@@ -256,15 +277,18 @@
                 Bench.Sent sent = bench.sends.get(seen);
                 checkSend(sent, where + ": " + sent);
                 checkColdBudget(sent, where + ": " + sent);
-                byRequest.computeIfAbsent(sent.request(), k -> new ArrayList<>()).add(sent);
+                byRequest
+                        .computeIfAbsent(sent.request(), k -> new ArrayList<>())
+                        .add(sent);
                 out.add(sent);
             }
             for (; refusedSeen < bench.refused.size(); refusedSeen++) {
                 long id = bench.refused.get(refusedSeen);
-                boolean maybeRun = byRequest.getOrDefault(id, List.of()).stream()
-                        .anyMatch(s -> !provenUnrun.contains(s));
-                assertTrue(!maybeRun || repeat == Repeat.IDEMPOTENT
-                        || repeat == Repeat.DEDUPLICATED && group == Group.ALL, where + ": refused " + id);
+                boolean maybeRun =
+                        byRequest.getOrDefault(id, List.of()).stream().anyMatch(s -> !provenUnrun.contains(s));
+                assertTrue(
+                        !maybeRun || repeat == Repeat.IDEMPOTENT || repeat == Repeat.DEDUPLICATED && group == Group.ALL,
+                        where + ": refused " + id);
             }
             Set<Long> answered = new HashSet<>(servedOrGone);
             for (long id : bench.refused) {
@@ -274,7 +298,8 @@
                 assertTrue(answered.add(id), where + ": second final answer for " + id);
             }
             for (long id : bench.open) {
-                assertTrue(streaming.contains(id) || bench.now <= deadlines.get(id) + 20,
+                assertTrue(
+                        streaming.contains(id) || bench.now <= deadlines.get(id) + 20,
                         where + ": no answer in time for " + id);
             }
         }
@@ -295,8 +320,9 @@
                 assertTrue(repeat == Repeat.DEDUPLICATED, where + ": unsafe repeated");
                 assertTrue(sent.at() <= before.at() + 700, where + ": outside the window");
                 int was = (int) before.upstream() - 1;
-                assertTrue(group == Group.ALL || (group == Group.ZONE ? was % 2 == server % 2
-                        : was / 2 == server / 2), where + ": outside the group");
+                assertTrue(
+                        group == Group.ALL || (group == Group.ZONE ? was % 2 == server % 2 : was / 2 == server / 2),
+                        where + ": outside the group");
             }
         }
 
@@ -307,9 +333,11 @@
                 long before = id;
                 if (keyOf.get(before) == key) {
                     assertFalse(bench.isOpen(before), where + ": rule 5: before " + before);
-                    assertTrue(out.stream().noneMatch(other -> other.request() == before),
+                    assertTrue(
+                            out.stream().noneMatch(other -> other.request() == before),
                             where + ": rule 5: while an attempt of " + before + " is out");
-                    assertTrue(sent.at() >= rested.getOrDefault(before, 0.0),
+                    assertTrue(
+                            sent.at() >= rested.getOrDefault(before, 0.0),
                             where + ": rule 5: before the key has rested after " + before);
                 }
             }
--- a/src/test/java/sablehinge/policy/Sites.java
+++ b/src/test/java/sablehinge/policy/Sites.java
@@ -20,8 +20,7 @@
     static final double AIM = 1_000;
     static final double DEADLINE = 2_000;
 
-    private Sites() {
-    }
+    private Sites() {}
 
     static Builder plain() {
         return new Builder();
@@ -170,14 +169,32 @@
 
         Settings build() {
             List<ServiceClass> classes = List.of(
-                    new ServiceClass("first", AIM, 0, DEADLINE, 5, lateWorth, repeat, group, memory,
-                            streamed, inOrder, onlyZones, onlyKinds, 0),
-                    new ServiceClass("second", AIM, 0, DEADLINE, 1, lateWorth, repeat, group, memory,
-                            streamed, inOrder, null, null, 0));
-            return new Settings(position, siblings, tier, 3, 0, 2, 2, subscribe, true, false, false, false,
-                    0.1, WeightKind.NONE, Reports.NONE, List.of(), classes, List.of(),
-                    new Limits(4, 1_000, true, parallel, false, false, true, 2_000, 100, 30_000, 1, 0,
-                            800_000),
+                    new ServiceClass(
+                            "first", AIM, 0, DEADLINE, 5, lateWorth, repeat, group, memory, streamed, inOrder,
+                            onlyZones, onlyKinds, 0),
+                    new ServiceClass(
+                            "second", AIM, 0, DEADLINE, 1, lateWorth, repeat, group, memory, streamed, inOrder, null,
+                            null, 0));
+            return new Settings(
+                    position,
+                    siblings,
+                    tier,
+                    3,
+                    0,
+                    2,
+                    2,
+                    subscribe,
+                    true,
+                    false,
+                    false,
+                    false,
+                    0.1,
+                    WeightKind.NONE,
+                    Reports.NONE,
+                    List.of(),
+                    classes,
+                    List.of(),
+                    new Limits(4, 1_000, true, parallel, false, false, true, 2_000, 100, 30_000, 1, 0, 800_000),
                     new Rules(20, 500, 10_000, 0.2, 10_000, 3, 1_500, 100),
                     new Goal(0.6, 0.2, 0.2, 0, 0, 0, 0, 0),
                     new Prices(crossZone, 0, 0.02, 0.03, connection, 0, 0, 0));
--- a/src/test/java/sablehinge/policy/VersionsTest.java
+++ b/src/test/java/sablehinge/policy/VersionsTest.java
@@ -27,15 +27,58 @@
     private static Settings named(Settings base, String first, Repeat repeat, int attempts) {
         LoadBalancer.ServiceClass c = base.classes().get(0);
         LoadBalancer.Limits l = base.limits();
-        return new Settings(base.position(), base.siblings(), base.tier(), base.tiers(), base.zone(),
-                base.zones(), base.kinds(), base.subscribe(), base.passesDeadline(), base.warmKeys(),
-                base.retriesMarked(), base.worthByWork(), base.overShareWorth(), base.weightKind(),
-                base.reports(), base.reportFields(), List.of(new LoadBalancer.ServiceClass(first, c.aim(),
-                0, c.deadline(), c.worth(), c.lateWorth(), repeat, c.group(), c.memory(), false, false, null,
-                null, 0), base.classes().get(1)), base.tenants(), new LoadBalancer.Limits(attempts,
-                l.maxOpen(),
-                l.cancel(), l.parallel(), l.probes(), l.peers(), l.retryAfter(), l.maxRetryAfter(),
-                l.connectTimeout(), l.connectionIdle(), 1, 0, 0), base.rules(), base.goal(), base.prices());
+        return new Settings(
+                base.position(),
+                base.siblings(),
+                base.tier(),
+                base.tiers(),
+                base.zone(),
+                base.zones(),
+                base.kinds(),
+                base.subscribe(),
+                base.passesDeadline(),
+                base.warmKeys(),
+                base.retriesMarked(),
+                base.worthByWork(),
+                base.overShareWorth(),
+                base.weightKind(),
+                base.reports(),
+                base.reportFields(),
+                List.of(
+                        new LoadBalancer.ServiceClass(
+                                first,
+                                c.aim(),
+                                0,
+                                c.deadline(),
+                                c.worth(),
+                                c.lateWorth(),
+                                repeat,
+                                c.group(),
+                                c.memory(),
+                                false,
+                                false,
+                                null,
+                                null,
+                                0),
+                        base.classes().get(1)),
+                base.tenants(),
+                new LoadBalancer.Limits(
+                        attempts,
+                        l.maxOpen(),
+                        l.cancel(),
+                        l.parallel(),
+                        l.probes(),
+                        l.peers(),
+                        l.retryAfter(),
+                        l.maxRetryAfter(),
+                        l.connectTimeout(),
+                        l.connectionIdle(),
+                        1,
+                        0,
+                        0),
+                base.rules(),
+                base.goal(),
+                base.prices());
     }
 
     @Test
@@ -78,9 +121,7 @@
         assertEquals(before, bench.sends.size());
     }
 
-    /**
-     * Back to the version before, with a server that the other one had dropped: its record is still there.
-     */
+    /** Back to the version before, with a server that the other one had dropped: its record is still there. */
     @Test
     void goingBackForgetsNothing() {
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
@@ -88,8 +129,7 @@
         for (long id = 1; id <= 200; id++) {
             bench.request(id, 0);
             while (bench.isOpen(id)) {
-                bench.finishAfter(bench.lastSend(), bench.lastSend().upstream() == 1 ? Result.ERROR
-                        : Result.OK, 10);
+                bench.finishAfter(bench.lastSend(), bench.lastSend().upstream() == 1 ? Result.ERROR : Result.OK, 10);
             }
         }
         bench.adopt(named(old, "first", Repeat.IDEMPOTENT, 4));
@@ -101,7 +141,8 @@
             bench.request(id, 0);
         }
         long toSick = bench.sends.subList(sent, bench.sends.size()).stream()
-                .filter(one -> one.upstream() == 1).count();
+                .filter(one -> one.upstream() == 1)
+                .count();
         assertTrue(toSick < 20, toSick + " of 100 to a server known to fail");
     }
 
@@ -133,8 +174,9 @@
     private static long coldSends(boolean changing) {
         Settings base = Sites.plain().build();
         Bench bench = new Bench(base, 9);
-        Sites.Server[] servers = {Sites.server(1), Sites.server(2), Sites.server(3),
-            Sites.server(4).startedAt(bench.now)};
+        Sites.Server[] servers = {
+            Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4).startedAt(bench.now)
+        };
         bench.list(Change.CACHED, servers);
         for (long id = 1; id <= 400; id++) {
             if (changing && id % 5 == 0) {
@@ -148,9 +190,7 @@
         return bench.sends.stream().filter(sent -> sent.upstream() == 4).count();
     }
 
-    /**
-     * Random requests, outcomes, lists, changes and returns: what each request does is held to its version.
-     */
+    /** Random requests, outcomes, lists, changes and returns: what each request does is held to its version. */
     @Test
     void randomChangesMixNothing() {
         for (long seed = 1; seed <= 200; seed++) {
@@ -173,8 +213,11 @@
             switch (random.nextInt(6)) {
                 case 0 -> {
                     if (versions.size() < 4 || random.nextBoolean()) {
-                        current = named(base, "class-" + random.nextInt(3),
-                                Repeat.values()[random.nextInt(3)], 1 + random.nextInt(4));
+                        current = named(
+                                base,
+                                "class-" + random.nextInt(3),
+                                Repeat.values()[random.nextInt(3)],
+                                1 + random.nextInt(4));
                         versions.add(current);
                     } else {
                         current = versions.get(random.nextInt(versions.size()));
@@ -185,7 +228,8 @@
                 }
                 case 1, 2 -> {
                     if (!out.isEmpty()) {
-                        bench.finish(out.remove(random.nextInt(out.size())),
+                        bench.finish(
+                                out.remove(random.nextInt(out.size())),
                                 random.nextInt(3) == 0 ? Result.OK : Result.ERROR);
                     }
                 }
@@ -200,9 +244,9 @@
                 out.add(sent);
                 assertTrue(lists.get(own).contains(sent.upstream()), what + ": a server of another version");
                 assertTrue(ready.contains(sent.upstream()), what + ": a server that is gone");
-                assertTrue(sent.attempt() < own.limits().maxAttempts(), what
-                        + ": attempts of another version");
-                assertTrue(sent.attempt() == 0 || own.classes().get(0).repeat() != Repeat.AT_MOST_ONCE,
+                assertTrue(sent.attempt() < own.limits().maxAttempts(), what + ": attempts of another version");
+                assertTrue(
+                        sent.attempt() == 0 || own.classes().get(0).repeat() != Repeat.AT_MOST_ONCE,
                         what + ": sent twice");
             }
             bench.advance(random.nextInt(30));
--- a/src/test/java/sablehinge/recorder/DumpTest.java
+++ b/src/test/java/sablehinge/recorder/DumpTest.java
@@ -43,21 +43,25 @@
         Dump dump = dump(1_000);
         assertEquals(dump, Dump.read(dump.bytes()));
         // Each has its own time, also where it follows another in one call.
-        assertEquals(List.of(10L, 20L, 30L, 40L, 50L, 60L, 70L, 80L, 90L), dump.events().stream()
-                .map(Dump.Event::micros).toList());
+        assertEquals(
+                List.of(10L, 20L, 30L, 40L, 50L, 60L, 70L, 80L, 90L),
+                dump.events().stream().map(Dump.Event::micros).toList());
     }
 
     /** What core and the connections tell apart is one story. */
     @Test
     void requestsAndConnectionsAreJoined() {
         Timeline timeline = new Timeline(dump(1_000));
-        assertEquals(List.of("ARRIVED", "CHOSEN", "REUSED", "FIRST_BYTE", "KEPT"),
+        assertEquals(
+                List.of("ARRIVED", "CHOSEN", "REUSED", "FIRST_BYTE", "KEPT"),
                 timeline.steps(77, 0).stream().map(step -> step.event().name()).toList());
-        assertEquals(List.of("CONNECTING"), timeline.steps(0, 10).stream()
-                .map(step -> step.event().name()).toList());
+        assertEquals(
+                List.of("CONNECTING"),
+                timeline.steps(0, 10).stream().map(step -> step.event().name()).toList());
         assertEquals(0, timeline.steps(0, 10).get(0).exchange());
-        assertEquals(List.of("request", "moving"), timeline.spans(9).stream().map(Timeline.Span::state)
-                .toList());
+        assertEquals(
+                List.of("request", "moving"),
+                timeline.spans(9).stream().map(Timeline.Span::state).toList());
         assertTrue(TimelinePage.of(timeline).contains("connection 10"));
     }
 
@@ -68,11 +72,13 @@
         Random random = new Random(1);
         for (int i = 0; i < whole.length; i++) {
             byte[] cut = Arrays.copyOf(whole, i);
-            assertTrue(assertThrows(IOException.class, () -> Dump.read(cut)).getMessage()
+            assertTrue(assertThrows(IOException.class, () -> Dump.read(cut))
+                    .getMessage()
                     .startsWith("at offset "));
             byte[] turned = whole.clone();
             turned[i] ^= (byte) (1 << random.nextInt(8));
-            assertTrue(assertThrows(IOException.class, () -> Dump.read(turned)).getMessage()
+            assertTrue(assertThrows(IOException.class, () -> Dump.read(turned))
+                    .getMessage()
                     .contains("expected"));
         }
     }
@@ -87,8 +93,9 @@
             dumps.write(dump(at));
         }
         try (Stream<Path> files = Files.list(folder)) {
-            assertArrayEquals(new String[] {"000000000000003-unread.flight", "000000000000004-unread.flight",
-                "notes.txt"}, files.map(file -> file.getFileName().toString()).sorted().toArray());
+            assertArrayEquals(
+                    new String[] {"000000000000003-unread.flight", "000000000000004-unread.flight", "notes.txt"},
+                    files.map(file -> file.getFileName().toString()).sorted().toArray());
         }
     }
 
--- a/src/test/java/sablehinge/recorder/RingTest.java
+++ b/src/test/java/sablehinge/recorder/RingTest.java
@@ -25,8 +25,7 @@
 
     /** Full, it shows one less than it holds: the oldest may be the one that is overwritten next. */
     @Property(tries = 300)
-    void itKeepsTheLast(@ForAll @IntRange(min = 1, max = 5_000) int bytes,
-            @ForAll @IntRange(max = 1_000) int count) {
+    void itKeepsTheLast(@ForAll @IntRange(min = 1, max = 5_000) int bytes, @ForAll @IntRange(max = 1_000) int count) {
         Ring ring = new Ring(bytes);
         assertTrue(ring.capacity() * Ring.EVENT_BYTES <= Math.max(bytes, Ring.EVENT_BYTES));
         for (int i = 0; i < count; i++) {
--- a/src/test/java/sablehinge/recorder/WatchTest.java
+++ b/src/test/java/sablehinge/recorder/WatchTest.java
@@ -121,7 +121,7 @@
     /** Ticks for so many ms, and tells when each alarm came. */
     private List<String> watch(double millis) {
         List<String> alarms = new ArrayList<>();
-        for (double end = now + millis; now < end;) {
+        for (double end = now + millis; now < end; ) {
             now += TERMS.tick();
             watch.tick(now, process).forEach(alarm -> alarms.add(Math.round(now) + " " + alarm.kind()));
         }
@@ -230,7 +230,7 @@
                         body.writable = true;
                         body.paused = false;
                     }
-                    default -> { }
+                    default -> {}
                 }
             }
             assertEquals(List.of(), watch(random.nextInt(8) * TERMS.tick()), "seed " + seed);
--- a/src/test/java/sablehinge/recorder/WatchdogTest.java
+++ b/src/test/java/sablehinge/recorder/WatchdogTest.java
@@ -25,12 +25,13 @@
 
     @TempDir
     private Path folder;
+
     private final AtomicLong nanos = new AtomicLong();
     private final LinkedBlockingQueue<String> log = new LinkedBlockingQueue<>();
 
     private Watchdog watchdog(Path into) {
-        Watchdog watchdog = new Watchdog(new Ring(1 << 12), "n", nanos::get, 300, into == null ? null
-                : new DumpFolder(into, 3), log::add);
+        Watchdog watchdog = new Watchdog(
+                new Ring(1 << 12), "n", nanos::get, 300, into == null ? null : new DumpFolder(into, 3), log::add);
         watchdog.start();
         return watchdog;
     }
@@ -82,8 +83,7 @@
         }
         watchdog.alarm(new Alarm(Kind.OVERDUE, 0, 12, "third"));
         String line = logged();
-        assertTrue(line.contains("OVERDUE: request 12: third (1 alarms before this one were passed over)"),
-                line);
+        assertTrue(line.contains("OVERDUE: request 12: third (1 alarms before this one were passed over)"), line);
         watchdog.end();
     }
 
--- a/src/test/java/sablehinge/replay/LogsTest.java
+++ b/src/test/java/sablehinge/replay/LogsTest.java
@@ -97,8 +97,12 @@
         String second = get(DAY + 1_000, "a", "/tile/2", 200);
         // A frame to be skipped, as some tools write before the others (RFC 8878, 3.1.2).
         byte[] skipped = {0x50, 0x2a, 0x4d, 0x18, 3, 0, 0, 0, 1, 2, 3};
-        for (byte[] bytes : List.of((first + second).getBytes(StandardCharsets.UTF_8), gzip(first + second),
-                joined(gzip(first), gzip(second)), zstd(first + second), joined(zstd(first), zstd(second)),
+        for (byte[] bytes : List.of(
+                (first + second).getBytes(StandardCharsets.UTF_8),
+                gzip(first + second),
+                joined(gzip(first), gzip(second)),
+                zstd(first + second),
+                joined(zstd(first), zstd(second)),
                 joined(zstd(first), skipped, zstd(second)))) {
             try (Logs logs = open(USUAL, file("access.log", bytes))) {
                 assertEquals(List.of("1", "2"), keys(all(logs)), logs.counts().toString());
@@ -109,13 +113,15 @@
     /** A pipe brings a member when it likes: nothing there at present isn't the end. */
     @Test
     void membersThatComeLateOverStandardInputAreRead() throws IOException {
-        InputStream slow = new SequenceInputStream(new ByteArrayInputStream(gzip(get(DAY, "a", "/t/1", 200))),
-                new ByteArrayInputStream(gzip(get(DAY, "a", "/t/2", 200)))) {
-            @Override
-            public int available() {
-                return 0;
-            }
-        };
+        InputStream slow =
+                new SequenceInputStream(
+                        new ByteArrayInputStream(gzip(get(DAY, "a", "/t/1", 200))),
+                        new ByteArrayInputStream(gzip(get(DAY, "a", "/t/2", 200)))) {
+                    @Override
+                    public int available() {
+                        return 0;
+                    }
+                };
         try (Logs logs = Logs.open(List.of("-"), slow, USUAL)) {
             assertEquals(List.of("1", "2"), keys(all(logs)));
         }
@@ -141,10 +147,14 @@
 
     @Test
     void severalFilesAreOneDayInTheOrderOfTime() throws IOException {
-        String nginx = file("a.log", "10.0.0.1 - - [03/Aug/2026:06:00:01 +0000] \"GET /t/b HTTP/1.1\" 200 5\n"
-                + "10.0.0.1 - - [03/Aug/2026:06:00:04 +0000] \"GET /t/e HTTP/1.1\" 200 5\n");
+        String nginx = file(
+                "a.log",
+                "10.0.0.1 - - [03/Aug/2026:06:00:01 +0000] \"GET /t/b HTTP/1.1\" 200 5\n"
+                        + "10.0.0.1 - - [03/Aug/2026:06:00:04 +0000] \"GET /t/e HTTP/1.1\" 200 5\n");
         String lines = file("b.log", get(DAY + 3_500, "x", "/t/d", 200) + get(DAY, "x", "/t/a", 200));
-        String har = file("c.har", """
+        String har = file(
+                "c.har",
+                """
                 {"log": {"version": "1.2", "entries": [{"startedDateTime": "2026-08-03T08:00:03.000+02:00",
                  "time": 12.5, "request": {"method": "GET", "url": "https://tiles.example/t/c"},
                  "response": {"status": 200}}]}}""");
@@ -171,8 +181,10 @@
     @Test
     void whereTimesAreEndsTheBeginningCounts() throws IOException {
         String format = "$remote_addr [$time_local] \"$request\" $status $request_time";
-        String log = file("ends", "10.0.0.1 [03/Aug/2026:06:00:10 +0000] \"GET /t/late HTTP/1.1\" 200 0.100\n"
-                + "10.0.0.1 [03/Aug/2026:06:00:11 +0000] \"GET /t/early HTTP/1.1\" 200 8.000\n");
+        String log = file(
+                "ends",
+                "10.0.0.1 [03/Aug/2026:06:00:10 +0000] \"GET /t/late HTTP/1.1\" 200 0.100\n"
+                        + "10.0.0.1 [03/Aug/2026:06:00:11 +0000] \"GET /t/early HTTP/1.1\" 200 8.000\n");
         try (Logs logs = open(USUAL.withFormat(format, ZoneOffset.UTC, Map.of()), log)) {
             List<Demand> demands = all(logs);
             assertEquals(List.of("early", "late"), keys(demands));
@@ -194,8 +206,7 @@
         }
         int[] tenths = new int[30];
         first.forEach(time -> tenths[(int) ((time - DAY) / 100)]++);
-        assertTrue(Arrays.stream(tenths).allMatch(count -> count > 60 && count < 140),
-                Arrays.toString(tenths));
+        assertTrue(Arrays.stream(tenths).allMatch(count -> count > 60 && count < 140), Arrays.toString(tenths));
         try (Logs logs = open(USUAL, log)) {
             assertEquals(first, all(logs).stream().map(Demand::time).toList());
         }
@@ -210,21 +221,25 @@
         for (int i = 0; i < 12; i++) {
             text.append("{nonsense\n\n");
         }
-        text.append("{\"target\":\"/").append("x".repeat(LineReader.MOST_BYTES)).append("\"}\n")
+        text.append("{\"target\":\"/")
+                .append("x".repeat(LineReader.MOST_BYTES))
+                .append("\"}\n")
                 .append(get(DAY, "x", "/t/b", 200));
         String log = file("some", text.toString());
         try (Logs logs = open(USUAL, log)) {
             assertEquals(List.of("a", "b"), keys(all(logs)));
             assertEquals(13, logs.counts().unreadable());
             assertEquals(10, logs.counts().firstUnreadable().size());
-            assertTrue(logs.counts().firstUnreadable().get(1).startsWith(log + ":4: character "),
+            assertTrue(
+                    logs.counts().firstUnreadable().get(1).startsWith(log + ":4: character "),
                     logs.counts().firstUnreadable().get(1));
         }
         String message = assertThrows(IOException.class, () -> {
-            try (Logs logs = open(USUAL.with(true, 1), log)) {
-                all(logs);
-            }
-        }).getMessage();
+                    try (Logs logs = open(USUAL.with(true, 1), log)) {
+                        all(logs);
+                    }
+                })
+                .getMessage();
         assertTrue(message.startsWith(log + ":2: character "), message);
     }
 
@@ -242,11 +257,12 @@
 
     @Test
     void timesThatAreMissingLieBetweenTheirNeighbours() throws IOException {
-        String log = file("missing", get(DAY, "x", "/t/a", 200) + "{\"target\":\"/t/b\"}\n"
-                + get(DAY + 1_001, "x", "/t/c", 200));
+        String log = file(
+                "missing", get(DAY, "x", "/t/a", 200) + "{\"target\":\"/t/b\"}\n" + get(DAY + 1_001, "x", "/t/c", 200));
         try (Logs logs = open(USUAL, log)) {
-            assertEquals(List.of(DAY, DAY + 500.5, DAY + 1_001), all(logs).stream().map(Demand::time)
-                    .toList());
+            assertEquals(
+                    List.of(DAY, DAY + 500.5, DAY + 1_001),
+                    all(logs).stream().map(Demand::time).toList());
             assertEquals(1, logs.counts().missingTime());
         }
         try (Logs logs = open(USUAL, file("none", "{\"target\":\"/t/b\"}\n"))) {
@@ -257,7 +273,8 @@
 
     @Test
     void aHarFileIsReadAsItIsWrittenByBrowsers() throws IOException {
-        String entry = """
+        String entry =
+                """
                 {"pageref": "p", "startedDateTime": "%s", "time": %s, "_initiator": {"type": "script"},
                  "request": {"method": "POST", "url": "http://api.example:8080/order/7?x=1#top",
                          "bodySize": 212,
@@ -267,13 +284,17 @@
                  "response": {"status": %d, "content": {"size": 3, "text": "%s"}, "headers": []},
                          "timings": {}}""";
         String big = "x".repeat(2_000_000);
-        String log = file("day.har",
+        String log = file(
+                "day.har",
                 "\ufeff{ \"log\" : {\"creator\": {\"entries\": [1]}, \"pages\": [], \"entries\": ["
-                + String.join(",", entry.formatted("2026-08-03T06:00:02Z", "30.5", "k-2", 200, big),
-                entry.formatted("2026-08-03T08:00:00.250+02:00", "-1", "k-1", 0, ""),
-                entry.formatted("2026-08-03T06:00:01.5Z", "12", "k-1", 200, ""),
-                entry.formatted("yesterday", "12", "k-3", 200, ""), "{\"request\": {}}")
-                + "], \"comment\": \"\"}}");
+                        + String.join(
+                                ",",
+                                entry.formatted("2026-08-03T06:00:02Z", "30.5", "k-2", 200, big),
+                                entry.formatted("2026-08-03T08:00:00.250+02:00", "-1", "k-1", 0, ""),
+                                entry.formatted("2026-08-03T06:00:01.5Z", "12", "k-1", 200, ""),
+                                entry.formatted("yesterday", "12", "k-3", 200, ""),
+                                "{\"request\": {}}")
+                        + "], \"comment\": \"\"}}");
         try (Logs logs = open(USUAL, log)) {
             List<Demand> demands = all(logs);
             assertEquals(List.of("7", "7"), keys(demands));
@@ -284,10 +305,12 @@
             assertEquals(2, logs.counts().unreadable());
             assertTrue(logs.counts().firstUnreadable().get(1).contains("entry 5"));
         }
-        for (String broken : List.of("{\"log\": {}}", "{\"log\": {\"entries\": [7]}}",
-                "{\"log\": {\"entries\": [{\"request\": ", "{\"log\": {\"entries\": " + "[".repeat(5_000))) {
-            try (Logs logs = open(USUAL.withFormat("har", ZoneOffset.UTC, Map.of()), file("broken",
-                    broken))) {
+        for (String broken : List.of(
+                "{\"log\": {}}",
+                "{\"log\": {\"entries\": [7]}}",
+                "{\"log\": {\"entries\": [{\"request\": ",
+                "{\"log\": {\"entries\": " + "[".repeat(5_000))) {
+            try (Logs logs = open(USUAL.withFormat("har", ZoneOffset.UTC, Map.of()), file("broken", broken))) {
                 assertEquals(0, all(logs).size());
                 assertEquals(1, logs.counts().unreadable(), broken.substring(0, 11));
             }
@@ -298,22 +321,23 @@
     void formatsAreGuessedAndAWrongNameIsRefused() throws IOException {
         assertEquals("har", Formats.guess("\n {\r\n\"log\" : { "));
         assertEquals("json", Formats.guess("{\"log\":\"x\"}"));
-        assertEquals("common",
-                Formats.guess("a - - [03/Aug/2026:06:00:01 +0000] \"GET / HTTP/1.1\" 200 5\nb\n"));
-        assertEquals("haproxy",
+        assertEquals("common", Formats.guess("a - - [03/Aug/2026:06:00:01 +0000] \"GET / HTTP/1.1\" 200 5\nb\n"));
+        assertEquals(
+                "haproxy",
                 Formats.guess("x: 10.0.1.2:33317 [06/Feb/2026:12:14:14.655] http-in static/srv1"
-                + " 10/0/30/69/109 200 2750 - - ---- 1/1/1/1/0 0/0 \"GET /index.html HTTP/1.1\"\n"));
+                        + " 10/0/30/69/109 200 2750 - - ---- 1/1/1/1/0 0/0 \"GET /index.html HTTP/1.1\"\n"));
         assertEquals("combined", Formats.guess(""));
         String empty = file("empty", "");
-        assertThrows(IllegalArgumentException.class, () -> open(USUAL.withFormat("clf", ZoneOffset.UTC,
-                Map.of()),
-                empty));
+        assertThrows(
+                IllegalArgumentException.class, () -> open(USUAL.withFormat("clf", ZoneOffset.UTC, Map.of()), empty));
         try (Logs logs = open(USUAL, empty)) {
             assertEquals(0, all(logs).size());
         }
-        assertEquals("no: there is no such file", assertThrows(IOException.class, () -> open(USUAL, "no"))
-                .getMessage());
-        assertTrue(assertThrows(IOException.class, () -> open(USUAL, folder.toString())).getMessage()
+        assertEquals(
+                "no: there is no such file",
+                assertThrows(IOException.class, () -> open(USUAL, "no")).getMessage());
+        assertTrue(assertThrows(IOException.class, () -> open(USUAL, folder.toString()))
+                .getMessage()
                 .endsWith("is a directory, expected a log"));
     }
 
@@ -341,8 +365,8 @@
                 return line[at++];
             }
         };
-        LogOptions few = new LogOptions("auto", ZoneOffset.UTC, Map.of(), new Mapping(List.of()), false, 1,
-                USUAL.fold(), 30_000, 1_000);
+        LogOptions few = new LogOptions(
+                "auto", ZoneOffset.UTC, Map.of(), new Mapping(List.of()), false, 1, USUAL.fold(), 30_000, 1_000);
         try (Logs logs = Logs.open(List.of("-"), endless, few)) {
             double before = 0;
             int count = 0;
@@ -358,13 +382,16 @@
 
     @Test
     void anInspectionTellsWhatThereIs() throws IOException {
-        String log = file("day", get(DAY, "x", "/t/a", 503) + get(DAY + 100, "x", "/t/a", 200)
-                + get(DAY + 60_000, "y", "/u/b", 200) + get(DAY + 60_000, "y", "/", 200) + "?\n");
+        String log = file(
+                "day",
+                get(DAY, "x", "/t/a", 503) + get(DAY + 100, "x", "/t/a", 200) + get(DAY + 60_000, "y", "/u/b", 200)
+                        + get(DAY + 60_000, "y", "/", 200) + "?\n");
         try (Logs logs = open(USUAL, log)) {
             var json = Inspection.of(logs).json();
-            assertEquals("3 1 0 0 1 1", List.of("requests", "folded", "missing_time", "out_of_order",
-                    "unmatched",
-                    "unreadable").stream().map(name -> json.get(name).asText())
+            assertEquals(
+                    "3 1 0 0 1 1",
+                    List.of("requests", "folded", "missing_time", "out_of_order", "unmatched", "unreadable").stream()
+                            .map(name -> json.get(name).asText())
                             .collect(Collectors.joining(" ")));
             assertEquals("{\"t\":1,\"u\":1}", json.get("classes").toString());
             assertEquals(2, json.get("keys").asInt());
--- a/src/test/java/sablehinge/replay/run/LoadTest.java
+++ b/src/test/java/sablehinge/replay/run/LoadTest.java
@@ -48,19 +48,26 @@
     private Load load(String address, Effect effect, double deadline, Client.Terms clients, int connections)
             throws Exception {
         int colon = address.indexOf(':');
-        load = new Load(new Load.Options(List.of(new InetSocketAddress(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1)))), Map.of("look",
-                        new ClassPlan(new ClassTerms(effect,
-                Group.ALL, 4_000), 1_000, deadline)), clients, new Pace.Terms(1, 1, Double.NaN, Double.NaN,
-                        1), 1,
-                connections, 10, 1), record::add);
+        load = new Load(
+                new Load.Options(
+                        List.of(new InetSocketAddress(
+                                address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))),
+                        Map.of("look", new ClassPlan(new ClassTerms(effect, Group.ALL, 4_000), 1_000, deadline)),
+                        clients,
+                        new Pace.Terms(1, 1, Double.NaN, Double.NaN, 1),
+                        1,
+                        connections,
+                        10,
+                        1),
+                record::add);
         return load;
     }
 
     private static Load.Source some(int count, double every) {
-        Iterator<Demand> all = IntStream.range(0, count).mapToObj(i -> new Demand(i * every, "GET", "/look/"
-                + i,
-                new Mapped("look", "k" + i, "", 0, -1), null, -1)).iterator();
+        Iterator<Demand> all = IntStream.range(0, count)
+                .mapToObj(i ->
+                        new Demand(i * every, "GET", "/look/" + i, new Mapped("look", "k" + i, "", 0, -1), null, -1))
+                .iterator();
         return () -> all.hasNext() ? all.next() : null;
     }
 
@@ -70,7 +77,10 @@
     }
 
     private List<Tried> tries() {
-        return record.stream().filter(Tried.class::isInstance).map(Tried.class::cast).toList();
+        return record.stream()
+                .filter(Tried.class::isInstance)
+                .map(Tried.class::cast)
+                .toList();
     }
 
     @AfterEach
@@ -96,8 +106,14 @@
             server.await(200);
             assertFalse(result.isDone(), "all have come and none is answered");
             server.release();
-            assertEquals(200, result.get().path("classes").path("look").path("in_time").asInt()
-                    + result.get().path("classes").path("look").path("late").asInt());
+            assertEquals(
+                    200,
+                    result.get().path("classes").path("look").path("in_time").asInt()
+                            + result.get()
+                                    .path("classes")
+                                    .path("look")
+                                    .path("late")
+                                    .asInt());
         }
     }
 
@@ -152,7 +168,13 @@
         try (StandIn server = new StandIn()) {
             server.plan = seen -> new StandIn.Plan(0, 0);
             load(server.address(), Effect.SAFE, 300, ONCE, 10);
-            assertEquals(1, run(some(1, 1)).path("classes").path("look").path("unanswered").asInt());
+            assertEquals(
+                    1,
+                    run(some(1, 1))
+                            .path("classes")
+                            .path("look")
+                            .path("unanswered")
+                            .asInt());
             Tried tried = tries().get(0);
             assertEquals(End.SILENT, tried.end());
             assertTrue(tried.at() >= tried.until() + 140, "a late answer was still looked for");
@@ -165,7 +187,9 @@
         Listener closed = new Listener();
         closed.close();
         load(closed.address(), Effect.SAFE, 300, ONCE, 10);
-        assertEquals(1, run(some(1, 1)).path("classes").path("look").path("unreachable").asInt());
+        assertEquals(
+                1,
+                run(some(1, 1)).path("classes").path("look").path("unreachable").asInt());
         assertEquals(End.UNREACHABLE, tries().get(0).end());
     }
 
@@ -208,23 +232,28 @@
     @Test
     void anEndWithoutAnAnswerIsBrokenAndAmidOneIsPartial() throws Exception {
         AtomicInteger turn = new AtomicInteger();
-        against(peer -> {
-            write(peer, turn.getAndIncrement() == 0 ? ""
-                    : "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
-            return end(peer);
-        }, 2);
-        assertEquals(List.of(End.BROKEN, End.PARTIAL), tries().stream().map(Tried::end).toList());
+        against(
+                peer -> {
+                    write(peer, turn.getAndIncrement() == 0 ? "" : "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
+                    return end(peer);
+                },
+                2);
+        assertEquals(
+                List.of(End.BROKEN, End.PARTIAL),
+                tries().stream().map(Tried::end).toList());
     }
 
     @Test
     void aSecondAnswerIsNoted() throws Exception {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-        against(peer -> {
-            write(peer, answer + answer);
-            return true;
-        }, 1);
-        Unasked unasked = (Unasked) record.stream().filter(Unasked.class::isInstance).findFirst()
-                .orElseThrow();
+        against(
+                peer -> {
+                    write(peer, answer + answer);
+                    return true;
+                },
+                1);
+        Unasked unasked = (Unasked)
+                record.stream().filter(Unasked.class::isInstance).findFirst().orElseThrow();
         assertEquals(tries().get(0).txn(), unasked.txn());
     }
 
@@ -232,20 +261,24 @@
     @Test
     void anIdleConnectionThatEndsAsItIsUsedCostsNothing() throws Exception {
         AtomicInteger served = new AtomicInteger();
-        against(peer -> {
-            write(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-            if (served.getAndIncrement() == 0) {
-                try {
-                    // The next request comes in and is not read.
-                    peer.socket.getInputStream().read(new byte[1]);
-                    peer.reset();
-                } catch (java.io.IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-            }
-            return true;
-        }, 2);
-        assertEquals(List.of(End.ANSWERED, End.ANSWERED), tries().stream().map(Tried::end).toList());
+        against(
+                peer -> {
+                    write(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+                    if (served.getAndIncrement() == 0) {
+                        try {
+                            // The next request comes in and is not read.
+                            peer.socket.getInputStream().read(new byte[1]);
+                            peer.reset();
+                        } catch (java.io.IOException e) {
+                            throw new java.io.UncheckedIOException(e);
+                        }
+                    }
+                    return true;
+                },
+                2);
+        assertEquals(
+                List.of(End.ANSWERED, End.ANSWERED),
+                tries().stream().map(Tried::end).toList());
         assertEquals(2, tries().stream().map(Tried::txn).distinct().count());
     }
 
@@ -312,11 +345,11 @@
                 while (i > 0 && System.nanoTime() < until) {
                     Thread.onSpinWait();
                 }
-                return i == 20 ? null : new Demand(i, "GET", "/look/" + i, new Mapped("look", "", "", 0,
-                        -1), null, -1);
+                return i == 20 ? null : new Demand(i, "GET", "/look/" + i, new Mapped("look", "", "", 0, -1), null, -1);
             });
-            assertTrue(late.result(0).doubts().get(0).contains("ran late"), late.result(0).doubts()
-                    .toString());
+            assertTrue(
+                    late.result(0).doubts().get(0).contains("ran late"),
+                    late.result(0).doubts().toString());
         }
     }
 
@@ -326,8 +359,7 @@
             load(server.address(), Effect.SAFE, 2_000, ONCE, 10);
             List<Demand> odd = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                odd.add(new Demand(i * 10, "GET", "/x", new Mapped("<script>\"&'" + i % 2, "", "", 0, -1),
-                        null, -1));
+                odd.add(new Demand(i * 10, "GET", "/x", new Mapped("<script>\"&'" + i % 2, "", "", 0, -1), null, -1));
             }
             Iterator<Demand> all = odd.iterator();
             load.run(() -> all.hasNext() ? all.next() : null);
--- a/src/test/java/sablehinge/retrybudget/SharesPropertyTest.java
+++ b/src/test/java/sablehinge/retrybudget/SharesPropertyTest.java
@@ -38,8 +38,7 @@
     @Test
     void onCalmDaysNextToNoneIsRefusedAndDemandIsFollowedWithinASecond() {
         for (int balancers : new int[] {11, 63}) {
-            SimulatedMesh world = new SimulatedMesh(5, balancers, new Rule(0.2, 10_000, balancers > 11 ? 192
-                    : 62));
+            SimulatedMesh world = new SimulatedMesh(5, balancers, new Rule(0.2, 10_000, balancers > 11 ? 192 : 62));
             world.calls = 0.5;
             world.spread(SimulatedMesh.ATLAS, 18 * balancers, 0.02);
             world.spread(SimulatedMesh.RELEVE, 4.5 * balancers, 0.02);
--- a/src/test/java/sablehinge/retrybudget/SharesTest.java
+++ b/src/test/java/sablehinge/retrybudget/SharesTest.java
@@ -29,7 +29,9 @@
 
     private int share(double now, long life, int requests, int spent, int share, int wanted) {
         return holder.claimed(now, claim(life, 1, B, new Claim.Line(A, requests, 0, spent, share, wanted)))
-                .lines().get(0).share();
+                .lines()
+                .get(0)
+                .share();
     }
 
     @Test
@@ -60,16 +62,20 @@
         holder.begin(2);
         holder.adopt(100, List.of(A, B));
         assertEquals(0, share(100, 1, 20_000, 5, 12, 100));
-        assertEquals(5, holder.claimed(100, claim(1, 2, B, new Claim.Line(A, 20_100, 0, 0, 0, 100)))
-                .lines().get(0).share(), "counted from the second claim on");
+        assertEquals(
+                5,
+                holder.claimed(100, claim(1, 2, B, new Claim.Line(A, 20_100, 0, 0, 0, 100)))
+                        .lines()
+                        .get(0)
+                        .share(),
+                "counted from the second claim on");
     }
 
     @Test
     void aTryIsGivenWithTheCallsThatItsRunWillMake() {
-        holder.claimed(0, claim(1, 1, A, new Claim.Line(A, 0, 0, 0, 0, 0),
-                new Claim.Line(B, 0, 0, 0, 0, 0)));
-        Grant grant = holder.claimed(0, claim(1, 1, A, new Claim.Line(A, 500, 0, 0, 0, 100),
-                new Claim.Line(B, 60, 500, 0, 0, 0)));
+        holder.claimed(0, claim(1, 1, A, new Claim.Line(A, 0, 0, 0, 0, 0), new Claim.Line(B, 0, 0, 0, 0, 0)));
+        Grant grant = holder.claimed(
+                0, claim(1, 1, A, new Claim.Line(A, 500, 0, 0, 0, 100), new Claim.Line(B, 60, 500, 0, 0, 0)));
         assertEquals(2, grant.lines().get(0).share(), "half of the six of releve, for its calls");
     }
 
@@ -85,8 +91,7 @@
         shares.take(20, A, false, token -> again[0] = shares.claim(421));
         taken(shares, 20, B, false);
         Claim claim = shares.claim(20);
-        shares.granted(25, new Grant(claim.number(), 1,
-                List.of(new Grant.Line(A, 3), new Grant.Line(B, 1))));
+        shares.granted(25, new Grant(claim.number(), 1, List.of(new Grant.Line(A, 3), new Grant.Line(B, 1))));
         for (Claim.Line line : again[0].lines()) {
             assertEquals(line.service().equals(B) ? 1 : 2, line.share(), line.service());
         }
@@ -107,7 +112,8 @@
     /** So many services are asked for in docs/CAPACITY.md. */
     @Test
     void furtherTriesOfEachOfSixtySixServicesHaveAShare() {
-        List<String> services = IntStream.range(0, 66).mapToObj(i -> "service-" + i).toList();
+        List<String> services =
+                IntStream.range(0, 66).mapToObj(i -> "service-" + i).toList();
         holder.adopt(0, services);
         Shares shares = new Shares(RULE, 7, services.get(0));
         shares.adopt(services);
