--- a/src/test/java/sablehinge/retrybudget/SimulatedMesh.java
+++ b/src/test/java/sablehinge/retrybudget/SimulatedMesh.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Balancers and the one who holds the pools, in virtual time: records are lost, doubled, late and overtaken,
- * clocks run apart by a hundredth, balancers are cut off, the duty changes hands. What arrives beyond the
- * first is judged against the rule by its words, whatever the deciders believe.
+ * Balancers and the one who holds the pools, in virtual time: records are lost, doubled, late and overtaken, clocks run
+ * apart by a hundredth, balancers are cut off, the duty changes hands. What arrives beyond the first is judged against
+ * the rule by its words, whatever the deciders believe.
  */
 final class SimulatedMesh {
 
@@ -26,20 +26,25 @@
     final Balancer[] sidecars;
     /** Shares of records that are lost and doubled, and their longest way, in ms. */
     double loss;
+
     double doubling;
     double way = 3;
     /** The longest time from a token to the arrival, in ms, and the share that never arrives. */
     double lag = 300;
+
     double lost = 0.05;
     /** How often a request is sent at most, and whether one that was refused goes on asking. */
     int most = 4;
+
     boolean stubborn;
     /** Calls of a run of atlas for releve, on the mean; they are 0 or 1. */
     double calls;
+
     double now;
     long events;
     /** Second copies and further tries that were not sent; and those of these that the rule had allowed. */
     int skipped;
+
     int denied;
     int deniedInside;
     int trips;
@@ -48,12 +53,12 @@
     private long term;
     private double leaderless;
     private long serial;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.<Due>comparingDouble(d -> d.at)
-            .thenComparingLong(d -> d.serial));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(Comparator.<Due>comparingDouble(d -> d.at).thenComparingLong(d -> d.serial));
     private final Map<String, Times> requests = new HashMap<>();
     private final Map<String, Times> extras = new HashMap<>();
 
-    private record Due(double at, long serial, Runnable what) { }
+    private record Due(double at, long serial, Runnable what) {}
 
     /** Moments, of which some come late. */
     static final class Times {
@@ -107,10 +112,12 @@
         boolean cut;
         /** Requests a second for each service, and the share of runs that fail. */
         final Map<String, Double> demand = new HashMap<>();
+
         final Map<String, Double> failing = new HashMap<>();
         int granted;
         /** Moments of further tries that were wanted, and of those that had their token. */
         private final Times wanted = new Times();
+
         private final Times met = new Times();
 
         Balancer(int place, String beside) {
@@ -205,12 +212,14 @@
             Claim claim = shares.claim(clock());
             if (claim != null) {
                 trips++;
-                carry(() -> {
-                    Grant grant = holder == null ? null : holder.claimed(now * holderRate, claim);
-                    if (grant != null) {
-                        carry(() -> shares.granted(clock(), grant), cut);
-                    }
-                }, cut);
+                carry(
+                        () -> {
+                            Grant grant = holder == null ? null : holder.claimed(now * holderRate, claim);
+                            if (grant != null) {
+                                carry(() -> shares.granted(clock(), grant), cut);
+                            }
+                        },
+                        cut);
             }
         }
     }
@@ -305,8 +314,7 @@
         for (String service : List.of(ATLAS, RELEVE)) {
             Times arrived = extras.getOrDefault(service, new Times());
             for (double begin = 0; begin < now; begin += GRID) {
-                most = Math.max(most, arrived.within(begin, begin + rule.windowMs())
-                        / limit(service, begin));
+                most = Math.max(most, arrived.within(begin, begin + rule.windowMs()) / limit(service, begin));
             }
         }
         return most;
@@ -337,8 +345,7 @@
             for (int i = 0; i < arrived.size(); i++) {
                 // A window is fullest that begins with an arrival, or a little before it.
                 for (double begin = arrived.at[i]; begin > arrived.at[i] - 2 * GRID; begin -= GRID) {
-                    worst = Math.max(worst, arrived.within(begin, begin + rule.windowMs())
-                            - limit(service, begin));
+                    worst = Math.max(worst, arrived.within(begin, begin + rule.windowMs()) - limit(service, begin));
                 }
             }
         }
--- a/src/test/java/sablehinge/rig/Listener.java
+++ b/src/test/java/sablehinge/rig/Listener.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Keeps the port, with nobody listening: a connection could else be given it and meet itself there. The
-     * system listens on for as long as a thread is still amid its call to accept, so that is waited for.
+     * Keeps the port, with nobody listening: a connection could else be given it and meet itself there. The system
+     * listens on for as long as a thread is still amid its call to accept, so that is waited for.
      */
     @Override
     public void close() throws IOException {
--- a/src/test/java/sablehinge/rig/Logs.java
+++ b/src/test/java/sablehinge/rig/Logs.java
@@ -12,8 +12,7 @@
 
     private static final Logger ROOT = (Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
 
-    private Logs() {
-    }
+    private Logs() {}
 
     /** Undone at the end of a test. */
     public interface Undo extends AutoCloseable {
--- a/src/test/java/sablehinge/rig/MeshRehearsal.java
+++ b/src/test/java/sablehinge/rig/MeshRehearsal.java
@@ -13,10 +13,9 @@
 import sablehinge.standin.mesh.SmallMesh;
 
 /**
- * Run by the build: has the packed daemons serve a small mesh for a moment, by the very commands of the
- * deploy file, so that the virtual machine archives the classes that one sidecar and one control node have
- * loaded
- * by their end. The control node has by then read its disk, followed and, unless the box is slow, led.
+ * Run by the build: has the packed daemons serve a small mesh for a moment, by the very commands of the deploy file, so
+ * that the virtual machine archives the classes that one sidecar and one control node have loaded by their end. The
+ * control node has by then read its disk, followed and, unless the box is slow, led.
  */
 public final class MeshRehearsal {
 
@@ -31,14 +30,13 @@
     private static final int ROUNDS = 8;
     private static final int ACTOR = 0;
 
-    private MeshRehearsal() {
-    }
+    private MeshRehearsal() {}
 
     /** The arguments are the deploy file and a folder for the daemons' logs. */
     public static void main(String[] args) throws Exception {
         Map<String, List<String>> runs = runs(Path.of(args[0]));
-        SmallMesh mesh = new SmallMesh((role, place, start) -> command(runs.get(role),
-                place == ACTOR && (role.equals("sidecar") || start > 0)));
+        SmallMesh mesh = new SmallMesh((role, place, start) ->
+                command(runs.get(role), place == ACTOR && (role.equals("sidecar") || start > 0)));
         Thread end = new Thread(mesh::close, "end");
         Runtime.getRuntime().addShutdownHook(end);
         try (mesh) {
@@ -70,7 +68,8 @@
         mesh.operator().replace(mesh.version(3, 2, SmallMesh.BASALT), ANSWER_MS);
         TimeUnit.MILLISECONDS.sleep(SETTLES_MS);
         System.out.println("the sidecar has ended: " + mesh.leave(ACTOR, DUMP_MS));
-        System.out.println("the control node has ended: " + mesh.controlNode(ACTOR).end(DUMP_MS));
+        System.out.println(
+                "the control node has ended: " + mesh.controlNode(ACTOR).end(DUMP_MS));
     }
 
     private static boolean leads(SmallMesh mesh) {
@@ -82,7 +81,8 @@
         List<String> command = new ArrayList<>();
         for (String word : run) {
             if (word.equals("java")) {
-                command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+                command.add(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString());
             } else if (!word.startsWith(USED)) {
                 command.add(word);
             } else if (makes) {
--- a/src/test/java/sablehinge/rig/OperatorStage.java
+++ b/src/test/java/sablehinge/rig/OperatorStage.java
@@ -38,7 +38,8 @@
 
     /** A file with the given servers, by their places, and more lines at its end. */
     public String text(String listen, String more, int... places) {
-        StringBuilder text = new StringBuilder("""
+        StringBuilder text = new StringBuilder(
+                """
                 [node]
                 version-header = true
                 [[listener]]
@@ -51,10 +52,11 @@
                 name = "credit-spend"
                 effect = "unsafe"
                 deadline = "10s"
-                """.formatted(listen));
+                """
+                        .formatted(listen));
         for (int place : places) {
-            text.append("[[upstream]]\nid = \"s%d\"\naddress = \"%s\"\ncell = %d\n".formatted(place,
-                    servers.get(place).address(), place));
+            text.append("[[upstream]]\nid = \"s%d\"\naddress = \"%s\"\ncell = %d\n"
+                    .formatted(place, servers.get(place).address(), place));
         }
         return text + more;
     }
@@ -87,24 +89,22 @@
         return admin(node.adminAddress(), null, method, target, body);
     }
 
-    public static JsonNode admin(SocketAddress address, String token, String method, String target,
-            String body)
+    public static JsonNode admin(SocketAddress address, String token, String method, String target, String body)
             throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         try (SocketChannel channel = SocketChannel.open(address)) {
             ByteBuffer head = StandardCharsets.US_ASCII.encode(method + " " + target
-                    + " HTTP/1.1\r\nHost: admin\r\n" + (token == null ? "" : "Authorization: Bearer " + token
-                    + "\r\n") + "Content-Length: " + bytes.length + "\r\n\r\n");
+                    + " HTTP/1.1\r\nHost: admin\r\n" + (token == null ? "" : "Authorization: Bearer " + token + "\r\n")
+                    + "Content-Length: " + bytes.length + "\r\n\r\n");
             channel.write(head);
             ByteBuffer rest = ByteBuffer.wrap(bytes);
             while (rest.hasRemaining()) {
                 channel.write(rest);
             }
-            String answer = new String(Channels.newInputStream(channel).readAllBytes(),
-                    StandardCharsets.UTF_8);
+            String answer = new String(Channels.newInputStream(channel).readAllBytes(), StandardCharsets.UTF_8);
             JsonNode parsed = JSON.readTree(answer.substring(answer.indexOf("\r\n\r\n")));
-            return ((com.fasterxml.jackson.databind.node.ObjectNode) parsed).put("status",
-                    Integer.parseInt(answer.substring(9, 12)));
+            return ((com.fasterxml.jackson.databind.node.ObjectNode) parsed)
+                    .put("status", Integer.parseInt(answer.substring(9, 12)));
         }
     }
 
--- a/src/test/java/sablehinge/rig/Peer.java
+++ b/src/test/java/sablehinge/rig/Peer.java
@@ -73,7 +73,9 @@
         Map<String, String> headers = new TreeMap<>();
         for (String line = line(); line != null && !line.isEmpty(); line = line()) {
             int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
+            headers.put(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).strip());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
         return new Message(first, headers, new String(body, StandardCharsets.ISO_8859_1));
--- a/src/test/java/sablehinge/rig/Rehearsal.java
+++ b/src/test/java/sablehinge/rig/Rehearsal.java
@@ -8,15 +8,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Run by the build: starts the packed program by the given command, lets it serve for a moment and ends it
- * as the platform does, so that the virtual machine archives the classes that it has loaded by then.
+ * Run by the build: starts the packed program by the given command, lets it serve for a moment and ends it as the
+ * platform does, so that the virtual machine archives the classes that it has loaded by then.
  */
 public final class Rehearsal {
 
     private static final int REQUESTS = 300;
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     /** The arguments are the command that starts the program. */
     public static void main(String[] command) throws Exception {
--- a/src/test/java/sablehinge/rig/Relay.java
+++ b/src/test/java/sablehinge/rig/Relay.java
@@ -25,12 +25,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 import sablehinge.eventloop.ClosingEventLoops;
 
-/** Stands before a balancer and spoils one answer of many, as no module could, since core would not let it.
- * */
+/** Stands before a balancer and spoils one answer of many, as no module could, since core would not let it. */
 public final class Relay implements AutoCloseable {
 
     /** What is done to an answer. */
-    public enum Deed { TWICE, LOST, OF_ANOTHER }
+    public enum Deed {
+        TWICE,
+        LOST,
+        OF_ANOTHER
+    }
 
     private final EventLoop loop = ClosingEventLoops.single("relay");
     private final InetSocketAddress behind;
@@ -41,20 +44,24 @@
     private final Channel listening;
 
     /** Spoils one of {@code every} answers that {@code answers} counts, which relays may share. */
-    public Relay(InetSocketAddress behind, Deed deed, int every, AtomicLong answers)
-            throws InterruptedException {
+    public Relay(InetSocketAddress behind, Deed deed, int every, AtomicLong answers) throws InterruptedException {
         this.answers = answers;
         this.behind = behind;
         this.deed = deed;
         this.every = every;
-        listening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        listening = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 17),
-                                new Front());
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 17), new Front());
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
     }
 
     public InetSocketAddress address() {
@@ -79,37 +86,45 @@
                 return;
             }
             request.retain();
-            new Bootstrap().group(loop).channel(NioSocketChannel.class)
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
                     .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17),
-                            new SimpleChannelInboundHandler<FullHttpResponse>() {
-                                @Override
-                                protected void channelRead0(ChannelHandlerContext inner,
-                                        FullHttpResponse response) {
-                                    answer(ctx, response);
-                                }
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            channel.pipeline()
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(1 << 17),
+                                            new SimpleChannelInboundHandler<FullHttpResponse>() {
+                                                @Override
+                                                protected void channelRead0(
+                                                        ChannelHandlerContext inner, FullHttpResponse response) {
+                                                    answer(ctx, response);
+                                                }
 
-                                @Override
-                                public void channelInactive(ChannelHandlerContext inner) {
-                                    ctx.close();
-                                }
-                            });
-                }
-            }).connect(behind).addListener((ChannelFuture up) -> {
-                back = up.channel();
-                if (up.isSuccess()) {
-                    back.writeAndFlush(request);
-                } else {
-                    ReferenceCountUtil.release(request);
-                    ctx.close();
-                }
-            });
+                                                @Override
+                                                public void channelInactive(ChannelHandlerContext inner) {
+                                                    ctx.close();
+                                                }
+                                            });
+                        }
+                    })
+                    .connect(behind)
+                    .addListener((ChannelFuture up) -> {
+                        back = up.channel();
+                        if (up.isSuccess()) {
+                            back.writeAndFlush(request);
+                        } else {
+                            ReferenceCountUtil.release(request);
+                            ctx.close();
+                        }
+                    });
         }
 
         private void answer(ChannelHandlerContext ctx, FullHttpResponse response) {
-            boolean struck = response.status().code() == 200 && !txn.startsWith("warm-up")
+            boolean struck = response.status().code() == 200
+                    && !txn.startsWith("warm-up")
                     && answers.incrementAndGet() % every == 0;
             if (struck) {
                 spoilt.add(txn);
--- a/src/test/java/sablehinge/rig/Saboteur.java
+++ b/src/test/java/sablehinge/rig/Saboteur.java
@@ -35,6 +35,7 @@
     private final Set<Long> unsafe = ConcurrentHashMap.newKeySet();
     /** For each request that went out once more, the attempt that the module knows nothing of. */
     private final Map<Long, Integer> extra = new HashMap<>();
+
     private final Map<Long, List<Long>> asked = new HashMap<>();
     private int count;
 
@@ -83,10 +84,17 @@
             return;
         }
         int attempt = outcome.attempt() - (own != null && outcome.attempt() > own ? 1 : 0);
-        long upstream = deed == Deed.FLOODS ? asked.get(outcome.requestId()).get(attempt)
-                : outcome.upstream();
-        inner.attemptFinished(now, new Outcome(outcome.requestId(), attempt, upstream, outcome.result(),
-                outcome.closed(), outcome.elapsed(), outcome.report()));
+        long upstream = deed == Deed.FLOODS ? asked.get(outcome.requestId()).get(attempt) : outcome.upstream();
+        inner.attemptFinished(
+                now,
+                new Outcome(
+                        outcome.requestId(),
+                        attempt,
+                        upstream,
+                        outcome.result(),
+                        outcome.closed(),
+                        outcome.elapsed(),
+                        outcome.report()));
     }
 
     @Override
@@ -123,20 +131,28 @@
             asked.computeIfAbsent(requestId, id -> new ArrayList<>()).add(upstream);
             long cold = upstream;
             if (deed == Deed.FLOODS) {
-                cold = upstreams.values().stream().filter(u -> u.startedAt() > 0 && u.state() == State.READY)
-                        .mapToLong(Upstream::id).findFirst().orElse(upstream);
+                cold = upstreams.values().stream()
+                        .filter(u -> u.startedAt() > 0 && u.state() == State.READY)
+                        .mapToLong(Upstream::id)
+                        .findFirst()
+                        .orElse(upstream);
                 if (cold != upstream) {
                     did();
                 }
             }
             host.send(requestId, cold, timeout);
-            if (deed == Deed.RESENDS && unsafe.contains(requestId) && !extra.containsKey(requestId)
+            if (deed == Deed.RESENDS
+                    && unsafe.contains(requestId)
+                    && !extra.containsKey(requestId)
                     && ++count % EVERY == 0) {
-                upstreams.keySet().stream().filter(id -> id != upstream).findFirst().ifPresent(other -> {
-                    did();
-                    extra.put(requestId, asked.get(requestId).size());
-                    host.send(requestId, other, timeout);
-                });
+                upstreams.keySet().stream()
+                        .filter(id -> id != upstream)
+                        .findFirst()
+                        .ifPresent(other -> {
+                            did();
+                            extra.put(requestId, asked.get(requestId).size());
+                            host.send(requestId, other, timeout);
+                        });
             }
         }
 
--- a/src/test/java/sablehinge/rig/Script.java
+++ b/src/test/java/sablehinge/rig/Script.java
@@ -1,11 +1,11 @@
 package sablehinge.rig;
 
-import sablehinge.policy.LoadBalancer;
 import java.util.List;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
+import sablehinge.policy.LoadBalancer;
 
 /** A module that does what the test says, and remembers what its host told it. */
 public final class Script implements LoadBalancer {
@@ -14,15 +14,18 @@
     public volatile List<Upstream> upstreams = List.of();
     /** What to do with a request; by default it goes to the first upstream until its deadline. */
     public volatile Consumer<Request> onRequest = request -> sendTo(0, request, 0);
-    public volatile Consumer<Outcome> onOutcome = outcome -> { };
+
+    public volatile Consumer<Outcome> onOutcome = outcome -> {};
     /** What to do with an outcome that leaves its request open; by default it fails. */
     public volatile BiConsumer<Actions, Outcome> onOpen = (to, outcome) -> to.fail(outcome.requestId());
-    public volatile Runnable onTimer = () -> { };
-    public volatile Runnable onStart = () -> { };
+
+    public volatile Runnable onTimer = () -> {};
+    public volatile Runnable onStart = () -> {};
     public final LinkedBlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     public final LinkedBlockingQueue<Change> changes = new LinkedBlockingQueue<>();
     /** Every list that came, and each version of the settings that was adopted. */
     public final LinkedBlockingQueue<List<Upstream>> lists = new LinkedBlockingQueue<>();
+
     public final LinkedBlockingQueue<Settings> adopted = new LinkedBlockingQueue<>();
     public final LinkedBlockingQueue<Long> gone = new LinkedBlockingQueue<>();
     public final LinkedBlockingQueue<String> probes = new LinkedBlockingQueue<>();
--- a/src/test/java/sablehinge/rig/Stage.java
+++ b/src/test/java/sablehinge/rig/Stage.java
@@ -1,8 +1,5 @@
 package sablehinge.rig;
 
-import sablehinge.policy.LoadBalancer;
-import sablehinge.config.PlatformConfig;
-import sablehinge.node.Node;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -11,6 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
+import sablehinge.config.PlatformConfig;
+import sablehinge.node.Node;
+import sablehinge.policy.LoadBalancer;
 
 /** A node on loopback addresses between listeners that the test plays upstreams and discovery on. */
 public final class Stage implements AutoCloseable {
@@ -21,18 +21,21 @@
     private final List<Peer> callers = new ArrayList<>();
     /** Settings that a test may change before it starts the node. */
     public int sockets = 1_024;
+
     public int connectTimeout = 3_000;
     public int drainGrace = 2_000;
     /** How many of the upstreams, the first, are in the node's own zone; the others are of another type. */
     public int atHome = Integer.MAX_VALUE;
     /** How many of them the node knows from its start. */
     public int listed = Integer.MAX_VALUE;
+
     public int askEvery = 1_000;
     public int maxAttempts = 4;
     /** The aim of the class that must never run twice. */
     public String aim = "\"aim\":1500.0";
     /** Where operators call; null where they don't. */
     public String operator;
+
     public Node node;
 
     public Stage() throws IOException {
@@ -64,12 +67,12 @@
     public static String entry(int number, String address, String state) {
         return """
                 {"id":"s-%08x","addr":"%s","zone":"dakar-a","kind":"front-mid","cell":%d,"state":"%s",
-                 "weight":1.0,"started_ms":0}""".formatted(number, address, number, state);
+                 "weight":1.0,"started_ms":0}"""
+                .formatted(number, address, number, state);
     }
 
     public static String roster(long version, boolean full, String... entries) {
-        return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full,
-                String.join(",", entries));
+        return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
 
     public String config() {
@@ -77,8 +80,7 @@
         for (int i = 0; i < entries.length; i++) {
             entries[i] = entry(i, upstreams.get(i).address(), "up");
             if (i >= atHome) {
-                entries[i] = entries[i].replace("dakar-a", "thies-b")
-                        .replace("front-mid", "front-slow");
+                entries[i] = entries[i].replace("dakar-a", "thies-b").replace("front-mid", "front-slow");
             }
         }
         return """
@@ -105,8 +107,15 @@
                  "goal":{"whole":0.55,"worstWindow":0.15,"worstClass":0.3,"worstTenant":0.0},
                  "prices":{"crossZone":0.22,"probe":0.01,"waste":0.2,"lateFail":0.03,"connection":0.0,
                   "handshake":0.0,"peer":0.0,"registryMode":0.0}}}
-                """.formatted(discovery.address(), sockets,
-                        roster(41, true, entries), maxAttempts, connectTimeout, drainGrace, askEvery)
+                """
+                .formatted(
+                        discovery.address(),
+                        sockets,
+                        roster(41, true, entries),
+                        maxAttempts,
+                        connectTimeout,
+                        drainGrace,
+                        askEvery)
                 .replace("\"aim\":1500.0", aim)
                 .replaceFirst("\\{", operator == null ? "{" : "{\"operator\":\"" + operator + "\",");
     }
@@ -134,8 +143,8 @@
 
     /** A request of the class that is safe to repeat. */
     public static String get(String id, String remaining) {
-        return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id
-                + "\r\nX-Lane: look-up\r\nX-Remaining: " + remaining + "\r\n\r\n";
+        return "GET /look-up/7?z=3 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + id + "\r\nX-Lane: look-up\r\nX-Remaining: "
+                + remaining + "\r\n\r\n";
     }
 
     /** A request of the class that must never run twice. */
--- a/src/test/java/sablehinge/rig/StandIn.java
+++ b/src/test/java/sablehinge/rig/StandIn.java
@@ -32,30 +32,36 @@
 public final class StandIn implements AutoCloseable {
 
     /** What reached it: the caller's id, the path, the time its caller would wait, in s. */
-    public record Seen(String txn, String path, double remaining) { }
+    public record Seen(String txn, String path, double remaining) {}
 
     /** What to do with a request; a status of 0 holds it until {@link #release}. */
-    public record Plan(int status, int delayMillis) { }
+    public record Plan(int status, int delayMillis) {}
 
     private static final EventLoopGroup LOOPS = new ClosingEventLoops(2, "stand-in");
 
     /** The requests in the order in which they came. */
     public final ConcurrentLinkedQueue<Seen> seen = new ConcurrentLinkedQueue<>();
+
     public volatile Function<Seen, Plan> plan = request -> new Plan(200, 0);
     private final List<Runnable> held = new ArrayList<>();
     private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final Channel listening;
 
     public StandIn() throws InterruptedException {
-        listening = new ServerBootstrap().group(LOOPS).channel(NioServerSocketChannel.class)
+        listening = new ServerBootstrap()
+                .group(LOOPS)
+                .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         open.add(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 17),
-                                new Answers());
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 17), new Answers());
                     }
-                }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
+                })
+                .bind(InetAddress.getLoopbackAddress(), 0)
+                .sync()
+                .channel();
     }
 
     public String address() {
@@ -101,7 +107,9 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             String remaining = request.headers().get("X-Remaining");
-            Seen one = new Seen(request.headers().get("X-Txn", ""), request.uri(),
+            Seen one = new Seen(
+                    request.headers().get("X-Txn", ""),
+                    request.uri(),
                     remaining == null ? 0 : Double.parseDouble(remaining));
             Plan what = plan.apply(one);
             synchronized (held) {
@@ -112,8 +120,8 @@
                 held.notifyAll();
             }
             if (what.status() != 0 && what.delayMillis() > 0) {
-                ctx.executor().schedule(() -> answer(ctx, what.status(), one), what.delayMillis(),
-                        TimeUnit.MILLISECONDS);
+                ctx.executor()
+                        .schedule(() -> answer(ctx, what.status(), one), what.delayMillis(), TimeUnit.MILLISECONDS);
             } else if (what.status() != 0) {
                 answer(ctx, what.status(), one);
             }
@@ -121,8 +129,8 @@
 
         private void answer(ChannelHandlerContext ctx, int status, Seen one) {
             byte[] body = ("for " + one.txn()).getBytes(StandardCharsets.UTF_8);
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
             response.headers().set("Content-Length", body.length);
             ctx.writeAndFlush(response);
         }
--- a/src/test/java/sablehinge/routing/PlanPropertyTest.java
+++ b/src/test/java/sablehinge/routing/PlanPropertyTest.java
@@ -19,13 +19,17 @@
 
     @Provide
     Arbitrary<String> paths() {
-        return Arbitraries.of("", "a", "b", "ab", "%61", ".").list().ofMaxSize(5)
+        return Arbitraries.of("", "a", "b", "ab", "%61", ".")
+                .list()
+                .ofMaxSize(5)
                 .map(parts -> "/" + String.join("/", parts));
     }
 
     @Provide
     Arbitrary<List<Configuration.Route>> routes() {
-        return paths().map(path -> path.endsWith("/") ? path : path + "/").list().ofMaxSize(40)
+        return paths().map(path -> path.endsWith("/") ? path : path + "/")
+                .list()
+                .ofMaxSize(40)
                 .map(PlanPropertyTest::spread);
     }
 
@@ -42,15 +46,15 @@
     }
 
     @Property
-    void findsTheLongestPrefix(@ForAll("routes") List<Configuration.Route> routes,
-            @ForAll("paths") String path) {
-        Plan plan = new Plan(new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), routes,
-                List.of()));
+    void findsTheLongestPrefix(@ForAll("routes") List<Configuration.Route> routes, @ForAll("paths") String path) {
+        Plan plan = new Plan(new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), routes, List.of()));
         for (String host : HOSTS) {
             Configuration.Route best = null;
             for (Configuration.Route route : routes) {
-                if (route.host().equals(host) && path.startsWith(route.prefix())
-                        && (best == null || route.prefix().length() > best.prefix().length())) {
+                if (route.host().equals(host)
+                        && path.startsWith(route.prefix())
+                        && (best == null
+                                || route.prefix().length() > best.prefix().length())) {
                     best = route;
                 }
             }
--- a/src/test/java/sablehinge/routing/PlanTest.java
+++ b/src/test/java/sablehinge/routing/PlanTest.java
@@ -11,20 +11,22 @@
 /** Hosts, targets, keys and shares that a plan must tell apart. */
 class PlanTest {
 
-    private static final Configuration.Tenant TENANT =
-            new Configuration.Tenant("t", List.of("k1", "k2"), 1, 83, 83);
+    private static final Configuration.Tenant TENANT = new Configuration.Tenant("t", List.of("k1", "k2"), 1, 83, 83);
 
-    private static final Plan PLAN = new Plan(new Configuration(1, new Configuration.Limits(1, 1, 1, 1),
-            List.of(TENANT), List.of(route("one.example", "/abc/"), route("one.example", "/abc/d/"),
-                    route("two.example", "/")), List.of(new Configuration.Service("s", "/health", 110))));
+    private static final Plan PLAN = new Plan(new Configuration(
+            1,
+            new Configuration.Limits(1, 1, 1, 1),
+            List.of(TENANT),
+            List.of(route("one.example", "/abc/"), route("one.example", "/abc/d/"), route("two.example", "/")),
+            List.of(new Configuration.Service("s", "/health", 110))));
 
     static Configuration.Route route(String host, String prefix) {
         return route(host, prefix, new Configuration.Share("s", 1));
     }
 
     static Configuration.Route route(String host, String prefix, Configuration.Share... split) {
-        return new Configuration.Route(host + prefix, host, prefix, Configuration.Kind.SAFE, 600, 1, false,
-                List.of(split), 4_000, 2);
+        return new Configuration.Route(
+                host + prefix, host, prefix, Configuration.Kind.SAFE, 600, 1, false, List.of(split), 4_000, 2);
     }
 
     private static String found(String host, String target) {
@@ -56,8 +58,8 @@
 
     @Test
     void hostsInAnyForm() {
-        for (String host : List.of("ONE.example", "one.example:80", "One.Example.:80", "one.example.", 
-                " one.example")) {
+        for (String host :
+                List.of("ONE.example", "one.example:80", "One.Example.:80", "one.example.", " one.example")) {
             assertEquals("one.example/abc/", found(host, "/abc/x"), host);
         }
         assertNull(found(null, "/abc/"));
@@ -73,8 +75,9 @@
         assertEquals("one.example/abc/", found(null, "HTTPS://u@ONE.example/abc/"));
         assertEquals("two.example/", found(null, "http://two.example"));
         assertEquals("two.example/", found(null, "http://two.example?x=/abc/"));
-        for (String odd : new String[] {"*", "", "http:/two.example/", "ftp://two.example/", "two.example:80",
-            "http://", "http", "https"}) {
+        for (String odd : new String[] {
+            "*", "", "http:/two.example/", "ftp://two.example/", "two.example:80", "http://", "http", "https"
+        }) {
             assertNull(found("two.example", odd), odd);
         }
     }
@@ -85,23 +88,29 @@
         assertNull(PLAN.tenant("k3"));
         assertNull(PLAN.tenant(null));
         assertTrue(PLAN.wantsKeys());
-        assertFalse(new Plan(new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), List.of(),
-                List.of())).wantsKeys());
+        assertFalse(
+                new Plan(new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), List.of(), List.of()))
+                        .wantsKeys());
         assertEquals(110, PLAN.service("s").connCap());
         assertNull(PLAN.service("u"));
     }
 
     @Test
     void sharesOfASplit() {
-        Configuration.Route split = route("h", "/", new Configuration.Share("none", 0),
-                new Configuration.Share("a", 90), new Configuration.Share("b", 10),
+        Configuration.Route split = route(
+                "h",
+                "/",
+                new Configuration.Share("none", 0),
+                new Configuration.Share("a", 90),
+                new Configuration.Share("b", 10),
                 new Configuration.Share("last", 0));
         assertEquals("a", PLAN.choose(split, 0));
         assertEquals("a", PLAN.choose(split, 0.899999));
         assertEquals("b", PLAN.choose(split, 0.9));
         assertEquals("b", PLAN.choose(split, Math.nextDown(1.0)));
         assertEquals("b", PLAN.choose(split, 1));
-        assertEquals("x", PLAN.choose(route("h", "/", new Configuration.Share("x", 0),
-                new Configuration.Share("y", 0)), 0.7));
+        assertEquals(
+                "x",
+                PLAN.choose(route("h", "/", new Configuration.Share("x", 0), new Configuration.Share("y", 0)), 0.7));
     }
 }
--- a/src/test/java/sablehinge/rpc/ConnectionObserverTest.java
+++ b/src/test/java/sablehinge/rpc/ConnectionObserverTest.java
@@ -44,8 +44,10 @@
         EventLoop loop = ClosingEventLoops.single("test");
         try {
             Connection server = new Connection(loop, NEVER_MS, NEVER_MS);
-            var listening = server.listen(new InetSocketAddress("127.0.0.1", 0),
-                    (link, frame) -> link.send(new Frame(Frame.Kind.NEWS, new byte[100]))).sync();
+            var listening = server.listen(
+                            new InetSocketAddress("127.0.0.1", 0),
+                            (link, frame) -> link.send(new Frame(Frame.Kind.NEWS, new byte[100])))
+                    .sync();
             Notes notes = new Notes();
             Connection client = new Connection(loop, NEVER_MS, NEVER_MS, notes);
             client.connect((InetSocketAddress) listening.channel().localAddress(), new Connection.Handler() {
@@ -60,9 +62,9 @@
                 }
             });
             // Four bytes of length and one of kind stand before each body.
-            assertEquals(List.of("connects false 127.0.0.1", "sent ASK 12", "received NEWS 105",
-                    "handled NEWS"), List.of(notes.notes.take(), notes.notes.take(), notes.notes.take(),
-                    notes.notes.take()));
+            assertEquals(
+                    List.of("connects false 127.0.0.1", "sent ASK 12", "received NEWS 105", "handled NEWS"),
+                    List.of(notes.notes.take(), notes.notes.take(), notes.notes.take(), notes.notes.take()));
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         }
--- a/src/test/java/sablehinge/rpc/ConnectionTest.java
+++ b/src/test/java/sablehinge/rpc/ConnectionTest.java
@@ -27,8 +27,8 @@
     private boolean closed;
 
     private ConnectionTest() {
-        Connection connection = new Connection(channel.eventLoop(), PING_MS, DEAD_MS,
-                Connection.Observer.NONE, () -> nanos);
+        Connection connection =
+                new Connection(channel.eventLoop(), PING_MS, DEAD_MS, Connection.Observer.NONE, () -> nanos);
         Connection.Handler handler = new Connection.Handler() {
             @Override
             public void came(Connection.Link link, Frame frame) {
@@ -55,7 +55,9 @@
     void aLargeRecordOnASlowLinkIsNoSilence() {
         byte[] body = new byte[RECORD];
         body[RECORD - 1] = 7;
-        ByteBuf record = Unpooled.buffer().writeInt(1 + RECORD).writeByte(Frame.Kind.NEWS.ordinal())
+        ByteBuf record = Unpooled.buffer()
+                .writeInt(1 + RECORD)
+                .writeByte(Frame.Kind.NEWS.ordinal())
                 .writeBytes(body);
         while (record.isReadable()) {
             assertFalse(closed, "closed with " + record.readableBytes() + " bytes to come");
--- a/src/test/java/sablehinge/settings/SettingsParserTest.java
+++ b/src/test/java/sablehinge/settings/SettingsParserTest.java
@@ -20,27 +20,67 @@
 public class SettingsParserTest {
 
     /** A site of two classes; every setting that has no default. */
-    public static final String COMPLETE = String.join("\n",
-            "position=4", "siblings=9", "tier=1", "stages=edge,core", "zone=0", "zones=north,south",
-            "machineTypes=big,small", "registryMode=automatic", "worthBy=work", "weightKind=rough",
-            "stats.how=silent", "stats.fields=",
+    public static final String COMPLETE = String.join(
+            "\n",
+            "position=4",
+            "siblings=9",
+            "tier=1",
+            "stages=edge,core",
+            "zone=0",
+            "zones=north,south",
+            "machineTypes=big,small",
+            "registryMode=automatic",
+            "worthBy=work",
+            "weightKind=rough",
+            "stats.how=silent",
+            "stats.fields=",
             "services.count=2",
-            "services.0.name=read", "services.0.aim=500.0", "services.0.deadline=2000.0",
-            "services.0.worth=2.0", "services.0.lateValue=0.25", "services.0.idempotency=idempotent",
+            "services.0.name=read",
+            "services.0.aim=500.0",
+            "services.0.deadline=2000.0",
+            "services.0.worth=2.0",
+            "services.0.lateValue=0.25",
+            "services.0.idempotency=idempotent",
             "services.0.streamed=false",
-            "services.1.name=order", "services.1.aim=900.0", "services.1.deadline=4000.0",
-            "services.1.worth=7.0", "services.1.lateValue=0.0", "services.1.idempotency=deduplicated",
-            "services.1.group=cell", "services.1.memorySpan=3000.0", "services.1.streamed=true",
-            "limits.attemptsCap=4", "limits.maxOpen=1000", "limits.cancel=true",
-            "limits.parallelTries=false", "limits.probes=false", "limits.peers=false",
-            "limits.retryAfter=false", "limits.maxRetryAfter=2000.0", "limits.connectTimeout=100.0",
-            "limits.connIdle=5000.0", "limits.streamsPerConn=1",
-            "rules.graceToAnswer=20.0", "rules.drainGrace=500.0", "rules.askEvery=10000.0",
-            "rules.startCapacity=0.2", "rules.warmUp=9000.0", "rules.fallMultiple=3.0",
+            "services.1.name=order",
+            "services.1.aim=900.0",
+            "services.1.deadline=4000.0",
+            "services.1.worth=7.0",
+            "services.1.lateValue=0.0",
+            "services.1.idempotency=deduplicated",
+            "services.1.group=cell",
+            "services.1.memorySpan=3000.0",
+            "services.1.streamed=true",
+            "limits.attemptsCap=4",
+            "limits.maxOpen=1000",
+            "limits.cancel=true",
+            "limits.parallelTries=false",
+            "limits.probes=false",
+            "limits.peers=false",
+            "limits.retryAfter=false",
+            "limits.maxRetryAfter=2000.0",
+            "limits.connectTimeout=100.0",
+            "limits.connIdle=5000.0",
+            "limits.streamsPerConn=1",
+            "rules.graceToAnswer=20.0",
+            "rules.drainGrace=500.0",
+            "rules.askEvery=10000.0",
+            "rules.startCapacity=0.2",
+            "rules.warmUp=9000.0",
+            "rules.fallMultiple=3.0",
             "rules.tipAfter=1500.0",
-            "goal.whole=0.6", "goal.worstWindow=0.2", "goal.worstClass=0.2", "goal.worstTenant=0.0",
-            "prices.crossZone=0.01", "prices.probe=0.0", "prices.waste=0.02", "prices.lateFail=0.03",
-            "prices.connection=0.0", "prices.handshake=0.0", "prices.peer=0.0", "prices.registryMode=0.0",
+            "goal.whole=0.6",
+            "goal.worstWindow=0.2",
+            "goal.worstClass=0.2",
+            "goal.worstTenant=0.0",
+            "prices.crossZone=0.01",
+            "prices.probe=0.0",
+            "prices.waste=0.02",
+            "prices.lateFail=0.03",
+            "prices.connection=0.0",
+            "prices.handshake=0.0",
+            "prices.peer=0.0",
+            "prices.registryMode=0.0",
             "");
 
     private static Settings parse(String text) {
@@ -78,10 +118,20 @@
 
     @Test
     void orderPlacementAndGoalsLandInTheirPlaces() {
-        Settings settings = parse(COMPLETE + String.join("\n", "services.0.byArrival=true",
-                "services.0.runsIn=1", "services.1.boundTo=0,1", "services.1.runsIn=",
-                "rules.orderSettle=50.0", "goal.tail=0.2", "goal.tailMiss=0.03", "goal.logLossPart=0.3",
-                "goal.topNines=2.0", "limits.cpuUsPerRequest=40.0", "limits.cpuUsPerS=800000"));
+        Settings settings = parse(COMPLETE
+                + String.join(
+                        "\n",
+                        "services.0.byArrival=true",
+                        "services.0.runsIn=1",
+                        "services.1.boundTo=0,1",
+                        "services.1.runsIn=",
+                        "rules.orderSettle=50.0",
+                        "goal.tail=0.2",
+                        "goal.tailMiss=0.03",
+                        "goal.logLossPart=0.3",
+                        "goal.topNines=2.0",
+                        "limits.cpuUsPerRequest=40.0",
+                        "limits.cpuUsPerS=800000"));
         assertTrue(settings.classes().get(0).inOrder());
         assertEquals(List.of(1), settings.classes().get(0).zones());
         assertNull(settings.classes().get(0).kinds());
@@ -114,24 +164,22 @@
     void aMissingSettingIsNamed() {
         assertRefused("rules.drainGrace is missing", COMPLETE.replace("rules.drainGrace=500.0\n", ""));
         assertRefused("services.count is missing", COMPLETE.replace("services.count=2\n", ""));
-        assertRefused("services.1.memorySpan is missing",
-                COMPLETE.replace("services.1.memorySpan=3000.0\n", ""));
+        assertRefused("services.1.memorySpan is missing", COMPLETE.replace("services.1.memorySpan=3000.0\n", ""));
     }
 
     @Test
     void aBadValueIsNamed() {
         assertRefused("rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=soon"));
         assertRefused("rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=NaN"));
-        assertRefused("services.0.idempotency has the bad value",
+        assertRefused(
+                "services.0.idempotency has the bad value",
                 COMPLETE.replace("services.0.idempotency=idempotent", "services.0.idempotency=maybe"));
-        assertRefused("services.count has the bad value",
-                COMPLETE.replace("services.count=2", "services.count=-1"));
+        assertRefused("services.count has the bad value", COMPLETE.replace("services.count=2", "services.count=-1"));
         assertRefused("settings line 1 is no path=value pair", "nonsense\n" + COMPLETE);
     }
 
     @Test
     void settingsThatAreNotTextAreRefused() {
-        assertThrows(MalformedInputException.class,
-                () -> SettingsParser.parse(new byte[] {(byte) 0xc3, (byte) 0x28}));
+        assertThrows(MalformedInputException.class, () -> SettingsParser.parse(new byte[] {(byte) 0xc3, (byte) 0x28}));
     }
 }
--- a/src/test/java/sablehinge/sidecar/HollowSidecarTest.java
+++ b/src/test/java/sablehinge/sidecar/HollowSidecarTest.java
@@ -29,12 +29,15 @@
 
     /** Of this process alone, as those of {@link Mesh}. */
     private static final long PROCESS = ProcessHandle.current().pid();
+
     private static final String NET = "127." + (1 + PROCESS % 250) + "." + (1 + PROCESS / 250 % 250) + ".";
     private static final String IP = NET + "91";
     private static final String CORE = NET + "92";
     /** A port for each test: what one has bound may be let go of late. */
     private static final int FIRST = 7780;
+
     private static final int SECOND = 7800;
+
     private static final class Asks implements Connection.Observer {
         private final AtomicInteger tokens = new AtomicInteger();
 
@@ -51,11 +54,9 @@
         EventLoop loop = ClosingEventLoops.single("test");
         try (StubCore core = new StubCore(CORE, FIRST)) {
             Asks asks = new Asks();
-            HollowSidecar hollow = HollowSidecar.start(settings(FIRST), loop, "i-1", asks,
-                    HollowSidecarTest::read);
+            HollowSidecar hollow = HollowSidecar.start(settings(FIRST), loop, "i-1", asks, HollowSidecarTest::read);
             core.tells(new Registration("other", "z-1", NET + "93:7703", "s", "i-2", true, 4, 0));
-            core.holds(Mesh.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":1,\"burst\":1}",
-                    ""), 4);
+            core.holds(Mesh.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":1,\"burst\":1}", ""), 4);
             hollow.await(view -> view.edition() == 4 && view.roster().size() == 2);
             Mesh.await("it knows all", () -> !Double.isNaN(hollow.awaitedAt()));
             core.awaitKnown("i-1");
@@ -77,28 +78,29 @@
         CountDownLatch gone = new CountDownLatch(1);
         AtomicInteger asks = new AtomicInteger();
         try {
-            new Connection(loop, 300, 60_000).listen(new InetSocketAddress(CORE, SECOND),
-                    new Connection.Handler() {
-                @Override
-                public void came(Connection.Link link, Frame frame) {
-                    if (frame.kind() == Frame.Kind.ASK) {
-                        asks.incrementAndGet();
-                        asked.countDown();
-                    }
-                }
+            new Connection(loop, 300, 60_000)
+                    .listen(new InetSocketAddress(CORE, SECOND), new Connection.Handler() {
+                        @Override
+                        public void came(Connection.Link link, Frame frame) {
+                            if (frame.kind() == Frame.Kind.ASK) {
+                                asks.incrementAndGet();
+                                asked.countDown();
+                            }
+                        }
 
-                @Override
-                public void closed(Connection.Link link) {
-                    gone.countDown();
-                }
-            }).sync();
-            HollowSidecar hollow = HollowSidecar.start(settings(SECOND), loop, "i-1",
-                    Connection.Observer.NONE, HollowSidecarTest::read);
+                        @Override
+                        public void closed(Connection.Link link) {
+                            gone.countDown();
+                        }
+                    })
+                    .sync();
+            HollowSidecar hollow = HollowSidecar.start(
+                    settings(SECOND), loop, "i-1", Connection.Observer.NONE, HollowSidecarTest::read);
             asked.await();
             hollow.close();
             gone.await();
             // A connection that is lost, and not closed, is made again 60 ms later by this very loop.
-            loop.schedule(() -> { }, 200, TimeUnit.MILLISECONDS).sync();
+            loop.schedule(() -> {}, 200, TimeUnit.MILLISECONDS).sync();
             assertEquals(1, asks.get());
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
@@ -114,11 +116,30 @@
     }
 
     private static LocalSettings settings(int inner) {
-        return new LocalSettings("hollow-1", LocalSettings.Role.SIDECAR,
-                "sidecar", List.of("sidecar"), IP, "z-1", "r-1", inner, inner + 15, List.of(CORE + ":7701"),
-                true, false, null, 1_500, List.of(), IP + ":7705", "s", Map.of("z-1", "r-1"),
+        return new LocalSettings(
+                "hollow-1",
+                LocalSettings.Role.SIDECAR,
+                "sidecar",
+                List.of("sidecar"),
+                IP,
+                "z-1",
+                "r-1",
+                inner,
+                inner + 15,
+                List.of(CORE + ":7701"),
+                true,
+                false,
+                null,
+                1_500,
+                List.of(),
+                IP + ":7705",
+                "s",
+                Map.of("z-1", "r-1"),
                 new LocalSettings.ListenOn(IP + ":7703", IP + ":7702", IP + ":7704", IP + ":7701"),
-                new LocalSettings.Limits(1, 1, 400, 2_000, 1_000, 0), 1, new LocalSettings.Bounds(3, 2, 3_000,
-                5_000, 4, 2_500, 6, 200, 2_500, 250, 8_000, false, 5_000, 0.2, 10, 62, 5, 0.1, 20, 15));
+                new LocalSettings.Limits(1, 1, 400, 2_000, 1_000, 0),
+                1,
+                new LocalSettings.Bounds(
+                        3, 2, 3_000, 5_000, 4, 2_500, 6, 200, 2_500, 250, 8_000, false, 5_000, 0.2, 10, 62, 5, 0.1, 20,
+                        15));
     }
 }
--- a/src/test/java/sablehinge/sidecar/Mesh.java
+++ b/src/test/java/sablehinge/sidecar/Mesh.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import sablehinge.state.Registration;
 import sablehinge.config.local.LocalSettings;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
+import sablehinge.state.Registration;
 
 /** A balancer on loopback addresses of its own, with a core, an upstream and clients that the test plays. */
 final class Mesh implements AutoCloseable {
@@ -40,7 +40,7 @@
 
     /** One whose core confirms that what it holds is the newest, or does not yet. */
     Mesh(boolean confirms) throws Exception {
-        this(confirms, mesh -> { });
+        this(confirms, mesh -> {});
     }
 
     /** Likewise; {@code early} is done when the process listens, before it has loaded anything else. */
@@ -52,13 +52,31 @@
         core.confirms(confirms);
         String ip = net + (number + 1);
         at = new LocalSettings.ListenOn(ip + ":7002", ip + ":7001", ip + ":7003", ip + ":7004");
-        LocalSettings settings = new LocalSettings("s-1", LocalSettings.Role.SIDECAR, "small",
-                List.of("sidecar"), ip, "monza-a", "monza", INNER, INNER + 10,
-                List.of(net + number + ":7090"), true, true, null, 20_000, List.of(), app.address(), CALLER,
-                Map.of("monza-a", "monza"), at,
-                new LocalSettings.Limits(1, 1, 256, 1_264, 1_000, 0), 1,
-                new LocalSettings.Bounds(3, 2, 3_000, 5_000, 4, UNLOAD_MS, 6, 200, 2_500, 250, 8_000, false,
-                        5_000, 0.2, 10, 62, 5, 0, 0, 15));
+        LocalSettings settings = new LocalSettings(
+                "s-1",
+                LocalSettings.Role.SIDECAR,
+                "small",
+                List.of("sidecar"),
+                ip,
+                "monza-a",
+                "monza",
+                INNER,
+                INNER + 10,
+                List.of(net + number + ":7090"),
+                true,
+                true,
+                null,
+                20_000,
+                List.of(),
+                app.address(),
+                CALLER,
+                Map.of("monza-a", "monza"),
+                at,
+                new LocalSettings.Limits(1, 1, 256, 1_264, 1_000, 0),
+                1,
+                new LocalSettings.Bounds(
+                        3, 2, 3_000, 5_000, 4, UNLOAD_MS, 6, 200, 2_500, 250, 8_000, false, 5_000, 0.2, 10, 62, 5, 0, 0,
+                        15));
         ListeningSockets listening = ListeningSockets.open(settings);
         early.on(this);
         sidecar = Sidecar.start(settings, listening);
@@ -91,7 +109,8 @@
         return """
                 {"name":"%s","kind":"%s","targetMs":4000,"priority":1,"open":%b,
                  "sorting":{"lanePrefix":"%s"},"dispatch":{"depot":"huvo11a","timeoutMs":15000,
-                 "attempts":3}}""".formatted(name, kind, open, prefix);
+                 "attempts":3}}"""
+                .formatted(name, kind, open, prefix);
     }
 
     /** A configuration; the routes that are added begin with a comma. */
@@ -100,9 +119,14 @@
                 {"edition":%d,"limits":{"headerBytes":16384,"bodyBytes":67108864,"headerMs":9000,
                  "idleMs":30000},
                  "senders":[%s],"gates":[{"station":"ficu95.example","regulations":[%s,%s,%s%s]}],
-                 "fleets":[{"name":"huvo11a","healthPath":"/health","connCap":110}]}""".formatted(edition,
-                senders, route("r-safe", "safe", "/s/", false), route("r-unsafe", "unsafe", "/u/", false),
-                route("r-open", "safe", "/o/", true), more);
+                 "fleets":[{"name":"huvo11a","healthPath":"/health","connCap":110}]}"""
+                .formatted(
+                        edition,
+                        senders,
+                        route("r-safe", "safe", "/s/", false),
+                        route("r-unsafe", "unsafe", "/u/", false),
+                        route("r-open", "safe", "/o/", true),
+                        more);
     }
 
     /** A request with an id and no body; the headers end with the end of a line. */
@@ -113,7 +137,8 @@
 
     static String post(String path, String id, String body, String... headers) {
         return get(path, id, String.join("", headers) + "Content-Length: " + body.length() + "\r\n")
-                .replaceFirst("GET", "POST") + body;
+                        .replaceFirst("GET", "POST")
+                + body;
     }
 
     /** An upstream's whole success. */
@@ -231,14 +256,16 @@
     private String beatBody(String state) {
         return """
                 {"depot":"huvo11a","address":"%s","zone":"monza-a","edition":"v1","berths":4,"state":"%s",
-                 "coldLeftMs":0,"callCount":4}""".formatted(app.address(), state);
+                 "coldLeftMs":0,"callCount":4}"""
+                .formatted(app.address(), state);
     }
 
     /** Calls the balancer as its upstream, and does not wait for the answer. */
     Wire beginsToBeat(String id, String state) throws IOException {
         String body = beatBody(state);
-        return keep(Wire.to(at.control())).write("POST /sablehinge/Servers.Heartbeat/" + id
-                + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        return keep(Wire.to(at.control()))
+                .write("POST /sablehinge/Servers.Heartbeat/" + id + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
+                        + body.length() + "\r\n\r\n" + body);
     }
 
     int ready() throws IOException {
--- a/src/test/java/sablehinge/sidecar/NewsFilterTest.java
+++ b/src/test/java/sablehinge/sidecar/NewsFilterTest.java
@@ -17,9 +17,8 @@
     }
 
     private Verdict judge(double ageMs, long term, boolean confirmed) {
-        return filter.judge(ageMs, new Update(1, confirmed, 4, new byte[] {1}, term, 1, true, true, 1,
-                List.of(),
-                List.of()));
+        return filter.judge(
+                ageMs, new Update(1, confirmed, 4, new byte[] {1}, term, 1, true, true, 1, List.of(), List.of()));
     }
 
     @Test
--- a/src/test/java/sablehinge/sidecar/NewsTest.java
+++ b/src/test/java/sablehinge/sidecar/NewsTest.java
@@ -20,6 +20,7 @@
 
     /** For how long a request of 12 s with an unknown route or key waits for news, at least. */
     private static final long WAITS_MS = 340;
+
     private static final String TENANT = "{\"name\":\"hule930\",\"passes\":[\"%s\"]}";
     private static final String KEY = "Sablehinge-Key: k-2\r\n";
 
@@ -71,8 +72,8 @@
     }
 
     /** Each time with another route or key; one that took longer than the balancer waits tells nothing. */
-    private static void waitsForNews(Mesh mesh, IntFunction<String> configuration,
-            IntFunction<String> request) throws Exception {
+    private static void waitsForNews(Mesh mesh, IntFunction<String> configuration, IntFunction<String> request)
+            throws Exception {
         Wire.Message answer = null;
         long took = WAITS_MS;
         for (int i = 9; (answer == null || answer.status() != 200) && took >= WAITS_MS && i < 30; i++) {
@@ -87,17 +88,25 @@
     @Test
     void aRouteThatIsNewerThanTheBalancersVersionIsWaitedFor() throws Exception {
         try (Mesh mesh = Mesh.served().answers(NewsTest::echo)) {
-            waitsForNews(mesh, i -> Mesh.configuration(i, "", "," + Mesh.route("r-new", "safe",
-                    "/n" + i + "/", false)), i -> Mesh.get("/n" + i + "/x", "t-" + i));
+            waitsForNews(
+                    mesh,
+                    i -> Mesh.configuration(i, "", "," + Mesh.route("r-new", "safe", "/n" + i + "/", false)),
+                    i -> Mesh.get("/n" + i + "/x", "t-" + i));
         }
     }
 
     @Test
     void aKeyThatIsNewerThanTheBalancersVersionIsWaitedFor() throws Exception {
         try (Mesh mesh = Mesh.served(TENANT.formatted("k-1")).answers(NewsTest::echo)) {
-            waitsForNews(mesh, i -> Mesh.configuration(i, TENANT.formatted("k-" + i), ""),
+            waitsForNews(
+                    mesh,
+                    i -> Mesh.configuration(i, TENANT.formatted("k-" + i), ""),
                     i -> Mesh.get("/s/x", "t-" + i, "Sablehinge-Key: k-" + i + "\r\n"));
-            assertEquals(401, mesh.client().ask(Mesh.get("/s/x", "t-2", KEY.replace("k-2", "k-1"))).status());
+            assertEquals(
+                    401,
+                    mesh.client()
+                            .ask(Mesh.get("/s/x", "t-2", KEY.replace("k-2", "k-1")))
+                            .status());
         }
     }
 
@@ -153,8 +162,10 @@
             assertEquals(4, mesh.core.told().berths());
             assertTrue(mesh.core.told().ready());
             assertEquals(400, mesh.beat("i-1", "asleep").status());
-            assertEquals(400, mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.Heartbeat/i-1", "{")
-                    .status());
+            assertEquals(
+                    400,
+                    mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.Heartbeat/i-1", "{")
+                            .status());
         }
     }
 
@@ -193,11 +204,15 @@
     @Test
     void whoSignsOffIsSentNothingMore() throws Exception {
         try (Mesh mesh = Mesh.served().answers(NewsTest::echo)) {
-            assertEquals(200, mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-0", "{}")
-                    .status());
+            assertEquals(
+                    200,
+                    mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-0", "{}")
+                            .status());
             assertEquals(200, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
-            assertEquals(200, mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-1", "{}")
-                    .status());
+            assertEquals(
+                    200,
+                    mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-1", "{}")
+                            .status());
             Wire.Message answer = mesh.balancer().ask(Mesh.meant("t-2", "i-1"));
             assertEquals(503, answer.status());
             assertEquals("not-run", answer.one("Sablehinge-Verdict"));
@@ -220,8 +235,9 @@
 
     @Test
     void theUpstreamsOwnVerdictIsNotBelieved() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> "HTTP/1.1 500 Own\r\nSablehinge-Try-Id: t-1\r\n"
-                + "Sablehinge-Verdict: not-run\r\nContent-Length: 0\r\n\r\n")) {
+        try (Mesh mesh = Mesh.served()
+                .answers(request -> "HTTP/1.1 500 Own\r\nSablehinge-Try-Id: t-1\r\n"
+                        + "Sablehinge-Verdict: not-run\r\nContent-Length: 0\r\n\r\n")) {
             assertEquals("ran", mesh.balancer().ask(Mesh.meant("t-1", "i-1")).one("Sablehinge-Verdict"));
             Wire.Message answer = mesh.client().ask(Mesh.post("/u/x", "t-1", "1"));
             assertEquals(500, answer.status());
--- a/src/test/java/sablehinge/sidecar/QuotasTest.java
+++ b/src/test/java/sablehinge/sidecar/QuotasTest.java
@@ -16,11 +16,10 @@
 
     private static final int FLEET = 60;
     private static final int PER_SECOND = 600;
-    private static final Configuration.Tenant TENANT = new Configuration.Tenant("t", List.of("k"), -1,
-            PER_SECOND, 60);
-    private static final LocalSettings.Bounds BOUNDS = new LocalSettings.Bounds(3, 2, 5_000, 6_000, 6,
-            3_000, 6, 200, 3_000, 250, 10_000, false, 5_000, 0.2, 10, 166, 5, 0, 0, 15);
-    private final Quotas quotas = new Quotas(BOUNDS, (tenant, count) -> { });
+    private static final Configuration.Tenant TENANT = new Configuration.Tenant("t", List.of("k"), -1, PER_SECOND, 60);
+    private static final LocalSettings.Bounds BOUNDS = new LocalSettings.Bounds(
+            3, 2, 5_000, 6_000, 6, 3_000, 6, 200, 3_000, 250, 10_000, false, 5_000, 0.2, 10, 166, 5, 0, 0, 15);
+    private final Quotas quotas = new Quotas(BOUNDS, (tenant, count) -> {});
 
     private int granted(double from, double ms) {
         int granted = 0;
@@ -36,18 +35,20 @@
         int balancers = 10;
         try (Mesh mesh = new Mesh(false).answers(request -> Mesh.ok(request.id(), ""))) {
             for (int i = 2; i <= balancers; i++) {
-                mesh.core.tells(new Registration("s-" + i, "monza-a", "127.0.0.1:" + i, "other", "o-" + i,
-                        true, 4, 0));
+                mesh.core.tells(new Registration("s-" + i, "monza-a", "127.0.0.1:" + i, "other", "o-" + i, true, 4, 0));
             }
-            mesh.core.holds(Mesh.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":0.01,"
-                    + "\"burst\":400}", ""), 4);
+            mesh.core.holds(
+                    Mesh.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":0.01," + "\"burst\":400}", ""),
+                    4);
             mesh.beat("i-1", "ready");
             Mesh.await("it asks", () -> mesh.core.confirmationsAsked() > 0);
             mesh.core.confirms(true);
             mesh.core.awaitKnown("i-1");
             Wire client = mesh.client();
             int served = 0;
-            while (client.ask(Mesh.get("/s/x", "t-" + served, "Sablehinge-Key: k\r\n")).status() == 200) {
+            while (client.ask(Mesh.get("/s/x", "t-" + served, "Sablehinge-Key: k\r\n"))
+                            .status()
+                    == 200) {
                 served++;
             }
             assertEquals(400 * 0.6 / balancers / 2, served);
--- a/src/test/java/sablehinge/sidecar/RequestsTest.java
+++ b/src/test/java/sablehinge/sidecar/RequestsTest.java
@@ -18,7 +18,8 @@
 @Timeout(60)
 class RequestsTest {
 
-    private static final String TENANTS = """
+    private static final String TENANTS =
+            """
             {"name":"hule930","passes":["k-1","k-2"],"priority":0,"perS":0,"burst":0},
             {"name":"few","passes":["k-few"],"perS":0.01,"burst":10}""";
 
@@ -31,13 +32,19 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"GET,/s/a%2Fb/./../c?x=1&y=%20+;z,0", "DELETE,/u/?,0", "OPTIONS,/u//a,0", "PUT,/u/~,5",
-        "PATCH,/u/a?b?c,70000", "POST,/u/x,0", "POST,/u/x,1300000"})
+    @CsvSource({
+        "GET,/s/a%2Fb/./../c?x=1&y=%20+;z,0",
+        "DELETE,/u/?,0",
+        "OPTIONS,/u//a,0",
+        "PUT,/u/~,5",
+        "PATCH,/u/a?b?c,70000",
+        "POST,/u/x,0",
+        "POST,/u/x,1300000"
+    })
     void methodPathQueryAndBodyArriveUnchanged(String method, String path, int length) throws Exception {
         try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
             String body = "0123456789".repeat(length / 10 + 1).substring(0, length);
-            Wire.Message answer = mesh.client().ask(Mesh.post(path, "t-1", body)
-                    .replaceFirst("POST", method));
+            Wire.Message answer = mesh.client().ask(Mesh.post(path, "t-1", body).replaceFirst("POST", method));
             assertEquals(200, answer.status());
             assertEquals(body, answer.body());
             assertEquals("t-1", answer.id());
@@ -51,11 +58,11 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 40_000, 1_700_000})
     void anUploadInChunksArrivesWhole(int length) throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> Mesh.ok(request.id(),
-                "" + request.body().length()))) {
+        try (Mesh mesh = Mesh.served()
+                .answers(request -> Mesh.ok(request.id(), "" + request.body().length()))) {
             Wire client = mesh.client();
-            client.write(Mesh.get("/u/up", "t-1", lines("Transfer-Encoding: chunked")).replaceFirst("GET",
-                    "POST"));
+            client.write(Mesh.get("/u/up", "t-1", lines("Transfer-Encoding: chunked"))
+                    .replaceFirst("GET", "POST"));
             String half = "ab".repeat(length / 4);
             String chunk = Integer.toHexString(half.length()) + "\r\n" + half + "\r\n";
             client.write(chunk + chunk + "0\r\n\r\n");
@@ -82,21 +89,46 @@
 
     @Test
     void whatConcernsOneConnectionIsDroppedAndAllElsePasses() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> Mesh.ok(request.id(), "",
-                lines("X-Answer: a", "X-Answer: b", "Connection: X-Near", "X-Near: 1",
-                        "Keep-Alive: timeout=5", "Sablehinge-Verdict: not-run")))) {
-            Wire.Message answer = mesh.client().ask(Mesh.get("/s/x", "t-1", lines(
-                    "Connection: x-hop, keep-alive", "X-Hop: 1", "Keep-Alive: timeout=9", "TE: trailers",
-                    "Proxy-Connection: x", "X-Far: a",
-                    "X-Far: b", "Accept-Encoding: identity", "Cookie: c=d", "Sablehinge-Patience: 1",
-                    "Sablehinge-Rank: 0")));
+        try (Mesh mesh = Mesh.served()
+                .answers(request -> Mesh.ok(
+                        request.id(),
+                        "",
+                        lines(
+                                "X-Answer: a",
+                                "X-Answer: b",
+                                "Connection: X-Near",
+                                "X-Near: 1",
+                                "Keep-Alive: timeout=5",
+                                "Sablehinge-Verdict: not-run")))) {
+            Wire.Message answer = mesh.client()
+                    .ask(Mesh.get(
+                            "/s/x",
+                            "t-1",
+                            lines(
+                                    "Connection: x-hop, keep-alive",
+                                    "X-Hop: 1",
+                                    "Keep-Alive: timeout=9",
+                                    "TE: trailers",
+                                    "Proxy-Connection: x",
+                                    "X-Far: a",
+                                    "X-Far: b",
+                                    "Accept-Encoding: identity",
+                                    "Cookie: c=d",
+                                    "Sablehinge-Patience: 1",
+                                    "Sablehinge-Rank: 0")));
             Wire.Message request = mesh.arrived.get(0);
             assertEquals(List.of("a", "b"), request.all("X-Far"));
             assertEquals("identity", request.one("Accept-Encoding"));
             assertEquals("c=d", request.one("Cookie"));
             assertEquals("ficu95.example", request.one("Host"));
-            for (String gone : List.of("X-Hop", "Keep-Alive", "TE", "Proxy-Connection", "Sablehinge-Patience",
-                    "Sablehinge-Rank", "Transfer-Encoding")) {
+            for (String gone : List.of(
+                    "X-Hop",
+                    "Keep-Alive",
+                    "TE",
+                    "Proxy-Connection",
+                    "Sablehinge-Patience",
+                    "Sablehinge-Rank",
+                    "Transfer-Encoding")) {
                 assertEquals(List.of(), request.all(gone), gone);
             }
             assertEquals(200, answer.status());
@@ -110,11 +142,18 @@
     /** RULES, UNASKED: what is set for an upstream can't be taken out by naming it a connection's own. */
     @Test
     void noHeaderOfTheProtocolIsAConnectionsOwn() throws Exception {
-        try (Mesh mesh = Mesh.served(TENANTS).answers(request -> Mesh.ok(request.id(), "",
-                lines("Connection: Sablehinge-Postmark, Sablehinge-Try-Id")))) {
-            Wire.Message answer = mesh.client().ask(Mesh.get("/s/x", "t-1", lines("Sablehinge-Key: k-1",
-                    "Connection: sablehinge-caller, Sablehinge-Sender,Sablehinge-Patience, "
-                    + "Sablehinge-Try-Id, Sablehinge-Time-Left, Sablehinge-Deliver-To, Sablehinge-Rank")));
+        try (Mesh mesh = Mesh.served(TENANTS)
+                .answers(request ->
+                        Mesh.ok(request.id(), "", lines("Connection: Sablehinge-Postmark, Sablehinge-Try-Id")))) {
+            Wire.Message answer = mesh.client()
+                    .ask(
+                            Mesh.get(
+                                    "/s/x",
+                                    "t-1",
+                                    lines(
+                                            "Sablehinge-Key: k-1",
+                                            "Connection: sablehinge-caller, Sablehinge-Sender,Sablehinge-Patience, "
+                                                    + "Sablehinge-Try-Id, Sablehinge-Time-Left, Sablehinge-Deliver-To, Sablehinge-Rank")));
             assertEquals(200, answer.status());
             assertEquals("3e1b.t-1", answer.one("Sablehinge-Postmark"));
             Wire.Message request = mesh.arrived.get(0);
@@ -128,13 +167,22 @@
     @Test
     void theKeyStaysHereAndWhoSentWhatIsSetWhateverWasSent() throws Exception {
         try (Mesh mesh = Mesh.served(TENANTS).answers(RequestsTest::echo)) {
-            String forged = lines("Sablehinge-Sender: other", "Sablehinge-Caller: other",
-                    "sablehinge-sender: third", "Sablehinge-Deliver-To: i-9");
-            assertEquals(200, mesh.client().ask(Mesh.get("/s/x", "t-1", forged, lines("Sablehinge-Key: k-2")))
-                    .status());
+            String forged = lines(
+                    "Sablehinge-Sender: other",
+                    "Sablehinge-Caller: other",
+                    "sablehinge-sender: third",
+                    "Sablehinge-Deliver-To: i-9");
+            assertEquals(
+                    200,
+                    mesh.client()
+                            .ask(Mesh.get("/s/x", "t-1", forged, lines("Sablehinge-Key: k-2")))
+                            .status());
             assertEquals(200, mesh.client().ask(Mesh.get("/o/x", "t-2", forged)).status());
-            assertEquals(200, mesh.client().ask(Mesh.get("/o/x", "t-3", lines("Sablehinge-Key: wrong")))
-                    .status());
+            assertEquals(
+                    200,
+                    mesh.client()
+                            .ask(Mesh.get("/o/x", "t-3", lines("Sablehinge-Key: wrong")))
+                            .status());
             Wire.Message known = mesh.arrived.get(0);
             assertEquals("hule930", known.one("Sablehinge-Sender"));
             assertEquals("i-1", known.one("Sablehinge-Deliver-To"));
@@ -150,13 +198,23 @@
     @Test
     void anUnknownKeyNoneAndTwoAreTurnedAway() throws Exception {
         try (Mesh mesh = Mesh.served(TENANTS).answers(RequestsTest::echo)) {
-            assertEquals(401, mesh.client().ask(Mesh.get("/s/x", "t-1", lines("Sablehinge-Key: wrong")))
-                    .status());
+            assertEquals(
+                    401,
+                    mesh.client()
+                            .ask(Mesh.get("/s/x", "t-1", lines("Sablehinge-Key: wrong")))
+                            .status());
             assertEquals(401, mesh.client().ask(Mesh.get("/s/x", "t-2")).status());
-            assertEquals(400, mesh.client().ask(Mesh.get("/s/x", "t-3", lines("Sablehinge-Key: k-1",
-                    "Sablehinge-Key: k-few"))).status());
-            assertEquals(400, mesh.client().ask(Mesh.get("/s/x", "t-4", lines("Sablehinge-Key: k-1"))
-                    .replaceAll("Sablehinge-Try-Id: t-4\r\n", "")).status());
+            assertEquals(
+                    400,
+                    mesh.client()
+                            .ask(Mesh.get("/s/x", "t-3", lines("Sablehinge-Key: k-1", "Sablehinge-Key: k-few")))
+                            .status());
+            assertEquals(
+                    400,
+                    mesh.client()
+                            .ask(Mesh.get("/s/x", "t-4", lines("Sablehinge-Key: k-1"))
+                                    .replaceAll("Sablehinge-Try-Id: t-4\r\n", ""))
+                            .status());
             assertEquals(List.of(), mesh.arrivedIds());
         }
     }
@@ -176,7 +234,10 @@
             double seconds = Double.parseDouble(answer.one("Retry-After"));
             assertTrue(seconds > 0 && seconds <= 12, "after " + seconds);
             assertEquals(served, mesh.arrived.size());
-            assertEquals(200, client.ask(Mesh.get("/s/x", "u-1", lines("Sablehinge-Key: k-1"))).status());
+            assertEquals(
+                    200,
+                    client.ask(Mesh.get("/s/x", "u-1", lines("Sablehinge-Key: k-1")))
+                            .status());
             assertEquals(200, client.ask(Mesh.get("/o/x", "u-2")).status());
         }
     }
@@ -196,21 +257,25 @@
     // ---- Answers -----------------------------------------------------------------------------------
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-1\r\nContent-Length: 4\r\n\r\nbody",
-        "HTTP/1.1 204 No\r\nSablehinge-Try-Id: t-1\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nSablehinge-Postmark: p\r\nContent-Length: 4\r\n\r\nbody",
-        "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-1\r\nSablehinge-Postmark: p\r\nContent-Encoding: gzip\r\n"
-            + "Content-Length: 4\r\n\r\nbody",
-        "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-1\r\nSablehinge-Postmark: p\r\nContent-Length: 9\r\n\r\n"
-            + "body",
-        "HTTP/1.1 302 Found\r\nSablehinge-Try-Id: t-1\r\nLocation: /\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 503 Run\r\nSablehinge-Try-Id: t-1\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 429 Run\r\nSablehinge-Try-Id: t-1\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 503 Whose\r\nSablehinge-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 421 Whose\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 500 Whose\r\nSablehinge-Postmark: p\r\nContent-Length: 4\r\n\r\nbody",
-        "noise\r\n\r\n", "HTTP/1.1 200 OK\r\nSablehinge-Try", ""})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-1\r\nContent-Length: 4\r\n\r\nbody",
+                "HTTP/1.1 204 No\r\nSablehinge-Try-Id: t-1\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nSablehinge-Postmark: p\r\nContent-Length: 4\r\n\r\nbody",
+                "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-1\r\nSablehinge-Postmark: p\r\nContent-Encoding: gzip\r\n"
+                        + "Content-Length: 4\r\n\r\nbody",
+                "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-1\r\nSablehinge-Postmark: p\r\nContent-Length: 9\r\n\r\n"
+                        + "body",
+                "HTTP/1.1 302 Found\r\nSablehinge-Try-Id: t-1\r\nLocation: /\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 503 Run\r\nSablehinge-Try-Id: t-1\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 429 Run\r\nSablehinge-Try-Id: t-1\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 503 Whose\r\nSablehinge-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 421 Whose\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 500 Whose\r\nSablehinge-Postmark: p\r\nContent-Length: 4\r\n\r\nbody",
+                "noise\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nSablehinge-Try",
+                ""
+            })
     void whatIsNoWholeSuccessOfTheUpstreamIsNoneForTheClientAndNoPromise(String answer) throws Exception {
         try (Mesh mesh = Mesh.served().answers(request -> answer)) {
             Wire client = mesh.client();
@@ -232,8 +297,9 @@
     @ParameterizedTest
     @ValueSource(ints = {500, 504, 404, 409, 400})
     void anUpstreamsOwnFailureReturnsAsItIs(int status) throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> "HTTP/1.1 " + status + " Own\r\nX-Own: 1\r\n"
-                + "Sablehinge-Try-Id: t-1\r\nContent-Length: 3\r\n\r\nwhy")) {
+        try (Mesh mesh = Mesh.served()
+                .answers(request -> "HTTP/1.1 " + status + " Own\r\nX-Own: 1\r\n"
+                        + "Sablehinge-Try-Id: t-1\r\nContent-Length: 3\r\n\r\nwhy")) {
             Wire.Message told = mesh.client().ask(Mesh.post("/u/x", "t-1", "body"));
             assertEquals(status, told.status());
             assertEquals("why", told.body());
@@ -246,8 +312,9 @@
     @ParameterizedTest
     @CsvSource({"503 Run,502,0", "429 Run,502,0", "408 Run,502,0", "500 Oh,500,1", "404 Gone,404,1"})
     void aFailureKeepsItsStampOnlyWithItsStatus(String given, int status, int stamps) throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> "HTTP/1.1 " + given + "\r\nSablehinge-Try-Id: "
-                + request.id() + "\r\nSablehinge-Postmark: 3e1b.x\r\nContent-Length: 0\r\n\r\n")) {
+        try (Mesh mesh = Mesh.served()
+                .answers(request -> "HTTP/1.1 " + given + "\r\nSablehinge-Try-Id: " + request.id()
+                        + "\r\nSablehinge-Postmark: 3e1b.x\r\nContent-Length: 0\r\n\r\n")) {
             Wire.Message answer = mesh.client().ask(Mesh.post("/u/x", "t-1", "b"));
             assertEquals(status, answer.status());
             assertEquals(stamps, answer.all("Sablehinge-Postmark").size());
@@ -257,9 +324,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"503 Full", "429 Many", "400 Bad", "421 Other"})
     void whatTheUpstreamSaysIsNotRunIsAPromiseForTheClient(String status) throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> "HTTP/1.1 " + status + "\r\n"
-                + (status.startsWith("421") ? "" : "Sablehinge-Not-Run: 1\r\n")
-                + "Sablehinge-Try-Id: t-1\r\nContent-Length: 0\r\n\r\n")) {
+        try (Mesh mesh = Mesh.served()
+                .answers(request -> "HTTP/1.1 " + status + "\r\n"
+                        + (status.startsWith("421") ? "" : "Sablehinge-Not-Run: 1\r\n")
+                        + "Sablehinge-Try-Id: t-1\r\nContent-Length: 0\r\n\r\n")) {
             Wire.Message told = mesh.client().ask(Mesh.post("/u/x", "t-1", "body"));
             assertEquals(503, told.status());
             assertEquals("t-1", told.id());
@@ -315,7 +383,8 @@
     @Test
     void aSafeRequestInWhosePlaceASurplusAnswerCameIsTriedAgain() throws Exception {
         try (Mesh mesh = Mesh.served()) {
-            mesh.answers(request -> mesh.arrived.size() > 2 ? Mesh.ok(request.id(), "right")
+            mesh.answers(request -> mesh.arrived.size() > 2
+                    ? Mesh.ok(request.id(), "right")
                     : Mesh.ok("t-1", "first", "Connection: close\r\n"));
             Wire client = mesh.client();
             assertEquals("first", client.ask(Mesh.get("/s/1", "t-1")).body());
@@ -377,8 +446,10 @@
     void requestsThatWereSentAheadAreAnsweredInTheirOrder() throws Exception {
         try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
             Wire client = mesh.client();
-            client.write(Mesh.post("/s/x", "t-1", "1") + Mesh.post("/s/x", "t-2", "2")
-                    + Mesh.get("/none/x", "t-3") + Mesh.post("/s/x", "t-4", "4"));
+            client.write(Mesh.post("/s/x", "t-1", "1")
+                    + Mesh.post("/s/x", "t-2", "2")
+                    + Mesh.get("/none/x", "t-3")
+                    + Mesh.post("/s/x", "t-4", "4"));
             assertEquals("t-1", client.read().id());
             assertEquals("2", client.read().body());
             assertEquals(404, client.read().status());
@@ -391,8 +462,8 @@
     void whatWasSentBehindARequestWhoseAnswerClosesIsNeverRun(String header) throws Exception {
         try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
             Wire client = mesh.client();
-            client.write(Mesh.post("/u/x", "t-1", "1", header) + Mesh.post("/u/x", "t-2", "2")
-                    + Mesh.get("/s/x", "t-3"));
+            client.write(
+                    Mesh.post("/u/x", "t-1", "1", header) + Mesh.post("/u/x", "t-2", "2") + Mesh.get("/s/x", "t-3"));
             Wire.Message answer = client.read();
             assertEquals("close", answer.one("Connection"));
             assertNull(client.read());
@@ -404,8 +475,7 @@
 
     @Test
     void anUpstreamThatClosesItsConnectionDoesNotCloseTheClients() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> Mesh.ok(request.id(), "",
-                "Connection: close\r\n"))) {
+        try (Mesh mesh = Mesh.served().answers(request -> Mesh.ok(request.id(), "", "Connection: close\r\n"))) {
             Wire client = mesh.client();
             client.write(Mesh.post("/u/x", "t-1", "1") + Mesh.post("/u/x", "t-2", "2"));
             Wire.Message answer = client.read();
@@ -475,11 +545,14 @@
         try (Mesh mesh = new Mesh()) {
             mesh.core.holds(Mesh.configuration(4, "", ""), 4);
             sablehinge.rig.Listener other = mesh.other("i-8");
-            mesh.answers(other, request -> "HTTP/1.1 503 No\r\nSablehinge-Try-Id: t-1\r\n"
-                    + "Content-Length: 0\r\n"
-                    + (verdict == null ? "" : "Sablehinge-Verdict: " + verdict + "\r\n") + "\r\n");
+            mesh.answers(
+                    other,
+                    request -> "HTTP/1.1 503 No\r\nSablehinge-Try-Id: t-1\r\n"
+                            + "Content-Length: 0\r\n"
+                            + (verdict == null ? "" : "Sablehinge-Verdict: " + verdict + "\r\n") + "\r\n");
             mesh.core.awaitKnown("");
-            assertEquals(expected, mesh.client().ask(Mesh.post("/u/x", "t-1", "1")).status());
+            assertEquals(
+                    expected, mesh.client().ask(Mesh.post("/u/x", "t-1", "1")).status());
             assertTrue(expected == 503 || mesh.arrived.size() == 1);
         }
     }
--- a/src/test/java/sablehinge/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/sidecar/RetryBudgetTest.java
@@ -12,9 +12,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import sablehinge.routing.Configuration;
-import sablehinge.state.Registration;
-import sablehinge.rpc.Frame;
+import sablehinge.api.ConfigurationReader;
+import sablehinge.budget.Purses;
 import sablehinge.config.local.LocalSettings;
 import sablehinge.core.Answer;
 import sablehinge.core.Arrival;
@@ -25,15 +24,16 @@
 import sablehinge.core.Roster;
 import sablehinge.core.Transport;
 import sablehinge.core.Version;
-import sablehinge.budget.Purses;
-import sablehinge.api.ConfigurationReader;
-import sablehinge.watch.RetryBudgetCodec;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 import sablehinge.retrybudget.Holder;
 import sablehinge.retrybudget.Rule;
+import sablehinge.routing.Configuration;
+import sablehinge.rpc.Frame;
+import sablehinge.state.Registration;
+import sablehinge.watch.RetryBudgetCodec;
 
 /** The module and core under the mesh's terms, with shares from a holder that the test plays. */
 class RetryBudgetTest {
@@ -48,8 +48,8 @@
         private final Holder holder = new Holder(new Rule(RATIO, 10_000, SLACK));
         private boolean reachable = true;
         private final RetryBudget retryBudget = new RetryBudget(() -> now, settings(), this::claimed);
-        private final Core core = new Core(() -> now, (at, call) -> () -> { },
-                actions -> new LatencyWeightedBalancer(actions, Terms.EXTRAS));
+        private final Core core = new Core(
+                () -> now, (at, call) -> () -> {}, actions -> new LatencyWeightedBalancer(actions, Terms.EXTRAS));
         private final Map<String, Integer> places = new HashMap<>();
         private final Version version;
         private final List<Configuration.Route> routes;
@@ -68,15 +68,22 @@
             retryBudget.adopt(configuration);
             List<Registration> registry = new ArrayList<>();
             for (int i = 0; i < BALANCERS; i++) {
-                registry.add(new Registration("s-" + i, "monza-a", "127.0.0.1:1", Mesh.SERVICE, "i-" + i,
-                        true, 4, 0));
+                registry.add(new Registration("s-" + i, "monza-a", "127.0.0.1:1", Mesh.SERVICE, "i-" + i, true, 4, 0));
             }
             retryBudget.divide(registry, 1);
             core.bound(retryBudget);
             List<Roster.Member> members = new ArrayList<>();
             for (long id = 1; id <= 5; id++) {
-                members.add(new Roster.Member(new Upstream(id, 0, version.settings().classes().get(0).kinds()
-                        .get(0), 0, State.READY, 1, 0), new java.net.InetSocketAddress(1)));
+                members.add(new Roster.Member(
+                        new Upstream(
+                                id,
+                                0,
+                                version.settings().classes().get(0).kinds().get(0),
+                                0,
+                                State.READY,
+                                1,
+                                0),
+                        new java.net.InetSocketAddress(1)));
             }
             core.start(version, 3, new Roster(1, true, members), this, this);
         }
@@ -84,8 +91,8 @@
         private void claimed(Frame frame) {
             try {
                 if (reachable) {
-                    retryBudget.granted(RetryBudgetCodec.grant(RetryBudgetCodec.bytes(
-                            holder.claimed(now, RetryBudgetCodec.claim(frame.body())))));
+                    retryBudget.granted(RetryBudgetCodec.grant(
+                            RetryBudgetCodec.bytes(holder.claimed(now, RetryBudgetCodec.claim(frame.body())))));
                 }
             } catch (IOException e) {
                 throw new AssertionError(e);
@@ -96,49 +103,72 @@
         void request() {
             retryBudget.came(Mesh.SERVICE, false);
             Consumer<Answer> hears = answer -> last = answer.kind();
-            core.request(version, new Arrival(places.get(Terms.name(routes.get(0), Mesh.SERVICE)), 0, 0,
-                    now + 2_000, 0, false, false).within(routes.get(0).attempts()), Payload.NONE,
+            core.request(
+                    version,
+                    new Arrival(places.get(Terms.name(routes.get(0), Mesh.SERVICE)), 0, 0, now + 2_000, 0, false, false)
+                            .within(routes.get(0).attempts()),
+                    Payload.NONE,
                     hears::accept);
         }
 
         @Override
-        public Attempt send(Version by, long upstream, Payload request, double until, Purses.Grant grant,
-                Progress progress) {
+        public Attempt send(
+                Version by, long upstream, Payload request, double until, Purses.Grant grant, Progress progress) {
             sends++;
             progress.ended(AttemptResult.without(answers));
-            return () -> { };
+            return () -> {};
         }
 
         @Override
-        public void probe(Version by, long upstream, double until, Consumer<AttemptResult> end) { }
+        public void probe(Version by, long upstream, double until, Consumer<AttemptResult> end) {}
 
         @Override
-        public void closeIdle(long upstream) { }
+        public void closeIdle(long upstream) {}
 
         @Override
-        public void update(Roster roster) { }
+        public void update(Roster roster) {}
 
         @Override
-        public void adopt(Version next) { }
+        public void adopt(Version next) {}
 
         @Override
-        public void fetch() { }
+        public void fetch() {}
 
         @Override
-        public void watch(boolean on) { }
+        public void watch(boolean on) {}
     }
 
     private static LocalSettings settings() {
-        return new LocalSettings("s-5", LocalSettings.Role.SIDECAR, "small", List.of("sidecar"), "127.0.0.1",
-                "monza-a", "monza", 1, 2, List.of(), true, true, null, 20_000, List.of(), null, Mesh.CALLER,
-                Map.of("monza-a", "monza"), null, null, 1,
-                new LocalSettings.Bounds(3, 2, 3_000, 5_000, 4, 2_500, 6, 200, 2_500, 250, 8_000, false,
-                        5_000, RATIO, 10, SLACK, 5, 0, 0, 15));
+        return new LocalSettings(
+                "s-5",
+                LocalSettings.Role.SIDECAR,
+                "small",
+                List.of("sidecar"),
+                "127.0.0.1",
+                "monza-a",
+                "monza",
+                1,
+                2,
+                List.of(),
+                true,
+                true,
+                null,
+                20_000,
+                List.of(),
+                null,
+                Mesh.CALLER,
+                Map.of("monza-a", "monza"),
+                null,
+                null,
+                1,
+                new LocalSettings.Bounds(
+                        3, 2, 3_000, 5_000, 4, 2_500, 6, 200, 2_500, 250, 8_000, false, 5_000, RATIO, 10, SLACK, 5, 0,
+                        0, 15));
     }
 
     /**
-     * The bench found it (hunt-ca01-19 of cos-niamey): for each repeat that served one more was granted, so
-     * while upstreams fail four calls of ten there was no bound.
+     * The bench found it (hunt-ca01-19 of cos-niamey): for each repeat that served one more was granted, so while
+     * upstreams fail four calls of ten there was no bound.
      */
     @Test
     void repeatsStayWithinTheBudgetOfAllBalancersHoweverOftenTheyServe() {
@@ -154,8 +184,8 @@
             }
             int beyond = world.sends - requests;
             double granted = RATIO * requests + SLACK;
-            assertTrue(beyond <= granted, beyond + " beyond the first of " + requests + ", " + granted
-                    + " are granted");
+            assertTrue(
+                    beyond <= granted, beyond + " beyond the first of " + requests + ", " + granted + " are granted");
             assertTrue(beyond > 20, "a failure is worth another try");
         }
     }
--- a/src/test/java/sablehinge/sidecar/StopTest.java
+++ b/src/test/java/sablehinge/sidecar/StopTest.java
@@ -21,11 +21,12 @@
     private static final long WORK_NANOS = 60_000_000;
     /** The grace is 6 s; a balancer whose clients never stop must not need all of it. */
     private static final double MOST_MS = 4_500;
+
     private static final double LEAST_READY_MS = 1_000;
 
     /**
-     * The bench found it (mix of cos-niamey, seed 171970698965): where too few balancers are in, clients stay
-     * with one that says it is not ready, and one that was taken 5.2 s after SIGTERM was cut off at its end.
+     * The bench found it (mix of cos-niamey, seed 171970698965): where too few balancers are in, clients stay with one
+     * that says it is not ready, and one that was taken 5.2 s after SIGTERM was cut off at its end.
      */
     @Test
     void whatIsTakenIsAnsweredThoughClientsNeverStopToCome() throws Exception {
@@ -63,14 +64,13 @@
     }
 
     /**
-     * Sends one request after the other, each on a connection of its own that is made before the answer to
-     * the
-     * one before has come, until nobody takes one: so the balancer is never without a client.
+     * Sends one request after the other, each on a connection of its own that is made before the answer to the one
+     * before has come, until nobody takes one: so the balancer is never without a client.
      */
     private static void come(Mesh mesh, int number, Set<String> answered) {
         try {
             Wire next = Wire.to(mesh.at.outbound());
-            for (int i = 0;; i++) {
+            for (int i = 0; ; i++) {
                 try (Wire wire = next) {
                     String id = "t-" + number + "-" + i;
                     send(wire, id);
--- a/src/test/java/sablehinge/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/sidecar/StubCore.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import sablehinge.core.Clock;
 import sablehinge.eventloop.ClosingEventLoops;
-import sablehinge.state.Registration;
-import sablehinge.state.Registry;
+import sablehinge.failuredetection.Accusation;
 import sablehinge.rpc.Connection;
 import sablehinge.rpc.Frame;
-import sablehinge.core.Clock;
-import sablehinge.failuredetection.Accusation;
+import sablehinge.state.Registration;
+import sablehinge.state.Registry;
 import sablehinge.watch.PackedConfiguration;
 import sablehinge.watch.WatchRequest;
 import sablehinge.watch.WatchServer;
@@ -40,10 +40,13 @@
     StubCore(String ip, int port) throws Exception {
         address = ip + ":" + port;
         loop.submit(() -> {
-            watchServer.begin(clock.now(), TERM);
-            watchServer.holds(0, new byte[0], List.of(address));
-        }).sync();
-        new Connection(loop, 300, 1_200).listen(new InetSocketAddress(ip, port), this).sync();
+                    watchServer.begin(clock.now(), TERM);
+                    watchServer.holds(0, new byte[0], List.of(address));
+                })
+                .sync();
+        new Connection(loop, 300, 1_200)
+                .listen(new InetSocketAddress(ip, port), this)
+                .sync();
         loop.scheduleAtFixedRate(this::answer, 10, 10, TimeUnit.MILLISECONDS);
     }
 
@@ -154,9 +157,13 @@
 
     /** Waits until whoever asks knows all that is held, and that its upstream is there as told. */
     void awaitKnown(String upstream) {
-        Mesh.await("the news are known", () -> request(() -> last != null && last.edition() == edition
-                && last.term() == TERM && last.stamp() == registry.stamp()
-                && last.registration().upstream().equals(upstream)));
+        Mesh.await(
+                "the news are known",
+                () -> request(() -> last != null
+                        && last.edition() == edition
+                        && last.term() == TERM
+                        && last.stamp() == registry.stamp()
+                        && last.registration().upstream().equals(upstream)));
     }
 
     /** How often somebody has connected. */
--- a/src/test/java/sablehinge/sidecar/TermsTest.java
+++ b/src/test/java/sablehinge/sidecar/TermsTest.java
@@ -9,8 +9,8 @@
 import java.util.HashMap;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.core.Version;
 import sablehinge.api.ConfigurationReader;
+import sablehinge.core.Version;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
@@ -20,7 +20,7 @@
 /** The module under the mesh's terms. */
 class TermsTest {
 
-    private record Sent(long request, int number, long upstream) { }
+    private record Sent(long request, int number, long upstream) {}
 
     /** Carries out what the module asks for, as far as it is sends. */
     private static final class Host implements LoadBalancer.Actions {
@@ -33,44 +33,48 @@
         }
 
         @Override
-        public void refuse(long requestId, double retryAfter) { }
+        public void refuse(long requestId, double retryAfter) {}
 
         @Override
-        public void fail(long requestId) { }
+        public void fail(long requestId) {}
 
         @Override
-        public void cancel(long requestId, int attempt) { }
+        public void cancel(long requestId, int attempt) {}
 
         @Override
-        public void probe(long upstream) { }
+        public void probe(long upstream) {}
 
         @Override
-        public void closeIdle(long upstream) { }
+        public void closeIdle(long upstream) {}
 
         @Override
-        public void fetch() { }
+        public void fetch() {}
 
         @Override
-        public void watch(boolean on) { }
+        public void watch(boolean on) {}
 
         @Override
-        public void setTimer(long token, double at) { }
+        public void setTimer(long token, double at) {}
 
         @Override
-        public void tell(int peer, byte[] payload) { }
+        public void tell(int peer, byte[] payload) {}
 
         @Override
-        public void log(String text) { }
+        public void log(String text) {}
     }
 
     private static Version version(Terms.Place place) {
-        return Terms.version(1, ConfigurationReader.read(Mesh.configuration(4, "", "")
-                .getBytes(StandardCharsets.UTF_8)), Terms.kinds(), new HashMap<>(), place);
+        return Terms.version(
+                1,
+                ConfigurationReader.read(Mesh.configuration(4, "", "").getBytes(StandardCharsets.UTF_8)),
+                Terms.kinds(),
+                new HashMap<>(),
+                place);
     }
 
     /**
-     * The bench found it (quiet-1 of cos-niamey-grown): balancers that know nothing yet prefer a few of many
-     * upstreams, and all had the same few, which got three times their part.
+     * The bench found it (quiet-1 of cos-niamey-grown): balancers that know nothing yet prefer a few of many upstreams,
+     * and all had the same few, which got three times their part.
      */
     @Test
     void aFleetOfBalancersThatKnowNothingLoadsManyUpstreamsAlike() {
@@ -97,7 +101,6 @@
         }
         int busiest = Arrays.stream(loads).max().orElseThrow();
         double mean = (double) balancers * each / upstreams;
-        assertTrue(busiest < 2 * mean, "the busiest of " + upstreams + " has " + busiest + ", the mean is "
-                + mean);
+        assertTrue(busiest < 2 * mean, "the busiest of " + upstreams + " has " + busiest + ", the mean is " + mean);
     }
 }
--- a/src/test/java/sablehinge/sidecar/UpstreamDrainTest.java
+++ b/src/test/java/sablehinge/sidecar/UpstreamDrainTest.java
@@ -47,10 +47,16 @@
     @Test
     void anUpstreamElsewhereIsNotAcknowledged() throws Exception {
         try (Mesh mesh = Mesh.served().answers(request -> Mesh.ok(request.id(), "x"))) {
-            assertEquals(MISDIRECTED, mesh.call(mesh.at.control(), "POST",
-                    "/sablehinge/Servers.Heartbeat/i-9", """
+            assertEquals(
+                    MISDIRECTED,
+                    mesh.call(
+                                    mesh.at.control(),
+                                    "POST",
+                                    "/sablehinge/Servers.Heartbeat/i-9",
+                                    """
                     {"depot":"huvo11a","address":"127.9.9.9:80","zone":"monza-a","edition":"v1","berths":4,
-                     "state":"unloading","coldLeftMs":0,"callCount":9}""").status());
+                     "state":"unloading","coldLeftMs":0,"callCount":9}""")
+                            .status());
             assertEquals(200, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
         }
     }
@@ -59,8 +65,10 @@
     @Test
     void aLifeThatSignedOffBeforeItWasHeardStaysGone() throws Exception {
         try (Mesh mesh = new Mesh().answers(request -> Mesh.ok(request.id(), "x"))) {
-            assertEquals(200, mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-1", "")
-                    .status());
+            assertEquals(
+                    200,
+                    mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-1", "")
+                            .status());
             assertEquals(200, mesh.beat("i-1", "ready").status());
             assertEquals(REFUSED, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
         }
--- a/src/test/java/sablehinge/sidecar/WatchersTest.java
+++ b/src/test/java/sablehinge/sidecar/WatchersTest.java
@@ -18,13 +18,13 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.state.Registration;
 import sablehinge.failuredetection.Accusation;
 import sablehinge.failuredetection.Evidence;
 import sablehinge.failuredetection.HashRing;
 import sablehinge.rig.Backlog;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
+import sablehinge.state.Registration;
 
 /** Beats on the wire, what a balancer tells of those it does not hear, and what it does when told. */
 @Timeout(60)
@@ -56,9 +56,7 @@
             try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(peer, Mesh.INNER));
                     Backlog silent = new Backlog()) {
                 mesh.core.tells(registration(peer + ":7001", "i-2", true));
-                mesh.core.tells(new Registration("s-3", "monza-b", silent.address(), Mesh.SERVICE, "i-3",
-                        true, 4,
-                        0));
+                mesh.core.tells(new Registration("s-3", "monza-b", silent.address(), Mesh.SERVICE, "i-3", true, 4, 0));
                 Pulse first = read(socket);
                 assertEquals(HashRing.place("s-1"), first.place());
                 Pulse second = read(socket);
@@ -110,7 +108,8 @@
     void whatWaitsForAConnectionGoesElsewhereOnceItsUpstreamIsToldOff() throws Exception {
         long took = Long.MAX_VALUE;
         for (int i = 0; i < 20 && took >= 900; i++) {
-            try (Mesh mesh = new Mesh(); Backlog full = new Backlog()) {
+            try (Mesh mesh = new Mesh();
+                    Backlog full = new Backlog()) {
                 mesh.core.holds(Mesh.configuration(4, "", ""), 4);
                 mesh.core.tells(registration(full.address(), "i-2", true));
                 mesh.core.awaitKnown("");
--- a/src/test/java/sablehinge/sidecar/Wire.java
+++ b/src/test/java/sablehinge/sidecar/Wire.java
@@ -59,8 +59,9 @@
     static Wire to(String address) throws IOException {
         int colon = address.lastIndexOf(':');
         Socket socket = new Socket();
-        socket.connect(new InetSocketAddress(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1))), PATIENCE_MS);
+        socket.connect(
+                new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
+                PATIENCE_MS);
         return new Wire(socket);
     }
 
@@ -89,8 +90,12 @@
         }
         Message head = new Message(first, headers, "");
         String length = head.one("Content-Length");
-        return new Message(first, headers, "chunked".equals(head.one("Transfer-Encoding")) ? chunks()
-                : text(length == null ? 0 : Integer.parseInt(length)));
+        return new Message(
+                first,
+                headers,
+                "chunked".equals(head.one("Transfer-Encoding"))
+                        ? chunks()
+                        : text(length == null ? 0 : Integer.parseInt(length)));
     }
 
     private String text(int length) throws IOException {
--- a/src/test/java/sablehinge/sidecar/WrittenTest.java
+++ b/src/test/java/sablehinge/sidecar/WrittenTest.java
@@ -38,10 +38,10 @@
 
     /** So deeply nested, Netty tells listeners only in a later turn of the loop. */
     private static final int NESTED = 8;
+
     private static final double LATER_MS = 60_000;
 
-    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
-            .next();
+    private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final Clock clock = Clock.system();
 
     /** Notes how an attempt ended. */
@@ -59,18 +59,22 @@
     }
 
     private Transport.Attempt send(UpstreamClient client, String id, Ended ended) {
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                "/u/x", Unpooled.EMPTY_BUFFER);
+        DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/u/x", Unpooled.EMPTY_BUFFER);
         request.headers().set(MeshHeaders.TRY, id);
-        return client.send(Terms.gate(), AdmissionController.UPSTREAM, new HttpPayload(request),
-                clock.now() + LATER_MS, null, ended);
+        return client.send(
+                Terms.gate(),
+                AdmissionController.UPSTREAM,
+                new HttpPayload(request),
+                clock.now() + LATER_MS,
+                null,
+                ended);
     }
 
     private static InetSocketAddress at(Listener listener) {
         String address = listener.address();
         int colon = address.lastIndexOf(':');
-        return new InetSocketAddress(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1)));
+        return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
     private void nested(int depth, Runnable call) {
@@ -88,12 +92,17 @@
         try (Listener upstream = new Listener()) {
             Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
             UpstreamClient client = loop.submit(() -> {
-                UpstreamClient made = new UpstreamClient(loop, clock, new Sockets(100),
-                        PooledByteBufAllocator.DEFAULT, new MeshUpstream(clock, () -> { }));
-                made.adopt(Terms.gate());
-                made.update(new Roster(1, true, List.of(new Roster.Member(own, at(upstream)))));
-                return made;
-            }).get();
+                        UpstreamClient made = new UpstreamClient(
+                                loop,
+                                clock,
+                                new Sockets(100),
+                                PooledByteBufAllocator.DEFAULT,
+                                new MeshUpstream(clock, () -> {}));
+                        made.adopt(Terms.gate());
+                        made.update(new Roster(1, true, List.of(new Roster.Member(own, at(upstream)))));
+                        return made;
+                    })
+                    .get();
             Ended first = new Ended();
             loop.submit(() -> send(client, "t-1", first)).get();
             Peer peer = upstream.accept();
@@ -102,8 +111,10 @@
             assertEquals(Result.OK, first.get(20, TimeUnit.SECONDS));
             Ended second = new Ended();
             boolean[] mayHaveRun = new boolean[1];
-            loop.submit(() -> nested(NESTED, () ->
-                    mayHaveRun[0] = send(client, "t-2", second).mayHaveRun())).get();
+            loop.submit(() -> nested(
+                            NESTED,
+                            () -> mayHaveRun[0] = send(client, "t-2", second).mayHaveRun()))
+                    .get();
             assertEquals("t-2", peer.read().header("Sablehinge-Try-Id"));
             assertTrue(mayHaveRun[0], "it counts as sent in part");
             peer.reset();
--- a/src/test/java/sablehinge/standin/FleetTest.java
+++ b/src/test/java/sablehinge/standin/FleetTest.java
@@ -36,7 +36,8 @@
 class FleetTest {
 
     private static final JsonMapper JSON = new JsonMapper();
-    private static final String TIER = """
+    private static final String TIER =
+            """
             seed = 1
             warm-up = "0ms"
             list-delay = "0ms"
@@ -59,31 +60,36 @@
     private final LinkedBlockingQueue<String> story = new LinkedBlockingQueue<>();
     /** Where the list of servers is asked for. */
     private final Map<String, InetSocketAddress> lists = new ConcurrentHashMap<>();
+
     private Fleet fleet;
 
     /** What takes a balancer's place is the first server itself. */
     private void start(String text) throws Exception {
         ScenarioFile.Checked checked = ScenarioFile.parse(text);
         assertEquals(List.of(), checked.problems());
-        fleet = new Fleet(checked.scenario(), spec -> {
-            lists.put(spec.name(), spec.discovery());
-            InetSocketAddress server = spec.known().get(0).address();
-            return new Balancers.Running() {
-                @Override
-                public InetSocketAddress address() {
-                    return server;
-                }
+        fleet = new Fleet(
+                checked.scenario(),
+                spec -> {
+                    lists.put(spec.name(), spec.discovery());
+                    InetSocketAddress server = spec.known().get(0).address();
+                    return new Balancers.Running() {
+                        @Override
+                        public InetSocketAddress address() {
+                            return server;
+                        }
 
-                @Override
-                public void kill() { }
-            };
-        }, 1, record::add, story::add);
+                        @Override
+                        public void kill() {}
+                    };
+                },
+                1,
+                record::add,
+                story::add);
         fleet.start();
     }
 
     private static String fault(String kind, String rest) {
-        return TIER.formatted(1, 10, 10) + "[[fault]]\nkind = \"" + kind
-                + "\"\nfor = \"60s\"\nchance = 1.0\n" + rest;
+        return TIER.formatted(1, 10, 10) + "[[fault]]\nkind = \"" + kind + "\"\nfor = \"60s\"\nchance = 1.0\n" + rest;
     }
 
     private void begun(String kind) throws InterruptedException {
@@ -142,7 +148,8 @@
         assertEquals(200, ask("GET /ping HTTP/1.1\r\nHost: s\r\n\r\n").status());
         assertTrue(ask("GET /_load HTTP/1.1\r\nHost: s\r\n\r\n").body().startsWith("TEXT queue=0, "));
         assertEquals(404, ask("GET /look/7 HTTP/1.1\r\nHost: s\r\n\r\n").status());
-        assertEquals(400, ask("GET /other HTTP/1.1\r\nHost: s\r\nX-Txn: q2\r\n\r\n").status());
+        assertEquals(
+                400, ask("GET /other HTTP/1.1\r\nHost: s\r\nX-Txn: q2\r\n\r\n").status());
     }
 
     @Test
@@ -211,17 +218,17 @@
             byte[] all = peer.socket.getInputStream().readAllBytes();
             String text = new String(all, java.nio.charset.StandardCharsets.US_ASCII);
             int body = text.length() - text.indexOf("\r\n\r\n") - 4;
-            int promised = Integer.parseInt(text.replaceAll("(?s).*content-length: "
-                    + "(\\d+).*|.*Content-Length: (\\d+).*",
-                    "$1$2"));
+            int promised = Integer.parseInt(
+                    text.replaceAll("(?s).*content-length: " + "(\\d+).*|.*Content-Length: (\\d+).*", "$1$2"));
             assertTrue(body < promised, text);
         }
         close();
         start(fault("spoil", ""));
         try (Peer peer = Peer.to(server())) {
             peer.write(get("q4"));
-            assertTrue(new String(peer.socket.getInputStream().readAllBytes(),
-                    java.nio.charset.StandardCharsets.ISO_8859_1).startsWith("HTTP/1.1 2o0"));
+            assertTrue(new String(
+                            peer.socket.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.ISO_8859_1)
+                    .startsWith("HTTP/1.1 2o0"));
         }
     }
 
@@ -295,7 +302,10 @@
     }
 
     private List<Told> told() {
-        return record.stream().filter(Told.class::isInstance).map(Told.class::cast).toList();
+        return record.stream()
+                .filter(Told.class::isInstance)
+                .map(Told.class::cast)
+                .toList();
     }
 
     private JsonNode list(String query) throws Exception {
@@ -320,7 +330,8 @@
         start(TIER.formatted(1, 10, 10) + "[[fault]]\nkind = \"drain\"\nat = \"100ms\"\nfor = \"60s\"\n");
         JsonNode list = list("?index=" + list("").path("version").asLong() + "&wait=20000");
         // The drain may have been listed before the first look.
-        String state = list.path("servers").isEmpty() ? list("").path("servers").get(0).path("state").asText()
+        String state = list.path("servers").isEmpty()
+                ? list("").path("servers").get(0).path("state").asText()
                 : list.path("servers").get(0).path("state").asText();
         assertEquals("draining", state);
         close();
@@ -339,10 +350,17 @@
 
     @Test
     void aBalancerThatDoesNotStartEndsTheFleet() {
-        fleet = new Fleet(ScenarioFile.parse(TIER.formatted(1, 10, 10)).scenario(), spec -> {
-            throw new IOException("no port left");
-        }, 1, record::add, story::add);
-        assertEquals("no port left", assertThrows(IOException.class, () -> fleet.start()).getMessage());
+        fleet = new Fleet(
+                ScenarioFile.parse(TIER.formatted(1, 10, 10)).scenario(),
+                spec -> {
+                    throw new IOException("no port left");
+                },
+                1,
+                record::add,
+                story::add);
+        assertEquals(
+                "no port left",
+                assertThrows(IOException.class, () -> fleet.start()).getMessage());
         assertNull(story.poll());
     }
 }
--- a/src/test/java/sablehinge/standin/SaboteurTest.java
+++ b/src/test/java/sablehinge/standin/SaboteurTest.java
@@ -40,7 +40,8 @@
 class SaboteurTest {
 
     /** One server is drained and another restarts cold; some requests are struck on the way. */
-    private static final String SCENARIO = """
+    private static final String SCENARIO =
+            """
             seed = 5
             zones = ["a", "b"]
             list-delay = "100ms"
@@ -66,7 +67,9 @@
             cold-from = 0.13
             cold = "20s"
             """;
-    private static final String FAULTS = """
+
+    private static final String FAULTS =
+            """
             [[fault]]
             kind = "drain"
             at = "200ms"
@@ -103,19 +106,20 @@
     private record Played(Audit audit, Set<String> spoilt) {
 
         List<String> named(Rule rule) {
-            return audit.shown().stream().filter(breach -> breach.rule() == rule).map(Breach::txn).toList();
+            return audit.shown().stream()
+                    .filter(breach -> breach.rule() == rule)
+                    .map(Breach::txn)
+                    .toList();
         }
     }
 
     private static Scenario scenario(String work, String faults) {
-        ScenarioFile.Checked checked = ScenarioFile.parse(SCENARIO.formatted("800ms", work, work, work)
-                + faults);
+        ScenarioFile.Checked checked = ScenarioFile.parse(SCENARIO.formatted("800ms", work, work, work) + faults);
         assertEquals(List.of(), checked.problems());
         return checked.scenario();
     }
 
-    private Played play(Scenario scenario, Deed deed, Relay.Deed relayed, int every, double seconds,
-            double rate)
+    private Played play(Scenario scenario, Deed deed, Relay.Deed relayed, int every, double seconds, double rate)
             throws Exception {
         List<Relay> relays = new ArrayList<>();
         Recorder servers = new Recorder(folder.resolve("servers.jsonl.gz"));
@@ -123,13 +127,28 @@
         LocalBalancers local = new LocalBalancers(servers::note, actions -> new Saboteur(deed, actions));
         Balancers balancers = spec -> {
             // One that ignores drains has to be told of none by its transport either.
-            Scenario believed = deed != Deed.IGNORES_DRAINS ? spec.scenario() : new Scenario(scenario.seed(),
-                    scenario.entry(), scenario.zones(), scenario.listDelay(), scenario.warmUp(),
+            Scenario believed = deed != Deed.IGNORES_DRAINS
+                    ? spec.scenario()
+                    : new Scenario(
+                            scenario.seed(),
+                            scenario.entry(),
+                            scenario.zones(),
+                            scenario.listDelay(),
+                            scenario.warmUp(),
                             scenario.classes(),
-                    scenario.tiers(), scenario.faults(), new RulesPart(3.6e6, 3, 1_500));
-            Balancers.Running running = local.start(new Balancers.Spec(spec.name(), spec.tier(),
+                            scenario.tiers(),
+                            scenario.faults(),
+                            new RulesPart(3.6e6, 3, 1_500));
+            Balancers.Running running = local.start(new Balancers.Spec(
+                    spec.name(),
+                    spec.tier(),
                     spec.position(),
-                    spec.siblings(), spec.zone(), spec.listen(), spec.discovery(), spec.seed(), believed,
+                    spec.siblings(),
+                    spec.zone(),
+                    spec.listen(),
+                    spec.discovery(),
+                    spec.seed(),
+                    believed,
                     spec.known()));
             if (relayed == null) {
                 return running;
@@ -148,36 +167,54 @@
                 }
             };
         };
-        try (servers; clients; Fleet fleet = new Fleet(scenario, balancers, 2, servers::note, line -> { })) {
+        try (servers;
+                clients;
+                Fleet fleet = new Fleet(scenario, balancers, 2, servers::note, line -> {})) {
             fleet.start();
             send(fleet, clients, seconds, rate);
             Terms terms = fleet.terms();
-            TermsFile.write(folder, new Terms(terms.classes(), LENIENT_MS, terms.drainGrace(), terms.slack(),
-                    terms.hold(), true, true));
+            TermsFile.write(
+                    folder,
+                    new Terms(
+                            terms.classes(), LENIENT_MS, terms.drainGrace(), terms.slack(), terms.hold(), true, true));
         } finally {
             relays.forEach(Relay::close);
         }
         assertEquals(0, servers.dropped() + clients.dropped());
-        Set<String> spoilt = relays.stream().flatMap(relay -> relay.spoilt().stream())
-                .collect(Collectors.toSet());
+        Set<String> spoilt =
+                relays.stream().flatMap(relay -> relay.spoilt().stream()).collect(Collectors.toSet());
         return new Played(Audit.of(folder, ALL_SHOWN), spoilt);
     }
 
     private static void send(Fleet fleet, Recorder clients, double seconds, double rate) throws Exception {
         Map<String, ClassPlan> plans = new HashMap<>();
         fleet.terms().classes().forEach((name, terms) -> plans.put(name, new ClassPlan(terms, 1_000, 2_500)));
-        Load load = new Load(new Load.Options(fleet.entries(), plans, Client.Terms.usual(),
-                new Pace.Terms(1, 1,
-                Double.NaN, Double.NaN, 1), 1, 1_000, 100, 1), clients::note);
+        Load load = new Load(
+                new Load.Options(
+                        fleet.entries(),
+                        plans,
+                        Client.Terms.usual(),
+                        new Pace.Terms(1, 1, Double.NaN, Double.NaN, 1),
+                        1,
+                        1_000,
+                        100,
+                        1),
+                clients::note);
         int[] made = {0};
         String[] names = {"order", "spend", "look"};
         try {
             load.run(() -> {
                 int i = made[0]++;
                 String name = names[i % 3];
-                return i >= seconds * rate ? null : new Demand(i * 1_000.0 / rate, "GET", "/" + name + "/"
-                        + i / 7,
-                        new Mapped(name, "k" + i / 7, "", 0, -1), null, -1);
+                return i >= seconds * rate
+                        ? null
+                        : new Demand(
+                                i * 1_000.0 / rate,
+                                "GET",
+                                "/" + name + "/" + i / 7,
+                                new Mapped(name, "k" + i / 7, "", 0, -1),
+                                null,
+                                -1);
             });
         } finally {
             load.close();
@@ -234,17 +271,20 @@
     /** One of ten thousand: each request is looked at, none is a sample. */
     @Test
     void whoLosesOneRequestOfTenThousandIsCaught() throws Exception {
-        Played played = play(scenario("0.3ms", ""), Deed.NONE, Relay.Deed.LOST, 5_000, 9,
-                1_200);
+        Played played = play(scenario("0.3ms", ""), Deed.NONE, Relay.Deed.LOST, 5_000, 9, 1_200);
         assertTrue(played.audit.requests() >= 10_000);
         assertTrue(!played.spoilt.isEmpty() && played.spoilt.size() <= 2, played.spoilt.toString());
-        assertTrue(played.named(Rule.ANSWER).containsAll(played.spoilt), played.audit.json().toString());
+        assertTrue(
+                played.named(Rule.ANSWER).containsAll(played.spoilt),
+                played.audit.json().toString());
     }
 
     @Test
     void theClassesAreAsTheScenarioSays() {
-        Terms terms = new Fleet(scenario("3ms", ""), spec -> null, 1, one -> { }, line -> { }).terms();
-        assertEquals(new Terms.ClassTerms(Effect.KEYED, Group.CELL, 4_000), terms.classes().get("order"));
+        Terms terms = new Fleet(scenario("3ms", ""), spec -> null, 1, one -> {}, line -> {}).terms();
+        assertEquals(
+                new Terms.ClassTerms(Effect.KEYED, Group.CELL, 4_000),
+                terms.classes().get("order"));
         assertEquals(Effect.SAFE, terms.classes().get("look").effect());
     }
 }
--- a/src/test/java/sablehinge/standin/mesh/StandInUpstreamTest.java
+++ b/src/test/java/sablehinge/standin/mesh/StandInUpstreamTest.java
@@ -27,16 +27,19 @@
     private StandInUpstream upstream;
 
     private static MeshVersion version(long edition, long basedOn, String service) {
-        return new MeshVersion(edition, basedOn, List.of(
-                new MeshVersion.Route("/read/", Ledger.Kind.SAFE, List.of(service)),
-                new MeshVersion.Route("/write/", Ledger.Kind.UNSAFE, List.of(service))),
+        return new MeshVersion(
+                edition,
+                basedOn,
+                List.of(
+                        new MeshVersion.Route("/read/", Ledger.Kind.SAFE, List.of(service)),
+                        new MeshVersion.Route("/write/", Ledger.Kind.UNSAFE, List.of(service))),
                 List.of("basalt", "marl"));
     }
 
     @BeforeEach
     void begins() {
-        upstream = new StandInUpstream(new StandInUpstream.Terms("i-1", "basalt",
-                new InetSocketAddress("127.0.0.1", 0), 2, 1), ledger);
+        upstream = new StandInUpstream(
+                new StandInUpstream.Terms("i-1", "basalt", new InetSocketAddress("127.0.0.1", 0), 2, 1), ledger);
     }
 
     @AfterEach
@@ -51,25 +54,49 @@
     }
 
     private Ledger.Sent sends(String id, Ledger.Kind kind, String uri, byte[] body) {
-        Ledger.Sent one = new Ledger.Sent(id, "marl", kind, body.length > 0 ? "POST" : "GET", uri,
-                uri.substring(0, uri.indexOf('/', 1) + 1), Message.sum(body), Ledger.now());
+        Ledger.Sent one = new Ledger.Sent(
+                id,
+                "marl",
+                kind,
+                body.length > 0 ? "POST" : "GET",
+                uri,
+                uri.substring(0, uri.indexOf('/', 1) + 1),
+                Message.sum(body),
+                Ledger.now());
         ledger.sent(one);
         return one;
     }
 
     private Message runs(Ledger.Sent one, byte[] body) throws IOException {
-        return ask(one.method(), one.uri(), Map.of("Sablehinge-Try-Id", one.id(), "Sablehinge-Caller", "marl",
-                "Sablehinge-Sender", MeshVersion.TENANT, "Sablehinge-Deliver-To", "i-1"), body);
+        return ask(
+                one.method(),
+                one.uri(),
+                Map.of(
+                        "Sablehinge-Try-Id",
+                        one.id(),
+                        "Sablehinge-Caller",
+                        "marl",
+                        "Sablehinge-Sender",
+                        MeshVersion.TENANT,
+                        "Sablehinge-Deliver-To",
+                        "i-1"),
+                body);
     }
 
     private void comes(Ledger.Sent to, int status, Message answer) {
-        ledger.answered(new Ledger.Answered(to.id(), status, answer.header("Sablehinge-Try-Id"),
-                answer.header("Sablehinge-Postmark"), Message.sum(answer.body()), Ledger.now()));
+        ledger.answered(new Ledger.Answered(
+                to.id(),
+                status,
+                answer.header("Sablehinge-Try-Id"),
+                answer.header("Sablehinge-Postmark"),
+                Message.sum(answer.body()),
+                Ledger.now()));
     }
 
     private List<String> judged(MeshVersion readBack, Operator.Order... orders) {
         MeshJudge judge = new MeshJudge(ledger, List.of(orders), UNLOAD_MS, EDITION_MS);
-        return judge.breaches(readBack.body()).stream().map(line -> line.substring(0, line.indexOf(':')))
+        return judge.breaches(readBack.body()).stream()
+                .map(line -> line.substring(0, line.indexOf(':')))
                 .toList();
     }
 
@@ -92,8 +119,8 @@
 
     @Test
     void whatIsNotMeantForItIsNotRun() throws IOException {
-        Message other = ask("GET", "/read/1", Map.of("Sablehinge-Try-Id", "t1", "Sablehinge-Deliver-To",
-                "i-2"), new byte[0]);
+        Message other =
+                ask("GET", "/read/1", Map.of("Sablehinge-Try-Id", "t1", "Sablehinge-Deliver-To", "i-2"), new byte[0]);
         assertEquals(421, other.status());
         assertEquals("t1", other.header("Sablehinge-Try-Id"));
         assertNotNull(other.header("Sablehinge-Not-Run"));
@@ -117,8 +144,7 @@
     void answersOfARowComeInItsOrder() throws IOException {
         try (Call call = new Call(upstream.address(), PATIENCE_MS)) {
             for (int i = 0; i < 7; i++) {
-                call.send("GET", "/read/" + i, Map.of("Host", "h", "Sablehinge-Try-Id", "t" + i), new byte[0],
-                        false);
+                call.send("GET", "/read/" + i, Map.of("Host", "h", "Sablehinge-Try-Id", "t" + i), new byte[0], false);
             }
             for (int i = 0; i < 7; i++) {
                 Message answer = call.receive();
@@ -161,8 +187,9 @@
         runs(one, new byte[0]);
         double acked = one.at() - EDITION_MS / 2;
         assertEquals(List.of(), judged(SECOND, first(), new Operator.Order(SECOND, acked, acked)));
-        assertEquals(List.of("CONFIG"), judged(SECOND, first(),
-                new Operator.Order(SECOND, acked - EDITION_MS, acked - EDITION_MS)));
+        assertEquals(
+                List.of("CONFIG"),
+                judged(SECOND, first(), new Operator.Order(SECOND, acked - EDITION_MS, acked - EDITION_MS)));
         assertEquals(List.of("CONFIG"), judged(FIRST, first(), new Operator.Order(SECOND, acked, acked)));
     }
 
--- a/src/test/java/sablehinge/state/ConfigurationStateTest.java
+++ b/src/test/java/sablehinge/state/ConfigurationStateTest.java
@@ -123,8 +123,7 @@
         byte[] state = configurations.state();
         for (int length = 1; length < state.length; length++) {
             byte[] part = Arrays.copyOf(state, length);
-            assertThrows(RuntimeException.class, () -> new ConfigurationState().restore(part), "of "
-                    + length);
+            assertThrows(RuntimeException.class, () -> new ConfigurationState().restore(part), "of " + length);
         }
         state[0]++;
         assertThrows(IllegalArgumentException.class, () -> new ConfigurationState().restore(state));
@@ -132,8 +131,8 @@
 
     private static List<String> history(ConfigurationState of) {
         List<String> history = new ArrayList<>();
-        of.read((edition, basedOn, at, length, digest) -> history.add(edition + " on " + basedOn + " at " + at
-                + ", " + length + " bytes"));
+        of.read((edition, basedOn, at, length, digest) ->
+                history.add(edition + " on " + basedOn + " at " + at + ", " + length + " bytes"));
         return history;
     }
 
@@ -199,8 +198,9 @@
         ConfigurationState other = new ConfigurationState();
         other.restore(state);
         assertArrayEquals(state, other.state());
-        assertEquals(List.of("3 on 2 at 1000, 1 bytes", "4 on 3 at 1000, 1 bytes",
-                "6 on 4 at 1006, 1 bytes"), history(other));
+        assertEquals(
+                List.of("3 on 2 at 1000, 1 bytes", "4 on 3 at 1000, 1 bytes", "6 on 4 at 1006, 1 bytes"),
+                history(other));
         assertEquals(Outcome.REPEATED, send(other, 2, 3, "a"));
         assertEquals(Outcome.STALE, send(other, 2, 3, "b"));
         assertEquals(Outcome.REPEATED, send(other, 4, 6, "c"));
@@ -218,7 +218,8 @@
 
     @Test
     void aDigestTellsBodiesApartThatTheFormerChecksumsDidNot() {
-        assertEquals("ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb",
+        assertEquals(
+                "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb",
                 BodyDigest.of(bytes("a")).hex());
         // Both have the same Arrays.hashCode.
         assertEquals(Arrays.hashCode(bytes("Aa")), Arrays.hashCode(bytes("BB")));
--- a/src/test/java/sablehinge/state/RegistryTest.java
+++ b/src/test/java/sablehinge/state/RegistryTest.java
@@ -87,7 +87,8 @@
         assertTrue(registry.expire(1_001));
         assertFalse(registry.expire(1_002));
         assertEquals(3, registry.stamp());
-        assertEquals(List.of(registration("a", "", false, 0).node()),
+        assertEquals(
+                List.of(registration("a", "", false, 0).node()),
                 registry.since(2).stream().map(Registration::node).toList());
         assertEquals("", registry.since(2).get(0).upstream());
         assertFalse(registry.since(2).get(0).ready());
--- a/src/test/java/sablehinge/station/StationTest.java
+++ b/src/test/java/sablehinge/station/StationTest.java
@@ -114,8 +114,7 @@
         assertTrue(Double.isNaN(warm.fell()), "a warm one turns away and stands");
     }
 
-    /** As on the clock: times since 1970 have so coarse steps that the last bit of work may be less than
-     * one. */
+    /** As on the clock: times since 1970 have so coarse steps that the last bit of work may be less than one. */
     @Test
     void timeGoesOnWhateverIsLeftOfTheWork() {
         for (long seed = 0; seed < 200; seed++) {
@@ -140,8 +139,7 @@
                 done.forEach(station::leave);
                 out += done.size();
             }
-            assertTrue(!Double.isNaN(station.fell()) || in == out, "seed " + seed + ": " + in + " in, "
-                    + out + " out");
+            assertTrue(!Double.isNaN(station.fell()) || in == out, "seed " + seed + ": " + in + " in, " + out + " out");
         }
     }
 
@@ -157,20 +155,28 @@
         List<Strike> strikes = new Faults(faults, List.of(5, 4), 9).strikes();
         assertEquals(strikes, new Faults(faults, List.of(5, 4), 9).strikes());
         assertEquals(5, strikes.size());
-        assertEquals(3, strikes.stream().filter(s -> s.kind() == Kind.STALL).map(Strike::server).distinct()
-                .count());
+        assertEquals(
+                3,
+                strikes.stream()
+                        .filter(s -> s.kind() == Kind.STALL)
+                        .map(Strike::server)
+                        .distinct()
+                        .count());
         List<List<Strike>> drawn = new ArrayList<>();
         for (long seed = 0; seed < 20; seed++) {
             drawn.add(new Faults(faults, List.of(5, 4), seed).strikes());
         }
         assertTrue(drawn.stream().distinct().count() > 10);
-        assertEquals(2, new Faults(List.of(fault(Kind.STALL, 0, 7, 0)), List.of(2), 1).strikes().size());
+        assertEquals(
+                2,
+                new Faults(List.of(fault(Kind.STALL, 0, 7, 0)), List.of(2), 1)
+                        .strikes()
+                        .size());
     }
 
     @Test
     void faultsHoldInTheirTimeOnly() {
-        Faults faults = new Faults(List.of(fault(Kind.STALL, 0, 1, 0), fault(Kind.SLOW, 0, 1, 0)),
-                List.of(1), 1);
+        Faults faults = new Faults(List.of(fault(Kind.STALL, 0, 1, 0), fault(Kind.SLOW, 0, 1, 0)), List.of(1), 1);
         assertFalse(faults.struck(Kind.STALL, 0, 0, 99));
         assertTrue(faults.struck(Kind.STALL, 0, 0, 100));
         assertFalse(faults.struck(Kind.STALL, 0, 0, 200));
@@ -181,8 +187,7 @@
 
     @Test
     void requestsAreStruckByTheirChances() {
-        Faults faults = new Faults(List.of(fault(Kind.ERROR, 0, 1, 0.1), fault(Kind.HALF, 0, 1, 0.2)),
-                List.of(1), 1);
+        Faults faults = new Faults(List.of(fault(Kind.ERROR, 0, 1, 0.1), fault(Kind.HALF, 0, 1, 0.2)), List.of(1), 1);
         assertEquals(Kind.ERROR, faults.strikes(0, 0, 150, 0.09));
         assertEquals(Kind.HALF, faults.strikes(0, 0, 150, 0.29));
         assertNull(faults.strikes(0, 0, 150, 0.31));
--- a/src/test/java/sablehinge/tally/TallyTest.java
+++ b/src/test/java/sablehinge/tally/TallyTest.java
@@ -23,8 +23,7 @@
         assertEquals(0, few.error());
     }
 
-    /** The promise of the method: no count is too large, and none too small by more than the error that it
-     * tells. */
+    /** The promise of the method: no count is too large, and none too small by more than the error that it tells. */
     @Test
     void beyondItsBoundTheCommonestStayWithinTheToldError() {
         SplittableRandom random = new SplittableRandom(5);
@@ -42,7 +41,11 @@
             long counted = top.getOrDefault(name, 0L);
             assertTrue(counted <= count && counted >= count - bounded.error(), name);
         });
-        assertEquals(truth.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey(),
+        assertEquals(
+                truth.entrySet().stream()
+                        .max(Map.Entry.comparingByValue())
+                        .orElseThrow()
+                        .getKey(),
                 top.keySet().iterator().next());
         assertTrue(bounded.error() > 0 && bounded.error() < 200_000 / 250);
     }
--- a/src/test/java/sablehinge/timeline/TimelineTest.java
+++ b/src/test/java/sablehinge/timeline/TimelineTest.java
@@ -134,8 +134,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             out.clear();
             times.clear();
-            Timeline<String> line = line(random.nextInt(5_000), 1 + random.nextInt(200), random.nextBoolean(),
-                    seed);
+            Timeline<String> line = line(random.nextInt(5_000), 1 + random.nextInt(200), random.nextBoolean(), seed);
             double clock = 0;
             int count = 500;
             for (int i = 0; i < count; i++) {
@@ -143,8 +142,9 @@
                 if (random.nextInt(200) == 0) {
                     clock -= 100_000;
                 }
-                double time = random.nextInt(50) == 0 ? Double.NaN : clock - (random.nextInt(20) == 0
-                        ? random.nextInt(3_000) : 0);
+                double time = random.nextInt(50) == 0
+                        ? Double.NaN
+                        : clock - (random.nextInt(20) == 0 ? random.nextInt(3_000) : 0);
                 line.add(random.nextBoolean() ? time : Math.floor(time / 1_000) * 1_000, "e" + i);
             }
             line.end();
--- a/src/test/java/sablehinge/torture/ExchangeTest.java
+++ b/src/test/java/sablehinge/torture/ExchangeTest.java
@@ -34,9 +34,17 @@
     /** A request that an inbound balancer stood still with runs when all has been answered. */
     @Test
     void whoStandsStillRunsWhatLiesInItsBuffersLater() {
-        assertEquals(List.of(), new OutboundPlay().play(List.of(OutboundPlay.Event.CALL,
-                OutboundPlay.Event.ANSWER, OutboundPlay.Event.FREEZE, OutboundPlay.Event.CALL,
-                OutboundPlay.Event.WAIT, OutboundPlay.Event.CALLS_AGAIN, OutboundPlay.Event.THAW)));
+        assertEquals(
+                List.of(),
+                new OutboundPlay()
+                        .play(List.of(
+                                OutboundPlay.Event.CALL,
+                                OutboundPlay.Event.ANSWER,
+                                OutboundPlay.Event.FREEZE,
+                                OutboundPlay.Event.CALL,
+                                OutboundPlay.Event.WAIT,
+                                OutboundPlay.Event.CALLS_AGAIN,
+                                OutboundPlay.Event.THAW)));
     }
 
     @Test
@@ -54,7 +62,8 @@
             fault.applied(Files.readString(Path.of("src/main/java/sablehinge/" + fault.in() + ".java")));
         }
         List<?> found = (List<?>) MutantLoader.of(ExchangeBench.MUTANTS.get(0), Path.of("src/main/java"))
-                .loadClass(ExchangeBench.class.getName()).getMethod("search", int.class, int.class)
+                .loadClass(ExchangeBench.class.getName())
+                .getMethod("search", int.class, int.class)
                 .invoke(null, DEPTH, 1);
         assertTrue(found.size() > 1, ExchangeBench.MUTANTS.get(0).name());
     }
--- a/src/test/java/sablehinge/torture/HeldRequestsTest.java
+++ b/src/test/java/sablehinge/torture/HeldRequestsTest.java
@@ -20,13 +20,13 @@
 /** Requests that come before the first configuration does, in virtual time: held for moments, and not all. */
 class HeldRequestsTest {
 
-    private static final InetSocketAddress BALANCER =
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 10_001);
+    private static final InetSocketAddress BALANCER = new InetSocketAddress(InetAddress.getLoopbackAddress(), 10_001);
     private static final int ROOM = 1 << 20;
     /** As many as are held at once (Frontend). */
     private static final int MOST_HELD = 256;
     /** A client's time, and the most of it that is a quarter of its aim. */
     private static final int TIME_LEFT = 2_100;
+
     private static final double QUARTER_OF_AIM = TIME_LEFT / 7.0 / 4;
 
     private final Net net = new Net(1, new Memory());
@@ -81,8 +81,8 @@
     private OutboundParts parts() {
         Clock clock = net::now;
         Timers timers = (time, call) -> {
-            Future<?> due = net.loop.schedule(call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6),
-                    TimeUnit.NANOSECONDS);
+            Future<?> due = net.loop.schedule(
+                    call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6), TimeUnit.NANOSECONDS);
             return () -> due.cancel(false);
         };
         net.listen(BALANCER, new Net.Listener() {
@@ -96,8 +96,15 @@
                 balancer.add(new Talk(channel));
             }
         });
-        OutboundParts made = new OutboundParts(net.loop, clock, timers, new Sockets(1_024, net), net.memory,
-                List.of(BALANCER), new InetSocketAddress("127.0.0.1", 1), why -> { });
+        OutboundParts made = new OutboundParts(
+                net.loop,
+                clock,
+                timers,
+                new Sockets(1_024, net),
+                net.memory,
+                List.of(BALANCER),
+                new InetSocketAddress("127.0.0.1", 1),
+                why -> {});
         net.settle();
         return made;
     }
@@ -117,7 +124,7 @@
     }
 
     private void passes(double millis) {
-        for (double end = net.now() + millis; net.now() < end;) {
+        for (double end = net.now() + millis; net.now() < end; ) {
             net.advance(1);
             net.settle();
         }
@@ -159,7 +166,8 @@
         double left = balancer.get(0).number("Sablehinge-Time-Left");
         assertTrue(left <= OutboundParts.TIMEOUT_MS - 50, "left " + left);
         passes(OutboundParts.TIMEOUT_MS - 55);
-        assertTrue(calls.get(0).has("HTTP/1.1 502 ") || calls.get(0).has("HTTP/1.1 504 "),
+        assertTrue(
+                calls.get(0).has("HTTP/1.1 502 ") || calls.get(0).has("HTTP/1.1 504 "),
                 calls.get(0).heard.toString());
     }
 
@@ -187,7 +195,9 @@
         calls("/u/x", TIME_LEFT);
         assertEquals(4, calls.stream().filter(call -> call.has("HTTP/1.1 503 ")).count());
         passes(QUARTER_OF_AIM);
-        assertEquals(MOST_HELD + 4, calls.stream().filter(call -> call.has("HTTP/1.1 503 ")).count());
+        assertEquals(
+                MOST_HELD + 4,
+                calls.stream().filter(call -> call.has("HTTP/1.1 503 ")).count());
         calls("/u/x", TIME_LEFT);
         assertTrue(calls.get(calls.size() - 1).heard.isEmpty(), "those that have gone are counted still");
     }
--- a/src/test/java/sablehinge/torture/StallTest.java
+++ b/src/test/java/sablehinge/torture/StallTest.java
@@ -23,8 +23,9 @@
     void stallsAreSeen() throws Exception {
         for (Mutant stall : List.of(Mutant.STALLS.get(0), Mutant.STALLS.get(3))) {
             List<?> found = (List<?>) MutantLoader.of(stall, Path.of("src/main/java"))
-                    .loadClass(Rig.class.getName()).getMethod("watched", long.class, long.class, int.class,
-                    String.class, int.class).invoke(null, 0L, 400L, THREADS, stall.name().split(" ")[0], 1);
+                    .loadClass(Rig.class.getName())
+                    .getMethod("watched", long.class, long.class, int.class, String.class, int.class)
+                    .invoke(null, 0L, 400L, THREADS, stall.name().split(" ")[0], 1);
             assertTrue(found.size() > 1, stall.name());
         }
     }
--- a/src/test/java/sablehinge/torture/TortureTest.java
+++ b/src/test/java/sablehinge/torture/TortureTest.java
@@ -20,8 +20,8 @@
 
     private static final int PLAYS = 3_000;
     private static final int THREADS = 8;
-    private static final String SMALL_PIECES = "640 requests 2 without settings,told_off,drain,memory,"
-            + "few_descriptors,real_module,trouble,habits";
+    private static final String SMALL_PIECES =
+            "640 requests 2 without settings,told_off,drain,memory," + "few_descriptors,real_module,trouble,habits";
 
     @Test
     void everyPlayKeepsWhatMustHold() throws Exception {
@@ -31,11 +31,13 @@
 
     /** Scripts that show a fault which the program once had, were it still there. */
     @ParameterizedTest
-    @ValueSource(strings = {
-            // The rest of an answer was dropped where it could not be encoded for want of memory.
-            "12 callers 0 requests 1 without settings,told_off,drain,few_descriptors,real_module",
-            // The sending was ended in the middle of the last answer, when one ahead of it was written out.
-            "344 callers 0,2,6,7,11 requests 2 without settings,told_off,memory,few_descriptors"})
+    @ValueSource(
+            strings = {
+                // The rest of an answer was dropped where it could not be encoded for want of memory.
+                "12 callers 0 requests 1 without settings,told_off,drain,few_descriptors,real_module",
+                // The sending was ended in the middle of the last answer, when one ahead of it was written out.
+                "344 callers 0,2,6,7,11 requests 2 without settings,told_off,memory,few_descriptors"
+            })
     void whatWasFoundOnceStaysMended(String script) throws Exception {
         assertEquals(List.of(), Rig.play(Script.parse(script)));
     }
@@ -52,8 +54,10 @@
     @Test
     void aFaultIsFound() throws Exception {
         Mutant fault = Mutant.ALL.get(0);
-        Object by = MutantLoader.of(fault, Path.of("src/main/java")).loadClass(Rig.class.getName())
-                .getMethod("hunt", long.class, int.class).invoke(null, 200L, THREADS);
+        Object by = MutantLoader.of(fault, Path.of("src/main/java"))
+                .loadClass(Rig.class.getName())
+                .getMethod("hunt", long.class, int.class)
+                .invoke(null, 200L, THREADS);
         assertNotNull(by, fault.name());
     }
 
@@ -61,7 +65,8 @@
     @Test
     void eachFaultHasItsPlace() throws Exception {
         List<String> without = new ArrayList<>();
-        for (Mutant fault : Stream.concat(Mutant.ALL.stream(), Mutant.STALLS.stream()).toList()) {
+        for (Mutant fault :
+                Stream.concat(Mutant.ALL.stream(), Mutant.STALLS.stream()).toList()) {
             try {
                 fault.applied(Files.readString(Path.of("src/main/java/sablehinge/" + fault.in() + ".java")));
             } catch (IllegalStateException e) {
@@ -74,10 +79,16 @@
     /** Each piece would else be a call of the system, which small pieces make many of. */
     @Test
     void piecesThatComeTogetherAreWrittenTogether() throws Exception {
-        Mutant one = new Mutant("each piece is written at once", "http1/Relay", "void add(",
-                "sink.part(part.retain());", "sink.part(part.retain());\n            sink.flush();");
-        long apart = (long) MutantLoader.of(one, Path.of("src/main/java")).loadClass(Rig.class.getName())
-                .getMethod("writes", String.class).invoke(null, SMALL_PIECES);
+        Mutant one = new Mutant(
+                "each piece is written at once",
+                "http1/Relay",
+                "void add(",
+                "sink.part(part.retain());",
+                "sink.part(part.retain());\n            sink.flush();");
+        long apart = (long) MutantLoader.of(one, Path.of("src/main/java"))
+                .loadClass(Rig.class.getName())
+                .getMethod("writes", String.class)
+                .invoke(null, SMALL_PIECES);
         long together = Rig.writes(SMALL_PIECES);
         assertTrue(together * 2 < apart, together + " writes, each piece on its own " + apart);
     }
@@ -90,7 +101,8 @@
         first.play();
         again.play();
         assertFalse(first.answers() == 0);
-        assertEquals(first.net.writes + " " + first.net.now() + " " + first.answers(),
+        assertEquals(
+                first.net.writes + " " + first.net.now() + " " + first.answers(),
                 again.net.writes + " " + again.net.now() + " " + again.answers());
     }
 }
--- a/src/test/java/sablehinge/watch/PackedConfigurationTest.java
+++ b/src/test/java/sablehinge/watch/PackedConfigurationTest.java
@@ -48,10 +48,14 @@
             byte[] part = Arrays.copyOf(packed, length);
             assertThrows(IOException.class, () -> PackedConfiguration.unpack(part), "cut at " + length);
         }
-        assertThrows(IOException.class, () -> PackedConfiguration.unpack(Arrays.copyOf(packed,
-                packed.length + 1)), "a byte more");
-        assertThrows(IOException.class, () -> PackedConfiguration.unpack(Arrays.copyOf(packed,
-                packed.length + 10_000)), "many more");
+        assertThrows(
+                IOException.class,
+                () -> PackedConfiguration.unpack(Arrays.copyOf(packed, packed.length + 1)),
+                "a byte more");
+        assertThrows(
+                IOException.class,
+                () -> PackedConfiguration.unpack(Arrays.copyOf(packed, packed.length + 10_000)),
+                "many more");
     }
 
     @Test
--- a/src/test/java/sablehinge/watch/RecordsTest.java
+++ b/src/test/java/sablehinge/watch/RecordsTest.java
@@ -10,30 +10,45 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import sablehinge.state.Registration;
 import sablehinge.failuredetection.Accusation;
 import sablehinge.failuredetection.Evidence;
 import sablehinge.retrybudget.Claim;
 import sablehinge.retrybudget.Grant;
+import sablehinge.state.Registration;
 
 /** Asks and news as bytes. */
 class RecordsTest {
 
-    private static final Registration ONE = new Registration("s-1", "monza-a", "127.0.0.1:7000", "huvo11a",
-            "i-7f",
-            true, 60_000, 2_900);
-    private static final Registration NONE = new Registration("s-2", "monza-b", "127.0.0.2:7000", "wuno96b",
-            "", false, 0,
-            0);
+    private static final Registration ONE =
+            new Registration("s-1", "monza-a", "127.0.0.1:7000", "huvo11a", "i-7f", true, 60_000, 2_900);
+    private static final Registration NONE =
+            new Registration("s-2", "monza-b", "127.0.0.2:7000", "wuno96b", "", false, 0, 0);
 
     private static WatchRequest request() {
-        return new WatchRequest(7, ONE, 1L << 40, 3, 12, true, List.of(new Accusation("s-2", Evidence.FROZEN),
-                new Accusation("s-9", Evidence.RESET)), List.of(NONE, ONE));
+        return new WatchRequest(
+                7,
+                ONE,
+                1L << 40,
+                3,
+                12,
+                true,
+                List.of(new Accusation("s-2", Evidence.FROZEN), new Accusation("s-9", Evidence.RESET)),
+                List.of(NONE, ONE));
     }
 
     private static Update update() {
-        return new Update(7, true, 1L << 40, "{\"edition\":9}".getBytes(StandardCharsets.UTF_8), 3, 12, true,
-                true, 40_000, List.of(ONE, NONE), List.of("127.0.0.1:7000"));
+        return new Update(
+                7,
+                true,
+                1L << 40,
+                "{\"edition\":9}".getBytes(StandardCharsets.UTF_8),
+                3,
+                12,
+                true,
+                true,
+                40_000,
+                List.of(ONE, NONE),
+                List.of("127.0.0.1:7000"));
     }
 
     @Test
@@ -81,18 +96,25 @@
     @Test
     void claimsAndGrantsTellOfAsManyServicesAsTheyMay() throws Exception {
         List<Claim.Line> lines = IntStream.range(0, Claim.MOST)
-                .mapToObj(i -> new Claim.Line("service-" + i, i, 0, 0, 0, 1)).toList();
+                .mapToObj(i -> new Claim.Line("service-" + i, i, 0, 0, 0, 1))
+                .toList();
         Claim claim = new Claim(1, 1, 1, "service-0", lines);
         assertEquals(claim, RetryBudgetCodec.claim(RetryBudgetCodec.bytes(claim)));
-        Grant grant = new Grant(1, 1, lines.stream().map(line -> new Grant.Line(line.service(), 3)).toList());
+        Grant grant = new Grant(
+                1,
+                1,
+                lines.stream().map(line -> new Grant.Line(line.service(), 3)).toList());
         assertEquals(grant, RetryBudgetCodec.grant(RetryBudgetCodec.bytes(grant)));
     }
 
     @Test
     void claimsAndGrantsAreReadAsTheyWereWrittenAndNothingElseIs() throws Exception {
-        Claim claim = new Claim(-3, 7, 1L << 40, "huvo11a", List.of(
-                new Claim.Line("huvo11a", 1 << 30, 0, 5, 9, 65_535),
-                new Claim.Line("wuno96b", 0, 3, 0, 0, 0)));
+        Claim claim = new Claim(
+                -3,
+                7,
+                1L << 40,
+                "huvo11a",
+                List.of(new Claim.Line("huvo11a", 1 << 30, 0, 5, 9, 65_535), new Claim.Line("wuno96b", 0, 3, 0, 0, 0)));
         assertEquals(claim, RetryBudgetCodec.claim(RetryBudgetCodec.bytes(claim)));
         Grant grant = new Grant(7, 1L << 40, List.of(new Grant.Line("huvo11a", 1 << 20)));
         assertEquals(grant, RetryBudgetCodec.grant(RetryBudgetCodec.bytes(grant)));
--- a/src/test/java/sablehinge/watch/WatchServerTest.java
+++ b/src/test/java/sablehinge/watch/WatchServerTest.java
@@ -7,12 +7,12 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.state.Registration;
-import sablehinge.state.Registry;
 import sablehinge.failuredetection.Accusation;
 import sablehinge.failuredetection.Evidence;
 import sablehinge.failuredetection.Health;
 import sablehinge.failuredetection.HealthView;
+import sablehinge.state.Registration;
+import sablehinge.state.Registry;
 
 /** When asks for news are answered, and with what; the time is the test's. */
 class WatchServerTest {
@@ -35,11 +35,27 @@
         asks(now, node, number, edition, stamp, confirm, List.of(), List.of());
     }
 
-    private void asks(double now, String node, int number, long edition, long stamp, boolean confirm,
-            List<Accusation> accusations, List<Registration> vouched) {
-        watchServer.asked(now, node, new WatchRequest(number, registration(node), edition, stamp == 0 ? 0
-                : TERM, stamp, confirm,
-                accusations, vouched));
+    private void asks(
+            double now,
+            String node,
+            int number,
+            long edition,
+            long stamp,
+            boolean confirm,
+            List<Accusation> accusations,
+            List<Registration> vouched) {
+        watchServer.asked(
+                now,
+                node,
+                new WatchRequest(
+                        number,
+                        registration(node),
+                        edition,
+                        stamp == 0 ? 0 : TERM,
+                        stamp,
+                        confirm,
+                        accusations,
+                        vouched));
     }
 
     private Update only(double now) {
@@ -143,8 +159,10 @@
         settled("a");
         none(10);
         asks(20, "b", 1, 4, registry.stamp(), false);
-        Update update = watchServer.due(20).stream().filter(told ->
-                told.to().equals("a")).findFirst().orElseThrow()
+        Update update = watchServer.due(20).stream()
+                .filter(told -> told.to().equals("a"))
+                .findFirst()
+                .orElseThrow()
                 .update();
         assertEquals(List.of(registration("b")), update.registrations());
         assertFalse(update.whole());
@@ -192,16 +210,18 @@
     }
 
     private Update told(double now, String node) {
-        return watchServer.due(now).stream().filter(told ->
-                told.to().equals(node)).findFirst().orElseThrow().update();
+        return watchServer.due(now).stream()
+                .filter(told -> told.to().equals(node))
+                .findFirst()
+                .orElseThrow()
+                .update();
     }
 
     @Test
     void whoIsAccusedAndSilentIsToldAsNotReadyAndAsItWasOnceItAsks() {
         settled("a");
         asks(0, "b", 1, 4, registry.stamp(), false);
-        asks(1_000, "a", 3, 4, registry.stamp(), false, List.of(new Accusation("b", Evidence.RESET)),
-                List.of());
+        asks(1_000, "a", 3, 4, registry.stamp(), false, List.of(new Accusation("b", Evidence.RESET)), List.of());
         Registration off = told(1_000, "a").registrations().get(0);
         assertEquals("i-b", off.upstream());
         assertFalse(off.ready());
@@ -222,7 +242,8 @@
             watchServer.due(now);
         }
         assertEquals(List.of(registration("a"), registration("b")), registry.since(0));
-        assertEquals(List.of(Health.CUT_FROM_CORE),
+        assertEquals(
+                List.of(Health.CUT_FROM_CORE),
                 watchServer.rulings().stream().map(HealthView.Ruling::health).toList());
     }
 
--- a/src/test/java/sablehinge/wire/WireHostTest.java
+++ b/src/test/java/sablehinge/wire/WireHostTest.java
@@ -15,8 +15,8 @@
 import java.util.HexFormat;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import sablehinge.settings.SettingsParserTest;
 import sablehinge.policy.LoadBalancer;
+import sablehinge.settings.SettingsParserTest;
 
 /** The wire, byte for byte: good frames, and what bad input gets. */
 class WireHostTest {
@@ -24,7 +24,7 @@
     private static final int INSTANCE = 3;
     private static final long UPSTREAM = 0x232b_074a_120aL;
 
-    private record Run(int status, byte[] out, String err) { }
+    private record Run(int status, byte[] out, String err) {}
 
     private static Run run(byte[] input) {
         return run(input, "wire");
@@ -135,7 +135,8 @@
         assertEquals(8 + 8 + 32, reply.length);
         assertEquals(32, LittleEndian.getInt(reply, 8));
         assertEquals(1, LittleEndian.getInt(reply, 12));
-        assertEquals("03" + "03000000" + "c4913a5d13a30f00" + "0a124a072b23",
+        assertEquals(
+                "03" + "03000000" + "c4913a5d13a30f00" + "0a124a072b23",
                 HexFormat.of().formatHex(reply, 16, 35));
         // Nothing seen yet: twice three times the first guess of a fifth of the aim of 500 ms.
         assertEquals(600, LittleEndian.getDouble(reply, 35), 1e-9);
@@ -151,8 +152,7 @@
             requests[i] = incoming(i + 1);
             failures[i] = finished(i + 1, 80);
         }
-        Run run = run(concat(opening(), frame(10_005, new byte[0], requests),
-                frame(10_010, new byte[0], failures)));
+        Run run = run(concat(opening(), frame(10_005, new byte[0], requests), frame(10_010, new byte[0], failures)));
         assertEquals(0, run.status, run.err);
         int at = run.out.length - requests.length * ReplyWriter.RECORD_BYTES;
         for (int i = 0; i < requests.length; i++) {
@@ -165,8 +165,10 @@
     @Test
     void aFailureOfTheDecisionCodeBecomesTheFaultAction() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        LoadBalancer broken = (LoadBalancer) Proxy.newProxyInstance(LoadBalancer.class.getClassLoader(),
-                new Class<?>[] {LoadBalancer.class}, (proxy, method, arguments) -> {
+        LoadBalancer broken = (LoadBalancer) Proxy.newProxyInstance(
+                LoadBalancer.class.getClassLoader(),
+                new Class<?>[] {LoadBalancer.class},
+                (proxy, method, arguments) -> {
                     if (method.getName().equals("timer")) {
                         throw new IllegalStateException("broken on purpose");
                     }
@@ -177,8 +179,7 @@
         host.serve(new ByteArrayInputStream(concat(opening(), ring)), out);
         byte[] reply = out.toByteArray();
         assertEquals(4, reply[16]);
-        assertTrue(new String(reply, 48, reply.length - 48, StandardCharsets.UTF_8)
-                .contains("broken on purpose"));
+        assertTrue(new String(reply, 48, reply.length - 48, StandardCharsets.UTF_8).contains("broken on purpose"));
     }
 
     @Test
@@ -196,8 +197,10 @@
         failed[5] = 3;
         byte[] late = incoming(5);
         LittleEndian.putDouble(late, 24, 9_000);
-        Run run = run(concat(opening(), frame(10_005, new byte[0], gone, ring, probed, headers, message,
-                finished(97, 40), late), frame(10_010, new byte[0], record(9, INSTANCE))));
+        Run run = run(concat(
+                opening(),
+                frame(10_005, new byte[0], gone, ring, probed, headers, message, finished(97, 40), late),
+                frame(10_010, new byte[0], record(9, INSTANCE))));
         assertEquals(0, run.status, run.err);
         // Only the request whose deadline has passed is answered: refused.
         assertEquals(8 + 8 + 32 + 8, run.out.length);
@@ -250,7 +253,9 @@
 
     @Test
     void mutatedFramesEndInAReplyOrAPlainMessage() throws IOException {
-        byte[] good = concat(opening(), frame(10_005, new byte[0], incoming(1), incoming(2)),
+        byte[] good = concat(
+                opening(),
+                frame(10_005, new byte[0], incoming(1), incoming(2)),
                 frame(10_025, new byte[0], finished(1, 10), finished(2, 20)));
         SplittableRandom random = new SplittableRandom(20261128);
         int refused = 0;
@@ -259,8 +264,7 @@
             for (int flips = random.nextInt(1, 4); flips > 0; flips--) {
                 bad[random.nextInt(bad.length)] = (byte) random.nextInt();
             }
-            byte[] input = random.nextInt(4) == 0
-                    ? Arrays.copyOf(bad, random.nextInt(bad.length)) : bad;
+            byte[] input = random.nextInt(4) == 0 ? Arrays.copyOf(bad, random.nextInt(bad.length)) : bad;
             Run run = run(input);
             assertTrue(run.status == 0 || run.status == 1);
             if (run.status == 1) {
