--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -1,6 +1,8 @@
 package sablehinge.torture;
 
 import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 
 /**
  * A fault that somebody could make, put into a copy of a real class: a place in its text and what stands there instead.
@@ -10,6 +12,7 @@
  */
 public record Mutant(String name, String in, String after, String text, String instead) {
 
+    private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
     private static final String FRONT = "http1/Frontend";
     private static final String UPSTREAM = "http1/UpstreamClient";
     private static final String RELAY = "http1/Relay";
@@ -217,15 +220,33 @@
                     "ReferenceCountUtil.release(message);",
                     "message.hashCode();"));
 
-    /** The text of the class with the fault in it. */
+    /**
+     * The text of the class with the fault in it. The place is found whatever the formatter does with line breaks and
+     * blanks between the tokens.
+     */
     public String applied(String source) {
-        int from = source.indexOf(after);
-        int at = from < 0 ? -1 : source.indexOf(text, from);
-        if (at < 0) {
+        Matcher place = tokens(text).matcher(source);
+        Matcher before = tokens(after).matcher(source);
+        if (!before.find() || !place.find(before.start())) {
             throw new IllegalStateException("mutant '" + name + "' has no place in " + in
                     + " any more: expected '" + text
                     + "' behind '" + after + "'");
         }
-        return source.substring(0, at) + instead + source.substring(at + text.length());
+        return source.substring(0, place.start()) + instead + source.substring(place.end());
+    }
+
+    private static Pattern tokens(String code) {
+        StringBuilder pattern = new StringBuilder();
+        Matcher token = TOKEN.matcher(code);
+        boolean afterWord = false;
+        while (token.find()) {
+            boolean word = Character.isJavaIdentifierPart(token.group().charAt(0));
+            if (pattern.length() > 0) {
+                pattern.append(afterWord && word ? "\\s+" : "\\s*");
+            }
+            pattern.append(Pattern.quote(token.group()));
+            afterWord = word;
+        }
+        return Pattern.compile(pattern.toString());
     }
 }
