--- a/src/main/java/sablehinge/log/LogTerms.java
+++ b/src/main/java/sablehinge/log/LogTerms.java
@@ -25,6 +25,18 @@
     public static final List<String> SUBSYSTEMS =
             List.of("cli", "core", "http1", "membership", "netty", "node", "recorder", "control", "sidecar");
 
+    /** The logger of each subsystem: its name in the settings stays where its package moves. */
+    private static final Map<String, String> LOGGERS = Map.of(
+            "cli", "sablehinge.cli",
+            "core", "sablehinge.core",
+            "http1", "sablehinge.http1",
+            "membership", "sablehinge.membership",
+            "netty", "io.netty",
+            "node", "sablehinge.node",
+            "recorder", "sablehinge.recorder",
+            "control", "sablehinge.control",
+            "sidecar", "sablehinge.sidecar");
+
     /** Where nothing is said of it, as on the platform. */
     public static final LogTerms USUAL = new LogTerms(Format.TEXT, Level.INFO, Map.of(), 10);
 
@@ -38,6 +50,6 @@
 
     /** The name of a subsystem's logger, above which none of another subsystem lies. */
     static String logger(String subsystem) {
-        return subsystem.equals("netty") ? "io.netty" : "sablehinge." + subsystem;
+        return LOGGERS.get(subsystem);
     }
 }
--- a/src/test/java/sablehinge/house/LayersTest.java
+++ b/src/test/java/sablehinge/architecture/LayersTest.java
@@ -1,4 +1,4 @@
-package sablehinge.house;
+package sablehinge.architecture;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
