--- a/bench/src/sablehinge/rpc/Cut.java
+++ b/bench/src/sablehinge/common/rpc/Cut.java
@@ -1,4 +1,4 @@
-package sablehinge.rpc;
+package sablehinge.common.rpc;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelDuplexHandler;
--- a/bench/src/sablehinge/control/CutControlNode.java
+++ b/bench/src/sablehinge/control/CutControlNode.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import sablehinge.config.local.LocalSettings;
-import sablehinge.log.LogTerms;
-import sablehinge.log.Logging;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Cut;
+import sablehinge.common.logging.LogTerms;
+import sablehinge.common.logging.Logging;
+import sablehinge.common.rpc.Connection;
+import sablehinge.common.rpc.Cut;
+import sablehinge.common.settings.LocalSettings;
 
 /** A control node as its daemon runs it, but that it can be cut from others. */
 public final class CutControlNode {
--- a/bench/src/sablehinge/control/UnsyncedControlNode.java
+++ b/bench/src/sablehinge/control/UnsyncedControlNode.java
@@ -2,9 +2,9 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
-import sablehinge.config.local.LocalSettings;
-import sablehinge.log.LogTerms;
-import sablehinge.log.Logging;
+import sablehinge.common.logging.LogTerms;
+import sablehinge.common.logging.Logging;
+import sablehinge.common.settings.LocalSettings;
 
 /** A machine of the core as its daemon runs it, but on a disk that keeps nothing but what was synced. */
 final class UnsyncedControlNode {
--- a/bench/src/sablehinge/fleet/FleetPlan.java
+++ b/bench/src/sablehinge/fleet/FleetPlan.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.settings.LocalSettings;
 
 /**
  * Names, zones and loopback addresses of a fleet: each machine has an address of its own, all have the same ports.
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import java.util.function.IntPredicate;
 import java.util.zip.Deflater;
-import sablehinge.config.local.ConfigException;
-import sablehinge.rpc.Frame;
+import sablehinge.common.rpc.Frame;
+import sablehinge.common.settings.ConfigException;
 import sablehinge.sidecar.HollowSidecar;
 import sablehinge.standin.mesh.Ledger;
 
--- a/bench/src/sablehinge/fleet/RegionCutBench.java
+++ b/bench/src/sablehinge/fleet/RegionCutBench.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import java.util.logging.LogManager;
 import java.util.stream.IntStream;
-import sablehinge.config.local.ConfigException;
+import sablehinge.common.settings.ConfigException;
 import sablehinge.sidecar.HollowSidecar;
 import sablehinge.standin.mesh.Ledger;
 
--- a/bench/src/sablehinge/fleet/Traffic.java
+++ b/bench/src/sablehinge/fleet/Traffic.java
@@ -3,8 +3,8 @@
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Frame;
+import sablehinge.common.rpc.Connection;
+import sablehinge.common.rpc.Frame;
 
 /** Counts records and their bytes by kind, seen from the sidecars' end; any thread may add. */
 final class Traffic implements Connection.Observer {
--- a/bench/src/sablehinge/torture/OutboundPlay.java
+++ b/bench/src/sablehinge/torture/OutboundPlay.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.zip.CRC32C;
-import sablehinge.eventloop.Clock;
-import sablehinge.eventloop.Timers;
+import sablehinge.common.eventloop.Clock;
+import sablehinge.common.eventloop.Timers;
 import sablehinge.http1.Sockets;
 import sablehinge.sidecar.OutboundParts;
 
--- a/src/main/java/sablehinge/cli/Main.java
+++ b/src/main/java/sablehinge/cli/Main.java
@@ -10,9 +10,9 @@
 import org.slf4j.LoggerFactory;
 import sablehinge.cli.mesh.MeshCommands;
 import sablehinge.cli.mesh.operator.Shell;
+import sablehinge.common.logging.Log;
+import sablehinge.common.settings.ConfigException;
 import sablehinge.config.PlatformConfig;
-import sablehinge.config.local.ConfigException;
-import sablehinge.log.Log;
 import sablehinge.node.Node;
 
 /**
--- a/src/main/java/sablehinge/cli/MeshDaemon.java
+++ b/src/main/java/sablehinge/cli/MeshDaemon.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import org.slf4j.LoggerFactory;
-import sablehinge.config.local.ConfigException;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.logging.DirectProvider;
+import sablehinge.common.logging.Log;
+import sablehinge.common.settings.ConfigException;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.control.ControlNode;
-import sablehinge.log.DirectProvider;
-import sablehinge.log.Log;
 import sablehinge.sidecar.Sidecar;
 
 /** The mesh's daemons: {@code sidecar} beside an upstream, {@code control node} on a machine of the core. */
--- a/src/main/java/sablehinge/eventloop/Clock.java
+++ b/src/main/java/sablehinge/common/eventloop/Clock.java
@@ -1,4 +1,4 @@
-package sablehinge.eventloop;
+package sablehinge.common.eventloop;
 
 /** The time that all of the program reads. */
 public interface Clock {
--- a/src/main/java/sablehinge/eventloop/ClosingEventLoops.java
+++ b/src/main/java/sablehinge/common/eventloop/ClosingEventLoops.java
@@ -1,4 +1,4 @@
-package sablehinge.eventloop;
+package sablehinge.common.eventloop;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.IoEventLoop;
--- a/src/main/java/sablehinge/eventloop/Timers.java
+++ b/src/main/java/sablehinge/common/eventloop/Timers.java
@@ -1,4 +1,4 @@
-package sablehinge.eventloop;
+package sablehinge.common.eventloop;
 
 /** Calls back on the thread that owns the core. */
 public interface Timers {
--- a/src/main/java/sablehinge/log/LimitedAppender.java
+++ b/src/main/java/sablehinge/common/logging/LimitedAppender.java
@@ -1,4 +1,4 @@
-package sablehinge.log;
+package sablehinge.common.logging;
 
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.classic.spi.LoggingEvent;
--- a/src/main/java/sablehinge/log/Log.java
+++ b/src/main/java/sablehinge/common/logging/Log.java
@@ -1,4 +1,4 @@
-package sablehinge.log;
+package sablehinge.common.logging;
 
 import org.slf4j.Logger;
 import org.slf4j.spi.LoggingEventBuilder;
--- a/src/main/java/sablehinge/log/LogTerms.java
+++ b/src/main/java/sablehinge/common/logging/LogTerms.java
@@ -1,4 +1,4 @@
-package sablehinge.log;
+package sablehinge.common.logging;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/sablehinge/log/Logging.java
+++ b/src/main/java/sablehinge/common/logging/Logging.java
@@ -1,4 +1,4 @@
-package sablehinge.log;
+package sablehinge.common.logging;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
--- a/src/main/java/sablehinge/mapping/Glob.java
+++ b/src/main/java/sablehinge/common/mapping/Glob.java
@@ -1,4 +1,4 @@
-package sablehinge.mapping;
+package sablehinge.common.mapping;
 
 /** A text in which {@code *} stands for any characters, none among them. */
 public final class Glob {
--- a/src/main/java/sablehinge/mapping/Mapped.java
+++ b/src/main/java/sablehinge/common/mapping/Mapped.java
@@ -1,4 +1,4 @@
-package sablehinge.mapping;
+package sablehinge.common.mapping;
 
 /**
  * What a logged request is to the balancer.
--- a/src/main/java/sablehinge/mapping/Rule.java
+++ b/src/main/java/sablehinge/common/mapping/Rule.java
@@ -1,4 +1,4 @@
-package sablehinge.mapping;
+package sablehinge.common.mapping;
 
 import java.util.Map;
 import java.util.Set;
--- a/src/main/java/sablehinge/rpc/Connection.java
+++ b/src/main/java/sablehinge/common/rpc/Connection.java
@@ -1,4 +1,4 @@
-package sablehinge.rpc;
+package sablehinge.common.rpc;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/sablehinge/rpc/Frame.java
+++ b/src/main/java/sablehinge/common/rpc/Frame.java
@@ -1,4 +1,4 @@
-package sablehinge.rpc;
+package sablehinge.common.rpc;
 
 /**
  * One record between processes of the system.
--- a/src/main/java/sablehinge/config/local/ConfigException.java
+++ b/src/main/java/sablehinge/common/settings/ConfigException.java
@@ -1,4 +1,4 @@
-package sablehinge.config.local;
+package sablehinge.common.settings;
 
 /** The node was started with a configuration that it cannot run on; the message is for its operator. */
 public final class ConfigException extends Exception {
--- a/src/main/java/sablehinge/config/local/LocalSchema.java
+++ b/src/main/java/sablehinge/common/settings/LocalSchema.java
@@ -1,4 +1,4 @@
-package sablehinge.config.local;
+package sablehinge.common.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
@@ -15,7 +15,7 @@
 /** Puts in words what is wrong with a settings file, by its schema; too slow to load for more than that. */
 final class LocalSchema {
 
-    private static final String RESOURCE = "/sablehinge/config/local/local.schema.json";
+    private static final String RESOURCE = "/sablehinge/common/settings/local.schema.json";
 
     private static final int LONGEST_SHOWN = 60;
 
--- a/src/main/java/sablehinge/config/local/Steps.java
+++ b/src/main/java/sablehinge/common/settings/Steps.java
@@ -1,4 +1,4 @@
-package sablehinge.config.local;
+package sablehinge.common.settings;
 
 /** The plain way from a file's tables to settings; what the schema has no default for, it needs. */
 final class Steps {
--- a/src/main/java/sablehinge/config/local/Table.java
+++ b/src/main/java/sablehinge/common/settings/Table.java
@@ -1,4 +1,4 @@
-package sablehinge.config.local;
+package sablehinge.common.settings;
 
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/sablehinge/config/local/Toml.java
+++ b/src/main/java/sablehinge/common/settings/Toml.java
@@ -1,4 +1,4 @@
-package sablehinge.config.local;
+package sablehinge.common.settings;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/src/main/java/sablehinge/config/PlatformConfig.java
+++ b/src/main/java/sablehinge/config/PlatformConfig.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import sablehinge.config.local.ConfigException;
+import sablehinge.common.settings.ConfigException;
 import sablehinge.core.Roster;
 import sablehinge.core.Version;
 import sablehinge.membership.RosterParser;
--- a/src/main/java/sablehinge/config/operator/LogSection.java
+++ b/src/main/java/sablehinge/config/operator/LogSection.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.slf4j.event.Level;
-import sablehinge.log.LogTerms;
+import sablehinge.common.logging.LogTerms;
 
 /** Reads what an operator file says of the log. */
 final class LogSection {
--- a/src/main/java/sablehinge/config/operator/ReplaySection.java
+++ b/src/main/java/sablehinge/config/operator/ReplaySection.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import sablehinge.mapping.Glob;
-import sablehinge.mapping.LogFields;
-import sablehinge.mapping.PathPattern;
-import sablehinge.mapping.Rule;
-import sablehinge.mapping.Template;
+import sablehinge.common.mapping.Glob;
+import sablehinge.common.mapping.LogFields;
+import sablehinge.common.mapping.PathPattern;
+import sablehinge.common.mapping.Rule;
+import sablehinge.common.mapping.Template;
 
 /** Reads what an operator file says of logs: how they are written, and what their requests are. */
 final class ReplaySection {
--- a/src/main/java/sablehinge/control/ControlNode.java
+++ b/src/main/java/sablehinge/control/ControlNode.java
@@ -18,8 +18,13 @@
 import sablehinge.api.ApiServer;
 import sablehinge.api.ConfigurationCheck;
 import sablehinge.api.Operation;
-import sablehinge.config.local.ConfigException;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.eventloop.Clock;
+import sablehinge.common.eventloop.ClosingEventLoops;
+import sablehinge.common.logging.Log;
+import sablehinge.common.rpc.Connection;
+import sablehinge.common.rpc.Frame;
+import sablehinge.common.settings.ConfigException;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.consensus.Change;
 import sablehinge.consensus.Entry;
 import sablehinge.consensus.Member;
@@ -30,11 +35,6 @@
 import sablehinge.consensus.Standing;
 import sablehinge.consensus.Stored;
 import sablehinge.consensus.Timing;
-import sablehinge.eventloop.Clock;
-import sablehinge.eventloop.ClosingEventLoops;
-import sablehinge.log.Log;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Frame;
 import sablehinge.state.ConfigurationState;
 
 /**
--- a/src/main/java/sablehinge/control/DiskWriter.java
+++ b/src/main/java/sablehinge/control/DiskWriter.java
@@ -6,10 +6,10 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import sablehinge.common.logging.Log;
 import sablehinge.consensus.Change;
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Stored;
-import sablehinge.log.Log;
 
 /**
  * Puts changes down, in order, however often the disk refuses: to whoever waits for them a disk that refuses is one
--- a/src/main/java/sablehinge/control/Guard.java
+++ b/src/main/java/sablehinge/control/Guard.java
@@ -2,7 +2,7 @@
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.log.Log;
+import sablehinge.common.logging.Log;
 
 /**
  * What becomes of an error inside a control node, such as memory that ran out. A periodic task that throws is never run
--- a/src/main/java/sablehinge/control/Peers.java
+++ b/src/main/java/sablehinge/control/Peers.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
+import sablehinge.common.rpc.Connection;
+import sablehinge.common.rpc.Frame;
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Message;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Frame;
 
 /**
  * Connections to the other machines of the core: one to each for what is said to it. What can't be sent now is dropped,
--- a/src/main/java/sablehinge/control/Pools.java
+++ b/src/main/java/sablehinge/control/Pools.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoublePredicate;
 import java.util.function.Supplier;
-import sablehinge.config.local.LocalSettings;
-import sablehinge.eventloop.Clock;
+import sablehinge.common.eventloop.Clock;
+import sablehinge.common.rpc.Connection;
+import sablehinge.common.rpc.Frame;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.quota.Pool;
 import sablehinge.quota.Quota;
 import sablehinge.routing.Configuration;
-import sablehinge.rpc.Connection;
-import sablehinge.rpc.Frame;
 import sablehinge.watch.Tokens;
 
 /**
--- a/src/main/java/sablehinge/control/RaftStore.java
+++ b/src/main/java/sablehinge/control/RaftStore.java
@@ -20,13 +20,13 @@
 import org.h2.mvstore.type.LongDataType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import sablehinge.common.logging.Log;
 import sablehinge.consensus.Change;
 import sablehinge.consensus.Entry;
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Members;
 import sablehinge.consensus.Snapshot;
 import sablehinge.consensus.Stored;
-import sablehinge.log.Log;
 
 /**
  * What a member of the core has on its disk: who it is, its vote, its log. One file, {@code log.mv.db}, of H2's
--- a/src/main/java/sablehinge/control/RetryBudgetHolder.java
+++ b/src/main/java/sablehinge/control/RetryBudgetHolder.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.rpc.Frame;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.retrybudget.Claim;
 import sablehinge.retrybudget.Grant;
 import sablehinge.retrybudget.Holder;
 import sablehinge.retrybudget.Rule;
 import sablehinge.routing.Configuration;
-import sablehinge.rpc.Frame;
 import sablehinge.watch.RetryBudgetCodec;
 
 /** The duty of holding the budget of further tries: balancers' claims are answered under a lease only. */
--- a/src/main/java/sablehinge/core/Arrival.java
+++ b/src/main/java/sablehinge/core/Arrival.java
@@ -2,7 +2,7 @@
 
 import sablehinge.budget.Budget;
 import sablehinge.budget.HeaderText;
-import sablehinge.eventloop.Clock;
+import sablehinge.common.eventloop.Clock;
 import sablehinge.policy.LoadBalancer.Request;
 
 /**
--- a/src/main/java/sablehinge/core/ChainBudgets.java
+++ b/src/main/java/sablehinge/core/ChainBudgets.java
@@ -8,8 +8,8 @@
 import sablehinge.budget.Purses;
 import sablehinge.budget.Shedder;
 import sablehinge.budget.Terms;
-import sablehinge.eventloop.Clock;
-import sablehinge.eventloop.Timers;
+import sablehinge.common.eventloop.Clock;
+import sablehinge.common.eventloop.Timers;
 import sablehinge.policy.LoadBalancer.Result;
 
 /** The budgets of a chain of tiers at this hop, where they are switched on. */
--- a/src/main/java/sablehinge/core/Exchange.java
+++ b/src/main/java/sablehinge/core/Exchange.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import sablehinge.budget.Purses;
-import sablehinge.eventloop.Timers;
+import sablehinge.common.eventloop.Timers;
 
 /** A request from its arrival until it has its one answer and none of its attempts is out. */
 public final class Exchange {
--- a/src/main/java/sablehinge/core/Transport.java
+++ b/src/main/java/sablehinge/core/Transport.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import sablehinge.budget.Purses;
-import sablehinge.eventloop.Clock;
+import sablehinge.common.eventloop.Clock;
 
 /**
  * Carries attempts and probes to servers, and nothing on its own account: what breaks is a result. All calls are made,
--- a/src/main/java/sablehinge/http1/Frontend.java
+++ b/src/main/java/sablehinge/http1/Frontend.java
@@ -52,6 +52,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sablehinge.budget.HeaderText;
+import sablehinge.common.logging.Log;
 import sablehinge.core.Answer;
 import sablehinge.core.Arrival;
 import sablehinge.core.Caller;
@@ -61,7 +62,6 @@
 import sablehinge.core.Payload;
 import sablehinge.core.TraceEvent;
 import sablehinge.core.Version;
-import sablehinge.log.Log;
 
 /**
  * Takes callers' requests and writes each one's answer. A caller that sends what is of no use, or nothing, has an error
--- a/src/main/java/sablehinge/membership/Discovery.java
+++ b/src/main/java/sablehinge/membership/Discovery.java
@@ -27,9 +27,9 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import sablehinge.common.logging.Log;
 import sablehinge.core.Registry;
 import sablehinge.core.Roster;
-import sablehinge.log.Log;
 import sablehinge.policy.LoadBalancer.Change;
 
 /**
--- a/src/main/java/sablehinge/node/AccessLog.java
+++ b/src/main/java/sablehinge/node/AccessLog.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import sablehinge.common.logging.Log;
 import sablehinge.core.Answer;
 import sablehinge.core.Version;
-import sablehinge.log.Log;
 
 /**
  * A line of JSON for each answer. A thread of its own writes them: the loop never waits for the disk, and what comes
--- a/src/main/java/sablehinge/node/Preparation.java
+++ b/src/main/java/sablehinge/node/Preparation.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import sablehinge.common.eventloop.Clock;
+import sablehinge.common.eventloop.Timers;
 import sablehinge.config.operator.OperatorConfig;
 import sablehinge.config.operator.OperatorConfig.ListenerPart;
-import sablehinge.eventloop.Clock;
-import sablehinge.eventloop.Timers;
 import sablehinge.http1.Frontend;
 import sablehinge.http1.UpstreamClient;
 
--- a/src/main/java/sablehinge/node/Versions.java
+++ b/src/main/java/sablehinge/node/Versions.java
@@ -21,6 +21,8 @@
 import sablehinge.change.ChangeDecider.Reply;
 import sablehinge.change.ChangeDecider.Terms;
 import sablehinge.change.Shares.Outcome;
+import sablehinge.common.logging.Log;
+import sablehinge.common.logging.Logging;
 import sablehinge.config.operator.OperatorConfig;
 import sablehinge.config.operator.OperatorConfig.ListenerPart;
 import sablehinge.config.operator.OperatorFile;
@@ -32,8 +34,6 @@
 import sablehinge.core.Roster;
 import sablehinge.core.Version;
 import sablehinge.http1.Frontend;
-import sablehinge.log.Log;
-import sablehinge.log.Logging;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 
--- a/src/main/java/sablehinge/replay/Demand.java
+++ b/src/main/java/sablehinge/replay/Demand.java
@@ -1,6 +1,6 @@
 package sablehinge.replay;
 
-import sablehinge.mapping.Mapped;
+import sablehinge.common.mapping.Mapped;
 
 /**
  * A request that was asked for, once, however often it was tried.
--- a/src/main/java/sablehinge/replay/Inspection.java
+++ b/src/main/java/sablehinge/replay/Inspection.java
@@ -7,7 +7,7 @@
 import java.time.Instant;
 import java.util.Locale;
 import java.util.Map;
-import sablehinge.mapping.Mapped;
+import sablehinge.common.mapping.Mapped;
 import sablehinge.tally.Commonest;
 import sablehinge.tally.Distinct;
 import sablehinge.tally.Rates;
--- a/src/main/java/sablehinge/replay/JsonLinesFormat.java
+++ b/src/main/java/sablehinge/replay/JsonLinesFormat.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import sablehinge.mapping.LogFields;
+import sablehinge.common.mapping.LogFields;
 
 /**
  * Reads lines that are each a JSON object, by a map from what is wanted to the name of the field that has it. A name
--- a/src/main/java/sablehinge/replay/LogOptions.java
+++ b/src/main/java/sablehinge/replay/LogOptions.java
@@ -3,8 +3,8 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 import java.util.Map;
+import sablehinge.common.mapping.Mapping;
 import sablehinge.fold.RetryFolder;
-import sablehinge.mapping.Mapping;
 
 /**
  * How logs are read.
--- a/src/main/java/sablehinge/replay/OrderedLog.java
+++ b/src/main/java/sablehinge/replay/OrderedLog.java
@@ -3,9 +3,9 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.util.ArrayDeque;
-import sablehinge.mapping.Asked;
-import sablehinge.mapping.Mapped;
-import sablehinge.mapping.Mapping;
+import sablehinge.common.mapping.Asked;
+import sablehinge.common.mapping.Mapped;
+import sablehinge.common.mapping.Mapping;
 import sablehinge.timeline.Timeline;
 
 /** One log, its requests in the order in which they began. */
--- a/src/main/java/sablehinge/replay/run/Load.java
+++ b/src/main/java/sablehinge/replay/run/Load.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import sablehinge.audit.Stamps;
-import sablehinge.eventloop.ClosingEventLoops;
+import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.judge.Evidence;
 import sablehinge.judge.Evidence.Tried;
 import sablehinge.judge.Evidence.Unasked;
--- a/src/main/java/sablehinge/replay/run/Warmup.java
+++ b/src/main/java/sablehinge/replay/run/Warmup.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import sablehinge.eventloop.ClosingEventLoops;
+import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.judge.Evidence.Tried;
 import sablehinge.judge.Evidence.Unasked;
 import sablehinge.judge.Terms.Effect;
--- a/src/main/java/sablehinge/sidecar/ListeningSockets.java
+++ b/src/main/java/sablehinge/sidecar/ListeningSockets.java
@@ -4,8 +4,8 @@
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
 import java.nio.channels.ServerSocketChannel;
-import sablehinge.config.local.ConfigException;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.settings.ConfigException;
+import sablehinge.common.settings.LocalSettings;
 
 /**
  * The sockets on which a sidecar listens before anything else is loaded: whoever calls waits in the backlog for
--- a/src/main/java/sablehinge/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/sidecar/Quotas.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ObjIntConsumer;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.quota.Bucket;
 import sablehinge.quota.Quota;
 import sablehinge.routing.Configuration;
--- a/src/main/java/sablehinge/sidecar/Watchers.java
+++ b/src/main/java/sablehinge/sidecar/Watchers.java
@@ -27,14 +27,14 @@
 import java.util.concurrent.ThreadLocalRandom;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.config.local.ConfigException;
-import sablehinge.config.local.LocalSettings;
-import sablehinge.eventloop.Clock;
+import sablehinge.common.eventloop.Clock;
+import sablehinge.common.logging.Log;
+import sablehinge.common.settings.ConfigException;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.failuredetection.Accusation;
 import sablehinge.failuredetection.Evidence;
 import sablehinge.failuredetection.HashRing;
 import sablehinge.failuredetection.Monitor;
-import sablehinge.log.Log;
 import sablehinge.watch.Registration;
 import sablehinge.watch.Update;
 
--- a/src/main/java/sablehinge/watch/PackedConfiguration.java
+++ b/src/main/java/sablehinge/watch/PackedConfiguration.java
@@ -5,7 +5,7 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.Inflater;
 import java.util.zip.InflaterInputStream;
-import sablehinge.rpc.Connection;
+import sablehinge.common.rpc.Connection;
 
 /**
  * A configuration as it travels to sidecars: one byte for the format, four for the length of the body, and the body
--- a/src/main/java/sablehinge/watch/Update.java
+++ b/src/main/java/sablehinge/watch/Update.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.rpc.Connection;
+import sablehinge.common.rpc.Connection;
 
 /**
  * The answer to an ask.
--- a/src/test/java/sablehinge/eventloop/ClosingEventLoopsTest.java
+++ b/src/test/java/sablehinge/common/eventloop/ClosingEventLoopsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.eventloop;
+package sablehinge.common.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/log/LoggingTest.java
+++ b/src/test/java/sablehinge/common/logging/LoggingTest.java
@@ -1,4 +1,4 @@
-package sablehinge.log;
+package sablehinge.common.logging;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/mapping/MappingTest.java
+++ b/src/test/java/sablehinge/common/mapping/MappingTest.java
@@ -1,4 +1,4 @@
-package sablehinge.mapping;
+package sablehinge.common.mapping;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/sablehinge/rpc/ConnectionObserverTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
@@ -1,4 +1,4 @@
-package sablehinge.rpc;
+package sablehinge.common.rpc;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.eventloop.ClosingEventLoops;
+import sablehinge.common.eventloop.ClosingEventLoops;
 
 /** What the ends of a connection hear of each other's records. */
 @Timeout(30)
--- a/src/test/java/sablehinge/rpc/ConnectionTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionTest.java
@@ -1,4 +1,4 @@
-package sablehinge.rpc;
+package sablehinge.common.rpc;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/sablehinge/config/local/LocalSettingsTest.java
+++ b/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.config.local;
+package sablehinge.common.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/config/operator/OperatorFileTest.java
+++ b/src/test/java/sablehinge/config/operator/OperatorFileTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.event.Level;
+import sablehinge.common.logging.LogTerms;
 import sablehinge.core.Version;
-import sablehinge.log.LogTerms;
 import sablehinge.policy.LoadBalancer.Repeat;
 
 /** What an operator file may say, and how it is told what it may not. */
--- a/src/test/java/sablehinge/consensus/SlowLinkCluster.java
+++ b/src/test/java/sablehinge/consensus/SlowLinkCluster.java
@@ -2,8 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import sablehinge.common.rpc.Connection;
 import sablehinge.control.MessageCodec;
-import sablehinge.rpc.Connection;
 
 /**
  * A cluster whose links carry so many bytes per ms, in order, as one connection between two machines does: what is sent
--- a/src/test/java/sablehinge/core/CoreTest.java
+++ b/src/test/java/sablehinge/core/CoreTest.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import sablehinge.budget.Purses;
-import sablehinge.eventloop.Timers;
+import sablehinge.common.eventloop.Timers;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
--- a/src/test/java/sablehinge/fleet/FiguresTest.java
+++ b/src/test/java/sablehinge/fleet/FiguresTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sablehinge.api.ConfigurationReader;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.routing.Configuration;
 
 /** How the bench of fleets comes to its figures. */
--- a/src/test/java/sablehinge/replay/LogsTest.java
+++ b/src/test/java/sablehinge/replay/LogsTest.java
@@ -27,7 +27,7 @@
 import java.util.zip.GZIPOutputStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.mapping.Mapping;
+import sablehinge.common.mapping.Mapping;
 
 class LogsTest {
 
--- a/src/test/java/sablehinge/rig/Relay.java
+++ b/src/test/java/sablehinge/rig/Relay.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import sablehinge.eventloop.ClosingEventLoops;
+import sablehinge.common.eventloop.ClosingEventLoops;
 
 /** Stands before a balancer and spoils one answer of many, as no module could, since core would not let it. */
 public final class Relay implements AutoCloseable {
--- a/src/test/java/sablehinge/rig/StandIn.java
+++ b/src/test/java/sablehinge/rig/StandIn.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import sablehinge.eventloop.ClosingEventLoops;
+import sablehinge.common.eventloop.ClosingEventLoops;
 
 /** A server of any number of connections, which notes what reaches it and answers as it is told. */
 public final class StandIn implements AutoCloseable {
--- a/src/test/java/sablehinge/sidecar/Mesh.java
+++ b/src/test/java/sablehinge/sidecar/Mesh.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
 import sablehinge.watch.Registration;
--- a/src/test/java/sablehinge/sidecar/QuotasTest.java
+++ b/src/test/java/sablehinge/sidecar/QuotasTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.routing.Configuration;
 import sablehinge.watch.Registration;
 
--- a/src/test/java/sablehinge/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/sidecar/RetryBudgetTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.api.ConfigurationReader;
 import sablehinge.budget.Purses;
-import sablehinge.config.local.LocalSettings;
+import sablehinge.common.rpc.Frame;
+import sablehinge.common.settings.LocalSettings;
 import sablehinge.core.Answer;
 import sablehinge.core.Arrival;
 import sablehinge.core.AttemptResult;
@@ -31,7 +32,6 @@
 import sablehinge.retrybudget.Holder;
 import sablehinge.retrybudget.Rule;
 import sablehinge.routing.Configuration;
-import sablehinge.rpc.Frame;
 import sablehinge.watch.Registration;
 import sablehinge.watch.RetryBudgetCodec;
 
--- a/src/test/java/sablehinge/torture/HeldRequestsTest.java
+++ b/src/test/java/sablehinge/torture/HeldRequestsTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import sablehinge.eventloop.Clock;
-import sablehinge.eventloop.Timers;
+import sablehinge.common.eventloop.Clock;
+import sablehinge.common.eventloop.Timers;
 import sablehinge.http1.Sockets;
 import sablehinge.sidecar.OutboundParts;
 
