--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Predicate;
-import sablehinge.api.ConfigurationReader;
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Cut;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.api.ConfigurationReader;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.PackedConfiguration;
+import sablehinge.mesh.watch.Update;
 import sablehinge.sidecar.HollowSidecar;
 import sablehinge.standin.mesh.Ledger;
-import sablehinge.watch.PackedConfiguration;
-import sablehinge.watch.Update;
 
 /** Hundreds of hollow sidecars on a few threads of this process. */
 final class HollowFleet implements AutoCloseable {
--- a/bench/src/sablehinge/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/sidecar/HollowSidecar.java
@@ -14,13 +14,13 @@
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.retrybudget.Grant;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.retrybudget.Grant;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.Tokens;
+import sablehinge.mesh.watch.Update;
+import sablehinge.mesh.watch.WatchRequest;
 import sablehinge.standin.mesh.Ledger;
-import sablehinge.watch.Registration;
-import sablehinge.watch.Tokens;
-import sablehinge.watch.Update;
-import sablehinge.watch.WatchRequest;
 
 /**
  * The control side of a sidecar without its data plane: it asks the control nodes for news, takes part in the ring of
--- a/bench/src/sablehinge/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/sidecar/OutboundParts.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import sablehinge.api.ConfigurationReader;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
 import sablehinge.common.settings.LocalSettings;
@@ -20,11 +19,12 @@
 import sablehinge.http1.Frontend;
 import sablehinge.http1.Sockets;
 import sablehinge.http1.UpstreamClient;
+import sablehinge.mesh.api.ConfigurationReader;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.routing.Plan;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
-import sablehinge.routing.Configuration;
-import sablehinge.routing.Plan;
 
 /**
  * The real front, core, decision module and transport of an outbound balancer, put together on somebody else's loop and
--- a/src/main/java/sablehinge/cli/mesh/MeshCommands.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshCommands.java
@@ -12,7 +12,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import sablehinge.api.Nearest;
 import sablehinge.cli.mesh.operator.ConfigCheckVerb;
 import sablehinge.cli.mesh.operator.ConfigGetVerb;
 import sablehinge.cli.mesh.operator.ConfigHistoryVerb;
@@ -24,6 +23,7 @@
 import sablehinge.cli.mesh.operator.Shell;
 import sablehinge.cli.mesh.operator.StatusVerb;
 import sablehinge.cli.mesh.operator.VerbException;
+import sablehinge.mesh.api.Nearest;
 
 /**
  * The verbs about a mesh: those of its operators, and {@code demo}, {@code settings} and {@code upstream} for one of
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigCheckVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigCheckVerb.java
@@ -4,9 +4,9 @@
 import com.github.rvesse.airline.annotations.Command;
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import java.util.List;
-import sablehinge.api.CheckException;
-import sablehinge.api.CheckException.Problem;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.api.CheckException;
+import sablehinge.mesh.api.CheckException.Problem;
+import sablehinge.mesh.routing.Configuration;
 
 /** Checks a configuration without a core. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigGetVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigGetVerb.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import sablehinge.api.ConfigurationReader;
+import sablehinge.mesh.api.ConfigurationReader;
 
 /** Fetches the configuration in force. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigPutVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigPutVerb.java
@@ -7,10 +7,10 @@
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import java.util.Arrays;
 import java.util.Map;
-import sablehinge.api.CheckException;
-import sablehinge.api.ConfigurationCheck;
-import sablehinge.api.ConfigurationReader;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.api.CheckException;
+import sablehinge.mesh.api.ConfigurationCheck;
+import sablehinge.mesh.api.ConfigurationReader;
+import sablehinge.mesh.routing.Configuration;
 
 /** Sends a configuration. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigurationFile.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigurationFile.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import sablehinge.api.CheckException;
-import sablehinge.api.ConfigurationCheck;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.api.CheckException;
+import sablehinge.mesh.api.ConfigurationCheck;
+import sablehinge.mesh.routing.Configuration;
 
 /** A configuration in a file, which has been checked. */
 record ConfigurationFile(byte[] body, Configuration configuration) {
--- a/src/main/java/sablehinge/cli/mesh/operator/Differences.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Differences.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Function;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.routing.Configuration;
 
 /**
  * What a configuration changes, by names alone: what tenants' keys are is not told.
--- a/src/main/java/sablehinge/control/ControlNode.java
+++ b/src/main/java/sablehinge/control/ControlNode.java
@@ -15,9 +15,6 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.api.ApiServer;
-import sablehinge.api.ConfigurationCheck;
-import sablehinge.api.Operation;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.common.logging.Log;
@@ -35,6 +32,9 @@
 import sablehinge.consensus.Standing;
 import sablehinge.consensus.Stored;
 import sablehinge.consensus.Timing;
+import sablehinge.mesh.api.ApiServer;
+import sablehinge.mesh.api.ConfigurationCheck;
+import sablehinge.mesh.api.Operation;
 import sablehinge.state.ConfigurationState;
 
 /**
--- a/src/main/java/sablehinge/control/DataPlane.java
+++ b/src/main/java/sablehinge/control/DataPlane.java
@@ -7,23 +7,23 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.api.ConfigurationReader;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.logging.Log;
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
 import sablehinge.consensus.Standing;
-import sablehinge.failuredetection.HealthView;
-import sablehinge.quota.Pool;
-import sablehinge.retrybudget.Claim;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.api.ConfigurationReader;
+import sablehinge.mesh.failuredetection.HealthView;
+import sablehinge.mesh.quota.Pool;
+import sablehinge.mesh.retrybudget.Claim;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.PackedConfiguration;
+import sablehinge.mesh.watch.RetryBudgetCodec;
+import sablehinge.mesh.watch.Tokens;
+import sablehinge.mesh.watch.WatchRequest;
 import sablehinge.state.ConfigurationState;
 import sablehinge.state.Registry;
-import sablehinge.watch.PackedConfiguration;
-import sablehinge.watch.RetryBudgetCodec;
-import sablehinge.watch.Tokens;
-import sablehinge.watch.WatchRequest;
 
 /**
  * What a machine of the core does for the data plane while it leads: it tells balancers the news, and holds the pools
--- a/src/main/java/sablehinge/control/Inquiry.java
+++ b/src/main/java/sablehinge/control/Inquiry.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import sablehinge.api.Query;
-import sablehinge.api.Reply;
+import sablehinge.mesh.api.Query;
+import sablehinge.mesh.api.Reply;
 
 /** An operator asks, and nothing changes by it. */
 final class Inquiry extends Query<Settled> {
--- a/src/main/java/sablehinge/control/Operators.java
+++ b/src/main/java/sablehinge/control/Operators.java
@@ -1,8 +1,8 @@
 package sablehinge.control;
 
 import java.util.List;
-import sablehinge.api.Operation;
-import sablehinge.api.Reply;
+import sablehinge.mesh.api.Operation;
+import sablehinge.mesh.api.Reply;
 import sablehinge.state.ConfigurationState;
 
 /** The operators' calls (PROTOCOL, "The operator"), and those of the client's verbs. */
--- a/src/main/java/sablehinge/control/Pools.java
+++ b/src/main/java/sablehinge/control/Pools.java
@@ -13,10 +13,10 @@
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.quota.Pool;
-import sablehinge.quota.Quota;
-import sablehinge.routing.Configuration;
-import sablehinge.watch.Tokens;
+import sablehinge.mesh.quota.Pool;
+import sablehinge.mesh.quota.Quota;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.Tokens;
 
 /**
  * The duty of keeping the pools of quotas. Who asks one that is dry is answered a little later, once the other
--- a/src/main/java/sablehinge/control/Replace.java
+++ b/src/main/java/sablehinge/control/Replace.java
@@ -2,13 +2,13 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import sablehinge.api.Asked;
-import sablehinge.api.CallException;
-import sablehinge.api.CheckException;
-import sablehinge.api.ConfigurationCheck;
-import sablehinge.api.Headed;
-import sablehinge.api.Reply;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.api.Asked;
+import sablehinge.mesh.api.CallException;
+import sablehinge.mesh.api.CheckException;
+import sablehinge.mesh.api.ConfigurationCheck;
+import sablehinge.mesh.api.Headed;
+import sablehinge.mesh.api.Reply;
+import sablehinge.mesh.routing.Configuration;
 import sablehinge.state.BodyDigest;
 
 /** An operator sends a configuration. */
--- a/src/main/java/sablehinge/control/RetryBudgetHolder.java
+++ b/src/main/java/sablehinge/control/RetryBudgetHolder.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.retrybudget.Claim;
-import sablehinge.retrybudget.Grant;
-import sablehinge.retrybudget.Holder;
-import sablehinge.retrybudget.Rule;
-import sablehinge.routing.Configuration;
-import sablehinge.watch.RetryBudgetCodec;
+import sablehinge.mesh.retrybudget.Claim;
+import sablehinge.mesh.retrybudget.Grant;
+import sablehinge.mesh.retrybudget.Holder;
+import sablehinge.mesh.retrybudget.Rule;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.RetryBudgetCodec;
 
 /** The duty of holding the budget of further tries: balancers' claims are answered under a lease only. */
 final class RetryBudgetHolder {
--- a/src/main/java/sablehinge/control/Settled.java
+++ b/src/main/java/sablehinge/control/Settled.java
@@ -1,6 +1,6 @@
 package sablehinge.control;
 
-import sablehinge.api.Reply;
+import sablehinge.mesh.api.Reply;
 
 /** What became of an operator's call. */
 record Settled(Reply reply) {
--- a/src/main/java/sablehinge/control/Sight.java
+++ b/src/main/java/sablehinge/control/Sight.java
@@ -13,9 +13,9 @@
 import sablehinge.api.mesh.MeshStatus;
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Pulse;
-import sablehinge.quota.Pool;
+import sablehinge.mesh.quota.Pool;
+import sablehinge.mesh.watch.Registration;
 import sablehinge.state.Registry;
-import sablehinge.watch.Registration;
 
 /** What a machine of the core can tell operators of itself and, while it leads, of the mesh. */
 final class Sight {
--- a/src/main/java/sablehinge/control/WatchServer.java
+++ b/src/main/java/sablehinge/control/WatchServer.java
@@ -6,13 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.failuredetection.Health;
-import sablehinge.failuredetection.HealthView;
+import sablehinge.mesh.failuredetection.Health;
+import sablehinge.mesh.failuredetection.HealthView;
+import sablehinge.mesh.watch.PackedConfiguration;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.Update;
+import sablehinge.mesh.watch.WatchRequest;
 import sablehinge.state.Registry;
-import sablehinge.watch.PackedConfiguration;
-import sablehinge.watch.Registration;
-import sablehinge.watch.Update;
-import sablehinge.watch.WatchRequest;
 
 /**
  * Answers data-plane balancers that ask for news: at once where there is some, and after a while where there is none.
--- a/src/main/java/sablehinge/api/ApiServer.java
+++ b/src/main/java/sablehinge/mesh/api/ApiServer.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/sablehinge/api/Asked.java
+++ b/src/main/java/sablehinge/mesh/api/Asked.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import io.netty.handler.codec.http.HttpHeaders;
 
--- a/src/main/java/sablehinge/api/CallException.java
+++ b/src/main/java/sablehinge/mesh/api/CallException.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 /** A call that can't be carried out as it is. */
 public final class CallException extends RuntimeException {
--- a/src/main/java/sablehinge/api/ConfigurationCheck.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -11,9 +11,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.api.CheckException.Code;
-import sablehinge.api.CheckException.Problem;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.api.CheckException.Code;
+import sablehinge.mesh.api.CheckException.Problem;
+import sablehinge.mesh.routing.Configuration;
 
 /**
  * Decides whether a configuration that an operator sent can be taken: first that its bytes are one whole JSON value,
--- a/src/main/java/sablehinge/api/ConfigurationReader.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationReader.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonLocation;
@@ -9,8 +9,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import sablehinge.routing.Configuration;
-import sablehinge.routing.Hosts;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.routing.Hosts;
 
 /**
  * Reads a configuration from bytes that {@link ConfigurationCheck} has passed, token by token: no schema, no mapper, no
--- a/src/main/java/sablehinge/api/Form.java
+++ b/src/main/java/sablehinge/mesh/api/Form.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.networknt.schema.JsonSchema;
@@ -13,13 +13,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import sablehinge.api.CheckException.Code;
-import sablehinge.api.CheckException.Problem;
+import sablehinge.mesh.api.CheckException.Code;
+import sablehinge.mesh.api.CheckException.Problem;
 
 /** What the schema says about a tree, in this project's words. The schema is loaded when first asked. */
 final class Form {
 
-    private static final String RESOURCE = "/sablehinge/api/configuration.schema.json";
+    private static final String RESOURCE = "/sablehinge/mesh/api/configuration.schema.json";
 
     private static final int LONGEST_SHOWN = 60;
 
--- a/src/main/java/sablehinge/api/Headed.java
+++ b/src/main/java/sablehinge/mesh/api/Headed.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 /**
  * An operation whose method and path are told once, where it is made.
--- a/src/main/java/sablehinge/api/Nearest.java
+++ b/src/main/java/sablehinge/mesh/api/Nearest.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import java.util.Collection;
 
--- a/src/main/java/sablehinge/api/Sense.java
+++ b/src/main/java/sablehinge/mesh/api/Sense.java
@@ -1,13 +1,13 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.api.CheckException.Code;
-import sablehinge.api.CheckException.Problem;
-import sablehinge.routing.Hosts;
+import sablehinge.mesh.api.CheckException.Code;
+import sablehinge.mesh.api.CheckException.Problem;
+import sablehinge.mesh.routing.Hosts;
 
 /** What must hold between the parts of a configuration. What has not the right form is passed over here. */
 final class Sense {
--- a/src/main/java/sablehinge/api/Wording.java
+++ b/src/main/java/sablehinge/mesh/api/Wording.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/sablehinge/failuredetection/Accusation.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Accusation.java
@@ -1,4 +1,4 @@
-package sablehinge.failuredetection;
+package sablehinge.mesh.failuredetection;
 
 /**
  * What a watcher says of one that it no longer hears.
--- a/src/main/java/sablehinge/failuredetection/Evidence.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Evidence.java
@@ -1,4 +1,4 @@
-package sablehinge.failuredetection;
+package sablehinge.mesh.failuredetection;
 
 /** What a watcher has found where it hears no beats; the order is their number on the wire. */
 public enum Evidence {
--- a/src/main/java/sablehinge/failuredetection/Health.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Health.java
@@ -1,4 +1,4 @@
-package sablehinge.failuredetection;
+package sablehinge.mesh.failuredetection;
 
 /** What is known of a balancer, by all who listen to it. */
 public enum Health {
--- a/src/main/java/sablehinge/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
@@ -1,4 +1,4 @@
-package sablehinge.failuredetection;
+package sablehinge.mesh.failuredetection;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/sablehinge/quota/Bucket.java
+++ b/src/main/java/sablehinge/mesh/quota/Bucket.java
@@ -1,4 +1,4 @@
-package sablehinge.quota;
+package sablehinge.mesh.quota;
 
 /** A part of a quota: tokens that come with time, up to a bound. */
 public final class Bucket {
--- a/src/main/java/sablehinge/quota/Pool.java
+++ b/src/main/java/sablehinge/mesh/quota/Pool.java
@@ -1,4 +1,4 @@
-package sablehinge.quota;
+package sablehinge.mesh.quota;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/sablehinge/quota/Quota.java
+++ b/src/main/java/sablehinge/mesh/quota/Quota.java
@@ -1,4 +1,4 @@
-package sablehinge.quota;
+package sablehinge.mesh.quota;
 
 /**
  * How a tenant's quota is divided. One part is divided evenly and held without asking, so that a balancer that is cut
--- a/src/main/java/sablehinge/retrybudget/Rule.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/Rule.java
@@ -1,4 +1,4 @@
-package sablehinge.retrybudget;
+package sablehinge.mesh.retrybudget;
 
 /**
  * The rule on arrivals beyond the first (RULES, BUDGET), and how what it grants to a service is divided.
--- a/src/main/java/sablehinge/retrybudget/Shares.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/Shares.java
@@ -1,4 +1,4 @@
-package sablehinge.retrybudget;
+package sablehinge.mesh.retrybudget;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/sablehinge/routing/Configuration.java
+++ b/src/main/java/sablehinge/mesh/routing/Configuration.java
@@ -1,4 +1,4 @@
-package sablehinge.routing;
+package sablehinge.mesh.routing;
 
 import java.util.List;
 
--- a/src/main/java/sablehinge/watch/Registration.java
+++ b/src/main/java/sablehinge/mesh/watch/Registration.java
@@ -1,4 +1,4 @@
-package sablehinge.watch;
+package sablehinge.mesh.watch;
 
 /**
  * A data-plane balancer and the upstream beside it, as that balancer tells it.
--- a/src/main/java/sablehinge/watch/RetryBudgetCodec.java
+++ b/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
@@ -1,11 +1,11 @@
-package sablehinge.watch;
+package sablehinge.mesh.watch;
 
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.retrybudget.Claim;
-import sablehinge.retrybudget.Grant;
+import sablehinge.mesh.retrybudget.Claim;
+import sablehinge.mesh.retrybudget.Grant;
 
 /** Claims on shares of further tries, and what is granted of them, in records. */
 public final class RetryBudgetCodec {
--- a/src/main/java/sablehinge/watch/Tokens.java
+++ b/src/main/java/sablehinge/mesh/watch/Tokens.java
@@ -1,4 +1,4 @@
-package sablehinge.watch;
+package sablehinge.mesh.watch;
 
 import java.io.DataInputStream;
 import java.io.IOException;
--- a/src/main/java/sablehinge/watch/WatchRequest.java
+++ b/src/main/java/sablehinge/mesh/watch/WatchRequest.java
@@ -1,13 +1,13 @@
-package sablehinge.watch;
+package sablehinge.mesh.watch;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.failuredetection.Accusation;
-import sablehinge.failuredetection.Evidence;
-import sablehinge.failuredetection.Monitor;
+import sablehinge.mesh.failuredetection.Accusation;
+import sablehinge.mesh.failuredetection.Evidence;
+import sablehinge.mesh.failuredetection.Monitor;
 
 /**
  * A data-plane balancer asks for news.
--- a/src/main/java/sablehinge/sidecar/Beats.java
+++ b/src/main/java/sablehinge/sidecar/Beats.java
@@ -2,10 +2,10 @@
 
 import java.util.function.Consumer;
 import sablehinge.admission.UpstreamLifecycle.Heartbeat;
-import sablehinge.api.Asked;
-import sablehinge.api.Headed;
-import sablehinge.api.Operation;
-import sablehinge.api.Reply;
+import sablehinge.mesh.api.Asked;
+import sablehinge.mesh.api.Headed;
+import sablehinge.mesh.api.Operation;
+import sablehinge.mesh.api.Reply;
 
 /** The calls of the upstream beside a balancer (PROTOCOL, "Which upstreams there are"). */
 final class Beats {
--- a/src/main/java/sablehinge/sidecar/HeartbeatReader.java
+++ b/src/main/java/sablehinge/sidecar/HeartbeatReader.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import sablehinge.admission.UpstreamLifecycle.Heartbeat;
-import sablehinge.api.CallException;
+import sablehinge.mesh.api.CallException;
 
 /**
  * Reads heartbeats token by token. A mapper would do it in a line, and takes a tenth of a second to load, in which a
--- a/src/main/java/sablehinge/sidecar/NewsClient.java
+++ b/src/main/java/sablehinge/sidecar/NewsClient.java
@@ -15,11 +15,11 @@
 import sablehinge.common.logging.Log;
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
-import sablehinge.retrybudget.Grant;
-import sablehinge.watch.RetryBudgetCodec;
-import sablehinge.watch.Tokens;
-import sablehinge.watch.Update;
-import sablehinge.watch.WatchRequest;
+import sablehinge.mesh.retrybudget.Grant;
+import sablehinge.mesh.watch.RetryBudgetCodec;
+import sablehinge.mesh.watch.Tokens;
+import sablehinge.mesh.watch.Update;
+import sablehinge.mesh.watch.WatchRequest;
 
 /**
  * Asks the core for news, one machine of it at a time: whoever does not lead names who does. An ask that is not
--- a/src/main/java/sablehinge/sidecar/NewsFilter.java
+++ b/src/main/java/sablehinge/sidecar/NewsFilter.java
@@ -1,6 +1,6 @@
 package sablehinge.sidecar;
 
-import sablehinge.watch.Update;
+import sablehinge.mesh.watch.Update;
 
 /**
  * Decides which news of the core a balancer takes. A machine that was deposed may still answer, and a process that has
--- a/src/main/java/sablehinge/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/sidecar/OutboundFront.java
@@ -15,8 +15,8 @@
 import sablehinge.http1.Checked;
 import sablehinge.http1.FrontDialect;
 import sablehinge.http1.FrontTerms;
-import sablehinge.routing.Configuration;
-import sablehinge.routing.Plan;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.routing.Plan;
 
 /** What the clients of a machine, and its upstream, say to the balancer there (PROTOCOL, "Requests"). */
 final class OutboundFront implements FrontDialect {
--- a/src/main/java/sablehinge/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/sidecar/Quotas.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.function.ObjIntConsumer;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.quota.Bucket;
-import sablehinge.quota.Quota;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.quota.Bucket;
+import sablehinge.mesh.quota.Quota;
+import sablehinge.mesh.routing.Configuration;
 
 /** This balancer's even parts of the tenants' quotas, and what it takes from the pools beside them. */
 final class Quotas {
--- a/src/main/java/sablehinge/sidecar/Readiness.java
+++ b/src/main/java/sablehinge/sidecar/Readiness.java
@@ -2,8 +2,8 @@
 
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import sablehinge.api.Query;
-import sablehinge.api.Reply;
+import sablehinge.mesh.api.Query;
+import sablehinge.mesh.api.Reply;
 
 /** The platform asks whether clients may come. */
 final class Readiness extends Query<Readiness.State> {
--- a/src/main/java/sablehinge/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/sidecar/RetryBudget.java
@@ -9,13 +9,13 @@
 import sablehinge.common.settings.LocalSettings;
 import sablehinge.core.Extras;
 import sablehinge.core.Version;
-import sablehinge.retrybudget.Claim;
-import sablehinge.retrybudget.Grant;
-import sablehinge.retrybudget.Rule;
-import sablehinge.retrybudget.Shares;
-import sablehinge.routing.Configuration;
-import sablehinge.watch.Registration;
-import sablehinge.watch.RetryBudgetCodec;
+import sablehinge.mesh.retrybudget.Claim;
+import sablehinge.mesh.retrybudget.Grant;
+import sablehinge.mesh.retrybudget.Rule;
+import sablehinge.mesh.retrybudget.Shares;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.RetryBudgetCodec;
 
 /** Bounds the further tries of this balancer's requests by its shares, which it asks the core for. */
 final class RetryBudget implements Extras {
--- a/src/main/java/sablehinge/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/sidecar/Sidecar.java
@@ -14,8 +14,6 @@
 import org.slf4j.LoggerFactory;
 import sablehinge.admission.AdmissionController;
 import sablehinge.admission.UpstreamLifecycle;
-import sablehinge.api.ApiServer;
-import sablehinge.api.ConfigurationReader;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.common.eventloop.LoopTimers;
@@ -32,18 +30,20 @@
 import sablehinge.http1.Frontend;
 import sablehinge.http1.Sockets;
 import sablehinge.http1.UpstreamClient;
+import sablehinge.mesh.api.ApiServer;
+import sablehinge.mesh.api.ConfigurationReader;
+import sablehinge.mesh.retrybudget.Grant;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.routing.Plan;
+import sablehinge.mesh.watch.PackedConfiguration;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.Tokens;
+import sablehinge.mesh.watch.Update;
+import sablehinge.mesh.watch.WatchRequest;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
-import sablehinge.retrybudget.Grant;
-import sablehinge.routing.Configuration;
-import sablehinge.routing.Plan;
-import sablehinge.watch.PackedConfiguration;
-import sablehinge.watch.Registration;
-import sablehinge.watch.Tokens;
-import sablehinge.watch.Update;
-import sablehinge.watch.WatchRequest;
 
 /**
  * The balancer of a machine with an upstream. Outbound it takes the requests that begin on its machine, draws an
--- a/src/main/java/sablehinge/sidecar/Terms.java
+++ b/src/main/java/sablehinge/sidecar/Terms.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import sablehinge.core.Version;
+import sablehinge.mesh.routing.Configuration;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.Goal;
 import sablehinge.policy.LoadBalancer.Group;
@@ -16,7 +17,6 @@
 import sablehinge.policy.LoadBalancer.ServiceClass;
 import sablehinge.policy.LoadBalancer.Settings;
 import sablehinge.policy.LoadBalancer.WeightKind;
-import sablehinge.routing.Configuration;
 
 /**
  * A configuration in the module's terms: each route with each service that it may go to is a class, and each service a
--- a/src/main/java/sablehinge/sidecar/Watchers.java
+++ b/src/main/java/sablehinge/sidecar/Watchers.java
@@ -31,12 +31,12 @@
 import sablehinge.common.logging.Log;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.failuredetection.Accusation;
-import sablehinge.failuredetection.Evidence;
-import sablehinge.failuredetection.HashRing;
-import sablehinge.failuredetection.Monitor;
-import sablehinge.watch.Registration;
-import sablehinge.watch.Update;
+import sablehinge.mesh.failuredetection.Accusation;
+import sablehinge.mesh.failuredetection.Evidence;
+import sablehinge.mesh.failuredetection.HashRing;
+import sablehinge.mesh.failuredetection.Monitor;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.Update;
 
 /**
  * Sends beats to those that the ring names as watchers of this balancer, and watches over those that name it. Beats are
--- a/src/main/java/sablehinge/state/Registry.java
+++ b/src/main/java/sablehinge/state/Registry.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.watch.Registration;
+import sablehinge.mesh.watch.Registration;
 
 /**
  * Which data-plane balancers there are, and what is beside them: what they last told the one who keeps the roll. It is
--- a/src/test/java/sablehinge/architecture/LayersTest.java
+++ b/src/test/java/sablehinge/architecture/LayersTest.java
@@ -24,8 +24,13 @@
             Map.entry("sablehinge.admin", Set.of("com.fasterxml.jackson", "io.netty")),
             Map.entry("sablehinge.admission", Set.of("sablehinge.policy")),
             Map.entry(
-                    "sablehinge.api",
-                    Set.of("sablehinge.routing", "com.fasterxml.jackson", "com.networknt", "io.netty", "org.slf4j")),
+                    "sablehinge.mesh.api",
+                    Set.of(
+                            "sablehinge.mesh.routing",
+                            "com.fasterxml.jackson",
+                            "com.networknt",
+                            "io.netty",
+                            "org.slf4j")),
             Map.entry("sablehinge.api.mesh", Set.of()),
             Map.entry("sablehinge.audit", Set.of("sablehinge.judge", "com.fasterxml.jackson")),
             Map.entry("sablehinge.budget", Set.of("javax.crypto")),
@@ -64,16 +69,16 @@
             Map.entry(
                     "sablehinge.cli.mesh",
                     Set.of(
-                            "sablehinge.api",
+                            "sablehinge.mesh.api",
                             "sablehinge.cli.mesh.operator",
                             "sablehinge.standin.mesh",
                             "com.github.rvesse")),
             Map.entry(
                     "sablehinge.cli.mesh.operator",
                     Set.of(
-                            "sablehinge.api",
+                            "sablehinge.mesh.api",
                             "sablehinge.api.mesh",
-                            "sablehinge.routing",
+                            "sablehinge.mesh.routing",
                             "com.fasterxml.jackson",
                             "com.github.rvesse")),
             Map.entry(
@@ -106,19 +111,19 @@
             Map.entry(
                     "sablehinge.control",
                     Set.of(
-                            "sablehinge.api",
+                            "sablehinge.mesh.api",
                             "sablehinge.api.mesh",
                             "sablehinge.common.settings",
                             "sablehinge.consensus",
                             "sablehinge.common.eventloop",
-                            "sablehinge.failuredetection",
+                            "sablehinge.mesh.failuredetection",
                             "sablehinge.common.logging",
-                            "sablehinge.quota",
-                            "sablehinge.retrybudget",
-                            "sablehinge.routing",
+                            "sablehinge.mesh.quota",
+                            "sablehinge.mesh.retrybudget",
+                            "sablehinge.mesh.routing",
                             "sablehinge.common.rpc",
                             "sablehinge.state",
-                            "sablehinge.watch",
+                            "sablehinge.mesh.watch",
                             "io.netty",
                             "org.h2",
                             "org.slf4j")),
@@ -131,7 +136,7 @@
                             "sablehinge.policy",
                             "org.slf4j")),
             Map.entry("sablehinge.common.eventloop", Set.of("io.netty")),
-            Map.entry("sablehinge.failuredetection", Set.of()),
+            Map.entry("sablehinge.mesh.failuredetection", Set.of()),
             Map.entry("sablehinge.fold", Set.of()),
             Map.entry(
                     "sablehinge.http1",
@@ -179,7 +184,7 @@
                             "org.slf4j")),
             Map.entry("sablehinge.pace", Set.of()),
             Map.entry("sablehinge.policy", Set.of()),
-            Map.entry("sablehinge.quota", Set.of()),
+            Map.entry("sablehinge.mesh.quota", Set.of()),
             Map.entry("sablehinge.recorder", Set.of("sablehinge.core", "com.fasterxml.jackson")),
             Map.entry(
                     "sablehinge.replay",
@@ -202,28 +207,28 @@
                             "com.fasterxml.jackson",
                             "io.netty",
                             "org.HdrHistogram")),
-            Map.entry("sablehinge.retrybudget", Set.of()),
-            Map.entry("sablehinge.routing", Set.of()),
+            Map.entry("sablehinge.mesh.retrybudget", Set.of()),
+            Map.entry("sablehinge.mesh.routing", Set.of()),
             Map.entry("sablehinge.common.rpc", Set.of("io.netty")),
             Map.entry("sablehinge.settings", Set.of("sablehinge.policy", "io.netty")),
             Map.entry(
                     "sablehinge.sidecar",
                     Set.of(
                             "sablehinge.admission",
-                            "sablehinge.api",
+                            "sablehinge.mesh.api",
                             "sablehinge.budget",
                             "sablehinge.common.settings",
                             "sablehinge.core",
                             "sablehinge.common.eventloop",
-                            "sablehinge.failuredetection",
+                            "sablehinge.mesh.failuredetection",
                             "sablehinge.http1",
                             "sablehinge.common.logging",
                             "sablehinge.policy",
-                            "sablehinge.quota",
-                            "sablehinge.retrybudget",
-                            "sablehinge.routing",
+                            "sablehinge.mesh.quota",
+                            "sablehinge.mesh.retrybudget",
+                            "sablehinge.mesh.routing",
                             "sablehinge.common.rpc",
-                            "sablehinge.watch",
+                            "sablehinge.mesh.watch",
                             "com.fasterxml.jackson",
                             "io.netty",
                             "org.slf4j")),
@@ -239,13 +244,13 @@
                             "com.fasterxml.jackson",
                             "io.netty")),
             Map.entry("sablehinge.standin.mesh", Set.of("com.fasterxml.jackson")),
-            Map.entry("sablehinge.state", Set.of("sablehinge.watch")),
+            Map.entry("sablehinge.state", Set.of("sablehinge.mesh.watch")),
             Map.entry("sablehinge.station", Set.of()),
             Map.entry("sablehinge.tally", Set.of()),
             Map.entry("sablehinge.timeline", Set.of()),
             Map.entry(
-                    "sablehinge.watch",
-                    Set.of("sablehinge.failuredetection", "sablehinge.retrybudget", "sablehinge.common.rpc")),
+                    "sablehinge.mesh.watch",
+                    Set.of("sablehinge.mesh.failuredetection", "sablehinge.mesh.retrybudget", "sablehinge.common.rpc")),
             Map.entry("sablehinge.wire", Set.of("sablehinge.policy", "sablehinge.settings")));
 
     /** Packages that decide: events in, actions out. */
@@ -260,12 +265,12 @@
                     "sablehinge.judge",
                     "sablehinge.pace",
                     "sablehinge.station",
-                    "sablehinge.routing",
+                    "sablehinge.mesh.routing",
                     "sablehinge.consensus",
                     "sablehinge.admission",
-                    "sablehinge.quota",
-                    "sablehinge.retrybudget",
-                    "sablehinge.failuredetection")
+                    "sablehinge.mesh.quota",
+                    "sablehinge.mesh.retrybudget",
+                    "sablehinge.mesh.failuredetection")
             .map(name -> name + "..")
             .toArray(String[]::new);
 
--- a/src/test/java/sablehinge/control/ControlNodeTest.java
+++ b/src/test/java/sablehinge/control/ControlNodeTest.java
@@ -37,10 +37,10 @@
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.watch.PackedConfiguration;
-import sablehinge.watch.Registration;
-import sablehinge.watch.Update;
-import sablehinge.watch.WatchRequest;
+import sablehinge.mesh.watch.PackedConfiguration;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.Update;
+import sablehinge.mesh.watch.WatchRequest;
 
 /** Three real machines of the core on loopback addresses, each with a folder, called as operators call. */
 @Timeout(240)
--- a/src/test/java/sablehinge/control/OperatorModel.java
+++ b/src/test/java/sablehinge/control/OperatorModel.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import sablehinge.api.Reply;
+import sablehinge.mesh.api.Reply;
 import sablehinge.state.BodyDigest;
 
 /**
--- a/src/test/java/sablehinge/control/OperatorsTest.java
+++ b/src/test/java/sablehinge/control/OperatorsTest.java
@@ -13,9 +13,6 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import sablehinge.api.Asked;
-import sablehinge.api.Operation;
-import sablehinge.api.Reply;
 import sablehinge.api.mesh.Editions;
 import sablehinge.api.mesh.MeshDuties;
 import sablehinge.api.mesh.MeshNodes;
@@ -23,11 +20,14 @@
 import sablehinge.consensus.Member;
 import sablehinge.consensus.Pulse;
 import sablehinge.consensus.Standing;
-import sablehinge.quota.Pool;
-import sablehinge.quota.Quota;
+import sablehinge.mesh.api.Asked;
+import sablehinge.mesh.api.Operation;
+import sablehinge.mesh.api.Reply;
+import sablehinge.mesh.quota.Pool;
+import sablehinge.mesh.quota.Quota;
+import sablehinge.mesh.watch.Registration;
 import sablehinge.state.ConfigurationState;
 import sablehinge.state.Registry;
-import sablehinge.watch.Registration;
 
 /** What operators are told, by the operations' own types: no socket, no thread, a clock that is set. */
 class OperatorsTest {
--- a/src/test/java/sablehinge/control/QuorumContactTest.java
+++ b/src/test/java/sablehinge/control/QuorumContactTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import sablehinge.api.Reply;
+import sablehinge.mesh.api.Reply;
 
 /** What a control machine says without contact with a majority, on a made-up clock. */
 class QuorumContactTest {
--- a/src/test/java/sablehinge/control/WatchServerTest.java
+++ b/src/test/java/sablehinge/control/WatchServerTest.java
@@ -7,14 +7,14 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.failuredetection.Accusation;
-import sablehinge.failuredetection.Evidence;
-import sablehinge.failuredetection.Health;
-import sablehinge.failuredetection.HealthView;
+import sablehinge.mesh.failuredetection.Accusation;
+import sablehinge.mesh.failuredetection.Evidence;
+import sablehinge.mesh.failuredetection.Health;
+import sablehinge.mesh.failuredetection.HealthView;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.Update;
+import sablehinge.mesh.watch.WatchRequest;
 import sablehinge.state.Registry;
-import sablehinge.watch.Registration;
-import sablehinge.watch.Update;
-import sablehinge.watch.WatchRequest;
 
 /** When asks for news are answered, and with what; the time is the test's. */
 class WatchServerTest {
--- a/src/test/java/sablehinge/fleet/FiguresTest.java
+++ b/src/test/java/sablehinge/fleet/FiguresTest.java
@@ -9,9 +9,9 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.api.ConfigurationReader;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.routing.Configuration;
+import sablehinge.mesh.api.ConfigurationReader;
+import sablehinge.mesh.routing.Configuration;
 
 /** How the bench of fleets comes to its figures. */
 class FiguresTest {
--- a/src/test/java/sablehinge/api/ConfigurationCheckTest.java
+++ b/src/test/java/sablehinge/mesh/api/ConfigurationCheckTest.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import sablehinge.routing.Configuration;
-import sablehinge.routing.Plan;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.routing.Plan;
 
 /** The protocol's example, and what makes it invalid. */
 class ConfigurationCheckTest {
--- a/src/test/java/sablehinge/api/SpoiltPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/api/SpoiltPropertyTest.java
@@ -1,4 +1,4 @@
-package sablehinge.api;
+package sablehinge.mesh.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import sablehinge.routing.Configuration;
-import sablehinge.routing.Plan;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.routing.Plan;
 
 /** Whatever a body holds, the answer is a configuration or a refusal with a place. */
 class SpoiltPropertyTest {
--- a/src/test/java/sablehinge/failuredetection/HashRingTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HashRingTest.java
@@ -1,4 +1,4 @@
-package sablehinge.failuredetection;
+package sablehinge.mesh.failuredetection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/failuredetection/HealthViewTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
@@ -1,4 +1,4 @@
-package sablehinge.failuredetection;
+package sablehinge.mesh.failuredetection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sablehinge.failuredetection.HealthView.Ruling;
-import sablehinge.failuredetection.HealthView.Subject;
+import sablehinge.mesh.failuredetection.HealthView.Ruling;
+import sablehinge.mesh.failuredetection.HealthView.Subject;
 
 /** Who is off, by what the keeper and the watchers hear. */
 class HealthViewTest {
--- a/src/test/java/sablehinge/quota/MeterTest.java
+++ b/src/test/java/sablehinge/mesh/quota/MeterTest.java
@@ -1,4 +1,4 @@
-package sablehinge.quota;
+package sablehinge.mesh.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/retrybudget/SharesPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/SharesPropertyTest.java
@@ -1,4 +1,4 @@
-package sablehinge.retrybudget;
+package sablehinge.mesh.retrybudget;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/sablehinge/watch/PackedConfigurationTest.java
+++ b/src/test/java/sablehinge/mesh/watch/PackedConfigurationTest.java
@@ -1,4 +1,4 @@
-package sablehinge.watch;
+package sablehinge.mesh.watch;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/sablehinge/watch/RecordsTest.java
+++ b/src/test/java/sablehinge/mesh/watch/RecordsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.watch;
+package sablehinge.mesh.watch;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import sablehinge.failuredetection.Accusation;
-import sablehinge.failuredetection.Evidence;
-import sablehinge.retrybudget.Claim;
-import sablehinge.retrybudget.Grant;
+import sablehinge.mesh.failuredetection.Accusation;
+import sablehinge.mesh.failuredetection.Evidence;
+import sablehinge.mesh.retrybudget.Claim;
+import sablehinge.mesh.retrybudget.Grant;
 
 /** Asks and news as bytes. */
 class RecordsTest {
--- a/src/test/java/sablehinge/sidecar/HeartbeatReaderTest.java
+++ b/src/test/java/sablehinge/sidecar/HeartbeatReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import sablehinge.admission.UpstreamLifecycle.Heartbeat;
-import sablehinge.api.CallException;
+import sablehinge.mesh.api.CallException;
 
 /** What is read from heartbeats, and which are refused. */
 class HeartbeatReaderTest {
--- a/src/test/java/sablehinge/sidecar/HollowSidecarTest.java
+++ b/src/test/java/sablehinge/sidecar/HollowSidecarTest.java
@@ -13,15 +13,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.api.ConfigurationReader;
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.routing.Configuration;
-import sablehinge.watch.PackedConfiguration;
-import sablehinge.watch.Registration;
-import sablehinge.watch.Update;
+import sablehinge.mesh.api.ConfigurationReader;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.PackedConfiguration;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.Update;
 
 /** What a sidecar without a data plane says to the core, and learns from it. */
 @Timeout(30)
--- a/src/test/java/sablehinge/sidecar/Mesh.java
+++ b/src/test/java/sablehinge/sidecar/Mesh.java
@@ -11,9 +11,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import sablehinge.common.settings.LocalSettings;
+import sablehinge.mesh.watch.Registration;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
-import sablehinge.watch.Registration;
 
 /** A balancer on loopback addresses of its own, with a core, an upstream and clients that the test plays. */
 final class Mesh implements AutoCloseable {
--- a/src/test/java/sablehinge/sidecar/NewsFilterTest.java
+++ b/src/test/java/sablehinge/sidecar/NewsFilterTest.java
@@ -4,8 +4,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import sablehinge.mesh.watch.Update;
 import sablehinge.sidecar.NewsFilter.Verdict;
-import sablehinge.watch.Update;
 
 /** Which news a balancer takes. */
 class NewsFilterTest {
--- a/src/test/java/sablehinge/sidecar/QuotasTest.java
+++ b/src/test/java/sablehinge/sidecar/QuotasTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.routing.Configuration;
-import sablehinge.watch.Registration;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.Registration;
 
 /** A balancer's even part of a quota, over changes of the leader; no pool answers. */
 @Timeout(60)
--- a/src/test/java/sablehinge/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/sidecar/RetryBudgetTest.java
@@ -12,7 +12,6 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import sablehinge.api.ConfigurationReader;
 import sablehinge.budget.Purses;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
@@ -25,15 +24,16 @@
 import sablehinge.core.Roster;
 import sablehinge.core.Transport;
 import sablehinge.core.Version;
+import sablehinge.mesh.api.ConfigurationReader;
+import sablehinge.mesh.retrybudget.Holder;
+import sablehinge.mesh.retrybudget.Rule;
+import sablehinge.mesh.routing.Configuration;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.RetryBudgetCodec;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
-import sablehinge.retrybudget.Holder;
-import sablehinge.retrybudget.Rule;
-import sablehinge.routing.Configuration;
-import sablehinge.watch.Registration;
-import sablehinge.watch.RetryBudgetCodec;
 
 /** The module and core under the mesh's terms, with shares from a holder that the test plays. */
 class RetryBudgetTest {
--- a/src/test/java/sablehinge/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/sidecar/StubCore.java
@@ -12,11 +12,11 @@
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
 import sablehinge.control.WatchServer;
-import sablehinge.failuredetection.Accusation;
+import sablehinge.mesh.failuredetection.Accusation;
+import sablehinge.mesh.watch.PackedConfiguration;
+import sablehinge.mesh.watch.Registration;
+import sablehinge.mesh.watch.WatchRequest;
 import sablehinge.state.Registry;
-import sablehinge.watch.PackedConfiguration;
-import sablehinge.watch.Registration;
-import sablehinge.watch.WatchRequest;
 
 /** Plays the core: it holds what the test says, and confirms it when the test lets it. */
 final class StubCore implements Connection.Handler, AutoCloseable {
--- a/src/test/java/sablehinge/sidecar/WatchersTest.java
+++ b/src/test/java/sablehinge/sidecar/WatchersTest.java
@@ -18,13 +18,13 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.failuredetection.Accusation;
-import sablehinge.failuredetection.Evidence;
-import sablehinge.failuredetection.HashRing;
+import sablehinge.mesh.failuredetection.Accusation;
+import sablehinge.mesh.failuredetection.Evidence;
+import sablehinge.mesh.failuredetection.HashRing;
+import sablehinge.mesh.watch.Registration;
 import sablehinge.rig.Backlog;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
-import sablehinge.watch.Registration;
 
 /** Beats on the wire, what a balancer tells of those it does not hear, and what it does when told. */
 @Timeout(60)
--- a/src/test/java/sablehinge/state/RegistryTest.java
+++ b/src/test/java/sablehinge/state/RegistryTest.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.watch.Registration;
+import sablehinge.mesh.watch.Registration;
 
 /** What is known of who is there, and what is news. */
 class RegistryTest {
