--- a/bench/src/sablehinge/control/UnsyncedControlNode.java
+++ b/bench/src/sablehinge/controlplane/node/UnsyncedControlNode.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
--- a/bench/src/sablehinge/consensus/Calm.java
+++ b/bench/src/sablehinge/controlplane/raft/Calm.java
@@ -1,6 +1,6 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * A time in which nothing goes wrong. All machines run (who was told to end has, and is back), nothing is cut, all
--- a/bench/src/sablehinge/consensus/CarriedChanges.java
+++ b/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
@@ -1,10 +1,10 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * Holds that a change of the voters is carried by those that are voters after it: when a leader appends it, a majority
--- a/bench/src/sablehinge/consensus/CutOffFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
@@ -1,6 +1,6 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
-import static sablehinge.consensus.Faults.NODE;
+import static sablehinge.controlplane.raft.Faults.NODE;
 
 import java.util.List;
 import sablehinge.torture.Mutant;
--- a/bench/src/sablehinge/consensus/DeploymentStart.java
+++ b/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sablehinge.consensus.SimulatedCluster.Disk;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Disk;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * Starts of processes as a deployment has them. At the first start of all, every machine has a founder's name, but only
--- a/bench/src/sablehinge/consensus/EveryOrder.java
+++ b/bench/src/sablehinge/controlplane/raft/EveryOrder.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * All orders of a few steps from a state in which a core of three is at work, each followed by a calm time in which
--- a/bench/src/sablehinge/consensus/Faults.java
+++ b/bench/src/sablehinge/controlplane/raft/Faults.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.List;
 import java.util.stream.Stream;
@@ -7,10 +7,10 @@
 /** Faults that somebody could make in the agreement; a checker that doesn't find them shows nothing. */
 final class Faults {
 
-    static final String NODE = "consensus/RaftNode";
-    static final String LOG = "consensus/RaftLog";
-    static final String QUEUE = "consensus/PersistQueue";
-    static final String STATE = "state/ConfigurationState";
+    static final String NODE = "controlplane/raft/RaftNode";
+    static final String LOG = "controlplane/raft/RaftLog";
+    static final String QUEUE = "controlplane/raft/PersistQueue";
+    static final String STATE = "controlplane/state/ConfigurationState";
 
     static final List<Fault> ALL = Stream.of(
                     of(Fault.Point.LOG, LogFaults.ALL),
--- a/bench/src/sablehinge/consensus/Focus.java
+++ b/bench/src/sablehinge/controlplane/raft/Focus.java
@@ -1,7 +1,7 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.Random;
-import sablehinge.consensus.Step.Kind;
+import sablehinge.controlplane.raft.Step.Kind;
 
 /**
  * What schedules by chance turn on: which calls and which faults come how often. Rare orders of events are looked for
--- a/bench/src/sablehinge/consensus/HandOver.java
+++ b/bench/src/sablehinge/controlplane/raft/HandOver.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 /**
  * A schedule in which a leader that is told to end asks another to take over while an answer to its last question is
--- a/bench/src/sablehinge/consensus/LostChange.java
+++ b/bench/src/sablehinge/controlplane/raft/LostChange.java
@@ -1,6 +1,6 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * A schedule in which a follower takes commands and a change of the voters that their leader loses with its power, and
--- a/bench/src/sablehinge/consensus/MembershipFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
@@ -1,7 +1,7 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
-import static sablehinge.consensus.Faults.LOG;
-import static sablehinge.consensus.Faults.NODE;
+import static sablehinge.controlplane.raft.Faults.LOG;
+import static sablehinge.controlplane.raft.Faults.NODE;
 
 import java.util.List;
 import sablehinge.torture.Mutant;
@@ -9,13 +9,13 @@
 /** Faults in members that come, go and lose their disks. */
 final class MembershipFaults {
 
-    private static final String PLANNER = "consensus/MembershipPlanner";
-    private static final String CHANGE = "consensus/VoterChange";
+    private static final String PLANNER = "controlplane/raft/MembershipPlanner";
+    private static final String CHANGE = "controlplane/raft/VoterChange";
 
     static final List<Mutant> ALL = List.of(
             new Mutant(
                     "who lost its disk comes back as its old self",
-                    "consensus/Member",
+                    "controlplane/raft/Member",
                     "Member later(",
                     "return new Member(even == 0 ? 2 : even, address, control);",
                     "return founder(address, control);"),
--- a/bench/src/sablehinge/consensus/OrderFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/OrderFaults.java
@@ -1,7 +1,7 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
-import static sablehinge.consensus.Faults.NODE;
-import static sablehinge.consensus.Faults.STATE;
+import static sablehinge.controlplane.raft.Faults.NODE;
+import static sablehinge.controlplane.raft.Faults.STATE;
 
 import java.util.List;
 import sablehinge.torture.Mutant;
--- a/bench/src/sablehinge/consensus/Outrun.java
+++ b/bench/src/sablehinge/controlplane/raft/Outrun.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 /**
  * A schedule in which a follower takes entries that their leader loses with its power before its own disk has them, and
--- a/bench/src/sablehinge/consensus/Player.java
+++ b/bench/src/sablehinge/controlplane/raft/Player.java
@@ -1,10 +1,10 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /** Takes steps in the cluster of a seed and keeps them, so that what breaks is a script. */
 final class Player {
--- a/bench/src/sablehinge/consensus/QuorumBench.java
+++ b/bench/src/sablehinge/controlplane/raft/QuorumBench.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/bench/src/sablehinge/consensus/RandomScheduler.java
+++ b/bench/src/sablehinge/controlplane/raft/RandomScheduler.java
@@ -1,8 +1,8 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * A schedule by chance. It goes in spells, each of which has its own pace, links that lag, disks that hang, and
--- a/bench/src/sablehinge/consensus/SlowFollower.java
+++ b/bench/src/sablehinge/controlplane/raft/SlowFollower.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 /**
  * A schedule in which one follower's disk hangs although it answers its leader, and the other is cut off for so long
--- a/bench/src/sablehinge/consensus/SnapshotFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
@@ -1,8 +1,8 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
-import static sablehinge.consensus.Faults.LOG;
-import static sablehinge.consensus.Faults.NODE;
-import static sablehinge.consensus.Faults.QUEUE;
+import static sablehinge.controlplane.raft.Faults.LOG;
+import static sablehinge.controlplane.raft.Faults.NODE;
+import static sablehinge.controlplane.raft.Faults.QUEUE;
 
 import java.util.List;
 import sablehinge.torture.Mutant;
@@ -10,8 +10,8 @@
 /** Faults in compaction and in snapshots under way. */
 final class SnapshotFaults {
 
-    private static final String SENDER = "consensus/SnapshotSender";
-    private static final String RECEIVER = "consensus/SnapshotReceiver";
+    private static final String SENDER = "controlplane/raft/SnapshotSender";
+    private static final String RECEIVER = "controlplane/raft/SnapshotReceiver";
 
     static final List<Mutant> ALL = List.of(
             new Mutant(
--- a/bench/src/sablehinge/fleet/Processes.java
+++ b/bench/src/sablehinge/fleet/Processes.java
@@ -15,7 +15,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import sablehinge.control.CutControlNode;
+import sablehinge.controlplane.node.CutControlNode;
 import sablehinge.standin.mesh.Beating;
 import sablehinge.standin.mesh.Daemon;
 import sablehinge.standin.mesh.Ledger;
--- a/bench/src/sablehinge/standin/mesh/RecoveryBench.java
+++ b/bench/src/sablehinge/standin/mesh/RecoveryBench.java
@@ -255,7 +255,7 @@
             int jar = command.indexOf("-jar");
             String path = command.get(jar + 1) + ":target/test-classes";
             command.subList(jar, command.size()).clear();
-            command.addAll(List.of("-cp", path, "sablehinge.control.UnsyncedControlNode"));
+            command.addAll(List.of("-cp", path, "sablehinge.controlplane.node.UnsyncedControlNode"));
         }
         return command;
     }
--- a/src/main/java/sablehinge/cli/MeshDaemon.java
+++ b/src/main/java/sablehinge/cli/MeshDaemon.java
@@ -11,7 +11,7 @@
 import sablehinge.common.logging.Log;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.control.ControlNode;
+import sablehinge.controlplane.node.ControlNode;
 import sablehinge.sidecar.Sidecar;
 
 /** The mesh's daemons: {@code sidecar} beside an upstream, {@code control node} on a machine of the core. */
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigHistoryVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigHistoryVerb.java
@@ -1,7 +1,7 @@
 package sablehinge.cli.mesh.operator;
 
 import com.github.rvesse.airline.annotations.Command;
-import sablehinge.api.mesh.Editions;
+import sablehinge.controlplane.api.Editions;
 
 /** Lists the configurations that were taken. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/operator/DutiesVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/DutiesVerb.java
@@ -2,7 +2,7 @@
 
 import com.github.rvesse.airline.annotations.Command;
 import java.util.Locale;
-import sablehinge.api.mesh.MeshDuties;
+import sablehinge.controlplane.api.MeshDuties;
 
 /** Tells what the leader does that nobody else may. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/operator/NodesVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/NodesVerb.java
@@ -1,7 +1,7 @@
 package sablehinge.cli.mesh.operator;
 
 import com.github.rvesse.airline.annotations.Command;
-import sablehinge.api.mesh.MeshNodes;
+import sablehinge.controlplane.api.MeshNodes;
 
 /** Lists all machines that the leader knows. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/operator/StatusVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/StatusVerb.java
@@ -2,7 +2,7 @@
 
 import com.github.rvesse.airline.annotations.Command;
 import java.util.stream.Collectors;
-import sablehinge.api.mesh.MeshStatus;
+import sablehinge.controlplane.api.MeshStatus;
 
 /** Tells how the core stands. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/operator/Survey.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Survey.java
@@ -7,8 +7,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import sablehinge.api.mesh.Machine;
-import sablehinge.api.mesh.MeshStatus;
+import sablehinge.controlplane.api.Machine;
+import sablehinge.controlplane.api.MeshStatus;
 
 /**
  * What all machines of the core that can be reached say together.
--- a/src/main/java/sablehinge/common/logging/LogTerms.java
+++ b/src/main/java/sablehinge/common/logging/LogTerms.java
@@ -34,7 +34,7 @@
             "netty", "io.netty",
             "node", "sablehinge.node",
             "recorder", "sablehinge.recorder",
-            "control", "sablehinge.control",
+            "control", "sablehinge.controlplane.node",
             "sidecar", "sablehinge.sidecar");
 
     /** Where nothing is said of it, as on the platform. */
--- a/src/main/java/sablehinge/api/mesh/Machine.java
+++ b/src/main/java/sablehinge/controlplane/api/Machine.java
@@ -1,4 +1,4 @@
-package sablehinge.api.mesh;
+package sablehinge.controlplane.api;
 
 /**
  * A member of the core as another one knows it.
--- a/src/main/java/sablehinge/api/mesh/MeshDuties.java
+++ b/src/main/java/sablehinge/controlplane/api/MeshDuties.java
@@ -1,4 +1,4 @@
-package sablehinge.api.mesh;
+package sablehinge.controlplane.api;
 
 import java.util.List;
 
--- a/src/main/java/sablehinge/control/Authority.java
+++ b/src/main/java/sablehinge/controlplane/node/Authority.java
@@ -1,9 +1,9 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Pulse;
-import sablehinge.consensus.Standing;
-import sablehinge.state.ConfigurationState;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Pulse;
+import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.state.ConfigurationState;
 
 /** What settles operators' calls; all but {@link #check} is called on the thread of the API server. */
 interface Authority {
--- a/src/main/java/sablehinge/control/ChangeCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import sablehinge.consensus.Entry;
-import sablehinge.consensus.RaftNode;
-import sablehinge.consensus.Standing;
-import sablehinge.state.BodyDigest;
-import sablehinge.state.ConfigurationState;
+import sablehinge.controlplane.raft.Entry;
+import sablehinge.controlplane.raft.RaftNode;
+import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.state.BodyDigest;
+import sablehinge.controlplane.state.ConfigurationState;
 
 /**
  * Takes operators' changes through the log. What becomes of a change is decided where its entry is applied, from the
--- a/src/main/java/sablehinge/control/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.DefaultThreadFactory;
@@ -22,20 +22,20 @@
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.consensus.Change;
-import sablehinge.consensus.Entry;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Message;
-import sablehinge.consensus.Pulse;
-import sablehinge.consensus.RaftNode;
-import sablehinge.consensus.Snapshot;
-import sablehinge.consensus.Standing;
-import sablehinge.consensus.Stored;
-import sablehinge.consensus.Timing;
+import sablehinge.controlplane.raft.Change;
+import sablehinge.controlplane.raft.Entry;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Message;
+import sablehinge.controlplane.raft.Pulse;
+import sablehinge.controlplane.raft.RaftNode;
+import sablehinge.controlplane.raft.Snapshot;
+import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.raft.Stored;
+import sablehinge.controlplane.raft.Timing;
+import sablehinge.controlplane.state.ConfigurationState;
 import sablehinge.mesh.api.ApiServer;
 import sablehinge.mesh.api.ConfigurationCheck;
 import sablehinge.mesh.api.Operation;
-import sablehinge.state.ConfigurationState;
 
 /**
  * A machine of the core: it agrees with the others on the configuration, keeps it on disk, takes operators' calls and,
--- a/src/main/java/sablehinge/control/ControlRequest.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlRequest.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 /**
  * Everything that operators and data-plane balancers ask of a control machine, with the contact with a majority that
--- a/src/main/java/sablehinge/control/DataPlane.java
+++ b/src/main/java/sablehinge/controlplane/node/DataPlane.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -12,7 +12,9 @@
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.consensus.Standing;
+import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.state.ConfigurationState;
+import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.api.ConfigurationReader;
 import sablehinge.mesh.failuredetection.HealthView;
 import sablehinge.mesh.quota.Pool;
@@ -22,8 +24,6 @@
 import sablehinge.mesh.watch.RetryBudgetCodec;
 import sablehinge.mesh.watch.Tokens;
 import sablehinge.mesh.watch.WatchRequest;
-import sablehinge.state.ConfigurationState;
-import sablehinge.state.Registry;
 
 /**
  * What a machine of the core does for the data plane while it leads: it tells balancers the news, and holds the pools
--- a/src/main/java/sablehinge/control/DiskWriter.java
+++ b/src/main/java/sablehinge/controlplane/node/DiskWriter.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -7,9 +7,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
-import sablehinge.consensus.Change;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Stored;
+import sablehinge.controlplane.raft.Change;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Stored;
 
 /**
  * Puts changes down, in order, however often the disk refuses: to whoever waits for them a disk that refuses is one
--- a/src/main/java/sablehinge/control/Guard.java
+++ b/src/main/java/sablehinge/controlplane/node/Guard.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/sablehinge/control/Inquiry.java
+++ b/src/main/java/sablehinge/controlplane/node/Inquiry.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
--- a/src/main/java/sablehinge/control/MessageCodec.java
+++ b/src/main/java/sablehinge/controlplane/node/MessageCodec.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -8,11 +8,11 @@
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.consensus.Entry;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Members;
-import sablehinge.consensus.Message;
-import sablehinge.consensus.Snapshot;
+import sablehinge.controlplane.raft.Entry;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Members;
+import sablehinge.controlplane.raft.Message;
+import sablehinge.controlplane.raft.Snapshot;
 
 /**
  * Messages of the core as bytes: one byte that says which, then its fields in order, numbers big-endian. What comes in
--- a/src/main/java/sablehinge/control/Operators.java
+++ b/src/main/java/sablehinge/controlplane/node/Operators.java
@@ -1,9 +1,9 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.util.List;
+import sablehinge.controlplane.state.ConfigurationState;
 import sablehinge.mesh.api.Operation;
 import sablehinge.mesh.api.Reply;
-import sablehinge.state.ConfigurationState;
 
 /** The operators' calls (PROTOCOL, "The operator"), and those of the client's verbs. */
 final class Operators {
--- a/src/main/java/sablehinge/control/Patience.java
+++ b/src/main/java/sablehinge/controlplane/node/Patience.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 /**
  * When a disk that refuses is tried again, and which of its refusals are worth a line of the log. It decides only;
--- a/src/main/java/sablehinge/control/Peers.java
+++ b/src/main/java/sablehinge/controlplane/node/Peers.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -12,8 +12,8 @@
 import java.util.function.BiConsumer;
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Message;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Message;
 
 /**
  * Connections to the other machines of the core: one to each for what is said to it. What can't be sent now is dropped,
--- a/src/main/java/sablehinge/control/Pools.java
+++ b/src/main/java/sablehinge/controlplane/node/Pools.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
--- a/src/main/java/sablehinge/control/QuorumContact.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumContact.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 /**
  * What a control machine must know of the majority of the core before it answers something. Whoever has less names who
--- a/src/main/java/sablehinge/control/QuorumGate.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumGate.java
@@ -1,12 +1,12 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Standing;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Standing;
 
 /**
  * The one place where it is decided whether this machine has the contact with a majority that an answer needs. It looks
@@ -25,22 +25,22 @@
     /** A follower that has not heard for so long of the leader that it knows names it no more, in ms. */
     static final double LEADER_KNOWN_MS = 1_500;
 
-    /** What is known of the core; {@link sablehinge.consensus.RaftNode} is behind it. */
+    /** What is known of the core; {@link sablehinge.controlplane.raft.RaftNode} is behind it. */
     interface Contact {
 
         /** The place of this machine. */
         Standing standing();
 
-        /** See {@link sablehinge.consensus.RaftNode#sinceMajority}. */
+        /** See {@link sablehinge.controlplane.raft.RaftNode#sinceMajority}. */
         double sinceMajority(double now);
 
-        /** See {@link sablehinge.consensus.RaftNode#sinceLeader}. */
+        /** See {@link sablehinge.controlplane.raft.RaftNode#sinceLeader}. */
         double sinceLeader(double now);
 
-        /** See {@link sablehinge.consensus.RaftNode#leases}. */
+        /** See {@link sablehinge.controlplane.raft.RaftNode#leases}. */
         boolean leases(double now);
 
-        /** See {@link sablehinge.consensus.RaftNode#barrier}; {@link QuorumGate#ended} tells its end. */
+        /** See {@link sablehinge.controlplane.raft.RaftNode#barrier}; {@link QuorumGate#ended} tells its end. */
         void barrier(double now, long token);
     }
 
--- a/src/main/java/sablehinge/control/RaftStore.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStore.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -21,12 +21,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
-import sablehinge.consensus.Change;
-import sablehinge.consensus.Entry;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Members;
-import sablehinge.consensus.Snapshot;
-import sablehinge.consensus.Stored;
+import sablehinge.controlplane.raft.Change;
+import sablehinge.controlplane.raft.Entry;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Members;
+import sablehinge.controlplane.raft.Snapshot;
+import sablehinge.controlplane.raft.Stored;
 
 /**
  * What a member of the core has on its disk: who it is, its vote, its log. One file, {@code log.mv.db}, of H2's
--- a/src/main/java/sablehinge/control/Replace.java
+++ b/src/main/java/sablehinge/controlplane/node/Replace.java
@@ -1,7 +1,8 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
+import sablehinge.controlplane.state.BodyDigest;
 import sablehinge.mesh.api.Asked;
 import sablehinge.mesh.api.CallException;
 import sablehinge.mesh.api.CheckException;
@@ -9,7 +10,6 @@
 import sablehinge.mesh.api.Headed;
 import sablehinge.mesh.api.Reply;
 import sablehinge.mesh.routing.Configuration;
-import sablehinge.state.BodyDigest;
 
 /** An operator sends a configuration. */
 final class Replace extends Headed<Replace.Replacement, Settled> {
--- a/src/main/java/sablehinge/control/Seal.java
+++ b/src/main/java/sablehinge/controlplane/node/Seal.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/sablehinge/control/SealedChannel.java
+++ b/src/main/java/sablehinge/controlplane/node/SealedChannel.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/sablehinge/control/Settled.java
+++ b/src/main/java/sablehinge/controlplane/node/Settled.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import sablehinge.mesh.api.Reply;
 
--- a/src/main/java/sablehinge/control/Sight.java
+++ b/src/main/java/sablehinge/controlplane/node/Sight.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.time.Instant;
 import java.util.ArrayList;
@@ -6,16 +6,16 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import sablehinge.api.mesh.Editions;
-import sablehinge.api.mesh.Machine;
-import sablehinge.api.mesh.MeshDuties;
-import sablehinge.api.mesh.MeshNodes;
-import sablehinge.api.mesh.MeshStatus;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Pulse;
+import sablehinge.controlplane.api.Editions;
+import sablehinge.controlplane.api.Machine;
+import sablehinge.controlplane.api.MeshDuties;
+import sablehinge.controlplane.api.MeshNodes;
+import sablehinge.controlplane.api.MeshStatus;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Pulse;
+import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.quota.Pool;
 import sablehinge.mesh.watch.Registration;
-import sablehinge.state.Registry;
 
 /** What a machine of the core can tell operators of itself and, while it leads, of the mesh. */
 final class Sight {
--- a/src/main/java/sablehinge/control/StoreException.java
+++ b/src/main/java/sablehinge/controlplane/node/StoreException.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 /** The store can't do what it was asked for. */
 public final class StoreException extends RuntimeException {
--- a/src/main/java/sablehinge/control/WatchServer.java
+++ b/src/main/java/sablehinge/controlplane/node/WatchServer.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,13 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.failuredetection.Health;
 import sablehinge.mesh.failuredetection.HealthView;
 import sablehinge.mesh.watch.PackedConfiguration;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.Update;
 import sablehinge.mesh.watch.WatchRequest;
-import sablehinge.state.Registry;
 
 /**
  * Answers data-plane balancers that ask for news: at once where there is some, and after a while where there is none.
--- a/src/main/java/sablehinge/consensus/Entry.java
+++ b/src/main/java/sablehinge/controlplane/raft/Entry.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 /**
  * One entry of the log.
--- a/src/main/java/sablehinge/consensus/Member.java
+++ b/src/main/java/sablehinge/controlplane/raft/Member.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 /**
  * A machine of the core in one life of its disk. Who loses its disk comes back as another member: it has forgotten what
--- a/src/main/java/sablehinge/consensus/Peer.java
+++ b/src/main/java/sablehinge/controlplane/raft/Peer.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 /** What a leader knows of one that it feeds, be it a member or one that waits to be let in. */
 final class Peer {
--- a/src/main/java/sablehinge/consensus/Stored.java
+++ b/src/main/java/sablehinge/controlplane/raft/Stored.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.List;
 
--- a/src/main/java/sablehinge/consensus/Timing.java
+++ b/src/main/java/sablehinge/controlplane/raft/Timing.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 /**
  * The times and bounds of agreement. Times are in ms of the steady clock that is passed with each call.
--- a/src/main/java/sablehinge/state/BodyDigest.java
+++ b/src/main/java/sablehinge/controlplane/state/BodyDigest.java
@@ -1,4 +1,4 @@
-package sablehinge.state;
+package sablehinge.controlplane.state;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
--- a/src/main/java/sablehinge/state/ConfigurationState.java
+++ b/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
@@ -1,4 +1,4 @@
-package sablehinge.state;
+package sablehinge.controlplane.state;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/sablehinge/state/Registry.java
+++ b/src/main/java/sablehinge/controlplane/state/Registry.java
@@ -1,4 +1,4 @@
-package sablehinge.state;
+package sablehinge.controlplane.state;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/test/java/sablehinge/cli/mesh/operator/VerbsTest.java
+++ b/src/test/java/sablehinge/cli/mesh/operator/VerbsTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sablehinge.api.mesh.Machine;
-import sablehinge.api.mesh.MeshStatus;
 import sablehinge.cli.mesh.MeshCommands;
+import sablehinge.controlplane.api.Machine;
+import sablehinge.controlplane.api.MeshStatus;
 
 /** The verbs as they are typed, against a scripted core and a clock that only their own waits move. */
 class VerbsTest {
--- a/src/test/java/sablehinge/control/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import java.nio.charset.StandardCharsets;
@@ -12,22 +12,22 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import sablehinge.consensus.Change;
-import sablehinge.consensus.Entry;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Message;
-import sablehinge.consensus.Pulse;
-import sablehinge.consensus.RaftNode;
-import sablehinge.consensus.Snapshot;
-import sablehinge.consensus.Standing;
-import sablehinge.consensus.Stored;
-import sablehinge.consensus.Timing;
+import sablehinge.controlplane.raft.Change;
+import sablehinge.controlplane.raft.Entry;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Message;
+import sablehinge.controlplane.raft.Pulse;
+import sablehinge.controlplane.raft.RaftNode;
+import sablehinge.controlplane.raft.Snapshot;
+import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.raft.Stored;
+import sablehinge.controlplane.raft.Timing;
+import sablehinge.controlplane.state.ConfigurationState;
+import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.api.Asked;
 import sablehinge.mesh.api.Operation;
 import sablehinge.mesh.api.Reply;
 import sablehinge.mesh.quota.Pool;
-import sablehinge.state.ConfigurationState;
-import sablehinge.state.Registry;
 
 /**
  * Control machines on a made-up clock: the real agreement, state, gate, coordinator and operations, over a network and
--- a/src/test/java/sablehinge/control/DiskWriterTest.java
+++ b/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sablehinge.consensus.Change;
-import sablehinge.consensus.Entry;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Stored;
+import sablehinge.controlplane.raft.Change;
+import sablehinge.controlplane.raft.Entry;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Stored;
 
 /** A disk that refuses for a while, at each of its steps in turn, on a made-up clock. */
 class DiskWriterTest implements DiskWriter.Host {
--- a/src/test/java/sablehinge/control/OperatorModel.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorModel.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import sablehinge.controlplane.state.BodyDigest;
 import sablehinge.mesh.api.Reply;
-import sablehinge.state.BodyDigest;
 
 /**
  * Operators over a {@link ControlCluster}, who follow the protocol: up to eight orders under way, each sent again as it
--- a/src/test/java/sablehinge/control/OperatorsTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,21 +13,21 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import sablehinge.api.mesh.Editions;
-import sablehinge.api.mesh.MeshDuties;
-import sablehinge.api.mesh.MeshNodes;
-import sablehinge.api.mesh.MeshStatus;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Pulse;
-import sablehinge.consensus.Standing;
+import sablehinge.controlplane.api.Editions;
+import sablehinge.controlplane.api.MeshDuties;
+import sablehinge.controlplane.api.MeshNodes;
+import sablehinge.controlplane.api.MeshStatus;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Pulse;
+import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.state.ConfigurationState;
+import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.api.Asked;
 import sablehinge.mesh.api.Operation;
 import sablehinge.mesh.api.Reply;
 import sablehinge.mesh.quota.Pool;
 import sablehinge.mesh.quota.Quota;
 import sablehinge.mesh.watch.Registration;
-import sablehinge.state.ConfigurationState;
-import sablehinge.state.Registry;
 
 /** What operators are told, by the operations' own types: no socket, no thread, a clock that is set. */
 class OperatorsTest {
--- a/src/test/java/sablehinge/control/OrdersUnderFaultsTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OrdersUnderFaultsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/sablehinge/control/RaftStoreCrashTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sablehinge.consensus.Change;
-import sablehinge.consensus.Entry;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Snapshot;
-import sablehinge.consensus.Stored;
+import sablehinge.controlplane.raft.Change;
+import sablehinge.controlplane.raft.Entry;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Snapshot;
+import sablehinge.controlplane.raft.Stored;
 
 /** The power goes at each step; what is read back is the state before or after the change in flight. */
 class RaftStoreCrashTest {
--- a/src/test/java/sablehinge/control/RaftStoreTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,11 +13,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.consensus.Change;
-import sablehinge.consensus.Entry;
-import sablehinge.consensus.Member;
-import sablehinge.consensus.Snapshot;
-import sablehinge.consensus.Stored;
+import sablehinge.controlplane.raft.Change;
+import sablehinge.controlplane.raft.Entry;
+import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.Snapshot;
+import sablehinge.controlplane.raft.Stored;
 
 class RaftStoreTest {
 
--- a/src/test/java/sablehinge/control/WatchServerTest.java
+++ b/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
@@ -1,4 +1,4 @@
-package sablehinge.control;
+package sablehinge.controlplane.node;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,6 +7,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.failuredetection.Accusation;
 import sablehinge.mesh.failuredetection.Evidence;
 import sablehinge.mesh.failuredetection.Health;
@@ -14,7 +15,6 @@
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.Update;
 import sablehinge.mesh.watch.WatchRequest;
-import sablehinge.state.Registry;
 
 /** When asks for news are answered, and with what; the time is the test's. */
 class WatchServerTest {
--- a/src/test/java/sablehinge/consensus/CatchUpRandomTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpRandomTest.java
@@ -1,10 +1,10 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.List;
 import java.util.Random;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * Storms of large orders on links of all speeds, with members that are away for long, at random. Progress: after a
--- a/src/test/java/sablehinge/consensus/CatchUpTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
@@ -1,10 +1,10 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * Storms of large orders, logs that are cut all the time, slow links and members that were away: in calm, each member
--- a/src/test/java/sablehinge/consensus/Claims.java
+++ b/src/test/java/sablehinge/controlplane/raft/Claims.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import sablehinge.consensus.SimulatedCluster.Machine;
-import sablehinge.state.BodyDigest;
-import sablehinge.state.ConfigurationState;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
+import sablehinge.controlplane.state.BodyDigest;
+import sablehinge.controlplane.state.ConfigurationState;
 
 /** What operators were told about configurations, held against every state that a machine comes to. */
 final class Claims {
--- a/src/test/java/sablehinge/consensus/MembershipPlannerTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import sablehinge.consensus.MembershipPlanner.Replica;
+import sablehinge.controlplane.raft.MembershipPlanner.Replica;
 
 /** What the planner does next, for each state of voters and learners that a core of three or five meets. */
 class MembershipPlannerTest {
--- a/src/test/java/sablehinge/consensus/QuorumTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -221,7 +221,7 @@
     /** Found among a million schedules: a leader ended while it removed a voter, which alone heard of it. */
     @Test
     void aVoterThatIsLeftOutByAnEntryOnlyItHoldsDoesNotEndTheCore() throws Exception {
-        Path file = Path.of("src/test/resources/sablehinge/consensus/left-out-voter.script");
+        Path file = Path.of("src/test/resources/sablehinge/controlplane/raft/left-out-voter.script");
         assertNull(Script.parse(Files.readAllLines(file)).breach());
     }
 
--- a/src/test/java/sablehinge/consensus/RaftNodeCodecTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeCodecTest.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sablehinge.control.MessageCodec;
+import sablehinge.controlplane.node.MessageCodec;
 
 /** Messages as bytes: what is written reads the same, and nothing else brings the reader down. */
 class RaftNodeCodecTest {
--- a/src/test/java/sablehinge/consensus/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
  * The voters of the core as deployments bring them about: founded by the machines that {@code seeds} names, grown to
--- a/src/test/java/sablehinge/consensus/RaftNodeRandomTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRandomTest.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /** Faults at random, several at a time; what must never break is checked by {@link SimulatedCluster} at each step. */
 class RaftNodeRandomTest {
--- a/src/test/java/sablehinge/consensus/RaftNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.consensus.SimulatedCluster.Machine;
+import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /** The losses that the core must bear, one by one, for a few seeds each. */
 class RaftNodeTest {
--- a/src/test/java/sablehinge/consensus/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -14,8 +14,8 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Supplier;
-import sablehinge.control.MessageCodec;
-import sablehinge.state.ConfigurationState;
+import sablehinge.controlplane.node.MessageCodec;
+import sablehinge.controlplane.state.ConfigurationState;
 
 /**
  * Machines, disks and a network on a made-up clock, around the real {@link RaftNode} and {@link ConfigurationState}.
--- a/src/test/java/sablehinge/consensus/SlowLinkCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
@@ -1,9 +1,9 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import java.util.HashMap;
 import java.util.Map;
 import sablehinge.common.rpc.Connection;
-import sablehinge.control.MessageCodec;
+import sablehinge.controlplane.node.MessageCodec;
 
 /**
  * A cluster whose links carry so many bytes per ms, in order, as one connection between two machines does: what is sent
--- a/src/test/java/sablehinge/consensus/SnapshotTransferTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
@@ -1,4 +1,4 @@
-package sablehinge.consensus;
+package sablehinge.controlplane.raft;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/sablehinge/state/ConfigurationStateTest.java
+++ b/src/test/java/sablehinge/controlplane/state/ConfigurationStateTest.java
@@ -1,4 +1,4 @@
-package sablehinge.state;
+package sablehinge.controlplane.state;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.state.ConfigurationState.Outcome;
+import sablehinge.controlplane.state.ConfigurationState.Outcome;
 
 /** What becomes of configurations as they are committed, and what of that outlives a snapshot. */
 class ConfigurationStateTest {
--- a/src/test/java/sablehinge/state/RegistryTest.java
+++ b/src/test/java/sablehinge/controlplane/state/RegistryTest.java
@@ -1,4 +1,4 @@
-package sablehinge.state;
+package sablehinge.controlplane.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/sidecar/StubCore.java
@@ -11,12 +11,12 @@
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
-import sablehinge.control.WatchServer;
+import sablehinge.controlplane.node.WatchServer;
+import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.failuredetection.Accusation;
 import sablehinge.mesh.watch.PackedConfiguration;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.WatchRequest;
-import sablehinge.state.Registry;
 
 /** Plays the core: it holds what the test says, and confirms it when the test lets it. */
 final class StubCore implements Connection.Handler, AutoCloseable {
