--- a/bench/src/sablehinge/bench/RecorderBench.java
+++ b/bench/src/sablehinge/bench/RecorderBench.java
@@ -22,7 +22,7 @@
 import jdk.jfr.Event;
 import jdk.jfr.Recording;
 import jdk.jfr.StackTrace;
-import sablehinge.core.TraceEvent;
+import sablehinge.dataplane.proxy.TraceEvent;
 import sablehinge.recorder.FlightRecorder;
 import sablehinge.recorder.Ring;
 import sablehinge.rig.Logs;
--- a/bench/src/sablehinge/budget/ChainBench.java
+++ b/bench/src/sablehinge/dataplane/budget/ChainBench.java
@@ -1,4 +1,4 @@
-package sablehinge.budget;
+package sablehinge.dataplane.budget;
 
 import java.util.Locale;
 
--- a/bench/src/sablehinge/sidecar/GateParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/GateParts.java
@@ -1,19 +1,19 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.Consumer;
-import sablehinge.admission.AdmissionController;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
-import sablehinge.core.Core;
-import sablehinge.core.Registry;
-import sablehinge.core.Roster;
-import sablehinge.http1.Frontend;
-import sablehinge.http1.Sockets;
-import sablehinge.http1.UpstreamClient;
+import sablehinge.dataplane.admission.AdmissionController;
+import sablehinge.dataplane.http1.Frontend;
+import sablehinge.dataplane.http1.Sockets;
+import sablehinge.dataplane.http1.UpstreamClient;
+import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.Roster;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
--- a/bench/src/sablehinge/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
--- a/bench/src/sablehinge/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -12,13 +12,13 @@
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.core.Core;
-import sablehinge.core.Registry;
-import sablehinge.core.Roster;
-import sablehinge.core.Version;
-import sablehinge.http1.Frontend;
-import sablehinge.http1.Sockets;
-import sablehinge.http1.UpstreamClient;
+import sablehinge.dataplane.http1.Frontend;
+import sablehinge.dataplane.http1.Sockets;
+import sablehinge.dataplane.http1.UpstreamClient;
+import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.Roster;
+import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.api.ConfigurationReader;
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.routing.Plan;
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -14,7 +14,7 @@
 import java.util.zip.Deflater;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
-import sablehinge.sidecar.HollowSidecar;
+import sablehinge.dataplane.sidecar.HollowSidecar;
 import sablehinge.standin.mesh.Ledger;
 
 /**
--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -19,11 +19,11 @@
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
+import sablehinge.dataplane.sidecar.HollowSidecar;
 import sablehinge.mesh.api.ConfigurationReader;
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.PackedConfiguration;
 import sablehinge.mesh.watch.Update;
-import sablehinge.sidecar.HollowSidecar;
 import sablehinge.standin.mesh.Ledger;
 
 /** Hundreds of hollow sidecars on a few threads of this process. */
--- a/bench/src/sablehinge/fleet/RegionCutBench.java
+++ b/bench/src/sablehinge/fleet/RegionCutBench.java
@@ -12,7 +12,7 @@
 import java.util.logging.LogManager;
 import java.util.stream.IntStream;
 import sablehinge.common.settings.ConfigException;
-import sablehinge.sidecar.HollowSidecar;
+import sablehinge.dataplane.sidecar.HollowSidecar;
 import sablehinge.standin.mesh.Ledger;
 
 /**
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -24,17 +24,17 @@
     private static final int MUTANT_DEPTH = 3;
     private static final int THREADS = 4;
     private static final int MOST_SHOWN = 20;
-    private static final String STATE = "core/AttemptState";
-    private static final String CLIENT = "http1/UpstreamClient";
-    private static final String DIALECT = "sidecar/MeshUpstream";
-    private static final String ANSWERS = "sidecar/MeshAnswers";
+    private static final String STATE = "dataplane/proxy/AttemptState";
+    private static final String CLIENT = "dataplane/http1/UpstreamClient";
+    private static final String DIALECT = "dataplane/sidecar/MeshUpstream";
+    private static final String ANSWERS = "dataplane/sidecar/MeshAnswers";
 
     /** What each order begins with: a request at the upstream, one that was served, and an upload. */
     private static final List<List<Event>> BEGINNINGS =
             List.of(List.of(Event.CALL), List.of(Event.CALL, Event.ANSWER), List.of(Event.UPLOAD_HALF));
 
     private static final String MODULE = "policy/LatencyWeightedBalancer";
-    private static final String FRONT = "sidecar/OutboundFront";
+    private static final String FRONT = "dataplane/sidecar/OutboundFront";
     /** What each order before an outbound balancer begins with. */
     private static final List<List<OutboundPlay.Event>> OUTBOUND_BEGINNINGS = List.of(
             List.of(OutboundPlay.Event.CALL),
@@ -118,13 +118,13 @@
                     ""),
             new Mutant(
                     "the gate refuses what may have run",
-                    "admission/AdmissionController",
+                    "dataplane/admission/AdmissionController",
                     "public void attemptFinished",
                     "if (outcome.result().neverRan()) {",
                     "if (outcome.result() != null) {"),
             new Mutant(
                     "every answer of our own proves that nothing ran",
-                    "sidecar/InboundFront",
+                    "dataplane/sidecar/InboundFront",
                     "public void dress(",
                     "answer == null || answer.kind() == Answer.Kind.REFUSED",
                     "answer == null || answer.kind() != Answer.Kind.SERVED"),
@@ -208,7 +208,7 @@
                     "this == FULL || this == TIMEOUT ||"),
             new Mutant(
                     "a try goes to more upstreams than it may",
-                    "core/Exchange",
+                    "dataplane/proxy/Exchange",
                     "boolean isSpent()",
                     "return attemptsAtMost > 0 && ",
                     "return attemptsAtMost < 0 && "),
@@ -262,7 +262,7 @@
                     ""),
             new Mutant(
                     "what was sent behind the last answer is begun",
-                    "http1/Frontend",
+                    "dataplane/http1/Frontend",
                     "private void advance()",
                     "while (current == null && !closing && ",
                     "while (current == null && "));
--- a/bench/src/sablehinge/torture/ExchangePlay.java
+++ b/bench/src/sablehinge/torture/ExchangePlay.java
@@ -14,8 +14,8 @@
 import java.util.zip.CRC32C;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
-import sablehinge.http1.Sockets;
-import sablehinge.sidecar.GateParts;
+import sablehinge.dataplane.http1.Sockets;
+import sablehinge.dataplane.sidecar.GateParts;
 
 /**
  * One order of events on the connections before and behind the gate, played on the real front, gate and transport in
--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -13,9 +13,9 @@
 public record Mutant(String name, String in, String after, String text, String instead) {
 
     private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
-    private static final String FRONT = "http1/Frontend";
-    private static final String UPSTREAM = "http1/UpstreamClient";
-    private static final String RELAY = "http1/Relay";
+    private static final String FRONT = "dataplane/http1/Frontend";
+    private static final String UPSTREAM = "dataplane/http1/UpstreamClient";
+    private static final String RELAY = "dataplane/http1/Relay";
 
     /** All of them. */
     static final List<Mutant> ALL = List.of(
@@ -169,7 +169,7 @@
                     "end();"),
             new Mutant(
                     "a connection that closed is counted still",
-                    "http1/Sockets",
+                    "dataplane/http1/Sockets",
                     "void count(",
                     "open--",
                     "open += 0"));
@@ -202,7 +202,7 @@
                     "if (!on) {\n            source.read(false);\n        }"),
             new Mutant(
                     "OVERDUE a request that is not forgotten",
-                    "core/Core",
+                    "dataplane/proxy/Core",
                     "private void settle(",
                     "exchanges.remove(exchange.id)",
                     "exchanges.get(exchange.id)"),
--- a/bench/src/sablehinge/torture/Net.java
+++ b/bench/src/sablehinge/torture/Net.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sablehinge.http1.SocketKind;
+import sablehinge.dataplane.http1.SocketKind;
 
 /** A network in virtual time on one event loop, which the rig turns by hand. */
 final class Net implements SocketKind {
--- a/bench/src/sablehinge/torture/OutboundPlay.java
+++ b/bench/src/sablehinge/torture/OutboundPlay.java
@@ -16,8 +16,8 @@
 import java.util.zip.CRC32C;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
-import sablehinge.http1.Sockets;
-import sablehinge.sidecar.OutboundParts;
+import sablehinge.dataplane.http1.Sockets;
+import sablehinge.dataplane.sidecar.OutboundParts;
 
 /**
  * One order of events on the connections before and behind an outbound balancer, played on the real front, core,
--- a/src/main/java/sablehinge/cli/MeshDaemon.java
+++ b/src/main/java/sablehinge/cli/MeshDaemon.java
@@ -12,7 +12,7 @@
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
 import sablehinge.controlplane.node.ControlNode;
-import sablehinge.sidecar.Sidecar;
+import sablehinge.dataplane.sidecar.Sidecar;
 
 /** The mesh's daemons: {@code sidecar} beside an upstream, {@code control node} on a machine of the core. */
 final class MeshDaemon {
--- a/src/main/java/sablehinge/common/logging/LogTerms.java
+++ b/src/main/java/sablehinge/common/logging/LogTerms.java
@@ -28,14 +28,14 @@
     /** The logger of each subsystem: its name in the settings stays where its package moves. */
     private static final Map<String, String> LOGGERS = Map.of(
             "cli", "sablehinge.cli",
-            "core", "sablehinge.core",
-            "http1", "sablehinge.http1",
+            "core", "sablehinge.dataplane.proxy",
+            "http1", "sablehinge.dataplane.http1",
             "membership", "sablehinge.membership",
             "netty", "io.netty",
             "node", "sablehinge.node",
             "recorder", "sablehinge.recorder",
             "control", "sablehinge.controlplane.node",
-            "sidecar", "sablehinge.sidecar");
+            "sidecar", "sablehinge.dataplane.sidecar");
 
     /** Where nothing is said of it, as on the platform. */
     public static final LogTerms USUAL = new LogTerms(Format.TEXT, Level.INFO, Map.of(), 10);
--- a/src/main/java/sablehinge/admission/AdmissionController.java
+++ b/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
@@ -1,4 +1,4 @@
-package sablehinge.admission;
+package sablehinge.dataplane.admission;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/sablehinge/admission/UpstreamLifecycle.java
+++ b/src/main/java/sablehinge/dataplane/admission/UpstreamLifecycle.java
@@ -1,4 +1,4 @@
-package sablehinge.admission;
+package sablehinge.dataplane.admission;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/sablehinge/budget/LeastTime.java
+++ b/src/main/java/sablehinge/dataplane/budget/LeastTime.java
@@ -1,4 +1,4 @@
-package sablehinge.budget;
+package sablehinge.dataplane.budget;
 
 /**
  * Learns how little time the tier below can do with: a low quantile of the latency of what it served, by steps that are
--- a/src/main/java/sablehinge/budget/PauseWatch.java
+++ b/src/main/java/sablehinge/dataplane/budget/PauseWatch.java
@@ -1,4 +1,4 @@
-package sablehinge.budget;
+package sablehinge.dataplane.budget;
 
 /**
  * Tells how long a call may have lain unread because the process stood still, so that a pause makes no time: by a tick
--- a/src/main/java/sablehinge/budget/Report.java
+++ b/src/main/java/sablehinge/dataplane/budget/Report.java
@@ -1,4 +1,4 @@
-package sablehinge.budget;
+package sablehinge.dataplane.budget;
 
 /**
  * What comes back with an answer.
--- a/src/main/java/sablehinge/http1/BadRequestException.java
+++ b/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
@@ -1,4 +1,4 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
--- a/src/main/java/sablehinge/http1/Checked.java
+++ b/src/main/java/sablehinge/dataplane/http1/Checked.java
@@ -1,7 +1,7 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
-import sablehinge.core.Arrival;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Arrival;
+import sablehinge.dataplane.proxy.Version;
 
 /**
  * A request that can be taken in.
--- a/src/main/java/sablehinge/http1/Early.java
+++ b/src/main/java/sablehinge/dataplane/http1/Early.java
@@ -1,13 +1,13 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.util.function.Consumer;
-import sablehinge.core.Answer;
-import sablehinge.core.Caller;
-import sablehinge.core.Core;
-import sablehinge.core.Exchange;
-import sablehinge.core.Payload;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Caller;
+import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.Exchange;
+import sablehinge.dataplane.proxy.Payload;
+import sablehinge.dataplane.proxy.Version;
 
 /**
  * A request that was begun before its turn on its connection: its answer is kept until then. Only what may be repeated
--- a/src/main/java/sablehinge/http1/Freshness.java
+++ b/src/main/java/sablehinge/dataplane/http1/Freshness.java
@@ -1,4 +1,4 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 /**
  * How long a kept connection may have rested and still be trusted with a request. Its other end may have given it up
--- a/src/main/java/sablehinge/http1/FrontDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
@@ -1,12 +1,12 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import sablehinge.budget.HeaderText;
-import sablehinge.core.Answer;
-import sablehinge.core.Version;
+import sablehinge.dataplane.budget.HeaderText;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Version;
 
 /** What callers and a front say to each other beyond HTTP: who may ask for what, and how answers are worded. */
 public interface FrontDialect {
--- a/src/main/java/sablehinge/http1/FrontTerms.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontTerms.java
@@ -1,4 +1,4 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 /**
  * What a front lets its callers do.
--- a/src/main/java/sablehinge/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -1,4 +1,4 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -51,17 +51,17 @@
 import java.util.function.DoublePredicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.budget.HeaderText;
 import sablehinge.common.logging.Log;
-import sablehinge.core.Answer;
-import sablehinge.core.Arrival;
-import sablehinge.core.Caller;
-import sablehinge.core.Core;
-import sablehinge.core.Exchange;
-import sablehinge.core.Passage;
-import sablehinge.core.Payload;
-import sablehinge.core.TraceEvent;
-import sablehinge.core.Version;
+import sablehinge.dataplane.budget.HeaderText;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Arrival;
+import sablehinge.dataplane.proxy.Caller;
+import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.Exchange;
+import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.Payload;
+import sablehinge.dataplane.proxy.TraceEvent;
+import sablehinge.dataplane.proxy.Version;
 
 /**
  * Takes callers' requests and writes each one's answer. A caller that sends what is of no use, or nothing, has an error
--- a/src/main/java/sablehinge/http1/HttpPayload.java
+++ b/src/main/java/sablehinge/dataplane/http1/HttpPayload.java
@@ -1,7 +1,7 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.handler.codec.http.FullHttpMessage;
-import sablehinge.core.Payload;
+import sablehinge.dataplane.proxy.Payload;
 
 /** A whole HTTP/1.1 request or response. */
 public record HttpPayload(FullHttpMessage message) implements Payload {
--- a/src/main/java/sablehinge/http1/LoadReport.java
+++ b/src/main/java/sablehinge/dataplane/http1/LoadReport.java
@@ -1,4 +1,4 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/sablehinge/http1/Outlet.java
+++ b/src/main/java/sablehinge/dataplane/http1/Outlet.java
@@ -1,8 +1,8 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOutboundBuffer;
-import sablehinge.core.Passage;
+import sablehinge.dataplane.proxy.Passage;
 
 /** The writing side of a connection as a watch sees it; by itself, what waits there to be written out. */
 record Outlet(Channel channel, int connection, Sockets sockets) implements Passage {
--- a/src/main/java/sablehinge/http1/Passing.java
+++ b/src/main/java/sablehinge/dataplane/http1/Passing.java
@@ -1,7 +1,7 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.handler.codec.http.HttpMessage;
-import sablehinge.core.Payload;
+import sablehinge.dataplane.proxy.Payload;
 
 /**
  * A request or response of which the head is here and the body passes through.
--- a/src/main/java/sablehinge/http1/Payloads.java
+++ b/src/main/java/sablehinge/dataplane/http1/Payloads.java
@@ -1,9 +1,9 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.HttpMessage;
-import sablehinge.core.Payload;
+import sablehinge.dataplane.proxy.Payload;
 
 /** What dialects may see of payloads. */
 public final class Payloads {
--- a/src/main/java/sablehinge/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
@@ -1,4 +1,4 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -6,11 +6,11 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import sablehinge.budget.HeaderText;
-import sablehinge.core.Answer;
-import sablehinge.core.ChainBudgets;
-import sablehinge.core.Core;
-import sablehinge.core.Version;
+import sablehinge.dataplane.budget.HeaderText;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.ChainBudgets;
+import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.Version;
 
 /** What the platform's callers speak. */
 final class PlatformFront implements FrontDialect {
--- a/src/main/java/sablehinge/http1/Relay.java
+++ b/src/main/java/sablehinge/dataplane/http1/Relay.java
@@ -1,8 +1,8 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayDeque;
-import sablehinge.core.Passage;
+import sablehinge.dataplane.proxy.Passage;
 
 /**
  * A body that passes through as it comes, once, from whoever reads it to whoever writes it. What is not written is not
--- a/src/main/java/sablehinge/http1/RequestCheck.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestCheck.java
@@ -1,4 +1,4 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpDecoderConfig;
@@ -18,8 +18,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import sablehinge.core.Arrival;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Arrival;
+import sablehinge.dataplane.proxy.Version;
 import sablehinge.policy.LoadBalancer.Repeat;
 import sablehinge.policy.LoadBalancer.ServiceClass;
 
--- a/src/main/java/sablehinge/http1/Sockets.java
+++ b/src/main/java/sablehinge/dataplane/http1/Sockets.java
@@ -1,11 +1,11 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.channel.Channel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.DoublePredicate;
-import sablehinge.core.Tracer;
+import sablehinge.dataplane.proxy.Tracer;
 
 /**
  * Counts the process's connections against the descriptors that it may hold. A caller that waits in the backlog already
--- a/src/main/java/sablehinge/http1/UpstreamDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
@@ -1,12 +1,12 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
-import sablehinge.budget.Budget;
-import sablehinge.budget.HeaderText;
-import sablehinge.budget.Report;
-import sablehinge.core.Roster.Member;
+import sablehinge.dataplane.budget.Budget;
+import sablehinge.dataplane.budget.HeaderText;
+import sablehinge.dataplane.budget.Report;
+import sablehinge.dataplane.proxy.Roster.Member;
 import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.policy.LoadBalancer.Settings;
 
--- a/src/main/java/sablehinge/core/Answer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Answer.java
@@ -1,7 +1,7 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import java.util.List;
-import sablehinge.budget.Report;
+import sablehinge.dataplane.budget.Report;
 
 /**
  * The one final answer to a request; a front puts it into the words of its protocol.
--- a/src/main/java/sablehinge/core/Arrival.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Arrival.java
@@ -1,8 +1,8 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
-import sablehinge.budget.Budget;
-import sablehinge.budget.HeaderText;
 import sablehinge.common.eventloop.Clock;
+import sablehinge.dataplane.budget.Budget;
+import sablehinge.dataplane.budget.HeaderText;
 import sablehinge.policy.LoadBalancer.Request;
 
 /**
--- a/src/main/java/sablehinge/core/AttemptResult.java
+++ b/src/main/java/sablehinge/dataplane/proxy/AttemptResult.java
@@ -1,6 +1,6 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
-import sablehinge.budget.Report;
+import sablehinge.dataplane.budget.Report;
 import sablehinge.policy.LoadBalancer.Result;
 
 /**
--- a/src/main/java/sablehinge/core/Caller.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Caller.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 /** Who waits for the answer to a request. */
 public interface Caller {
--- a/src/main/java/sablehinge/core/ChainBudgets.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
@@ -1,15 +1,15 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import java.util.List;
 import java.util.function.Consumer;
-import sablehinge.budget.LeastTime;
-import sablehinge.budget.LoopWatch;
-import sablehinge.budget.PauseWatch;
-import sablehinge.budget.Purses;
-import sablehinge.budget.Shedder;
-import sablehinge.budget.Terms;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
+import sablehinge.dataplane.budget.LeastTime;
+import sablehinge.dataplane.budget.LoopWatch;
+import sablehinge.dataplane.budget.PauseWatch;
+import sablehinge.dataplane.budget.Purses;
+import sablehinge.dataplane.budget.Shedder;
+import sablehinge.dataplane.budget.Terms;
 import sablehinge.policy.LoadBalancer.Result;
 
 /** The budgets of a chain of tiers at this hop, where they are switched on. */
--- a/src/main/java/sablehinge/core/Core.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Core.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -9,11 +9,11 @@
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.budget.Purses;
-import sablehinge.budget.Report;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
 import sablehinge.common.logging.Log;
+import sablehinge.dataplane.budget.Purses;
+import sablehinge.dataplane.budget.Report;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.Outcome;
--- a/src/main/java/sablehinge/core/Exchange.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Exchange.java
@@ -1,10 +1,10 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.budget.Purses;
 import sablehinge.common.eventloop.Timers;
+import sablehinge.dataplane.budget.Purses;
 
 /** A request from its arrival until it has its one answer and none of its attempts is out. */
 public final class Exchange {
--- a/src/main/java/sablehinge/core/Observer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Observer.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 /** Sees every answer that core gives; for records and for deciders beside the requests' own. */
 public interface Observer {
--- a/src/main/java/sablehinge/core/Passage.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Passage.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 /** Bytes on their way through the process, from one connection to another, as a watch sees them. */
 public interface Passage {
--- a/src/main/java/sablehinge/core/Payload.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Payload.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 /**
  * What a front hands to a transport, or a transport to a front, and core does not look into. It is counted by
--- a/src/main/java/sablehinge/core/Registry.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Registry.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 /** Where the list of servers comes from; what it brings is told to {@link Core#told}. */
 public interface Registry {
--- a/src/main/java/sablehinge/core/Roster.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Roster.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/sablehinge/core/TraceEvent.java
+++ b/src/main/java/sablehinge/dataplane/proxy/TraceEvent.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 /**
  * What a {@link Tracer} is told of. The name of each is what a dump keeps; its value means what {@link #of} says, and 0
--- a/src/main/java/sablehinge/core/Tracer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Tracer.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 /**
  * Is told of what happens, by the thread that owns the core, as it happens: for a flight recorder. It must neither wait
--- a/src/main/java/sablehinge/core/Transport.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Transport.java
@@ -1,8 +1,8 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import java.util.function.Consumer;
-import sablehinge.budget.Purses;
 import sablehinge.common.eventloop.Clock;
+import sablehinge.dataplane.budget.Purses;
 
 /**
  * Carries attempts and probes to servers, and nothing on its own account: what breaks is a result. All calls are made,
--- a/src/main/java/sablehinge/core/Verdict.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Verdict.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import sablehinge.policy.LoadBalancer.Result;
 
--- a/src/main/java/sablehinge/sidecar/Beats.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Beats.java
@@ -1,7 +1,7 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import java.util.function.Consumer;
-import sablehinge.admission.UpstreamLifecycle.Heartbeat;
+import sablehinge.dataplane.admission.UpstreamLifecycle.Heartbeat;
 import sablehinge.mesh.api.Asked;
 import sablehinge.mesh.api.Headed;
 import sablehinge.mesh.api.Operation;
--- a/src/main/java/sablehinge/sidecar/HeartbeatReader.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
@@ -1,10 +1,10 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import sablehinge.admission.UpstreamLifecycle.Heartbeat;
+import sablehinge.dataplane.admission.UpstreamLifecycle.Heartbeat;
 import sablehinge.mesh.api.CallException;
 
 /**
--- a/src/main/java/sablehinge/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -1,18 +1,18 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import sablehinge.core.Answer;
-import sablehinge.core.Arrival;
-import sablehinge.core.Core;
-import sablehinge.core.Version;
-import sablehinge.http1.BadRequestException;
-import sablehinge.http1.Checked;
-import sablehinge.http1.FrontDialect;
-import sablehinge.http1.FrontTerms;
+import sablehinge.dataplane.http1.BadRequestException;
+import sablehinge.dataplane.http1.Checked;
+import sablehinge.dataplane.http1.FrontDialect;
+import sablehinge.dataplane.http1.FrontTerms;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Arrival;
+import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.Version;
 
 /**
  * What balancers say to the balancer beside an upstream. It looks at no configuration: the one that drew the upstream
@@ -76,7 +76,7 @@
                         MeshHeaders.VERDICT,
                         refused
                                 ? MeshHeaders.PROVEN
-                                : sablehinge.http1.Payloads.head(answer.payload()) != null
+                                : sablehinge.dataplane.http1.Payloads.head(answer.payload()) != null
                                         ? MeshHeaders.RAN
                                         : MeshHeaders.DOUBT);
     }
--- a/src/main/java/sablehinge/sidecar/ListeningSockets.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/ListeningSockets.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/sablehinge/sidecar/MeshAnswers.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshAnswers.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -6,10 +6,10 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import sablehinge.core.Answer;
-import sablehinge.core.Payload;
-import sablehinge.http1.HopHeaders;
-import sablehinge.http1.Payloads;
+import sablehinge.dataplane.http1.HopHeaders;
+import sablehinge.dataplane.http1.Payloads;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Payload;
 
 /** How answers of the mesh are worded: an upstream's as it came, our own by what is known of the request. */
 final class MeshAnswers {
--- a/src/main/java/sablehinge/sidecar/MeshHeaders.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshHeaders.java
@@ -1,8 +1,8 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
-import sablehinge.http1.BadRequestException;
+import sablehinge.dataplane.http1.BadRequestException;
 
 /** The names of the mesh's headers (PROTOCOL), and those that its balancers use among themselves. */
 final class MeshHeaders {
--- a/src/main/java/sablehinge/sidecar/MeshUpstream.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
@@ -1,16 +1,16 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpStatusClass;
-import sablehinge.budget.Budget;
 import sablehinge.common.eventloop.Clock;
-import sablehinge.core.Roster.Member;
-import sablehinge.http1.HopHeaders;
-import sablehinge.http1.UpstreamDialect;
-import sablehinge.http1.UpstreamTerms;
+import sablehinge.dataplane.budget.Budget;
+import sablehinge.dataplane.http1.HopHeaders;
+import sablehinge.dataplane.http1.UpstreamDialect;
+import sablehinge.dataplane.http1.UpstreamTerms;
+import sablehinge.dataplane.proxy.Roster.Member;
 import sablehinge.policy.LoadBalancer.Result;
 
 /** What a balancer says to another one beside an upstream, and what that says to its upstream. */
--- a/src/main/java/sablehinge/sidecar/NewsFilter.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/NewsFilter.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import sablehinge.mesh.watch.Update;
 
--- a/src/main/java/sablehinge/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -8,13 +8,13 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import sablehinge.core.Answer;
-import sablehinge.core.Arrival;
-import sablehinge.core.Version;
-import sablehinge.http1.BadRequestException;
-import sablehinge.http1.Checked;
-import sablehinge.http1.FrontDialect;
-import sablehinge.http1.FrontTerms;
+import sablehinge.dataplane.http1.BadRequestException;
+import sablehinge.dataplane.http1.Checked;
+import sablehinge.dataplane.http1.FrontDialect;
+import sablehinge.dataplane.http1.FrontTerms;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Arrival;
+import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.routing.Plan;
 
--- a/src/main/java/sablehinge/sidecar/Pulse.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Pulse.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/sablehinge/sidecar/Readiness.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Readiness.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
--- a/src/main/java/sablehinge/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,8 +7,8 @@
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.core.Extras;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Extras;
+import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.retrybudget.Claim;
 import sablehinge.mesh.retrybudget.Grant;
 import sablehinge.mesh.retrybudget.Rule;
--- a/src/main/java/sablehinge/sidecar/Terms.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Terms.java
@@ -1,10 +1,10 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.Goal;
--- a/src/main/java/sablehinge/sidecar/Watchers.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Watchers.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/sablehinge/membership/Discovery.java
+++ b/src/main/java/sablehinge/membership/Discovery.java
@@ -28,8 +28,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
-import sablehinge.core.Registry;
-import sablehinge.core.Roster;
+import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.Roster;
 import sablehinge.policy.LoadBalancer.Change;
 
 /**
--- a/src/main/java/sablehinge/membership/Maintenance.java
+++ b/src/main/java/sablehinge/membership/Maintenance.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sablehinge.core.Roster;
-import sablehinge.core.Roster.Member;
+import sablehinge.dataplane.proxy.Roster;
+import sablehinge.dataplane.proxy.Roster.Member;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
--- a/src/main/java/sablehinge/node/AccessLog.java
+++ b/src/main/java/sablehinge/node/AccessLog.java
@@ -13,8 +13,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
-import sablehinge.core.Answer;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Version;
 
 /**
  * A line of JSON for each answer. A thread of its own writes them: the loop never waits for the disk, and what comes
--- a/src/main/java/sablehinge/node/LoopVitals.java
+++ b/src/main/java/sablehinge/node/LoopVitals.java
@@ -5,10 +5,10 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import sablehinge.core.Core;
-import sablehinge.core.Passage;
-import sablehinge.http1.Frontend;
-import sablehinge.http1.Sockets;
+import sablehinge.dataplane.http1.Frontend;
+import sablehinge.dataplane.http1.Sockets;
+import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.Passage;
 import sablehinge.recorder.Vitals;
 
 /** What a watch can see of the parts of one balancer; on their loop. */
--- a/src/main/java/sablehinge/node/Preparation.java
+++ b/src/main/java/sablehinge/node/Preparation.java
@@ -11,8 +11,8 @@
 import sablehinge.common.eventloop.Timers;
 import sablehinge.config.operator.OperatorConfig;
 import sablehinge.config.operator.OperatorConfig.ListenerPart;
-import sablehinge.http1.Frontend;
-import sablehinge.http1.UpstreamClient;
+import sablehinge.dataplane.http1.Frontend;
+import sablehinge.dataplane.http1.UpstreamClient;
 
 /**
  * Makes a version ready beside the traffic: binds the listeners that are not there yet, waits for its first list of
--- a/src/main/java/sablehinge/node/Versions.java
+++ b/src/main/java/sablehinge/node/Versions.java
@@ -28,12 +28,12 @@
 import sablehinge.config.operator.OperatorFile;
 import sablehinge.config.operator.Problem;
 import sablehinge.config.versions.VersionStore;
-import sablehinge.core.Answer;
-import sablehinge.core.Observer;
-import sablehinge.core.Registry;
-import sablehinge.core.Roster;
-import sablehinge.core.Version;
-import sablehinge.http1.Frontend;
+import sablehinge.dataplane.http1.Frontend;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Observer;
+import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.Roster;
+import sablehinge.dataplane.proxy.Version;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 
--- a/src/main/java/sablehinge/recorder/Dump.java
+++ b/src/main/java/sablehinge/recorder/Dump.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
-import sablehinge.core.TraceEvent;
+import sablehinge.dataplane.proxy.TraceEvent;
 
 /**
  * A ring as it was at a moment, and why it was kept. As bytes: the mark, the length of the head, the head as JSON in
--- a/src/main/java/sablehinge/recorder/FlightRecorder.java
+++ b/src/main/java/sablehinge/recorder/FlightRecorder.java
@@ -1,8 +1,8 @@
 package sablehinge.recorder;
 
 import java.util.function.LongSupplier;
-import sablehinge.core.TraceEvent;
-import sablehinge.core.Tracer;
+import sablehinge.dataplane.proxy.TraceEvent;
+import sablehinge.dataplane.proxy.Tracer;
 
 /**
  * Keeps what it is told of in a {@link Ring}. An event of core and one of a connection that belong together follow each
--- a/src/main/java/sablehinge/recorder/Vitals.java
+++ b/src/main/java/sablehinge/recorder/Vitals.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import sablehinge.core.Passage;
+import sablehinge.dataplane.proxy.Passage;
 
 /** What the {@link Watch} can see of a process; on the thread that owns it. */
 public interface Vitals {
--- a/src/main/java/sablehinge/recorder/Watch.java
+++ b/src/main/java/sablehinge/recorder/Watch.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sablehinge.core.Passage;
+import sablehinge.dataplane.proxy.Passage;
 import sablehinge.recorder.Alarm.Kind;
 
 /**
--- a/src/test/java/sablehinge/architecture/LayersTest.java
+++ b/src/test/java/sablehinge/architecture/LayersTest.java
@@ -22,7 +22,7 @@
     /** What each package may use, beside itself and the Java platform. */
     private static final Map<String, Set<String>> MAY_USE = Map.ofEntries(
             Map.entry("sablehinge.admin", Set.of("com.fasterxml.jackson", "io.netty")),
-            Map.entry("sablehinge.admission", Set.of("sablehinge.policy")),
+            Map.entry("sablehinge.dataplane.admission", Set.of("sablehinge.policy")),
             Map.entry(
                     "sablehinge.mesh.api",
                     Set.of(
@@ -33,7 +33,7 @@
                             "org.slf4j")),
             Map.entry("sablehinge.controlplane.api", Set.of()),
             Map.entry("sablehinge.audit", Set.of("sablehinge.judge", "com.fasterxml.jackson")),
-            Map.entry("sablehinge.budget", Set.of("javax.crypto")),
+            Map.entry("sablehinge.dataplane.budget", Set.of("javax.crypto")),
             Map.entry("sablehinge.change", Set.of()),
             Map.entry(
                     "sablehinge.cli",
@@ -46,7 +46,7 @@
                             "sablehinge.config.operator",
                             "sablehinge.config.scenario",
                             "sablehinge.controlplane.node",
-                            "sablehinge.core",
+                            "sablehinge.dataplane.proxy",
                             "sablehinge.judge",
                             "sablehinge.common.logging",
                             "sablehinge.common.mapping",
@@ -58,7 +58,7 @@
                             "sablehinge.replay",
                             "sablehinge.replay.run",
                             "sablehinge.settings",
-                            "sablehinge.sidecar",
+                            "sablehinge.dataplane.sidecar",
                             "sablehinge.standin",
                             "sablehinge.wire",
                             "com.fasterxml.jackson",
@@ -85,7 +85,7 @@
                     "sablehinge.config",
                     Set.of(
                             "sablehinge.common.settings",
-                            "sablehinge.core",
+                            "sablehinge.dataplane.proxy",
                             "sablehinge.membership",
                             "sablehinge.policy",
                             "sablehinge.settings",
@@ -94,8 +94,8 @@
             Map.entry(
                     "sablehinge.config.operator",
                     Set.of(
-                            "sablehinge.budget",
-                            "sablehinge.core",
+                            "sablehinge.dataplane.budget",
+                            "sablehinge.dataplane.proxy",
                             "sablehinge.common.logging",
                             "sablehinge.common.mapping",
                             "sablehinge.membership",
@@ -128,9 +128,9 @@
                             "org.h2",
                             "org.slf4j")),
             Map.entry(
-                    "sablehinge.core",
+                    "sablehinge.dataplane.proxy",
                     Set.of(
-                            "sablehinge.budget",
+                            "sablehinge.dataplane.budget",
                             "sablehinge.common.eventloop",
                             "sablehinge.common.logging",
                             "sablehinge.policy",
@@ -139,10 +139,10 @@
             Map.entry("sablehinge.mesh.failuredetection", Set.of()),
             Map.entry("sablehinge.fold", Set.of()),
             Map.entry(
-                    "sablehinge.http1",
+                    "sablehinge.dataplane.http1",
                     Set.of(
-                            "sablehinge.budget",
-                            "sablehinge.core",
+                            "sablehinge.dataplane.budget",
+                            "sablehinge.dataplane.proxy",
                             "sablehinge.common.eventloop",
                             "sablehinge.common.logging",
                             "sablehinge.policy",
@@ -155,7 +155,7 @@
             Map.entry(
                     "sablehinge.membership",
                     Set.of(
-                            "sablehinge.core",
+                            "sablehinge.dataplane.proxy",
                             "sablehinge.common.logging",
                             "sablehinge.policy",
                             "sablehinge.settings",
@@ -166,15 +166,15 @@
                     "sablehinge.node",
                     Set.of(
                             "sablehinge.admin",
-                            "sablehinge.budget",
+                            "sablehinge.dataplane.budget",
                             "sablehinge.change",
                             "sablehinge.config",
                             "sablehinge.common.settings",
                             "sablehinge.config.operator",
                             "sablehinge.config.versions",
-                            "sablehinge.core",
+                            "sablehinge.dataplane.proxy",
                             "sablehinge.common.eventloop",
-                            "sablehinge.http1",
+                            "sablehinge.dataplane.http1",
                             "sablehinge.common.logging",
                             "sablehinge.membership",
                             "sablehinge.policy",
@@ -185,7 +185,7 @@
             Map.entry("sablehinge.pace", Set.of()),
             Map.entry("sablehinge.policy", Set.of()),
             Map.entry("sablehinge.mesh.quota", Set.of()),
-            Map.entry("sablehinge.recorder", Set.of("sablehinge.core", "com.fasterxml.jackson")),
+            Map.entry("sablehinge.recorder", Set.of("sablehinge.dataplane.proxy", "com.fasterxml.jackson")),
             Map.entry(
                     "sablehinge.replay",
                     Set.of(
@@ -212,16 +212,16 @@
             Map.entry("sablehinge.common.rpc", Set.of("io.netty")),
             Map.entry("sablehinge.settings", Set.of("sablehinge.policy", "io.netty")),
             Map.entry(
-                    "sablehinge.sidecar",
+                    "sablehinge.dataplane.sidecar",
                     Set.of(
-                            "sablehinge.admission",
+                            "sablehinge.dataplane.admission",
                             "sablehinge.mesh.api",
-                            "sablehinge.budget",
+                            "sablehinge.dataplane.budget",
                             "sablehinge.common.settings",
-                            "sablehinge.core",
+                            "sablehinge.dataplane.proxy",
                             "sablehinge.common.eventloop",
                             "sablehinge.mesh.failuredetection",
-                            "sablehinge.http1",
+                            "sablehinge.dataplane.http1",
                             "sablehinge.common.logging",
                             "sablehinge.policy",
                             "sablehinge.mesh.quota",
@@ -258,7 +258,7 @@
                     "sablehinge.policy",
                     "sablehinge.change",
                     "sablehinge.fold",
-                    "sablehinge.budget",
+                    "sablehinge.dataplane.budget",
                     "sablehinge.timeline",
                     "sablehinge.common.mapping",
                     "sablehinge.tally",
@@ -267,7 +267,7 @@
                     "sablehinge.station",
                     "sablehinge.mesh.routing",
                     "sablehinge.controlplane.raft",
-                    "sablehinge.admission",
+                    "sablehinge.dataplane.admission",
                     "sablehinge.mesh.quota",
                     "sablehinge.mesh.retrybudget",
                     "sablehinge.mesh.failuredetection")
@@ -353,10 +353,10 @@
     void aBreachIsFound() {
         assertThrows(AssertionError.class, () -> classes()
                 .that()
-                .resideInAPackage("sablehinge.http1..")
+                .resideInAPackage("sablehinge.dataplane.http1..")
                 .should()
                 .onlyDependOnClassesThat()
-                .resideInAnyPackage(allowed("sablehinge.core"))
+                .resideInAnyPackage(allowed("sablehinge.dataplane.proxy"))
                 .check(MAIN));
     }
 }
--- a/src/test/java/sablehinge/common/logging/LoggingTest.java
+++ b/src/test/java/sablehinge/common/logging/LoggingTest.java
@@ -49,7 +49,7 @@
         System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
             Logging.apply(terms);
-            writing.accept(org.slf4j.LoggerFactory.getLogger("sablehinge.http1.LoggingTest"));
+            writing.accept(org.slf4j.LoggerFactory.getLogger("sablehinge.dataplane.http1.LoggingTest"));
         } finally {
             System.setErr(before);
         }
@@ -116,7 +116,8 @@
         assertTrue(line.path("version").isInt());
         assertEquals("a \"list\"\nx", line.path("message").asText());
         assertEquals("ERROR", line.path("level").asText());
-        assertEquals("sablehinge.http1.LoggingTest", line.path("logger").asText());
+        assertEquals(
+                "sablehinge.dataplane.http1.LoggingTest", line.path("logger").asText());
         assertTrue(line.path("time").asText().endsWith("Z"), text);
         assertTrue(line.path("stack").asText().startsWith("java.lang.IllegalStateException: why"), text);
         assertTrue(line.path("stack").asText().length() <= 8_192 + 100, "its length");
@@ -126,7 +127,7 @@
     void eachSubsystemHasItsLevel() {
         Consumer<org.slf4j.Logger> both = log -> {
             log.debug("of http1");
-            org.slf4j.LoggerFactory.getLogger("sablehinge.core.Core").debug("of core");
+            org.slf4j.LoggerFactory.getLogger("sablehinge.dataplane.proxy.Core").debug("of core");
             org.slf4j.LoggerFactory.getLogger("io.netty.Some").info("of netty");
         };
         String text = written(json(9, Map.of("http1", Level.DEBUG, "netty", Level.ERROR)), both);
--- a/src/test/java/sablehinge/config/operator/MutatedFileTest.java
+++ b/src/test/java/sablehinge/config/operator/MutatedFileTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Version;
 
 /**
  * The example, spoilt in thousands of ways by seed: each is refused with a place, or read without error into a
--- a/src/test/java/sablehinge/config/operator/OperatorFileTest.java
+++ b/src/test/java/sablehinge/config/operator/OperatorFileTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.event.Level;
 import sablehinge.common.logging.LogTerms;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Version;
 import sablehinge.policy.LoadBalancer.Repeat;
 
 /** What an operator file may say, and how it is told what it may not. */
--- a/src/test/java/sablehinge/admission/AdmissionControllerTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/AdmissionControllerTest.java
@@ -1,4 +1,4 @@
-package sablehinge.admission;
+package sablehinge.dataplane.admission;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/sablehinge/admission/UpstreamLifecycleTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
@@ -1,4 +1,4 @@
-package sablehinge.admission;
+package sablehinge.dataplane.admission;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.admission.UpstreamLifecycle.Heartbeat;
+import sablehinge.dataplane.admission.UpstreamLifecycle.Heartbeat;
 import sablehinge.policy.LoadBalancer.Actions;
 import sablehinge.policy.LoadBalancer.Request;
 
--- a/src/test/java/sablehinge/budget/HeaderTextTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/HeaderTextTest.java
@@ -1,4 +1,4 @@
-package sablehinge.budget;
+package sablehinge.dataplane.budget;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sablehinge.budget.HeaderText.Kind;
+import sablehinge.dataplane.budget.HeaderText.Kind;
 
 /** Budgets and reports as text, from friends and from others. */
 class HeaderTextTest {
--- a/src/test/java/sablehinge/budget/PursesTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/PursesTest.java
@@ -1,4 +1,4 @@
-package sablehinge.budget;
+package sablehinge.dataplane.budget;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,11 +9,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.budget.HeaderText.Found;
-import sablehinge.budget.HeaderText.Kind;
-import sablehinge.budget.Purses.Admission;
-import sablehinge.budget.Purses.Grant;
-import sablehinge.budget.Purses.Refusal;
+import sablehinge.dataplane.budget.HeaderText.Found;
+import sablehinge.dataplane.budget.HeaderText.Kind;
+import sablehinge.dataplane.budget.Purses.Admission;
+import sablehinge.dataplane.budget.Purses.Grant;
+import sablehinge.dataplane.budget.Purses.Refusal;
 
 /** The budgets of one hop, case by case. */
 class PursesTest {
--- a/src/test/java/sablehinge/budget/ShedderTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/ShedderTest.java
@@ -1,4 +1,4 @@
-package sablehinge.budget;
+package sablehinge.dataplane.budget;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sablehinge/http1/CrowdTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/CrowdTest.java
@@ -1,4 +1,4 @@
-package sablehinge.http1;
+package sablehinge.dataplane.http1;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/sablehinge/core/AttemptStateTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/AttemptStateTest.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sablehinge.core.AttemptState.Event;
+import sablehinge.dataplane.proxy.AttemptState.Event;
 import sablehinge.policy.LoadBalancer.Result;
 
 /** What may have run: every state of an attempt with every event that can end it. */
--- a/src/test/java/sablehinge/core/CoreTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/CoreTest.java
@@ -1,4 +1,4 @@
-package sablehinge.core;
+package sablehinge.dataplane.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,8 +14,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import sablehinge.budget.Purses;
 import sablehinge.common.eventloop.Timers;
+import sablehinge.dataplane.budget.Purses;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
--- a/src/test/java/sablehinge/sidecar/HeartbeatReaderTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/HeartbeatReaderTest.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sablehinge.admission.UpstreamLifecycle.Heartbeat;
+import sablehinge.dataplane.admission.UpstreamLifecycle.Heartbeat;
 import sablehinge.mesh.api.CallException;
 
 /** What is read from heartbeats, and which are refused. */
--- a/src/test/java/sablehinge/sidecar/NewsFilterTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/NewsFilterTest.java
@@ -1,11 +1,11 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import sablehinge.dataplane.sidecar.NewsFilter.Verdict;
 import sablehinge.mesh.watch.Update;
-import sablehinge.sidecar.NewsFilter.Verdict;
 
 /** Which news a balancer takes. */
 class NewsFilterTest {
--- a/src/test/java/sablehinge/sidecar/RequestsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/sidecar/TermsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/TermsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,7 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.api.ConfigurationReader;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
--- a/src/test/java/sablehinge/sidecar/WrittenTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/WrittenTest.java
@@ -1,4 +1,4 @@
-package sablehinge.sidecar;
+package sablehinge.dataplane.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,14 +18,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.admission.AdmissionController;
 import sablehinge.common.eventloop.Clock;
-import sablehinge.core.AttemptResult;
-import sablehinge.core.Roster;
-import sablehinge.core.Transport;
-import sablehinge.http1.HttpPayload;
-import sablehinge.http1.Sockets;
-import sablehinge.http1.UpstreamClient;
+import sablehinge.dataplane.admission.AdmissionController;
+import sablehinge.dataplane.http1.HttpPayload;
+import sablehinge.dataplane.http1.Sockets;
+import sablehinge.dataplane.http1.UpstreamClient;
+import sablehinge.dataplane.proxy.AttemptResult;
+import sablehinge.dataplane.proxy.Roster;
+import sablehinge.dataplane.proxy.Transport;
 import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
--- a/src/test/java/sablehinge/membership/MaintenanceTest.java
+++ b/src/test/java/sablehinge/membership/MaintenanceTest.java
@@ -19,8 +19,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
-import sablehinge.core.Roster;
-import sablehinge.core.Roster.Member;
+import sablehinge.dataplane.proxy.Roster;
+import sablehinge.dataplane.proxy.Roster.Member;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
--- a/src/test/java/sablehinge/node/AccessLogTest.java
+++ b/src/test/java/sablehinge/node/AccessLogTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.core.Answer;
-import sablehinge.core.Version;
+import sablehinge.dataplane.proxy.Answer;
+import sablehinge.dataplane.proxy.Version;
 
 /** The access log at its bounds, and with a disk that fails. */
 class AccessLogTest {
--- a/src/test/java/sablehinge/node/BudgetsTest.java
+++ b/src/test/java/sablehinge/node/BudgetsTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.budget.Budget;
-import sablehinge.budget.HeaderText;
-import sablehinge.budget.Keys;
+import sablehinge.dataplane.budget.Budget;
+import sablehinge.dataplane.budget.HeaderText;
+import sablehinge.dataplane.budget.Keys;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
 
--- a/src/test/java/sablehinge/recorder/DumpTest.java
+++ b/src/test/java/sablehinge/recorder/DumpTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.core.TraceEvent;
+import sablehinge.dataplane.proxy.TraceEvent;
 
 /** Dumps are read as they were written, or not at all. */
 class DumpTest {
--- a/src/test/java/sablehinge/recorder/WatchTest.java
+++ b/src/test/java/sablehinge/recorder/WatchTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import sablehinge.core.Passage;
+import sablehinge.dataplane.proxy.Passage;
 import sablehinge.recorder.Alarm.Kind;
 
 /** What the watch sees, in virtual time. */
--- a/src/test/java/sablehinge/torture/HeldRequestsTest.java
+++ b/src/test/java/sablehinge/torture/HeldRequestsTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
-import sablehinge.http1.Sockets;
-import sablehinge.sidecar.OutboundParts;
+import sablehinge.dataplane.http1.Sockets;
+import sablehinge.dataplane.sidecar.OutboundParts;
 
 /** Requests that come before the first configuration does, in virtual time: held for moments, and not all. */
 class HeldRequestsTest {
