--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -19,7 +19,12 @@
 import sablehinge.dataplane.proxy.Registry;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Version;
-import sablehinge.node.LoopVitals;
+import sablehinge.gateway.node.LoopVitals;
+import sablehinge.gateway.recorder.Alarm;
+import sablehinge.gateway.recorder.FlightRecorder;
+import sablehinge.gateway.recorder.Ring;
+import sablehinge.gateway.recorder.Vitals;
+import sablehinge.gateway.recorder.Watch;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
@@ -34,11 +39,6 @@
 import sablehinge.policy.LoadBalancer.Settings;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.WeightKind;
-import sablehinge.recorder.Alarm;
-import sablehinge.recorder.FlightRecorder;
-import sablehinge.recorder.Ring;
-import sablehinge.recorder.Vitals;
-import sablehinge.recorder.Watch;
 import sablehinge.torture.Script.Event;
 
 /**
--- a/src/main/java/sablehinge/cli/AdminClient.java
+++ b/src/main/java/sablehinge/cli/AdminClient.java
@@ -10,7 +10,7 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import sablehinge.settings.Addresses;
+import sablehinge.gateway.settings.Addresses;
 
 /** One request to a running balancer's admin listener, and its answer. */
 final class AdminClient {
--- a/src/main/java/sablehinge/cli/Commands.java
+++ b/src/main/java/sablehinge/cli/Commands.java
@@ -12,9 +12,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import sablehinge.config.operator.OperatorFile;
-import sablehinge.config.operator.Problem;
-import sablehinge.node.OperatorNode;
+import sablehinge.gateway.config.operator.OperatorFile;
+import sablehinge.gateway.config.operator.Problem;
+import sablehinge.gateway.node.OperatorNode;
 
 /**
  * The operators' verbs. Exit status 0: done; 1: refused, with the reason; 2: a bad command line or file. The platform's
@@ -168,7 +168,7 @@
 
         @Override
         public Integer call() {
-            sablehinge.wire.Main.main(new String[] {"wire"});
+            sablehinge.gateway.wire.Main.main(new String[] {"wire"});
             return 0;
         }
     }
--- a/src/main/java/sablehinge/cli/ConfigCommand.java
+++ b/src/main/java/sablehinge/cli/ConfigCommand.java
@@ -22,8 +22,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import sablehinge.cli.AdminClient.Answer;
-import sablehinge.config.operator.OperatorFile;
-import sablehinge.config.operator.Problem;
+import sablehinge.gateway.config.operator.OperatorFile;
+import sablehinge.gateway.config.operator.Problem;
 
 /** Changes the configuration of a running balancer, as a transaction. */
 @Command(
--- a/src/main/java/sablehinge/cli/Main.java
+++ b/src/main/java/sablehinge/cli/Main.java
@@ -12,8 +12,8 @@
 import sablehinge.cli.mesh.operator.Shell;
 import sablehinge.common.logging.Log;
 import sablehinge.common.settings.ConfigException;
-import sablehinge.config.PlatformConfig;
-import sablehinge.node.Node;
+import sablehinge.gateway.config.PlatformConfig;
+import sablehinge.gateway.node.Node;
 
 /**
  * The command line: {@code serve} runs one balancer on the platform, {@code wire} the same decisions for the simulator,
@@ -26,7 +26,7 @@
     /** Runs the subcommand that the arguments name. */
     public static void main(String[] args) throws InterruptedException {
         if (args.length == 1 && args[0].equals("wire")) {
-            sablehinge.wire.Main.main(args);
+            sablehinge.gateway.wire.Main.main(args);
         } else if (args.length == 1 && args[0].equals("serve")) {
             serve();
         } else if (args.length == 1 && (args[0].equals("sidecar") || args[0].equals("control"))) {
--- a/src/main/java/sablehinge/cli/RecorderCommand.java
+++ b/src/main/java/sablehinge/cli/RecorderCommand.java
@@ -18,10 +18,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import sablehinge.recorder.Dump;
-import sablehinge.recorder.Timeline;
-import sablehinge.recorder.Timeline.Step;
-import sablehinge.recorder.TimelinePage;
+import sablehinge.gateway.recorder.Dump;
+import sablehinge.gateway.recorder.Timeline;
+import sablehinge.gateway.recorder.Timeline.Step;
+import sablehinge.gateway.recorder.TimelinePage;
 
 /** Looks at what a balancer's flight recorder has kept. */
 @Command(
--- a/src/main/java/sablehinge/cli/ReplayRun.java
+++ b/src/main/java/sablehinge/cli/ReplayRun.java
@@ -18,7 +18,8 @@
 import sablehinge.audit.Recorder;
 import sablehinge.audit.TermsFile;
 import sablehinge.cli.ReplayCommand.LogVerb;
-import sablehinge.config.operator.OperatorConfig.ClassPart;
+import sablehinge.gateway.config.operator.OperatorConfig.ClassPart;
+import sablehinge.gateway.settings.Addresses;
 import sablehinge.judge.Terms.ClassTerms;
 import sablehinge.judge.Terms.Effect;
 import sablehinge.judge.Terms.Group;
@@ -29,7 +30,6 @@
 import sablehinge.replay.run.Load;
 import sablehinge.replay.run.LoadResult;
 import sablehinge.replay.run.ReportPage;
-import sablehinge.settings.Addresses;
 
 /** Sends the load of logs once more. */
 @Command(
--- a/src/main/java/sablehinge/common/logging/LogTerms.java
+++ b/src/main/java/sablehinge/common/logging/LogTerms.java
@@ -30,10 +30,10 @@
             "cli", "sablehinge.cli",
             "core", "sablehinge.dataplane.proxy",
             "http1", "sablehinge.dataplane.http1",
-            "membership", "sablehinge.membership",
+            "membership", "sablehinge.gateway.discovery",
             "netty", "io.netty",
-            "node", "sablehinge.node",
-            "recorder", "sablehinge.recorder",
+            "node", "sablehinge.gateway.node",
+            "recorder", "sablehinge.gateway.recorder",
             "control", "sablehinge.controlplane.node",
             "sidecar", "sablehinge.dataplane.sidecar");
 
--- a/src/main/java/sablehinge/admin/AdminServer.java
+++ b/src/main/java/sablehinge/gateway/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package sablehinge.admin;
+package sablehinge.gateway.admin;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
--- a/src/main/java/sablehinge/admin/CallServer.java
+++ b/src/main/java/sablehinge/gateway/admin/CallServer.java
@@ -1,4 +1,4 @@
-package sablehinge.admin;
+package sablehinge.gateway.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/sablehinge/config/PlatformConfig.java
+++ b/src/main/java/sablehinge/gateway/config/PlatformConfig.java
@@ -1,4 +1,4 @@
-package sablehinge.config;
+package sablehinge.gateway.config;
 
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -16,11 +16,11 @@
 import sablehinge.common.settings.ConfigException;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Version;
-import sablehinge.membership.RosterParser;
+import sablehinge.gateway.discovery.RosterParser;
+import sablehinge.gateway.settings.Addresses;
+import sablehinge.gateway.settings.MalformedInputException;
+import sablehinge.gateway.settings.SettingsParser;
 import sablehinge.policy.LoadBalancer.Settings;
-import sablehinge.settings.Addresses;
-import sablehinge.settings.MalformedInputException;
-import sablehinge.settings.SettingsParser;
 
 /**
  * What the platform tells a balancer in the file that {@code PROXY_CONFIG} names.
--- a/src/main/java/sablehinge/config/operator/LogSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/LogSection.java
@@ -1,4 +1,4 @@
-package sablehinge.config.operator;
+package sablehinge.gateway.config.operator;
 
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/sablehinge/config/operator/OperatorConfig.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
@@ -1,4 +1,4 @@
-package sablehinge.config.operator;
+package sablehinge.gateway.config.operator;
 
 import java.net.InetSocketAddress;
 import java.time.ZoneId;
@@ -12,7 +12,7 @@
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Roster.Member;
 import sablehinge.dataplane.proxy.Version;
-import sablehinge.membership.RosterParser;
+import sablehinge.gateway.discovery.RosterParser;
 import sablehinge.policy.LoadBalancer.Goal;
 import sablehinge.policy.LoadBalancer.Group;
 import sablehinge.policy.LoadBalancer.Limits;
--- a/src/main/java/sablehinge/config/operator/RecorderSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/RecorderSection.java
@@ -1,6 +1,6 @@
-package sablehinge.config.operator;
+package sablehinge.gateway.config.operator;
 
-import sablehinge.config.operator.OperatorConfig.RecorderPart;
+import sablehinge.gateway.config.operator.OperatorConfig.RecorderPart;
 
 /** Reads what an operator file says of the flight recorder. */
 final class RecorderSection {
--- a/src/main/java/sablehinge/config/operator/ReplaySection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/ReplaySection.java
@@ -1,4 +1,4 @@
-package sablehinge.config.operator;
+package sablehinge.gateway.config.operator;
 
 import java.time.DateTimeException;
 import java.time.ZoneId;
--- a/src/main/java/sablehinge/config/operator/Section.java
+++ b/src/main/java/sablehinge/gateway/config/operator/Section.java
@@ -1,4 +1,4 @@
-package sablehinge.config.operator;
+package sablehinge.gateway.config.operator;
 
 import java.math.BigDecimal;
 import java.net.InetSocketAddress;
@@ -14,7 +14,7 @@
 import org.tomlj.TomlArray;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
-import sablehinge.settings.Addresses;
+import sablehinge.gateway.settings.Addresses;
 
 /**
  * Reads one table of an operator file. Each key is asked for once, with its type, range and default; what is amiss is
--- a/src/main/java/sablehinge/config/versions/SystemDisk.java
+++ b/src/main/java/sablehinge/gateway/config/versions/SystemDisk.java
@@ -1,4 +1,4 @@
-package sablehinge.config.versions;
+package sablehinge.gateway.config.versions;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
--- a/src/main/java/sablehinge/config/versions/VersionStore.java
+++ b/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
@@ -1,4 +1,4 @@
-package sablehinge.config.versions;
+package sablehinge.gateway.config.versions;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
--- a/src/main/java/sablehinge/membership/Discovery.java
+++ b/src/main/java/sablehinge/gateway/discovery/Discovery.java
@@ -1,4 +1,4 @@
-package sablehinge.membership;
+package sablehinge.gateway.discovery;
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import io.netty.bootstrap.Bootstrap;
--- a/src/main/java/sablehinge/membership/Maintenance.java
+++ b/src/main/java/sablehinge/gateway/discovery/Maintenance.java
@@ -1,4 +1,4 @@
-package sablehinge.membership;
+package sablehinge.gateway.discovery;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/sablehinge/membership/RosterParser.java
+++ b/src/main/java/sablehinge/gateway/discovery/RosterParser.java
@@ -1,4 +1,4 @@
-package sablehinge.membership;
+package sablehinge.gateway.discovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
@@ -7,9 +7,9 @@
 import java.util.zip.CRC32C;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Roster.Member;
+import sablehinge.gateway.settings.Addresses;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
-import sablehinge.settings.Addresses;
 
 /**
  * Reads lists of upstreams in discovery's form.
--- a/src/main/java/sablehinge/node/AdminHandler.java
+++ b/src/main/java/sablehinge/gateway/node/AdminHandler.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -6,12 +6,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.function.Consumer;
-import sablehinge.admin.AdminServer;
-import sablehinge.admin.AdminServer.Reply;
-import sablehinge.admin.AdminServer.Request;
-import sablehinge.change.ChangeDecider;
-import sablehinge.change.ChangeDecider.Past;
-import sablehinge.change.ChangeDecider.Phase;
+import sablehinge.gateway.admin.AdminServer;
+import sablehinge.gateway.admin.AdminServer.Reply;
+import sablehinge.gateway.admin.AdminServer.Request;
+import sablehinge.gateway.rollout.ChangeDecider;
+import sablehinge.gateway.rollout.ChangeDecider.Past;
+import sablehinge.gateway.rollout.ChangeDecider.Phase;
 
 /** What operators ask for, in the terms of {@link Versions}. */
 final class AdminHandler implements AdminServer.Handler {
--- a/src/main/java/sablehinge/node/LoopVitals.java
+++ b/src/main/java/sablehinge/gateway/node/LoopVitals.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import java.util.Collection;
 import java.util.function.Consumer;
@@ -9,7 +9,7 @@
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Passage;
-import sablehinge.recorder.Vitals;
+import sablehinge.gateway.recorder.Vitals;
 
 /** What a watch can see of the parts of one balancer; on their loop. */
 public final class LoopVitals implements Vitals {
--- a/src/main/java/sablehinge/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -14,13 +14,11 @@
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.admin.CallServer;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.common.eventloop.LoopTimers;
 import sablehinge.common.logging.Log;
 import sablehinge.common.settings.ConfigException;
-import sablehinge.config.PlatformConfig;
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.http1.UpstreamClient;
@@ -28,14 +26,16 @@
 import sablehinge.dataplane.proxy.Observer;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Version;
-import sablehinge.membership.Discovery;
-import sablehinge.membership.Maintenance;
-import sablehinge.membership.RosterParser;
+import sablehinge.gateway.admin.CallServer;
+import sablehinge.gateway.config.PlatformConfig;
+import sablehinge.gateway.discovery.Discovery;
+import sablehinge.gateway.discovery.Maintenance;
+import sablehinge.gateway.discovery.RosterParser;
+import sablehinge.gateway.recorder.Watch;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.ServiceClass;
-import sablehinge.recorder.Watch;
 
 /** One balancer on the platform: its parts put together on one event loop thread, which owns them all. */
 public final class Node {
--- a/src/main/java/sablehinge/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -21,21 +21,12 @@
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sablehinge.admin.AdminServer;
-import sablehinge.change.ChangeDecider;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.common.eventloop.LoopTimers;
 import sablehinge.common.eventloop.Timers;
 import sablehinge.common.logging.Log;
 import sablehinge.common.logging.Logging;
-import sablehinge.config.operator.OperatorConfig;
-import sablehinge.config.operator.OperatorConfig.BudgetPart;
-import sablehinge.config.operator.OperatorConfig.ListenerPart;
-import sablehinge.config.operator.OperatorConfig.RecorderPart;
-import sablehinge.config.operator.OperatorFile;
-import sablehinge.config.operator.Problem;
-import sablehinge.config.versions.VersionStore;
 import sablehinge.dataplane.budget.HeaderText;
 import sablehinge.dataplane.budget.Keys;
 import sablehinge.dataplane.http1.Frontend;
@@ -45,11 +36,20 @@
 import sablehinge.dataplane.proxy.ChainBudgets;
 import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Version;
-import sablehinge.membership.Discovery;
-import sablehinge.membership.RosterParser;
+import sablehinge.gateway.admin.AdminServer;
+import sablehinge.gateway.config.operator.OperatorConfig;
+import sablehinge.gateway.config.operator.OperatorConfig.BudgetPart;
+import sablehinge.gateway.config.operator.OperatorConfig.ListenerPart;
+import sablehinge.gateway.config.operator.OperatorConfig.RecorderPart;
+import sablehinge.gateway.config.operator.OperatorFile;
+import sablehinge.gateway.config.operator.Problem;
+import sablehinge.gateway.config.versions.VersionStore;
+import sablehinge.gateway.discovery.Discovery;
+import sablehinge.gateway.discovery.RosterParser;
+import sablehinge.gateway.recorder.Watch;
+import sablehinge.gateway.rollout.ChangeDecider;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
-import sablehinge.recorder.Watch;
 
 /** One balancer by an operator file, whose configuration may change while it runs. */
 public final class OperatorNode {
--- a/src/main/java/sablehinge/node/Preparation.java
+++ b/src/main/java/sablehinge/gateway/node/Preparation.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -9,10 +9,10 @@
 import java.util.function.Supplier;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
-import sablehinge.config.operator.OperatorConfig;
-import sablehinge.config.operator.OperatorConfig.ListenerPart;
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.UpstreamClient;
+import sablehinge.gateway.config.operator.OperatorConfig;
+import sablehinge.gateway.config.operator.OperatorConfig.ListenerPart;
 
 /**
  * Makes a version ready beside the traffic: binds the listeners that are not there yet, waits for its first list of
--- a/src/main/java/sablehinge/node/Recording.java
+++ b/src/main/java/sablehinge/gateway/node/Recording.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.EventLoop;
@@ -17,13 +17,13 @@
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.TraceEvent;
-import sablehinge.recorder.Alarm;
-import sablehinge.recorder.DumpFolder;
-import sablehinge.recorder.FlightRecorder;
-import sablehinge.recorder.Ring;
-import sablehinge.recorder.Vitals;
-import sablehinge.recorder.Watch;
-import sablehinge.recorder.Watchdog;
+import sablehinge.gateway.recorder.Alarm;
+import sablehinge.gateway.recorder.DumpFolder;
+import sablehinge.gateway.recorder.FlightRecorder;
+import sablehinge.gateway.recorder.Ring;
+import sablehinge.gateway.recorder.Vitals;
+import sablehinge.gateway.recorder.Watch;
+import sablehinge.gateway.recorder.Watchdog;
 
 /** The flight recorder of one balancer, its watch on the loop and its watchdog beside it. */
 final class Recording {
--- a/src/main/java/sablehinge/node/ServerSource.java
+++ b/src/main/java/sablehinge/gateway/node/ServerSource.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,7 +9,7 @@
 import sablehinge.dataplane.proxy.Registry;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Roster.Member;
-import sablehinge.membership.Discovery;
+import sablehinge.gateway.discovery.Discovery;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 
--- a/src/main/java/sablehinge/node/Shared.java
+++ b/src/main/java/sablehinge/gateway/node/Shared.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/main/java/sablehinge/recorder/Alarm.java
+++ b/src/main/java/sablehinge/gateway/recorder/Alarm.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 /**
  * Something that must not be.
--- a/src/main/java/sablehinge/recorder/Dump.java
+++ b/src/main/java/sablehinge/gateway/recorder/Dump.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/sablehinge/recorder/DumpFolder.java
+++ b/src/main/java/sablehinge/gateway/recorder/DumpFolder.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/sablehinge/recorder/FlightRecorder.java
+++ b/src/main/java/sablehinge/gateway/recorder/FlightRecorder.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import java.util.function.LongSupplier;
 import sablehinge.dataplane.proxy.TraceEvent;
--- a/src/main/java/sablehinge/recorder/Ring.java
+++ b/src/main/java/sablehinge/gateway/recorder/Ring.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
--- a/src/main/java/sablehinge/recorder/Timeline.java
+++ b/src/main/java/sablehinge/gateway/recorder/Timeline.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import sablehinge.recorder.Dump.Event;
+import sablehinge.gateway.recorder.Dump.Event;
 
 /** A dump in the order of its time, with what belongs together found: which request a connection is at. */
 public final class Timeline {
--- a/src/main/java/sablehinge/recorder/TimelinePage.java
+++ b/src/main/java/sablehinge/gateway/recorder/TimelinePage.java
@@ -1,12 +1,12 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import java.time.Instant;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import sablehinge.recorder.Timeline.Span;
-import sablehinge.recorder.Timeline.Step;
+import sablehinge.gateway.recorder.Timeline.Span;
+import sablehinge.gateway.recorder.Timeline.Step;
 
 /** A page that draws what each connection of a dump did over time: one file, no script, no network. */
 public final class TimelinePage {
--- a/src/main/java/sablehinge/recorder/Vitals.java
+++ b/src/main/java/sablehinge/gateway/recorder/Vitals.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
--- a/src/main/java/sablehinge/recorder/Watch.java
+++ b/src/main/java/sablehinge/gateway/recorder/Watch.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import sablehinge.dataplane.proxy.Passage;
-import sablehinge.recorder.Alarm.Kind;
+import sablehinge.gateway.recorder.Alarm.Kind;
 
 /**
  * Holds what a process does against what it promises, at each tick. It keeps no clock and does nothing but look, save
--- a/src/main/java/sablehinge/change/ChangeDecider.java
+++ b/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
@@ -1,11 +1,11 @@
-package sablehinge.change;
+package sablehinge.gateway.rollout;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.change.Shares.Outcome;
+import sablehinge.gateway.rollout.Shares.Outcome;
 
 /**
  * Decides on changes of the configuration: what may be staged and applied, when a change is undone, when it is kept.
--- a/src/main/java/sablehinge/change/RiseGuard.java
+++ b/src/main/java/sablehinge/gateway/rollout/RiseGuard.java
@@ -1,7 +1,7 @@
-package sablehinge.change;
+package sablehinge.gateway.rollout;
 
 import java.util.Locale;
-import sablehinge.change.Shares.Outcome;
+import sablehinge.gateway.rollout.Shares.Outcome;
 
 /**
  * Whether a share of answers has risen over a bound against what it was before a change. A few answers prove nothing:
--- a/src/main/java/sablehinge/change/Shares.java
+++ b/src/main/java/sablehinge/gateway/rollout/Shares.java
@@ -1,4 +1,4 @@
-package sablehinge.change;
+package sablehinge.gateway.rollout;
 
 import java.util.Arrays;
 
--- a/src/main/java/sablehinge/settings/Addresses.java
+++ b/src/main/java/sablehinge/gateway/settings/Addresses.java
@@ -1,4 +1,4 @@
-package sablehinge.settings;
+package sablehinge.gateway.settings;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/sablehinge/settings/MalformedInputException.java
+++ b/src/main/java/sablehinge/gateway/settings/MalformedInputException.java
@@ -1,4 +1,4 @@
-package sablehinge.settings;
+package sablehinge.gateway.settings;
 
 /** Input that the wire does not allow; the message says what and where, in one line. */
 public final class MalformedInputException extends RuntimeException {
--- a/src/main/java/sablehinge/settings/SettingsParser.java
+++ b/src/main/java/sablehinge/gateway/settings/SettingsParser.java
@@ -1,4 +1,4 @@
-package sablehinge.settings;
+package sablehinge.gateway.settings;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
--- a/src/main/java/sablehinge/wire/LittleEndian.java
+++ b/src/main/java/sablehinge/gateway/wire/LittleEndian.java
@@ -1,4 +1,4 @@
-package sablehinge.wire;
+package sablehinge.gateway.wire;
 
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
--- a/src/main/java/sablehinge/wire/Main.java
+++ b/src/main/java/sablehinge/gateway/wire/Main.java
@@ -1,4 +1,4 @@
-package sablehinge.wire;
+package sablehinge.gateway.wire;
 
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
@@ -9,8 +9,8 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
+import sablehinge.gateway.settings.MalformedInputException;
 import sablehinge.policy.LatencyWeightedBalancer;
-import sablehinge.settings.MalformedInputException;
 
 /** The command line: {@code wire} reads batches on standard input and answers on standard output. */
 public final class Main {
--- a/src/main/java/sablehinge/wire/ReplyWriter.java
+++ b/src/main/java/sablehinge/gateway/wire/ReplyWriter.java
@@ -1,4 +1,4 @@
-package sablehinge.wire;
+package sablehinge.gateway.wire;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/sablehinge/wire/WireHost.java
+++ b/src/main/java/sablehinge/gateway/wire/WireHost.java
@@ -1,4 +1,4 @@
-package sablehinge.wire;
+package sablehinge.gateway.wire;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -8,6 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import sablehinge.gateway.settings.MalformedInputException;
+import sablehinge.gateway.settings.SettingsParser;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.Outcome;
@@ -16,8 +18,6 @@
 import sablehinge.policy.LoadBalancer.Settings;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
-import sablehinge.settings.MalformedInputException;
-import sablehinge.settings.SettingsParser;
 
 /** Reads batches of events, hands each to its instance, and answers every batch with one reply. */
 final class WireHost {
--- a/src/test/java/sablehinge/config/operator/OperatorFileTest.java
+++ b/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
@@ -1,4 +1,4 @@
-package sablehinge.config.operator;
+package sablehinge.gateway.config.operator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/config/versions/VersionStoreTest.java
+++ b/src/test/java/sablehinge/gateway/config/versions/VersionStoreTest.java
@@ -1,4 +1,4 @@
-package sablehinge.config.versions;
+package sablehinge.gateway.config.versions;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/sablehinge/membership/DiscoveryTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
@@ -1,4 +1,4 @@
-package sablehinge.membership;
+package sablehinge.gateway.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import sablehinge.common.eventloop.ClosingEventLoops;
-import sablehinge.config.PlatformConfig;
+import sablehinge.gateway.config.PlatformConfig;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.rig.Listener;
--- a/src/test/java/sablehinge/membership/MaintenanceTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
@@ -1,4 +1,4 @@
-package sablehinge.membership;
+package sablehinge.gateway.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/node/AccessLogTest.java
+++ b/src/test/java/sablehinge/gateway/node/AccessLogTest.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sablehinge/node/OperationTest.java
+++ b/src/test/java/sablehinge/gateway/node/OperationTest.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import sablehinge.common.settings.ConfigException;
-import sablehinge.config.PlatformConfig;
+import sablehinge.gateway.config.PlatformConfig;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.rig.Peer;
--- a/src/test/java/sablehinge/node/RecordingTest.java
+++ b/src/test/java/sablehinge/gateway/node/RecordingTest.java
@@ -1,4 +1,4 @@
-package sablehinge.node;
+package sablehinge.gateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,8 +12,8 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.recorder.Dump;
-import sablehinge.recorder.Timeline;
+import sablehinge.gateway.recorder.Dump;
+import sablehinge.gateway.recorder.Timeline;
 import sablehinge.rig.Logs;
 import sablehinge.rig.OperatorStage;
 import sablehinge.rig.Peer;
--- a/src/test/java/sablehinge/recorder/RingTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/RingTest.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sablehinge/recorder/WatchTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchTest.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import sablehinge.dataplane.proxy.Passage;
-import sablehinge.recorder.Alarm.Kind;
+import sablehinge.gateway.recorder.Alarm.Kind;
 
 /** What the watch sees, in virtual time. */
 class WatchTest {
--- a/src/test/java/sablehinge/recorder/WatchdogTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchdogTest.java
@@ -1,4 +1,4 @@
-package sablehinge.recorder;
+package sablehinge.gateway.recorder;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.recorder.Alarm.Kind;
+import sablehinge.gateway.recorder.Alarm.Kind;
 
 /** The thread beside the loop, with a clock that the test turns; the test's thread is the loop. */
 @Timeout(60)
--- a/src/test/java/sablehinge/change/ChangeDeciderPropertyTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
@@ -1,4 +1,4 @@
-package sablehinge.change;
+package sablehinge.gateway.rollout;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,9 +10,9 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
 import org.junit.jupiter.api.Assertions;
-import sablehinge.change.ChangeDecider.Phase;
-import sablehinge.change.ChangeDecider.Terms;
-import sablehinge.change.Shares.Outcome;
+import sablehinge.gateway.rollout.ChangeDecider.Phase;
+import sablehinge.gateway.rollout.ChangeDecider.Terms;
+import sablehinge.gateway.rollout.Shares.Outcome;
 
 /** Any events in any order; jqwik prints the seed and the shortest story of a failure. */
 class ChangeDeciderPropertyTest {
--- a/src/test/java/sablehinge/change/ChangeDeciderTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
@@ -1,4 +1,4 @@
-package sablehinge.change;
+package sablehinge.gateway.rollout;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import sablehinge.change.ChangeDecider.Phase;
-import sablehinge.change.ChangeDecider.Reply;
-import sablehinge.change.ChangeDecider.Terms;
-import sablehinge.change.Shares.Outcome;
+import sablehinge.gateway.rollout.ChangeDecider.Phase;
+import sablehinge.gateway.rollout.ChangeDecider.Reply;
+import sablehinge.gateway.rollout.ChangeDecider.Terms;
+import sablehinge.gateway.rollout.Shares.Outcome;
 
 /** What the decider asks for, in virtual time. */
 class ChangeDeciderTest {
--- a/src/test/java/sablehinge/settings/SettingsParserTest.java
+++ b/src/test/java/sablehinge/gateway/settings/SettingsParserTest.java
@@ -1,4 +1,4 @@
-package sablehinge.settings;
+package sablehinge.gateway.settings;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sablehinge/wire/WireHostTest.java
+++ b/src/test/java/sablehinge/gateway/wire/WireHostTest.java
@@ -1,4 +1,4 @@
-package sablehinge.wire;
+package sablehinge.gateway.wire;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,8 +15,8 @@
 import java.util.HexFormat;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import sablehinge.gateway.settings.SettingsParserTest;
 import sablehinge.policy.LoadBalancer;
-import sablehinge.settings.SettingsParserTest;
 
 /** The wire, byte for byte: good frames, and what bad input gets. */
 class WireHostTest {
--- a/src/test/java/sablehinge/rig/OperatorStage.java
+++ b/src/test/java/sablehinge/rig/OperatorStage.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import sablehinge.node.OperatorNode;
+import sablehinge.gateway.node.OperatorNode;
 
 /** A balancer by an operator file between stand-in servers, and an operator's hand on its admin socket. */
 public final class OperatorStage implements AutoCloseable {
--- a/src/test/java/sablehinge/rig/Stage.java
+++ b/src/test/java/sablehinge/rig/Stage.java
@@ -8,8 +8,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
-import sablehinge.config.PlatformConfig;
-import sablehinge.node.Node;
+import sablehinge.gateway.config.PlatformConfig;
+import sablehinge.gateway.node.Node;
 import sablehinge.policy.LoadBalancer;
 
 /** A node on loopback addresses between listeners that the test plays upstreams and discovery on. */
