--- a/src/main/java/sablehinge/controlplane/raft/RaftNode.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftNode.java
@@ -38,7 +38,7 @@
          * Writes and syncs, in order; {@link RaftNode#persisted} is called after. A disk that refuses is one that takes
          * longer. Some ten changes are under way at a time.
          */
-        void persist(Change change);
+        void persist(WriteBatch change);
 
         /** A committed entry; each comes once in a life of the process, in order, and of every kind. */
         void apply(Entry entry);
@@ -47,7 +47,7 @@
         void restore(Snapshot snapshot);
 
         /** Called whenever it has changed. */
-        void standing(Standing standing);
+        void standing(RaftStatus standing);
 
         /** What was committed before {@link RaftNode#barrier} is applied here, and this still led. */
         void confirmed(long token);
@@ -91,7 +91,7 @@
     private record Barrier(long token, long round, long index, double until) {}
 
     private final Actions actions;
-    private final Timing timing;
+    private final RaftConfig timing;
     private final Random random;
     private final MembershipPlanner planner;
     private final RaftLog log = new RaftLog();
@@ -107,8 +107,8 @@
     private long votedFor;
     private long commit;
 
-    private Standing.Role role = Standing.Role.FOLLOWER;
-    private Standing told;
+    private RaftStatus.Role role = RaftStatus.Role.FOLLOWER;
+    private RaftStatus told;
     private Member leader;
     private double leaderHeard = Double.NEGATIVE_INFINITY;
     private double electionAt;
@@ -123,7 +123,7 @@
     private final Set<String> contacts = new LinkedHashSet<>();
     private double joinAt = Double.NEGATIVE_INFINITY;
 
-    private final Map<Long, Peer> peers = new LinkedHashMap<>();
+    private final Map<Long, ReplicaProgress> peers = new LinkedHashMap<>();
     private long firstOfTerm;
     private double wonAt;
     private long round;
@@ -157,7 +157,7 @@
      *
      * @param losses how many members may be lost at once while the core goes on
      */
-    public RaftNode(Actions actions, Timing timing, int losses, long seed) {
+    public RaftNode(Actions actions, RaftConfig timing, int losses, long seed) {
         this.actions = actions;
         this.timing = timing;
         this.random = new Random(seed);
@@ -179,7 +179,7 @@
      *
      * @param born when this life began, ms; all that the life before said, it said by then
      */
-    public void start(double now, Stored stored, double born) {
+    public void start(double now, PersistedState stored, double born) {
         self = stored.self();
         term = stored.term();
         votedFor = stored.votedFor();
@@ -255,7 +255,7 @@
         if (!running) {
             return;
         }
-        if (role == Standing.Role.LEADER) {
+        if (role == RaftStatus.Role.LEADER) {
             lead(now);
         } else {
             follow(now);
@@ -273,9 +273,9 @@
             run(now);
             return;
         }
-        if (role == Standing.Role.LEADER) {
+        if (role == RaftStatus.Role.LEADER) {
             advance(now);
-        } else if (role == Standing.Role.CANDIDATE) {
+        } else if (role == RaftStatus.Role.CANDIDATE) {
             countOwnVote(now);
         } else if (leader != null && queue.syncedTerm() == term) {
             actions.send(leader, appended(true, verified));
@@ -292,7 +292,7 @@
      */
     public long propose(double now, byte[] command) {
         if (!running
-                || role != Standing.Role.LEADER
+                || role != RaftStatus.Role.LEADER
                 || log.lastIndex() - commit >= timing.waiting()
                 || queue.isFull()
                 || isLeaving()) {
@@ -305,7 +305,7 @@
 
     /** Asks whether all that was committed anywhere before this call is applied here; see {@link Actions}. */
     public void barrier(double now, long token) {
-        if (!running || role != Standing.Role.LEADER) {
+        if (!running || role != RaftStatus.Role.LEADER) {
             actions.denied(token);
             return;
         }
@@ -339,31 +339,31 @@
         if (!running || from.id() == self.id()) {
             return;
         }
-        if (message instanceof Message.AskVote ask) {
+        if (message instanceof Message.VoteRequest ask) {
             askVote(now, from, ask);
-        } else if (message instanceof Message.Vote vote) {
+        } else if (message instanceof Message.VoteResponse vote) {
             vote(now, from, vote);
-        } else if (message instanceof Message.Append append) {
+        } else if (message instanceof Message.AppendRequest append) {
             takeAppend(now, from, append);
-        } else if (message instanceof Message.Install install) {
+        } else if (message instanceof Message.InstallSnapshotRequest install) {
             takeInstall(now, from, install);
-        } else if (message instanceof Message.Appended appended) {
+        } else if (message instanceof Message.AppendResponse appended) {
             takeAppended(now, from, appended);
-        } else if (message instanceof Message.Installing installing) {
+        } else if (message instanceof Message.InstallSnapshotResponse installing) {
             takeInstalling(now, from, installing);
-        } else if (message instanceof Message.Join join) {
+        } else if (message instanceof Message.JoinRequest join) {
             takeJoin(now, join);
-        } else if (message instanceof Message.Guide guide) {
+        } else if (message instanceof Message.LeaderHint guide) {
             takeGuide(now, guide);
-        } else if (message instanceof Message.Leave leave) {
+        } else if (message instanceof Message.LeaveRequest leave) {
             takeLeave(now, leave.self());
-        } else if (message instanceof Message.Released answer) {
+        } else if (message instanceof Message.LeaveResponse answer) {
             if (answer.term() == term) {
                 release();
             }
-        } else if (message instanceof Message.TakeOver take) {
+        } else if (message instanceof Message.TimeoutNowRequest take) {
             // Two that leave would hand over to each other for ever.
-            if (take.term() == term && role == Standing.Role.FOLLOWER && log.holds(self.id()) && !isLeaving()) {
+            if (take.term() == term && role == RaftStatus.Role.FOLLOWER && log.holds(self.id()) && !isLeaving()) {
                 stand(now, term + 1, true);
             }
         }
@@ -380,15 +380,15 @@
     /** Ends each call: what was decided goes to the disk, and a new standing is told. */
     private void end(double now) {
         flush(now);
-        boolean outside = role != Standing.Role.LEADER && !log.holds(self.id());
-        Standing.Role shown = outside ? Standing.Role.OUTSIDER : role;
+        boolean outside = role != RaftStatus.Role.LEADER && !log.holds(self.id());
+        RaftStatus.Role shown = outside ? RaftStatus.Role.OUTSIDER : role;
         // Lists are never changed, so the same one is an equal one; this runs with every message.
         if (told == null
                 || told.role() != shown
                 || told.term() != term
                 || told.members() != log.members()
                 || !Objects.equals(told.leader(), leader)) {
-            told = new Standing(shown, term, leader, log.members());
+            told = new RaftStatus(shown, term, leader, log.members());
             actions.standing(told);
         }
     }
@@ -435,7 +435,7 @@
             lastRound = 0;
             leader = null;
         }
-        if (role == Standing.Role.LEADER) {
+        if (role == RaftStatus.Role.LEADER) {
             peers.clear();
             barriers.forEach(barrier -> actions.denied(barrier.token()));
             barriers.clear();
@@ -443,7 +443,7 @@
             leader = null;
             waitForLeader(now);
         }
-        role = Standing.Role.FOLLOWER;
+        role = RaftStatus.Role.FOLLOWER;
         asking = false;
         if (newLeader != null) {
             leader = newLeader;
@@ -481,7 +481,7 @@
 
     /** Asks who would vote for this member; nothing changes by it, so that a lonely one disturbs nobody. */
     private void askAround(double now) {
-        role = Standing.Role.FOLLOWER;
+        role = RaftStatus.Role.FOLLOWER;
         leader = null;
         asking = true;
         votes.clear();
@@ -491,19 +491,19 @@
             stand(now, term + 1, false);
             return;
         }
-        sendOthers(new Message.AskVote(term + 1, log.lastIndex(), log.lastTerm(), true, false), false);
+        sendOthers(new Message.VoteRequest(term + 1, log.lastIndex(), log.lastTerm(), true, false), false);
     }
 
     private void stand(double now, long newTerm, boolean handed) {
         stepDown(now, newTerm, null);
-        role = Standing.Role.CANDIDATE;
+        role = RaftStatus.Role.CANDIDATE;
         votedFor = self.id();
         stoodAt = now;
         queue.touch();
         votes.clear();
         waitForLeader(now);
         // Held until the own vote is synced; with it goes all of the log that it is asked for.
-        sendOthers(new Message.AskVote(term, log.lastIndex(), log.lastTerm(), false, handed), true);
+        sendOthers(new Message.VoteRequest(term, log.lastIndex(), log.lastTerm(), false, handed), true);
     }
 
     private void sendOthers(Message message, boolean hold) {
@@ -530,16 +530,16 @@
         }
     }
 
-    private void askVote(double now, Member from, Message.AskVote ask) {
+    private void askVote(double now, Member from, Message.VoteRequest ask) {
         boolean known = log.holds(from.id());
-        boolean led = role == Standing.Role.LEADER || now - leaderHeard < timing.electionLeast();
+        boolean led = role == RaftStatus.Role.LEADER || now - leaderHeard < timing.electionLeast();
         // Who hears a leader disturbs it for nobody, save for whom the leader itself asked to stand.
         boolean refused = led && !(ask.handed() && known);
         boolean current = ask.lastTerm() > log.lastTerm()
                 || ask.lastTerm() == log.lastTerm() && ask.lastIndex() >= log.lastIndex();
         if (ask.pre()) {
             boolean granted = !refused && current && ask.term() > term && !diskHangs(now);
-            actions.send(from, new Message.Vote(granted ? ask.term() : term, granted, true));
+            actions.send(from, new Message.VoteResponse(granted ? ask.term() : term, granted, true));
             return;
         }
         if (!refused && ask.term() > term) {
@@ -548,10 +548,10 @@
         boolean granted = !refused
                 && current
                 && ask.term() == term
-                && role == Standing.Role.FOLLOWER
+                && role == RaftStatus.Role.FOLLOWER
                 && (votedFor == 0 || votedFor == from.id());
         if (!granted) {
-            actions.send(from, new Message.Vote(term, false, false));
+            actions.send(from, new Message.VoteResponse(term, false, false));
             return;
         }
         if (votedFor == 0) {
@@ -560,11 +560,11 @@
         }
         asking = false;
         waitForLeader(now);
-        queue.hold(from, new Message.Vote(term, true, false));
+        queue.hold(from, new Message.VoteResponse(term, true, false));
     }
 
-    private void vote(double now, Member from, Message.Vote vote) {
-        if (!log.holds(from.id()) || role == Standing.Role.LEADER) {
+    private void vote(double now, Member from, Message.VoteResponse vote) {
+        if (!log.holds(from.id()) || role == RaftStatus.Role.LEADER) {
             return;
         }
         if (!vote.granted()) {
@@ -576,7 +576,7 @@
             if (hasMajority(votes)) {
                 stand(now, term + 1, false);
             }
-        } else if (!vote.pre() && role == Standing.Role.CANDIDATE && vote.term() == term) {
+        } else if (!vote.pre() && role == RaftStatus.Role.CANDIDATE && vote.term() == term) {
             votes.add(from.id());
             countVotes(now);
         }
@@ -584,17 +584,17 @@
 
     // Following.
 
-    private Message.Appended appended(boolean success, long hint) {
+    private Message.AppendResponse appended(boolean success, long hint) {
         // Entries count for a term only if the disk knows the term: else an older leader could undo them.
         long match = success && queue.syncedTerm() == term ? Math.min(queue.synced(), verified) : 0;
-        return new Message.Appended(term, success, match, hint, lastRound);
+        return new Message.AppendResponse(term, success, match, hint, lastRound);
     }
 
     /** Whether a leader's message is of the latest term; hears of the leader then. */
     private boolean heard(double now, Member from, long itsTerm, long itsRound) {
-        if (itsTerm < term || itsTerm == term && role == Standing.Role.LEADER) {
+        if (itsTerm < term || itsTerm == term && role == RaftStatus.Role.LEADER) {
             // Its sender may lead a later term by now, where a round of this number is another.
-            actions.send(from, new Message.Appended(term, false, 0, 0, 0));
+            actions.send(from, new Message.AppendResponse(term, false, 0, 0, 0));
             return false;
         }
         stepDown(now, itsTerm, from);
@@ -604,7 +604,7 @@
         return true;
     }
 
-    private void takeAppend(double now, Member from, Message.Append append) {
+    private void takeAppend(double now, Member from, Message.AppendRequest append) {
         if (!heard(now, from, append.term(), append.round())) {
             return;
         }
@@ -663,7 +663,7 @@
         queue.append(entry);
     }
 
-    private void takeInstall(double now, Member from, Message.Install install) {
+    private void takeInstall(double now, Member from, Message.InstallSnapshotRequest install) {
         if (!heard(now, from, install.term(), install.round())) {
             return;
         }
@@ -674,7 +674,10 @@
         boolean wanted = install.part().index() > commit || log.isBare();
         Snapshot snapshot = wanted ? receiver.take(install) : null;
         if (wanted && snapshot == null) {
-            actions.send(from, new Message.Installing(term, install.part().index(), receiver.held(install), lastRound));
+            actions.send(
+                    from,
+                    new Message.InstallSnapshotResponse(
+                            term, install.part().index(), receiver.held(install), lastRound));
             return;
         }
         if (wanted) {
@@ -696,7 +699,7 @@
     // Coming in.
 
     private void join() {
-        Message.Join join = new Message.Join(self, log.lastIndex());
+        Message.JoinRequest join = new Message.JoinRequest(self, log.lastIndex());
         if (leader != null) {
             actions.send(leader, join);
             return;
@@ -715,41 +718,41 @@
         }
     }
 
-    private void takeJoin(double now, Message.Join join) {
+    private void takeJoin(double now, Message.JoinRequest join) {
         Member who = join.self();
         if (who.id() == self.id() || who.id() == 0) {
             return;
         }
-        if (role != Standing.Role.LEADER) {
-            actions.send(who, new Message.Guide(term, leader, log.members()));
+        if (role != RaftStatus.Role.LEADER) {
+            actions.send(who, new Message.LeaderHint(term, leader, log.members()));
             return;
         }
-        Peer peer = peers.get(who.id());
+        ReplicaProgress peer = peers.get(who.id());
         if (peer == null) {
             if (peers.size() >= log.members().size() - 1 + MOST_WAITING) {
                 return;
             }
-            peer = new Peer(who, Math.min(join.lastIndex(), log.lastIndex()) + 1, Double.NEGATIVE_INFINITY);
+            peer = new ReplicaProgress(who, Math.min(join.lastIndex(), log.lastIndex()) + 1, Double.NEGATIVE_INFINITY);
             peers.put(who.id(), peer);
             feed(now, peer, true);
         }
         peer.asked = now;
     }
 
-    private void takeGuide(double now, Message.Guide guide) {
-        if (role == Standing.Role.LEADER || log.holds(self.id()) && now - leaderHeard < LOST) {
+    private void takeGuide(double now, Message.LeaderHint guide) {
+        if (role == RaftStatus.Role.LEADER || log.holds(self.id()) && now - leaderHeard < LOST) {
             return;
         }
         guide.members().forEach(member -> contacts(List.of(member.address())));
         if (guide.leader() != null && guide.leader().id() != self.id()) {
-            actions.send(guide.leader(), new Message.Join(self, log.lastIndex()));
+            actions.send(guide.leader(), new Message.JoinRequest(self, log.lastIndex()));
         }
     }
 
     // Leading.
 
     private void win(double now) {
-        role = Standing.Role.LEADER;
+        role = RaftStatus.Role.LEADER;
         leader = self;
         asking = false;
         peers.clear();
@@ -773,7 +776,7 @@
         if (kind == Entry.Kind.MEMBERS) {
             keepPeers(now);
         }
-        for (Peer peer : peers.values()) {
+        for (ReplicaProgress peer : peers.values()) {
             // At the start of a term the guess is worth a try; later only an answer makes more of it.
             if (!peer.probing || entry.index() == peer.next && kind == Entry.Kind.NOOP) {
                 feedMore(now, peer);
@@ -786,7 +789,7 @@
     private void keepPeers(double now) {
         for (Member member : log.members()) {
             if (member.id() != self.id() && !peers.containsKey(member.id())) {
-                peers.put(member.id(), new Peer(member, log.lastIndex() + 1, now));
+                peers.put(member.id(), new ReplicaProgress(member, log.lastIndex() + 1, now));
             }
         }
     }
@@ -817,7 +820,7 @@
     private boolean heardMajority(double now) {
         int count = 0;
         for (Member member : log.members()) {
-            Peer peer = peers.get(member.id());
+            ReplicaProgress peer = peers.get(member.id());
             if (member.id() == self.id() || peer != null && now - peer.heard <= timing.quorum()) {
                 count++;
             }
@@ -831,13 +834,13 @@
         askedAt[(int) (round % ASKED)] = now;
         committedAt[(int) (round % ASKED)] = commit;
         heartbeatAt = now + timing.heartbeat();
-        for (Peer peer : peers.values()) {
+        for (ReplicaProgress peer : peers.values()) {
             feed(now, peer, now - peer.heard <= timing.fresh() || peer.probing);
         }
     }
 
     /** Sends what a peer is to have next, or a sign of life. */
-    private void feed(double now, Peer peer, boolean withEntries) {
+    private void feed(double now, ReplicaProgress peer, boolean withEntries) {
         if (peer.snapshot == null && (peer.bare || !log.reaches(peer.next))) {
             peer.snapshot = new SnapshotSender(log.base());
             peer.window.clear();
@@ -854,7 +857,8 @@
         List<Entry> entries =
                 withEntries && mayHaveMore(peer) ? log.from(peer.next, timing.entries(), most) : List.of();
         long previous = peer.next - 1;
-        actions.send(peer.member, new Message.Append(term, previous, log.termAt(previous), entries, commit, round));
+        actions.send(
+                peer.member, new Message.AppendRequest(term, previous, log.termAt(previous), entries, commit, round));
         if (!entries.isEmpty()) {
             peer.window.sent(now, round, previous + entries.size(), bytes(entries));
         }
@@ -863,14 +867,14 @@
         }
     }
 
-    private void feedSnapshot(double now, Peer peer) {
+    private void feedSnapshot(double now, ReplicaProgress peer) {
         peer.snapshot.renew(now, log.base());
         // What lies at 0 is the same in all logs, so this is a sign of life only.
         actions.send(
                 peer.member,
                 peer.snapshot.isDue(now)
                         ? peer.snapshot.next(now, term, round)
-                        : new Message.Append(term, 0, 0, List.of(), 0, round));
+                        : new Message.AppendRequest(term, 0, 0, List.of(), 0, round));
     }
 
     private static long bytes(List<Entry> entries) {
@@ -881,11 +885,11 @@
         return bytes;
     }
 
-    private boolean mayHaveMore(Peer peer) {
+    private boolean mayHaveMore(ReplicaProgress peer) {
         return peer.probing ? peer.window.isEmpty() : peer.window.isOpen() && peer.next - 1 - peer.match < AHEAD;
     }
 
-    private void feedMore(double now, Peer peer) {
+    private void feedMore(double now, ReplicaProgress peer) {
         while (peer.next <= log.lastIndex()
                 && peer.snapshot == null
                 && now - peer.heard <= timing.fresh()
@@ -895,8 +899,8 @@
     }
 
     /** Notes an answer of a peer of this term; null if it is none. */
-    private Peer answered(double now, Member from, long itsTerm, long itsRound) {
-        Peer peer = role == Standing.Role.LEADER ? peers.get(from.id()) : null;
+    private ReplicaProgress answered(double now, Member from, long itsTerm, long itsRound) {
+        ReplicaProgress peer = role == RaftStatus.Role.LEADER ? peers.get(from.id()) : null;
         if (peer == null || itsTerm < term) {
             return null;
         }
@@ -917,8 +921,8 @@
         return peer;
     }
 
-    private void takeInstalling(double now, Member from, Message.Installing answer) {
-        Peer peer = answered(now, from, answer.term(), answer.round());
+    private void takeInstalling(double now, Member from, Message.InstallSnapshotResponse answer) {
+        ReplicaProgress peer = answered(now, from, answer.term(), answer.round());
         if (peer == null) {
             return;
         }
@@ -928,8 +932,8 @@
         confirm(now);
     }
 
-    private void takeAppended(double now, Member from, Message.Appended answer) {
-        Peer peer = answered(now, from, answer.term(), answer.round());
+    private void takeAppended(double now, Member from, Message.AppendResponse answer) {
+        ReplicaProgress peer = answered(now, from, answer.term(), answer.round());
         if (peer == null) {
             return;
         }
@@ -949,20 +953,20 @@
             feedLost(now, peer, answer);
         }
         advance(now);
-        if (role == Standing.Role.LEADER && (dueChange != null || isLearner(now, peer))) {
+        if (role == RaftStatus.Role.LEADER && (dueChange != null || isLearner(now, peer))) {
             // A voter's place may be free, and the core is weaker until it is filled: the next tick is late.
             changeMembers(now);
         }
     }
 
     /** Who was away says nothing of a chunk that was sent to it meanwhile. */
-    private void feedLost(double now, Peer peer, Message.Appended answer) {
+    private void feedLost(double now, ReplicaProgress peer, Message.AppendResponse answer) {
         if (peer.snapshot.passed(answer.round())) {
             feedSnapshot(now, peer);
         }
     }
 
-    private void took(double now, Peer peer, Message.Appended answer) {
+    private void took(double now, ReplicaProgress peer, Message.AppendResponse answer) {
         peer.match = Math.max(peer.match, answer.matchIndex());
         peer.window.received(now, answer.hint(), answer.round());
         boolean needsMore = peer.snapshot != null && answer.hint() < peer.snapshot.index();
@@ -988,7 +992,7 @@
         long[] matches = new long[members.size()];
         for (int i = 0; i < matches.length; i++) {
             long id = members.get(i).id();
-            Peer peer = peers.get(id);
+            ReplicaProgress peer = peers.get(id);
             matches[i] = id == self.id() ? queue.synced() : peer == null ? 0 : peer.match;
         }
         Arrays.sort(matches);
@@ -1038,7 +1042,7 @@
         long[] rounds = new long[members.size()];
         for (int i = 0; i < rounds.length; i++) {
             long id = members.get(i).id();
-            Peer peer = peers.get(id);
+            ReplicaProgress peer = peers.get(id);
             rounds[i] = id == self.id() ? Long.MAX_VALUE : peer == null ? 0 : peer.round;
         }
         Arrays.sort(rounds);
@@ -1052,7 +1056,7 @@
      */
     public boolean leases(double now) {
         // A sole member has nobody to ask, and nobody else can be voted for.
-        return running && role == Standing.Role.LEADER && (now < leaseUntil || majority() == 1);
+        return running && role == RaftStatus.Role.LEADER && (now < leaseUntil || majority() == 1);
     }
 
     /**
@@ -1061,7 +1065,7 @@
      * waited in a buffer while this process stood still.
      */
     public double sinceMajority(double now) {
-        if (!running || role != Standing.Role.LEADER) {
+        if (!running || role != RaftStatus.Role.LEADER) {
             return Double.POSITIVE_INFINITY;
         }
         return majority() == 1 ? 0 : now - majorityAskedAt;
@@ -1069,19 +1073,19 @@
 
     /** How long ago a follower heard of the leader that it names, ms; infinite where it names none. */
     public double sinceLeader(double now) {
-        return leader == null ? Double.POSITIVE_INFINITY : role == Standing.Role.LEADER ? 0 : now - leaderHeard;
+        return leader == null ? Double.POSITIVE_INFINITY : role == RaftStatus.Role.LEADER ? 0 : now - leaderHeard;
     }
 
     /** What this member can tell of its part at this moment. */
-    public Pulse pulse(double now) {
+    public RaftMetrics pulse(double now) {
         Map<Long, Double> silentMs = new HashMap<>();
-        if (role == Standing.Role.LEADER) {
+        if (role == RaftStatus.Role.LEADER) {
             silentMs.put(self.id(), 0.0);
             peers.values().forEach(peer -> silentMs.put(peer.member.id(), now - peer.heard));
         } else if (leader != null) {
             silentMs.put(leader.id(), now - leaderHeard);
         }
-        return new Pulse(commit, leases(now) ? leaseUntil - now : 0, silentMs);
+        return new RaftMetrics(commit, leases(now) ? leaseUntil - now : 0, silentMs);
     }
 
     private void extendLease() {
@@ -1097,16 +1101,16 @@
 
     /** The own disk hangs: whoever answers, and has synced what this one could not, leads better. */
     private void handOver(double now) {
-        Peer best = heir(now, Math.max(commit, queue.synced() + 1));
+        ReplicaProgress best = heir(now, Math.max(commit, queue.synced() + 1));
         if (best != null) {
             handOverTo(now, best);
         }
     }
 
     /** Who answers, stays and has synced most, at least up to an index; null if nobody has. */
-    private Peer heir(double now, long least) {
-        Peer best = null;
-        for (Peer peer : peers.values()) {
+    private ReplicaProgress heir(double now, long least) {
+        ReplicaProgress best = null;
+        for (ReplicaProgress peer : peers.values()) {
             if (log.holds(peer.member.id())
                     && now - peer.heard <= timing.fresh()
                     && !leaves(now, peer)
@@ -1118,11 +1122,11 @@
         return best;
     }
 
-    private void handOverTo(double now, Peer heir) {
+    private void handOverTo(double now, ReplicaProgress heir) {
         handAt = now + HAND_EVERY;
         handedOver = true;
         leaseUntil = Double.NEGATIVE_INFINITY;
-        actions.send(heir.member, new Message.TakeOver(term));
+        actions.send(heir.member, new Message.TimeoutNowRequest(term));
     }
 
     // Leaving.
@@ -1132,24 +1136,24 @@
     }
 
     /** Whether a peer has said lately that it is about to end; one that has come back says so no more. */
-    private boolean leaves(double now, Peer peer) {
+    private boolean leaves(double now, ReplicaProgress peer) {
         return now - peer.leaves <= timing.fresh();
     }
 
     private void leaveOn(double now) {
-        if (role == Standing.Role.LEADER) {
+        if (role == RaftStatus.Role.LEADER) {
             leaveLeading(now);
         } else if (log.isBare()) {
             release();
         } else if (leader != null && now >= leaveAt) {
             leaveAt = now + LEAVE_EVERY;
-            actions.send(leader, new Message.Leave(self));
+            actions.send(leader, new Message.LeaveRequest(self));
         }
     }
 
     private void leaveLeading(double now) {
         if (now >= handAt) {
-            Peer heir = heir(now, now - leavingSince <= HEIR_WAIT ? log.lastIndex() : commit);
+            ReplicaProgress heir = heir(now, now - leavingSince <= HEIR_WAIT ? log.lastIndex() : commit);
             if (heir != null) {
                 handOverTo(now, heir);
                 return;
@@ -1168,10 +1172,10 @@
     }
 
     private void takeLeave(double now, Member who) {
-        if (role != Standing.Role.LEADER || commit < firstOfTerm) {
+        if (role != RaftStatus.Role.LEADER || commit < firstOfTerm) {
             return;
         }
-        Peer peer = peers.get(who.id());
+        ReplicaProgress peer = peers.get(who.id());
         if (peer != null) {
             peer.leaves = now;
             changeMembers(now);
@@ -1182,7 +1186,7 @@
         }
         boolean replaceable = log.holds(who.id()) && (hasLearner(now) || now - wonAt <= ALL_ASKED);
         if (log.membersIndex() <= commit && !replaceable && isHeldWithout(now, who.id())) {
-            actions.send(who, new Message.Released(term));
+            actions.send(who, new Message.LeaveResponse(term));
         }
     }
 
@@ -1199,7 +1203,7 @@
         int hold = 0;
         for (Member member : log.members()) {
             boolean own = member.id() == self.id();
-            Peer peer = peers.get(member.id());
+            ReplicaProgress peer = peers.get(member.id());
             if (member.id() != id && !(own ? isLeaving() : leaves(now, peer))) {
                 stay++;
                 hold += (own ? queue.synced() : peer.match) >= commit ? 1 : 0;
@@ -1219,7 +1223,7 @@
             voters.add(replica(now, member));
         }
         List<MembershipPlanner.Replica> learners = new ArrayList<>();
-        for (Peer peer : peers.values()) {
+        for (ReplicaProgress peer : peers.values()) {
             if (isLearner(now, peer)) {
                 learners.add(replica(now, peer.member));
             }
@@ -1231,7 +1235,7 @@
         }
         if (due.isPresent() && isConfirmed(now, due.get())) {
             dueChange = null;
-            append(now, Entry.Kind.MEMBERS, Members.write(due.get().applied(log.members())));
+            append(now, Entry.Kind.MEMBERS, MemberListCodec.write(due.get().applied(log.members())));
         }
     }
 
@@ -1256,7 +1260,7 @@
         if (member.id() == self.id()) {
             return new MembershipPlanner.Replica(member, 0, true, false);
         }
-        Peer peer = peers.get(member.id());
+        ReplicaProgress peer = peers.get(member.id());
         return new MembershipPlanner.Replica(member, now - peer.heard, isCaughtUp(peer), leaves(now, peer));
     }
 
@@ -1264,14 +1268,14 @@
      * Whether a peer's disk has all that is committed, or had all when the latest question was asked or the one before
      * it, which it has answered: under load, what is committed now is newer than any answer.
      */
-    private boolean isCaughtUp(Peer peer) {
+    private boolean isCaughtUp(ReplicaProgress peer) {
         boolean hadAll =
                 peer.round > 0 && peer.round >= round - 1 && peer.match >= committedAt[(int) (peer.round % ASKED)];
         return hadAll || peer.match >= commit;
     }
 
     /** Whether a peer is no voter and has asked lately to become one. */
-    private boolean isLearner(double now, Peer peer) {
+    private boolean isLearner(double now, ReplicaProgress peer) {
         return !log.holds(peer.member.id()) && now - peer.asked <= LOST && !leaves(now, peer);
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/Standing.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftStatus.java
@@ -10,7 +10,7 @@
  * @param leader of that term; null where none is known
  * @param members the latest list in its log, which need not be committed yet
  */
-public record Standing(Role role, long term, Member leader, List<Member> members) {
+public record RaftStatus(Role role, long term, Member leader, List<Member> members) {
 
     /** What a member may be. */
     public enum Role {
@@ -25,7 +25,7 @@
     }
 
     /** A record whose list can't be changed. */
-    public Standing {
+    public RaftStatus {
         members = List.copyOf(members);
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/Peer.java
+++ b/src/main/java/sablehinge/controlplane/raft/ReplicaProgress.java
@@ -1,7 +1,7 @@
 package sablehinge.controlplane.raft;
 
 /** What a leader knows of one that it feeds, be it a member or one that waits to be let in. */
-final class Peer {
+final class ReplicaProgress {
 
     final Member member;
     /** The next index to send. */
@@ -25,7 +25,7 @@
     /** Entries that are under way. */
     final SendWindow window = new SendWindow();
 
-    Peer(Member member, long next, double heard) {
+    ReplicaProgress(Member member, long next, double heard) {
         this.member = member;
         this.next = next;
         this.heard = heard;
--- a/src/main/java/sablehinge/controlplane/raft/SendWindow.java
+++ b/src/main/java/sablehinge/controlplane/raft/SendWindow.java
@@ -29,9 +29,9 @@
 
     static final double MOST_PATIENCE = 16_000;
 
-    private record OnItsWay(long round, long lastIndex, long bytes, double sentAt) {}
+    private record InFlight(long round, long lastIndex, long bytes, double sentAt) {}
 
-    private final Deque<OnItsWay> onTheirWay = new ArrayDeque<>();
+    private final Deque<InFlight> onTheirWay = new ArrayDeque<>();
     private long bytes;
     private int limit = FIRST;
     private double patience = FIRST_PATIENCE;
@@ -53,7 +53,7 @@
 
     /** Entries up to an index were sent, in a round of the leader's questions. */
     void sent(double now, long round, long lastIndex, long sentBytes) {
-        onTheirWay.addLast(new OnItsWay(round, lastIndex, sentBytes, now));
+        onTheirWay.addLast(new InFlight(round, lastIndex, sentBytes, now));
         bytes += sentBytes;
     }
 
@@ -62,7 +62,7 @@
      * there is lost, or was overtaken, which is as good.
      */
     void received(double now, long index, long round) {
-        OnItsWay newest = null;
+        InFlight newest = null;
         while (!onTheirWay.isEmpty() && onTheirWay.peekFirst().lastIndex <= index) {
             newest = onTheirWay.removeFirst();
             bytes -= newest.bytes;
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
@@ -27,7 +27,7 @@
      *
      * @return the snapshot if this chunk makes it whole, else null
      */
-    Snapshot take(Message.Install install) {
+    Snapshot take(Message.InstallSnapshotRequest install) {
         Snapshot part = install.part();
         if (install.isWhole()) {
             clear();
@@ -53,7 +53,7 @@
     }
 
     /** Up to which byte the state of this chunk's snapshot is here. */
-    int held(Message.Install install) {
+    int held(Message.InstallSnapshotRequest install) {
         return isOf(install) ? held : 0;
     }
 
@@ -66,11 +66,11 @@
         held = 0;
     }
 
-    private boolean isOf(Message.Install install) {
+    private boolean isOf(Message.InstallSnapshotRequest install) {
         return leaderTerm == install.term() && index == install.part().index() && total == install.total();
     }
 
-    private void begin(Message.Install install) {
+    private void begin(Message.InstallSnapshotRequest install) {
         clear();
         leaderTerm = install.term();
         index = install.part().index();
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotSender.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotSender.java
@@ -57,7 +57,7 @@
     }
 
     /** The chunk to send, which counts as sent now. */
-    Message.Install next(double now, long term, long round) {
+    Message.InstallSnapshotRequest next(double now, long term, long round) {
         if (waiting) {
             chunkBytes = Math.max(LEAST_CHUNK, chunkBytes / 2);
             patience = Math.min(MOST_PATIENCE, patience * 2);
@@ -72,7 +72,7 @@
                 snapshot.term(),
                 snapshot.members(),
                 Arrays.copyOfRange(snapshot.state(), offset, end));
-        return new Message.Install(term, part, offset, total, round);
+        return new Message.InstallSnapshotRequest(term, part, offset, total, round);
     }
 
     /**
--- a/src/main/java/sablehinge/controlplane/raft/Change.java
+++ b/src/main/java/sablehinge/controlplane/raft/WriteBatch.java
@@ -13,10 +13,11 @@
  * @param snapshot takes the place of all entries up to its index, and of the snapshot before; null for none. Entries
  *     after it stay only if {@code truncateFrom} does not take them
  */
-public record Change(long number, long term, long votedFor, long truncateFrom, List<Entry> append, Snapshot snapshot) {
+public record WriteBatch(
+        long number, long term, long votedFor, long truncateFrom, List<Entry> append, Snapshot snapshot) {
 
     /** A change whose list can't be changed. */
-    public Change {
+    public WriteBatch {
         append = List.copyOf(append);
     }
 }
--- a/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
+++ b/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
@@ -44,7 +44,7 @@
         FORGOTTEN
     }
 
-    private final Map<Long, Taken> taken = new LinkedHashMap<>();
+    private final Map<Long, AcceptedChange> taken = new LinkedHashMap<>();
     private long edition;
     private byte[] body = new byte[0];
     /** Editions up to this one may have been taken and are no longer remembered; 0 for none. */
@@ -58,7 +58,7 @@
      * @param at when it was proposed, by the time of day of whoever proposed it, in ms since 1970; -1 where that is not
      *     known. It is only ever told, and nothing is decided by it
      */
-    private record Taken(int length, BodyDigest digest, long basedOn, long at) {
+    private record AcceptedChange(int length, BodyDigest digest, long basedOn, long at) {
 
         boolean isOrder(long base, byte[] sent) {
             return (basedOn == base || basedOn == UNKNOWN) && length == sent.length && digest.matches(sent);
@@ -66,7 +66,7 @@
     }
 
     /** Is told of the editions that were taken. */
-    public interface Reader {
+    public interface HistoryReader {
 
         /**
          * One of them.
@@ -79,7 +79,7 @@
     }
 
     /** Tells the editions that were taken, the oldest that is kept first, at most 2,000. */
-    public void read(Reader reader) {
+    public void read(HistoryReader reader) {
         taken.forEach((one, what) -> reader.taken(one, what.basedOn, what.at, what.length, what.digest));
     }
 
@@ -102,7 +102,7 @@
 
     /** What a command would come to if it were committed now. An order is its base, edition and body. */
     public Outcome foresee(long basedOn, long next, byte[] nextBody) {
-        Taken known = taken.get(next);
+        AcceptedChange known = taken.get(next);
         if (known != null && known.isOrder(basedOn, nextBody)) {
             return Outcome.REPEATED;
         }
@@ -128,7 +128,7 @@
             if (outcome == Outcome.TAKEN) {
                 edition = next;
                 body = nextBody;
-                remember(next, new Taken(nextBody.length, BodyDigest.of(nextBody), basedOn, at));
+                remember(next, new AcceptedChange(nextBody.length, BodyDigest.of(nextBody), basedOn, at));
             }
             return outcome;
         } catch (IOException e) {
@@ -136,7 +136,7 @@
         }
     }
 
-    private void remember(long one, Taken what) {
+    private void remember(long one, AcceptedChange what) {
         taken.put(one, what);
         if (taken.size() > MOST_TAKEN) {
             forgottenUpTo = taken.keySet().iterator().next();
@@ -163,7 +163,7 @@
             out.write(body);
             out.writeLong(forgottenUpTo);
             out.writeInt(taken.size());
-            for (Map.Entry<Long, Taken> one : taken.entrySet()) {
+            for (Map.Entry<Long, AcceptedChange> one : taken.entrySet()) {
                 out.writeLong(one.getKey());
                 out.writeInt(one.getValue().length);
                 one.getValue().digest.write(out);
@@ -202,13 +202,13 @@
         }
     }
 
-    private static Taken readTaken(int format, DataInputStream in) throws IOException {
+    private static AcceptedChange readTaken(int format, DataInputStream in) throws IOException {
         int length = in.readInt();
         BodyDigest digest =
                 format <= CHECKSUM_FORMAT ? BodyDigest.checksums(in.readLong(), in.readInt()) : BodyDigest.read(in);
         return format == BARE_FORMAT
-                ? new Taken(length, digest, UNKNOWN, UNKNOWN)
-                : new Taken(length, digest, in.readLong(), in.readLong());
+                ? new AcceptedChange(length, digest, UNKNOWN, UNKNOWN)
+                : new AcceptedChange(length, digest, in.readLong(), in.readLong());
     }
 
     /** The formats before the third don't tell; where they are full, one may have been dropped. */
--- a/src/main/java/sablehinge/controlplane/state/Registry.java
+++ b/src/main/java/sablehinge/controlplane/state/Registry.java
@@ -171,14 +171,14 @@
      * @param silentMs since it last told of itself
      * @param gone whether that is so long that it counts as gone
      */
-    public record Line(Registration registration, double silentMs, boolean gone) {}
+    public record Entry(Registration registration, double silentMs, boolean gone) {}
 
     /** All that is on the roll, in the order of the nodes' names. */
-    public List<Line> lines(double now) {
-        List<Line> lines = new ArrayList<>(rows.size());
+    public List<Entry> lines(double now) {
+        List<Entry> lines = new ArrayList<>(rows.size());
         rows.values()
-                .forEach(
-                        row -> lines.add(new Line(row.registration, now - row.heardAt, now - row.heardAt > goneAfter)));
+                .forEach(row ->
+                        lines.add(new Entry(row.registration, now - row.heardAt, now - row.heardAt > goneAfter)));
         lines.sort(Comparator.comparing(line -> line.registration().node()));
         return lines;
     }
--- a/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
+++ b/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
@@ -24,20 +24,20 @@
     private static final double COME_BACK = 40;
 
     private final Actions actions;
-    private final Map<Long, Asked> asked = new HashMap<>();
-    private final List<Asked> waiting = new ArrayList<>();
+    private final Map<Long, PendingRequest> asked = new HashMap<>();
+    private final List<PendingRequest> waiting = new ArrayList<>();
     private long life;
     private int slots;
     private int running;
     private double closesAt = Double.POSITIVE_INFINITY;
 
     /** A request from its arrival until its outcome. */
-    private static final class Asked {
+    private static final class PendingRequest {
         final Request request;
         boolean sent;
         boolean over;
 
-        Asked(Request request) {
+        PendingRequest(Request request) {
             this.request = request;
         }
     }
@@ -101,7 +101,7 @@
 
     @Override
     public void request(double now, Request request) {
-        Asked one = new Asked(request);
+        PendingRequest one = new PendingRequest(request);
         asked.put(request.id(), one);
         if (!isOpen(now, request)) {
             refuse(one, 0);
@@ -119,20 +119,20 @@
         return life != 0 && request.key() == life && now < closesAt;
     }
 
-    private void send(Asked one, double now) {
+    private void send(PendingRequest one, double now) {
         one.sent = true;
         running++;
         actions.send(one.request.id(), UPSTREAM, one.request.deadline() - now);
     }
 
-    private void refuse(Asked one, double retryAfter) {
+    private void refuse(PendingRequest one, double retryAfter) {
         one.over = true;
         asked.remove(one.request.id());
         actions.refuse(one.request.id(), retryAfter);
     }
 
     private void refuseWaiting() {
-        List<Asked> left = new ArrayList<>(waiting);
+        List<PendingRequest> left = new ArrayList<>(waiting);
         waiting.clear();
         left.forEach(one -> refuse(one, 0));
     }
@@ -140,8 +140,8 @@
     /** The highest rank goes first, and of one rank what has the least time left. */
     private void next(double now) {
         while (running < slots && !waiting.isEmpty()) {
-            Asked best = waiting.get(0);
-            for (Asked one : waiting) {
+            PendingRequest best = waiting.get(0);
+            for (PendingRequest one : waiting) {
                 int rank = Integer.compare(one.request.tenant(), best.request.tenant());
                 if (rank < 0 || rank == 0 && one.request.deadline() < best.request.deadline()) {
                     best = one;
@@ -158,7 +158,7 @@
 
     @Override
     public void attemptFinished(double now, Outcome outcome) {
-        Asked one = asked.remove(outcome.requestId());
+        PendingRequest one = asked.remove(outcome.requestId());
         if (one == null) {
             return;
         }
@@ -181,7 +181,7 @@
 
     @Override
     public void clientGone(double now, long requestId) {
-        Asked one = asked.get(requestId);
+        PendingRequest one = asked.get(requestId);
         if (one == null) {
             return;
         }
@@ -197,7 +197,7 @@
     /** A request has waited for as long as it may. */
     @Override
     public void timer(double now, long token) {
-        Asked one = asked.get(token);
+        PendingRequest one = asked.get(token);
         if (one != null && !one.sent && waiting.remove(one)) {
             refuse(one, COME_BACK);
         }
--- a/src/main/java/sablehinge/dataplane/budget/Purses.java
+++ b/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
@@ -15,7 +15,7 @@
  * a report says what was spent of it; without a report it is spent. So the attempts at the last tier never exceed what
  * the first hop was given, whatever is lost on the way.
  */
-public final class Purses {
+public final class AttemptBudgets {
 
     /** Why a call is not taken in. */
     public enum Refusal {
@@ -30,7 +30,7 @@
     }
 
     /** What calls of one grant draw on. */
-    private static final class Purse {
+    private static final class AttemptBudget {
         final long grant;
         final double deadline;
         int left;
@@ -42,7 +42,7 @@
 
         int out;
 
-        Purse(long grant, double deadline, int left, int calls) {
+        AttemptBudget(long grant, double deadline, int left, int calls) {
             this.grant = grant;
             this.deadline = deadline;
             this.left = left;
@@ -52,7 +52,7 @@
 
     /** A call that was taken in. */
     public final class Call {
-        private final Purse purse;
+        private final AttemptBudget purse;
         private final double deadline;
         private final double worth;
         private final List<Long> path;
@@ -61,7 +61,7 @@
         private boolean again = true;
         private boolean closed;
 
-        private Call(Purse purse, double deadline, double worth, List<Long> path) {
+        private Call(AttemptBudget purse, double deadline, double worth, List<Long> path) {
             this.purse = purse;
             this.deadline = deadline;
             this.worth = worth;
@@ -122,16 +122,16 @@
     /** What becomes of a call that has come: the call, or why not and what goes back with that. */
     public record Admission(Call call, Refusal refusal, List<Long> path, Report report) {}
 
-    private final Terms terms;
+    private final BudgetSettings terms;
     private final long service;
     private final SplittableRandom random;
     /** Those that were granted above, in the order of their last use, the longest ago first. */
-    private final Map<Long, Purse> purses = new LinkedHashMap<>();
+    private final Map<Long, AttemptBudget> purses = new LinkedHashMap<>();
 
     private final Map<HeaderText.Kind, Long> read = new LinkedHashMap<>();
 
     /** The budgets of a hop that stands for a service; the seed names its grants. */
-    public Purses(Terms terms, long service, long seed) {
+    public AttemptBudgets(BudgetSettings terms, long service, long seed) {
         this.terms = terms;
         this.service = service;
         random = new SplittableRandom(seed);
@@ -173,7 +173,7 @@
             time = Math.min(time, carried.remaining());
         }
         double deadline = now + time - Math.max(0, waited) - terms.margin();
-        Purse purse = carried == null ? null : purses.remove(carried.grant());
+        AttemptBudget purse = carried == null ? null : purses.remove(carried.grant());
         if (purse == null) {
             if (deadline <= now) {
                 return refuse(Refusal.DEAD, here, carried, null);
@@ -186,7 +186,7 @@
                     : carried == null ? terms.unknown() : Math.min(terms.attempts(), carried.attempts());
             long grant = carried == null ? random.nextLong() : carried.grant();
             // Whoever makes one call for each client's request owes no others their first attempt.
-            purse = new Purse(grant, deadline, given, entry || carried == null ? 1 : terms.calls());
+            purse = new AttemptBudget(grant, deadline, given, entry || carried == null ? 1 : terms.calls());
         } else {
             deadline = Math.min(deadline, purse.deadline);
         }
@@ -206,7 +206,7 @@
         return new Admission(new Call(purse, deadline, bounded, here), null, here, null);
     }
 
-    private static Admission refuse(Refusal why, List<Long> path, Budget carried, Purse purse) {
+    private static Admission refuse(Refusal why, List<Long> path, Budget carried, AttemptBudget purse) {
         return new Admission(
                 null,
                 why,
@@ -218,9 +218,9 @@
 
     /** Makes room by one grant under which no call is open, those that no more can come of first. */
     private boolean forget(double now) {
-        Iterator<Purse> all = purses.values().iterator();
+        Iterator<AttemptBudget> all = purses.values().iterator();
         while (all.hasNext()) {
-            Purse purse = all.next();
+            AttemptBudget purse = all.next();
             if (purse.open == 0 && purse.out == 0 && purse.deadline <= now) {
                 all.remove();
                 return true;
@@ -239,7 +239,7 @@
         if (call.closed || call.attempts() < 1 || call.deadline - now - terms.wire() <= Math.max(0, least)) {
             return null;
         }
-        Purse purse = call.purse;
+        AttemptBudget purse = call.purse;
         if (call.first) {
             call.first = false;
             purse.owed = Math.max(0, purse.owed - 1);
@@ -278,7 +278,7 @@
             return;
         }
         grant.settled = true;
-        Purse purse = grant.call.purse;
+        AttemptBudget purse = grant.call.purse;
         purse.out--;
         // An attempt at the last tier has run or has not: no report is asked for.
         int used = terms.last() && spent > 0 ? 1 : spent;
--- a/src/main/java/sablehinge/dataplane/budget/Terms.java
+++ b/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
@@ -17,7 +17,7 @@
  * @param reentries how often a call may come back to a service that it has passed; 0 where that is a loop
  * @param purses grants that are remembered at most
  */
-public record Terms(
+public record BudgetSettings(
         int attempts,
         double remaining,
         double worth,
@@ -32,7 +32,7 @@
         int purses) {
 
     /** Throws {@link IllegalArgumentException} for what is out of range. */
-    public Terms {
+    public BudgetSettings {
         if (attempts < 1
                 || attempts > Budget.MOST_ATTEMPTS
                 || unknown < 0
--- a/src/main/java/sablehinge/dataplane/budget/Shedder.java
+++ b/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
@@ -9,7 +9,7 @@
  * callers, by the worth that was carried down. A part of everything is let in all the same, so that the cheap class
  * does not starve, and a caller that claims more than its share is scaled down to that.
  */
-public final class Shedder {
+public final class LoadShedder {
 
     /** Calls over which worth per work is ranked. */
     private static final int RANKED = 256;
@@ -27,10 +27,10 @@
      * @param floor share of each kind of call that is let in under any pressure, 0 to 1
      * @param share the most of all worth that one caller's calls count for, above 0 to 1
      */
-    public record Terms(double floor, double share) {
+    public record Settings(double floor, double share) {
 
         /** Throws {@link IllegalArgumentException} for what is out of range. */
-        public Terms {
+        public Settings {
             if (!(floor >= 0 && floor <= 1) || !(share > 0 && share <= 1)) {
                 throw new IllegalArgumentException("terms of shedding out of range");
             }
@@ -43,7 +43,7 @@
         double at;
     }
 
-    private final Terms terms;
+    private final Settings terms;
     private final SplittableRandom random;
     private final double[] density = new double[RANKED];
     private final double[] work = new double[RANKED];
@@ -63,7 +63,7 @@
     private double feltAt;
 
     /** A shedder; the seed draws what is let in of equals. */
-    public Shedder(Terms terms, long seed) {
+    public LoadShedder(Settings terms, long seed) {
         this.terms = terms;
         random = new SplittableRandom(seed);
     }
--- a/src/main/java/sablehinge/dataplane/budget/LoopWatch.java
+++ b/src/main/java/sablehinge/dataplane/budget/LoopDetector.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /** Tells one loop from the next, so that each is reported once and not once a call. Bounded; the oldest goes. */
-public final class LoopWatch {
+public final class LoopDetector {
 
     private final int most;
     private final Map<List<Long>, Long> seen;
 
     /** Remembers so many loops. */
-    public LoopWatch(int most) {
+    public LoopDetector(int most) {
         this.most = most;
         seen = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<List<Long>, Long> eldest) {
-                return size() > LoopWatch.this.most;
+                return size() > LoopDetector.this.most;
             }
         };
     }
--- a/src/main/java/sablehinge/dataplane/budget/LeastTime.java
+++ b/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
@@ -5,7 +5,7 @@
  * as likely up as down at the quantile (Robbins and Monro, 1951). While nothing is served it sinks, so that a time when
  * all was slow is not believed for ever.
  */
-public final class LeastTime {
+public final class MinimumTime {
 
     /** Share of calls that are served faster. */
     static final double QUANTILE = 0.05;
--- a/src/main/java/sablehinge/dataplane/budget/PauseWatch.java
+++ b/src/main/java/sablehinge/dataplane/budget/PauseDetector.java
@@ -4,7 +4,7 @@
  * Tells how long a call may have lain unread because the process stood still, so that a pause makes no time: by a tick
  * that ought to come every so often, and the clock that goes on meanwhile.
  */
-public final class PauseWatch {
+public final class PauseDetector {
 
     /** What is read so soon after a late tick had been waiting as long as the tick. */
     private static final double READ_AFTER_MS = 5;
@@ -14,7 +14,7 @@
     private double late;
 
     /** Ticks are due every so many ms, the first one from the given time on. */
-    public PauseWatch(double period, double now) {
+    public PauseDetector(double period, double now) {
         this.period = period;
         last = now;
     }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
@@ -51,9 +51,9 @@
 import java.util.function.Consumer;
 import jdk.net.ExtendedSocketOptions;
 import sablehinge.common.eventloop.Clock;
+import sablehinge.dataplane.budget.AttemptBudgets;
 import sablehinge.dataplane.budget.Budget;
 import sablehinge.dataplane.budget.HeaderText;
-import sablehinge.dataplane.budget.Purses;
 import sablehinge.dataplane.proxy.AttemptResult;
 import sablehinge.dataplane.proxy.AttemptState;
 import sablehinge.dataplane.proxy.AttemptState.Event;
@@ -230,7 +230,12 @@
 
     @Override
     public Transport.Attempt send(
-            Version version, long upstream, Payload request, double until, Purses.Grant grant, Progress progress) {
+            Version version,
+            long upstream,
+            Payload request,
+            double until,
+            AttemptBudgets.Grant grant,
+            Progress progress) {
         Passing passing = request instanceof Passing one ? one : null;
         HttpRequest message = (HttpRequest) (passing == null ? ((HttpPayload) request).message() : passing.head());
         Attempt attempt = new Attempt(
@@ -360,7 +365,7 @@
         /** The body where it passes through; null where it is whole. */
         private final Passing passing;
 
-        private final Purses.Grant grant;
+        private final AttemptBudgets.Grant grant;
         private final BiConsumer<Result, Payload> end;
         /** Null for a probe, of which nobody hears before its end. */
         private Progress progress;
@@ -389,7 +394,7 @@
                 Settings terms,
                 HttpRequest request,
                 Passing passing,
-                Purses.Grant grant,
+                AttemptBudgets.Grant grant,
                 double until,
                 BiConsumer<Result, Payload> end) {
             this.terms = terms;
--- a/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
@@ -4,12 +4,12 @@
 import java.util.function.Consumer;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
-import sablehinge.dataplane.budget.LeastTime;
-import sablehinge.dataplane.budget.LoopWatch;
-import sablehinge.dataplane.budget.PauseWatch;
-import sablehinge.dataplane.budget.Purses;
-import sablehinge.dataplane.budget.Shedder;
-import sablehinge.dataplane.budget.Terms;
+import sablehinge.dataplane.budget.AttemptBudgets;
+import sablehinge.dataplane.budget.BudgetSettings;
+import sablehinge.dataplane.budget.LoadShedder;
+import sablehinge.dataplane.budget.LoopDetector;
+import sablehinge.dataplane.budget.MinimumTime;
+import sablehinge.dataplane.budget.PauseDetector;
 import sablehinge.policy.LoadBalancer.Result;
 
 /** The budgets of a chain of tiers at this hop, where they are switched on. */
@@ -17,8 +17,8 @@
 
     private static final int MOST_LOOPS = 64;
 
-    final Purses purses;
-    final LeastTime least = new LeastTime();
+    final AttemptBudgets purses;
+    final MinimumTime least = new MinimumTime();
     /** Whether it is clients of outside that call here, whose word on budgets counts for nothing. */
     final boolean entry;
 
@@ -27,10 +27,10 @@
     private static final double LATE = 0.8;
 
     /** Null where nothing is shed by worth here. */
-    private final Shedder shedder;
+    private final LoadShedder shedder;
 
-    private PauseWatch pauses;
-    private final LoopWatch loops = new LoopWatch(MOST_LOOPS);
+    private PauseDetector pauses;
+    private final LoopDetector loops = new LoopDetector(MOST_LOOPS);
     private final Consumer<String> report;
 
     /**
@@ -40,15 +40,20 @@
      * @param report takes a line for operators
      */
     public ChainBudgets(
-            Terms terms, Shedder.Terms shed, long service, boolean entry, long seed, Consumer<String> report) {
-        shedder = shed == null ? null : new Shedder(shed, seed);
-        purses = new Purses(terms, service, seed);
+            BudgetSettings terms,
+            LoadShedder.Settings shed,
+            long service,
+            boolean entry,
+            long seed,
+            Consumer<String> report) {
+        shedder = shed == null ? null : new LoadShedder(shed, seed);
+        purses = new AttemptBudgets(terms, service, seed);
         this.entry = entry;
         this.report = report;
     }
 
     void start(Timers timers, Clock clock) {
-        pauses = new PauseWatch(TICK_MS, clock.now());
+        pauses = new PauseDetector(TICK_MS, clock.now());
         tick(timers, clock);
     }
 
@@ -62,7 +67,7 @@
     }
 
     /** Whether a call that was taken in may go on, by its worth among those of all callers. */
-    boolean admits(double now, Arrival arrival, Purses.Admission admission) {
+    boolean admits(double now, Arrival arrival, AttemptBudgets.Admission admission) {
         if (shedder == null) {
             return true;
         }
--- a/src/main/java/sablehinge/dataplane/proxy/Core.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Core.java
@@ -12,7 +12,7 @@
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
 import sablehinge.common.logging.Log;
-import sablehinge.dataplane.budget.Purses;
+import sablehinge.dataplane.budget.AttemptBudgets;
 import sablehinge.dataplane.budget.Report;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
@@ -289,11 +289,11 @@
             return refuseBeyond(arrivedUnder, given, payload, caller);
         }
         Arrival arrival = given;
-        Purses.Call budget = null;
+        AttemptBudgets.Call budget = null;
         if (budgets != null && given.budget() != null) {
             double worth =
                     arrivedUnder.settings().classes().get(given.serviceClass()).worth();
-            Purses.Admission admission = budgets.purses.arrive(
+            AttemptBudgets.Admission admission = budgets.purses.arrive(
                     clock.now(),
                     given.budget(),
                     budgets.entry,
@@ -327,7 +327,7 @@
 
     /** What is worth least is refused first, and is not worth another try elsewhere: all are as busy. */
     private Exchange shed(
-            Purses.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
+            AttemptBudgets.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
         LoadBalancer.Limits limits = arrivedUnder.settings().limits();
         answer(
@@ -344,9 +344,9 @@
 
     /** What has no budget is answered at once: nothing of it has run here. */
     private Exchange turnAway(
-            Purses.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
+            AttemptBudgets.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
-        boolean loop = admission.refusal() == Purses.Refusal.LOOP;
+        boolean loop = admission.refusal() == AttemptBudgets.Refusal.LOOP;
         if (loop) {
             budgets.looped(admission.path());
         }
@@ -356,7 +356,9 @@
                 new Answer(
                         loop ? Answer.Kind.LOOP : Answer.Kind.REFUSED,
                         Payload.NONE,
-                        admission.refusal() == Purses.Refusal.FULL && limits.retryAfter() ? limits.maxRetryAfter() : 0,
+                        admission.refusal() == AttemptBudgets.Refusal.FULL && limits.retryAfter()
+                                ? limits.maxRetryAfter()
+                                : 0,
                         admission.report(),
                         loop ? admission.path() : List.of()));
         payload.release();
@@ -474,7 +476,7 @@
         exchange.running--;
         exchange.begun.remove((Integer) number);
         tracer.note(TraceEvent.ATTEMPT_ENDED, 0, exchange.id, end.result().ordinal());
-        Purses.Grant grant = number < exchange.grants.size() ? exchange.grants.get(number) : null;
+        AttemptBudgets.Grant grant = number < exchange.grants.size() ? exchange.grants.get(number) : null;
         if (grant != null && end.result().neverRan()) {
             budgets.purses.neverRan(grant);
         } else if (grant != null) {
@@ -542,7 +544,7 @@
             finished(exchange, number, upstream, now, Double.NaN, AttemptResult.without(Result.NOT_SENT));
             return;
         }
-        Purses.Grant grant = null;
+        AttemptBudgets.Grant grant = null;
         if (exchange.budget != null) {
             grant = budgets.purses.take(
                     exchange.budget,
--- a/src/main/java/sablehinge/dataplane/proxy/Exchange.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Exchange.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import sablehinge.common.eventloop.Timers;
-import sablehinge.dataplane.budget.Purses;
+import sablehinge.dataplane.budget.AttemptBudgets;
 
 /** A request from its arrival until it has its one answer and none of its attempts is out. */
 public final class Exchange {
@@ -34,9 +34,9 @@
     /** When it had come to its end, before which no attempt is measured. */
     double endedAt = Double.NEGATIVE_INFINITY;
     /** Its budget, and what each attempt was granted of it; null where budgets are off. */
-    Purses.Call budget;
+    AttemptBudgets.Call budget;
 
-    final List<Purses.Grant> grants = new ArrayList<>(0);
+    final List<AttemptBudgets.Grant> grants = new ArrayList<>(0);
     /** The most servers that it may reach, 0 for no bound; how many it may have reached. */
     private final int attemptsAtMost;
 
--- a/src/main/java/sablehinge/dataplane/proxy/Transport.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Transport.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import sablehinge.common.eventloop.Clock;
-import sablehinge.dataplane.budget.Purses;
+import sablehinge.dataplane.budget.AttemptBudgets;
 
 /**
  * Carries attempts and probes to servers, and nothing on its own account: what breaks is a result. All calls are made,
@@ -50,7 +50,13 @@
      * @param grant its part of the request's budget, read when it is written; null where budgets are off
      * @param progress is told, perhaps before this returns
      */
-    Attempt send(Version version, long upstream, Payload request, double until, Purses.Grant grant, Progress progress);
+    Attempt send(
+            Version version,
+            long upstream,
+            Payload request,
+            double until,
+            AttemptBudgets.Grant grant,
+            Progress progress);
 
     /** Asks a server how it does. */
     void probe(Version version, long upstream, double until, Consumer<AttemptResult> end);
--- a/src/main/java/sablehinge/dataplane/sidecar/Terms.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
@@ -22,7 +22,7 @@
  * A configuration in the module's terms: each route with each service that it may go to is a class, and each service a
  * machine type, to which its classes are bound.
  */
-final class Terms {
+final class BalancerSettings {
 
     /** How long an upstream that has started may be slow, at most; beats tell how much of it is left. */
     static final double WARM_UP_MS = 3_000;
@@ -60,7 +60,7 @@
         }
     }
 
-    private Terms() {}
+    private BalancerSettings() {}
 
     private static Limits limits(boolean copies, double restMs) {
         return new Limits(
--- a/src/main/java/sablehinge/dataplane/sidecar/Pulse.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatPacket.java
@@ -14,7 +14,7 @@
  * @param life drawn anew with each start of its process
  * @param number counts up in one life
  */
-record Pulse(long place, int life, int number) {
+record HeartbeatPacket(long place, int life, int number) {
 
     /** Of the format, first in each record. */
     private static final int VERSION = 1;
@@ -35,12 +35,12 @@
     }
 
     /** Reads what {@link #bytes} wrote; fails on anything else. */
-    static Pulse read(byte[] bytes) throws IOException {
+    static HeartbeatPacket read(byte[] bytes) throws IOException {
         if (bytes.length != BYTES || bytes[0] != VERSION) {
             throw new IOException(
                     bytes.length + " bytes that are no beat; " + BYTES + " of version " + VERSION + " are expected");
         }
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, 1, BYTES - 1));
-        return new Pulse(in.readLong(), in.readInt(), in.readInt());
+        return new HeartbeatPacket(in.readLong(), in.readInt(), in.readInt());
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -59,17 +59,17 @@
 
     @Override
     public HttpResponseStatus status(Answer answer) {
-        return MeshAnswers.status(answer);
+        return MeshResponses.status(answer);
     }
 
     @Override
     public ByteBuf content(Answer answer) {
-        return MeshAnswers.content(answer);
+        return MeshResponses.content(answer);
     }
 
     @Override
     public void dress(HttpResponse response, Answer answer, Version version, HttpRequest request) {
-        MeshAnswers.dress(response, answer, request);
+        MeshResponses.dress(response, answer, request);
         boolean refused = answer == null || answer.kind() == Answer.Kind.REFUSED;
         response.headers()
                 .set(
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshAnswers.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshResponses.java
@@ -12,9 +12,9 @@
 import sablehinge.dataplane.proxy.Payload;
 
 /** How answers of the mesh are worded: an upstream's as it came, our own by what is known of the request. */
-final class MeshAnswers {
+final class MeshResponses {
 
-    private MeshAnswers() {}
+    private MeshResponses() {}
 
     static HttpResponseStatus status(Answer answer) {
         if (Payloads.head(answer.payload()) instanceof HttpResponse given) {
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -16,7 +16,7 @@
 import sablehinge.dataplane.proxy.Arrival;
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.routing.Configuration;
-import sablehinge.mesh.routing.Plan;
+import sablehinge.mesh.routing.RoutingTable;
 
 /** What the clients of a machine, and its upstream, say to the balancer there (PROTOCOL, "Requests"). */
 final class OutboundFront implements FrontDialect {
@@ -46,17 +46,17 @@
     private final String caller;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
-    private final Confirming confirming;
+    private final Confirmation confirming;
     private final SplittableRandom random;
     private FrontTerms terms = FIRST;
-    private Plan plan;
+    private RoutingTable plan;
     private Version version;
     private Map<String, Integer> classes = new HashMap<>();
     /** When the first request came, before which nobody has waited; NaN before that. */
     private double firstCameAt = Double.NaN;
 
     /** Asks whether the configuration at hand is the newest. */
-    interface Confirming {
+    interface Confirmation {
 
         /** Has it asked, unless that is under way. */
         void ask();
@@ -66,7 +66,7 @@
     }
 
     /** A front; {@code caller} is the service whose requests begin here. */
-    OutboundFront(String caller, Quotas quotas, RetryBudget retryBudget, Confirming confirming, long seed) {
+    OutboundFront(String caller, Quotas quotas, RetryBudget retryBudget, Confirmation confirming, long seed) {
         this.caller = caller;
         this.quotas = quotas;
         this.retryBudget = retryBudget;
@@ -75,7 +75,7 @@
     }
 
     /** Reads requests by another configuration from now on. */
-    void adopt(Plan next, Version as, Map<String, Integer> places) {
+    void adopt(RoutingTable next, Version as, Map<String, Integer> places) {
         plan = next;
         version = as;
         classes = places;
@@ -93,7 +93,7 @@
     }
 
     /** The configuration by which requests are read; null before the first. */
-    Plan plan() {
+    RoutingTable plan() {
         return plan;
     }
 
@@ -104,7 +104,8 @@
 
     @Override
     public boolean isRepeatable(HttpRequest request) {
-        Plan.Found found = plan == null ? null : plan.find(request.headers().get("Host"), request.uri());
+        RoutingTable.RouteMatch found =
+                plan == null ? null : plan.find(request.headers().get("Host"), request.uri());
         return found != null && found.route().kind() == Configuration.Kind.SAFE;
     }
 
@@ -120,7 +121,7 @@
         if (MeshHeaders.single(headers, MeshHeaders.TRY) == null) {
             throw new BadRequestException(MeshHeaders.TRY + " is missing");
         }
-        Plan.Found found = plan.find(MeshHeaders.single(headers, "Host"), request.uri());
+        RoutingTable.RouteMatch found = plan.find(MeshHeaders.single(headers, "Host"), request.uri());
         if (found == null) {
             throw BadRequestException.turnedAway(HttpResponseStatus.NOT_FOUND, "no route")
                     .heldFor(held(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs())));
@@ -155,7 +156,7 @@
         return new Checked(
                 "",
                 new Arrival(
-                                classes.get(Terms.name(route, service)),
+                                classes.get(BalancerSettings.name(route, service)),
                                 0,
                                 0,
                                 now + left,
@@ -228,16 +229,16 @@
 
     @Override
     public HttpResponseStatus status(Answer answer) {
-        return MeshAnswers.status(answer);
+        return MeshResponses.status(answer);
     }
 
     @Override
     public ByteBuf content(Answer answer) {
-        return MeshAnswers.content(answer);
+        return MeshResponses.content(answer);
     }
 
     @Override
     public void dress(HttpResponse response, Answer answer, Version by, HttpRequest request) {
-        MeshAnswers.dress(response, answer, request);
+        MeshResponses.dress(response, answer, request);
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/Watchers.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
@@ -31,10 +31,10 @@
 import sablehinge.common.logging.Log;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.mesh.failuredetection.Accusation;
-import sablehinge.mesh.failuredetection.Evidence;
 import sablehinge.mesh.failuredetection.HashRing;
 import sablehinge.mesh.failuredetection.Monitor;
+import sablehinge.mesh.failuredetection.Suspicion;
+import sablehinge.mesh.failuredetection.SuspicionCause;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.Update;
 
@@ -43,9 +43,9 @@
  * datagrams to the first of the inner ports, as many ticks apart as make {@link Monitor#BEAT_MS}. The loop of its
  * balancer owns it.
  */
-final class Watchers {
+final class PeerMonitor {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Watchers.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerMonitor.class);
     /** How long a suspect's machine has to take a connection or refuse it. */
     private static final int REACH_MS = 200;
     /** Beats that can't be read are told of by the first and then each so many. */
@@ -71,7 +71,7 @@
     private long malformed;
 
     /** Beats of a balancer; {@code news} is run when whom it accuses has changed. */
-    Watchers(EventLoop loop, Clock clock, LocalSettings settings, Runnable update) {
+    PeerMonitor(EventLoop loop, Clock clock, LocalSettings settings, Runnable update) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
@@ -89,7 +89,7 @@
         ChannelFuture bound = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
-                .handler(new Hears())
+                .handler(new HeartbeatHandler())
                 .bind(settings.ip(), settings.innerFirst())
                 .await();
         if (!bound.isSuccess()) {
@@ -147,7 +147,7 @@
         // A tick may come a little early: half a tick before its time is time enough.
         if (channel != null && now - beatAt >= Monitor.BEAT_MS - Sidecar.TICK_MS / 2.0) {
             beatAt = now;
-            byte[] beat = new Pulse(place, life, ++number).bytes();
+            byte[] beat = new HeartbeatPacket(place, life, ++number).bytes();
             for (InetSocketAddress to : beatTo) {
                 channel.write(new DatagramPacket(Unpooled.wrappedBuffer(beat), to));
             }
@@ -157,7 +157,7 @@
     }
 
     /** Whom this balancer accuses now. */
-    List<Accusation> accusations() {
+    List<Suspicion> accusations() {
         return watch.accusations();
     }
 
@@ -183,7 +183,7 @@
         if (connect.isSuccess()) {
             connect.channel().close();
         }
-        Evidence evidence = evidence(connect.cause());
+        SuspicionCause evidence = evidence(connect.cause());
         if (watch.found(clock.now(), node, evidence)) {
             Log.info(LOG, "accuses")
                     .addKeyValue("peer", node)
@@ -194,17 +194,17 @@
     }
 
     /** What it tells that a connection came up, where there is no cause, or why it did not. */
-    static Evidence evidence(Throwable cause) {
+    static SuspicionCause evidence(Throwable cause) {
         if (cause == null) {
-            return Evidence.FROZEN;
+            return SuspicionCause.FROZEN;
         }
         return cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)
-                ? Evidence.RESET
-                : Evidence.SILENT;
+                ? SuspicionCause.RESET
+                : SuspicionCause.SILENT;
     }
 
     /** Takes beats in. */
-    private final class Hears extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class HeartbeatHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
@@ -212,7 +212,7 @@
             byte[] bytes = new byte[content.readableBytes()];
             content.readBytes(bytes);
             try {
-                Pulse pulse = Pulse.read(bytes);
+                HeartbeatPacket pulse = HeartbeatPacket.read(bytes);
                 String node = hashRing.at(pulse.place());
                 if (node != null && watch.heard(clock.now(), node, pulse.life(), pulse.number())) {
                     Log.info(LOG, "hears-again").addKeyValue("peer", node).log("a balancer is heard again");
--- a/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
@@ -33,7 +33,7 @@
 
     private final LocalSettings.Bounds bounds;
     private final ObjIntConsumer<String> pool;
-    private final Map<String, Metered> metered = new HashMap<>();
+    private final Map<String, TenantMeter> metered = new HashMap<>();
     private int least = RECKONED;
     /** Whether the last roster was complete; one that is not begins another leader's. */
     private boolean whole;
@@ -49,7 +49,7 @@
         REFUSED
     }
 
-    private static final class Metered {
+    private static final class TenantMeter {
         Quota quota;
         final Bucket bucket = new Bucket(FIRST);
         double askedAt = Double.NEGATIVE_INFINITY;
@@ -71,11 +71,11 @@
 
     /** Takes the tenants of a configuration over. */
     void adopt(double now, List<Configuration.Tenant> tenants) {
-        Map<String, Metered> before = new HashMap<>(metered);
+        Map<String, TenantMeter> before = new HashMap<>(metered);
         metered.clear();
         for (Configuration.Tenant tenant : tenants) {
             if (tenant.perSecond() > 0) {
-                Metered one = before.getOrDefault(tenant.name(), new Metered());
+                TenantMeter one = before.getOrDefault(tenant.name(), new TenantMeter());
                 one.quota = Quota.of(
                         tenant.perSecond(),
                         tenant.burst(),
@@ -115,7 +115,7 @@
 
     /** Claims a request's token; one that was asked for is claimed again a little later. */
     Claim claim(double now, Configuration.Tenant tenant) {
-        Metered one = metered.get(tenant.name());
+        TenantMeter one = metered.get(tenant.name());
         if (one != null) {
             one.claims = one.claims(now) + (one.asked ? 0 : 1);
             one.claimedAt = now;
@@ -141,19 +141,19 @@
 
     /** In how many ms a token comes by itself. */
     double next(Configuration.Tenant tenant) {
-        Metered one = metered.get(tenant.name());
+        TenantMeter one = metered.get(tenant.name());
         return one == null ? 0 : Math.max(1, one.bucket.next());
     }
 
     /** Gives up what its own requests are not likely to need of a tenant's quota, for others to have. */
     int lend(double now, String tenant) {
-        Metered one = metered.get(tenant);
+        TenantMeter one = metered.get(tenant);
         return one == null ? 0 : one.bucket.lend(now, 1 + KEPT * one.claims(now));
     }
 
     /** The pool has answered. */
     void given(double now, String tenant, int count) {
-        Metered one = metered.get(tenant);
+        TenantMeter one = metered.get(tenant);
         if (one != null && one.asked) {
             one.asked = false;
             one.bucket.add(count);
--- a/src/main/java/sablehinge/dataplane/sidecar/Readiness.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Readiness.java
@@ -2,8 +2,8 @@
 
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import sablehinge.mesh.api.ApiResponse;
 import sablehinge.mesh.api.Query;
-import sablehinge.mesh.api.Reply;
 
 /** The platform asks whether clients may come. */
 final class Readiness extends Query<Readiness.State> {
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public Reply write(State answer) {
-        return Reply.of(answer.ready() ? 200 : 503);
+    public ApiResponse write(State answer) {
+        return ApiResponse.of(answer.ready() ? 200 : 503);
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
@@ -11,8 +11,8 @@
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.retrybudget.Claim;
 import sablehinge.mesh.retrybudget.Grant;
-import sablehinge.mesh.retrybudget.Rule;
-import sablehinge.mesh.retrybudget.Shares;
+import sablehinge.mesh.retrybudget.RetryBudgetRule;
+import sablehinge.mesh.retrybudget.RetryBudgetShares;
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.RetryBudgetCodec;
@@ -21,7 +21,7 @@
 final class RetryBudget implements Extras {
 
     private final Clock clock;
-    private final Shares shares;
+    private final RetryBudgetShares shares;
     private final String node;
     private final String depot;
     private final Consumer<Frame> claims;
@@ -34,8 +34,10 @@
         depot = settings.depot();
         long life = MeshHeaders.life(node + " " + System.currentTimeMillis() + " " + System.nanoTime());
         LocalSettings.Bounds bounds = settings.bounds();
-        shares = new Shares(
-                new Rule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()), life, depot);
+        shares = new RetryBudgetShares(
+                new RetryBudgetRule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()),
+                life,
+                depot);
     }
 
     /** Takes the services of a configuration over. */
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -34,7 +34,7 @@
 import sablehinge.mesh.api.ConfigurationReader;
 import sablehinge.mesh.retrybudget.Grant;
 import sablehinge.mesh.routing.Configuration;
-import sablehinge.mesh.routing.Plan;
+import sablehinge.mesh.routing.RoutingTable;
 import sablehinge.mesh.watch.PackedConfiguration;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.Tokens;
@@ -94,10 +94,10 @@
     private final OutboundFront routes;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
-    private final NewsClient update;
-    private final Watchers watchers;
+    private final WatchClient update;
+    private final PeerMonitor watchers;
     private final List<String> zones;
-    private final Map<String, Integer> kinds = Terms.kinds();
+    private final Map<String, Integer> kinds = BalancerSettings.kinds();
     private final Map<String, Registration> registry = new LinkedHashMap<>();
     /** When upstreams are warm, as first told, by their lives. */
     private final Map<String, Double> startedAt = new HashMap<>();
@@ -127,7 +127,7 @@
         LoopTimers timers = new LoopTimers(loop, clock);
         quotas = new Quotas(settings.bounds(), this::askPool);
         retryBudget = new RetryBudget(clock, settings, this::claim);
-        outbound = new Core(clock, timers, actions -> new LatencyWeightedBalancer(actions, Terms.EXTRAS));
+        outbound = new Core(clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
         inbound = new Core(clock, timers, actions -> {
             admission = new AdmissionController(actions);
             return admission;
@@ -138,7 +138,7 @@
                 settings.depot(),
                 quotas,
                 retryBudget,
-                new OutboundFront.Confirming() {
+                new OutboundFront.Confirmation() {
                     @Override
                     public void ask() {
                         if (!wantsConfirmation) {
@@ -158,7 +158,7 @@
         UpstreamClient peers = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
         UpstreamClient app =
                 new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, retryBudget::turnedAway));
-        Version first = Terms.gate();
+        Version first = BalancerSettings.gate();
         Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
         inbound.start(
                 first,
@@ -170,8 +170,9 @@
         versions.put(0, version);
         outbound.bound(retryBudget);
         outbound.start(version, System.nanoTime(), new Roster(0, true, List.of()), peers, NO_REGISTRY);
-        update = new NewsClient(loop, clock, new Connection(loop, PING_MS, DEAD_MS), contacts(settings), new Telling());
-        watchers = new Watchers(loop, clock, settings, update::askNow);
+        update = new WatchClient(
+                loop, clock, new Connection(loop, PING_MS, DEAD_MS), contacts(settings), new WatchListener());
+        watchers = new PeerMonitor(loop, clock, settings, update::askNow);
     }
 
     /** Starts a balancer where nobody listens yet. */
@@ -199,7 +200,9 @@
             sidecar.inFront.bind(ListeningSockets.address(at.inbound()), false);
             new ApiServer(
                             loop,
-                            List.of(Beats.beats(settings.app(), sidecar::heard), Beats.signOffs(sidecar::signedOff)),
+                            List.of(
+                                    UpstreamCalls.beats(settings.app(), sidecar::heard),
+                                    UpstreamCalls.signOffs(sidecar::signedOff)),
                             MOST_BEAT)
                     .adopt(listening.control());
             sidecar.watchers.listen();
@@ -250,7 +253,7 @@
         }
     }
 
-    private void signedOff(Beats.SignOff call) {
+    private void signedOff(UpstreamCalls.SignOff call) {
         if (lifecycle.signedOff(clock.now(), call.id())) {
             leaves(call.id(), 0);
             update.askNow();
@@ -294,7 +297,7 @@
 
     // ---- Update ----------------------------------------------------------------------------------------
 
-    private final class Telling implements NewsClient.Teller {
+    private final class WatchListener implements WatchClient.Listener {
 
         @Override
         public WatchRequest request(int number) {
@@ -344,13 +347,13 @@
         edition = next;
         Map<String, Integer> places = new HashMap<>();
         Version before = version;
-        version = Terms.version(
+        version = BalancerSettings.version(
                 before.number() + 1,
                 configuration,
                 kinds,
                 places,
-                Terms.Place.of(settings.node(), zones.indexOf(settings.zone()), zones.size()));
-        routes.adopt(new Plan(configuration), version, places);
+                BalancerSettings.Place.of(settings.node(), zones.indexOf(settings.zone()), zones.size()));
+        routes.adopt(new RoutingTable(configuration), version, places);
         quotas.adopt(now, configuration.tenants());
         retryBudget.adopt(configuration);
         outbound.adopt(version, roster(now));
@@ -392,7 +395,9 @@
                     && kind < version.settings().kinds()) {
                 double began = startedAt.computeIfAbsent(
                         registration.upstream(),
-                        id -> registration.coldMs() > 0 ? now + registration.coldMs() - Terms.WARM_UP_MS : 0);
+                        id -> registration.coldMs() > 0
+                                ? now + registration.coldMs() - BalancerSettings.WARM_UP_MS
+                                : 0);
                 members.add(new Member(
                         new Upstream(
                                 MeshHeaders.life(registration.upstream()),
--- a/src/main/java/sablehinge/dataplane/sidecar/NewsFilter.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/UpdateFilter.java
@@ -6,7 +6,7 @@
  * Decides which news of the core a balancer takes. A machine that was deposed may still answer, and a process that has
  * just started must not begin with a configuration of which nobody knows whether it is the newest.
  */
-final class NewsFilter {
+final class UpdateFilter {
 
     /** News that took longer, in ms, waited in a buffer while this process stood still, or the other one. */
     static final double MOST_AGE_MS = 1_500;
--- a/src/main/java/sablehinge/dataplane/sidecar/NewsClient.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
@@ -25,19 +25,19 @@
  * Asks the core for news, one machine of it at a time: whoever does not lead names who does. An ask that is not
  * answered in time, or a connection that breaks, leads to the next machine that is known.
  */
-final class NewsClient implements Connection.Handler {
+final class WatchClient implements Connection.Handler {
 
-    private static final Logger LOG = LoggerFactory.getLogger(NewsClient.class);
+    private static final Logger LOG = LoggerFactory.getLogger(WatchClient.class);
     private static final long AGAIN_MS = 60;
-    private static final double PATIENCE_MS = NewsFilter.MOST_AGE_MS;
+    private static final double PATIENCE_MS = UpdateFilter.MOST_AGE_MS;
     private static final int MOST_CONTACTS = 32;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Connection connection;
     private List<String> seeds;
-    private final Teller teller;
-    private final NewsFilter filter = new NewsFilter();
+    private final Listener teller;
+    private final UpdateFilter filter = new UpdateFilter();
     private final Set<String> contacts = new LinkedHashSet<>();
     private Connection.Link link;
     private int number;
@@ -46,7 +46,7 @@
     private boolean closed;
 
     /** What is asked, and who hears the answer. */
-    interface Teller {
+    interface Listener {
 
         WatchRequest request(int number);
 
@@ -67,7 +67,7 @@
         void shares(Grant grant);
     }
 
-    NewsClient(EventLoop loop, Clock clock, Connection connection, List<String> seeds, Teller teller) {
+    WatchClient(EventLoop loop, Clock clock, Connection connection, List<String> seeds, Listener teller) {
         this.loop = loop;
         this.clock = clock;
         this.connection = connection;
@@ -189,12 +189,12 @@
     }
 
     private void news(Connection.Link from, Update update) throws IOException {
-        NewsFilter.Verdict verdict = filter.judge(clock.now() - askedAt, update);
-        if (verdict == NewsFilter.Verdict.DEPOSED) {
+        UpdateFilter.Verdict verdict = filter.judge(clock.now() - askedAt, update);
+        if (verdict == UpdateFilter.Verdict.DEPOSED) {
             leave(from, null);
             return;
         }
-        if (verdict == NewsFilter.Verdict.TAKE) {
+        if (verdict == UpdateFilter.Verdict.TAKE) {
             contacts.clear();
             contacts.addAll(update.core());
             contacts.addAll(seeds);
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import sablehinge.common.logging.LogTerms;
 import sablehinge.common.mapping.Rule;
-import sablehinge.dataplane.budget.Shedder;
-import sablehinge.dataplane.budget.Terms;
+import sablehinge.dataplane.budget.BudgetSettings;
+import sablehinge.dataplane.budget.LoadShedder;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Roster.Member;
 import sablehinge.dataplane.proxy.Version;
@@ -115,7 +115,7 @@
      * @param keys the files of the secrets by their names, relative to the operator file; the first one signs
      */
     public record BudgetPart(
-            String service, boolean entry, Terms terms, Shedder.Terms shed, Map<String, String> keys) {}
+            String service, boolean entry, BudgetSettings terms, LoadShedder.Settings shed, Map<String, String> keys) {}
 
     /**
      * The flight recorder; of this nothing changes while the process runs. Times in ms.
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
@@ -26,8 +26,8 @@
 import org.tomlj.TomlVersion;
 import sablehinge.common.logging.LogTerms;
 import sablehinge.dataplane.budget.Budget;
-import sablehinge.dataplane.budget.Shedder;
-import sablehinge.dataplane.budget.Terms;
+import sablehinge.dataplane.budget.BudgetSettings;
+import sablehinge.dataplane.budget.LoadShedder;
 import sablehinge.gateway.config.operator.OperatorConfig.AdminPart;
 import sablehinge.gateway.config.operator.OperatorConfig.BudgetPart;
 import sablehinge.gateway.config.operator.OperatorConfig.ChangePart;
@@ -505,7 +505,7 @@
         if (need > attempts) {
             s.problem("need", need + " is more than attempts, which is " + attempts);
         }
-        Terms terms = new Terms(
+        BudgetSettings terms = new BudgetSettings(
                 attempts,
                 s.duration("remaining", 10_000, 1, HOUR),
                 s.number("worth", 1_000, 0, 1e6),
@@ -520,7 +520,8 @@
                 s.integer("open", 20_000, 1, 1_000_000));
         // The module sheds already; both together were measured to give up too much.
         boolean sheds = s.flag("shed", false);
-        Shedder.Terms shed = new Shedder.Terms(s.number("floor", 0.1, 0, 1), s.number("share", 1, 0.001, 1));
+        LoadShedder.Settings shed =
+                new LoadShedder.Settings(s.number("floor", 0.1, 0, 1), s.number("share", 1, 0.001, 1));
         Map<String, String> keys = new LinkedHashMap<>();
         for (String[] key : s.sections("key", 8, k -> new String[] {k.name("name", null), k.text("file", null)})) {
             if (key[1] == null) {
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -79,7 +79,7 @@
     private final PooledByteBufAllocator memory;
     private final Maintenance maintenance = new Maintenance();
     /** Null where nothing is shared with another process of this balancer. */
-    private Shared shared;
+    private SharedFiles shared;
 
     private CallServer calls;
     /** The names of those that are out, by their numbers. */
@@ -117,7 +117,7 @@
         Node node = new Node(config, loop, module);
         try {
             if (config.operator() != null && config.scratch() != null) {
-                node.shared = new Shared(config.scratch().resolve("sablehinge"));
+                node.shared = new SharedFiles(config.scratch().resolve("sablehinge"));
                 loop.submit(node::look).sync();
             }
             node.recordIfAsked();
--- a/src/main/java/sablehinge/gateway/node/Shared.java
+++ b/src/main/java/sablehinge/gateway/node/SharedFiles.java
@@ -22,7 +22,7 @@
  * upstreams are out. A process is a file that it holds locked, so that its death shows whatever kills it; an upstream
  * is a file that is there or not, so that nothing is ever read half.
  */
-final class Shared implements AutoCloseable {
+final class SharedFiles implements AutoCloseable {
 
     private static final byte[] READY = {'r'};
 
@@ -32,7 +32,7 @@
     private final FileChannel channel;
 
     /** Joins those that share a folder. */
-    Shared(Path folder) throws IOException {
+    SharedFiles(Path folder) throws IOException {
         processes = Files.createDirectories(folder.resolve("processes"));
         upstreams = Files.createDirectories(folder.resolve("out"));
         own = processes.resolve(UUID.randomUUID().toString());
--- a/src/main/java/sablehinge/gateway/node/Preparation.java
+++ b/src/main/java/sablehinge/gateway/node/VersionPreparation.java
@@ -18,7 +18,7 @@
  * Makes a version ready beside the traffic: binds the listeners that are not there yet, waits for its first list of
  * servers, and reaches as many as the file asks for. Ends once, with the reason if it can't.
  */
-final class Preparation {
+final class VersionPreparation {
 
     private static final double AGAIN_MS = 100;
     /** Connections that are tried at once. */
@@ -38,7 +38,7 @@
     private int reached;
     private boolean over;
 
-    Preparation(
+    VersionPreparation(
             OperatorConfig config,
             ServerSource source,
             UpstreamClient transport,
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -33,7 +33,7 @@
 import sablehinge.gateway.rollout.ChangeDecider.Phase;
 import sablehinge.gateway.rollout.ChangeDecider.Reply;
 import sablehinge.gateway.rollout.ChangeDecider.Terms;
-import sablehinge.gateway.rollout.Shares.Outcome;
+import sablehinge.gateway.rollout.OutcomeShares.Outcome;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 
@@ -79,7 +79,7 @@
     private final Map<InetSocketAddress, ServerSource> discovered = new HashMap<>();
     private final List<String> zones = new ArrayList<>();
     private final List<String> kinds = new ArrayList<>();
-    private Preparation preparation;
+    private VersionPreparation preparation;
     private boolean ticking;
     /** How long the last undoing took, from its decision until requests arrived under the version before. */
     private double undoMs;
@@ -389,7 +389,7 @@
             Frontend left = leaving.remove(part);
             return left != null && left.stay() && back.put(part, left) == null;
         });
-        preparation = new Preparation(
+        preparation = new VersionPreparation(
                 running.config,
                 running.source,
                 node.transport(),
--- a/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
+++ b/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.gateway.rollout.Shares.Outcome;
+import sablehinge.gateway.rollout.OutcomeShares.Outcome;
 
 /**
  * Decides on changes of the configuration: what may be staged and applied, when a change is undone, when it is kept.
@@ -91,16 +91,16 @@
     }
 
     private final Actions actions;
-    private final Shares before = new Shares();
+    private final OutcomeShares before = new OutcomeShares();
     private final Map<Integer, Integer> staged = new LinkedHashMap<>();
     private final ArrayDeque<Past> past = new ArrayDeque<>();
-    private Shares during = new Shares();
+    private OutcomeShares during = new OutcomeShares();
     private Phase phase = Phase.NONE;
     private int confirmed;
     private int candidate;
     private Terms terms;
     private double deadline;
-    private List<RiseGuard> guards = List.of();
+    private List<ErrorRateGuard> guards = List.of();
 
     /** Begins with a version that is confirmed. */
     public ChangeDecider(int confirmed, Actions actions) {
@@ -234,15 +234,15 @@
         }
         phase = Phase.TRIAL;
         deadline = now + terms.confirmWithin();
-        during = new Shares();
+        during = new OutcomeShares();
         guards = List.of(
                 guard(now, Outcome.FAILED, terms.failedRise()), guard(now, Outcome.REFUSED, terms.refusedRise()));
         actions.begin(version);
     }
 
-    private RiseGuard guard(double now, Outcome outcome, double rise) {
+    private ErrorRateGuard guard(double now, Outcome outcome, double rise) {
         double share = (double) before.of(now, BEFORE, outcome) / Math.max(1, before.all(now, BEFORE));
-        return new RiseGuard(outcome, share, rise, terms.leastCount());
+        return new ErrorRateGuard(outcome, share, rise, terms.leastCount());
     }
 
     /** The confirmation of a version is on disk, or {@code failure} says why not. */
@@ -287,7 +287,7 @@
         if (phase != Phase.TRIAL) {
             return;
         }
-        for (RiseGuard guard : guards) {
+        for (ErrorRateGuard guard : guards) {
             String reason = guard.check(now, during);
             if (reason != null) {
                 undo(now, reason);
--- a/src/main/java/sablehinge/gateway/rollout/RiseGuard.java
+++ b/src/main/java/sablehinge/gateway/rollout/ErrorRateGuard.java
@@ -1,7 +1,7 @@
 package sablehinge.gateway.rollout;
 
 import java.util.Locale;
-import sablehinge.gateway.rollout.Shares.Outcome;
+import sablehinge.gateway.rollout.OutcomeShares.Outcome;
 
 /**
  * Whether a share of answers has risen over a bound against what it was before a change. A few answers prove nothing:
@@ -11,7 +11,7 @@
  * <p>Does harm where trouble of another cause begins with a change: it is then undone for nothing, which is the cheaper
  * error.
  */
-public final class RiseGuard {
+public final class ErrorRateGuard {
 
     /** Standard deviations of the interval: one time in 200 a true share lies below its lower end. */
     private static final double Z = 2.576;
@@ -34,7 +34,7 @@
      * @param rise by how much it may rise, 0 to 1
      * @param leastCount answers below which nothing is proved
      */
-    public RiseGuard(Outcome outcome, double before, double rise, int leastCount) {
+    public ErrorRateGuard(Outcome outcome, double before, double rise, int leastCount) {
         this.outcome = outcome;
         this.before = before;
         this.bound = before + rise;
@@ -42,7 +42,7 @@
     }
 
     /** Looks at the answers that the changed configuration gave; the reason to undo it, or null. */
-    public String check(double now, Shares shares) {
+    public String check(double now, OutcomeShares shares) {
         long all = shares.all(now, WINDOW);
         if (all == seen) {
             return null;
--- a/src/main/java/sablehinge/gateway/rollout/Shares.java
+++ b/src/main/java/sablehinge/gateway/rollout/OutcomeShares.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** Counts answers by their outcome in buckets of a second, over the last {@value #SECONDS} seconds. */
-public final class Shares {
+public final class OutcomeShares {
 
     /** How an answer ended. */
     public enum Outcome {
@@ -21,7 +21,7 @@
     private final long[] second = new long[SECONDS];
 
     /** Creates empty counts. */
-    public Shares() {
+    public OutcomeShares() {
         Arrays.fill(second, Long.MIN_VALUE);
     }
 
--- a/src/main/java/sablehinge/mesh/api/Asked.java
+++ b/src/main/java/sablehinge/mesh/api/ApiRequest.java
@@ -8,4 +8,4 @@
  * @param name what follows the operation's path; empty for nothing
  * @param body not to be changed
  */
-public record Asked(String name, HttpHeaders headers, byte[] body) {}
+public record ApiRequest(String name, HttpHeaders headers, byte[] body) {}
--- a/src/main/java/sablehinge/mesh/api/Reply.java
+++ b/src/main/java/sablehinge/mesh/api/ApiResponse.java
@@ -8,33 +8,33 @@
  * @param location where to call instead; null for none
  * @param body JSON; not to be changed
  */
-public record Reply(int status, String location, byte[] body) {
+public record ApiResponse(int status, String location, byte[] body) {
 
     private static final byte[] NOTHING = "{}".getBytes(StandardCharsets.US_ASCII);
 
     /** An answer that says no more than its status. */
-    public static Reply of(int status) {
-        return new Reply(status, null, NOTHING);
+    public static ApiResponse of(int status) {
+        return new ApiResponse(status, null, NOTHING);
     }
 
     /** An answer with a body. */
-    public static Reply of(int status, byte[] body) {
-        return new Reply(status, null, body);
+    public static ApiResponse of(int status, byte[] body) {
+        return new ApiResponse(status, null, body);
     }
 
     /** An answer whose body is a record. Its first call loads much: it belongs on a thread that nothing waits for. */
-    public static Reply of(int status, Record answer) {
-        return new Reply(status, null, Wording.of(answer));
+    public static ApiResponse of(int status, Record answer) {
+        return new ApiResponse(status, null, JsonBody.of(answer));
     }
 
     /** An error with a code and words, which are plain text. */
-    public static Reply error(int status, String code, String words) {
+    public static ApiResponse error(int status, String code, String words) {
         return error(status, code, "", words);
     }
 
     /** An error with a code, the place in what was sent, and words; place and words are plain text. */
-    public static Reply error(int status, String code, String place, String words) {
-        return new Reply(
+    public static ApiResponse error(int status, String code, String place, String words) {
+        return new ApiResponse(
                 status,
                 null,
                 ("{\"code\":\"" + code + "\""
@@ -44,8 +44,8 @@
     }
 
     /** Call elsewhere. */
-    public static Reply elsewhere(String location) {
-        return new Reply(307, location, NOTHING);
+    public static ApiResponse elsewhere(String location) {
+        return new ApiResponse(307, location, NOTHING);
     }
 
     private static String escaped(String words) {
--- a/src/main/java/sablehinge/mesh/api/ApiServer.java
+++ b/src/main/java/sablehinge/mesh/api/ApiServer.java
@@ -125,7 +125,7 @@
         private void take(ChannelHandlerContext ctx, FullHttpRequest request) {
             busy = true;
             boolean keep = HttpUtil.isKeepAlive(request);
-            Reply refused = null;
+            ApiResponse refused = null;
             try {
                 if (!request.decoderResult().isSuccess()) {
                     throw new CallException(400, "MALFORMED", "not HTTP/1.1");
@@ -136,24 +136,25 @@
                 carry(
                         ctx,
                         operation,
-                        new Asked(path(request).substring(operation.path().length()), request.headers(), body),
+                        new ApiRequest(path(request).substring(operation.path().length()), request.headers(), body),
                         keep);
             } catch (CallException e) {
                 refused = e.reply();
             } catch (RuntimeException e) {
                 LOG.atError().addKeyValue("event", "call-failed").setCause(e).log("a call failed");
-                refused = Reply.error(500, "BROKEN", String.valueOf(e.getMessage()));
+                refused = ApiResponse.error(500, "BROKEN", String.valueOf(e.getMessage()));
             }
             if (refused != null) {
                 answer(ctx, refused, keep);
             }
         }
 
-        private <Q, A> void carry(ChannelHandlerContext ctx, Operation<Q, A> operation, Asked asked, boolean keep) {
+        private <Q, A> void carry(
+                ChannelHandlerContext ctx, Operation<Q, A> operation, ApiRequest asked, boolean keep) {
             operation.carryOut(operation.read(asked), answer -> answer(ctx, operation.write(answer), keep));
         }
 
-        private void answer(ChannelHandlerContext ctx, Reply reply, boolean keep) {
+        private void answer(ChannelHandlerContext ctx, ApiResponse reply, boolean keep) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(reply.status()),
--- a/src/main/java/sablehinge/mesh/api/CallException.java
+++ b/src/main/java/sablehinge/mesh/api/CallException.java
@@ -15,7 +15,7 @@
     }
 
     /** The answer that says so. */
-    public Reply reply() {
-        return Reply.error(status, code, getMessage());
+    public ApiResponse reply() {
+        return ApiResponse.error(status, code, getMessage());
     }
 }
--- a/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
@@ -45,8 +45,8 @@
      */
     public static Configuration check(byte[] body) {
         JsonNode root = tree(body);
-        List<Problem> problems = new ArrayList<>(Form.problems(root));
-        new Sense(root, problems).check();
+        List<Problem> problems = new ArrayList<>(SchemaCheck.problems(root));
+        new SemanticCheck(root, problems).check();
         if (!problems.isEmpty()) {
             throw new CheckException(problems.subList(0, Math.min(MOST_PROBLEMS, problems.size())));
         }
--- a/src/main/java/sablehinge/mesh/api/ConfigurationReader.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationReader.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Locale;
 import sablehinge.mesh.routing.Configuration;
-import sablehinge.mesh.routing.Hosts;
+import sablehinge.mesh.routing.HostNames;
 
 /**
  * Reads a configuration from bytes that {@link ConfigurationCheck} has passed, token by token: no schema, no mapper, no
@@ -138,7 +138,7 @@
         for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
             in.nextToken();
             switch (field) {
-                case "station" -> host[0] = Hosts.normal(in.getText());
+                case "station" -> host[0] = HostNames.normal(in.getText());
                 case "regulations" -> {
                     for (boolean more = first(in); more; more = next(in)) {
                         own.add(route(in));
--- a/src/main/java/sablehinge/mesh/api/Headed.java
+++ b/src/main/java/sablehinge/mesh/api/HttpOperation.java
@@ -6,13 +6,13 @@
  * @param <Q> what is asked
  * @param <A> what is answered
  */
-public abstract class Headed<Q, A> implements Operation<Q, A> {
+public abstract class HttpOperation<Q, A> implements Operation<Q, A> {
 
     private final String method;
     private final String path;
 
     /** An operation at a path; one that ends with a slash is followed by a name. */
-    protected Headed(String method, String path) {
+    protected HttpOperation(String method, String path) {
         this.method = method;
         this.path = path;
     }
--- a/src/main/java/sablehinge/mesh/api/Wording.java
+++ b/src/main/java/sablehinge/mesh/api/JsonBody.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /** Answers of many fields as JSON. It is loaded with the first such answer. */
-final class Wording {
+final class JsonBody {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Wording() {}
+    private JsonBody() {}
 
     static byte[] of(Record answer) {
         try {
--- a/src/main/java/sablehinge/mesh/api/Nearest.java
+++ b/src/main/java/sablehinge/mesh/api/NearestName.java
@@ -3,12 +3,12 @@
 import java.util.Collection;
 
 /** The name that a mistyped one was probably meant to be. */
-public final class Nearest {
+public final class NearestName {
 
     /** Longer ones are not compared: the work grows with the square. */
     private static final int LONGEST = 64;
 
-    private Nearest() {}
+    private NearestName() {}
 
     /** The name with the fewest letters to change, add or drop; null where there is none. */
     public static String of(String given, Collection<String> names) {
--- a/src/main/java/sablehinge/mesh/api/Operation.java
+++ b/src/main/java/sablehinge/mesh/api/Operation.java
@@ -18,11 +18,11 @@
     String path();
 
     /** Reads a call; throws {@link CallException} where it can't be read. */
-    Q read(Asked asked);
+    Q read(ApiRequest asked);
 
     /** Carries it out; the answer may come later, once, on the thread of the door. */
     void carryOut(Q call, Consumer<A> answer);
 
     /** Words the answer. */
-    Reply write(A answer);
+    ApiResponse write(A answer);
 }
--- a/src/main/java/sablehinge/mesh/api/Query.java
+++ b/src/main/java/sablehinge/mesh/api/Query.java
@@ -7,10 +7,10 @@
  *
  * @param <A> what is answered
  */
-public abstract class Query<A> extends Headed<Query.Plain, A> {
+public abstract class Query<A> extends HttpOperation<Query.EmptyRequest, A> {
 
     /** The question, which its path tells. */
-    public record Plain() {}
+    public record EmptyRequest() {}
 
     /** A GET at a path. */
     protected Query(String path) {
@@ -18,12 +18,12 @@
     }
 
     @Override
-    public final Plain read(Asked asked) {
-        return new Plain();
+    public final EmptyRequest read(ApiRequest asked) {
+        return new EmptyRequest();
     }
 
     @Override
-    public final void carryOut(Plain call, Consumer<A> answer) {
+    public final void carryOut(EmptyRequest call, Consumer<A> answer) {
         answer(answer);
     }
 
--- a/src/main/java/sablehinge/mesh/api/Form.java
+++ b/src/main/java/sablehinge/mesh/api/SchemaCheck.java
@@ -17,7 +17,7 @@
 import sablehinge.mesh.api.CheckException.Problem;
 
 /** What the schema says about a tree, in this project's words. The schema is loaded when first asked. */
-final class Form {
+final class SchemaCheck {
 
     private static final String RESOURCE = "/sablehinge/mesh/api/configuration.schema.json";
 
@@ -26,7 +26,7 @@
     /** Letters in which a field's name may differ from the one that it was meant to be. */
     private static final int MISTYPED = 2;
 
-    private Form() {}
+    private SchemaCheck() {}
 
     static List<Problem> problems(JsonNode root) {
         List<Problem> problems = new ArrayList<>();
@@ -41,7 +41,7 @@
         if (message.getType().equals("required")) {
             List<String> there = new ArrayList<>();
             message.getInstanceNode().fieldNames().forEachRemaining(there::add);
-            String nearest = Nearest.of(message.getProperty(), there, MISTYPED);
+            String nearest = NearestName.of(message.getProperty(), there, MISTYPED);
             return new Problem(
                     Code.SCHEMA,
                     place + "/" + message.getProperty(),
@@ -89,7 +89,7 @@
         static final JsonSchema SCHEMA = load();
 
         private static JsonSchema load() {
-            try (InputStream in = Form.class.getResourceAsStream(RESOURCE)) {
+            try (InputStream in = SchemaCheck.class.getResourceAsStream(RESOURCE)) {
                 return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
                         .getSchema(
                                 in,
--- a/src/main/java/sablehinge/mesh/api/Sense.java
+++ b/src/main/java/sablehinge/mesh/api/SemanticCheck.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import sablehinge.mesh.api.CheckException.Code;
 import sablehinge.mesh.api.CheckException.Problem;
-import sablehinge.mesh.routing.Hosts;
+import sablehinge.mesh.routing.HostNames;
 
 /** What must hold between the parts of a configuration. What has not the right form is passed over here. */
-final class Sense {
+final class SemanticCheck {
 
     /** Ten minutes. */
     static final double LONGEST_MS = 600_000;
@@ -23,7 +23,7 @@
 
     private final Map<String, String> places = new HashMap<>();
 
-    Sense(JsonNode root, List<Problem> problems) {
+    SemanticCheck(JsonNode root, List<Problem> problems) {
         this.root = root;
         this.problems = problems;
     }
@@ -33,7 +33,7 @@
         tenants();
         int at = 0;
         for (JsonNode gate : root.path("gates")) {
-            String host = Hosts.normal(gate.path("station").asText(""));
+            String host = HostNames.normal(gate.path("station").asText(""));
             String place = "/gates/" + at++ + "/regulations/";
             int index = 0;
             for (JsonNode route : gate.path("regulations")) {
@@ -60,7 +60,7 @@
                 add(
                         Code.SAME_NAME,
                         place,
-                        "a name of its own was expected, found " + Form.found(name, place) + " as at " + other);
+                        "a name of its own was expected, found " + SchemaCheck.found(name, place) + " as at " + other);
             }
         }
     }
@@ -95,15 +95,16 @@
             add(
                     Code.BAD_PREFIX,
                     place,
-                    "a prefix that begins and ends with a slash was expected, found " + Form.found(given, place));
+                    "a prefix that begins and ends with a slash was expected, found "
+                            + SchemaCheck.found(given, place));
         }
         String other = places.putIfAbsent(host + " " + prefix, place);
         if (other != null) {
             add(
                     Code.SAME_PLACE,
                     place,
-                    "a prefix that no other route of this host has was expected, found " + Form.found(given, place)
-                            + " as at " + other);
+                    "a prefix that no other route of this host has was expected, found "
+                            + SchemaCheck.found(given, place) + " as at " + other);
         }
     }
 
@@ -124,7 +125,7 @@
                 add(
                         Code.BELOW_ZERO,
                         its + "/share",
-                        "0 or more was expected, found " + Form.found(part.path("share"), its));
+                        "0 or more was expected, found " + SchemaCheck.found(part.path("share"), its));
             }
         }
         JsonNode timeout = dispatch.path("timeoutMs");
@@ -132,23 +133,26 @@
             add(
                     Code.LONG_TIMEOUT,
                     place + "/timeoutMs",
-                    "600000 ms (ten minutes) or less was expected, found " + Form.found(timeout, place));
+                    "600000 ms (ten minutes) or less was expected, found " + SchemaCheck.found(timeout, place));
         }
         JsonNode attempts = dispatch.path("attempts");
         if (attempts.isNumber() && attempts.asDouble() < 1) {
-            add(Code.NO_ATTEMPTS, place + "/attempts", "1 or more was expected, found " + Form.found(attempts, place));
+            add(
+                    Code.NO_ATTEMPTS,
+                    place + "/attempts",
+                    "1 or more was expected, found " + SchemaCheck.found(attempts, place));
         }
     }
 
     private void service(JsonNode name, String place) {
         boolean told = problems.size() < ConfigurationCheck.MOST_PROBLEMS;
         if (told && name.isTextual() && !services.containsKey(name.asText())) {
-            String nearest = Nearest.of(name.asText(), services.keySet());
+            String nearest = NearestName.of(name.asText(), services.keySet());
             add(
                     Code.UNKNOWN_SERVICE,
                     place,
                     "a service of /fleets was expected, found "
-                            + Form.found(name, place)
+                            + SchemaCheck.found(name, place)
                             + (nearest == null ? "" : "; the nearest one is \"" + nearest + "\""));
         }
     }
--- a/src/main/java/sablehinge/mesh/failuredetection/HashRing.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HashRing.java
@@ -22,17 +22,17 @@
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private final List<Place> places;
+    private final List<RingPosition> places;
     private final Map<String, Integer> index = new HashMap<>();
     private final Map<Long, String> names = new HashMap<>();
 
-    private record Place(long at, String node, String zone) {}
+    private record RingPosition(long at, String node, String zone) {}
 
     /** A ring of balancers, given with their zones. */
     public HashRing(Map<String, String> zones) {
         places = new ArrayList<>(zones.size());
-        zones.forEach((node, zone) -> places.add(new Place(place(node), node, zone)));
-        places.sort(Comparator.comparingLong(Place::at).thenComparing(Place::node));
+        zones.forEach((node, zone) -> places.add(new RingPosition(place(node), node, zone)));
+        places.sort(Comparator.comparingLong(RingPosition::at).thenComparing(RingPosition::node));
         for (int i = 0; i < places.size(); i++) {
             index.put(places.get(i).node(), i);
             names.put(places.get(i).at(), places.get(i).node());
@@ -63,14 +63,14 @@
         if (at == null) {
             return chosen;
         }
-        List<Place> next = new ArrayList<>(REACH);
+        List<RingPosition> next = new ArrayList<>(REACH);
         for (int i = 1; i <= Math.min(REACH, places.size() - 1); i++) {
             next.add(places.get((at + i) % places.size()));
         }
         Map<String, Integer> used = new HashMap<>(Map.of(places.get(at).zone(), 1));
         while (chosen.size() < WATCHERS && !next.isEmpty()) {
-            Place best = next.get(0);
-            for (Place place : next) {
+            RingPosition best = next.get(0);
+            for (RingPosition place : next) {
                 if (used.getOrDefault(place.zone(), 0) < used.getOrDefault(best.zone(), 0)) {
                     best = place;
                 }
--- a/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
@@ -24,14 +24,14 @@
      */
     static final double SILENT_MS = 900;
 
-    private final Map<String, Voice> voices = new HashMap<>();
+    private final Map<String, PeerReport> voices = new HashMap<>();
     private final Map<String, Health> ruled = new HashMap<>();
     private HashRing hashRing = new HashRing(Map.of());
     private Map<String, String> zones = Map.of();
 
     private double begunAt = Double.NEGATIVE_INFINITY;
 
-    private record Voice(double at, List<Accusation> accusations) {}
+    private record PeerReport(double at, List<Suspicion> accusations) {}
 
     /**
      * One on the roll whose upstream is known.
@@ -46,7 +46,7 @@
      * @param accusers of its watchers in touch, those who don't hear it
      * @param watchers of it that the keeper hears
      */
-    public record Ruling(String node, Health before, Health health, int accusers, int watchers) {}
+    public record HealthChange(String node, Health before, Health health, int accusers, int watchers) {}
 
     /** Forgets all: another term of the keeper has begun, and all have time to be heard by it. */
     public void begin(double now) {
@@ -56,8 +56,8 @@
     }
 
     /** The keeper hears one, and whom it accuses now. */
-    public void heard(double now, String node, List<Accusation> accusations) {
-        voices.put(node, new Voice(now, List.copyOf(accusations)));
+    public void heard(double now, String node, List<Suspicion> accusations) {
+        voices.put(node, new PeerReport(now, List.copyOf(accusations)));
     }
 
     /** What is known of one. */
@@ -66,7 +66,7 @@
     }
 
     /** Rules on all that are on the roll now; returns what has changed. */
-    public List<Ruling> judge(double now, Collection<Subject> subjects) {
+    public List<HealthChange> judge(double now, Collection<Subject> subjects) {
         Map<String, String> present = new HashMap<>();
         subjects.forEach(subject -> present.put(subject.node(), subject.zone()));
         if (!present.equals(zones)) {
@@ -82,12 +82,12 @@
                                 .add(watcher));
             }
         });
-        Map<String, Ruling> rulings = new LinkedHashMap<>();
+        Map<String, HealthChange> rulings = new LinkedHashMap<>();
         for (Subject subject : subjects) {
             rulings.put(subject.node(), assess(now, subject.node(), accusers.getOrDefault(subject.node(), Set.of())));
         }
         hold(subjects, rulings);
-        List<Ruling> changed = new ArrayList<>();
+        List<HealthChange> changed = new ArrayList<>();
         rulings.values().forEach(ruling -> {
             if (ruling.health() != ruling.before()) {
                 ruled.put(ruling.node(), ruling.health());
@@ -99,25 +99,25 @@
     }
 
     private boolean hears(double now, String node) {
-        Voice voice = voices.get(node);
+        PeerReport voice = voices.get(node);
         return now - (voice == null ? begunAt : voice.at()) <= SILENT_MS;
     }
 
-    private Ruling assess(double now, String node, Set<String> accusedBy) {
+    private HealthChange assess(double now, String node, Set<String> accusedBy) {
         Health before = health(node);
         boolean heard = hears(now, node);
         if (heard && accusedBy.isEmpty()) {
-            return new Ruling(node, before, Health.WELL, 0, 0);
+            return new HealthChange(node, before, Health.WELL, 0, 0);
         }
         int watchers = 0;
         int accusers = 0;
-        Evidence gravest = Evidence.SILENT;
+        SuspicionCause gravest = SuspicionCause.SILENT;
         for (String watcher : hashRing.watchers(node)) {
             if (hears(now, watcher)) {
                 watchers++;
                 if (accusedBy.contains(watcher)) {
                     accusers++;
-                    Evidence evidence = evidence(watcher, node);
+                    SuspicionCause evidence = evidence(watcher, node);
                     gravest = evidence.compareTo(gravest) > 0 ? evidence : gravest;
                 }
             }
@@ -139,25 +139,25 @@
                 case SILENT -> Health.LOST;
             };
         }
-        return new Ruling(node, before, health, accusers, watchers);
+        return new HealthChange(node, before, health, accusers, watchers);
     }
 
-    private Evidence evidence(String watcher, String node) {
-        for (Accusation accusation : voices.get(watcher).accusations()) {
+    private SuspicionCause evidence(String watcher, String node) {
+        for (Suspicion accusation : voices.get(watcher).accusations()) {
             if (accusation.node().equals(node)) {
                 return accusation.evidence();
             }
         }
-        return Evidence.SILENT;
+        return SuspicionCause.SILENT;
     }
 
     /** Takes back what would be ruled anew beyond the bounds. */
-    private static void hold(Collection<Subject> subjects, Map<String, Ruling> rulings) {
+    private static void hold(Collection<Subject> subjects, Map<String, HealthChange> rulings) {
         int silent = 0;
         Map<String, Integer> ready = new HashMap<>();
         Map<String, Integer> taken = new HashMap<>();
         for (Subject subject : subjects) {
-            Ruling ruling = rulings.get(subject.node());
+            HealthChange ruling = rulings.get(subject.node());
             if (ruling.health().isOff() || ruling.health() == Health.UNSEEN) {
                 silent++;
             }
@@ -170,13 +170,13 @@
         }
         boolean many = 2 * silent > subjects.size();
         for (Subject subject : subjects) {
-            Ruling ruling = rulings.get(subject.node());
+            HealthChange ruling = rulings.get(subject.node());
             if (ruling.health().isOff() && !ruling.before().isOff()) {
                 int left = ready.getOrDefault(subject.service(), 0) / 2 - taken.getOrDefault(subject.service(), 0);
                 if (many || subject.ready() && left <= 0) {
                     rulings.put(
                             subject.node(),
-                            new Ruling(
+                            new HealthChange(
                                     subject.node(),
                                     ruling.before(),
                                     Health.UNSEEN,
--- a/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
@@ -30,16 +30,16 @@
     private static final int MOST_FLAPS = 2;
     private static final double CALM_MS = 30_000;
 
-    private final Map<String, Watched> watched = new LinkedHashMap<>();
+    private final Map<String, WatchedPeer> watched = new LinkedHashMap<>();
     private double tickedAt = Double.NaN;
 
-    private static final class Watched {
+    private static final class WatchedPeer {
         int life;
         int number;
         double heardAt;
         boolean heard;
         boolean suspected;
-        Evidence evidence;
+        SuspicionCause evidence;
         int flaps;
         double flappedAt = Double.NEGATIVE_INFINITY;
 
@@ -56,7 +56,7 @@
         watched.keySet().retainAll(nodes);
         for (String node : nodes) {
             if (watched.size() < MOST && !watched.containsKey(node)) {
-                Watched one = new Watched();
+                WatchedPeer one = new WatchedPeer();
                 one.heardAt = now + GRACE_MS;
                 watched.put(node, one);
             }
@@ -71,7 +71,7 @@
      * @return whether an accusation is taken back by it
      */
     public boolean heard(double now, String node, int life, int number) {
-        Watched one = watched.get(node);
+        WatchedPeer one = watched.get(node);
         if (one == null || one.life == life && number - one.number <= 0) {
             return false;
         }
@@ -112,12 +112,12 @@
      * What answers at the address of a suspect; true if that is a new accusation. One whose machine is there and that
      * never spoke here may not know that it should: it is looked at again later.
      */
-    public boolean found(double now, String node, Evidence evidence) {
-        Watched one = watched.get(node);
+    public boolean found(double now, String node, SuspicionCause evidence) {
+        WatchedPeer one = watched.get(node);
         if (one == null || !one.suspected || one.evidence != null) {
             return false;
         }
-        if (!one.heard && evidence == Evidence.FROZEN) {
+        if (!one.heard && evidence == SuspicionCause.FROZEN) {
             one.heardAt = now + GRACE_MS;
             one.suspected = false;
             return false;
@@ -138,11 +138,11 @@
     }
 
     /** Who is accused now, and by what. */
-    public List<Accusation> accusations() {
-        List<Accusation> accusations = new ArrayList<>();
+    public List<Suspicion> accusations() {
+        List<Suspicion> accusations = new ArrayList<>();
         watched.forEach((node, one) -> {
             if (one.evidence != null) {
-                accusations.add(new Accusation(node, one.evidence));
+                accusations.add(new Suspicion(node, one.evidence));
             }
         });
         return accusations;
--- a/src/main/java/sablehinge/mesh/failuredetection/Accusation.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Suspicion.java
@@ -6,4 +6,4 @@
  * @param node whom it doesn't hear
  * @param evidence what it found there
  */
-public record Accusation(String node, Evidence evidence) {}
+public record Suspicion(String node, SuspicionCause evidence) {}
--- a/src/main/java/sablehinge/mesh/failuredetection/Evidence.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/SuspicionCause.java
@@ -1,7 +1,7 @@
 package sablehinge.mesh.failuredetection;
 
 /** What a watcher has found where it hears no beats; the order is their number on the wire. */
-public enum Evidence {
+public enum SuspicionCause {
     /** Nothing answers at its address: no power there, or a cut between. */
     SILENT,
     /** The machine takes connections, and the process says nothing. */
--- a/src/main/java/sablehinge/mesh/retrybudget/Holder.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
@@ -19,7 +19,7 @@
  * that is repeated makes its calls again, which count as repeats there: a token of a service is only given with as much
  * of the pools that its runs call as they do on the mean.
  */
-public final class Holder {
+public final class RetryBudgetAllocator {
 
     /** How long a share lasts here from when it was given, in ms; its owner counts less from earlier on. */
     static final double LASTS_MS = 1_000;
@@ -40,7 +40,7 @@
     /** How far calls of calls are followed. */
     private static final int DEPTH = 3;
 
-    private final Rule rule;
+    private final RetryBudgetRule rule;
     private final Map<String, Pool> pools = new HashMap<>();
     private final Map<Long, Owner> owners = new HashMap<>();
     private long term;
@@ -59,11 +59,11 @@
         double heardAt;
         double end;
         /** Of the term and life at hand: its spending counts from there. */
-        final Map<String, Part> parts = new HashMap<>();
+        final Map<String, ServiceGrant> parts = new HashMap<>();
     }
 
     /** What a balancer has of one service's pool. */
-    private static final class Part {
+    private static final class ServiceGrant {
         final String service;
         int requests;
         int calls;
@@ -73,7 +73,7 @@
         /** What of the pools of called services is out for the share that is not spent. */
         final Map<String, Double> calling = new HashMap<>();
 
-        Part(String service) {
+        ServiceGrant(String service) {
             this.service = service;
         }
 
@@ -88,7 +88,7 @@
     }
 
     /** A holder that has no duty yet. */
-    public Holder(Rule rule) {
+    public RetryBudgetAllocator(RetryBudgetRule rule) {
         this.rule = rule;
     }
 
@@ -133,7 +133,7 @@
         if (anew) {
             // It has dropped what it had, and counts its spending anew.
             forfeit(owner);
-            owner.parts.values().forEach(Part::anew);
+            owner.parts.values().forEach(ServiceGrant::anew);
         }
         // What is spent or given back makes room for what is earned.
         Set<String> told = new HashSet<>();
@@ -141,13 +141,13 @@
             if (pools.containsKey(line.service())) {
                 told.add(line.service());
                 settle(
-                        owner.parts.computeIfAbsent(line.service(), Part::new),
+                        owner.parts.computeIfAbsent(line.service(), ServiceGrant::new),
                         anew ? 0 : line.spent(),
                         anew ? 0 : line.share());
             }
         }
         // Of what it does not tell, nothing was spent since, and nothing is kept.
-        for (Part part : owner.parts.values()) {
+        for (ServiceGrant part : owner.parts.values()) {
             if (!told.contains(part.service)) {
                 settle(part, part.spent, part.spent);
             }
@@ -161,7 +161,7 @@
         owner.end = now + LASTS_MS;
         List<Grant.Line> given = new ArrayList<>();
         for (Claim.Line line : claim.lines()) {
-            Part part = owner.parts.get(line.service());
+            ServiceGrant part = owner.parts.get(line.service());
             if (part != null) {
                 part.share += give(now, line, part);
                 given.add(new Grant.Line(line.service(), part.share));
@@ -171,7 +171,7 @@
     }
 
     /** Requests are counted from the second claim of a life on: those before may have been told elsewhere. */
-    private void count(Part part, String caller, Claim.Line line) {
+    private void count(ServiceGrant part, String caller, Claim.Line line) {
         Pool pool = pools.get(line.service());
         if (part.known) {
             int requests = Math.max(0, line.requests() - part.requests);
@@ -191,7 +191,7 @@
         pool.level += Math.max(0, Math.min(tokens, rule.bound() - pool.level - pool.out));
     }
 
-    private void settle(Part part, int spent, int share) {
+    private void settle(ServiceGrant part, int spent, int share) {
         Pool pool = pools.get(part.service);
         // Beyond its share: arrivals that nobody was asked for, such as what an upstream turned away.
         pool.level = Math.max(-rule.bound(), pool.level - Math.max(0, spent - Math.max(part.share, part.spent)));
@@ -215,7 +215,7 @@
     }
 
     /** As many as are wanted, as far as its own pool and those that its runs call have them. */
-    private int give(double now, Claim.Line line, Part part) {
+    private int give(double now, Claim.Line line, ServiceGrant part) {
         Map<String, Double> prices = prices(line.service());
         double most = Double.MAX_VALUE;
         for (Map.Entry<String, Double> price : prices.entrySet()) {
--- a/src/main/java/sablehinge/mesh/retrybudget/Rule.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetRule.java
@@ -14,7 +14,7 @@
  * @param windowMs the window
  * @param slack arrivals beyond the first in a window without any request
  */
-public record Rule(double ratio, double windowMs, double slack) {
+public record RetryBudgetRule(double ratio, double windowMs, double slack) {
 
     /** The most time from when a further try is granted until it arrives, in ms. */
     static final double LAG_MS = 2_500;
--- a/src/main/java/sablehinge/mesh/retrybudget/Shares.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
@@ -12,7 +12,7 @@
  * What one balancer may send beyond the first try of each request, by services: its share of the pool, which follows
  * what it needs and has an end, and the tokens that are reserved for it, which do without a holder.
  */
-public final class Shares {
+public final class RetryBudgetShares {
 
     /** How long a share lasts, in ms from when it was asked for: less than with the holder. */
     static final double LASTS_MS = 900;
@@ -33,10 +33,10 @@
     /** What must be left for others before a second copy beside one that is out is sent. */
     private static final int KEPT = 1;
 
-    private final Rule rule;
+    private final RetryBudgetRule rule;
     private final long life;
     private final String beside;
-    private final Map<String, Part> parts = new HashMap<>();
+    private final Map<String, ServiceShare> parts = new HashMap<>();
     private int place;
     private int among = 1;
     private int number;
@@ -47,7 +47,7 @@
     /** When a holder last answered. */
     private double touchedAt = Double.NEGATIVE_INFINITY;
 
-    private static final class Part {
+    private static final class ServiceShare {
         int requests;
         int calls;
         int spent;
@@ -105,7 +105,7 @@
      * @param life names this process's life among all others
      * @param beside the service of the upstream on this machine
      */
-    public Shares(Rule rule, long life, String beside) {
+    public RetryBudgetShares(RetryBudgetRule rule, long life, String beside) {
         this.rule = rule;
         this.life = life;
         this.beside = beside;
@@ -114,7 +114,9 @@
     /** The services that there are; what is kept of others is dropped. */
     public void adopt(Collection<String> services) {
         parts.keySet().retainAll(services);
-        services.stream().limit(Claim.MOST).forEach(service -> parts.computeIfAbsent(service, name -> new Part()));
+        services.stream()
+                .limit(Claim.MOST)
+                .forEach(service -> parts.computeIfAbsent(service, name -> new ServiceShare()));
     }
 
     /** Which of so many balancers this is, from 0, by an order that all of them have. */
@@ -125,7 +127,7 @@
 
     /** A client has sent a request for a service here. */
     public void requested(String service) {
-        Part part = parts.get(service);
+        ServiceShare part = parts.get(service);
         if (part != null) {
             part.requests++;
         }
@@ -133,7 +135,7 @@
 
     /** The upstream beside has called a service. */
     public void called(String service) {
-        Part part = parts.get(service);
+        ServiceShare part = parts.get(service);
         if (part != null) {
             part.calls++;
         }
@@ -147,7 +149,7 @@
      * @param then is told once, perhaps before this returns: of what gives the token back, or of null
      */
     public void take(double now, String service, boolean spare, Consumer<Runnable> then) {
-        Part part = parts.get(service);
+        ServiceShare part = parts.get(service);
         if (part == null) {
             then.accept(null);
             return;
@@ -170,14 +172,14 @@
 
     /** What has waited long enough takes what is reserved; to be called some times a second. */
     public void expire(double now) {
-        for (Part part : parts.values()) {
+        for (ServiceShare part : parts.values()) {
             while (!part.waiting.isEmpty() && part.waiting.peekFirst().until <= now) {
                 part.waiting.pollFirst().then.accept(reserved(now, part));
             }
         }
     }
 
-    private Runnable reserved(double now, Part part) {
+    private Runnable reserved(double now, ServiceShare part) {
         while (!part.resting.isEmpty() && part.resting.peekFirst() <= now) {
             part.resting.pollFirst();
         }
@@ -191,7 +193,7 @@
 
     /** Something has arrived beyond the first for which no token was taken. */
     public void arrived(String service) {
-        Part part = parts.get(service);
+        ServiceShare part = parts.get(service);
         if (part != null) {
             part.spent++;
         }
@@ -201,7 +203,7 @@
     public Claim claim(double now) {
         if (now >= end && term != 0) {
             term = 0;
-            parts.values().forEach(Part::anew);
+            parts.values().forEach(ServiceShare::anew);
         }
         double since = now - askedAt;
         boolean urgent = parts.values().stream().anyMatch(part -> part.urgent);
@@ -241,10 +243,10 @@
         end = askedAt + LASTS_MS;
         if (grant.term() != term) {
             term = grant.term();
-            parts.values().forEach(Part::anew);
+            parts.values().forEach(ServiceShare::anew);
         }
         for (Grant.Line line : grant.lines()) {
-            Part part = parts.get(line.service());
+            ServiceShare part = parts.get(line.service());
             if (part != null) {
                 part.share = line.share();
                 part.scarce = part.share - part.spent < part.target;
@@ -252,7 +254,7 @@
         }
         // Who is served may come back with more at once, and must find all of the answer taken in.
         for (Grant.Line line : grant.lines()) {
-            Part part = parts.get(line.service());
+            ServiceShare part = parts.get(line.service());
             if (part != null) {
                 while (part.share > part.spent && !part.waiting.isEmpty()) {
                     part.waiting.pollFirst().then.accept(part.spend());
--- a/src/main/java/sablehinge/mesh/routing/Hosts.java
+++ b/src/main/java/sablehinge/mesh/routing/HostNames.java
@@ -3,9 +3,9 @@
 import java.util.Locale;
 
 /** The one form that names of hosts are compared in. */
-public final class Hosts {
+public final class HostNames {
 
-    private Hosts() {}
+    private HostNames() {}
 
     /**
      * A host as routes name it.
--- a/src/main/java/sablehinge/mesh/routing/Plan.java
+++ b/src/main/java/sablehinge/mesh/routing/RoutingTable.java
@@ -13,30 +13,30 @@
  * routes at one place, and of two owners of one name or key, the first one holds. Written without lambdas and streams,
  * which cost a process's start more than the plan itself does.
  */
-public final class Plan {
+public final class RoutingTable {
 
     private final Configuration configuration;
 
-    private final Map<String, Gate> gates = new HashMap<>();
+    private final Map<String, HostRoutes> gates = new HashMap<>();
 
     private final Map<String, Configuration.Tenant> tenants = new HashMap<>();
 
     private final Map<String, Configuration.Service> services = new HashMap<>();
 
     /** The plan of a configuration. */
-    public Plan(Configuration configuration) {
+    public RoutingTable(Configuration configuration) {
         this.configuration = configuration;
-        Map<String, List<Found>> byHost = new HashMap<>();
+        Map<String, List<RouteMatch>> byHost = new HashMap<>();
         int index = 0;
         for (Configuration.Route route : configuration.routes()) {
-            String host = Hosts.normal(route.host());
+            String host = HostNames.normal(route.host());
             if (!byHost.containsKey(host)) {
                 byHost.put(host, new ArrayList<>());
             }
-            byHost.get(host).add(new Found(route, index++));
+            byHost.get(host).add(new RouteMatch(route, index++));
         }
-        for (Map.Entry<String, List<Found>> entry : byHost.entrySet()) {
-            gates.put(entry.getKey(), new Gate(entry.getValue()));
+        for (Map.Entry<String, List<RouteMatch>> entry : byHost.entrySet()) {
+            gates.put(entry.getKey(), new HostRoutes(entry.getValue()));
         }
         for (Configuration.Tenant tenant : configuration.tenants()) {
             for (String key : tenant.keys()) {
@@ -53,7 +53,7 @@
      *
      * @param index of the route among those of the configuration, from 0
      */
-    public record Found(Configuration.Route route, int index) {}
+    public record RouteMatch(Configuration.Route route, int index) {}
 
     /** What this plan was made from. */
     public Configuration configuration() {
@@ -69,7 +69,7 @@
      * @param target as in the request line
      * @return null where no route fits
      */
-    public Found find(String hostHeader, String target) {
+    public RouteMatch find(String hostHeader, String target) {
         int from = 0;
         String host = hostHeader;
         if (!target.startsWith("/")) {
@@ -80,9 +80,9 @@
             from = end(target, authority, true);
             host = target.substring(authority, from);
         }
-        Gate gate = host == null ? null : gates.get(host);
+        HostRoutes gate = host == null ? null : gates.get(host);
         if (gate == null) {
-            gate = gates.get(Hosts.normal(host));
+            gate = gates.get(HostNames.normal(host));
         }
         if (gate == null) {
             return null;
@@ -156,16 +156,16 @@
     }
 
     /** The routes of one host. */
-    private static final class Gate {
+    private static final class HostRoutes {
 
-        private final Map<String, Found> byPrefix = new HashMap<>();
+        private final Map<String, RouteMatch> byPrefix = new HashMap<>();
 
         /** The lengths that prefixes have, each one once, the longest first. */
         private final int[] lengths;
 
-        Gate(List<Found> routes) {
+        HostRoutes(List<RouteMatch> routes) {
             TreeSet<Integer> ascending = new TreeSet<>();
-            for (Found found : routes) {
+            for (RouteMatch found : routes) {
                 byPrefix.putIfAbsent(found.route().prefix(), found);
                 ascending.add(found.route().prefix().length());
             }
@@ -177,10 +177,10 @@
         }
 
         /** As many looks as there are lengths of prefixes that end at a slash of the path. */
-        Found find(String target, int from, int to) {
+        RouteMatch find(String target, int from, int to) {
             for (int length : lengths) {
                 if (length > 0 && length <= to - from && target.charAt(from + length - 1) == '/') {
-                    Found found = byPrefix.get(target.substring(from, from + length));
+                    RouteMatch found = byPrefix.get(target.substring(from, from + length));
                     if (found != null) {
                         return found;
                     }
--- a/src/main/java/sablehinge/mesh/watch/PackedConfiguration.java
+++ b/src/main/java/sablehinge/mesh/watch/PackedConfiguration.java
@@ -23,7 +23,7 @@
 
     /** Packs the body of a configuration. */
     public static byte[] pack(byte[] body) {
-        return Bytes.of(out -> {
+        return RecordBytes.of(out -> {
             out.writeByte(DEFLATED);
             out.writeInt(body.length);
             try (DeflaterOutputStream deflated = new DeflaterOutputStream(out)) {
@@ -38,7 +38,7 @@
      * @throws IOException if the bytes are of another format, torn, too large, or followed by others
      */
     public static byte[] unpack(byte[] packed) throws IOException {
-        DataInputStream in = Bytes.in(packed);
+        DataInputStream in = RecordBytes.in(packed);
         int format = in.readUnsignedByte();
         if (format != DEFLATED) {
             throw new IOException("a configuration of format " + format + "; " + DEFLATED + " is expected");
--- a/src/main/java/sablehinge/mesh/watch/Bytes.java
+++ b/src/main/java/sablehinge/mesh/watch/RecordBytes.java
@@ -8,16 +8,16 @@
 import java.io.UncheckedIOException;
 
 /** Records as bytes. */
-final class Bytes {
+final class RecordBytes {
 
-    private Bytes() {}
+    private RecordBytes() {}
 
     /** What writes a record. */
-    interface Writing {
+    interface RecordWriter {
         void to(DataOutputStream out) throws IOException;
     }
 
-    static byte[] of(Writing writing) {
+    static byte[] of(RecordWriter writing) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             writing.to(out);
--- a/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
+++ b/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
@@ -14,7 +14,7 @@
 
     /** Writes a claim. */
     public static byte[] bytes(Claim claim) {
-        return Bytes.of(out -> {
+        return RecordBytes.of(out -> {
             out.writeLong(claim.life());
             out.writeInt(claim.number());
             out.writeLong(claim.term());
@@ -33,12 +33,12 @@
 
     /** Reads a claim; fails on anything else. */
     public static Claim claim(byte[] bytes) throws IOException {
-        DataInputStream in = Bytes.in(bytes);
+        DataInputStream in = RecordBytes.in(bytes);
         long life = in.readLong();
         int number = in.readInt();
         long term = in.readLong();
         String service = in.readUTF();
-        int count = Bytes.bounded(in.readUnsignedByte(), Claim.MOST);
+        int count = RecordBytes.bounded(in.readUnsignedByte(), Claim.MOST);
         List<Claim.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             lines.add(new Claim.Line(
@@ -50,7 +50,7 @@
 
     /** Writes a grant. */
     public static byte[] bytes(Grant grant) {
-        return Bytes.of(out -> {
+        return RecordBytes.of(out -> {
             out.writeInt(grant.number());
             out.writeLong(grant.term());
             out.writeByte(grant.lines().size());
@@ -63,10 +63,10 @@
 
     /** Reads a grant; fails on anything else. */
     public static Grant grant(byte[] bytes) throws IOException {
-        DataInputStream in = Bytes.in(bytes);
+        DataInputStream in = RecordBytes.in(bytes);
         int number = in.readInt();
         long term = in.readLong();
-        int count = Bytes.bounded(in.readUnsignedByte(), Claim.MOST);
+        int count = RecordBytes.bounded(in.readUnsignedByte(), Claim.MOST);
         List<Grant.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             lines.add(new Grant.Line(in.readUTF(), in.readInt()));
--- a/src/main/java/sablehinge/mesh/watch/Tokens.java
+++ b/src/main/java/sablehinge/mesh/watch/Tokens.java
@@ -12,7 +12,7 @@
 
     /** Writes it. */
     public byte[] bytes() {
-        return Bytes.of(out -> {
+        return RecordBytes.of(out -> {
             out.writeUTF(tenant);
             out.writeShort(count);
         });
@@ -20,7 +20,7 @@
 
     /** Reads what {@link #bytes} wrote; fails on anything else. */
     public static Tokens read(byte[] bytes) throws IOException {
-        DataInputStream in = Bytes.in(bytes);
+        DataInputStream in = RecordBytes.in(bytes);
         return new Tokens(in.readUTF(), in.readUnsignedShort());
     }
 }
--- a/src/main/java/sablehinge/mesh/watch/Update.java
+++ b/src/main/java/sablehinge/mesh/watch/Update.java
@@ -45,7 +45,7 @@
 
     /** Writes them. */
     public byte[] bytes() {
-        return Bytes.of(this::write);
+        return RecordBytes.of(this::write);
     }
 
     private void write(DataOutputStream out) throws IOException {
@@ -71,18 +71,18 @@
 
     /** Reads what {@link #bytes} wrote; fails on anything else. */
     public static Update read(byte[] bytes) throws IOException {
-        DataInputStream in = Bytes.in(bytes);
+        DataInputStream in = RecordBytes.in(bytes);
         int number = in.readInt();
         boolean confirmed = in.readBoolean();
         long edition = in.readLong();
-        byte[] body = new byte[Bytes.bounded(in.readInt(), Connection.MOST_BYTES)];
+        byte[] body = new byte[RecordBytes.bounded(in.readInt(), Connection.MOST_BYTES)];
         in.readFully(body);
         long term = in.readLong();
         long stamp = in.readLong();
         boolean whole = in.readBoolean();
         boolean complete = in.readBoolean();
         int size = in.readUnsignedShort();
-        int count = Bytes.bounded(in.readUnsignedShort(), MOST);
+        int count = RecordBytes.bounded(in.readUnsignedShort(), MOST);
         List<Registration> registrations = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             registrations.add(Registrations.read(in));
--- a/src/main/java/sablehinge/mesh/watch/WatchRequest.java
+++ b/src/main/java/sablehinge/mesh/watch/WatchRequest.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.mesh.failuredetection.Accusation;
-import sablehinge.mesh.failuredetection.Evidence;
 import sablehinge.mesh.failuredetection.Monitor;
+import sablehinge.mesh.failuredetection.Suspicion;
+import sablehinge.mesh.failuredetection.SuspicionCause;
 
 /**
  * A data-plane balancer asks for news.
@@ -28,10 +28,10 @@
         long term,
         long stamp,
         boolean confirm,
-        List<Accusation> accusations,
+        List<Suspicion> accusations,
         List<Registration> vouched) {
 
-    private static final Evidence[] EVIDENCE = Evidence.values();
+    private static final SuspicionCause[] EVIDENCE = SuspicionCause.values();
 
     /** An ask whose lists can't be changed. */
     public WatchRequest {
@@ -41,7 +41,7 @@
 
     /** Writes it. */
     public byte[] bytes() {
-        return Bytes.of(this::write);
+        return RecordBytes.of(this::write);
     }
 
     private void write(DataOutputStream out) throws IOException {
@@ -52,7 +52,7 @@
         out.writeLong(stamp);
         out.writeBoolean(confirm);
         out.writeByte(accusations.size());
-        for (Accusation accusation : accusations) {
+        for (Suspicion accusation : accusations) {
             out.writeUTF(accusation.node());
             out.writeByte(accusation.evidence().ordinal());
         }
@@ -64,20 +64,20 @@
 
     /** Reads what {@link #bytes} wrote; fails on anything else. */
     public static WatchRequest read(byte[] bytes) throws IOException {
-        DataInputStream in = Bytes.in(bytes);
+        DataInputStream in = RecordBytes.in(bytes);
         int number = in.readInt();
         Registration registration = Registrations.read(in);
         long edition = in.readLong();
         long term = in.readLong();
         long stamp = in.readLong();
         boolean confirm = in.readBoolean();
-        int count = Bytes.bounded(in.readUnsignedByte(), Monitor.MOST);
-        List<Accusation> accusations = new ArrayList<>(count);
+        int count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MOST);
+        List<Suspicion> accusations = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            accusations.add(
-                    new Accusation(in.readUTF(), EVIDENCE[Bytes.bounded(in.readUnsignedByte(), EVIDENCE.length - 1)]));
+            accusations.add(new Suspicion(
+                    in.readUTF(), EVIDENCE[RecordBytes.bounded(in.readUnsignedByte(), EVIDENCE.length - 1)]));
         }
-        count = Bytes.bounded(in.readUnsignedByte(), Monitor.MOST);
+        count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MOST);
         List<Registration> vouched = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             vouched.add(Registrations.read(in));
--- a/src/main/java/sablehinge/tools/audit/Audit.java
+++ b/src/main/java/sablehinge/tools/audit/Audit.java
@@ -23,11 +23,11 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import java.util.zip.GZIPInputStream;
+import sablehinge.tools.audit.judge.AuditRules;
 import sablehinge.tools.audit.judge.Breach;
 import sablehinge.tools.audit.judge.Breach.Rule;
 import sablehinge.tools.audit.judge.Evidence;
-import sablehinge.tools.audit.judge.Judge;
-import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.audit.judge.RuleChecker;
 
 /** Joins what the parties of a run saw, and judges the four rules by it. */
 public final class Audit {
@@ -39,7 +39,7 @@
     private final List<Breach> shown = new ArrayList<>();
     private final List<String> unreadable = new ArrayList<>();
     private long unreadableCount;
-    private Judge judge;
+    private RuleChecker judge;
 
     private final int mostShown;
 
@@ -116,8 +116,8 @@
             throw new IOException(folder + ": is no folder, expected that of a run");
         }
         Audit audit = new Audit(mostShown);
-        Terms terms = TermsFile.read(folder);
-        audit.judge = new Judge(terms, audit::breach);
+        AuditRules terms = AuditRulesFile.read(folder);
+        audit.judge = new RuleChecker(terms, audit::breach);
         List<Source> sources = new ArrayList<>();
         try {
             for (Path file : files(folder)) {
--- a/src/main/java/sablehinge/tools/audit/TermsFile.java
+++ b/src/main/java/sablehinge/tools/audit/AuditRulesFile.java
@@ -9,23 +9,23 @@
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
-import sablehinge.tools.audit.judge.Terms;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.audit.judge.AuditRules;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 
 /** What a run was judged by, beside what its parties saw: {@code terms.json}. */
-public final class TermsFile {
+public final class AuditRulesFile {
 
     /** Its name in the folder of a run. */
     public static final String NAME = "terms.json";
 
     private static final JsonMapper JSON = new JsonMapper();
 
-    private TermsFile() {}
+    private AuditRulesFile() {}
 
     /** Writes it into a folder. */
-    public static void write(Path folder, Terms terms) throws IOException {
+    public static void write(Path folder, AuditRules terms) throws IOException {
         ObjectNode json = JSON.createObjectNode();
         json.put("answer_grace_ms", terms.answerGrace())
                 .put("drain_grace_ms", terms.drainGrace())
@@ -42,7 +42,7 @@
     }
 
     /** Reads it from a folder; the error says what is wrong with it. */
-    static Terms read(Path folder) throws IOException {
+    static AuditRules read(Path folder) throws IOException {
         Path file = folder.resolve(NAME);
         if (!Files.isRegularFile(file)) {
             throw new IOException(file + ": there is no such file, expected the folder of a run");
@@ -59,7 +59,7 @@
                                 Group.valueOf(type.path("group").asText("all").toUpperCase(Locale.ROOT)),
                                 type.path("window_ms").asDouble(0)));
             }
-            return new Terms(
+            return new AuditRules(
                     classes,
                     number(json, "answer_grace_ms"),
                     number(json, "drain_grace_ms"),
--- a/src/main/java/sablehinge/tools/audit/judge/Terms.java
+++ b/src/main/java/sablehinge/tools/audit/judge/AuditRules.java
@@ -13,7 +13,7 @@
  * @param callersWhole whether every caller's record is there
  * @param serversWhole likewise every server's
  */
-public record Terms(
+public record AuditRules(
         Map<String, ClassTerms> classes,
         double answerGrace,
         double drainGrace,
--- a/src/main/java/sablehinge/tools/audit/judge/Judge.java
+++ b/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
@@ -9,6 +9,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Breach.Rule;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
@@ -20,23 +23,20 @@
 import sablehinge.tools.audit.judge.Evidence.Told;
 import sablehinge.tools.audit.judge.Evidence.Tried;
 import sablehinge.tools.audit.judge.Evidence.Unasked;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
 
 /**
  * Judges the four rules by what callers and servers saw. Evidence comes about in the order of time; what was seen of a
  * request is held until no more of it can come.
  */
-public final class Judge {
+public final class RuleChecker {
 
     /** Requests that are held at most; beyond it the oldest is judged early, and counted as such. */
     public static final int MOST_HELD = 1_000_000;
 
     private static final Comparator<Evidence> IN_ORDER =
-            Comparator.comparingDouble(Judge::begun).thenComparingDouble(Evidence::at);
+            Comparator.comparingDouble(RuleChecker::begun).thenComparingDouble(Evidence::at);
 
-    private final Terms terms;
+    private final AuditRules terms;
     private final Consumer<Breach> breaches;
     private final int mostHeld;
     private final LinkedHashMap<String, Trace> traces = new LinkedHashMap<>();
@@ -56,11 +56,11 @@
     }
 
     /** A judge by the given terms, who hands over each breach once it is sure. */
-    public Judge(Terms terms, Consumer<Breach> breaches) {
+    public RuleChecker(AuditRules terms, Consumer<Breach> breaches) {
         this(terms, breaches, MOST_HELD);
     }
 
-    Judge(Terms terms, Consumer<Breach> breaches, int mostHeld) {
+    RuleChecker(AuditRules terms, Consumer<Breach> breaches, int mostHeld) {
         this.terms = terms;
         this.breaches = breaches;
         this.mostHeld = mostHeld;
--- a/src/main/java/sablehinge/tools/replay/Demand.java
+++ b/src/main/java/sablehinge/tools/replay/Demand.java
@@ -1,6 +1,6 @@
 package sablehinge.tools.replay;
 
-import sablehinge.common.mapping.Mapped;
+import sablehinge.common.mapping.MappedRequest;
 
 /**
  * A request that was asked for, once, however often it was tried.
@@ -10,4 +10,4 @@
  * @param shape of a request that no rule is for; otherwise null
  * @param body bytes of its body; -1 where the log doesn't tell
  */
-public record Demand(double time, String method, String target, Mapped mapped, String shape, int body) {}
+public record Demand(double time, String method, String target, MappedRequest mapped, String shape, int body) {}
--- a/src/main/java/sablehinge/tools/replay/Formats.java
+++ b/src/main/java/sablehinge/tools/replay/Formats.java
@@ -13,7 +13,7 @@
     private Formats() {}
 
     /** A reader for a log that was opened; {@link IllegalArgumentException} for a format of no use. */
-    static EntryReader reader(String name, Inputs.Peekable in, LogOptions options, Unreadable unreadable)
+    static EntryReader reader(String name, Inputs.Peekable in, LogOptions options, UnreadableLines unreadable)
             throws IOException {
         String format = options.format().equals("auto") ? guess(peek(name, in, unreadable)) : options.format();
         return format.equals("har")
@@ -21,7 +21,7 @@
                 : new LineEntries(name, in, format(format, options), unreadable);
     }
 
-    private static String peek(String name, Inputs.Peekable in, Unreadable unreadable) throws IOException {
+    private static String peek(String name, Inputs.Peekable in, UnreadableLines unreadable) throws IOException {
         try {
             return in.peeked(in.peek(LOOKED_AT));
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/sablehinge/tools/replay/HarEntries.java
+++ b/src/main/java/sablehinge/tools/replay/HarEntries.java
@@ -24,12 +24,12 @@
 
     private final String name;
     private final JsonParser parser;
-    private final Unreadable unreadable;
+    private final UnreadableLines unreadable;
     private boolean begun;
     private boolean ended;
     private long number;
 
-    HarEntries(String name, InputStream in, Unreadable unreadable) throws IOException {
+    HarEntries(String name, InputStream in, UnreadableLines unreadable) throws IOException {
         this.name = name;
         this.unreadable = unreadable;
         parser = JsonFactory.builder()
@@ -81,7 +81,7 @@
                 if (entry != null) {
                     return entry;
                 }
-            } catch (Unreadable.StrictException e) {
+            } catch (UnreadableLines.StrictException e) {
                 throw e;
             } catch (IOException | RuntimeException e) {
                 ended = true;
--- a/src/main/java/sablehinge/tools/replay/Inspection.java
+++ b/src/main/java/sablehinge/tools/replay/Inspection.java
@@ -7,10 +7,10 @@
 import java.time.Instant;
 import java.util.Locale;
 import java.util.Map;
-import sablehinge.common.mapping.Mapped;
-import sablehinge.tools.replay.statistics.Commonest;
-import sablehinge.tools.replay.statistics.Distinct;
-import sablehinge.tools.replay.statistics.Rates;
+import sablehinge.common.mapping.MappedRequest;
+import sablehinge.tools.replay.statistics.DistinctCounter;
+import sablehinge.tools.replay.statistics.RateMeter;
+import sablehinge.tools.replay.statistics.TopValues;
 
 /** What is in logs, counted within bounds. */
 public final class Inspection {
@@ -27,11 +27,11 @@
     private static final int BAR = 50;
     private static final int LONGEST_KEY = 200;
 
-    private final Commonest classes = new Commonest(MOST_CLASSES);
-    private final Commonest topKeys = new Commonest(MOST_KEYS);
-    private final Distinct keys = new Distinct(MOST_DISTINCT);
-    private final Commonest shapes = new Commonest(MOST_CLASSES);
-    private final Rates rates = new Rates(SLICES);
+    private final TopValues classes = new TopValues(MOST_CLASSES);
+    private final TopValues topKeys = new TopValues(MOST_KEYS);
+    private final DistinctCounter keys = new DistinctCounter(MOST_DISTINCT);
+    private final TopValues shapes = new TopValues(MOST_CLASSES);
+    private final RateMeter rates = new RateMeter(SLICES);
     private Logs.Counts counts;
 
     /** Reads logs to their end. */
@@ -46,7 +46,7 @@
 
     private void take(Demand demand) {
         rates.add(demand.time());
-        Mapped mapped = demand.mapped();
+        MappedRequest mapped = demand.mapped();
         if (mapped == null) {
             shapes.add(demand.shape());
             return;
--- a/src/main/java/sablehinge/tools/replay/LineEntries.java
+++ b/src/main/java/sablehinge/tools/replay/LineEntries.java
@@ -11,10 +11,10 @@
     private final InputStream in;
     private final LineReader lines;
     private final LogFormat format;
-    private final Unreadable unreadable;
+    private final UnreadableLines unreadable;
     private boolean ended;
 
-    LineEntries(String name, InputStream in, LogFormat format, Unreadable unreadable) {
+    LineEntries(String name, InputStream in, LogFormat format, UnreadableLines unreadable) {
         this.name = name;
         this.in = in;
         lines = new LineReader(in);
@@ -28,7 +28,7 @@
             String line;
             try {
                 line = lines.next();
-            } catch (Unreadable.StrictException e) {
+            } catch (UnreadableLines.StrictException e) {
                 throw e;
             } catch (IOException | RuntimeException e) {
                 // A packed file that is cut off, or spoilt: what came before it counts, and that it ended.
--- a/src/main/java/sablehinge/tools/replay/Logs.java
+++ b/src/main/java/sablehinge/tools/replay/Logs.java
@@ -43,7 +43,7 @@
     private final PriorityQueue<Head> heads =
             new PriorityQueue<>(Comparator.comparingDouble(Head::time).thenComparingInt(Head::place));
     private final RetryFolder folder;
-    private final Unreadable unreadable;
+    private final UnreadableLines unreadable;
     private Tries listener = (number, under, bytes) -> {};
     private long tries;
     private long requests;
@@ -53,7 +53,7 @@
 
     private Logs(LogOptions options) {
         folder = new RetryFolder(options.fold());
-        unreadable = new Unreadable(options.strict());
+        unreadable = new UnreadableLines(options.strict());
     }
 
     /**
@@ -96,7 +96,7 @@
                 in.close();
                 throw e;
             }
-        } catch (Unreadable.StrictException e) {
+        } catch (UnreadableLines.StrictException e) {
             throw e;
         } catch (IOException e) {
             throw new IOException(name + ": " + message(e), e);
--- a/src/main/java/sablehinge/tools/replay/OrderedLog.java
+++ b/src/main/java/sablehinge/tools/replay/OrderedLog.java
@@ -3,9 +3,9 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.util.ArrayDeque;
-import sablehinge.common.mapping.Asked;
-import sablehinge.common.mapping.Mapped;
+import sablehinge.common.mapping.MappedRequest;
 import sablehinge.common.mapping.Mapping;
+import sablehinge.common.mapping.RequestAttributes;
 import sablehinge.tools.replay.timeline.Timeline;
 
 /** One log, its requests in the order in which they began. */
@@ -29,7 +29,7 @@
             int status,
             String id,
             boolean sure,
-            Mapped mapped,
+            MappedRequest mapped,
             String shape,
             int body,
             long bytes) {}
@@ -102,8 +102,9 @@
     }
 
     private Held held(LogEntry entry) {
-        Asked asked = new Asked(entry.method(), entry.host(), entry.target(), entry.caller(), entry.headers());
-        Mapped mapped = mapping.map(asked);
+        RequestAttributes asked =
+                new RequestAttributes(entry.method(), entry.host(), entry.target(), entry.caller(), entry.headers());
+        MappedRequest mapped = mapping.map(asked);
         int body =
                 mapped != null && mapped.body() >= 0 ? mapped.body() : (int) Math.min(MOST_BODY, entry.requestBytes());
         return new Held(
--- a/src/main/java/sablehinge/tools/replay/Unreadable.java
+++ b/src/main/java/sablehinge/tools/replay/UnreadableLines.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** What could not be read of the logs: counted, and the first of it kept to be shown. */
-final class Unreadable {
+final class UnreadableLines {
 
     /** How many are shown. */
     static final int SHOWN = 10;
@@ -15,7 +15,7 @@
     private long count;
 
     /** Of a reading that goes on, or that stops at the first one. */
-    Unreadable(boolean strict) {
+    UnreadableLines(boolean strict) {
         this.strict = strict;
     }
 
--- a/src/main/java/sablehinge/tools/replay/run/ClassPlan.java
+++ b/src/main/java/sablehinge/tools/replay/run/ClassPlan.java
@@ -1,9 +1,9 @@
 package sablehinge.tools.replay.run;
 
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
-import sablehinge.tools.replay.schedule.Client.Repeat;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
+import sablehinge.tools.replay.schedule.ReplayClient.Repeat;
 
 /**
  * How requests of a class are sent. Times in ms.
--- a/src/main/java/sablehinge/tools/replay/run/Load.java
+++ b/src/main/java/sablehinge/tools/replay/run/Load.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import sablehinge.common.eventloop.ClosingEventLoops;
-import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.EvidenceStamps;
+import sablehinge.tools.audit.judge.AuditRules;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Tried;
 import sablehinge.tools.audit.judge.Evidence.Unasked;
-import sablehinge.tools.audit.judge.Terms;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
 import sablehinge.tools.replay.Demand;
-import sablehinge.tools.replay.schedule.Client;
-import sablehinge.tools.replay.schedule.Pace;
+import sablehinge.tools.replay.schedule.ReplayClient;
+import sablehinge.tools.replay.schedule.ReplaySchedule;
 
 /** A replay: reads requests, sends each when it is due, and counts what becomes of them. */
 public final class Load {
@@ -51,8 +51,8 @@
     public record Options(
             List<InetSocketAddress> targets,
             Map<String, ClassPlan> classes,
-            Client.Terms clients,
-            Pace.Terms pace,
+            ReplayClient.Terms clients,
+            ReplaySchedule.Terms pace,
             int lanes,
             int connections,
             int body,
@@ -67,9 +67,9 @@
 
     private final Options options;
     private final Consumer<Evidence> record;
-    private final List<Lane> lanes = new ArrayList<>();
+    private final List<ReplayWorker> lanes = new ArrayList<>();
     private final Map<String, ClassPlan> plans;
-    private final Pace<Demand> pace;
+    private final ReplaySchedule<Demand> pace;
     private final long[] laneThreads;
     private final long start;
     private volatile boolean stopped;
@@ -83,18 +83,18 @@
         this.options = options;
         this.record = record;
         plans = new HashMap<>(options.classes());
-        pace = new Pace<>(options.pace(), this::due);
+        pace = new ReplaySchedule<>(options.pace(), this::due);
         Warmup.run(options.lanes());
         start = System.nanoTime() + PRIMING_NANOS;
         SplittableRandom seeds = new SplittableRandom(options.seed());
         laneThreads = new long[options.lanes()];
         for (int i = 0; i < options.lanes(); i++) {
             EventLoop loop = ClosingEventLoops.single("load");
-            List<Lane.Target> targets = new ArrayList<>();
+            List<ReplayWorker.Target> targets = new ArrayList<>();
             for (InetSocketAddress address : options.targets()) {
-                targets.add(new Lane.Target(address, address.getHostString() + ":" + address.getPort()));
+                targets.add(new ReplayWorker.Target(address, address.getHostString() + ":" + address.getPort()));
             }
-            lanes.add(new Lane(
+            lanes.add(new ReplayWorker(
                     loop,
                     "clients-" + i,
                     targets,
@@ -102,7 +102,7 @@
                     options.clients(),
                     seeds.nextLong(),
                     start,
-                    new Lane.LoadRecord() {
+                    new ReplayWorker.LoadRecord() {
                         @Override
                         public void tried(Tried tried) {
                             record.accept(tried);
@@ -135,7 +135,7 @@
             pace.end();
         }
         feeding = threads.getCurrentThreadCpuTime() - before;
-        for (Lane lane : lanes) {
+        for (ReplayWorker lane : lanes) {
             while (!lane.loop().submit(lane::isDone).sync().getNow()) {
                 TimeUnit.MILLISECONDS.sleep(20);
             }
@@ -159,7 +159,7 @@
     /** Requests that were sent, and that have come out, so far; for somebody who watches. */
     public long[] progress() throws InterruptedException {
         long[] sums = new long[2];
-        for (Lane lane : lanes) {
+        for (ReplayWorker lane : lanes) {
             long[] one = lane.loop()
                     .submit(() ->
                             new long[] {lane.tally().requests, lane.tally().ended()})
@@ -190,7 +190,7 @@
                 demand.mapped().tenant(),
                 deadline,
                 demand.body() >= 0 ? demand.body() : options.body());
-        Lane lane = lanes.get(turn++ % lanes.size());
+        ReplayWorker lane = lanes.get(turn++ % lanes.size());
         try {
             while (!stopped && !lane.add(planned, 100)) {
                 // The next look is whether it was stopped.
@@ -222,7 +222,7 @@
     }
 
     /** By what the record of this replay can be judged. */
-    public Terms terms(boolean serversWhole) {
+    public AuditRules terms(boolean serversWhole) {
         Map<String, ClassTerms> classes = new HashMap<>();
         double longest = 0;
         for (Map.Entry<String, ClassPlan> one : plans.entrySet()) {
@@ -230,19 +230,20 @@
             longest = Math.max(
                     longest, one.getValue().deadline() + one.getValue().terms().window());
         }
-        return new Terms(classes, ANSWER_GRACE, DRAIN_GRACE, SLACK, longest + 5_000, true, serversWhole);
+        return new AuditRules(classes, ANSWER_GRACE, DRAIN_GRACE, SLACK, longest + 5_000, true, serversWhole);
     }
 
     /** What came of it; after {@link #run}. */
     public LoadResult result(long writingNanos) throws InterruptedException {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long cpu = feeding + writingNanos;
-        Tally all = new Tally();
+        RequestCounts all = new RequestCounts();
         for (int i = 0; i < lanes.size(); i++) {
             cpu += threads.getThreadCpuTime(laneThreads[i]);
-            Lane lane = lanes.get(i);
+            ReplayWorker lane = lanes.get(i);
             lane.loop().submit(() -> all.add(lane.tally())).sync();
         }
-        return new LoadResult(options, all, unmatched, Stamps.at(start), (ended - start) / NANOS, cpu / NANOS, stopped);
+        return new LoadResult(
+                options, all, unmatched, EvidenceStamps.at(start), (ended - start) / NANOS, cpu / NANOS, stopped);
     }
 }
--- a/src/main/java/sablehinge/tools/replay/run/LoadResult.java
+++ b/src/main/java/sablehinge/tools/replay/run/LoadResult.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import sablehinge.tools.replay.run.Tally.Outcome;
+import sablehinge.tools.replay.run.RequestCounts.Outcome;
 
 /** What came of a replay, and whether its figures count. */
 public final class LoadResult {
@@ -23,7 +23,7 @@
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
     private final Load.Options options;
-    private final Tally tally;
+    private final RequestCounts tally;
     private final long unmatched;
     private final double start;
     private final double millis;
@@ -32,7 +32,7 @@
 
     LoadResult(
             Load.Options options,
-            Tally tally,
+            RequestCounts tally,
             long unmatched,
             double start,
             double millis,
@@ -47,7 +47,7 @@
         this.stopped = stopped;
     }
 
-    Tally tally() {
+    RequestCounts tally() {
         return tally;
     }
 
@@ -138,7 +138,7 @@
                 .forEach(target -> settings.withArray("targets").add(target.getHostString() + ":" + target.getPort()));
         ObjectNode classes = json.putObject("classes");
         Histogram all = new Histogram(3_600_000_000L, 3);
-        for (Map.Entry<String, Tally.OfClass> one : tally.classes.entrySet()) {
+        for (Map.Entry<String, RequestCounts.OfClass> one : tally.classes.entrySet()) {
             ObjectNode own = classes.putObject(one.getKey());
             outcomes(own, one.getValue().outcomes);
             latency(own.putObject("latency_ms"), one.getValue().latency);
@@ -146,8 +146,8 @@
         }
         latency(json.putObject("latency_ms"), all);
         ArrayNode slices = json.putArray("slices");
-        for (int i = 0; i < Tally.SLICES; i++) {
-            Tally.Slice slice = tally.slices[i];
+        for (int i = 0; i < RequestCounts.SLICES; i++) {
+            RequestCounts.Slice slice = tally.slices[i];
             if (slice != null) {
                 ObjectNode own = slices.addObject()
                         .put("from_s", i * tally.sliceWidth / 1_000)
--- a/src/main/java/sablehinge/tools/replay/run/Lane.java
+++ b/src/main/java/sablehinge/tools/replay/run/ReplayWorker.java
@@ -29,21 +29,21 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.EvidenceStamps;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
 import sablehinge.tools.audit.judge.Evidence.Tried;
 import sablehinge.tools.audit.judge.Evidence.Unasked;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.replay.run.Tally.Outcome;
-import sablehinge.tools.replay.schedule.Client;
+import sablehinge.tools.replay.run.RequestCounts.Outcome;
+import sablehinge.tools.replay.schedule.ReplayClient;
 
 /**
  * Sends requests when they are due, whatever becomes of those before: an answer's lateness never delays the next
  * request, and latency counts from when a request was due (Tene, How not to measure latency, 2015: no coordinated
  * omission). One event loop owns a lane with all its clients and connections.
  */
-final class Lane {
+final class ReplayWorker {
 
     /** Requests that wait for their time at most. */
     static final int MOST_AHEAD = 20_000;
@@ -62,12 +62,12 @@
     /** Open to one balancer at most: one that is stuck must not use up those to the others. */
     private final int mostConnections;
 
-    private final Client.Terms clients;
+    private final ReplayClient.Terms clients;
     private final SplittableRandom random;
     private final String name;
     private final LoadRecord record;
     private final ArrayBlockingQueue<Planned> ahead = new ArrayBlockingQueue<>(MOST_AHEAD);
-    private final Tally tally = new Tally();
+    private final RequestCounts tally = new RequestCounts();
     private final long start;
     private final long mix;
     private long drawn;
@@ -92,11 +92,11 @@
     /** A request over all its tries. */
     private static final class Whole {
         final Planned planned;
-        final Client client;
+        final ReplayClient client;
         final String key;
         String first;
 
-        Whole(Planned planned, Client client, String key) {
+        Whole(Planned planned, ReplayClient client, String key) {
             this.planned = planned;
             this.client = client;
             this.key = key;
@@ -140,12 +140,12 @@
         void unasked(Unasked unasked);
     }
 
-    Lane(
+    ReplayWorker(
             EventLoop loop,
             String name,
             List<Target> targets,
             int mostConnections,
-            Client.Terms clients,
+            ReplayClient.Terms clients,
             long seed,
             long start,
             LoadRecord record) {
@@ -171,7 +171,7 @@
     }
 
     /** Its counts; to be read on the loop. */
-    Tally tally() {
+    RequestCounts tally() {
         return tally;
     }
 
@@ -202,7 +202,7 @@
 
     private void begin(Planned planned, long now) {
         tally.asked(sinceStart(planned.due()), (now - planned.due()) / NANOS);
-        Client client = new Client(
+        ReplayClient client = new ReplayClient(
                 clients,
                 planned.plan().repeat(),
                 planned.deadline(),
@@ -228,7 +228,7 @@
             whole.first = one.txn;
         }
         tally.tries++;
-        one.until = Stamps.at(now) + one.patience;
+        one.until = EvidenceStamps.at(now) + one.patience;
         one.expiry = loop.schedule(() -> expire(one), (long) (one.patience * NANOS), TimeUnit.NANOSECONDS);
         connect(one);
     }
@@ -325,7 +325,7 @@
                     effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST,
                     planned.target(),
                     body);
-            double left = Math.max(0, one.until - Stamps.now());
+            double left = Math.max(0, one.until - EvidenceStamps.now());
             request.headers()
                     .set("Host", "app.svc")
                     .set("X-Txn", one.txn)
@@ -363,7 +363,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
                 if (current == null) {
-                    record.unasked(new Unasked(Stamps.now(), name, target.name, before));
+                    record.unasked(new Unasked(EvidenceStamps.now(), name, target.name, before));
                     tally.unasked++;
                     ctx.close();
                     return;
@@ -394,7 +394,7 @@
 
         private void answered() {
             Try one = current;
-            one.answered = Stamps.now();
+            one.answered = EvidenceStamps.now();
             one.status = status;
             one.echo = echo(start, one.txn);
             tally.wrongBodies += status == 200 && one.echo == Echo.OTHER ? 1 : 0;
@@ -469,7 +469,7 @@
         if (one.over) {
             return;
         }
-        settle(one, Client.Outcome.FAILED, Outcome.UNANSWERED);
+        settle(one, ReplayClient.Outcome.FAILED, Outcome.UNANSWERED);
         if (one.connection == null || one.connection.current != one) {
             note(one, End.UNREACHABLE);
             return;
@@ -495,15 +495,15 @@
         switch (end) {
             case ANSWERED -> {
                 if (one.status == 200) {
-                    settle(one, Client.Outcome.SERVED, null);
+                    settle(one, ReplayClient.Outcome.SERVED, null);
                 } else if (one.status == 429 || one.status == 503) {
-                    settle(one, Client.Outcome.REFUSED, Outcome.REFUSED);
+                    settle(one, ReplayClient.Outcome.REFUSED, Outcome.REFUSED);
                 } else {
-                    settle(one, Client.Outcome.FAILED, Outcome.FAILED);
+                    settle(one, ReplayClient.Outcome.FAILED, Outcome.FAILED);
                 }
             }
-            case UNREACHABLE -> settle(one, Client.Outcome.UNREACHABLE, Outcome.UNREACHABLE);
-            default -> settle(one, Client.Outcome.FAILED, Outcome.FAILED);
+            case UNREACHABLE -> settle(one, ReplayClient.Outcome.UNREACHABLE, Outcome.UNREACHABLE);
+            default -> settle(one, ReplayClient.Outcome.FAILED, Outcome.FAILED);
         }
     }
 
@@ -514,14 +514,14 @@
         one.noted = true;
         Planned planned = one.whole.planned;
         record.tried(new Tried(
-                Stamps.now(),
+                EvidenceStamps.now(),
                 name,
                 one.target.name,
                 one.txn,
                 one.whole.first,
                 planned.serviceClass(),
                 one.whole.key,
-                one.sentAt == 0 ? Double.NaN : Stamps.at(one.sentAt),
+                one.sentAt == 0 ? Double.NaN : EvidenceStamps.at(one.sentAt),
                 one.until,
                 one.answered,
                 end,
@@ -530,7 +530,7 @@
     }
 
     /** A try is over for its client: another one, or the request has come out. */
-    private void settle(Try one, Client.Outcome outcome, Outcome counted) {
+    private void settle(Try one, ReplayClient.Outcome outcome, Outcome counted) {
         one.over = true;
         Whole whole = one.whole;
         long now = System.nanoTime();
@@ -541,7 +541,7 @@
             return;
         }
         outstanding--;
-        Outcome result = outcome != Client.Outcome.SERVED
+        Outcome result = outcome != ReplayClient.Outcome.SERVED
                 ? counted
                 : elapsed <= whole.planned.plan().aim() ? Outcome.IN_TIME : Outcome.LATE;
         tally.ended(whole.planned.serviceClass(), sinceStart(now), result, elapsed);
--- a/src/main/java/sablehinge/tools/replay/run/ReportPage.java
+++ b/src/main/java/sablehinge/tools/replay/run/ReportPage.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import sablehinge.tools.replay.run.Tally.Outcome;
-import sablehinge.tools.replay.run.Tally.Slice;
+import sablehinge.tools.replay.run.RequestCounts.Outcome;
+import sablehinge.tools.replay.run.RequestCounts.Slice;
 
 /** A page with plots of a replay: one file that needs no other, no script and no network. */
 public final class ReportPage {
@@ -76,7 +76,7 @@
 
     private List<Slice> slices() {
         Slice[] all = result.tally().slices;
-        int used = Tally.SLICES;
+        int used = RequestCounts.SLICES;
         while (used > 0 && all[used - 1] == null) {
             used--;
         }
@@ -238,7 +238,7 @@
     }
 
     private void classes() {
-        Map<String, Tally.OfClass> classes = result.tally().classes;
+        Map<String, RequestCounts.OfClass> classes = result.tally().classes;
         int bar = 26;
         page.append("<h2>Outcomes by class</h2>\n<svg id=\"outcomes\" viewBox=\"0 0 ")
                 .append(WIDTH)
@@ -246,7 +246,7 @@
                 .append(classes.size() * bar + 30)
                 .append("\" role=\"img\" aria-label=\"Outcomes by class\">\n");
         int row = 0;
-        for (Map.Entry<String, Tally.OfClass> one : classes.entrySet()) {
+        for (Map.Entry<String, RequestCounts.OfClass> one : classes.entrySet()) {
             long[] outcomes = one.getValue().outcomes;
             double all = 0;
             for (long count : outcomes) {
--- a/src/main/java/sablehinge/tools/replay/run/Tally.java
+++ b/src/main/java/sablehinge/tools/replay/run/RequestCounts.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What became of the requests, counted where they were sent. One thread owns it. */
-final class Tally {
+final class RequestCounts {
 
     /** An hour in µs; what takes longer counts as that. */
     private static final long MOST = 3_600_000_000L;
@@ -119,7 +119,7 @@
     }
 
     /** Adds another's counts to these. */
-    void add(Tally other) {
+    void add(RequestCounts other) {
         other.classes.forEach((name, theirs) -> {
             OfClass own = classes.computeIfAbsent(name, key -> new OfClass());
             for (int i = 0; i < own.outcomes.length; i++) {
--- a/src/main/java/sablehinge/tools/replay/run/Warmup.java
+++ b/src/main/java/sablehinge/tools/replay/run/Warmup.java
@@ -21,10 +21,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import sablehinge.common.eventloop.ClosingEventLoops;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.Evidence.Tried;
 import sablehinge.tools.audit.judge.Evidence.Unasked;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.replay.schedule.Client;
+import sablehinge.tools.replay.schedule.ReplayClient;
 
 /**
  * Lets the code that sends be compiled before it counts: a generator that has just started would send its first
@@ -61,17 +61,17 @@
                     .sync()
                     .channel();
             long start = System.nanoTime();
-            Lane[] all = new Lane[lanes];
+            ReplayWorker[] all = new ReplayWorker[lanes];
             for (int i = 0; i < lanes; i++) {
-                all[i] = new Lane(
+                all[i] = new ReplayWorker(
                         (EventLoop) group.next(),
                         "warm-up",
-                        List.of(new Lane.Target((InetSocketAddress) server.localAddress(), "warm-up")),
+                        List.of(new ReplayWorker.Target((InetSocketAddress) server.localAddress(), "warm-up")),
                         100,
-                        Client.Terms.usual(),
+                        ReplayClient.Terms.usual(),
                         i,
                         start,
-                        new Lane.LoadRecord() {
+                        new ReplayWorker.LoadRecord() {
                             @Override
                             public void tried(Tried tried) {}
 
@@ -94,7 +94,7 @@
                         PATIENCE_MS);
             }
             long latest = start + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
-            for (Lane lane : all) {
+            for (ReplayWorker lane : all) {
                 while (!lane.loop().submit(lane::isDone).sync().getNow() && System.nanoTime() < latest) {
                     TimeUnit.MILLISECONDS.sleep(5);
                 }
--- a/src/main/java/sablehinge/tools/replay/schedule/Client.java
+++ b/src/main/java/sablehinge/tools/replay/schedule/ReplayClient.java
@@ -6,7 +6,7 @@
  * What a client does about one request: how long it waits for each try, and whether it tries again. It never tries
  * again what may have run and must not run twice.
  */
-public final class Client {
+public final class ReplayClient {
 
     /**
      * How clients behave. Times in ms.
@@ -55,7 +55,7 @@
      *
      * @param window ms from the first try on within which a repeat is dropped; for {@link Repeat#WITHIN_WINDOW}
      */
-    public Client(Terms terms, Repeat repeat, double deadline, double window, SplittableRandom random) {
+    public ReplayClient(Terms terms, Repeat repeat, double deadline, double window, SplittableRandom random) {
         this.terms = terms;
         this.repeat = repeat;
         this.deadline = deadline;
--- a/src/main/java/sablehinge/tools/replay/schedule/Pace.java
+++ b/src/main/java/sablehinge/tools/replay/schedule/ReplaySchedule.java
@@ -13,7 +13,7 @@
  *
  * @param <T> a request
  */
-public final class Pace<T> {
+public final class ReplaySchedule<T> {
 
     /** How far a copy may lie from its original, in ms of the log. */
     private static final double SPREAD = 1_000;
@@ -52,7 +52,7 @@
     private long order;
 
     /** A pace that nothing has been sent by. */
-    public Pace(Terms terms, Sink<T> sink) {
+    public ReplaySchedule(Terms terms, Sink<T> sink) {
         this.terms = terms;
         this.sink = sink;
         random = new SplittableRandom(terms.seed());
--- a/src/main/java/sablehinge/tools/replay/statistics/Distinct.java
+++ b/src/main/java/sablehinge/tools/replay/statistics/DistinctCounter.java
@@ -6,7 +6,7 @@
  * How many different names there were: exact up to a bound, beyond it an estimate by adaptive sampling (Wegman;
  * Flajolet, On adaptive sampling, 1990), whose standard error is about 1.2 over the root of the bound.
  */
-public final class Distinct {
+public final class DistinctCounter {
 
     private final int most;
     private long[] table = new long[1 << 10];
@@ -16,7 +16,7 @@
     private int level;
 
     /** A count that holds so many hashes at most, of 8 to 32 bytes each. */
-    public Distinct(int most) {
+    public DistinctCounter(int most) {
         this.most = most;
     }
 
--- a/src/main/java/sablehinge/tools/replay/statistics/Rates.java
+++ b/src/main/java/sablehinge/tools/replay/statistics/RateMeter.java
@@ -6,7 +6,7 @@
  * Events over time, in slices that grow as the time does, so that a second and a year both fit. The slices are whole
  * multiples of their width since 1970.
  */
-public final class Rates {
+public final class RateMeter {
 
     private final int most;
     private long[] counts;
@@ -15,7 +15,7 @@
     private double width = 1_000;
 
     /** Rates in so many slices at most. */
-    public Rates(int most) {
+    public RateMeter(int most) {
         this.most = most;
         counts = new long[most];
     }
--- a/src/main/java/sablehinge/tools/replay/statistics/Commonest.java
+++ b/src/main/java/sablehinge/tools/replay/statistics/TopValues.java
@@ -10,14 +10,14 @@
  * Finding repeated elements, 1982; taken away by the median as in Anderson et al., A high-performance algorithm for
  * identifying frequent items in data streams, 2017).
  */
-public final class Commonest {
+public final class TopValues {
 
     private final int most;
     private final HashMap<String, long[]> counts = new HashMap<>();
     private long taken;
 
     /** Counts that hold so many names at most. */
-    public Commonest(int most) {
+    public TopValues(int most) {
         this.most = most;
     }
 
