--- a/src/main/java/sablehinge/tools/standin/Caller.java
+++ b/src/main/java/sablehinge/tools/standin/Caller.java
@@ -24,7 +24,7 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
@@ -85,7 +85,7 @@
             if (!noted) {
                 noted = true;
                 record.accept(new Tried(
-                        Stamps.now(),
+                        EvidenceStamps.now(),
                         name,
                         balancer,
                         txn,
@@ -145,7 +145,7 @@
                 get ? HttpMethod.GET : HttpMethod.POST,
                 "/" + serviceClass,
                 get ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer("call", StandardCharsets.US_ASCII));
-        double left = until - Stamps.now();
+        double left = until - EvidenceStamps.now();
         request.headers()
                 .set("Host", "app.svc")
                 .set("X-Txn", txn)
@@ -163,7 +163,7 @@
         Call call = new Call(txn, serviceClass, key, until, request, end);
         call.expiry = loop.schedule(() -> expire(call), (long) Math.max(1, left), TimeUnit.MILLISECONDS);
         Connection kept = idle.pollLast();
-        while (kept != null && (!kept.channel.isActive() || Stamps.now() - kept.since > IDLE_MS)) {
+        while (kept != null && (!kept.channel.isActive() || EvidenceStamps.now() - kept.since > IDLE_MS)) {
             kept.channel.close();
             kept = idle.pollLast();
         }
@@ -245,7 +245,7 @@
             call.connection = this;
             channel.writeAndFlush(call.request.retainedDuplicate()).addListener(written -> {
                 if (written.isSuccess()) {
-                    call.sent = Stamps.now();
+                    call.sent = EvidenceStamps.now();
                 } else {
                     channel.close();
                 }
@@ -256,7 +256,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             Call call = waits;
             if (call == null) {
-                record.accept(new Unasked(Stamps.now(), name, balancer, before));
+                record.accept(new Unasked(EvidenceStamps.now(), name, balancer, before));
                 ctx.close();
                 return;
             }
@@ -269,9 +269,9 @@
             Echo echo = !start.startsWith("txn=")
                     ? Echo.UNKNOWN
                     : start.startsWith(call.txn + "\n", 4) ? Echo.SAME : Echo.OTHER;
-            call.note(End.ANSWERED, Stamps.now(), status, echo);
+            call.note(End.ANSWERED, EvidenceStamps.now(), status, echo);
             if (HttpUtil.isKeepAlive(response) && !closed) {
-                since = Stamps.now();
+                since = EvidenceStamps.now();
                 idle.addLast(this);
             } else {
                 ctx.close();
--- a/src/main/java/sablehinge/tools/standin/Directory.java
+++ b/src/main/java/sablehinge/tools/standin/Directory.java
@@ -32,7 +32,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Told;
 
@@ -148,7 +148,7 @@
         if (silent) {
             return;
         }
-        double now = Stamps.now();
+        double now = EvidenceStamps.now();
         List<Owed> all = List.copyOf(owed);
         owed.clear();
         for (Owed one : all) {
@@ -203,7 +203,7 @@
 
     /** It has been written out: from now on the balancer counts as told. */
     private void wrote(String balancer, boolean full, Map<String, Entry> wanted) {
-        double now = Stamps.now();
+        double now = EvidenceStamps.now();
         Map<String, String> before = told.computeIfAbsent(balancer, name -> new HashMap<>());
         wanted.forEach((id, entry) -> {
             if (!entry.state.equals(before.put(id, entry.state))) {
@@ -254,7 +254,7 @@
             }
             long index = number(query, "index", -1);
             long wait = Math.min(MOST_WAIT_MS, number(query, "wait", 0));
-            owed.add(new Owed(balancer, ctx, index, Stamps.now() + wait));
+            owed.add(new Owed(balancer, ctx, index, EvidenceStamps.now() + wait));
             tellAll();
         }
 
--- a/src/main/java/sablehinge/tools/standin/Fleet.java
+++ b/src/main/java/sablehinge/tools/standin/Fleet.java
@@ -20,13 +20,13 @@
 import java.util.function.Consumer;
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.policy.LoadBalancer.Repeat;
-import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.EvidenceStamps;
+import sablehinge.tools.audit.judge.AuditRules;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Ended;
-import sablehinge.tools.audit.judge.Terms;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
 import sablehinge.tools.standin.Balancers.Running;
 import sablehinge.tools.standin.Balancers.Spec;
 import sablehinge.tools.standin.Directory.Entry;
@@ -101,7 +101,7 @@
     /** Starts all, and returns once every balancer serves; faults count from here. */
     public void start() throws Exception {
         // Faults may look at the time before all is up.
-        begun = Stamps.now() + 1e12;
+        begun = EvidenceStamps.now() + 1e12;
         try {
             keeper.submit(() -> {
                         build();
@@ -120,7 +120,7 @@
 
     private void build() throws Exception {
         SplittableRandom random = new SplittableRandom(scenario.seed());
-        double start = Stamps.now();
+        double start = EvidenceStamps.now();
         for (int tier = 0; tier < scenario.tiers().size(); tier++) {
             Directory directory = new Directory(
                     loops.get(tier % loops.size()),
@@ -191,7 +191,7 @@
             }
         }
         warmUp();
-        begun = Stamps.now();
+        begun = EvidenceStamps.now();
         recording = true;
         story.accept(String.format(
                 Locale.ROOT,
@@ -221,7 +221,7 @@
                                 type.name(),
                                 keyed ? id : "",
                                 null,
-                                Stamps.now() + type.deadline(),
+                                EvidenceStamps.now() + type.deadline(),
                                 served -> left.countDown()),
                         i * WARM_UP_EVERY_MS,
                         TimeUnit.MILLISECONDS);
@@ -288,7 +288,7 @@
     }
 
     /** By what a run of this fleet is judged; callers' own terms come on top. */
-    public Terms terms() {
+    public AuditRules terms() {
         Map<String, ClassTerms> classes = new HashMap<>();
         double longest = 0;
         for (ClassPart part : scenario.classes()) {
@@ -303,7 +303,8 @@
                     new ClassTerms(effect, Group.valueOf(part.group().name()), part.window()));
             longest = Math.max(longest, part.deadline() + part.window());
         }
-        return new Terms(classes, ANSWER_GRACE, scenario.rules().drainGrace() + 50, SLACK, longest + 5_000, true, true);
+        return new AuditRules(
+                classes, ANSWER_GRACE, scenario.rules().drainGrace() + 50, SLACK, longest + 5_000, true, true);
     }
 
     // ---- What befalls it ---------------------------------------------------------------------------
@@ -318,7 +319,7 @@
     }
 
     private void at(double elapsed, Runnable what) {
-        double wait = begun + elapsed - Stamps.now();
+        double wait = begun + elapsed - EvidenceStamps.now();
         keeper.schedule(
                 () -> {
                     if (!closed) {
@@ -336,7 +337,7 @@
         story.accept(String.format(
                 Locale.ROOT,
                 "%5.1f s  %s: %s %s",
-                (Stamps.now() - begun) / 1_000,
+                (EvidenceStamps.now() - begun) / 1_000,
                 strike.kind() == Kind.SILENT_LIST
                         ? "the list of " + scenario.tiers().get(strike.tier()).name()
                         : name,
@@ -375,7 +376,7 @@
         String own = "of-" + server.place().name();
         Running balancer = running.remove(own);
         if (balancer != null) {
-            record.accept(new Ended(Stamps.now(), own));
+            record.accept(new Ended(EvidenceStamps.now(), own));
             balancer.kill();
         }
     }
@@ -415,9 +416,9 @@
         closed = true;
         keeper.shutdownNow();
         running.forEach((name, balancer) -> {
-            record.accept(new Ended(Stamps.now(), name));
+            record.accept(new Ended(EvidenceStamps.now(), name));
             record.accept(new Ended(
-                    Stamps.now(),
+                    EvidenceStamps.now(),
                     balancer.address().getHostString() + ":"
                             + balancer.address().getPort()));
             balancer.kill();
--- a/src/main/java/sablehinge/tools/standin/Server.java
+++ b/src/main/java/sablehinge/tools/standin/Server.java
@@ -41,14 +41,14 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 import sablehinge.policy.LoadBalancer.Repeat;
-import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Fell;
 import sablehinge.tools.audit.judge.Evidence.How;
 import sablehinge.tools.audit.judge.Evidence.Ran;
 import sablehinge.tools.standin.model.Faults;
 import sablehinge.tools.standin.model.Faults.Kind;
-import sablehinge.tools.standin.model.Station;
+import sablehinge.tools.standin.model.ServerModel;
 import sablehinge.tools.standin.scenario.Scenario;
 import sablehinge.tools.standin.scenario.Scenario.ClassPart;
 import sablehinge.tools.standin.scenario.Scenario.TierPart;
@@ -72,14 +72,14 @@
     private final Consumer<Evidence> record;
     private final Map<String, Long> keys;
     private final SplittableRandom random;
-    private final Station.Terms terms;
+    private final ServerModel.Terms terms;
     private final Map<String, Listening> listening = new LinkedHashMap<>();
     /** Where it listens for whom; read by the directory's loop. */
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
 
     private final Map<Long, Work> works = new HashMap<>();
     private final Set<Connection> connections = new HashSet<>();
-    private Station station;
+    private ServerModel station;
     private Caller caller;
     private long lastId;
     private ScheduledFuture<?> tick;
@@ -106,7 +106,7 @@
         final String cookie;
         final ClassPart type;
         final double first;
-        final double taken = Stamps.now();
+        final double taken = EvidenceStamps.now();
         final double until;
         final double rest;
         Kind struck;
@@ -151,7 +151,7 @@
         this.record = record;
         random = new SplittableRandom(seed);
         TierPart tier = scenario.tiers().get(place.tier);
-        terms = new Station.Terms(
+        terms = new ServerModel.Terms(
                 tier.cores(),
                 speed,
                 tier.slots(),
@@ -216,7 +216,7 @@
 
     /** Begins to serve, warm or cold; on the loop. */
     void start(boolean cold, Caller calls) {
-        station = new Station(terms, Stamps.now(), cold ? Stamps.now() : Double.NaN);
+        station = new ServerModel(terms, EvidenceStamps.now(), cold ? EvidenceStamps.now() : Double.NaN);
         caller = calls;
         up = true;
         reopen();
@@ -309,12 +309,12 @@
     // ---- Work --------------------------------------------------------------------------------------
 
     private double elapsed() {
-        return Stamps.now() - begun.getAsDouble();
+        return EvidenceStamps.now() - begun.getAsDouble();
     }
 
     /** Lets the station's time pass, and sees to what has come of it. */
     private void pass() {
-        double now = Stamps.now();
+        double now = EvidenceStamps.now();
         station.slow(faults.slower(place.tier, place.number, elapsed()));
         station.stall(silent || faults.struck(Kind.STALL, place.tier, place.number, elapsed()));
         while (station.time() < now) {
@@ -331,7 +331,7 @@
         }
         if (!works.isEmpty() && up) {
             // A stall's end and a fault's beginning are looked for too.
-            double next = Math.min(20, station.next() - Stamps.now());
+            double next = Math.min(20, station.next() - EvidenceStamps.now());
             tick = loop.schedule(this::pass, (long) (Math.max(0.2, next) * 1e6), TimeUnit.NANOSECONDS);
         }
     }
@@ -373,7 +373,7 @@
 
     private void finish(Work work) {
         Kind struck = work.struck;
-        latency += 0.1 * (Stamps.now() - work.taken - latency);
+        latency += 0.1 * (EvidenceStamps.now() - work.taken - latency);
         if (struck == Kind.RESET_AFTER) {
             end(work, How.RESET);
             work.connection.reset();
@@ -407,7 +407,7 @@
 
     private void note(Connection from, String txn, String key, double first, double taken, How how) {
         record.accept(new Ran(
-                Stamps.now(),
+                EvidenceStamps.now(),
                 place.name,
                 place.zone,
                 place.cell,
@@ -467,7 +467,7 @@
                 if (message instanceof HttpRequest request) {
                     idle.cancel(false);
                     head = request;
-                    begun = Stamps.now();
+                    begun = EvidenceStamps.now();
                     bytes = 0;
                     txn = request.headers().get("X-Txn", "");
                     serviceClass = request.headers().get("X-Lane", "");
@@ -518,7 +518,7 @@
         private void take(HttpRequest request, ClassPart type) {
             String key = request.headers().get("Idempotency-Key", "");
             if (!key.isEmpty() && repeated(key, type)) {
-                note(this, txn, key, begun, Stamps.now(), How.SERVED);
+                note(this, txn, key, begun, EvidenceStamps.now(), How.SERVED);
                 answer(200, body(txn), false);
                 return;
             }
@@ -534,12 +534,12 @@
             }
             boolean in = remaining(request) > 0
                     && station.arrive(
-                            Stamps.now(),
+                            EvidenceStamps.now(),
                             taken.id,
                             taken.callsLeft == 0 ? amount : amount - taken.rest,
                             directory.knowsStart(balancer, place.name));
             if (!Double.isNaN(station.fell()) && up) {
-                record.accept(new Fell(Stamps.now(), place.name, station.informed()));
+                record.accept(new Fell(EvidenceStamps.now(), place.name, station.informed()));
                 note(this, txn, key, begun, taken.taken, How.RESET);
                 die();
                 return;
@@ -553,7 +553,7 @@
                 if (keys.size() >= MOST_KEYS) {
                     keys.clear();
                 }
-                keys.put(key, (long) Stamps.now());
+                keys.put(key, (long) EvidenceStamps.now());
             }
             if (taken.struck == Kind.ERROR) {
                 station.leave(taken.id);
@@ -569,7 +569,7 @@
         /** Whether servers of this cell have had the key within the window. */
         private boolean repeated(String key, ClassPart type) {
             Long before = keys.get(key);
-            return before != null && Stamps.now() - before < type.window();
+            return before != null && EvidenceStamps.now() - before < type.window();
         }
 
         private String report() {
--- a/src/main/java/sablehinge/tools/standin/mesh/Call.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/ClientCall.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 
 /** A connection of a caller: requests go out, answers come back in their order. */
-final class Call implements AutoCloseable {
+final class ClientCall implements AutoCloseable {
 
     private static final int CHUNK = 7_000;
     private final Socket socket = new Socket();
     private final InputStream in;
 
-    Call(InetSocketAddress to, int patienceMs) throws IOException {
+    ClientCall(InetSocketAddress to, int patienceMs) throws IOException {
         try {
             socket.connect(to, patienceMs);
             socket.setTcpNoDelay(true);
@@ -69,7 +69,7 @@
     static Message once(
             InetSocketAddress to, int patienceMs, String method, String uri, Map<String, String> headers, byte[] body)
             throws IOException {
-        try (Call call = new Call(to, patienceMs)) {
+        try (ClientCall call = new ClientCall(to, patienceMs)) {
             call.send(method, uri, headers, body, false);
             return call.receive();
         }
--- a/src/main/java/sablehinge/tools/standin/mesh/Beating.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/HeartbeatSender.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Tells a balancer that the upstream beside it lives, and in the end that it leaves. */
-public final class Beating implements AutoCloseable {
+public final class HeartbeatSender implements AutoCloseable {
 
     private static final int PATIENCE_MS = 1_000;
     private static final long AGAIN_MS = 150;
@@ -17,12 +17,13 @@
     private final InetSocketAddress control;
     private final String zone;
     private final long everyMs;
-    private final Ledger ledger;
+    private final TrafficLog ledger;
     private long count;
     private volatile boolean ended;
 
     /** Begins to beat. */
-    public Beating(StandInUpstream upstream, InetSocketAddress control, String zone, long everyMs, Ledger ledger) {
+    public HeartbeatSender(
+            StandInUpstream upstream, InetSocketAddress control, String zone, long everyMs, TrafficLog ledger) {
         this.upstream = upstream;
         this.control = control;
         this.zone = zone;
@@ -58,7 +59,7 @@
                 .put("callCount", ++count)
                 .toString();
         try {
-            Message answer = Call.once(
+            Message answer = ClientCall.once(
                     control,
                     PATIENCE_MS,
                     "POST",
@@ -73,21 +74,21 @@
 
     private void tell(String name, boolean gone, double until) throws InterruptedException {
         while (!call(name)) {
-            if (Ledger.now() > until) {
+            if (TrafficLog.now() > until) {
                 return;
             }
             TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
         }
-        ledger.left(new Ledger.Left(upstream.terms().id(), gone, Ledger.now()));
+        ledger.left(new TrafficLog.Left(upstream.terms().id(), gone, TrafficLog.now()));
     }
 
     /** A planned end: says so, serves on for so long, signs off, and ends the upstream. */
     public void leave(long unloadMs) throws InterruptedException {
         upstream.unloads();
-        tell("Servers.Heartbeat", false, Ledger.now() + unloadMs);
+        tell("Servers.Heartbeat", false, TrafficLog.now() + unloadMs);
         TimeUnit.MILLISECONDS.sleep(unloadMs + unloadMs / 10);
         ended = true;
-        tell("Servers.SignOff", true, Ledger.now() + unloadMs);
+        tell("Servers.SignOff", true, TrafficLog.now() + unloadMs);
         upstream.close();
     }
 
--- a/src/main/java/sablehinge/tools/standin/mesh/Clients.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/LoadClients.java
@@ -13,7 +13,7 @@
  * The clients of one machine: one sends single requests of all routes, another safe ones in a row without waiting. What
  * is promised not to have run is sent once more, as another try.
  */
-public final class Clients implements AutoCloseable {
+public final class LoadClients implements AutoCloseable {
 
     private static final int PATIENCE_MS = 5_000;
     private static final int LEFT_MS = 4_000;
@@ -27,20 +27,20 @@
     private final InetSocketAddress outbound;
     private final String depot;
     private final List<MeshVersion.Route> routes;
-    private final Ledger ledger;
+    private final TrafficLog ledger;
     private final long everyMs;
     private final String name;
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean ended;
 
     /** Clients of the machine with that outbound address, whose upstream is of that service. */
-    public Clients(
+    public LoadClients(
             String name,
             InetSocketAddress outbound,
             String depot,
             List<MeshVersion.Route> routes,
             long everyMs,
-            Ledger ledger) {
+            TrafficLog ledger) {
         this.name = name;
         this.outbound = outbound;
         this.depot = depot;
@@ -59,14 +59,14 @@
         });
     }
 
-    private Ledger.Sent draw(SplittableRandom random, MeshVersion.Route route, byte[] body, String id) {
+    private TrafficLog.Sent draw(SplittableRandom random, MeshVersion.Route route, byte[] body, String id) {
         String method =
                 switch (route.kind()) {
                     case SAFE -> "GET";
                     case UNSAFE -> "POST";
                     case UPLOAD -> "PUT";
                 };
-        return new Ledger.Sent(
+        return new TrafficLog.Sent(
                 id,
                 depot,
                 route.kind(),
@@ -74,7 +74,7 @@
                 route.prefix() + random.nextInt(1_000) + "?of=" + name,
                 route.prefix(),
                 Message.sum(body),
-                Ledger.now());
+                TrafficLog.now());
     }
 
     private static String id(SplittableRandom random) {
@@ -90,41 +90,41 @@
         return headers;
     }
 
-    private void send(Call call, Ledger.Sent one, byte[] body, boolean chunked) throws IOException {
+    private void send(ClientCall call, TrafficLog.Sent one, byte[] body, boolean chunked) throws IOException {
         ledger.sent(one);
         call.send(one.method(), one.uri(), headers(one.id()), body, chunked);
     }
 
-    private void note(Ledger.Sent one, Message answer) {
+    private void note(TrafficLog.Sent one, Message answer) {
         ledger.answered(
                 answer == null
-                        ? new Ledger.Answered(one.id(), 0, null, null, 0, Ledger.now())
-                        : new Ledger.Answered(
+                        ? new TrafficLog.Answered(one.id(), 0, null, null, 0, TrafficLog.now())
+                        : new TrafficLog.Answered(
                                 one.id(),
                                 answer.status(),
                                 answer.header("Sablehinge-Try-Id"),
                                 answer.header("Sablehinge-Postmark"),
                                 Message.sum(answer.body()),
-                                Ledger.now()));
+                                TrafficLog.now()));
     }
 
     private void singles(SplittableRandom random) {
-        Call call = null;
+        ClientCall call = null;
         try {
             for (int i = 0; !ended; i++) {
                 MeshVersion.Route route = routes.get(i % routes.size());
                 byte[] body = new byte
-                        [route.kind() == Ledger.Kind.SAFE
+                        [route.kind() == TrafficLog.Kind.SAFE
                                 ? 0
-                                : random.nextInt(route.kind() == Ledger.Kind.UPLOAD ? LARGE : SMALL)];
+                                : random.nextInt(route.kind() == TrafficLog.Kind.UPLOAD ? LARGE : SMALL)];
                 for (int j = 0; j < body.length; j++) {
                     body[j] = (byte) random.nextInt();
                 }
                 for (int tries = 0; tries < TRIES; tries++) {
-                    Ledger.Sent one = draw(random, route, body, id(random));
+                    TrafficLog.Sent one = draw(random, route, body, id(random));
                     Message answer = null;
                     try {
-                        call = call == null ? new Call(outbound, PATIENCE_MS) : call;
+                        call = call == null ? new ClientCall(outbound, PATIENCE_MS) : call;
                         send(call, one, body, body.length > 0 && i % 2 == 0);
                         answer = call.receive();
                     } catch (IOException e) {
@@ -154,7 +154,7 @@
         return (long) Math.min(AT_MOST_WAIT_MS, seconds * 1_000);
     }
 
-    private static Call ended(Call call) {
+    private static ClientCall ended(ClientCall call) {
         if (call != null) {
             call.close();
         }
@@ -163,7 +163,7 @@
 
     private void rows(SplittableRandom random) {
         List<MeshVersion.Route> safe =
-                routes.stream().filter(r -> r.kind() == Ledger.Kind.SAFE).toList();
+                routes.stream().filter(r -> r.kind() == TrafficLog.Kind.SAFE).toList();
         try {
             while (!ended) {
                 row(random, safe);
@@ -175,11 +175,11 @@
     }
 
     private void row(SplittableRandom random, List<MeshVersion.Route> safe) {
-        List<Ledger.Sent> waiting = new ArrayList<>();
+        List<TrafficLog.Sent> waiting = new ArrayList<>();
         int answers = 0;
-        try (Call call = new Call(outbound, PATIENCE_MS)) {
+        try (ClientCall call = new ClientCall(outbound, PATIENCE_MS)) {
             for (int i = 0; i < ROW; i++) {
-                Ledger.Sent one = draw(random, safe.get(random.nextInt(safe.size())), new byte[0], id(random));
+                TrafficLog.Sent one = draw(random, safe.get(random.nextInt(safe.size())), new byte[0], id(random));
                 waiting.add(one);
                 send(call, one, new byte[0], false);
             }
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshJudge.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshJudge.java
@@ -10,14 +10,14 @@
 /** Holds what was seen in a small mesh against the rules; what is not seen on sockets is not judged. */
 public final class MeshJudge {
 
-    private final Ledger ledger;
+    private final TrafficLog ledger;
     private final List<Operator.Order> orders;
     private final double unloadMs;
     private final double editionMs;
     private final List<String> breaches = new ArrayList<>();
 
     /** A judge of one day; times are in ms. */
-    public MeshJudge(Ledger ledger, List<Operator.Order> orders, double unloadMs, double editionMs) {
+    public MeshJudge(TrafficLog ledger, List<Operator.Order> orders, double unloadMs, double editionMs) {
         this.ledger = ledger;
         this.orders = List.copyOf(orders);
         this.unloadMs = unloadMs;
@@ -27,16 +27,16 @@
     /** The rules that were broken, a line each, beginning with the rule's name; none is as it should be. */
     public List<String> breaches(byte[] readBack) {
         breaches.clear();
-        Map<String, Ledger.Sent> sent = new HashMap<>();
+        Map<String, TrafficLog.Sent> sent = new HashMap<>();
         ledger.sent().forEach(one -> sent.put(one.id(), one));
-        Map<String, List<Ledger.Run>> runs = new HashMap<>();
+        Map<String, List<TrafficLog.Run>> runs = new HashMap<>();
         ledger.runs().forEach(run -> runs.computeIfAbsent(run.id(), id -> new ArrayList<>())
                 .add(run));
         ledger.strays().forEach(words -> breach("MIXED", words));
         ledger.answered().forEach(one -> answer(one, sent.get(one.of()), runs.getOrDefault(one.of(), List.of())));
         ledger.runs().forEach(run -> run(run, sent.get(run.id())));
         runs.forEach((id, of) -> {
-            if (of.size() > 1 && sent.containsKey(id) && sent.get(id).kind() != Ledger.Kind.SAFE) {
+            if (of.size() > 1 && sent.containsKey(id) && sent.get(id).kind() != TrafficLog.Kind.SAFE) {
                 breach("TWICE", id + " ran " + of.size() + " times");
             }
         });
@@ -49,9 +49,9 @@
         breaches.add(rule + ": " + words);
     }
 
-    private void answer(Ledger.Answered one, Ledger.Sent sent, List<Ledger.Run> runs) {
+    private void answer(TrafficLog.Answered one, TrafficLog.Sent sent, List<TrafficLog.Run> runs) {
         if (one.status() / 100 == 2) {
-            Ledger.Run by = runs.stream()
+            TrafficLog.Run by = runs.stream()
                     .filter(run -> run.stamp().equals(one.stamp()))
                     .findFirst()
                     .orElse(null);
@@ -63,7 +63,7 @@
                 breach("MIXED", one.of() + " got a body that its upstream did not send");
             }
         } else if (!runs.isEmpty()
-                && sent.kind() != Ledger.Kind.SAFE
+                && sent.kind() != TrafficLog.Kind.SAFE
                 && Set.of(408, 421, 429, 503).contains(one.status())) {
             breach("REFUSED", one.of() + " got " + one.status() + " and yet ran");
         } else if (one.status() / 100 == 4 && one.status() != 429 && one.status() != 408 && one.status() != 421) {
@@ -71,7 +71,7 @@
         }
     }
 
-    private void run(Ledger.Run run, Ledger.Sent sent) {
+    private void run(TrafficLog.Run run, TrafficLog.Sent sent) {
         if (sent == null
                 || !sent.method().equals(run.method())
                 || !sent.uri().equals(run.uri())
@@ -103,7 +103,7 @@
 
     private void leaving() {
         Set<String> seen = new HashSet<>();
-        for (Ledger.Left left : ledger.left()) {
+        for (TrafficLog.Left left : ledger.left()) {
             double until = left.at() + unloadMs;
             ledger.runs().stream()
                     .filter(run -> run.upstream().equals(left.upstream()) && run.at() > until)
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshVersion.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshVersion.java
@@ -24,7 +24,7 @@
     private static final int TARGET_MS = 600;
 
     /** Where requests of a prefix go; more than one service shares them evenly. */
-    public record Route(String prefix, Ledger.Kind kind, List<String> services) {
+    public record Route(String prefix, TrafficLog.Kind kind, List<String> services) {
 
         /** A route whose services can't be changed. */
         public Route {
--- a/src/main/java/sablehinge/tools/standin/mesh/Operator.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/Operator.java
@@ -39,7 +39,7 @@
 
     /** Sends a configuration until it is acknowledged; the error says what was answered in the end. */
     public void replace(MeshVersion version, long withinMs) throws InterruptedException {
-        double sentAt = Ledger.now();
+        double sentAt = TrafficLog.now();
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Host", "control");
         headers.put("Sablehinge-Based-On", Long.toString(version.basedOn()));
@@ -48,7 +48,7 @@
         Message answer;
         try {
             answer = until(withinMs, "POST", "/sablehinge/Config.Replace", headers, version.body());
-            ackedAt = answer.status() == 200 ? Ledger.now() : Double.NaN;
+            ackedAt = answer.status() == 200 ? TrafficLog.now() : Double.NaN;
         } finally {
             orders.add(new Order(version, sentAt, ackedAt));
         }
@@ -87,7 +87,7 @@
     public int leader() {
         for (int i = 0; i < core.size(); i++) {
             try {
-                Message answer = Call.once(
+                Message answer = ClientCall.once(
                         core.get(i),
                         PATIENCE_MS,
                         "GET",
@@ -106,9 +106,9 @@
 
     private Message until(long withinMs, String method, String path, Map<String, String> headers, byte[] body)
             throws InterruptedException {
-        double end = Ledger.now() + withinMs;
+        double end = TrafficLog.now() + withinMs;
         Message last = null;
-        while (Ledger.now() < end) {
+        while (TrafficLog.now() < end) {
             try {
                 Message answer = follow(method, path, headers, body);
                 if (answer != null) {
@@ -133,10 +133,10 @@
 
     private Message follow(String method, String path, Map<String, String> headers, byte[] body) throws IOException {
         InetSocketAddress to = core.get(Math.floorMod(next, core.size()));
-        Message answer = Call.once(to, PATIENCE_MS, method, path, headers, body);
+        Message answer = ClientCall.once(to, PATIENCE_MS, method, path, headers, body);
         for (int i = 0; i < HOPS && answer != null && answer.status() == 307; i++) {
-            to = Call.address(URI.create(answer.header("Location")).getAuthority());
-            answer = Call.once(to, PATIENCE_MS, method, path, headers, body);
+            to = ClientCall.address(URI.create(answer.header("Location")).getAuthority());
+            answer = ClientCall.once(to, PATIENCE_MS, method, path, headers, body);
         }
         return answer;
     }
--- a/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
@@ -34,12 +34,12 @@
     private final Path folder;
     private final MeshPlan plan;
     private final Commands commands;
-    private final Ledger ledger = new Ledger();
+    private final TrafficLog ledger = new TrafficLog();
     private final Operator operator;
     private final List<Daemon> controlNodes = new ArrayList<>();
     private final List<Daemon> sidecars = new ArrayList<>();
-    private final List<Beating> upstreams = new ArrayList<>();
-    private final List<Clients> clients = new ArrayList<>();
+    private final List<HeartbeatSender> upstreams = new ArrayList<>();
+    private final List<LoadClients> clients = new ArrayList<>();
 
     /** What starts the daemons. */
     public interface Commands {
@@ -58,7 +58,7 @@
                 List.of(BASALT, BASALT, MARL));
         List<InetSocketAddress> core = new ArrayList<>();
         for (int i = 0; i < CONTROL_NODES; i++) {
-            core.add(Call.address(plan.coreControl(i)));
+            core.add(ClientCall.address(plan.coreControl(i)));
         }
         operator = new Operator(core);
         try {
@@ -90,7 +90,7 @@
     }
 
     /** What has been seen. */
-    public Ledger ledger() {
+    public TrafficLog ledger() {
         return ledger;
     }
 
@@ -115,10 +115,10 @@
                 edition,
                 basedOn,
                 List.of(
-                        new MeshVersion.Route("/read/", Ledger.Kind.SAFE, List.of(reads)),
-                        new MeshVersion.Route("/both/", Ledger.Kind.SAFE, List.of(BASALT, MARL)),
-                        new MeshVersion.Route("/write/", Ledger.Kind.UNSAFE, List.of(BASALT)),
-                        new MeshVersion.Route("/put/", Ledger.Kind.UPLOAD, List.of(MARL))),
+                        new MeshVersion.Route("/read/", TrafficLog.Kind.SAFE, List.of(reads)),
+                        new MeshVersion.Route("/both/", TrafficLog.Kind.SAFE, List.of(BASALT, MARL)),
+                        new MeshVersion.Route("/write/", TrafficLog.Kind.UNSAFE, List.of(BASALT)),
+                        new MeshVersion.Route("/put/", TrafficLog.Kind.UPLOAD, List.of(MARL))),
                 List.of(BASALT, MARL));
     }
 
@@ -157,7 +157,7 @@
 
     /** The upstreams of all machines go without a word. */
     public void upstreamsGo() {
-        upstreams.forEach(Beating::close);
+        upstreams.forEach(HeartbeatSender::close);
         upstreams.clear();
     }
 
@@ -170,12 +170,12 @@
                                     + Long.toHexString(
                                             ThreadLocalRandom.current().nextLong()),
                             plan.services().get(i),
-                            Call.address(plan.app(i)),
+                            ClientCall.address(plan.app(i)),
                             BERTHS,
                             WORK_MS),
                     ledger);
-            upstreams.add(
-                    new Beating(upstream, Call.address(plan.control(i)), MeshPlan.ZONE, MeshPlan.BEAT_MS, ledger));
+            upstreams.add(new HeartbeatSender(
+                    upstream, ClientCall.address(plan.control(i)), MeshPlan.ZONE, MeshPlan.BEAT_MS, ledger));
         }
     }
 
@@ -198,7 +198,7 @@
         } catch (IOException e) {
             throw new MeshException(MeshException.Code.FILE, e.getMessage(), e);
         }
-        operator.knows(Call.address(plan.coreControl(place)));
+        operator.knows(ClientCall.address(plan.coreControl(place)));
         return place;
     }
 
@@ -218,7 +218,7 @@
 
     /** Returns when a balancer says that it is ready. */
     public void ready(int place) throws InterruptedException {
-        double end = Ledger.now() + START_MS;
+        double end = TrafficLog.now() + START_MS;
         while (!isReady(place)) {
             if (!sidecars.get(place).runs()) {
                 throw new MeshException(
@@ -227,7 +227,7 @@
                                 + sidecars.get(place).said(),
                         null);
             }
-            if (Ledger.now() > end) {
+            if (TrafficLog.now() > end) {
                 throw new MeshException(
                         MeshException.Code.TIMEOUT,
                         "sidecar " + place + " is not ready:\n"
@@ -241,8 +241,8 @@
     /** Whether a balancer says that it is ready. */
     public boolean isReady(int place) {
         try {
-            Message answer = Call.once(
-                    Call.address(plan.ready(place)),
+            Message answer = ClientCall.once(
+                    ClientCall.address(plan.ready(place)),
                     PROBE_MS,
                     "GET",
                     "/sablehinge/ready",
@@ -258,9 +258,9 @@
     public void load(long everyMs) {
         List<MeshVersion.Route> routes = version(1, 0, BASALT).routes();
         for (int i = 0; i < sidecars.size(); i++) {
-            Clients one = new Clients(
+            LoadClients one = new LoadClients(
                     "machine-" + i,
-                    Call.address(plan.outbound(i)),
+                    ClientCall.address(plan.outbound(i)),
                     plan.services().get(i),
                     routes,
                     everyMs,
@@ -279,7 +279,7 @@
 
     /** Returns when all clients have stopped and what they sent has come out. */
     public void quiet() {
-        clients.forEach(Clients::close);
+        clients.forEach(LoadClients::close);
     }
 
     /** The logs of all daemons go to another folder, for whoever wants to know why. */
@@ -297,8 +297,8 @@
 
     @Override
     public void close() {
-        clients.forEach(Clients::close);
-        upstreams.forEach(Beating::close);
+        clients.forEach(LoadClients::close);
+        upstreams.forEach(HeartbeatSender::close);
         sidecars.forEach(Daemon::close);
         controlNodes.forEach(Daemon::close);
         try {
--- a/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
@@ -27,7 +27,7 @@
     private static final int PADDING = 900;
 
     private final Terms terms;
-    private final Ledger ledger;
+    private final TrafficLog ledger;
     private final ServerSocket listener;
     private final Semaphore slots;
     private final Semaphore places;
@@ -47,7 +47,7 @@
     public record Terms(String id, String depot, InetSocketAddress address, int berths, int workMs) {}
 
     /** An upstream that serves once this returns. */
-    public StandInUpstream(Terms terms, Ledger ledger) {
+    public StandInUpstream(Terms terms, TrafficLog ledger) {
         this.terms = terms;
         this.ledger = ledger;
         slots = new Semaphore(terms.berths(), true);
@@ -175,7 +175,7 @@
         byte[] body = ("ran " + id + " at " + terms.id() + ", " + request.body().length + " bytes of sum "
                         + Long.toHexString(sum) + "\n" + ".".repeat((int) (number % PADDING)))
                 .getBytes(StandardCharsets.UTF_8);
-        ledger.ran(new Ledger.Run(
+        ledger.ran(new TrafficLog.Run(
                 id,
                 terms.depot(),
                 terms.id(),
@@ -186,7 +186,7 @@
                 request.header("Sablehinge-Sender"),
                 stamp,
                 Message.sum(body),
-                Ledger.now()));
+                TrafficLog.now()));
         TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(1 + terms.workMs()));
         return write(
                 socket,
@@ -199,8 +199,8 @@
     private boolean write(Socket socket, String head, byte[] body, boolean chunked) throws IOException {
         boolean leaves = unloading;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Call.text(out, head + (leaves ? "Connection: close\r\n" : ""));
-        Call.body(out, body, chunked, true);
+        ClientCall.text(out, head + (leaves ? "Connection: close\r\n" : ""));
+        ClientCall.body(out, body, chunked, true);
         socket.getOutputStream().write(out.toByteArray());
         return !leaves;
     }
--- a/src/main/java/sablehinge/tools/standin/mesh/Tally.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/TrafficCounts.java
@@ -11,26 +11,26 @@
 import java.util.TreeMap;
 
 /** What became of tries, by what may be repeated of them, and where they ran. */
-public final class Tally {
+public final class TrafficCounts {
 
     /** The part of the tries that a small mesh serves at least, if it is well. */
     public static final double ENOUGH = 0.9;
 
-    private final Map<Ledger.Kind, List<Double>> served = new EnumMap<>(Ledger.Kind.class);
-    private final Map<Ledger.Kind, int[]> counts = new EnumMap<>(Ledger.Kind.class);
+    private final Map<TrafficLog.Kind, List<Double>> served = new EnumMap<>(TrafficLog.Kind.class);
+    private final Map<TrafficLog.Kind, int[]> counts = new EnumMap<>(TrafficLog.Kind.class);
     private final Map<String, Integer> ran = new TreeMap<>();
     private int tries;
     private int good;
 
-    private Tally() {}
+    private TrafficCounts() {}
 
     /** The sums of a ledger. */
-    public static Tally of(Ledger ledger) {
-        Tally tally = new Tally();
-        Map<String, Ledger.Sent> sent = new HashMap<>();
+    public static TrafficCounts of(TrafficLog ledger) {
+        TrafficCounts tally = new TrafficCounts();
+        Map<String, TrafficLog.Sent> sent = new HashMap<>();
         ledger.sent().forEach(one -> sent.put(one.id(), one));
         ledger.answered().forEach(one -> {
-            Ledger.Sent of = sent.get(one.of());
+            TrafficLog.Sent of = sent.get(one.of());
             if (of != null) {
                 tally.count(of, one);
             }
@@ -39,7 +39,7 @@
         return tally;
     }
 
-    private void count(Ledger.Sent of, Ledger.Answered one) {
+    private void count(TrafficLog.Sent of, TrafficLog.Answered one) {
         int[] row = counts.computeIfAbsent(of.kind(), kind -> new int[3]);
         tries++;
         row[0]++;
--- a/src/main/java/sablehinge/tools/standin/mesh/Ledger.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/TrafficLog.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /** What callers and upstreams of a small mesh have seen; times are in ms of one steady clock. */
-public final class Ledger {
+public final class TrafficLog {
 
     /** What may be repeated of a request. */
     public enum Kind {
--- a/src/main/java/sablehinge/tools/standin/model/Station.java
+++ b/src/main/java/sablehinge/tools/standin/model/ServerModel.java
@@ -14,7 +14,7 @@
  * What a server does with work: so many requests share its cores evenly, some wait, the rest are turned away. One that
  * has just started is cold and can do a part of it, which rises evenly; sent too much in that time it falls over.
  */
-public final class Station {
+public final class ServerModel {
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
     /** Ms after which the warmth of a cold server is looked at anew. */
@@ -83,7 +83,7 @@
     private double informed;
 
     /** A station; {@code startedAt} is NaN for one that is warm. */
-    public Station(Terms terms, double now, double startedAt) {
+    public ServerModel(Terms terms, double now, double startedAt) {
         this.terms = terms;
         this.startedAt = startedAt;
         time = now;
--- a/src/test/java/sablehinge/cli/mesh/operator/VerbsTest.java
+++ b/src/test/java/sablehinge/cli/mesh/operator/VerbsTest.java
@@ -39,7 +39,7 @@
     private final Map<String, Deque<Object>> script = new HashMap<>();
 
     private final List<String> called = new ArrayList<>();
-    private final List<Wire.Request> requests = new ArrayList<>();
+    private final List<HttpCaller.Request> requests = new ArrayList<>();
     private final List<Long> pauses = new ArrayList<>();
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
     private long now;
@@ -61,19 +61,19 @@
         script.put(address, new ArrayDeque<>(List.of(inTurn)));
     }
 
-    private static Wire.Answer answer(int status, String body) {
-        return new Wire.Answer(status, null, body.getBytes(StandardCharsets.UTF_8));
+    private static HttpCaller.Answer answer(int status, String body) {
+        return new HttpCaller.Answer(status, null, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static Wire.Answer error(int status, String code) {
+    private static HttpCaller.Answer error(int status, String code) {
         return answer(status, "{\"code\":\"" + code + "\",\"place\":\"/p\",\"message\":\"m\"}");
     }
 
-    private static Wire.Answer elsewhere(String address) {
-        return new Wire.Answer(307, "http://" + address + "/sablehinge/Config.Replace", new byte[0]);
+    private static HttpCaller.Answer elsewhere(String address) {
+        return new HttpCaller.Answer(307, "http://" + address + "/sablehinge/Config.Replace", new byte[0]);
     }
 
-    private Wire.Answer carry(String address, Wire.Request request, long withinMs) throws IOException {
+    private HttpCaller.Answer carry(String address, HttpCaller.Request request, long withinMs) throws IOException {
         called.add(address);
         requests.add(request);
         Deque<Object> turns = script.get(address);
@@ -85,7 +85,7 @@
         if (turn == DOWN) {
             throw new ConnectException("down");
         }
-        return (Wire.Answer) turn;
+        return (HttpCaller.Answer) turn;
     }
 
     private int run(String... args) {
@@ -96,7 +96,7 @@
                         out,
                         out,
                         this::carry,
-                        new Time() {
+                        new TimeText() {
                             @Override
                             public long now() {
                                 return now;
@@ -160,7 +160,7 @@
         assertEquals(0, run("config", "put", "--based-on", "5", next()));
         assertEquals(List.of("a:1", "b:1", "c:1", "a:1", "b:1", "c:1"), called);
         assertEquals(List.of(50L, 100L, 200L, 400L, 800L), pauses);
-        for (Wire.Request request : requests) {
+        for (HttpCaller.Request request : requests) {
             assertEquals("5", request.headers().get("Sablehinge-Based-On"));
             assertArrayEquals(requests.get(0).body(), request.body());
         }
@@ -244,7 +244,7 @@
         assertEquals(2, Files.getPosixFilePermissions(out).size());
     }
 
-    private static Wire.Answer status(String member, String role, int members) {
+    private static HttpCaller.Answer status(String member, String role, int members) {
         List<Machine> list = new ArrayList<>();
         for (int i = 0; i < members; i++) {
             list.add(new Machine("m-" + i, (char) ('a' + i) + ":1", null));
--- a/src/test/java/sablehinge/common/mapping/MappingTest.java
+++ b/src/test/java/sablehinge/common/mapping/MappingTest.java
@@ -18,8 +18,8 @@
 
     private static final Mapping NONE = new Mapping(List.of());
 
-    private static Asked asked(String method, String target) {
-        return new Asked(method, "tiles.example", target, "10.0.0.1", Map.of("x-partner", "council-7"));
+    private static RequestAttributes asked(String method, String target) {
+        return new RequestAttributes(method, "tiles.example", target, "10.0.0.1", Map.of("x-partner", "council-7"));
     }
 
     private static Rule rule(String path, String serviceClass, String key) {
@@ -37,16 +37,16 @@
                 -1);
     }
 
-    private static Mapped by(String path, String key, String target) {
+    private static MappedRequest by(String path, String key, String target) {
         return new Mapping(List.of(rule(path, "c", key))).map(asked("GET", target));
     }
 
     @Test
     void withoutRulesTheFirstPartIsTheClassAndTheSecondTheKey() {
-        assertEquals(new Mapped("tile", "12", "", 0, -1), NONE.map(asked("GET", "/tile/12/more?z=3")));
-        assertEquals(new Mapped("tile", "12", "", 0, -1), NONE.map(asked("GET", "/tile/12")));
-        assertEquals(new Mapped("tile", "", "", 0, -1), NONE.map(asked("GET", "/tile?z=/3")));
-        assertEquals(new Mapped("tile", "", "", 0, -1), NONE.map(asked("GET", "/tile/")));
+        assertEquals(new MappedRequest("tile", "12", "", 0, -1), NONE.map(asked("GET", "/tile/12/more?z=3")));
+        assertEquals(new MappedRequest("tile", "12", "", 0, -1), NONE.map(asked("GET", "/tile/12")));
+        assertEquals(new MappedRequest("tile", "", "", 0, -1), NONE.map(asked("GET", "/tile?z=/3")));
+        assertEquals(new MappedRequest("tile", "", "", 0, -1), NONE.map(asked("GET", "/tile/")));
         for (String target : List.of("/", "//x", "/?a=/b", "*", "", "example:443")) {
             assertNull(NONE.map(asked("GET", target)), target);
         }
@@ -97,14 +97,15 @@
         Mapping all = new Mapping(List.of(new Rule(
                 Set.of("GET", "HEAD"), new Glob("*.example"), null, header, query, fixed, key, tenant, 1_500, 64)));
         assertEquals(
-                new Mapped("c", "HEAD tiles.example /a 10.0.0.1 7", "council-7", 1_500, 64),
+                new MappedRequest("c", "HEAD tiles.example /a 10.0.0.1 7", "council-7", 1_500, 64),
                 all.map(asked("HEAD", "/a?f=png&k=7")));
         assertNull(all.map(asked("POST", "/a?f=png")));
         assertNull(all.map(asked("GET", "/a?f=jpg")));
         assertNull(all.map(asked("GET", "/a?ff=png")));
-        assertNull(all.map(new Asked("GET", "tiles.other", "/a?f=png", "", Map.of("x-partner", "council-7"))));
-        assertNull(all.map(new Asked("GET", null, "/a?f=png", "", Map.of("x-partner", "council-7"))));
-        assertNull(all.map(new Asked("GET", "a.example", "/a?f=png", "", Map.of())));
+        assertNull(
+                all.map(new RequestAttributes("GET", "tiles.other", "/a?f=png", "", Map.of("x-partner", "council-7"))));
+        assertNull(all.map(new RequestAttributes("GET", null, "/a?f=png", "", Map.of("x-partner", "council-7"))));
+        assertNull(all.map(new RequestAttributes("GET", "a.example", "/a?f=png", "", Map.of())));
     }
 
     @Test
--- a/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
+++ b/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
@@ -250,9 +250,9 @@
         }
         String found;
         try {
-            Steps.settings(Toml.read(text));
+            LatencySteps.settings(Toml.read(text));
             found = "fine";
-        } catch (Table.Off e) {
+        } catch (SettingsTable.Off e) {
             found = "off";
         }
         assertEquals(expected, found, table + "." + key + " = " + value);
--- a/src/test/java/sablehinge/controlplane/node/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -12,21 +12,21 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import sablehinge.controlplane.raft.Change;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.Member;
 import sablehinge.controlplane.raft.Message;
-import sablehinge.controlplane.raft.Pulse;
+import sablehinge.controlplane.raft.PersistedState;
+import sablehinge.controlplane.raft.RaftConfig;
+import sablehinge.controlplane.raft.RaftMetrics;
 import sablehinge.controlplane.raft.RaftNode;
+import sablehinge.controlplane.raft.RaftStatus;
 import sablehinge.controlplane.raft.Snapshot;
-import sablehinge.controlplane.raft.Standing;
-import sablehinge.controlplane.raft.Stored;
-import sablehinge.controlplane.raft.Timing;
+import sablehinge.controlplane.raft.WriteBatch;
 import sablehinge.controlplane.state.ConfigurationState;
 import sablehinge.controlplane.state.Registry;
-import sablehinge.mesh.api.Asked;
+import sablehinge.mesh.api.ApiRequest;
+import sablehinge.mesh.api.ApiResponse;
 import sablehinge.mesh.api.Operation;
-import sablehinge.mesh.api.Reply;
 import sablehinge.mesh.quota.Pool;
 
 /**
@@ -136,11 +136,11 @@
     }
 
     /** A machine of the core and its disk. */
-    final class Machine implements RaftNode.Actions, QuorumGate.Contact, Authority {
+    final class Machine implements RaftNode.Actions, QuorumGate.Contact, CallContext {
 
         final Member member;
         RaftNode raft;
-        Standing standing;
+        RaftStatus standing;
         QuorumGate gate;
         ConfigurationState state;
         ChangeCoordinator changes;
@@ -151,7 +151,7 @@
         private long life;
         private int sinceCompacted;
         private final ArrayDeque<Runnable> buffers = new ArrayDeque<>();
-        private final List<Change> unsynced = new ArrayList<>();
+        private final List<WriteBatch> unsynced = new ArrayList<>();
         private double diskFreeAt;
         private double stalledUntil;
         private long diskTerm;
@@ -178,15 +178,15 @@
             frozen = false;
             sinceCompacted = 0;
             diskFreeAt = now;
-            standing = new Standing(Standing.Role.OUTSIDER, 0, null, List.of());
+            standing = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
             state = new ConfigurationState();
-            raft = new RaftNode(this, Timing.usual(), machines.size() / 2, random.nextLong());
+            raft = new RaftNode(this, RaftConfig.usual(), machines.size() / 2, random.nextLong());
             gate = new QuorumGate(this, this::later);
             changes = new ChangeCoordinator(raft, state, this::later);
             Registry registry = new Registry(2_500, 12_000);
-            operations = Operators.all(
+            operations = OperatorApi.all(
                     this,
-                    new Sight(
+                    new ControlStatus(
                             "n", "z", member.control(), registry, new WatchServer<String>(registry), new Pool(), this));
             tickAfter(random.nextDouble() * TICK_MS);
         }
@@ -198,7 +198,7 @@
 
         void start() {
             boot();
-            raft.start(now, new Stored(member, diskTerm, diskVote, diskSnapshot, diskEntries), now);
+            raft.start(now, new PersistedState(member, diskTerm, diskVote, diskSnapshot, diskEntries), now);
         }
 
         /** Ends the process; its disk has some of what it was at. */
@@ -256,13 +256,13 @@
         }
 
         /** An operator's call comes; the answer leaves when it is there. */
-        void call(ControlRequest request, long basedOn, String body, Consumer<Reply> answer) {
+        void call(ControlRequest request, long basedOn, String body, Consumer<ApiResponse> answer) {
             arrives(0, () -> {
                 for (Operation<?, ?> one : operations) {
                     if (one.path().equals(request.path())) {
                         carry(
                                 one,
-                                new Asked(
+                                new ApiRequest(
                                         "",
                                         new DefaultHttpHeaders().add("Sablehinge-Based-On", Long.toString(basedOn)),
                                         body.getBytes(StandardCharsets.UTF_8)),
@@ -272,7 +272,7 @@
             });
         }
 
-        private <Q, A> void carry(Operation<Q, A> operation, Asked asked, Consumer<Reply> answer) {
+        private <Q, A> void carry(Operation<Q, A> operation, ApiRequest asked, Consumer<ApiResponse> answer) {
             operation.carryOut(operation.read(asked), told -> answer.accept(operation.write(told)));
         }
 
@@ -290,13 +290,13 @@
         }
 
         @Override
-        public void persist(Change change) {
+        public void persist(WriteBatch change) {
             unsynced.add(change);
             diskFreeAt = Math.max(now, diskFreeAt) + 1 + random.nextDouble() * 2;
             arrives(diskFreeAt - now, () -> synced(change));
         }
 
-        private void synced(Change change) {
+        private void synced(WriteBatch change) {
             if (now < stalledUntil) {
                 arrives(stalledUntil - now, () -> synced(change));
                 return;
@@ -312,7 +312,7 @@
             stalledUntil = now + ms;
         }
 
-        private void write(Change change) {
+        private void write(WriteBatch change) {
             diskTerm = change.term();
             diskVote = change.votedFor();
             if (change.truncateFrom() > 0) {
@@ -344,7 +344,7 @@
         }
 
         @Override
-        public void standing(Standing next) {
+        public void standing(RaftStatus next) {
             standing = next;
             changes.standing(next);
         }
@@ -397,12 +397,12 @@
         }
 
         @Override
-        public Standing standing() {
+        public RaftStatus standing() {
             return standing;
         }
 
         @Override
-        public Pulse pulse() {
+        public RaftMetrics pulse() {
             return raft.pulse(now);
         }
 
--- a/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
+++ b/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sablehinge.controlplane.raft.Change;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.Stored;
+import sablehinge.controlplane.raft.PersistedState;
+import sablehinge.controlplane.raft.WriteBatch;
 
 /** A disk that refuses for a while, at each of its steps in turn, on a made-up clock. */
-class DiskWriterTest implements DiskWriter.Host {
+class DiskWriterTest implements DiskWriter.Callbacks {
 
     private static final int CHANGES = 14;
 
@@ -32,7 +32,7 @@
     private boolean founds;
 
     private int opened;
-    private Stored found;
+    private PersistedState found;
     private final List<Long> reported = new ArrayList<>();
     private StoreException lost;
 
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void opened(Member self, Stored stored) {
+    public void opened(Member self, PersistedState stored) {
         assertEquals(RaftStoreCrashTest.SELF, self);
         opened++;
         found = stored;
@@ -107,7 +107,7 @@
         model.begun = !founds;
         states.add(model.text());
         for (int i = 1; i <= CHANGES; i++) {
-            Change change = RaftStoreCrashTest.next(model, i, random);
+            WriteBatch change = RaftStoreCrashTest.next(model, i, random);
             model.begun = true;
             model.apply(change);
             states.add(model.text());
@@ -196,8 +196,8 @@
         diskWriter.open();
         disk.room = disk.bytes(RaftStore.FILE).length;
         byte[] data = new byte[300_000];
-        diskWriter.write(new Change(1, 1, 0, 0, List.of(new Entry(1, 1, Entry.Kind.COMMAND, data)), null));
-        diskWriter.write(new Change(2, 2, 7, 0, List.of(), null));
+        diskWriter.write(new WriteBatch(1, 1, 0, 0, List.of(new Entry(1, 1, Entry.Kind.COMMAND, data)), null));
+        diskWriter.write(new WriteBatch(2, 2, 7, 0, List.of(), null));
         double start = now;
         double longest = 0;
         for (int i = 0; i < 100; i++) {
@@ -205,8 +205,8 @@
             assertTrue(wake());
             longest = Math.max(longest, now - before);
         }
-        assertEquals(Patience.MOST, longest);
-        assertTrue(now - start > 90 * Patience.MOST, "paused for " + (now - start));
+        assertEquals(RetryBackoff.MOST, longest);
+        assertTrue(now - start > 90 * RetryBackoff.MOST, "paused for " + (now - start));
         assertEquals(List.of(), reported);
         disk.room = Long.MAX_VALUE;
         assertTrue(wake());
@@ -218,12 +218,12 @@
     void aStoreThatIsFoundOlderThanWhatWasReportedIsNotGoneOnWith() {
         begins(6);
         diskWriter.open();
-        diskWriter.write(new Change(1, 1, 7, 0, List.of(), null));
+        diskWriter.write(new WriteBatch(1, 1, 7, 0, List.of(), null));
         byte[] older = Arrays.copyOf(disk.bytes(RaftStore.FILE), disk.bytes(RaftStore.FILE).length);
-        diskWriter.write(new Change(2, 2, 8, 0, List.of(), null));
+        diskWriter.write(new WriteBatch(2, 2, 8, 0, List.of(), null));
         disk.refuseFrom = disk.steps + 1;
         disk.refuseTo = disk.steps + 2;
-        diskWriter.write(new Change(3, 3, 9, 0, List.of(), null));
+        diskWriter.write(new WriteBatch(3, 3, 9, 0, List.of(), null));
         disk.bytes(RaftStore.FILE, older);
         wake();
         assertEquals(StoreException.Code.LOST, lost.code());
@@ -233,7 +233,7 @@
 
     @Test
     void aLineIsWorthItAtFirstAndForAnotherCodeAndOnceAMinute() {
-        Patience patience = new Patience();
+        RetryBackoff patience = new RetryBackoff();
         int lines = 0;
         for (int ms = 0; ms < 600_000; ms += 500) {
             lines += patience.refused(ms, ms < 300_000 ? StoreException.Code.REFUSED : StoreException.Code.UNREADABLE)
@@ -245,7 +245,7 @@
         assertEquals(600_000, patience.lasts(600_000));
         assertTrue(patience.well());
         assertTrue(patience.refused(600_001, StoreException.Code.UNREADABLE));
-        assertEquals(Patience.FIRST, patience.pause());
+        assertEquals(RetryBackoff.FIRST, patience.pause());
         // A disk that is well in between, again and again, fills no log either.
         lines = 0;
         for (int ms = 600_001; ms < 660_001; ms += 10) {
--- a/src/test/java/sablehinge/controlplane/node/GuardTest.java
+++ b/src/test/java/sablehinge/controlplane/node/FailStopExecutorTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What becomes of errors inside a control node. */
-class GuardTest {
+class FailStopExecutorTest {
 
     private final List<String> came = new ArrayList<>();
-    private final Guard guard = new Guard(() -> came.add("halt"));
+    private final FailStopExecutor guard = new FailStopExecutor(() -> came.add("halt"));
 
     @Test
     void workThatIsDoneAgainSoonMayFailAndNothingElseIsTouched() {
--- a/src/test/java/sablehinge/controlplane/node/OperatorsTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
@@ -18,19 +18,19 @@
 import sablehinge.controlplane.api.MeshNodes;
 import sablehinge.controlplane.api.MeshStatus;
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.Pulse;
-import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.raft.RaftMetrics;
+import sablehinge.controlplane.raft.RaftStatus;
 import sablehinge.controlplane.state.ConfigurationState;
 import sablehinge.controlplane.state.Registry;
-import sablehinge.mesh.api.Asked;
+import sablehinge.mesh.api.ApiRequest;
+import sablehinge.mesh.api.ApiResponse;
 import sablehinge.mesh.api.Operation;
-import sablehinge.mesh.api.Reply;
 import sablehinge.mesh.quota.Pool;
 import sablehinge.mesh.quota.Quota;
 import sablehinge.mesh.watch.Registration;
 
 /** What operators are told, by the operations' own types: no socket, no thread, a clock that is set. */
-class OperatorsTest {
+class OperatorApiTest {
 
     private static final Member ONE = new Member(1, "10.0.0.1:7780", "10.0.0.1:7701");
     private static final Member TWO = new Member(3, "10.0.0.2:7780", "10.0.0.2:7701");
@@ -39,7 +39,7 @@
     private final Registry registry = new Registry(2_500, 12_000);
     private final Pool pool = new Pool();
     private final Map<Long, Double> silent = new HashMap<>();
-    private Standing standing = new Standing(Standing.Role.LEADER, 7, ONE, List.of(ONE, TWO));
+    private RaftStatus standing = new RaftStatus(RaftStatus.Role.LEADER, 7, ONE, List.of(ONE, TWO));
     private boolean sure = true;
     private Runnable duringCheck = () -> {};
     private double sinceMajority = 50;
@@ -52,7 +52,7 @@
     private final class ScriptedContact implements QuorumGate.Contact {
 
         @Override
-        public Standing standing() {
+        public RaftStatus standing() {
             return standing;
         }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    private final class Scripted implements Authority {
+    private final class Scripted implements CallContext {
 
         @Override
         public double now() {
@@ -85,7 +85,7 @@
         }
 
         @Override
-        public Standing standing() {
+        public RaftStatus standing() {
             return standing;
         }
 
@@ -95,8 +95,8 @@
         }
 
         @Override
-        public Pulse pulse() {
-            return new Pulse(42, 250.4, silent);
+        public RaftMetrics pulse() {
+            return new RaftMetrics(42, 250.4, silent);
         }
 
         @Override
@@ -126,26 +126,26 @@
         }
     }
 
-    private Reply call(String path, HttpHeaders headers, String body) {
-        Authority authority = new Scripted();
-        Sight sight =
-                new Sight("core-1", "z-a", ONE.control(), registry, new WatchServer<String>(registry), pool, authority);
-        for (Operation<?, ?> one : Operators.all(authority, sight)) {
+    private ApiResponse call(String path, HttpHeaders headers, String body) {
+        CallContext authority = new Scripted();
+        ControlStatus sight = new ControlStatus(
+                "core-1", "z-a", ONE.control(), registry, new WatchServer<String>(registry), pool, authority);
+        for (Operation<?, ?> one : OperatorApi.all(authority, sight)) {
             if (one.path().equals("/sablehinge/" + path)) {
-                return carry(one, new Asked("", headers, body.getBytes(StandardCharsets.UTF_8)));
+                return carry(one, new ApiRequest("", headers, body.getBytes(StandardCharsets.UTF_8)));
             }
         }
         throw new AssertionError("no operation at " + path);
     }
 
-    private static <Q, A> Reply carry(Operation<Q, A> operation, Asked asked) {
-        Reply[] reply = new Reply[1];
+    private static <Q, A> ApiResponse carry(Operation<Q, A> operation, ApiRequest asked) {
+        ApiResponse[] reply = new ApiResponse[1];
         operation.carryOut(operation.read(asked), answer -> reply[0] = operation.write(answer));
         return reply[0];
     }
 
     private <T> T told(String path, Class<T> type) throws IOException {
-        Reply reply = call(path, new DefaultHttpHeaders(), "");
+        ApiResponse reply = call(path, new DefaultHttpHeaders(), "");
         assertEquals(200, reply.status());
         return new ObjectMapper().readValue(reply.body(), type);
     }
@@ -156,7 +156,7 @@
 
     @Test
     void whoFollowsNobodySaysSoOfItselfAndSendsNobodyElsewhere() throws IOException {
-        standing = new Standing(Standing.Role.CANDIDATE, 8, null, List.of(ONE, TWO));
+        standing = new RaftStatus(RaftStatus.Role.CANDIDATE, 8, null, List.of(ONE, TWO));
         MeshStatus status = told("Mesh.Status", MeshStatus.class);
         assertEquals("candidate", status.role());
         assertEquals(42, status.commit());
@@ -168,8 +168,8 @@
 
     @Test
     void whoFollowsSendsQuestionsOfTheRollToTheLeader() {
-        standing = new Standing(Standing.Role.FOLLOWER, 7, TWO, List.of(ONE, TWO));
-        Reply reply = call("Mesh.Duties", new DefaultHttpHeaders(), "");
+        standing = new RaftStatus(RaftStatus.Role.FOLLOWER, 7, TWO, List.of(ONE, TWO));
+        ApiResponse reply = call("Mesh.Duties", new DefaultHttpHeaders(), "");
         assertEquals(307, reply.status());
         assertEquals("http://10.0.0.2:7701/sablehinge/Mesh.Duties", reply.location());
     }
@@ -227,10 +227,10 @@
     @Test
     void anOrderThatCameInAnEarlierTermIsLeftWithoutAClearAnswer() throws IOException {
         String body = OperatorModel.body(3, 1);
-        duringCheck = () -> standing = new Standing(Standing.Role.LEADER, 9, ONE, List.of(ONE, TWO));
+        duringCheck = () -> standing = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
         assertEquals(503, replaced(body));
-        duringCheck = () -> standing = new Standing(Standing.Role.FOLLOWER, 9, TWO, List.of(ONE, TWO));
-        standing = new Standing(Standing.Role.LEADER, 9, ONE, List.of(ONE, TWO));
+        duringCheck = () -> standing = new RaftStatus(RaftStatus.Role.FOLLOWER, 9, TWO, List.of(ONE, TWO));
+        standing = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
         assertEquals(307, replaced(body));
     }
 
@@ -241,7 +241,7 @@
 
     @Test
     void aRefusalNamesItsCodeAndItsPlace() throws IOException {
-        Reply reply =
+        ApiResponse reply =
                 call("Config.Replace", new DefaultHttpHeaders().add("Sablehinge-Based-On", "0"), "{\"edition\":1}");
         assertEquals(400, reply.status());
         var error = new ObjectMapper().readTree(reply.body());
--- a/src/test/java/sablehinge/controlplane/node/OperatorModel.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorModel.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import sablehinge.controlplane.state.BodyDigest;
-import sablehinge.mesh.api.Reply;
+import sablehinge.mesh.api.ApiResponse;
 
 /**
  * Operators over a {@link ControlCluster}, who follow the protocol: up to eight orders under way, each sent again as it
@@ -156,7 +156,7 @@
         });
     }
 
-    private void call(Order order, ControlCluster.Machine to, Consumer<Reply> answer) {
+    private void call(Order order, ControlCluster.Machine to, Consumer<ApiResponse> answer) {
         if (to.up()) {
             double came = cluster.now();
             boolean awake = !to.frozen;
@@ -174,7 +174,7 @@
         cluster.after(PAUSE_MS, () -> send(order, any(), 0));
     }
 
-    private void answered(Order order, Reply reply, int redirects) {
+    private void answered(Order order, ApiResponse reply, int redirects) {
         switch (reply.status()) {
             case 200 -> acknowledged(order);
             case 400, 412 -> refused(order, reply);
@@ -208,7 +208,7 @@
         newestSeen = Math.max(newestSeen, order.edition);
     }
 
-    private void refused(Order order, Reply reply) {
+    private void refused(Order order, ApiResponse reply) {
         refusals++;
         order.underWay = false;
         check(!order.acknowledged, "refused with " + reply.status() + " after it was acknowledged: " + order);
--- a/src/test/java/sablehinge/controlplane/node/QuorumContactTest.java
+++ b/src/test/java/sablehinge/controlplane/node/QuorumContactTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import sablehinge.mesh.api.Reply;
+import sablehinge.mesh.api.ApiResponse;
 
 /** What a control machine says without contact with a majority, on a made-up clock. */
 class QuorumContactTest {
@@ -31,8 +31,8 @@
         return leader;
     }
 
-    private Reply called(ControlCluster.Machine at, ControlRequest request, long basedOn, String body) {
-        Reply[] told = new Reply[1];
+    private ApiResponse called(ControlCluster.Machine at, ControlRequest request, long basedOn, String body) {
+        ApiResponse[] told = new ApiResponse[1];
         at.call(request, basedOn, body, reply -> told[0] = reply);
         cluster.run(950);
         return told[0];
@@ -129,11 +129,11 @@
     void aFollowerThatStoodStillOrIsCutOffNamesNoLeaderThatItHasLongNotHeardOf() {
         ControlCluster.Machine leader = led();
         ControlCluster.Machine follower = cluster.others(leader).get(0);
-        Reply reply = called(follower, ControlRequest.CONFIG_READ, 0, "");
+        ApiResponse reply = called(follower, ControlRequest.CONFIG_READ, 0, "");
         assertEquals(307, reply.status());
         assertEquals("http://" + leader.member.control() + "/sablehinge/Config.Read", reply.location());
         follower.freeze();
-        Reply[] late = new Reply[1];
+        ApiResponse[] late = new ApiResponse[1];
         cluster.cutOff(follower, true, true);
         cluster.run(5);
         follower.call(ControlRequest.CONFIG_READ, 0, "", told -> late[0] = told);
--- a/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sablehinge.controlplane.raft.Change;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.PersistedState;
 import sablehinge.controlplane.raft.Snapshot;
-import sablehinge.controlplane.raft.Stored;
+import sablehinge.controlplane.raft.WriteBatch;
 
 /** The power goes at each step; what is read back is the state before or after the change in flight. */
 class RaftStoreCrashTest {
@@ -36,7 +36,7 @@
                     : entries.get(entries.size() - 1).index();
         }
 
-        void apply(Change change) {
+        void apply(WriteBatch change) {
             term = change.term();
             vote = change.votedFor();
             if (change.truncateFrom() != 0) {
@@ -50,11 +50,11 @@
         }
 
         String text() {
-            return begun ? RaftStoreCrashTest.text(new Stored(SELF, term, vote, snapshot, entries)) : "nothing";
+            return begun ? RaftStoreCrashTest.text(new PersistedState(SELF, term, vote, snapshot, entries)) : "nothing";
         }
     }
 
-    static String text(Stored stored) {
+    static String text(PersistedState stored) {
         if (stored == null) {
             return "nothing";
         }
@@ -80,7 +80,7 @@
     }
 
     /** Another's snapshot, further than the log is, and entries after it. */
-    private static Change install(Model model, int number, Random random) {
+    private static WriteBatch install(Model model, int number, Random random) {
         long base = model.snapshot == null ? 0 : model.snapshot.index();
         long index = model.last() + 1 + random.nextInt(30);
         byte[] state = new byte[random.nextInt(200_000)];
@@ -89,7 +89,7 @@
         for (int i = random.nextInt(3); i > 0; i--) {
             append.add(0, new Entry(index + i, number, Entry.Kind.NOOP, new byte[i]));
         }
-        return new Change(
+        return new WriteBatch(
                 number,
                 number / 5,
                 random.nextInt(2),
@@ -98,7 +98,7 @@
                 new Snapshot(index, number, List.of(SELF), state));
     }
 
-    static Change next(Model model, int number, Random random) {
+    static WriteBatch next(Model model, int number, Random random) {
         if (random.nextInt(8) == 0) {
             return install(model, number, random);
         }
@@ -122,7 +122,7 @@
             long index = base + 1 + random.nextInt((int) (end - base));
             snapshot = new Snapshot(index, number, List.of(SELF), state);
         }
-        return new Change(number, number / 5, random.nextInt(2), from, append, snapshot);
+        return new WriteBatch(number, number / 5, random.nextInt(2), from, append, snapshot);
     }
 
     /** Runs until the power goes; gives the texts of the states that may be found then. */
@@ -138,7 +138,7 @@
             }
             for (int i = 1; i <= changes; i++) {
                 before = model.text();
-                Change change = next(model, i, random);
+                WriteBatch change = next(model, i, random);
                 model.apply(change);
                 store.write(change);
             }
@@ -171,7 +171,7 @@
     /** Whenever power is lost at the first start, a founder has its name and its founding, or nothing. */
     @Test
     void aFounderHasItsNameWithItsFoundingOrNeither() {
-        Change founding = new Change(1, 0, 0, 0, List.of(), new Snapshot(0, 0, List.of(SELF), new byte[0]));
+        WriteBatch founding = new WriteBatch(1, 0, 0, 0, List.of(), new Snapshot(0, 0, List.of(SELF), new byte[0]));
         int found = 0;
         int nothing = 0;
         boolean died = true;
@@ -186,7 +186,7 @@
             died = disk.dead;
             disk.powerUp();
             try (RaftStore store = RaftStore.open(disk)) {
-                Stored stored = store.load();
+                PersistedState stored = store.load();
                 nothing += stored == null ? 1 : 0;
                 found += stored != null ? 1 : 0;
                 assertTrue(
@@ -221,7 +221,7 @@
         }
         // What was found is found again, and goes on from there.
         try (RaftStore store = RaftStore.open(disk)) {
-            Stored stored = store.load();
+            PersistedState stored = store.load();
             assertTrue(allowed.contains(text(stored)), place);
             if (stored == null) {
                 assertNull(stored);
@@ -233,7 +233,7 @@
             model.snapshot = stored.snapshot();
             model.entries.addAll(stored.entries());
             for (int i = 1; i <= 4; i++) {
-                Change change = next(model, i, new Random(at + i));
+                WriteBatch change = next(model, i, new Random(at + i));
                 model.apply(change);
                 store.write(change);
             }
--- a/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.controlplane.raft.Change;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.Member;
+import sablehinge.controlplane.raft.PersistedState;
 import sablehinge.controlplane.raft.Snapshot;
-import sablehinge.controlplane.raft.Stored;
+import sablehinge.controlplane.raft.WriteBatch;
 
 class RaftStoreTest {
 
@@ -32,8 +32,8 @@
         return new Entry(index, 1, Entry.Kind.COMMAND, data);
     }
 
-    private static Change append(long... indexes) {
-        return new Change(
+    private static WriteBatch append(long... indexes) {
+        return new WriteBatch(
                 1, 1, 0, 0, Arrays.stream(indexes).mapToObj(i -> entry(i, 100)).toList(), null);
     }
 
@@ -47,10 +47,10 @@
             assertNull(store.load());
             assertFalse(store.damaged());
             store.begin(SELF);
-            store.write(new Change(1, 7, 42, 0, List.of(entry(1, 10), entry(2, 300_000)), null));
+            store.write(new WriteBatch(1, 7, 42, 0, List.of(entry(1, 10), entry(2, 300_000)), null));
         }
         try (RaftStore store = RaftStore.open(folder.resolve("a/b"))) {
-            Stored stored = store.load();
+            PersistedState stored = store.load();
             assertEquals(SELF, stored.self());
             assertEquals(7, stored.term());
             assertEquals(42, stored.votedFor());
@@ -68,20 +68,20 @@
         try (RaftStore store = RaftStore.open(disk)) {
             store.begin(SELF);
             store.write(append(1, 2, 3, 4, 5));
-            store.write(new Change(2, 1, 0, 4, List.of(entry(4, 9)), null));
+            store.write(new WriteBatch(2, 1, 0, 4, List.of(entry(4, 9)), null));
             assertEquals(List.of(1L, 2L, 3L, 4L), indexes(store));
-            store.write(new Change(3, 1, 0, 0, List.of(), new Snapshot(2, 1, List.of(SELF), new byte[] {1})));
+            store.write(new WriteBatch(3, 1, 0, 0, List.of(), new Snapshot(2, 1, List.of(SELF), new byte[] {1})));
             assertEquals(List.of(3L, 4L), indexes(store));
             // One that reaches beyond the log, with what follows it.
-            store.write(
-                    new Change(4, 1, 0, 3, List.of(entry(11, 5)), new Snapshot(10, 1, List.of(SELF), new byte[] {2})));
+            store.write(new WriteBatch(
+                    4, 1, 0, 3, List.of(entry(11, 5)), new Snapshot(10, 1, List.of(SELF), new byte[] {2})));
         }
         try (RaftStore store = RaftStore.open(disk)) {
             assertEquals(List.of(11L), indexes(store));
             assertEquals(10, store.load().snapshot().index());
-            assertThrows(StoreException.class, () -> store.write(new Change(1, 1, 0, 5, List.of(), null)));
-            store.write(
-                    new Change(2, 1, 0, 1, List.of(entry(21, 5)), new Snapshot(20, 1, List.of(SELF), new byte[] {3})));
+            assertThrows(StoreException.class, () -> store.write(new WriteBatch(1, 1, 0, 5, List.of(), null)));
+            store.write(new WriteBatch(
+                    2, 1, 0, 1, List.of(entry(21, 5)), new Snapshot(20, 1, List.of(SELF), new byte[] {3})));
             assertEquals(List.of(21L), indexes(store));
         }
     }
@@ -109,7 +109,7 @@
             CrashDisk disk = new CrashDisk(kind);
             try (RaftStore store = RaftStore.open(disk)) {
                 store.begin(SELF);
-                store.write(new Change(1, 1, 0, 0, List.of(entry(1, 20_000)), null));
+                store.write(new WriteBatch(1, 1, 0, 0, List.of(entry(1, 20_000)), null));
                 store.write(append(2));
                 store.write(append(3));
                 store.write(append(4));
@@ -166,7 +166,7 @@
         store.write(append(1, 2));
         disk.room = disk.bytes(RaftStore.FILE).length + 20_000;
         StoreException full = assertThrows(
-                StoreException.class, () -> store.write(new Change(2, 9, 9, 2, List.of(entry(2, 90_000)), null)));
+                StoreException.class, () -> store.write(new WriteBatch(2, 9, 9, 2, List.of(entry(2, 90_000)), null)));
         assertEquals(StoreException.Code.REFUSED, full.code());
         assertEquals(
                 StoreException.Code.CLOSED,
@@ -190,8 +190,8 @@
         byte[] after = disk.bytes(RaftStore.FILE).clone();
         store.close();
         int end = after.length;
-        assertEquals(before.length + Seal.BLOCK, end, "the last commit is the last block");
-        for (int older = 1; older <= Seal.LENGTH; older++) {
+        assertEquals(before.length + ChunkFooter.BLOCK, end, "the last commit is the last block");
+        for (int older = 1; older <= ChunkFooter.LENGTH; older++) {
             byte[] torn = after.clone();
             Arrays.fill(torn, end - older, end, (byte) 'x');
             disk.bytes(RaftStore.FILE, torn);
@@ -212,7 +212,7 @@
             int forces = disk.forces;
             for (int i = 1; i <= count; i++) {
                 Snapshot snapshot = i % 64 == 0 ? new Snapshot(i - 8, 1, List.of(SELF), new byte[200_000]) : null;
-                store.write(new Change(i, 1, 0, 0, List.of(entry(i, 50_000)), snapshot));
+                store.write(new WriteBatch(i, 1, 0, 0, List.of(entry(i, 50_000)), snapshot));
                 longest = Math.max(longest, disk.bytes(RaftStore.FILE).length);
             }
             assertTrue(disk.forces - forces <= count * 5 / 4, "syncs: " + (disk.forces - forces));
--- a/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
+++ b/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sablehinge.controlplane.state.Registry;
-import sablehinge.mesh.failuredetection.Accusation;
-import sablehinge.mesh.failuredetection.Evidence;
 import sablehinge.mesh.failuredetection.Health;
 import sablehinge.mesh.failuredetection.HealthView;
+import sablehinge.mesh.failuredetection.Suspicion;
+import sablehinge.mesh.failuredetection.SuspicionCause;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.Update;
 import sablehinge.mesh.watch.WatchRequest;
@@ -44,7 +44,7 @@
             long edition,
             long stamp,
             boolean confirm,
-            List<Accusation> accusations,
+            List<Suspicion> accusations,
             List<Registration> vouched) {
         watchServer.asked(
                 now,
@@ -61,7 +61,7 @@
     }
 
     private Update only(double now) {
-        List<WatchServer.Told<String>> due = watchServer.due(now);
+        List<WatchServer.Delivery<String>> due = watchServer.due(now);
         assertEquals(1, due.size());
         return due.get(0).update();
     }
@@ -121,7 +121,7 @@
             if (now <= 9_000) {
                 watchServer.holds(4 + (long) (now / 10), BODY, List.of());
             }
-            for (WatchServer.Told<String> answer : watchServer.due(now)) {
+            for (WatchServer.Delivery<String> answer : watchServer.due(now)) {
                 if (answer.update().body().length > 0) {
                     assertTrue(now - lastTold <= 1_000 && now <= 10_000, "told at " + now);
                     known = answer.update().edition();
@@ -223,7 +223,7 @@
     void whoIsAccusedAndSilentIsToldAsNotReadyAndAsItWasOnceItAsks() {
         settled("a");
         asks(0, "b", 1, 4, registry.stamp(), false);
-        asks(1_000, "a", 3, 4, registry.stamp(), false, List.of(new Accusation("b", Evidence.RESET)), List.of());
+        asks(1_000, "a", 3, 4, registry.stamp(), false, List.of(new Suspicion("b", SuspicionCause.RESET)), List.of());
         Registration off = told(1_000, "a").registrations().get(0);
         assertEquals("i-b", off.upstream());
         assertFalse(off.ready());
@@ -246,7 +246,9 @@
         assertEquals(List.of(registration("a"), registration("b")), registry.since(0));
         assertEquals(
                 List.of(Health.CUT_FROM_CORE),
-                watchServer.rulings().stream().map(HealthView.Ruling::health).toList());
+                watchServer.rulings().stream()
+                        .map(HealthView.HealthChange::health)
+                        .toList());
     }
 
     @Test
--- a/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
@@ -12,7 +12,7 @@
 /** What the planner does next, for each state of voters and learners that a core of three or five meets. */
 class MembershipPlannerTest {
 
-    private static final Timing TIMING = Timing.usual();
+    private static final RaftConfig TIMING = RaftConfig.usual();
     private static final double STALE = TIMING.fresh() + 1;
     private static final double LOST = TIMING.silent() + 1;
 
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeCodecTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeCodecTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sablehinge.controlplane.node.MessageCodec;
+import sablehinge.controlplane.node.RaftMessageCodec;
 
 /** Messages as bytes: what is written reads the same, and nothing else brings the reader down. */
 class RaftNodeCodecTest {
@@ -20,58 +20,59 @@
     private static final List<Member> MEMBERS =
             List.of(Member.founder("10.0.0.1:1", "10.0.0.1:2"), Member.later(-7, "10.0.0.2:1", ""));
     private static final List<Message> MESSAGES = List.of(
-            new Message.AskVote(1, 2, 3, true, false),
-            new Message.Vote(Long.MAX_VALUE, true, false),
-            new Message.Append(
+            new Message.VoteRequest(1, 2, 3, true, false),
+            new Message.VoteResponse(Long.MAX_VALUE, true, false),
+            new Message.AppendRequest(
                     4,
                     5,
                     3,
                     List.of(
                             new Entry(6, 4, Entry.Kind.COMMAND, new byte[] {1, 2}),
-                            new Entry(7, 4, Entry.Kind.MEMBERS, Members.write(MEMBERS)),
+                            new Entry(7, 4, Entry.Kind.MEMBERS, MemberListCodec.write(MEMBERS)),
                             new Entry(8, 4, Entry.Kind.NOOP, new byte[0])),
                     5,
                     9),
-            new Message.Appended(4, false, 0, -1, 9),
-            new Message.Install(4, new Snapshot(9, 3, MEMBERS, new byte[] {3}), 2),
-            new Message.Install(4, new Snapshot(9, 3, MEMBERS, new byte[] {3}), 5, 7, 2),
-            new Message.Installing(4, 9, 6, 2),
-            new Message.Join(MEMBERS.get(1), 0),
-            new Message.Guide(4, null, MEMBERS),
-            new Message.Guide(4, MEMBERS.get(0), List.of()),
-            new Message.TakeOver(8),
-            new Message.Leave(MEMBERS.get(0)),
-            new Message.Released(8));
+            new Message.AppendResponse(4, false, 0, -1, 9),
+            new Message.InstallSnapshotRequest(4, new Snapshot(9, 3, MEMBERS, new byte[] {3}), 2),
+            new Message.InstallSnapshotRequest(4, new Snapshot(9, 3, MEMBERS, new byte[] {3}), 5, 7, 2),
+            new Message.InstallSnapshotResponse(4, 9, 6, 2),
+            new Message.JoinRequest(MEMBERS.get(1), 0),
+            new Message.LeaderHint(4, null, MEMBERS),
+            new Message.LeaderHint(4, MEMBERS.get(0), List.of()),
+            new Message.TimeoutNowRequest(8),
+            new Message.LeaveRequest(MEMBERS.get(0)),
+            new Message.LeaveResponse(8));
 
     @Test
     void whatIsWrittenReadsTheSame() throws IOException {
         for (Message message : MESSAGES) {
-            byte[] bytes = MessageCodec.write(message);
-            assertArrayEquals(bytes, MessageCodec.write(MessageCodec.read(bytes)));
-            if (!(message instanceof Message.Append) && !(message instanceof Message.Install)) {
-                assertEquals(message, MessageCodec.read(bytes));
+            byte[] bytes = RaftMessageCodec.write(message);
+            assertArrayEquals(bytes, RaftMessageCodec.write(RaftMessageCodec.read(bytes)));
+            if (!(message instanceof Message.AppendRequest) && !(message instanceof Message.InstallSnapshotRequest)) {
+                assertEquals(message, RaftMessageCodec.read(bytes));
             }
         }
-        assertEquals(MEMBERS, Members.read(Members.write(MEMBERS)));
+        assertEquals(MEMBERS, MemberListCodec.read(MemberListCodec.write(MEMBERS)));
         assertEquals(
                 MEMBERS,
-                MessageCodec.readMembers(new DataInputStream(new ByteArrayInputStream(Members.write(MEMBERS)))));
+                RaftMessageCodec.readMembers(
+                        new DataInputStream(new ByteArrayInputStream(MemberListCodec.write(MEMBERS)))));
     }
 
     @Test
     void whatEndsEarlyOrGoesOnIsRefused() {
         for (Message message : MESSAGES) {
-            byte[] bytes = MessageCodec.write(message);
+            byte[] bytes = RaftMessageCodec.write(message);
             for (int length = 0; length < bytes.length; length++) {
                 byte[] part = Arrays.copyOf(bytes, length);
-                assertThrows(IOException.class, () -> MessageCodec.read(part), message.toString());
+                assertThrows(IOException.class, () -> RaftMessageCodec.read(part), message.toString());
             }
             byte[] more = Arrays.copyOf(bytes, bytes.length + 1);
-            assertThrows(IOException.class, () -> MessageCodec.read(more));
+            assertThrows(IOException.class, () -> RaftMessageCodec.read(more));
         }
-        assertThrows(IOException.class, () -> MessageCodec.read(new byte[] {99}));
-        assertThrows(IllegalArgumentException.class, () -> Members.read(new byte[] {0, 65}));
-        assertThrows(IllegalArgumentException.class, () -> Members.read(new byte[] {0, 0, 0}));
+        assertThrows(IOException.class, () -> RaftMessageCodec.read(new byte[] {99}));
+        assertThrows(IllegalArgumentException.class, () -> MemberListCodec.read(new byte[] {0, 65}));
+        assertThrows(IllegalArgumentException.class, () -> MemberListCodec.read(new byte[] {0, 0, 0}));
     }
 
     @Test
@@ -79,12 +80,12 @@
         Random random = new Random(5);
         int refused = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = MessageCodec.write(MESSAGES.get(i % MESSAGES.size()));
+            byte[] bytes = RaftMessageCodec.write(MESSAGES.get(i % MESSAGES.size()));
             for (int spoilt = 1 + random.nextInt(3); spoilt > 0; spoilt--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
             try {
-                MessageCodec.write(MessageCodec.read(bytes));
+                RaftMessageCodec.write(RaftMessageCodec.read(bytes));
             } catch (IOException e) {
                 refused++;
             }
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -263,7 +263,7 @@
             long term = cluster.leader().standing.term();
             away.start();
             cluster.run(5000);
-            assertEquals(Standing.Role.OUTSIDER, away.standing.role());
+            assertEquals(RaftStatus.Role.OUTSIDER, away.standing.role());
             assertEquals(term, cluster.leader().standing.term());
             cluster.commitOne(100);
             cluster.run(200);
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
@@ -20,11 +20,11 @@
 
     private record Sent(Member to, Message message) {}
 
-    private final RaftNode master = new RaftNode(this, Timing.usual(), 1, 1);
+    private final RaftNode master = new RaftNode(this, RaftConfig.usual(), 1, 1);
     private final List<Sent> sent = new ArrayList<>();
-    private final List<Change> changes = new ArrayList<>();
+    private final List<WriteBatch> changes = new ArrayList<>();
     private final List<Entry> applied = new ArrayList<>();
-    private Standing standing;
+    private RaftStatus standing;
     private double now = 1000;
 
     @Override
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void persist(Change change) {
+    public void persist(WriteBatch change) {
         changes.add(change);
     }
 
@@ -46,7 +46,7 @@
     public void restore(Snapshot snapshot) {}
 
     @Override
-    public void standing(Standing latest) {
+    public void standing(RaftStatus latest) {
         standing = latest;
     }
 
@@ -61,7 +61,7 @@
     }
 
     private void start(long term, List<Member> members, Entry... entries) {
-        master.start(now, new Stored(A, term, 0, new Snapshot(0, 0, members, NONE), List.of(entries)), now);
+        master.start(now, new PersistedState(A, term, 0, new Snapshot(0, 0, members, NONE), List.of(entries)), now);
     }
 
     private void persisted() {
@@ -90,27 +90,27 @@
         now += 1100;
         master.tick(now);
         long term = standing.term() + 1;
-        from(voter, new Message.Vote(term, true, true));
-        assertEquals(Standing.Role.CANDIDATE, standing.role());
+        from(voter, new Message.VoteResponse(term, true, true));
+        assertEquals(RaftStatus.Role.CANDIDATE, standing.role());
         persisted();
-        from(voter, new Message.Vote(term, true, false));
-        assertEquals(Standing.Role.LEADER, standing.role());
+        from(voter, new Message.VoteResponse(term, true, false));
+        assertEquals(RaftStatus.Role.LEADER, standing.role());
     }
 
     private void answer(Member member, long match) {
-        from(member, new Message.Appended(standing.term(), true, match, match, 1));
+        from(member, new Message.AppendResponse(standing.term(), true, match, match, 1));
     }
 
     /** The same in answer to the latest question. */
     private void answerLatest(Member member, long match) {
         from(
                 member,
-                new Message.Appended(
+                new Message.AppendResponse(
                         standing.term(),
                         true,
                         match,
                         match,
-                        last(Message.Append.class).round()));
+                        last(Message.AppendRequest.class).round()));
     }
 
     private long memberChanges() {
@@ -129,28 +129,33 @@
         start(1, List.of(A, B, C));
         from(
                 B,
-                new Message.Append(
-                        1, 0, 0, List.of(new Entry(1, 1, Entry.Kind.MEMBERS, Members.write(List.of(B, C)))), 0, 1));
+                new Message.AppendRequest(
+                        1,
+                        0,
+                        0,
+                        List.of(new Entry(1, 1, Entry.Kind.MEMBERS, MemberListCodec.write(List.of(B, C)))),
+                        0,
+                        1));
         persisted();
         now += 1100;
         master.tick(now);
-        assertEquals(2, sent(Message.AskVote.class).size());
-        from(B, new Message.Vote(2, true, true));
-        assertEquals(Standing.Role.OUTSIDER, standing.role(), "its own vote counts for nothing");
-        from(C, new Message.Vote(2, true, true));
+        assertEquals(2, sent(Message.VoteRequest.class).size());
+        from(B, new Message.VoteResponse(2, true, true));
+        assertEquals(RaftStatus.Role.OUTSIDER, standing.role(), "its own vote counts for nothing");
+        from(C, new Message.VoteResponse(2, true, true));
         persisted();
-        from(B, new Message.Vote(2, true, false));
-        from(C, new Message.Vote(2, true, false));
-        assertEquals(Standing.Role.LEADER, standing.role());
+        from(B, new Message.VoteResponse(2, true, false));
+        from(C, new Message.VoteResponse(2, true, false));
+        assertEquals(RaftStatus.Role.LEADER, standing.role());
         persisted();
         answer(B, 2);
         answer(C, 2);
         master.tick(now);
-        assertEquals(Standing.Role.OUTSIDER, standing.role());
+        assertEquals(RaftStatus.Role.OUTSIDER, standing.role());
         now += 5000;
         sent.clear();
         master.tick(now);
-        assertEquals(List.of(), sent(Message.AskVote.class));
+        assertEquals(List.of(), sent(Message.VoteRequest.class));
     }
 
     @Test
@@ -169,24 +174,24 @@
     @Test
     void whatAnOlderTermAskedIsNoAnswerToARoundOfALaterOne() {
         start(2, List.of(A, B, C));
-        from(B, new Message.Append(3, 0, 0, List.of(), 0, 1));
+        from(B, new Message.AppendRequest(3, 0, 0, List.of(), 0, 1));
         persisted();
-        from(B, new Message.Append(2, 0, 0, List.of(), 0, 7));
-        assertEquals(3, last(Message.Appended.class).term());
-        assertEquals(0, last(Message.Appended.class).round());
+        from(B, new Message.AppendRequest(2, 0, 0, List.of(), 0, 7));
+        assertEquals(3, last(Message.AppendResponse.class).term());
+        assertEquals(0, last(Message.AppendResponse.class).round());
     }
 
     @Test
     void aVoteLeavesWhenItIsSyncedAndOnlyOneATerm() {
         start(1, List.of(A, B, C));
         now += 500;
-        from(B, new Message.AskVote(2, 0, 0, false, false));
-        assertEquals(List.of(), sent(Message.Vote.class));
+        from(B, new Message.VoteRequest(2, 0, 0, false, false));
+        assertEquals(List.of(), sent(Message.VoteResponse.class));
         assertEquals(B.id(), changes.get(0).votedFor());
-        from(C, new Message.AskVote(2, 0, 0, false, false));
-        assertFalse(last(Message.Vote.class).granted());
+        from(C, new Message.VoteRequest(2, 0, 0, false, false));
+        assertFalse(last(Message.VoteResponse.class).granted());
         persisted();
-        assertTrue(last(Message.Vote.class).granted());
+        assertTrue(last(Message.VoteResponse.class).granted());
         assertEquals(B, sent.get(sent.size() - 1).to());
     }
 
@@ -195,16 +200,16 @@
     void whoHasStartedAgainGivesNoVoteWhileALeaseMayHold() {
         start(1, List.of(A, B, C));
         for (int ms = 0; ms < 500; ms += 20) {
-            from(B, new Message.AskVote(2, 0, 0, true, false));
-            from(B, new Message.AskVote(2, 0, 0, false, false));
+            from(B, new Message.VoteRequest(2, 0, 0, true, false));
+            from(B, new Message.VoteRequest(2, 0, 0, false, false));
             master.tick(now);
             now += 20;
         }
-        assertTrue(sent(Message.Vote.class).stream().noneMatch(Message.Vote::granted));
+        assertTrue(sent(Message.VoteResponse.class).stream().noneMatch(Message.VoteResponse::granted));
         assertEquals(List.of(), changes);
-        assertEquals(List.of(), sent(Message.AskVote.class));
-        from(B, new Message.AskVote(2, 0, 0, true, false));
-        assertTrue(last(Message.Vote.class).granted());
+        assertEquals(List.of(), sent(Message.VoteRequest.class));
+        from(B, new Message.VoteRequest(2, 0, 0, true, false));
+        assertTrue(last(Message.VoteResponse.class).granted());
     }
 
     @Test
@@ -212,29 +217,29 @@
         start(1, List.of(A, B, C));
         now += 1100;
         master.tick(now);
-        from(B, new Message.Vote(2, true, true));
-        assertTrue(sent(Message.AskVote.class).stream().allMatch(Message.AskVote::pre));
+        from(B, new Message.VoteResponse(2, true, true));
+        assertTrue(sent(Message.VoteRequest.class).stream().allMatch(Message.VoteRequest::pre));
         // Its own vote counts no sooner either.
-        from(B, new Message.Vote(2, true, false));
-        assertEquals(Standing.Role.CANDIDATE, standing.role());
+        from(B, new Message.VoteResponse(2, true, false));
+        assertEquals(RaftStatus.Role.CANDIDATE, standing.role());
         persisted();
-        assertFalse(last(Message.AskVote.class).pre());
-        assertEquals(Standing.Role.LEADER, standing.role());
+        assertFalse(last(Message.VoteRequest.class).pre());
+        assertEquals(RaftStatus.Role.LEADER, standing.role());
     }
 
     @Test
     void entriesCountForATermThatTheDiskKnows() {
         start(1, List.of(A, B, C), entry(1, 1));
-        from(B, new Message.Append(2, 1, 1, List.of(), 0, 1));
-        assertTrue(last(Message.Appended.class).success());
-        assertEquals(0, last(Message.Appended.class).matchIndex());
+        from(B, new Message.AppendRequest(2, 1, 1, List.of(), 0, 1));
+        assertTrue(last(Message.AppendResponse.class).success());
+        assertEquals(0, last(Message.AppendResponse.class).matchIndex());
         persisted();
-        assertEquals(1, last(Message.Appended.class).matchIndex());
-        from(B, new Message.Append(2, 1, 1, List.of(entry(2, 2)), 0, 1));
-        assertEquals(1, last(Message.Appended.class).matchIndex());
-        assertEquals(2, last(Message.Appended.class).hint());
+        assertEquals(1, last(Message.AppendResponse.class).matchIndex());
+        from(B, new Message.AppendRequest(2, 1, 1, List.of(entry(2, 2)), 0, 1));
+        assertEquals(1, last(Message.AppendResponse.class).matchIndex());
+        assertEquals(2, last(Message.AppendResponse.class).hint());
         persisted();
-        assertEquals(2, last(Message.Appended.class).matchIndex());
+        assertEquals(2, last(Message.AppendResponse.class).matchIndex());
     }
 
     @Test
@@ -242,10 +247,15 @@
         start(1, List.of(A, B, C));
         from(
                 B,
-                new Message.Append(
-                        2, 0, 0, List.of(new Entry(1, 2, Entry.Kind.MEMBERS, Members.write(List.of(A, B)))), 0, 1));
+                new Message.AppendRequest(
+                        2,
+                        0,
+                        0,
+                        List.of(new Entry(1, 2, Entry.Kind.MEMBERS, MemberListCodec.write(List.of(A, B)))),
+                        0,
+                        1));
         assertEquals(List.of(A, B), standing.members());
-        from(C, new Message.Append(3, 0, 0, List.of(entry(1, 3)), 0, 1));
+        from(C, new Message.AppendRequest(3, 0, 0, List.of(entry(1, 3)), 0, 1));
         assertEquals(List.of(A, B, C), standing.members());
         assertEquals(1, changes.get(changes.size() - 1).truncateFrom());
     }
@@ -255,8 +265,8 @@
         start(1, List.of(A, B), entry(1, 1));
         elect(B);
         persisted();
-        from(D, new Message.Join(D, 1));
-        from(E, new Message.Join(E, 1));
+        from(D, new Message.JoinRequest(D, 1));
+        from(E, new Message.JoinRequest(E, 1));
         answer(B, 0);
         answer(D, 1);
         answer(E, 1);
@@ -272,13 +282,13 @@
         // B is silent long enough to be replaced, but D's coming in has not been committed.
         for (int i = 0; i < 200; i++) {
             now += 20;
-            from(D, new Message.Appended(standing.term(), true, 2, 3, 1));
-            from(E, new Message.Join(E, 2));
+            from(D, new Message.AppendResponse(standing.term(), true, 2, 3, 1));
+            from(E, new Message.JoinRequest(E, 2));
             answer(E, 2);
             master.tick(now);
         }
         assertEquals(1, memberChanges());
-        assertEquals(Standing.Role.LEADER, standing.role());
+        assertEquals(RaftStatus.Role.LEADER, standing.role());
         answer(D, 3);
         answerLatest(D, 3);
         master.tick(now);
@@ -300,11 +310,11 @@
         start(1, List.of(A, B, C));
         from(
                 B,
-                new Message.Append(
+                new Message.AppendRequest(
                         2,
                         0,
                         0,
-                        List.of(entry(1, 2), new Entry(2, 2, Entry.Kind.MEMBERS, Members.write(List.of(A, B)))),
+                        List.of(entry(1, 2), new Entry(2, 2, Entry.Kind.MEMBERS, MemberListCodec.write(List.of(A, B)))),
                         1,
                         1));
         assertEquals(1, applied.size());
@@ -313,7 +323,7 @@
         assertEquals(List.of(A, B, C), snapshot.members());
         assertEquals(1, snapshot.index());
         assertEquals(List.of(A, B), standing.members());
-        from(C, new Message.Append(3, 1, 2, List.of(entry(2, 3)), 0, 1));
+        from(C, new Message.AppendRequest(3, 1, 2, List.of(entry(2, 3)), 0, 1));
         assertEquals(List.of(A, B, C), standing.members());
     }
 
@@ -322,13 +332,13 @@
         start(1, List.of(A, B, C));
         elect(B);
         persisted();
-        from(D, new Message.Join(D, 0));
+        from(D, new Message.JoinRequest(D, 0));
         answer(B, 1);
         answer(D, 1);
         // C counts as lost after 1500 ms, when B's last answer is 700 ms old: enough to lead, not to remove.
         for (int ms = 20; ms <= 1660; ms += 20) {
             now += 20;
-            from(D, new Message.Join(D, 0));
+            from(D, new Message.JoinRequest(D, 0));
             answer(D, 1);
             if (ms % 400 == 0 && ms <= 800) {
                 answer(B, 1);
@@ -336,7 +346,7 @@
             master.tick(now);
         }
         assertEquals(0, memberChanges());
-        assertEquals(Standing.Role.LEADER, standing.role());
+        assertEquals(RaftStatus.Role.LEADER, standing.role());
         answer(B, 1);
         master.tick(now);
         assertEquals(0, memberChanges(), "B may have gone since it answered");
@@ -350,16 +360,21 @@
         start(1, List.of(A, B, C));
         from(
                 B,
-                new Message.Append(
-                        2, 0, 0, List.of(new Entry(1, 2, Entry.Kind.MEMBERS, Members.write(List.of(B, C, D)))), 0, 1));
-        assertEquals(Standing.Role.OUTSIDER, standing.role());
+                new Message.AppendRequest(
+                        2,
+                        0,
+                        0,
+                        List.of(new Entry(1, 2, Entry.Kind.MEMBERS, MemberListCodec.write(List.of(B, C, D)))),
+                        0,
+                        1));
+        assertEquals(RaftStatus.Role.OUTSIDER, standing.role());
         master.leave(now);
         for (int i = 0; i < 100; i++) {
             now += 20;
             master.tick(now);
         }
-        assertEquals(List.of(), sent(Message.Join.class));
-        assertFalse(sent(Message.Leave.class).isEmpty());
+        assertEquals(List.of(), sent(Message.JoinRequest.class));
+        assertFalse(sent(Message.LeaveRequest.class).isEmpty());
     }
 
     @Test
@@ -382,11 +397,11 @@
         answer(B, 1);
         master.propose(now, NONE);
         master.leave(now);
-        assertEquals(List.of(), sent(Message.TakeOver.class));
+        assertEquals(List.of(), sent(Message.TimeoutNowRequest.class));
         answer(C, 2);
         now += 20;
         master.tick(now);
-        assertEquals(1, sent(Message.TakeOver.class).size());
+        assertEquals(1, sent(Message.TimeoutNowRequest.class).size());
         assertEquals(C, sent.get(sent.size() - 1).to());
     }
 
@@ -397,10 +412,10 @@
         persisted();
         answer(B, 1);
         long term = standing.term();
-        from(D, new Message.AskVote(term + 5, 9, 9, false, true));
-        from(D, new Message.Vote(term + 5, false, false));
-        from(D, new Message.Appended(term + 5, false, 0, 0, 0));
-        assertEquals(Standing.Role.LEADER, standing.role());
+        from(D, new Message.VoteRequest(term + 5, 9, 9, false, true));
+        from(D, new Message.VoteResponse(term + 5, false, false));
+        from(D, new Message.AppendResponse(term + 5, false, 0, 0, 0));
+        assertEquals(RaftStatus.Role.LEADER, standing.role());
         assertEquals(term, standing.term());
     }
 
@@ -410,13 +425,13 @@
         elect(B);
         persisted();
         answer(B, 1);
-        from(D, new Message.Join(D, 7));
-        from(D, new Message.Appended(9, false, 0, 0, 0));
+        from(D, new Message.JoinRequest(D, 7));
+        from(D, new Message.AppendResponse(9, false, 0, 0, 0));
         assertEquals(10, standing.term());
         persisted();
-        assertTrue(last(Message.AskVote.class).handed());
-        from(B, new Message.Vote(10, true, false));
-        assertEquals(Standing.Role.LEADER, standing.role());
+        assertTrue(last(Message.VoteRequest.class).handed());
+        from(B, new Message.VoteResponse(10, true, false));
+        assertEquals(RaftStatus.Role.LEADER, standing.role());
     }
 
     @Test
@@ -429,9 +444,9 @@
         elect(B);
         persisted();
         long match = 0;
-        from(B, new Message.Appended(standing.term(), false, 0, 0, 1));
+        from(B, new Message.AppendResponse(standing.term(), false, 0, 0, 1));
         while (match < 201) {
-            List<Entry> got = last(Message.Append.class).entries();
+            List<Entry> got = last(Message.AppendRequest.class).entries();
             assertTrue(!got.isEmpty() && got.size() <= 64);
             assertTrue(got.size() == 1
                     || got.stream().mapToInt(one -> one.data().length).sum() <= 256 << 10);
@@ -454,37 +469,37 @@
     void aDiskThatHangsIsGivenFewChangesAndTheRestInOne() {
         start(1, List.of(A, B, C));
         for (int i = 1; i <= 100; i++) {
-            from(B, new Message.Append(2, i - 1, i == 1 ? 0 : 2, List.of(entry(i, 2)), 0, i));
+            from(B, new Message.AppendRequest(2, i - 1, i == 1 ? 0 : 2, List.of(entry(i, 2)), 0, i));
         }
-        from(C, new Message.Append(3, 97, 2, List.of(entry(98, 3)), 0, 1));
+        from(C, new Message.AppendRequest(3, 97, 2, List.of(entry(98, 3)), 0, 1));
         assertEquals(8, changes.size());
         for (int i = 0; i < changes.size(); i++) {
             assertEquals(i + 1, changes.get(i).number());
             persistedOnly(i + 1);
         }
         assertEquals(9, changes.size());
-        Change rest = changes.get(8);
+        WriteBatch rest = changes.get(8);
         assertEquals(98, rest.truncateFrom());
         assertEquals(9, rest.append().get(0).index());
         assertEquals(entry(98, 3).term(), rest.append().get(89).term());
         assertEquals(90, rest.append().size());
-        assertEquals(98, last(Message.Appended.class).matchIndex());
+        assertEquals(98, last(Message.AppendResponse.class).matchIndex());
     }
 
     @Test
     void aVoteThatIsNotYetGivenToTheDiskWaitsForTheChangeItIsIn() {
         start(1, List.of(A, B, C));
         for (int i = 1; i <= 9; i++) {
-            from(B, new Message.Append(2, i - 1, i == 1 ? 0 : 2, List.of(entry(i, 2)), 0, i));
+            from(B, new Message.AppendRequest(2, i - 1, i == 1 ? 0 : 2, List.of(entry(i, 2)), 0, i));
         }
         now += 600;
-        from(C, new Message.AskVote(3, 9, 2, false, false));
+        from(C, new Message.VoteRequest(3, 9, 2, false, false));
         assertEquals(8, changes.size());
         persistedOnly(8);
-        assertEquals(List.of(), sent(Message.Vote.class));
+        assertEquals(List.of(), sent(Message.VoteResponse.class));
         assertEquals(C.id(), changes.get(8).votedFor());
         persistedOnly(9);
-        assertTrue(last(Message.Vote.class).granted());
+        assertTrue(last(Message.VoteResponse.class).granted());
     }
 
     /** Entries that a snapshot takes the place of before the disk had them are not given to it. */
@@ -492,11 +507,11 @@
     void aChangeThatGathersASnapshotHoldsOnlyWhatFollowsIt() {
         start(1, List.of(A, B, C));
         for (int i = 1; i <= 10; i++) {
-            from(B, new Message.Append(2, i - 1, i == 1 ? 0 : 2, List.of(entry(i, 2)), i, i));
+            from(B, new Message.AppendRequest(2, i - 1, i == 1 ? 0 : 2, List.of(entry(i, 2)), i, i));
         }
         master.compact(10, NONE);
-        from(B, new Message.Install(2, new Snapshot(20, 2, List.of(A, B, C), NONE), 11));
-        from(B, new Message.Append(2, 20, 2, List.of(entry(21, 2)), 20, 12));
+        from(B, new Message.InstallSnapshotRequest(2, new Snapshot(20, 2, List.of(A, B, C), NONE), 11));
+        from(B, new Message.AppendRequest(2, 20, 2, List.of(entry(21, 2)), 20, 12));
         assertEquals(8, changes.size());
         persistedOnly(1);
         assertEquals(20, changes.get(8).snapshot().index());
@@ -509,49 +524,49 @@
         start(1, List.of(A, B, C));
         int taken = 0;
         for (int i = 1; i <= 12; i++) {
-            from(B, new Message.Append(2, i - 1, i == 1 ? 0 : 2, List.of(large(i)), 0, i));
-            if (!last(Message.Appended.class).success()) {
+            from(B, new Message.AppendRequest(2, i - 1, i == 1 ? 0 : 2, List.of(large(i)), 0, i));
+            if (!last(Message.AppendResponse.class).success()) {
                 break;
             }
             taken++;
         }
         assertEquals(9, taken);
-        assertEquals(9, last(Message.Appended.class).hint(), "from where it wants them again");
+        assertEquals(9, last(Message.AppendResponse.class).hint(), "from where it wants them again");
         // What is committed is known as such all the same, and a sign of life is answered.
-        from(B, new Message.Append(2, 9, 2, List.of(large(10)), 4, 20));
+        from(B, new Message.AppendRequest(2, 9, 2, List.of(large(10)), 4, 20));
         assertEquals(4, applied.size());
-        from(B, new Message.Append(2, 9, 2, List.of(), 4, 21));
-        assertTrue(last(Message.Appended.class).success());
-        from(B, new Message.Install(2, new Snapshot(20, 2, List.of(A, B, C), NONE), 22));
-        assertFalse(last(Message.Appended.class).success());
+        from(B, new Message.AppendRequest(2, 9, 2, List.of(), 4, 21));
+        assertTrue(last(Message.AppendResponse.class).success());
+        from(B, new Message.InstallSnapshotRequest(2, new Snapshot(20, 2, List.of(A, B, C), NONE), 22));
+        assertFalse(last(Message.AppendResponse.class).success());
         assertEquals(4, applied.size());
         persisted();
-        assertEquals(8, last(Message.Appended.class).matchIndex());
-        while (last(Message.Appended.class).matchIndex() < 9) {
+        assertEquals(8, last(Message.AppendResponse.class).matchIndex());
+        while (last(Message.AppendResponse.class).matchIndex() < 9) {
             persisted();
         }
-        from(B, new Message.Append(2, 9, 2, List.of(large(10)), 9, 23));
-        assertTrue(last(Message.Appended.class).success());
+        from(B, new Message.AppendRequest(2, 9, 2, List.of(large(10)), 9, 23));
+        assertTrue(last(Message.AppendResponse.class).success());
     }
 
     @Test
     void whoseDiskHangsNeitherStandsNorPromisesAVote() {
         start(1, List.of(A, B, C), entry(1, 1));
-        from(B, new Message.Append(2, 1, 1, List.of(entry(2, 2)), 0, 1));
+        from(B, new Message.AppendRequest(2, 1, 1, List.of(entry(2, 2)), 0, 1));
         now += 1100;
-        from(C, new Message.AskVote(3, 2, 2, true, false));
-        assertFalse(last(Message.Vote.class).granted());
+        from(C, new Message.VoteRequest(3, 2, 2, true, false));
+        assertFalse(last(Message.VoteResponse.class).granted());
         for (int i = 0; i < 100; i++) {
             now += 20;
             master.tick(now);
         }
-        assertEquals(List.of(), sent(Message.AskVote.class));
+        assertEquals(List.of(), sent(Message.VoteRequest.class));
         persisted();
-        from(C, new Message.AskVote(3, 2, 2, true, false));
-        assertTrue(last(Message.Vote.class).granted());
+        from(C, new Message.VoteRequest(3, 2, 2, true, false));
+        assertTrue(last(Message.VoteResponse.class).granted());
         now += 1100;
         master.tick(now);
-        assertTrue(last(Message.AskVote.class).pre());
+        assertTrue(last(Message.VoteRequest.class).pre());
     }
 
     @Test
@@ -564,11 +579,11 @@
             answer(C, 1);
             master.tick(now);
         }
-        assertEquals(List.of(), sent(Message.TakeOver.class), "none is better off");
+        assertEquals(List.of(), sent(Message.TimeoutNowRequest.class), "none is better off");
         answer(C, 2);
         now += 20;
         master.tick(now);
-        assertEquals(1, sent(Message.TakeOver.class).size());
+        assertEquals(1, sent(Message.TimeoutNowRequest.class).size());
         assertEquals(C, sent.get(sent.size() - 1).to());
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
@@ -37,10 +37,10 @@
         SimulatedCluster cluster = new SimulatedCluster(1, 3);
         Machine newcomer = cluster.add("10.0.1.1:1");
         newcomer.outside();
-        Standing leads = new Standing(Standing.Role.LEADER, 1_000, newcomer.self, cluster.list);
+        RaftStatus leads = new RaftStatus(RaftStatus.Role.LEADER, 1_000, newcomer.self, cluster.list);
         assertThrows(AssertionError.class, () -> newcomer.standing(leads));
         Machine founder = cluster.machines.values().iterator().next();
-        founder.standing(new Standing(Standing.Role.LEADER, 1_001, founder.self, cluster.list));
+        founder.standing(new RaftStatus(RaftStatus.Role.LEADER, 1_001, founder.self, cluster.list));
     }
 
     @Test
@@ -144,7 +144,7 @@
             newcomer.outside();
             cluster.run(8000);
             assertEquals(before, cluster.list);
-            assertEquals(Standing.Role.OUTSIDER, newcomer.standing.role());
+            assertEquals(RaftStatus.Role.OUTSIDER, newcomer.standing.role());
             assertEquals(cluster.leader().self, newcomer.standing.leader());
             Machine dead = cluster.others(newcomer, cluster.leader()).get(0);
             dead.kill(true);
@@ -164,12 +164,12 @@
             long term = cluster.leader().standing.term();
             dead.start();
             cluster.run(5000);
-            assertEquals(Standing.Role.OUTSIDER, dead.standing.role());
+            assertEquals(RaftStatus.Role.OUTSIDER, dead.standing.role());
             assertEquals(term, cluster.leader().standing.term(), "it disturbed the others");
             newcomer.kill(true);
             cluster.run(6000);
             assertTrue(listed(cluster, dead), "it takes the place of the next that is lost");
-            assertEquals(Standing.Role.FOLLOWER, dead.standing.role());
+            assertEquals(RaftStatus.Role.FOLLOWER, dead.standing.role());
         });
     }
 
@@ -311,7 +311,7 @@
         while (leader.propose()) {
             taken++;
         }
-        assertEquals(Timing.usual().waiting(), taken);
+        assertEquals(RaftConfig.usual().waiting(), taken);
     }
 
     @Test
--- a/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -14,7 +14,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Supplier;
-import sablehinge.controlplane.node.MessageCodec;
+import sablehinge.controlplane.node.RaftMessageCodec;
 import sablehinge.controlplane.state.ConfigurationState;
 
 /**
@@ -33,7 +33,7 @@
         Snapshot snapshot;
         List<Entry> entries = new ArrayList<>();
 
-        void write(Change change) {
+        void write(WriteBatch change) {
             term = change.term();
             votedFor = change.votedFor();
             if (change.truncateFrom() > 0) {
@@ -73,7 +73,7 @@
         Member self;
         Disk disk = new Disk();
         RaftNode master;
-        Standing standing;
+        RaftStatus standing;
         long life;
         long applied;
         long chain;
@@ -84,7 +84,7 @@
         double rate = 1;
 
         double offset;
-        List<Change> unsynced = new ArrayList<>();
+        List<WriteBatch> unsynced = new ArrayList<>();
         /** What operators wait for here, by the index of its entry. */
         final Map<Long, Claims.Call> calls = new HashMap<>();
 
@@ -107,7 +107,7 @@
         }
 
         boolean leads() {
-            return up() && standing != null && standing.role() == Standing.Role.LEADER;
+            return up() && standing != null && standing.role() == RaftStatus.Role.LEADER;
         }
 
         private void boot() {
@@ -138,7 +138,8 @@
         void start() {
             boot();
             master.contacts(addresses());
-            master.start(clock(), new Stored(self, disk.term, disk.votedFor, disk.snapshot, disk.entries), clock());
+            master.start(
+                    clock(), new PersistedState(self, disk.term, disk.votedFor, disk.snapshot, disk.entries), clock());
         }
 
         /** Begins as a member whose name is all that its disk holds: it asks to be let in. */
@@ -158,7 +159,7 @@
         }
 
         /** A change arrives on the disk, the first one with the member's name. */
-        private void store(Change change) {
+        private void store(WriteBatch change) {
             disk.self = self;
             disk.write(change);
         }
@@ -184,7 +185,7 @@
             master = null;
             standing = null;
             life++;
-            for (Change change : unsynced.subList(0, kept)) {
+            for (WriteBatch change : unsynced.subList(0, kept)) {
                 store(change);
             }
             if (disk.self == null) {
@@ -224,7 +225,7 @@
         }
 
         @Override
-        public void persist(Change change) {
+        public void persist(WriteBatch change) {
             for (Entry entry : change.append()) {
                 Entry other = made.putIfAbsent(entry.index() << Integer.SIZE | entry.term(), entry);
                 check(
@@ -239,7 +240,7 @@
             write(this, change);
         }
 
-        private void waitForDisk(Change change) {
+        private void waitForDisk(WriteBatch change) {
             double starts = Math.max(Math.max(now, diskFreeAt), stalledUntil);
             diskFreeAt = starts + 1 + random.nextDouble() * 0.5;
             long mine = life;
@@ -257,12 +258,12 @@
 
         /** The oldest change that is under way arrives on the disk. */
         void syncOne() {
-            Change change = unsynced.remove(0);
+            WriteBatch change = unsynced.remove(0);
             store(change);
             master.persisted(clock(), change.number());
         }
 
-        private void synced(long mine, Change change) {
+        private void synced(long mine, WriteBatch change) {
             if (life != mine) {
                 return;
             }
@@ -286,7 +287,7 @@
                 chains.add(chain);
                 checkDurable(entry);
                 if (entry.kind() == Entry.Kind.MEMBERS) {
-                    list = Members.read(entry.data());
+                    list = MemberListCodec.read(entry.data());
                     changes++;
                 }
             }
@@ -302,7 +303,7 @@
             for (int i = (int) applied - 1; i >= 0; i--) {
                 Entry entry = committed.get(i);
                 if (entry.kind() == Entry.Kind.MEMBERS) {
-                    return Members.read(entry.data()).contains(self);
+                    return MemberListCodec.read(entry.data()).contains(self);
                 }
             }
             return founding.contains(self);
@@ -347,8 +348,8 @@
         }
 
         @Override
-        public void standing(Standing now) {
-            if (now.role() == Standing.Role.LEADER) {
+        public void standing(RaftStatus now) {
+            if (now.role() == RaftStatus.Role.LEADER) {
                 Long other = leaders.putIfAbsent(now.term(), self.id());
                 check(other == null || other == self.id(), this, () -> "a second leader of term " + now.term());
                 // A list that leaves it out counts as soon as it has applied it; who is on none never leads.
@@ -417,7 +418,7 @@
     final Map<Long, Entry> made = new HashMap<>();
 
     final Claims claims = new Claims(this);
-    Timing timing = Timing.usual();
+    RaftConfig timing = RaftConfig.usual();
     /** How many members may be lost at once, as the deployment states it. */
     int losses;
     /** The last list that was committed. */
@@ -523,7 +524,7 @@
 
     /** A message is on its way to an address. */
     void carry(Member from, String to, Message message) {
-        byte[] bytes = MessageCodec.write(message);
+        byte[] bytes = RaftMessageCodec.write(message);
         int copies = random.nextDouble() < doubling ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             if (random.nextDouble() >= loss) {
@@ -537,7 +538,7 @@
     }
 
     /** The last of a machine's changes is under way. */
-    void write(Machine machine, Change change) {
+    void write(Machine machine, WriteBatch change) {
         machine.waitForDisk(change);
     }
 
@@ -551,7 +552,7 @@
             return;
         }
         try {
-            machine.master.message(machine.clock(), from, MessageCodec.read(bytes));
+            machine.master.message(machine.clock(), from, RaftMessageCodec.read(bytes));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import sablehinge.common.rpc.Connection;
-import sablehinge.controlplane.node.MessageCodec;
+import sablehinge.controlplane.node.RaftMessageCodec;
 
 /**
  * A cluster whose links carry so many bytes per ms, in order, as one connection between two machines does: what is sent
@@ -60,10 +60,10 @@
 
     @Override
     void carry(Member from, String to, Message message) {
-        long size = MessageCodec.write(message).length;
+        long size = RaftMessageCodec.write(message).length;
         largest = Math.max(largest, size);
-        votesAsked += message instanceof Message.AskVote ? 1 : 0;
-        if (message instanceof Message.Install) {
+        votesAsked += message instanceof Message.VoteRequest ? 1 : 0;
+        if (message instanceof Message.InstallSnapshotRequest) {
             snapshotBytes += size;
             snapshotMessages++;
         }
--- a/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
@@ -35,7 +35,7 @@
     @Test
     void aSmallOneGoesAsOneChunk() {
         Snapshot small = snapshot(9, 100);
-        Message.Install only = new SnapshotSender(small).next(0, 3, 1);
+        Message.InstallSnapshotRequest only = new SnapshotSender(small).next(0, 3, 1);
         assertTrue(only.isWhole());
         assertSame(small, receiver.take(only));
     }
@@ -44,13 +44,13 @@
     void theNextChunkLeavesWhenTheLastIsAnswered() {
         Snapshot large = snapshot(9, 3 * CHUNK);
         SnapshotSender sender = new SnapshotSender(large);
-        Message.Install first = sender.next(0, 3, 1);
+        Message.InstallSnapshotRequest first = sender.next(0, 3, 1);
         assertEquals(CHUNK, first.part().state().length);
         assertFalse(sender.isDue(1));
         assertNull(receiver.take(first));
         assertTrue(sender.received(200, 9, receiver.held(first)));
         assertTrue(sender.isDue(200));
-        Message.Install second = sender.next(200, 3, 1);
+        Message.InstallSnapshotRequest second = sender.next(200, 3, 1);
         assertEquals(CHUNK, second.offset());
         assertFalse(sender.received(210, 9, CHUNK), "an old answer is no news");
         assertFalse(sender.received(210, 8, 2 * CHUNK), "of another snapshot");
@@ -89,7 +89,7 @@
         sender.next(0, 3, 1);
         assertFalse(sender.isDue(SnapshotSender.FIRST_PATIENCE - 1));
         assertTrue(sender.isDue(SnapshotSender.FIRST_PATIENCE));
-        Message.Install again = sender.next(SnapshotSender.FIRST_PATIENCE, 3, 1);
+        Message.InstallSnapshotRequest again = sender.next(SnapshotSender.FIRST_PATIENCE, 3, 1);
         assertEquals(0, again.offset());
         assertEquals(CHUNK / 2, again.part().state().length);
         assertFalse(sender.isDue(3 * SnapshotSender.FIRST_PATIENCE - 1));
@@ -122,7 +122,7 @@
         SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
         sender.next(0, 3, 1);
         sender.received(10, 9, CHUNK);
-        Message.Install second = sender.next(10, 3, 1);
+        Message.InstallSnapshotRequest second = sender.next(10, 3, 1);
         assertNull(receiver.take(second));
         assertEquals(0, receiver.held(second), "the first is not here");
         assertTrue(sender.received(20, 9, 0));
@@ -150,7 +150,7 @@
         Snapshot second = snapshot(19, 2 * CHUNK);
         SnapshotSender of19 = new SnapshotSender(second);
         assertNull(receiver.take(of9.next(0, 3, 1)));
-        Message.Install other = of19.next(0, 3, 1);
+        Message.InstallSnapshotRequest other = of19.next(0, 3, 1);
         assertNull(receiver.take(other));
         assertEquals(CHUNK, receiver.held(other));
         of9.received(1, 9, CHUNK);
@@ -158,7 +158,7 @@
         SnapshotSender later = new SnapshotSender(second);
         later.next(2, 4, 1);
         later.received(2, 19, CHUNK);
-        Message.Install ofLater = later.next(2, 4, 1);
+        Message.InstallSnapshotRequest ofLater = later.next(2, 4, 1);
         assertNull(receiver.take(ofLater), "of a leader of another term");
         assertEquals(0, receiver.held(ofLater));
     }
@@ -166,9 +166,9 @@
     @Test
     void aLengthThatIsTooLargeOrDoesNotFitIsNotTaken() {
         Snapshot part = snapshot(9, 100);
-        assertNull(receiver.take(new Message.Install(3, part, 0, SnapshotReceiver.MOST_BYTES + 1, 1)));
-        assertNull(receiver.take(new Message.Install(3, part, 50, 140, 1)));
-        Message.Install first = new Message.Install(3, part, 0, 140, 1);
+        assertNull(receiver.take(new Message.InstallSnapshotRequest(3, part, 0, SnapshotReceiver.MOST_BYTES + 1, 1)));
+        assertNull(receiver.take(new Message.InstallSnapshotRequest(3, part, 50, 140, 1)));
+        Message.InstallSnapshotRequest first = new Message.InstallSnapshotRequest(3, part, 0, 140, 1);
         assertNull(receiver.take(first));
         assertEquals(100, receiver.held(first));
         receiver.clear();
@@ -187,16 +187,16 @@
     private static Snapshot transferred(Snapshot sent, Random random) {
         SnapshotSender sender = new SnapshotSender(sent);
         SnapshotReceiver receiver = new SnapshotReceiver();
-        List<Message.Install> onTheWay = new ArrayList<>();
+        List<Message.InstallSnapshotRequest> onTheWay = new ArrayList<>();
         for (double now = 0; now < 200_000; now += 50) {
             if (sender.isDue(now)) {
-                Message.Install chunk = sender.next(now, 3, 1);
+                Message.InstallSnapshotRequest chunk = sender.next(now, 3, 1);
                 for (int copies = random.nextInt(3); copies > 0; copies--) {
                     onTheWay.add(chunk);
                 }
             }
             if (!onTheWay.isEmpty() && random.nextBoolean()) {
-                Message.Install chunk = onTheWay.remove(random.nextInt(onTheWay.size()));
+                Message.InstallSnapshotRequest chunk = onTheWay.remove(random.nextInt(onTheWay.size()));
                 Snapshot whole = receiver.take(chunk);
                 if (whole != null) {
                     return whole;
--- a/src/test/java/sablehinge/dataplane/budget/PursesTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/AttemptBudgetsTest.java
@@ -9,33 +9,33 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import sablehinge.dataplane.budget.AttemptBudgets.Admission;
+import sablehinge.dataplane.budget.AttemptBudgets.Grant;
+import sablehinge.dataplane.budget.AttemptBudgets.Refusal;
 import sablehinge.dataplane.budget.HeaderText.Found;
 import sablehinge.dataplane.budget.HeaderText.Kind;
-import sablehinge.dataplane.budget.Purses.Admission;
-import sablehinge.dataplane.budget.Purses.Grant;
-import sablehinge.dataplane.budget.Purses.Refusal;
 
 /** The budgets of one hop, case by case. */
-class PursesTest {
+class AttemptBudgetsTest {
 
     private static final long RENDER = 0xbbbb;
     private static final long FRONT = 0xaaaa;
 
-    private static Terms terms(boolean last, int calls, int purses) {
-        return new Terms(8, 10_000, 100, 1, calls, 1, last, 5, 2, 0.5, 0, purses);
+    private static BudgetSettings terms(boolean last, int calls, int purses) {
+        return new BudgetSettings(8, 10_000, 100, 1, calls, 1, last, 5, 2, 0.5, 0, purses);
     }
 
     private static Found<Budget> carried(long grant, int attempts, double remaining, Long... path) {
         return new Found<>(Kind.READ, new Budget(grant, attempts, remaining, 7, List.of(path)));
     }
 
-    private static Admission client(Purses purses, double now) {
+    private static Admission client(AttemptBudgets purses, double now) {
         return purses.arrive(now, new Found<>(Kind.MISSING, null), true, 1_000, 0, 3);
     }
 
     @Test
     void aPartStaysBackAndWhatWasNotSpentComesBack() {
-        Purses front = new Purses(terms(false, 1, 10), FRONT, 1);
+        AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission client = client(front, 0);
         Grant first = front.take(client.call(), 0, true, 0);
         assertEquals(4, first.attempts());
@@ -55,7 +55,7 @@
 
     @Test
     void oneThatMayNotBeSentAgainIsGrantedAll() {
-        Purses front = new Purses(terms(false, 1, 10), FRONT, 1);
+        AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission client = client(front, 0);
         Grant only = front.take(client.call(), 0, false, 0);
         assertEquals(8, only.attempts());
@@ -67,13 +67,15 @@
     /** An attempt that makes up to three calls further down takes three, as long as they are there. */
     @Test
     void anAttemptIsGrantedWhatItMayNeed() {
-        Purses front = new Purses(new Terms(7, 10_000, 100, 1, 1, 3, false, 5, 2, 0.9, 0, 10), FRONT, 1);
+        AttemptBudgets front =
+                new AttemptBudgets(new BudgetSettings(7, 10_000, 100, 1, 1, 3, false, 5, 2, 0.9, 0, 10), FRONT, 1);
         Admission client = client(front, 0);
         assertEquals(2, client.call().attempts());
         assertEquals(3, front.take(client.call(), 0, true, 0).attempts());
         assertEquals(3, front.take(client.call(), 0, true, 0).attempts());
         assertNull(front.take(client.call(), 0, true, 0), "one is left, which is not enough for a retry");
-        Purses poor = new Purses(new Terms(2, 10_000, 100, 1, 1, 3, false, 5, 2, 0.5, 0, 10), FRONT, 1);
+        AttemptBudgets poor =
+                new AttemptBudgets(new BudgetSettings(2, 10_000, 100, 1, 1, 3, false, 5, 2, 0.5, 0, 10), FRONT, 1);
         Admission first = client(poor, 0);
         assertEquals(2, poor.take(first.call(), 0, true, 0).attempts(), "a first attempt goes with what there is");
     }
@@ -81,7 +83,7 @@
     /** The tier below has spent what there was: this one does not begin all over. */
     @Test
     void whatIsNotWorthAnotherTryHasNone() {
-        Purses front = new Purses(terms(false, 1, 10), FRONT, 1);
+        AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission client = client(front, 0);
         Grant first = front.take(client.call(), 0, true, 0);
         front.over(first, new Report(first.budget(0).grant(), 2, false), false);
@@ -93,7 +95,7 @@
     /** What was tried once here may be tried above, what was tried twice may not. */
     @Test
     void oneTierTriesAgainAndNotThree() {
-        Purses store = new Purses(terms(true, 1, 10), RENDER, 1);
+        AttemptBudgets store = new AttemptBudgets(terms(true, 1, 10), RENDER, 1);
         for (int tries = 1; tries <= 2; tries++) {
             Admission call = store.arrive(0, carried(tries, 4, 900, FRONT), false, 900, 0, 1);
             for (int i = 0; i < tries; i++) {
@@ -106,7 +108,7 @@
     /** A report about something else, or of more than was granted, takes no more than that. */
     @Test
     void reportsAreNotBelievedBeyondTheirGrant() {
-        Purses front = new Purses(terms(false, 1, 10), FRONT, 1);
+        AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission client = client(front, 0);
         Grant first = front.take(client.call(), 0, true, 0);
         front.over(first, new Report(99, 0, true), false);
@@ -118,7 +120,7 @@
 
     @Test
     void callsOfOneGrantDrawOnOnePurse() {
-        Purses store = new Purses(terms(true, 3, 10), RENDER, 1);
+        AttemptBudgets store = new AttemptBudgets(terms(true, 3, 10), RENDER, 1);
         Admission first = store.arrive(0, carried(5, 4, 900), false, 900, 0, 1);
         // Four, of which two are owed to calls that are still to come.
         assertEquals(2, first.call().attempts());
@@ -144,7 +146,7 @@
 
     @Test
     void theDeadAreTurnedAwayOnArrivalAndNeverSentOn() {
-        Purses store = new Purses(terms(true, 1, 10), RENDER, 1);
+        AttemptBudgets store = new AttemptBudgets(terms(true, 1, 10), RENDER, 1);
         assertEquals(
                 Refusal.DEAD,
                 store.arrive(0, carried(1, 4, 5), false, 900, 0, 1).refusal());
@@ -168,7 +170,7 @@
 
     @Test
     void whoComesBackToItsOwnPathIsALoop() {
-        Purses front = new Purses(terms(false, 1, 10), FRONT, 1);
+        AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission loop = front.arrive(0, carried(1, 4, 900, FRONT, RENDER, 0xccccL), false, 900, 0, 1);
         assertEquals(Refusal.LOOP, loop.refusal());
         assertEquals(List.of(FRONT, RENDER, 0xccccL, FRONT), loop.path());
@@ -176,11 +178,12 @@
                 Refusal.LOOP,
                 front.arrive(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
         // Another service, and a second call to it from the same place.
-        Purses render = new Purses(terms(false, 2, 10), RENDER, 1);
+        AttemptBudgets render = new AttemptBudgets(terms(false, 2, 10), RENDER, 1);
         assertNull(render.arrive(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
         assertNull(render.arrive(1, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
         // Where an operator allows to come back once.
-        Purses twice = new Purses(new Terms(8, 10_000, 100, 1, 1, 1, false, 5, 2, 0.5, 1, 10), FRONT, 1);
+        AttemptBudgets twice =
+                new AttemptBudgets(new BudgetSettings(8, 10_000, 100, 1, 1, 1, false, 5, 2, 0.5, 1, 10), FRONT, 1);
         assertNull(twice.arrive(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
         assertEquals(
                 Refusal.LOOP,
@@ -195,12 +198,12 @@
 
     @Test
     void nobodyRaisesItsBudget() {
-        Purses front = new Purses(terms(false, 1, 10), FRONT, 1);
+        AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission liar = front.arrive(
                 0, new Found<>(Kind.READ, new Budget(1, 9_999, 3_000_000, 1e6, List.of())), true, 1e9, 0, 3);
         assertEquals(8, liar.call().attempts());
         assertEquals(9_995, liar.call().deadline());
-        Purses store = new Purses(terms(true, 1, 10), RENDER, 1);
+        AttemptBudgets store = new AttemptBudgets(terms(true, 1, 10), RENDER, 1);
         Admission much = store.arrive(
                 0, new Found<>(Kind.READ, new Budget(1, 9_999, 3_000_000, 1e6, List.of())), false, 1e9, 0, 3);
         assertEquals(
@@ -221,7 +224,7 @@
 
     @Test
     void theTableIsBounded() {
-        Purses store = new Purses(terms(true, 1, 3), RENDER, 1);
+        AttemptBudgets store = new AttemptBudgets(terms(true, 1, 3), RENDER, 1);
         List<Admission> open = new ArrayList<>();
         for (long grant = 0; grant < 3; grant++) {
             open.add(store.arrive(0, carried(grant, 4, 900), false, 900, 0, 1));
@@ -241,7 +244,7 @@
     /** A table for what is granted above must not be filled by clients that have long been answered. */
     @Test
     void whatCarriesNoBudgetTakesNoRoom() {
-        Purses front = new Purses(terms(false, 1, 2), FRONT, 1);
+        AttemptBudgets front = new AttemptBudgets(terms(false, 1, 2), FRONT, 1);
         for (int i = 0; i < 100; i++) {
             Admission client = client(front, i);
             assertNotNull(client.call());
@@ -253,7 +256,7 @@
 
     @Test
     void aLoopIsOneLoopWhereverItIsFound() {
-        LoopWatch watch = new LoopWatch(2);
+        LoopDetector watch = new LoopDetector(2);
         assertTrue(watch.isNew(List.of(1L, 2L, 3L, 1L)));
         assertFalse(watch.isNew(List.of(9L, 2L, 3L, 1L, 2L)));
         assertEquals(2, watch.calls(List.of(3L, 1L, 2L, 3L)));
@@ -264,7 +267,7 @@
 
     @Test
     void aPauseIsChargedToWhatLayUnread() {
-        PauseWatch watch = new PauseWatch(20, 0);
+        PauseDetector watch = new PauseDetector(20, 0);
         for (double now = 20; now <= 100; now += 20) {
             watch.tick(now + 5);
             assertEquals(0, watch.waited(now + 15));
@@ -280,7 +283,7 @@
 
     @Test
     void theLeastTimeIsLearntAndForgotten() {
-        LeastTime least = new LeastTime();
+        MinimumTime least = new MinimumTime();
         java.util.SplittableRandom random = new java.util.SplittableRandom(5);
         for (int i = 0; i < 19; i++) {
             least.served(i, 100);
--- a/src/test/java/sablehinge/dataplane/budget/Chain.java
+++ b/src/test/java/sablehinge/dataplane/budget/Chain.java
@@ -62,13 +62,13 @@
         final Balancer balancer;
         final Asked asked;
         final double deadline;
-        final Purses.Call purse;
+        final AttemptBudgets.Call purse;
         final Ending end;
         int attempts;
         int runs;
         boolean over;
 
-        Call(Balancer balancer, Asked asked, double deadline, Purses.Call purse, Ending end) {
+        Call(Balancer balancer, Asked asked, double deadline, AttemptBudgets.Call purse, Ending end) {
             this.balancer = balancer;
             this.asked = asked;
             this.deadline = deadline;
@@ -78,7 +78,7 @@
 
         void send() {
             boolean resendable = !asked.unsafe;
-            Purses.Grant grant = null;
+            AttemptBudgets.Grant grant = null;
             Budget budget = null;
             if (plan.budgets()) {
                 grant = balancer.purses.take(purse, now, resendable, balancer.least.value(now));
@@ -100,7 +100,7 @@
             }
             Server server = tiers.get(balancer.tier)
                     .get(random.nextInt(tiers.get(balancer.tier).size()));
-            Purses.Grant held = grant;
+            AttemptBudgets.Grant held = grant;
             double sentAt = now;
             boolean[] ended = new boolean[1];
             Ending back = result -> {
@@ -114,7 +114,7 @@
             server.take(this, budget, () -> runs++, back);
         }
 
-        private void finished(Purses.Grant grant, Back back, double sentAt) {
+        private void finished(AttemptBudgets.Grant grant, Back back, double sentAt) {
             if (grant != null) {
                 if (!back.ran()) {
                     balancer.purses.neverRan(grant);
@@ -156,16 +156,16 @@
 
     private final class Balancer {
         final int tier;
-        final Purses purses;
-        final LeastTime least = new LeastTime();
-        final Shedder shedder;
+        final AttemptBudgets purses;
+        final MinimumTime least = new MinimumTime();
+        final LoadShedder shedder;
 
         Balancer(int tier, long seed) {
             this.tier = tier;
-            shedder = new Shedder(new Shedder.Terms(0.1, 1), seed);
+            shedder = new LoadShedder(new LoadShedder.Settings(0.1, 1), seed);
             boolean last = tier == plan.tiers() - 1;
-            purses = new Purses(
-                    new Terms(
+            purses = new AttemptBudgets(
+                    new BudgetSettings(
                             BOUND,
                             10_000,
                             1_000,
@@ -187,7 +187,7 @@
                 new Call(this, asked, now + remaining, null, end).send();
                 return;
             }
-            Purses.Admission admission = purses.arrive(now, found, tier == 0, remaining, 0, asked.worth);
+            AttemptBudgets.Admission admission = purses.arrive(now, found, tier == 0, remaining, 0, asked.worth);
             if (admission.call() == null) {
                 end.done(new Back(false, false, null));
                 return;
--- a/src/test/java/sablehinge/dataplane/budget/ShedderTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/LoadShedderTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What is given up under pressure, in virtual time. */
-class ShedderTest {
+class LoadShedderTest {
 
     /** Presses until about the given share of the work is to go. */
-    private static Shedder pressed(double floor, double share, double pressure) {
-        Shedder shedder = new Shedder(new Shedder.Terms(floor, share), 7);
+    private static LoadShedder pressed(double floor, double share, double pressure) {
+        LoadShedder shedder = new LoadShedder(new LoadShedder.Settings(floor, share), 7);
         shedder.felt(0, false);
         for (double now = 10; shedder.pressure() < pressure; now += 10) {
             shedder.felt(now, true);
@@ -23,7 +23,7 @@
 
     @Test
     void withoutPressureAllIsLetIn() {
-        Shedder shedder = new Shedder(new Shedder.Terms(0, 1), 7);
+        LoadShedder shedder = new LoadShedder(new LoadShedder.Settings(0, 1), 7);
         for (int i = 0; i < 1_000; i++) {
             assertTrue(shedder.admits(i, "a", i % 3, 1));
         }
@@ -31,7 +31,7 @@
 
     @Test
     void theLeastWorthPerWorkGoesFirstAndDoesNotStarve() {
-        Shedder shedder = pressed(0.1, 1, 0.5);
+        LoadShedder shedder = pressed(0.1, 1, 0.5);
         Map<String, Integer> in = new HashMap<>();
         int each = 4_000;
         for (int i = 0; i < each; i++) {
@@ -50,7 +50,7 @@
 
     @Test
     void theFloorHoldsUnderAnyPressure() {
-        Shedder shedder = pressed(0.2, 1, 0.9);
+        LoadShedder shedder = pressed(0.2, 1, 0.9);
         int cheap = 0;
         for (int i = 0; i < 5_000; i++) {
             cheap += shedder.admits(i, "a", 1, 1) ? 1 : 0;
@@ -67,7 +67,7 @@
         int each = 6_000;
         double[] in = new double[2];
         for (int lies = 0; lies < 2; lies++) {
-            Shedder shedder = pressed(0, 0.25, 0.5);
+            LoadShedder shedder = pressed(0, 0.25, 0.5);
             for (int i = 0; i < each; i++) {
                 // One of four equal callers, with worths from 1 to 9.
                 for (int caller = 0; caller < 4; caller++) {
--- a/src/test/java/sablehinge/dataplane/proxy/CoreTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/CoreTest.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import sablehinge.common.eventloop.Timers;
-import sablehinge.dataplane.budget.Purses;
+import sablehinge.dataplane.budget.AttemptBudgets;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Change;
@@ -256,7 +256,12 @@
 
         @Override
         public Attempt send(
-                Version version, long upstream, Payload request, double until, Purses.Grant grant, Progress progress) {
+                Version version,
+                long upstream,
+                Payload request,
+                double until,
+                AttemptBudgets.Grant grant,
+                Progress progress) {
             Asked own = (Asked) request;
             assertEquals(own.version, version, "an attempt under another version");
             assertEquals(0, own.released, "an attempt with what was given back");
--- a/src/test/java/sablehinge/dataplane/sidecar/TermsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/BalancerSettingsTest.java
@@ -18,7 +18,7 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /** The module under the mesh's terms. */
-class TermsTest {
+class BalancerSettingsTest {
 
     private record Sent(long request, int number, long upstream) {}
 
@@ -63,11 +63,11 @@
         public void log(String text) {}
     }
 
-    private static Version version(Terms.Place place) {
-        return Terms.version(
+    private static Version version(BalancerSettings.Place place) {
+        return BalancerSettings.version(
                 1,
                 ConfigurationReader.read(Mesh.configuration(4, "", "").getBytes(StandardCharsets.UTF_8)),
-                Terms.kinds(),
+                BalancerSettings.kinds(),
                 new HashMap<>(),
                 place);
     }
@@ -84,10 +84,10 @@
         int zones = 5;
         int[] loads = new int[upstreams + 1];
         for (int i = 0; i < balancers; i++) {
-            Version version = version(Terms.Place.of("sidecar-" + i, i % zones, zones));
+            Version version = version(BalancerSettings.Place.of("sidecar-" + i, i % zones, zones));
             int kind = version.settings().classes().get(0).kinds().get(0);
             Host host = new Host();
-            LatencyWeightedBalancer module = new LatencyWeightedBalancer(host, Terms.EXTRAS);
+            LatencyWeightedBalancer module = new LatencyWeightedBalancer(host, BalancerSettings.EXTRAS);
             module.start(0, version.settings(), i);
             List<Upstream> list = new ArrayList<>();
             for (int j = 1; j <= upstreams; j++) {
--- a/src/test/java/sablehinge/dataplane/sidecar/WatchersTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
@@ -18,9 +18,9 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.mesh.failuredetection.Accusation;
-import sablehinge.mesh.failuredetection.Evidence;
 import sablehinge.mesh.failuredetection.HashRing;
+import sablehinge.mesh.failuredetection.Suspicion;
+import sablehinge.mesh.failuredetection.SuspicionCause;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.rig.Backlog;
 import sablehinge.rig.Listener;
@@ -28,15 +28,15 @@
 
 /** Beats on the wire, what a balancer tells of those it does not hear, and what it does when told. */
 @Timeout(60)
-class WatchersTest {
+class PeerMonitorTest {
 
     private static final String OTHER = "s-2";
 
-    private static Pulse read(DatagramSocket socket) throws IOException {
+    private static HeartbeatPacket read(DatagramSocket socket) throws IOException {
         socket.setSoTimeout(Peer.PATIENCE_MS);
         DatagramPacket packet = new DatagramPacket(new byte[64], 64);
         socket.receive(packet);
-        return Pulse.read(Arrays.copyOf(packet.getData(), packet.getLength()));
+        return HeartbeatPacket.read(Arrays.copyOf(packet.getData(), packet.getLength()));
     }
 
     private static void send(DatagramSocket socket, Mesh mesh, byte[] bytes) throws IOException {
@@ -57,44 +57,44 @@
                     Backlog silent = new Backlog()) {
                 mesh.core.tells(registration(peer + ":7001", "i-2", true));
                 mesh.core.tells(new Registration("s-3", "monza-b", silent.address(), Mesh.SERVICE, "i-3", true, 4, 0));
-                Pulse first = read(socket);
+                HeartbeatPacket first = read(socket);
                 assertEquals(HashRing.place("s-1"), first.place());
-                Pulse second = read(socket);
-                assertEquals(new Pulse(first.place(), first.life(), first.number() + 1), second);
-                Pulse beat = new Pulse(HashRing.place(OTHER), 5, 1);
+                HeartbeatPacket second = read(socket);
+                assertEquals(new HeartbeatPacket(first.place(), first.life(), first.number() + 1), second);
+                HeartbeatPacket beat = new HeartbeatPacket(HashRing.place(OTHER), 5, 1);
                 send(socket, mesh, beat.bytes());
-                send(socket, mesh, new Pulse(HashRing.place("s-3"), 6, 1).bytes());
+                send(socket, mesh, new HeartbeatPacket(HashRing.place("s-3"), 6, 1).bytes());
                 send(socket, mesh, new byte[3]);
                 Mesh.await("they are accused", () -> accused(mesh).equals(Set.of(OTHER, "s-3")));
                 send(socket, mesh, beat.bytes());
-                send(socket, mesh, new Pulse(beat.place(), 5, 2).bytes());
+                send(socket, mesh, new HeartbeatPacket(beat.place(), 5, 2).bytes());
                 Mesh.await("it is heard again", () -> accused(mesh).equals(Set.of("s-3")));
             }
         }
     }
 
     private static Set<String> accused(Mesh mesh) {
-        return mesh.core.accusations().stream().map(Accusation::node).collect(Collectors.toSet());
+        return mesh.core.accusations().stream().map(Suspicion::node).collect(Collectors.toSet());
     }
 
     @Test
     void whatAnswersAtItsAddressTellsWhetherASuspectIsFrozenDeadOrNotToBeFound() {
-        assertEquals(Evidence.FROZEN, Watchers.evidence(null));
-        assertEquals(Evidence.RESET, Watchers.evidence(new ConnectException()));
-        assertEquals(Evidence.SILENT, Watchers.evidence(new ConnectTimeoutException()));
-        assertEquals(Evidence.SILENT, Watchers.evidence(new NoRouteToHostException()));
+        assertEquals(SuspicionCause.FROZEN, PeerMonitor.evidence(null));
+        assertEquals(SuspicionCause.RESET, PeerMonitor.evidence(new ConnectException()));
+        assertEquals(SuspicionCause.SILENT, PeerMonitor.evidence(new ConnectTimeoutException()));
+        assertEquals(SuspicionCause.SILENT, PeerMonitor.evidence(new NoRouteToHostException()));
     }
 
     @Test
     void aBeatIsReadAsItWasWrittenAndNothingElseIs() throws IOException {
-        Pulse pulse = new Pulse(1L << 60, -7, 1 << 30);
-        assertEquals(pulse, Pulse.read(pulse.bytes()));
-        assertArrayEquals(pulse.bytes(), Pulse.read(pulse.bytes()).bytes());
-        for (int length = 0; length < Pulse.BYTES + 2; length++) {
+        HeartbeatPacket pulse = new HeartbeatPacket(1L << 60, -7, 1 << 30);
+        assertEquals(pulse, HeartbeatPacket.read(pulse.bytes()));
+        assertArrayEquals(pulse.bytes(), HeartbeatPacket.read(pulse.bytes()).bytes());
+        for (int length = 0; length < HeartbeatPacket.BYTES + 2; length++) {
             byte[] bytes = Arrays.copyOf(pulse.bytes(), length);
-            bytes = length == Pulse.BYTES ? spoilt(bytes) : bytes;
+            bytes = length == HeartbeatPacket.BYTES ? spoilt(bytes) : bytes;
             byte[] wrong = bytes;
-            assertThrows(IOException.class, () -> Pulse.read(wrong), "of " + length);
+            assertThrows(IOException.class, () -> HeartbeatPacket.read(wrong), "of " + length);
         }
     }
 
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.dataplane.budget.Purses;
+import sablehinge.dataplane.budget.AttemptBudgets;
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Arrival;
 import sablehinge.dataplane.proxy.AttemptResult;
@@ -25,8 +25,8 @@
 import sablehinge.dataplane.proxy.Transport;
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.api.ConfigurationReader;
-import sablehinge.mesh.retrybudget.Holder;
-import sablehinge.mesh.retrybudget.Rule;
+import sablehinge.mesh.retrybudget.RetryBudgetAllocator;
+import sablehinge.mesh.retrybudget.RetryBudgetRule;
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.RetryBudgetCodec;
@@ -45,11 +45,13 @@
     /** Answers each attempt at once, as it is told to. */
     private static final class World implements Transport, Registry {
         private double now = 1;
-        private final Holder holder = new Holder(new Rule(RATIO, 10_000, SLACK));
+        private final RetryBudgetAllocator holder = new RetryBudgetAllocator(new RetryBudgetRule(RATIO, 10_000, SLACK));
         private boolean reachable = true;
         private final RetryBudget retryBudget = new RetryBudget(() -> now, settings(), this::claimed);
         private final Core core = new Core(
-                () -> now, (at, call) -> () -> {}, actions -> new LatencyWeightedBalancer(actions, Terms.EXTRAS));
+                () -> now,
+                (at, call) -> () -> {},
+                actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
         private final Map<String, Integer> places = new HashMap<>();
         private final Version version;
         private final List<Configuration.Route> routes;
@@ -62,7 +64,8 @@
                     .replaceAll("\"attempts\":[0-9]+", "\"attempts\":" + attempts)
                     .getBytes(StandardCharsets.UTF_8));
             routes = configuration.routes();
-            version = Terms.version(1, configuration, Terms.kinds(), places, new Terms.Place(0, 0, 1));
+            version = BalancerSettings.version(
+                    1, configuration, BalancerSettings.kinds(), places, new BalancerSettings.Place(0, 0, 1));
             holder.begin(1);
             holder.adopt(now, List.of(Mesh.SERVICE));
             retryBudget.adopt(configuration);
@@ -105,7 +108,14 @@
             Consumer<Answer> hears = answer -> last = answer.kind();
             core.request(
                     version,
-                    new Arrival(places.get(Terms.name(routes.get(0), Mesh.SERVICE)), 0, 0, now + 2_000, 0, false, false)
+                    new Arrival(
+                                    places.get(BalancerSettings.name(routes.get(0), Mesh.SERVICE)),
+                                    0,
+                                    0,
+                                    now + 2_000,
+                                    0,
+                                    false,
+                                    false)
                             .within(routes.get(0).attempts()),
                     Payload.NONE,
                     hears::accept);
@@ -113,7 +123,12 @@
 
         @Override
         public Attempt send(
-                Version by, long upstream, Payload request, double until, Purses.Grant grant, Progress progress) {
+                Version by,
+                long upstream,
+                Payload request,
+                double until,
+                AttemptBudgets.Grant grant,
+                Progress progress) {
             sends++;
             progress.ended(AttemptResult.without(answers));
             return () -> {};
--- a/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
@@ -13,7 +13,7 @@
 import sablehinge.common.rpc.Frame;
 import sablehinge.controlplane.node.WatchServer;
 import sablehinge.controlplane.state.Registry;
-import sablehinge.mesh.failuredetection.Accusation;
+import sablehinge.mesh.failuredetection.Suspicion;
 import sablehinge.mesh.watch.PackedConfiguration;
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.WatchRequest;
@@ -59,7 +59,7 @@
     }
 
     private void answer() {
-        for (WatchServer.Told<Connection.Link> told : watchServer.due(clock.now())) {
+        for (WatchServer.Delivery<Connection.Link> told : watchServer.due(clock.now())) {
             told.to().send(new Frame(Frame.Kind.NEWS, told.update().bytes()));
         }
     }
@@ -182,7 +182,7 @@
     }
 
     /** Whom the last to ask accused. */
-    List<Accusation> accusations() {
+    List<Suspicion> accusations() {
         return request(() -> last == null ? List.of() : last.accusations());
     }
 
--- a/src/test/java/sablehinge/dataplane/sidecar/NewsFilterTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/UpdateFilterTest.java
@@ -4,13 +4,13 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.dataplane.sidecar.NewsFilter.Verdict;
+import sablehinge.dataplane.sidecar.UpdateFilter.Verdict;
 import sablehinge.mesh.watch.Update;
 
 /** Which news a balancer takes. */
-class NewsFilterTest {
+class UpdateFilterTest {
 
-    private final NewsFilter filter = new NewsFilter();
+    private final UpdateFilter filter = new UpdateFilter();
 
     private Verdict judge(long term, boolean confirmed) {
         return judge(400, term, confirmed);
--- a/src/test/java/sablehinge/dataplane/sidecar/WrittenTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/WrittenTest.java
@@ -63,7 +63,7 @@
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/u/x", Unpooled.EMPTY_BUFFER);
         request.headers().set(MeshHeaders.TRY, id);
         return client.send(
-                Terms.gate(),
+                BalancerSettings.gate(),
                 AdmissionController.UPSTREAM,
                 new HttpPayload(request),
                 clock.now() + LATER_MS,
@@ -98,7 +98,7 @@
                                 new Sockets(100),
                                 PooledByteBufAllocator.DEFAULT,
                                 new MeshUpstream(clock, () -> {}));
-                        made.adopt(Terms.gate());
+                        made.adopt(BalancerSettings.gate());
                         made.update(new Roster(1, true, List.of(new Roster.Member(own, at(upstream)))));
                         return made;
                     })
--- a/src/test/java/sablehinge/gateway/node/SharedTest.java
+++ b/src/test/java/sablehinge/gateway/node/SharedFilesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What two processes of one balancer tell each other. */
-class SharedTest {
+class SharedFilesTest {
 
     @TempDir
     private Path folder;
@@ -21,9 +21,9 @@
     @Test
     void aProcessIsThereUntilItLeavesOrDies() throws Exception {
         Path place = folder.resolve("s");
-        try (Shared first = new Shared(place)) {
+        try (SharedFiles first = new SharedFiles(place)) {
             assertFalse(first.another(false));
-            Shared second = new Shared(place);
+            SharedFiles second = new SharedFiles(place);
             assertTrue(first.another(false));
             assertFalse(first.another(true), "it doesn't serve yet");
             second.ready();
@@ -39,8 +39,8 @@
 
     @Test
     void whoIsOutIsSeenByTheOther() throws Exception {
-        try (Shared first = new Shared(folder);
-                Shared second = new Shared(folder)) {
+        try (SharedFiles first = new SharedFiles(folder);
+                SharedFiles second = new SharedFiles(folder)) {
             first.out("../a b/é", true);
             first.out("s-1", true);
             first.out("s-1", true);
--- a/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions;
 import sablehinge.gateway.rollout.ChangeDecider.Phase;
 import sablehinge.gateway.rollout.ChangeDecider.Terms;
-import sablehinge.gateway.rollout.Shares.Outcome;
+import sablehinge.gateway.rollout.OutcomeShares.Outcome;
 
 /** Any events in any order; jqwik prints the seed and the shortest story of a failure. */
 class ChangeDeciderPropertyTest {
--- a/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
@@ -11,7 +11,7 @@
 import sablehinge.gateway.rollout.ChangeDecider.Phase;
 import sablehinge.gateway.rollout.ChangeDecider.Reply;
 import sablehinge.gateway.rollout.ChangeDecider.Terms;
-import sablehinge.gateway.rollout.Shares.Outcome;
+import sablehinge.gateway.rollout.OutcomeShares.Outcome;
 
 /** What the decider asks for, in virtual time. */
 class ChangeDeciderTest {
@@ -230,7 +230,7 @@
             decider.tick(now);
         }
         assertEquals("begin 2", log.last());
-        for (int i = 0; i < RiseGuard.CHECKS; i++) {
+        for (int i = 0; i < ErrorRateGuard.CHECKS; i++) {
             decider.answered(now, 2, Outcome.FAILED);
             decider.tick(now);
         }
--- a/src/test/java/sablehinge/mesh/api/ConfigurationCheckTest.java
+++ b/src/test/java/sablehinge/mesh/api/ConfigurationCheckTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import sablehinge.mesh.routing.Configuration;
-import sablehinge.mesh.routing.Plan;
+import sablehinge.mesh.routing.RoutingTable;
 
 /** The protocol's example, and what makes it invalid. */
 class ConfigurationCheckTest {
@@ -98,7 +98,7 @@
         assertEquals(
                 new Configuration.Service("wuno96b", "/health", 110),
                 read.services().get(1));
-        Plan plan = new Plan(read);
+        RoutingTable plan = new RoutingTable(read);
         assertEquals(
                 "r-puxsr7i", plan.find("ficu95.example", "/lohu930/2f").route().name());
     }
--- a/src/test/java/sablehinge/mesh/api/SpoiltPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/api/SpoiltPropertyTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import sablehinge.mesh.routing.Configuration;
-import sablehinge.mesh.routing.Plan;
+import sablehinge.mesh.routing.RoutingTable;
 
 /** Whatever a body holds, the answer is a configuration or a refusal with a place. */
 class SpoiltPropertyTest {
@@ -54,7 +54,7 @@
         Configuration read = read(body);
         if (checked != null) {
             assertEquals(checked, read, spoilt);
-            new Plan(checked).find("ficu95.example", "/lohu930/x");
+            new RoutingTable(checked).find("ficu95.example", "/lohu930/x");
         }
     }
 }
--- a/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sablehinge.mesh.failuredetection.HealthView.Ruling;
+import sablehinge.mesh.failuredetection.HealthView.HealthChange;
 import sablehinge.mesh.failuredetection.HealthView.Subject;
 
 /** Who is off, by what the keeper and the watchers hear. */
@@ -41,7 +41,7 @@
     }
 
     /** All ask but some, and accuse whom they accuse. */
-    private void asks(Set<String> silent, Map<String, List<Accusation>> accusations) {
+    private void asks(Set<String> silent, Map<String, List<Suspicion>> accusations) {
         for (Subject subject : subjects) {
             if (!silent.contains(subject.node())) {
                 healthView.heard(now, subject.node(), accusations.getOrDefault(subject.node(), List.of()));
@@ -49,22 +49,22 @@
         }
     }
 
-    private List<Ruling> later(Set<String> silent, Map<String, List<Accusation>> accusations) {
+    private List<HealthChange> later(Set<String> silent, Map<String, List<Suspicion>> accusations) {
         now += SILENCE;
         asks(silent, accusations);
         return healthView.judge(now, subjects);
     }
 
     /** The first so many of its watchers accuse one. */
-    private Map<String, List<Accusation>> accused(String node, int watchers, Evidence evidence) {
-        Map<String, List<Accusation>> accusations = new HashMap<>();
+    private Map<String, List<Suspicion>> accused(String node, int watchers, SuspicionCause evidence) {
+        Map<String, List<Suspicion>> accusations = new HashMap<>();
         hashRing.watchers(node)
                 .subList(0, watchers)
-                .forEach(watcher -> accusations.put(watcher, List.of(new Accusation(node, evidence))));
+                .forEach(watcher -> accusations.put(watcher, List.of(new Suspicion(node, evidence))));
         return accusations;
     }
 
-    private void only(List<Ruling> rulings, Health health) {
+    private void only(List<HealthChange> rulings, Health health) {
         assertEquals(1, rulings.size(), rulings.toString());
         assertEquals("n1", rulings.get(0).node());
         assertEquals(health, rulings.get(0).health());
@@ -72,8 +72,8 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Evidence.class)
-    void whomNeitherKeeperNorWatchersHearIsOffByWhatTheyFoundUntilItIsHeardAgain(Evidence evidence) {
+    @EnumSource(SuspicionCause.class)
+    void whomNeitherKeeperNorWatchersHearIsOffByWhatTheyFoundUntilItIsHeardAgain(SuspicionCause evidence) {
         Health health = List.of(Health.LOST, Health.FROZEN, Health.DEAD).get(evidence.ordinal());
         only(later(Set.of("n1"), accused("n1", 2, evidence)), health);
         assertTrue(health.isOff());
@@ -86,13 +86,13 @@
     @Test
     void whomTheWatchersHearIsCutFromTheCoreAndServesOn() {
         only(later(Set.of("n1"), Map.of()), Health.CUT_FROM_CORE);
-        assertEquals(List.of(), later(Set.of("n1"), accused("n1", 1, Evidence.SILENT)));
+        assertEquals(List.of(), later(Set.of("n1"), accused("n1", 1, SuspicionCause.SILENT)));
         assertFalse(Health.CUT_FROM_CORE.isOff());
     }
 
     @Test
     void whomTheKeeperHearsIsAtMostCutFromSome() {
-        only(later(Set.of(), accused("n1", 3, Evidence.RESET)), Health.CUT_FROM_SOME);
+        only(later(Set.of(), accused("n1", 3, SuspicionCause.RESET)), Health.CUT_FROM_SOME);
         assertFalse(Health.CUT_FROM_SOME.isOff());
     }
 
@@ -100,8 +100,8 @@
     void aWatcherThatTheKeeperDoesNotHearAccusesNobody() {
         List<String> watchers = hashRing.watchers("n1");
         now += 1;
-        healthView.heard(now, watchers.get(0), List.of(new Accusation("n1", Evidence.SILENT)));
-        healthView.heard(now, watchers.get(1), List.of(new Accusation("n1", Evidence.SILENT)));
+        healthView.heard(now, watchers.get(0), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
+        healthView.heard(now, watchers.get(1), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
         now += SILENCE;
         asks(Set.of("n1", watchers.get(0), watchers.get(1)), Map.of());
         healthView.judge(now, subjects);
@@ -114,17 +114,17 @@
 
     @Test
     void whoIsNoWatcherOfOneCanNotAccuseIt() {
-        Map<String, List<Accusation>> all = new HashMap<>();
+        Map<String, List<Suspicion>> all = new HashMap<>();
         subjects.stream()
                 .filter(other -> !hashRing.watchers("n1").contains(other.node()))
-                .forEach(other -> all.put(other.node(), List.of(new Accusation("n1", Evidence.RESET))));
+                .forEach(other -> all.put(other.node(), List.of(new Suspicion("n1", SuspicionCause.RESET))));
         only(later(Set.of("n1"), all), Health.CUT_FROM_CORE);
     }
 
     @Test
     void whoIsOffStaysSoWhileNobodyCanSayMore() {
-        later(Set.of("n1"), accused("n1", 3, Evidence.SILENT));
-        assertEquals(List.of(), later(Set.of("n1"), accused("n1", 1, Evidence.SILENT)));
+        later(Set.of("n1"), accused("n1", 3, SuspicionCause.SILENT));
+        assertEquals(List.of(), later(Set.of("n1"), accused("n1", 1, SuspicionCause.SILENT)));
         Set<String> blind = new HashSet<>(hashRing.watchers("n1"));
         blind.add("n1");
         later(blind, Map.of());
@@ -137,10 +137,10 @@
 
     /** Those listed are silent, and whoever watches over them says so. */
     private void fall(Set<String> fallen) {
-        Map<String, List<Accusation>> accusations = new HashMap<>();
+        Map<String, List<Suspicion>> accusations = new HashMap<>();
         fallen.forEach(node -> hashRing.watchers(node).forEach(watcher -> accusations
                 .computeIfAbsent(watcher, name -> new ArrayList<>())
-                .add(new Accusation(node, Evidence.SILENT))));
+                .add(new Suspicion(node, SuspicionCause.SILENT))));
         later(fallen, accusations);
     }
 
--- a/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
@@ -43,37 +43,37 @@
         assertEquals(List.of("a"), until(1_000));
         assertEquals(List.of(), until(1_400));
         assertEquals(List.of(), watch.accusations());
-        assertFalse(watch.found(now, "b", Evidence.RESET));
-        assertTrue(watch.found(now, "a", Evidence.RESET));
-        assertFalse(watch.found(now, "a", Evidence.SILENT));
-        assertEquals(List.of(new Accusation("a", Evidence.RESET)), watch.accusations());
+        assertFalse(watch.found(now, "b", SuspicionCause.RESET));
+        assertTrue(watch.found(now, "a", SuspicionCause.RESET));
+        assertFalse(watch.found(now, "a", SuspicionCause.SILENT));
+        assertEquals(List.of(new Suspicion("a", SuspicionCause.RESET)), watch.accusations());
     }
 
     @Test
     void aBeatTakesAnAccusationBackAtOnceUnlessALaterOneHadOvertakenIt() {
         beat("a", 9);
         until(1_000);
-        watch.found(now, "a", Evidence.SILENT);
+        watch.found(now, "a", SuspicionCause.SILENT);
         assertFalse(beat("a", 8));
         assertFalse(beat("a", 9));
         assertEquals(1, watch.accusations().size());
         assertTrue(beat("a", 10));
         assertEquals(List.of(), watch.accusations());
-        assertFalse(watch.found(now, "a", Evidence.SILENT));
+        assertFalse(watch.found(now, "a", SuspicionCause.SILENT));
     }
 
     @Test
     void aProcessThatHasStartedAgainCountsItsBeatsAnew() {
         beat("a", 900);
         until(1_000);
-        watch.found(now, "a", Evidence.RESET);
+        watch.found(now, "a", SuspicionCause.RESET);
         assertTrue(watch.heard(now, "a", 8, 1));
     }
 
     @Test
     void whoStoodStillItselfAccusesNobody() {
         until(1_000);
-        watch.found(now, "a", Evidence.SILENT);
+        watch.found(now, "a", SuspicionCause.SILENT);
         now += 5_000;
         assertEquals(List.of(), watch.tick(now));
         assertEquals(List.of(), watch.accusations());
@@ -86,7 +86,7 @@
         watch.over(now, List.of("b", "c"));
         assertEquals(List.of("b"), until(Monitor.GRACE_MS + Monitor.SUSPECT_MS));
         assertEquals(List.of("c"), until(now + TICK));
-        watch.found(now, "c", Evidence.SILENT);
+        watch.found(now, "c", SuspicionCause.SILENT);
         watch.over(now, List.of("b"));
         assertEquals(List.of(), watch.accusations());
     }
@@ -95,11 +95,11 @@
     void whoNeverSpokeAndWhoseMachineIsThereMayNotKnowThatItShouldSpeak() {
         watch.over(now, List.of("c", "d"));
         assertEquals(List.of("c", "d"), until(Monitor.GRACE_MS + Monitor.SUSPECT_MS + TICK));
-        assertFalse(watch.found(now, "c", Evidence.FROZEN));
-        assertTrue(watch.found(now, "d", Evidence.SILENT));
+        assertFalse(watch.found(now, "c", SuspicionCause.FROZEN));
+        assertTrue(watch.found(now, "d", SuspicionCause.SILENT));
         assertEquals(List.of(), watch.hears());
         assertEquals(List.of("c"), until(now + Monitor.GRACE_MS + Monitor.SUSPECT_MS + TICK));
-        assertTrue(watch.found(now, "c", Evidence.RESET));
+        assertTrue(watch.found(now, "c", SuspicionCause.RESET));
         beat("d", 1);
         assertEquals(List.of("d"), watch.hears());
     }
--- a/src/test/java/sablehinge/mesh/retrybudget/SharesPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesPropertyTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Whatever happens, no window holds more arrivals beyond the first than the rule grants. */
-class SharesPropertyTest {
+class RetryBudgetSharesPropertyTest {
 
-    private static final Rule RULE = new Rule(0.2, 10_000, 62);
+    private static final RetryBudgetRule RULE = new RetryBudgetRule(0.2, 10_000, 62);
 
     @Property(tries = 30, seed = "20261202", shrinking = ShrinkingMode.OFF)
     void noWindowHoldsMoreThanTheRuleGrants(@ForAll long seed) {
@@ -20,7 +20,7 @@
         world.loss = random.nextInt(3) * 0.1;
         world.doubling = random.nextInt(3) * 0.1;
         world.way = new double[] {2, 2, 20, 300}[random.nextInt(4)];
-        world.lag = 50 + random.nextDouble() * (Rule.LAG_MS - 50);
+        world.lag = 50 + random.nextDouble() * (RetryBudgetRule.LAG_MS - 50);
         // Few requests that never give up ask for all that the slack has, many for all that the ratio has.
         boolean few = random.nextBoolean();
         world.most = few ? 60 : 4;
@@ -38,7 +38,8 @@
     @Test
     void onCalmDaysNextToNoneIsRefusedAndDemandIsFollowedWithinASecond() {
         for (int balancers : new int[] {11, 63}) {
-            SimulatedMesh world = new SimulatedMesh(5, balancers, new Rule(0.2, 10_000, balancers > 11 ? 192 : 62));
+            SimulatedMesh world =
+                    new SimulatedMesh(5, balancers, new RetryBudgetRule(0.2, 10_000, balancers > 11 ? 192 : 62));
             world.calls = 0.5;
             world.spread(SimulatedMesh.ATLAS, 18 * balancers, 0.02);
             world.spread(SimulatedMesh.RELEVE, 4.5 * balancers, 0.02);
--- a/src/test/java/sablehinge/mesh/retrybudget/SharesTest.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
@@ -8,17 +8,17 @@
 import org.junit.jupiter.api.Test;
 
 /** Shares of the pools, step by step. */
-class SharesTest {
+class RetryBudgetSharesTest {
 
-    private static final Rule RULE = new Rule(0.2, 10_000, 62);
+    private static final RetryBudgetRule RULE = new RetryBudgetRule(0.2, 10_000, 62);
     private static final String A = "atlas";
     private static final String B = "releve";
 
-    private final Holder holder = new Holder(RULE);
+    private final RetryBudgetAllocator holder = new RetryBudgetAllocator(RULE);
     private int claims;
     private int heard;
 
-    SharesTest() {
+    RetryBudgetSharesTest() {
         holder.begin(1);
         holder.adopt(0, List.of(A, B));
     }
@@ -82,7 +82,7 @@
     /** Whoever gets a token may fail at once and claim again while the rest of the answer is unread. */
     @Test
     void aClaimMadeInTheMidstOfAnAnswerTellsOfAllOfIt() {
-        Shares shares = new Shares(RULE, 7, B);
+        RetryBudgetShares shares = new RetryBudgetShares(RULE, 7, B);
         shares.adopt(List.of(A, B));
         shares.place(0, 100);
         taken(shares, 0, A, false);
@@ -99,7 +99,7 @@
     }
 
     /** 1 for a token, 0 for none, -1 while it waits. */
-    private int taken(Shares shares, double now, String service, boolean spare) {
+    private int taken(RetryBudgetShares shares, double now, String service, boolean spare) {
         int[] told = {-1};
         heard = 0;
         shares.take(now, service, spare, token -> {
@@ -115,7 +115,7 @@
         List<String> services =
                 IntStream.range(0, 66).mapToObj(i -> "service-" + i).toList();
         holder.adopt(0, services);
-        Shares shares = new Shares(RULE, 7, services.get(0));
+        RetryBudgetShares shares = new RetryBudgetShares(RULE, 7, services.get(0));
         shares.adopt(services);
         shares.place(0, 100);
         services.forEach(shares::requested);
@@ -127,7 +127,7 @@
 
     @Test
     void aShareEndsWithItsOwnerBeforeItEndsWithTheHolder() {
-        Shares shares = new Shares(RULE, 7, B);
+        RetryBudgetShares shares = new RetryBudgetShares(RULE, 7, B);
         shares.adopt(List.of(A));
         shares.place(0, 100);
         assertEquals(0, taken(shares, 0, A, false), "no holder was ever in touch, and none is reserved");
--- a/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
@@ -21,7 +21,7 @@
     private static final double TICK = 100;
     private static final double GRID = 50;
 
-    final Rule rule;
+    final RetryBudgetRule rule;
     final SplittableRandom random;
     final Balancer[] sidecars;
     /** Shares of records that are lost and doubled, and their longest way, in ms. */
@@ -48,7 +48,7 @@
     int denied;
     int deniedInside;
     int trips;
-    private Holder holder;
+    private RetryBudgetAllocator holder;
     private double holderRate = 1;
     private long term;
     private double leaderless;
@@ -108,7 +108,7 @@
         final double from = random.nextDouble() * 1e6;
         private final String beside;
         private final int place;
-        private Shares shares;
+        private RetryBudgetShares shares;
         boolean cut;
         /** Requests a second for each service, and the share of runs that fail. */
         final Map<String, Double> demand = new HashMap<>();
@@ -127,7 +127,7 @@
         }
 
         void born() {
-            shares = new Shares(rule, random.nextLong(), beside);
+            shares = new RetryBudgetShares(rule, random.nextLong(), beside);
             shares.adopt(List.of(ATLAS, RELEVE));
             shares.place(place, sidecars.length);
         }
@@ -224,7 +224,7 @@
         }
     }
 
-    SimulatedMesh(long seed, int balancers, Rule rule) {
+    SimulatedMesh(long seed, int balancers, RetryBudgetRule rule) {
         this.rule = rule;
         random = new SplittableRandom(seed);
         sidecars = new Balancer[balancers];
@@ -236,7 +236,7 @@
 
     /** Another holds the duty from now on; before, there may be nobody for a while. */
     void leads() {
-        holder = new Holder(rule);
+        holder = new RetryBudgetAllocator(rule);
         holderRate = 0.99 + random.nextDouble() * 0.02;
         holder.begin(++term);
         holder.adopt(now * holderRate, List.of(ATLAS, RELEVE));
--- a/src/test/java/sablehinge/mesh/routing/PlanPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/routing/RoutingTablePropertyTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Provide;
 
 /** A plan finds what a search through all routes finds. */
-class PlanPropertyTest {
+class RoutingTablePropertyTest {
 
     private static final List<String> HOSTS = List.of("a.example", "b.example");
 
@@ -30,7 +30,7 @@
         return paths().map(path -> path.endsWith("/") ? path : path + "/")
                 .list()
                 .ofMaxSize(40)
-                .map(PlanPropertyTest::spread);
+                .map(RoutingTablePropertyTest::spread);
     }
 
     private static List<Configuration.Route> spread(List<String> prefixes) {
@@ -39,7 +39,7 @@
         for (String prefix : prefixes) {
             String host = HOSTS.get((prefix.length() + routes.size()) % 2);
             if (taken.add(host + prefix)) {
-                routes.add(PlanTest.route(host, prefix));
+                routes.add(RoutingTableTest.route(host, prefix));
             }
         }
         return routes;
@@ -47,7 +47,8 @@
 
     @Property
     void findsTheLongestPrefix(@ForAll("routes") List<Configuration.Route> routes, @ForAll("paths") String path) {
-        Plan plan = new Plan(new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), routes, List.of()));
+        RoutingTable plan = new RoutingTable(
+                new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), routes, List.of()));
         for (String host : HOSTS) {
             Configuration.Route best = null;
             for (Configuration.Route route : routes) {
@@ -59,7 +60,7 @@
                 }
             }
             for (String target : new String[] {path, path + "?/a/b/", "http://" + host + path}) {
-                Plan.Found found = plan.find(host, target);
+                RoutingTable.RouteMatch found = plan.find(host, target);
                 assertEquals(best, found == null ? null : found.route());
                 assertEquals(best, found == null ? null : routes.get(found.index()));
             }
--- a/src/test/java/sablehinge/mesh/routing/PlanTest.java
+++ b/src/test/java/sablehinge/mesh/routing/RoutingTableTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Hosts, targets, keys and shares that a plan must tell apart. */
-class PlanTest {
+class RoutingTableTest {
 
     private static final Configuration.Tenant TENANT = new Configuration.Tenant("t", List.of("k1", "k2"), 1, 83, 83);
 
-    private static final Plan PLAN = new Plan(new Configuration(
+    private static final RoutingTable PLAN = new RoutingTable(new Configuration(
             1,
             new Configuration.Limits(1, 1, 1, 1),
             List.of(TENANT),
@@ -30,7 +30,7 @@
     }
 
     private static String found(String host, String target) {
-        Plan.Found found = PLAN.find(host, target);
+        RoutingTable.RouteMatch found = PLAN.find(host, target);
         return found == null ? null : found.route().name();
     }
 
@@ -64,9 +64,9 @@
         }
         assertNull(found(null, "/abc/"));
         assertNull(found("", "/abc/"));
-        assertEquals("[::1]", Hosts.normal("[::1]:80"));
-        assertEquals("[::1", Hosts.normal("[::1"));
-        assertEquals("", Hosts.normal(null));
+        assertEquals("[::1]", HostNames.normal("[::1]:80"));
+        assertEquals("[::1", HostNames.normal("[::1"));
+        assertEquals("", HostNames.normal(null));
     }
 
     @Test
@@ -88,9 +88,9 @@
         assertNull(PLAN.tenant("k3"));
         assertNull(PLAN.tenant(null));
         assertTrue(PLAN.wantsKeys());
-        assertFalse(
-                new Plan(new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), List.of(), List.of()))
-                        .wantsKeys());
+        assertFalse(new RoutingTable(
+                        new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), List.of(), List.of()))
+                .wantsKeys());
         assertEquals(110, PLAN.service("s").connCap());
         assertNull(PLAN.service("u"));
     }
--- a/src/test/java/sablehinge/mesh/watch/RecordsTest.java
+++ b/src/test/java/sablehinge/mesh/watch/RecordsTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import sablehinge.mesh.failuredetection.Accusation;
-import sablehinge.mesh.failuredetection.Evidence;
+import sablehinge.mesh.failuredetection.Suspicion;
+import sablehinge.mesh.failuredetection.SuspicionCause;
 import sablehinge.mesh.retrybudget.Claim;
 import sablehinge.mesh.retrybudget.Grant;
 
@@ -31,7 +31,7 @@
                 3,
                 12,
                 true,
-                List.of(new Accusation("s-2", Evidence.FROZEN), new Accusation("s-9", Evidence.RESET)),
+                List.of(new Suspicion("s-2", SuspicionCause.FROZEN), new Suspicion("s-9", SuspicionCause.RESET)),
                 List.of(NONE, ONE));
     }
 
--- a/src/test/java/sablehinge/tools/audit/RecordTest.java
+++ b/src/test/java/sablehinge/tools/audit/RecordTest.java
@@ -18,6 +18,10 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import sablehinge.tools.audit.judge.AuditRules;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
@@ -29,14 +33,10 @@
 import sablehinge.tools.audit.judge.Evidence.Told;
 import sablehinge.tools.audit.judge.Evidence.Tried;
 import sablehinge.tools.audit.judge.Evidence.Unasked;
-import sablehinge.tools.audit.judge.Terms;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
 
 class RecordTest {
 
-    private static final Terms TERMS = new Terms(
+    private static final AuditRules TERMS = new AuditRules(
             Map.of("c", new ClassTerms(Effect.KEYED, Group.ZONE, 4_000)), 70, 2_050, 100, 10_000, true, false);
 
     @TempDir
@@ -200,7 +200,7 @@
 
     @Test
     void linesThatAreNoneAreCountedWithTheirPlace() throws IOException {
-        TermsFile.write(folder, TERMS);
+        AuditRulesFile.write(folder, TERMS);
         StringWriter good = new StringWriter();
         EvidenceLines.write(
                 new Tried(5, "c", "b", "q1", "q1", "c", "", 0, 100, 5, End.ANSWERED, 502, Echo.UNKNOWN), good);
@@ -221,7 +221,7 @@
 
     @Test
     void aBalancersAccessLogExplains() throws IOException {
-        TermsFile.write(folder, TERMS);
+        AuditRulesFile.write(folder, TERMS);
         StringWriter late = new StringWriter();
         EvidenceLines.write(
                 new Tried(500, "c", "b1", "q1", "q1", "c", "", 0, 100, 500, End.ANSWERED, 502, Echo.UNKNOWN), late);
@@ -239,14 +239,14 @@
 
     @Test
     void termsAreReadAsWrittenAndABadFolderIsTold() throws IOException {
-        TermsFile.write(folder, TERMS);
-        assertEquals(TERMS, TermsFile.read(folder));
+        AuditRulesFile.write(folder, TERMS);
+        assertEquals(TERMS, AuditRulesFile.read(folder));
         assertTrue(assertThrows(IOException.class, () -> Audit.of(folder.resolve("none")))
                 .getMessage()
                 .contains("is no folder"));
-        Files.writeString(folder.resolve(TermsFile.NAME), "{\"classes\":{\"c\":{\"effect\":\"odd\"}}}");
+        Files.writeString(folder.resolve(AuditRulesFile.NAME), "{\"classes\":{\"c\":{\"effect\":\"odd\"}}}");
         assertThrows(IOException.class, () -> Audit.of(folder));
-        Files.delete(folder.resolve(TermsFile.NAME));
+        Files.delete(folder.resolve(AuditRulesFile.NAME));
         assertTrue(assertThrows(IOException.class, () -> Audit.of(folder))
                 .getMessage()
                 .contains("there is no such"));
--- a/src/test/java/sablehinge/tools/audit/judge/JudgeTest.java
+++ b/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
@@ -11,6 +11,9 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Breach.Rule;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
@@ -22,13 +25,10 @@
 import sablehinge.tools.audit.judge.Evidence.Told;
 import sablehinge.tools.audit.judge.Evidence.Tried;
 import sablehinge.tools.audit.judge.Evidence.Unasked;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
 
-class JudgeTest {
+class RuleCheckerTest {
 
-    private static final Terms TERMS = new Terms(
+    private static final AuditRules TERMS = new AuditRules(
             Map.of(
                     "safe",
                     new ClassTerms(Effect.SAFE, Group.ALL, 0),
@@ -48,7 +48,7 @@
             true);
 
     private final List<Breach> breaches = new ArrayList<>();
-    private final Judge judge = new Judge(TERMS, breaches::add);
+    private final RuleChecker judge = new RuleChecker(TERMS, breaches::add);
 
     private static Tried tried(String type, double sent, double answered, End end, int status) {
         return new Tried(
@@ -90,7 +90,7 @@
         assertEquals(List.of(Rule.ANSWER), rules(tried("safe", 0, Double.NaN, End.SILENT, 0)));
         breaches.clear();
         assertEquals(List.of(), rules(new Ended(500, "b1"), tried("safe", 0, Double.NaN, End.SILENT, 0)));
-        Judge other = new Judge(TERMS, breaches::add);
+        RuleChecker other = new RuleChecker(TERMS, breaches::add);
         other.take(tried("safe", 0, Double.NaN, End.SILENT, 0));
         other.take(new Ended(1_151, "b1"));
         other.end();
@@ -217,7 +217,7 @@
 
     private List<Rule> drained(double begun, Told... news) {
         breaches.clear();
-        Judge fresh = new Judge(TERMS, breaches::add);
+        RuleChecker fresh = new RuleChecker(TERMS, breaches::add);
         List.of(news).forEach(fresh::take);
         fresh.take(ran(1, begun, begun + 5, How.SERVED));
         // What is told after the send says nothing of it.
@@ -271,7 +271,7 @@
 
     @Test
     void whatIsHeldIsBoundedAndTheOldestIsJudgedFirst() {
-        Judge bounded = new Judge(TERMS, breaches::add, 100);
+        RuleChecker bounded = new RuleChecker(TERMS, breaches::add, 100);
         for (int i = 0; i < 1_000; i++) {
             bounded.take(new Tried(
                     i, "c", "b1", "q" + i, "q" + i, "safe", "", i, i + 10, i + 5, End.ANSWERED, 503, Echo.UNKNOWN));
@@ -306,7 +306,7 @@
             Collections.shuffle(told.subList(0, told.size() / 2), new Random(seed));
             told.sort(Comparator.comparingDouble(one -> one.at() - one.at() % 500));
             List<Breach> found = new ArrayList<>();
-            Judge fresh = new Judge(TERMS, found::add);
+            RuleChecker fresh = new RuleChecker(TERMS, found::add);
             told.forEach(fresh::take);
             fresh.end();
             assertEquals(List.of(), found, "seed " + seed);
