--- a/src/test/java/sablehinge/tools/replay/run/LoadTest.java
+++ b/src/test/java/sablehinge/tools/replay/run/LoadTest.java
@@ -21,31 +21,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import sablehinge.common.eventloop.ClosingEventLoops;
-import sablehinge.common.mapping.Mapped;
+import sablehinge.common.mapping.MappedRequest;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
 import sablehinge.rig.StandIn;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.End;
 import sablehinge.tools.audit.judge.Evidence.Tried;
 import sablehinge.tools.audit.judge.Evidence.Unasked;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
 import sablehinge.tools.replay.Demand;
-import sablehinge.tools.replay.schedule.Client;
-import sablehinge.tools.replay.schedule.Pace;
+import sablehinge.tools.replay.schedule.ReplayClient;
+import sablehinge.tools.replay.schedule.ReplaySchedule;
 
 @Timeout(120)
 class LoadTest {
 
-    private static final Client.Terms ONCE = new Client.Terms(0, 0.5, 0.5, 10, 1, 2_000);
-    private static final Client.Terms TWICE = new Client.Terms(1, 0.5, 0.5, 10, 1, 2_000);
+    private static final ReplayClient.Terms ONCE = new ReplayClient.Terms(0, 0.5, 0.5, 10, 1, 2_000);
+    private static final ReplayClient.Terms TWICE = new ReplayClient.Terms(1, 0.5, 0.5, 10, 1, 2_000);
 
     private final ConcurrentLinkedQueue<Evidence> record = new ConcurrentLinkedQueue<>();
     private Load load;
 
-    private Load load(String address, Effect effect, double deadline, Client.Terms clients, int connections)
+    private Load load(String address, Effect effect, double deadline, ReplayClient.Terms clients, int connections)
             throws Exception {
         int colon = address.indexOf(':');
         load = new Load(
@@ -54,7 +54,7 @@
                                 address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)))),
                         Map.of("look", new ClassPlan(new ClassTerms(effect, Group.ALL, 4_000), 1_000, deadline)),
                         clients,
-                        new Pace.Terms(1, 1, Double.NaN, Double.NaN, 1),
+                        new ReplaySchedule.Terms(1, 1, Double.NaN, Double.NaN, 1),
                         1,
                         connections,
                         10,
@@ -65,8 +65,8 @@
 
     private static Load.Source some(int count, double every) {
         Iterator<Demand> all = IntStream.range(0, count)
-                .mapToObj(i ->
-                        new Demand(i * every, "GET", "/look/" + i, new Mapped("look", "k" + i, "", 0, -1), null, -1))
+                .mapToObj(i -> new Demand(
+                        i * every, "GET", "/look/" + i, new MappedRequest("look", "k" + i, "", 0, -1), null, -1))
                 .iterator();
         return () -> all.hasNext() ? all.next() : null;
     }
@@ -293,14 +293,14 @@
                     stopped.stop();
                 }
                 int i = made.getAndIncrement();
-                return new Demand(i * 2.0, "GET", "/look/" + i, new Mapped("look", "", "", 0, -1), null, -1);
+                return new Demand(i * 2.0, "GET", "/look/" + i, new MappedRequest("look", "", "", 0, -1), null, -1);
             });
             JsonNode json = load.result(0).json();
             assertTrue(json.path("stopped").asBoolean());
             assertTrue(json.path("requests").asInt() <= 500);
             JsonNode outcomes = json.path("classes").path("look");
             long out = 0;
-            for (Tally.Outcome outcome : Tally.Outcome.values()) {
+            for (RequestCounts.Outcome outcome : RequestCounts.Outcome.values()) {
                 out += outcomes.path(LoadResult.name(outcome)).asLong();
             }
             assertEquals(json.path("requests").asLong(), out);
@@ -312,8 +312,8 @@
     void aRequestThatIsAddedAsALaneStopsIsNeitherSentNorWaitedFor() throws Exception {
         EventLoop loop = ClosingEventLoops.single("lane");
         try {
-            Lane.Target nobody = new Lane.Target(new InetSocketAddress("127.0.0.1", 9), "127.0.0.1:9");
-            Lane lane = new Lane(loop, "clients", List.of(nobody), 1, ONCE, 1, System.nanoTime(), null);
+            ReplayWorker.Target nobody = new ReplayWorker.Target(new InetSocketAddress("127.0.0.1", 9), "127.0.0.1:9");
+            ReplayWorker lane = new ReplayWorker(loop, "clients", List.of(nobody), 1, ONCE, 1, System.nanoTime(), null);
             loop.submit(lane::stop).sync();
             assertTrue(lane.add(new Planned(System.nanoTime(), "look", null, "/look", "", "", 1_000, 0), 0));
             assertTrue(loop.submit(lane::isDone).sync().getNow());
@@ -345,7 +345,9 @@
                 while (i > 0 && System.nanoTime() < until) {
                     Thread.onSpinWait();
                 }
-                return i == 20 ? null : new Demand(i, "GET", "/look/" + i, new Mapped("look", "", "", 0, -1), null, -1);
+                return i == 20
+                        ? null
+                        : new Demand(i, "GET", "/look/" + i, new MappedRequest("look", "", "", 0, -1), null, -1);
             });
             assertTrue(
                     late.result(0).doubts().get(0).contains("ran late"),
@@ -359,7 +361,8 @@
             load(server.address(), Effect.SAFE, 2_000, ONCE, 10);
             List<Demand> odd = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                odd.add(new Demand(i * 10, "GET", "/x", new Mapped("<script>\"&'" + i % 2, "", "", 0, -1), null, -1));
+                odd.add(new Demand(
+                        i * 10, "GET", "/x", new MappedRequest("<script>\"&'" + i % 2, "", "", 0, -1), null, -1));
             }
             Iterator<Demand> all = odd.iterator();
             load.run(() -> all.hasNext() ? all.next() : null);
--- a/src/test/java/sablehinge/tools/replay/schedule/PaceTest.java
+++ b/src/test/java/sablehinge/tools/replay/schedule/ReplayScheduleTest.java
@@ -13,16 +13,17 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
-import sablehinge.tools.replay.schedule.Client.Outcome;
-import sablehinge.tools.replay.schedule.Client.Repeat;
+import sablehinge.tools.replay.schedule.ReplayClient.Outcome;
+import sablehinge.tools.replay.schedule.ReplayClient.Repeat;
 
-class PaceTest {
+class ReplayScheduleTest {
 
     private record Due(double at, int copy, String request) {}
 
-    private static List<Due> play(Pace.Terms terms, Map<Double, String> log) {
+    private static List<Due> play(ReplaySchedule.Terms terms, Map<Double, String> log) {
         List<Due> due = new ArrayList<>();
-        Pace<String> pace = new Pace<>(terms, (at, copy, request) -> due.add(new Due(at, copy, request)));
+        ReplaySchedule<String> pace =
+                new ReplaySchedule<>(terms, (at, copy, request) -> due.add(new Due(at, copy, request)));
         log.entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
                 .forEach(e -> pace.take(e.getKey(), e.getValue().substring(0, 1), e.getValue()));
@@ -30,8 +31,8 @@
         return due;
     }
 
-    private static Pace.Terms terms(double compress, double scale) {
-        return new Pace.Terms(compress, scale, Double.NaN, Double.NaN, 1);
+    private static ReplaySchedule.Terms terms(double compress, double scale) {
+        return new ReplaySchedule.Terms(compress, scale, Double.NaN, Double.NaN, 1);
     }
 
     @Test
@@ -43,7 +44,7 @@
 
     @Test
     void whatLiesOutsideTheTimesIsLeftOut() {
-        Pace.Terms middle = new Pace.Terms(1, 1, 1_000, 2_000, 1);
+        ReplaySchedule.Terms middle = new ReplaySchedule.Terms(1, 1, 1_000, 2_000, 1);
         assertEquals(
                 List.of(new Due(0, 0, "b"), new Due(999, 0, "c")),
                 play(middle, Map.of(999.0, "a", 1_000.0, "b", 1_999.0, "c", 2_000.0, "d")));
@@ -73,9 +74,10 @@
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         Map<String, double[]> counts = new HashMap<>();
         SplittableRandom random = new SplittableRandom(seed);
-        Pace<String> pace = new Pace<>(new Pace.Terms(1, scale, Double.NaN, Double.NaN, seed), (at, copy, request) -> {
-            counts.get(request)[1]++;
-        });
+        ReplaySchedule<String> pace = new ReplaySchedule<>(
+                new ReplaySchedule.Terms(1, scale, Double.NaN, Double.NaN, seed), (at, copy, request) -> {
+                    counts.get(request)[1]++;
+                });
         for (int i = 0; i < 2_000; i++) {
             String type = "c" + random.nextInt(3);
             counts.computeIfAbsent(type, name -> new double[2])[0]++;
@@ -93,10 +95,10 @@
     @Test
     void whatWaitsIsBounded() {
         int[] sent = {0};
-        Pace<Integer> pace = new Pace<>(terms(1, 1_000), (at, copy, request) -> sent[0]++);
+        ReplaySchedule<Integer> pace = new ReplaySchedule<>(terms(1, 1_000), (at, copy, request) -> sent[0]++);
         for (int i = 0; i < 1_000; i++) {
             pace.take(i * 0.001, "c", i);
-            assertTrue((i + 1) * 1_000 - sent[0] <= Pace.MOST_WAITING + 1_000);
+            assertTrue((i + 1) * 1_000 - sent[0] <= ReplaySchedule.MOST_WAITING + 1_000);
         }
         pace.end();
         assertEquals(1_000_000, sent[0]);
@@ -104,15 +106,15 @@
 
     // ---- Clients -----------------------------------------------------------------------------------
 
-    private static final Client.Terms TERMS = new Client.Terms(2, 0.4, 0.4, 100, 1, 2_000);
+    private static final ReplayClient.Terms TERMS = new ReplayClient.Terms(2, 0.4, 0.4, 100, 1, 2_000);
 
-    private static Client client(Repeat repeat) {
-        Client client = new Client(TERMS, repeat, 1_000, 400, new SplittableRandom(1));
+    private static ReplayClient client(Repeat repeat) {
+        ReplayClient client = new ReplayClient(TERMS, repeat, 1_000, 400, new SplittableRandom(1));
         assertEquals(400, client.begin(0));
         return client;
     }
 
-    private static double next(Client client, double elapsed, Outcome outcome, double retryAfter) {
+    private static double next(ReplayClient client, double elapsed, Outcome outcome, double retryAfter) {
         return client.next(elapsed, outcome, retryAfter, new SplittableRandom(1));
     }
 
@@ -137,7 +139,8 @@
         int honoured = 0;
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 10_000; i++) {
-            Client half = new Client(new Client.Terms(2, 0.4, 0.4, 100, 0.3, 2_000), Repeat.NEVER, 10_000, 0, random);
+            ReplayClient half = new ReplayClient(
+                    new ReplayClient.Terms(2, 0.4, 0.4, 100, 0.3, 2_000), Repeat.NEVER, 10_000, 0, random);
             half.begin(0);
             honoured += half.next(1, Outcome.REFUSED, 700, random) == 700 ? 1 : 0;
         }
@@ -148,11 +151,11 @@
     @Property(tries = 2_000)
     void noClientGoesBeyondItsBounds(@ForAll @LongRange(min = 0, max = 1_000_000_000) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Client.Terms terms =
-                new Client.Terms(random.nextInt(5), 0.3, 0.9, random.nextDouble(500), random.nextDouble(), 2_000);
+        ReplayClient.Terms terms =
+                new ReplayClient.Terms(random.nextInt(5), 0.3, 0.9, random.nextDouble(500), random.nextDouble(), 2_000);
         Repeat repeat = Repeat.values()[random.nextInt(3)];
         double deadline = random.nextDouble(10, 5_000);
-        Client client = new Client(terms, repeat, deadline, 1_000, random);
+        ReplayClient client = new ReplayClient(terms, repeat, deadline, 1_000, random);
         double now = 0;
         boolean mayHaveRun = false;
         while (true) {
--- a/src/test/java/sablehinge/tools/replay/statistics/TallyTest.java
+++ b/src/test/java/sablehinge/tools/replay/statistics/TallyTest.java
@@ -16,7 +16,7 @@
 
     @Test
     void fewNamesAreCountedExactlyAndListedByCountThenName() {
-        Commonest few = new Commonest(10);
+        TopValues few = new TopValues(10);
         List.of("b", "a", "c", "b", "a").forEach(few::add);
         assertEquals("{a=2, b=2, c=1}", few.top(10).toString());
         assertEquals("{a=2}", few.top(1).toString());
@@ -27,7 +27,7 @@
     @Test
     void beyondItsBoundTheCommonestStayWithinTheToldError() {
         SplittableRandom random = new SplittableRandom(5);
-        Commonest bounded = new Commonest(500);
+        TopValues bounded = new TopValues(500);
         Map<String, Long> truth = new HashMap<>();
         for (int i = 0; i < 200_000; i++) {
             String name = "k" + (int) Math.pow(random.nextDouble(), -2.5);
@@ -52,7 +52,7 @@
 
     @Test
     void differentNamesAreCountedExactlyUpToTheBound() {
-        Distinct exact = new Distinct(50_000);
+        DistinctCounter exact = new DistinctCounter(50_000);
         for (int i = 0; i < 150_000; i++) {
             exact.add("key-" + i % 50_000);
         }
@@ -64,7 +64,7 @@
 
     @Test
     void beyondTheBoundTheyAreEstimated() {
-        Distinct bounded = new Distinct(4_096);
+        DistinctCounter bounded = new DistinctCounter(4_096);
         for (int i = 0; i < 1_000_000; i++) {
             bounded.add("key-" + i);
             bounded.add("key-" + i / 2);
@@ -76,7 +76,7 @@
 
     @Test
     void slicesGrowAndLoseNothing() {
-        Rates rates = new Rates(4);
+        RateMeter rates = new RateMeter(4);
         rates.add(10_500);
         rates.add(11_000);
         rates.add(13_999);
@@ -94,7 +94,7 @@
     void anyTimesAreCountedOnceWithinTheBound() {
         for (long seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Rates rates = new Rates(16);
+            RateMeter rates = new RateMeter(16);
             int events = random.nextInt(1, 200);
             double span = Math.pow(10, random.nextInt(1, 13));
             double first = Double.POSITIVE_INFINITY;
--- a/src/test/java/sablehinge/tools/standin/SaboteurTest.java
+++ b/src/test/java/sablehinge/tools/standin/SaboteurTest.java
@@ -15,23 +15,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sablehinge.cli.LocalBalancers;
-import sablehinge.common.mapping.Mapped;
+import sablehinge.common.mapping.MappedRequest;
 import sablehinge.rig.Relay;
 import sablehinge.rig.Saboteur;
 import sablehinge.rig.Saboteur.Deed;
 import sablehinge.tools.audit.Audit;
+import sablehinge.tools.audit.AuditRulesFile;
 import sablehinge.tools.audit.Recorder;
-import sablehinge.tools.audit.TermsFile;
+import sablehinge.tools.audit.judge.AuditRules;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Breach;
 import sablehinge.tools.audit.judge.Breach.Rule;
-import sablehinge.tools.audit.judge.Terms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
 import sablehinge.tools.replay.Demand;
 import sablehinge.tools.replay.run.ClassPlan;
 import sablehinge.tools.replay.run.Load;
-import sablehinge.tools.replay.schedule.Client;
-import sablehinge.tools.replay.schedule.Pace;
+import sablehinge.tools.replay.schedule.ReplayClient;
+import sablehinge.tools.replay.schedule.ReplaySchedule;
 import sablehinge.tools.standin.scenario.Scenario;
 import sablehinge.tools.standin.scenario.Scenario.RulesPart;
 import sablehinge.tools.standin.scenario.ScenarioFile;
@@ -172,10 +172,10 @@
                 Fleet fleet = new Fleet(scenario, balancers, 2, servers::note, line -> {})) {
             fleet.start();
             send(fleet, clients, seconds, rate);
-            Terms terms = fleet.terms();
-            TermsFile.write(
+            AuditRules terms = fleet.terms();
+            AuditRulesFile.write(
                     folder,
-                    new Terms(
+                    new AuditRules(
                             terms.classes(), LENIENT_MS, terms.drainGrace(), terms.slack(), terms.hold(), true, true));
         } finally {
             relays.forEach(Relay::close);
@@ -193,8 +193,8 @@
                 new Load.Options(
                         fleet.entries(),
                         plans,
-                        Client.Terms.usual(),
-                        new Pace.Terms(1, 1, Double.NaN, Double.NaN, 1),
+                        ReplayClient.Terms.usual(),
+                        new ReplaySchedule.Terms(1, 1, Double.NaN, Double.NaN, 1),
                         1,
                         1_000,
                         100,
@@ -212,7 +212,7 @@
                                 i * 1_000.0 / rate,
                                 "GET",
                                 "/" + name + "/" + i / 7,
-                                new Mapped(name, "k" + i / 7, "", 0, -1),
+                                new MappedRequest(name, "k" + i / 7, "", 0, -1),
                                 null,
                                 -1);
             });
@@ -281,9 +281,9 @@
 
     @Test
     void theClassesAreAsTheScenarioSays() {
-        Terms terms = new Fleet(scenario("3ms", ""), spec -> null, 1, one -> {}, line -> {}).terms();
+        AuditRules terms = new Fleet(scenario("3ms", ""), spec -> null, 1, one -> {}, line -> {}).terms();
         assertEquals(
-                new Terms.ClassTerms(Effect.KEYED, Group.CELL, 4_000),
+                new AuditRules.ClassTerms(Effect.KEYED, Group.CELL, 4_000),
                 terms.classes().get("order"));
         assertEquals(Effect.SAFE, terms.classes().get("look").effect());
     }
--- a/src/test/java/sablehinge/tools/standin/mesh/StandInUpstreamTest.java
+++ b/src/test/java/sablehinge/tools/standin/mesh/StandInUpstreamTest.java
@@ -23,7 +23,7 @@
     private static final MeshVersion FIRST = version(3, 0, "basalt");
     private static final MeshVersion SECOND = version(8, 3, "marl");
 
-    private final Ledger ledger = new Ledger();
+    private final TrafficLog ledger = new TrafficLog();
     private StandInUpstream upstream;
 
     private static MeshVersion version(long edition, long basedOn, String service) {
@@ -31,8 +31,8 @@
                 edition,
                 basedOn,
                 List.of(
-                        new MeshVersion.Route("/read/", Ledger.Kind.SAFE, List.of(service)),
-                        new MeshVersion.Route("/write/", Ledger.Kind.UNSAFE, List.of(service))),
+                        new MeshVersion.Route("/read/", TrafficLog.Kind.SAFE, List.of(service)),
+                        new MeshVersion.Route("/write/", TrafficLog.Kind.UNSAFE, List.of(service))),
                 List.of("basalt", "marl"));
     }
 
@@ -50,11 +50,11 @@
     private Message ask(String method, String uri, Map<String, String> more, byte[] body) throws IOException {
         Map<String, String> headers = new LinkedHashMap<>(Map.of("Host", "h"));
         headers.putAll(more);
-        return Call.once(upstream.address(), PATIENCE_MS, method, uri, headers, body);
+        return ClientCall.once(upstream.address(), PATIENCE_MS, method, uri, headers, body);
     }
 
-    private Ledger.Sent sends(String id, Ledger.Kind kind, String uri, byte[] body) {
-        Ledger.Sent one = new Ledger.Sent(
+    private TrafficLog.Sent sends(String id, TrafficLog.Kind kind, String uri, byte[] body) {
+        TrafficLog.Sent one = new TrafficLog.Sent(
                 id,
                 "marl",
                 kind,
@@ -62,12 +62,12 @@
                 uri,
                 uri.substring(0, uri.indexOf('/', 1) + 1),
                 Message.sum(body),
-                Ledger.now());
+                TrafficLog.now());
         ledger.sent(one);
         return one;
     }
 
-    private Message runs(Ledger.Sent one, byte[] body) throws IOException {
+    private Message runs(TrafficLog.Sent one, byte[] body) throws IOException {
         return ask(
                 one.method(),
                 one.uri(),
@@ -83,14 +83,14 @@
                 body);
     }
 
-    private void comes(Ledger.Sent to, int status, Message answer) {
-        ledger.answered(new Ledger.Answered(
+    private void comes(TrafficLog.Sent to, int status, Message answer) {
+        ledger.answered(new TrafficLog.Answered(
                 to.id(),
                 status,
                 answer.header("Sablehinge-Try-Id"),
                 answer.header("Sablehinge-Postmark"),
                 Message.sum(answer.body()),
-                Ledger.now()));
+                TrafficLog.now()));
     }
 
     private List<String> judged(MeshVersion readBack, Operator.Order... orders) {
@@ -107,7 +107,7 @@
     @Test
     void whatRunsIsStampedAndWrittenDown() throws IOException {
         byte[] body = {1, 2, 3};
-        Ledger.Sent one = sends("t1", Ledger.Kind.UNSAFE, "/write/1", body);
+        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.UNSAFE, "/write/1", body);
         Message answer = runs(one, body);
         assertEquals(200, answer.status());
         assertEquals("t1", answer.header("Sablehinge-Try-Id"));
@@ -142,7 +142,7 @@
 
     @Test
     void answersOfARowComeInItsOrder() throws IOException {
-        try (Call call = new Call(upstream.address(), PATIENCE_MS)) {
+        try (ClientCall call = new ClientCall(upstream.address(), PATIENCE_MS)) {
             for (int i = 0; i < 7; i++) {
                 call.send("GET", "/read/" + i, Map.of("Host", "h", "Sablehinge-Try-Id", "t" + i), new byte[0], false);
             }
@@ -157,7 +157,7 @@
 
     @Test
     void aPromiseThatIsBrokenIsFound() throws IOException {
-        Ledger.Sent twice = sends("t1", Ledger.Kind.UNSAFE, "/write/1", new byte[] {1});
+        TrafficLog.Sent twice = sends("t1", TrafficLog.Kind.UNSAFE, "/write/1", new byte[] {1});
         runs(twice, new byte[] {1});
         comes(twice, 503, runs(twice, new byte[] {1}));
         assertEquals(List.of("REFUSED", "TWICE"), judged(FIRST, first()));
@@ -165,25 +165,25 @@
 
     @Test
     void anAnswerOfAnotherIsFound() throws IOException {
-        Ledger.Sent one = sends("t1", Ledger.Kind.SAFE, "/read/1", new byte[0]);
-        Ledger.Sent other = sends("t2", Ledger.Kind.SAFE, "/read/2", new byte[0]);
+        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
+        TrafficLog.Sent other = sends("t2", TrafficLog.Kind.SAFE, "/read/2", new byte[0]);
         comes(one, 200, runs(other, new byte[0]));
         assertEquals(List.of("MIXED"), judged(FIRST, first()));
     }
 
     @Test
     void whatNobodySentOrMayRunHereIsFound() throws IOException {
-        Ledger.Sent one = sends("t1", Ledger.Kind.UNSAFE, "/write/1", new byte[] {1});
+        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.UNSAFE, "/write/1", new byte[] {1});
         runs(one, new byte[] {2});
         assertEquals(List.of("UNASKED"), judged(FIRST, first()));
-        Ledger.Sent second = sends("t2", Ledger.Kind.SAFE, "/read/1", new byte[0]);
+        TrafficLog.Sent second = sends("t2", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
         runs(second, new byte[0]);
         assertEquals(List.of("UNASKED", "ROUTE"), judged(SECOND, new Operator.Order(SECOND, 0, 0)));
     }
 
     @Test
     void anOlderConfigurationIsFoundOnceItsTimeIsOver() throws IOException {
-        Ledger.Sent one = sends("t1", Ledger.Kind.SAFE, "/read/1", new byte[0]);
+        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
         runs(one, new byte[0]);
         double acked = one.at() - EDITION_MS / 2;
         assertEquals(List.of(), judged(SECOND, first(), new Operator.Order(SECOND, acked, acked)));
@@ -195,12 +195,12 @@
 
     @Test
     void whatComesAfterAnUpstreamsTimeIsFound() throws IOException {
-        Ledger.Sent one = sends("t1", Ledger.Kind.SAFE, "/read/1", new byte[0]);
+        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
         runs(one, new byte[0]);
         double ranAt = ledger.runs().get(0).at();
-        ledger.left(new Ledger.Left("i-1", false, ranAt - UNLOAD_MS / 2));
+        ledger.left(new TrafficLog.Left("i-1", false, ranAt - UNLOAD_MS / 2));
         assertEquals(List.of(), judged(FIRST, first()));
-        ledger.left(new Ledger.Left("i-1", false, ranAt - 2 * UNLOAD_MS));
+        ledger.left(new TrafficLog.Left("i-1", false, ranAt - 2 * UNLOAD_MS));
         assertEquals(List.of("DRAIN"), judged(FIRST, first()));
     }
 }
--- a/src/test/java/sablehinge/tools/standin/model/StationTest.java
+++ b/src/test/java/sablehinge/tools/standin/model/ServerModelTest.java
@@ -15,12 +15,12 @@
 import sablehinge.tools.standin.model.Faults.Kind;
 import sablehinge.tools.standin.model.Faults.Strike;
 
-class StationTest {
+class ServerModelTest {
 
-    private static final Station.Terms TWO = new Station.Terms(2, 1, 4, 2, 0.2, 1_000, 3, 100);
+    private static final ServerModel.Terms TWO = new ServerModel.Terms(2, 1, 4, 2, 0.2, 1_000, 3, 100);
 
     /** Runs until nothing is left to do; when each was done. */
-    private static Map<Long, Double> run(Station station, double until) {
+    private static Map<Long, Double> run(ServerModel station, double until) {
         Map<Long, Double> done = new HashMap<>();
         while (station.time() < until) {
             for (long id : station.advance(until)) {
@@ -33,7 +33,7 @@
 
     @Test
     void coresAreSharedEvenly() {
-        Station station = new Station(TWO, 0, Double.NaN);
+        ServerModel station = new ServerModel(TWO, 0, Double.NaN);
         for (long id = 1; id <= 4; id++) {
             assertTrue(station.arrive(0, id, id == 4 ? 20 : 10, false));
         }
@@ -44,7 +44,7 @@
 
     @Test
     void slotsAndQueueAreBoundedAndGoOnInOrder() {
-        Station station = new Station(TWO, 0, Double.NaN);
+        ServerModel station = new ServerModel(TWO, 0, Double.NaN);
         for (long id = 1; id <= 6; id++) {
             assertTrue(station.arrive(0, id, 10, false));
         }
@@ -60,7 +60,7 @@
 
     @Test
     void whoWaitsForTheTierBehindKeepsItsSlotAndNoCore() {
-        Station station = new Station(TWO, 0, Double.NaN);
+        ServerModel station = new ServerModel(TWO, 0, Double.NaN);
         station.arrive(0, 1, 10, false);
         assertEquals(List.of(1L), station.advance(50));
         assertEquals(1, station.inWork());
@@ -75,7 +75,7 @@
 
     @Test
     void aStallStopsAllAndSlownessStretches() {
-        Station station = new Station(TWO, 0, Double.NaN);
+        ServerModel station = new ServerModel(TWO, 0, Double.NaN);
         station.arrive(0, 1, 10, false);
         station.stall(true);
         assertEquals(Map.of(), run(station, 500));
@@ -86,7 +86,7 @@
 
     @Test
     void aColdOneWarmsUpEvenly() {
-        Station station = new Station(TWO, 0, 0);
+        ServerModel station = new ServerModel(TWO, 0, 0);
         assertEquals(0.2, station.warmth(0), 1e-9);
         assertEquals(0.6, station.warmth(500), 1e-9);
         assertEquals(1, station.warmth(1_000), 1e-9);
@@ -97,7 +97,7 @@
 
     @Test
     void aColdOneThatIsSentTooMuchFallsAndTellsWhoKnew() {
-        Station station = new Station(TWO, 0, 0);
+        ServerModel station = new ServerModel(TWO, 0, 0);
         // Three times 2 cores at 0.2 for 100 ms is 120 ms of work.
         for (long id = 1; id <= 11; id++) {
             station.arrive(0, id, 10, id % 2 == 0);
@@ -107,7 +107,7 @@
         assertEquals(0, station.fell());
         assertEquals(70.0 / 130, station.informed(), 1e-9);
         assertFalse(station.arrive(1, 13, 1, true));
-        Station warm = new Station(TWO, 0, Double.NaN);
+        ServerModel warm = new ServerModel(TWO, 0, Double.NaN);
         for (long id = 1; id <= 1_000; id++) {
             warm.arrive(0, id, 10, true);
         }
@@ -120,7 +120,7 @@
         for (long seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             double now = 1.79e12 + random.nextDouble(1e6);
-            Station station = new Station(TWO, now, random.nextBoolean() ? now : Double.NaN);
+            ServerModel station = new ServerModel(TWO, now, random.nextBoolean() ? now : Double.NaN);
             long id = 0;
             int in = 0;
             int out = 0;
