--- a/bench/src/sablehinge/bench/BudgetsBench.java
+++ b/bench/src/sablehinge/bench/BudgetsBench.java
@@ -314,17 +314,17 @@
         double start = now();
         for (int i = 0; i < count; i++) {
             String type = random.nextInt(4) == 0 ? "dear" : random.nextInt(4) == 0 ? "spend" : "cheap";
-            int worth = type.equals("dear") ? 8 : 1;
+            int value = type.equals("dear") ? 8 : 1;
             double due = start + i * 1_000 / perSecond;
             while (now() < due) {
                 TimeUnit.MICROSECONDS.sleep(200);
             }
-            worths[0] += worth;
+            worths[0] += value;
             clients.execute(() -> {
                 double asked = now();
                 if (chain.ask(type) == 200 && now() - asked <= DEADLINE_MS) {
                     synchronized (worths) {
-                        worths[1] += worth;
+                        worths[1] += value;
                     }
                 }
             });
--- a/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
@@ -13,7 +13,7 @@
                     "a lease counts from the answer's arrival",
                     NODE,
                     "private void extendLease(",
-                    "askedAt[(int) (answered % ASKED)]",
+                    "requestedAt[(int) (answered % ASKED)]",
                     "peers.values().stream().mapToDouble(one -> one.heard).max().orElse(0)"),
             new Mutant(
                     "a lease is as long as voters wait",
@@ -31,7 +31,7 @@
                     "who starts again forgets that it answered a leader",
                     NODE,
                     "public void start(",
-                    "leaderHeard = born;",
+                    "leaderHeard = processStartedAt;",
                     ""),
             new Mutant(
                     "a follower does not note that it heard its leader",
--- a/bench/src/sablehinge/controlplane/raft/EveryOrder.java
+++ b/bench/src/sablehinge/controlplane/raft/EveryOrder.java
@@ -185,7 +185,7 @@
                 if (machine.unsynced.size() > 1) {
                     choices.add(new Step(Step.Kind.POWER, a, 0, 1));
                 }
-                if (cluster.isWhole()) {
+                if (cluster.isComplete()) {
                     choices.add(Step.of(Step.Kind.WIPE, a));
                 }
             }
--- a/bench/src/sablehinge/controlplane/raft/OrderFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/OrderFaults.java
@@ -13,25 +13,25 @@
             new Mutant(
                     "a configuration on an old version is taken",
                     STATE,
-                    "public Outcome foresee(",
+                    "public Outcome evaluate(",
                     "basedOn != edition",
                     "basedOn > edition"),
             new Mutant(
                     "a repeated configuration is not known again",
                     STATE,
-                    "public Outcome foresee(",
+                    "public Outcome evaluate(",
                     "known != null &&",
                     "known != null && edition < 0 &&"),
             new Mutant(
                     "only the latest configuration is known again",
                     STATE,
-                    "public Outcome foresee(",
+                    "public Outcome evaluate(",
                     "known != null &&",
                     "known != null && next == edition &&"),
             new Mutant(
                     "an order is known by its edition alone",
                     STATE,
-                    "public Outcome foresee(",
+                    "public Outcome evaluate(",
                     "known.isOrder(basedOn, nextBody)",
                     "known.length >= 0"),
             new Mutant(
@@ -49,7 +49,7 @@
             new Mutant(
                     "an edition that is not above is taken",
                     STATE,
-                    "public Outcome foresee(",
+                    "public Outcome evaluate(",
                     "next <= edition ? Outcome.OLD : ",
                     ""),
             new Mutant(
--- a/bench/src/sablehinge/dataplane/sidecar/GateParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/GateParts.java
@@ -58,7 +58,7 @@
                         // The one upstream is known.
                     }
                 });
-        gate.opens(clock.now(), MeshHeaders.life(LIFE), BERTHS);
+        gate.open(clock.now(), MeshHeaders.incarnation(LIFE), BERTHS);
         front.open(at, done);
     }
 
--- a/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -29,11 +29,11 @@
  */
 public final class HollowSidecar {
 
-    private static final long PING_MS = 300;
-    private static final long DEAD_MS = 1_200;
+    private static final long PING_INTERVAL_MS = 300;
+    private static final long CONNECTION_TIMEOUT_MS = 1_200;
     private static final int BERTHS = 12;
     /** Balancers that are reckoned with until the roster is complete, as in a sidecar. */
-    private static final int RECKONED = 16;
+    private static final int ASSUMED_BALANCERS = 16;
     /** How often requests that are due are claimed for, in ms. */
     private static final long DEMAND_MS = 25;
 
@@ -124,8 +124,13 @@
         for (String seed : settings.seeds()) {
             contacts.add(seed.substring(0, seed.lastIndexOf(':') + 1) + settings.innerFirst());
         }
-        news = new WatchClient(loop, clock, new Connection(loop, PING_MS, DEAD_MS, observer), contacts, new Hears());
-        watchers = new PeerMonitor(loop, clock, settings, news::askNow);
+        news = new WatchClient(
+                loop,
+                clock,
+                new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS, observer),
+                contacts,
+                new Hears());
+        watchers = new PeerMonitor(loop, clock, settings, news::requestNow);
         quotas = new Quotas(settings.bounds(), (tenant, count) -> news.tokens(new Tokens(tenant, count)));
         retryBudget = new RetryBudget(clock, settings, news::shares);
     }
@@ -191,7 +196,7 @@
     public void replaceUpstream(String id) {
         loop.execute(() -> {
             upstream = id;
-            news.askNow();
+            news.requestNow();
         });
     }
 
@@ -256,16 +261,16 @@
             return;
         }
         boolean changed = !update.registrations().isEmpty();
-        if (update.whole() && update.complete()) {
+        if (update.full() && update.complete()) {
             changed |= roster.size() != update.registrations().size();
             roster.clear();
         }
-        watchers.told(update);
+        watchers.onUpdate(update);
         term = update.term();
         stamp = update.stamp();
         complete = update.complete();
         update.registrations().forEach(registration -> roster.put(registration.node(), registration));
-        retryBudget.divide(roster.values(), complete ? 1 : RECKONED);
+        retryBudget.divide(roster.values(), complete ? 1 : ASSUMED_BALANCERS);
         if (changed) {
             watchers.registry(roster.values());
         }
@@ -292,11 +297,11 @@
                     BERTHS,
                     0);
             return new WatchRequest(
-                    number, self, edition, term, stamp, wantsConfirmation, watchers.accusations(), watchers.vouched());
+                    number, self, edition, term, stamp, wantsConfirmation, watchers.suspicions(), watchers.vouched());
         }
 
         @Override
-        public void update(double askedAt, Update update) {
+        public void update(double requestedAt, Update update) {
             double now = clock.now();
             quotas.divide(now, update.size(), update.complete());
             if (update.edition() > edition && update.body().length > 0) {
--- a/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
@@ -104,7 +104,7 @@
     }
 
     /** The name of the upstream's life beside the balancer of that number. */
-    public static String life(int balancer) {
+    public static String incarnation(int balancer) {
         return "i-" + balancer;
     }
 
@@ -166,7 +166,9 @@
         List<Roster.Member> members = new ArrayList<>();
         for (int i = 0; i < balancers.size(); i++) {
             members.add(new Roster.Member(
-                    new Upstream(MeshHeaders.life(life(i)), 0, 0, 0, State.READY, 1, 0), balancers.get(i), life(i)));
+                    new Upstream(MeshHeaders.incarnation(incarnation(i)), 0, 0, 0, State.READY, 1, 0),
+                    balancers.get(i),
+                    incarnation(i)));
         }
         core.adopt(version, new Roster(1, true, members));
     }
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -324,14 +324,14 @@
         TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
         long granted = granted();
         long refused = refused();
-        long asked = asked();
+        long requested = requested();
         Look before = look();
         TimeUnit.MILLISECONDS.sleep(LOAD_MS);
         rates("load", before);
         double seconds = (TrafficLog.now() - before.at) / MS_PER_S;
         put("load", "fleet", "granted", "1/s", (granted() - granted) / seconds);
         put("load", "fleet", "refused", "1/s", (refused() - refused) / seconds);
-        put("load", "fleet", "waited", "1/s", (asked() - asked) / seconds);
+        put("load", "fleet", "waited", "1/s", (requested() - requested) / seconds);
         hollow.demand(0);
         settle("load");
     }
@@ -344,7 +344,7 @@
         return hollow.all().stream().mapToLong(HollowSidecar::refused).sum();
     }
 
-    private long asked() {
+    private long requested() {
         return hollow.all().stream().mapToLong(HollowSidecar::asked).sum();
     }
 
--- a/bench/src/sablehinge/torture/Caller.java
+++ b/bench/src/sablehinge/torture/Caller.java
@@ -267,7 +267,7 @@
         }
 
         @Override
-        public boolean whole(HttpReader message) {
+        public boolean complete(HttpReader message) {
             if (message.status() < 200) {
                 return true;
             }
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -131,7 +131,7 @@
             new Mutant(
                     "a connection with bytes behind its answer is kept",
                     CLIENT,
-                    "private void whole(FullHttpResponse response, boolean delimited)",
+                    "private void complete(FullHttpResponse response, boolean delimited)",
                     "&& !decoder.holdsMore()",
                     ""),
             new Mutant(
@@ -257,7 +257,7 @@
             new Mutant(
                     "a connection with bytes behind its answer is kept",
                     CLIENT,
-                    "private void whole(FullHttpResponse response, boolean delimited)",
+                    "private void complete(FullHttpResponse response, boolean delimited)",
                     "&& !decoder.holdsMore()",
                     ""),
             new Mutant(
--- a/bench/src/sablehinge/torture/ExchangePlay.java
+++ b/bench/src/sablehinge/torture/ExchangePlay.java
@@ -280,10 +280,10 @@
                             + "\r\nSablehinge-Rank: 1\r\nSablehinge-Deliver-To: " + GateParts.LIFE
                             + "\r\nContent-Length: " + length + "\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
-            boolean whole = length <= HALF_BODY;
-            half = whole ? null : sent;
+            boolean complete = length <= HALF_BODY;
+            half = complete ? null : sent;
             write(net, channel, head);
-            return write(net, channel, new byte[whole ? length : HALF_BODY]);
+            return write(net, channel, new byte[complete ? length : HALF_BODY]);
         }
 
         boolean sendsRest() {
@@ -332,7 +332,7 @@
         }
 
         @Override
-        public boolean whole(HttpReader message) {
+        public boolean complete(HttpReader message) {
             if (message.status() < 200) {
                 return true;
             }
@@ -445,7 +445,7 @@
         }
 
         @Override
-        public boolean whole(HttpReader message) {
+        public boolean complete(HttpReader message) {
             if (at == null || message.length != at.length) {
                 net.violated("UNASKED: a request that nobody sent so");
                 return false;
--- a/bench/src/sablehinge/torture/HttpReader.java
+++ b/bench/src/sablehinge/torture/HttpReader.java
@@ -19,7 +19,7 @@
         void head(HttpReader message);
 
         /** A message is whole; false ends the reading. */
-        boolean whole(HttpReader message);
+        boolean complete(HttpReader message);
     }
 
     private enum State {
@@ -80,7 +80,7 @@
                     rest -= count;
                     if (rest == 0) {
                         if (state == State.BODY) {
-                            whole();
+                            complete();
                         } else {
                             state = State.CHUNK_END;
                         }
@@ -132,7 +132,7 @@
             }
             case TRAILER -> {
                 if (bare.isEmpty()) {
-                    whole();
+                    complete();
                 }
             }
             default -> throw new IllegalStateException(state.toString());
@@ -180,7 +180,7 @@
             } else if (rest > 0) {
                 state = State.BODY;
             } else {
-                whole();
+                complete();
             }
         }
     }
@@ -188,12 +188,12 @@
     /** The stream has ended, and with it the message that nothing else ends. */
     void streamEnded() {
         if (state == State.UNTIL_END) {
-            whole();
+            complete();
         }
     }
 
-    private void whole() {
-        boolean goesOn = heard.whole(this);
+    private void complete() {
+        boolean goesOn = heard.complete(this);
         start = null;
         headers.clear();
         length = 0;
--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -23,7 +23,7 @@
                     "a writer that can go on is not read for",
                     FRONT,
                     "public void channelWritabilityChanged",
-                    "passed.pace(channel.isWritable());",
+                    "passed.setWritable(channel.isWritable());",
                     ""),
             new Mutant(
                     "a part that can't be written is dropped in silence",
@@ -71,7 +71,7 @@
                     ""),
             new Mutant(
                     "parts of a body are not flushed", FRONT, "public void channelReadComplete", "coming.flush();", ""),
-            new Mutant("the end of a body is not told", FRONT, "private void passOn(", "whole.end();", ""),
+            new Mutant("the end of a body is not told", FRONT, "private void passOn(", "complete.end();", ""),
             new Mutant("a body that breaks off is not told", FRONT, "private void breakOff()", "half.broke();", ""),
             new Mutant(
                     "an unframed answer that breaks looks whole",
@@ -79,8 +79,8 @@
                     "private void endUnmistakably()",
                     "ChannelOption.SO_LINGER, 0",
                     "ChannelOption.SO_LINGER, -1"),
-            new Mutant("the source is never paused", RELAY, "void pace(", "read(on);", "read(true);"),
-            new Mutant("the source is paused for good", RELAY, "void pace(", "read(on);", "read(false);"),
+            new Mutant("the source is never paused", RELAY, "void setWritable(", "read(on);", "read(true);"),
+            new Mutant("the source is paused for good", RELAY, "void setWritable(", "read(on);", "read(false);"),
             new Mutant(
                     "a part is passed on without being held",
                     RELAY,
@@ -147,7 +147,7 @@
                     "new requests go to who was told off",
                     UPSTREAM,
                     "private void begin(Connection on)",
-                    "boolean drained = now >= target.toldOff + terms.rules().drainGrace();",
+                    "boolean drained = now >= target.drainingSince + terms.rules().drainGrace();",
                     "boolean drained = false;"),
             new Mutant(
                     "what may have run is said not to have",
@@ -180,13 +180,13 @@
                     "LOST_WAKE_UP an answer",
                     FRONT,
                     "public void channelWritabilityChanged",
-                    "passed.pace(channel.isWritable());",
+                    "passed.setWritable(channel.isWritable());",
                     ""),
             new Mutant(
                     "LOST_WAKE_UP a request",
                     UPSTREAM,
                     "public void channelWritabilityChanged",
-                    "carried.passing.body().pace(channel.isWritable());",
+                    "carried.passing.body().setWritable(channel.isWritable());",
                     ""),
             new Mutant(
                     "UNWRITTEN the end of an answer",
--- a/bench/src/sablehinge/torture/OutboundPlay.java
+++ b/bench/src/sablehinge/torture/OutboundPlay.java
@@ -345,14 +345,14 @@
             all.put(id, sent);
             waiting.add(sent);
             last |= asksLast;
-            boolean whole = length <= HALF_BODY;
-            half = whole ? null : sent;
+            boolean complete = length <= HALF_BODY;
+            half = complete ? null : sent;
             String head = (safe ? "GET /s/x" : "POST /u/x") + " HTTP/1.1\r\nHost: h\r\nSablehinge-Try-Id: "
                     + id + "\r\nSablehinge-Time-Left: " + TIME_LEFT + "\r\n"
                     + (asksLast ? "Connection: close\r\n" : "")
                     + (safe ? "" : "Content-Length: " + length + "\r\n") + "\r\n";
             byte[] start = head.getBytes(StandardCharsets.US_ASCII);
-            byte[] bytes = new byte[start.length + (whole ? length : HALF_BODY)];
+            byte[] bytes = new byte[start.length + (complete ? length : HALF_BODY)];
             System.arraycopy(start, 0, bytes, 0, start.length);
             return write(channel, bytes);
         }
@@ -404,7 +404,7 @@
         }
 
         @Override
-        public boolean whole(HttpReader message) {
+        public boolean complete(HttpReader message) {
             if (message.status() < 200) {
                 return true;
             }
@@ -533,14 +533,14 @@
             at = all.get(message.headers.get("sablehinge-try-id"));
             isWhole = false;
             runs = false;
-            if (!OutboundParts.life(balancer).equals(message.headers.get("sablehinge-deliver-to"))
+            if (!OutboundParts.incarnation(balancer).equals(message.headers.get("sablehinge-deliver-to"))
                     || !OutboundParts.CALLER.equals(message.headers.get("sablehinge-caller"))) {
                 net.violated("UNASKED: a request for another upstream, or of another caller");
             }
         }
 
         @Override
-        public boolean whole(HttpReader message) {
+        public boolean complete(HttpReader message) {
             if (at == null || message.length != at.length) {
                 net.violated("UNASKED: a request that nobody sent so");
                 return false;
--- a/bench/src/sablehinge/torture/Upstream.java
+++ b/bench/src/sablehinge/torture/Upstream.java
@@ -36,7 +36,7 @@
 
     private int connections;
     /** When the balancer was told that it takes nothing new. */
-    double toldOff = Double.NaN;
+    double drainingSince = Double.NaN;
 
     Upstream(World world, long id, int trouble) {
         this.world = world;
@@ -128,8 +128,8 @@
             double sentAt = channel.out.filledAt();
             byte[] bytes = channel.out.read(slow ? dice.size(1, 4_000) : dice.portion());
             if (bytes.length > 0) {
-                if (at == null && !reader.amid() && sentAt > toldOff + World.DRAIN_GRACE + 1) {
-                    net.violated("a new request came " + (sentAt - toldOff) + " ms after it was told off");
+                if (at == null && !reader.amid() && sentAt > drainingSince + World.DRAIN_GRACE + 1) {
+                    net.violated("a new request came " + (sentAt - drainingSince) + " ms after it was told off");
                 }
                 channel.taken();
                 reader.read(bytes);
@@ -280,7 +280,7 @@
                 return 0;
             }
             if (pendingSent == pending.length && body.isOver() && (lastFramed || !made.chunked)) {
-                whole();
+                complete();
                 return -1;
             }
             return count;
@@ -292,7 +292,7 @@
         }
 
         /** The last byte of an answer has been written; whatever follows belongs to nothing. */
-        private void whole() throws IOException {
+        private void complete() throws IOException {
             if (fate == Fate.NOISE) {
                 made = null;
                 return;
@@ -332,7 +332,7 @@
             }
 
             @Override
-            public boolean whole(HttpReader message) {
+            public boolean complete(HttpReader message) {
                 if (at != null && at.txn != null && message.start.startsWith("POST")) {
                     if (message.length != at.body.length
                             || message.sum.getValue() != at.body.sum()
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -197,7 +197,7 @@
         core.start(version(1), seed, roster(true), transport, new Registry() {
             @Override
             public void fetch() {
-                net.later(1, () -> core.told(Change.FULL, roster(true)));
+                net.later(1, () -> core.onRosterChanged(Change.FULL, roster(true)));
             }
 
             @Override
@@ -273,7 +273,13 @@
         for (Upstream one : upstreams) {
             members.add(new Roster.Member(
                     new LoadBalancer.Upstream(
-                            one.id, 0, 0, (int) one.id, Double.isNaN(one.toldOff) ? State.READY : State.DRAINING, 1, 0),
+                            one.id,
+                            0,
+                            0,
+                            (int) one.id,
+                            Double.isNaN(one.drainingSince) ? State.READY : State.DRAINING,
+                            1,
+                            0),
                     one.address));
         }
         return new Roster(1, full, members);
@@ -376,8 +382,8 @@
             }
             case TOLD_OFF -> {
                 Upstream one = upstreams.get(own.nextInt(upstreams.size()));
-                one.toldOff = net.now();
-                core.told(Change.DELTA, roster(false));
+                one.drainingSince = net.now();
+                core.onRosterChanged(Change.DELTA, roster(false));
             }
             case DRAIN -> {
                 front.beginDrain();
--- a/src/main/java/sablehinge/cli/mesh/MeshUpstreamCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshUpstreamCommand.java
@@ -61,7 +61,7 @@
         StandInUpstream upstream =
                 new StandInUpstream(new StandInUpstream.Terms(id, depot, address(listen), berths, workMs), ledger);
         HeartbeatSender beating =
-                new HeartbeatSender(upstream, address(control), MeshPlan.ZONE, MeshPlan.BEAT_MS, ledger);
+                new HeartbeatSender(upstream, address(control), MeshPlan.ZONE, MeshPlan.HEARTBEAT_MS, ledger);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/src/main/java/sablehinge/cli/mesh/operator/SingletonRolesCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/SingletonRolesCommand.java
@@ -16,25 +16,28 @@
 
     @Override
     int run() throws InterruptedException {
-        MeshDuties duties = ask("Mesh.Duties", MeshDuties.class);
-        print(duties, () -> show(duties));
+        MeshDuties singletonRoles = ask("Mesh.Duties", MeshDuties.class);
+        print(singletonRoles, () -> show(singletonRoles));
         return DONE;
     }
 
-    private void show(MeshDuties duties) {
-        shell().say("holder  " + duties.control() + " (" + duties.node() + "), term " + duties.term());
+    private void show(MeshDuties singletonRoles) {
+        shell().say("holder  " + singletonRoles.control() + " (" + singletonRoles.node() + "), term "
+                + singletonRoles.term());
         shell().say("lease   "
-                + (duties.leaseMs() > 0
-                        ? "for another " + duties.leaseMs() + " ms"
+                + (singletonRoles.leaseMs() > 0
+                        ? "for another " + singletonRoles.leaseMs() + " ms"
                         : "none: nothing is given out of the pools now"));
-        shell().say("roll    change " + duties.stamp() + ", " + (duties.complete() ? "complete" : "begun anew"));
-        shell().say("news    " + duties.askers() + " balancers ask for them");
+        shell().say("roll    change " + singletonRoles.stamp() + ", "
+                + (singletonRoles.complete() ? "complete" : "begun anew"));
+        shell().say("news    " + singletonRoles.askers() + " balancers ask for them");
         shell().say("");
         TextTable pools = new TextTable("TENANT", "POOL PER S", "HOLDS", "LEFT");
-        duties.pools()
+        singletonRoles
+                .pools()
                 .forEach(one -> pools.line(one.tenant(), figure(one.perS()), figure(one.most()), figure(one.left())));
         pools.print(shell());
-        left(duties.more());
+        left(singletonRoles.more());
     }
 
     private static String figure(double value) {
--- a/src/main/java/sablehinge/common/mapping/Mapping.java
+++ b/src/main/java/sablehinge/common/mapping/Mapping.java
@@ -21,12 +21,12 @@
     }
 
     /** What a request is; null if no rule is for it. */
-    public MappedRequest map(RequestAttributes asked) {
+    public MappedRequest map(RequestAttributes request) {
         if (rules.isEmpty()) {
-            return byParts(asked.target());
+            return byParts(request.target());
         }
         for (Rule rule : rules) {
-            MappedRequest mapped = rule.map(asked);
+            MappedRequest mapped = rule.map(request);
             if (mapped != null) {
                 return mapped;
             }
@@ -52,12 +52,12 @@
     }
 
     /** A request with what varies left out, so that requests of one kind can be counted as such. */
-    public static String shape(RequestAttributes asked) {
-        StringBuilder shape = new StringBuilder(asked.method()).append(' ');
-        if (asked.host() != null) {
-            shape.append(asked.host());
+    public static String shape(RequestAttributes request) {
+        StringBuilder shape = new StringBuilder(request.method()).append(' ');
+        if (request.host() != null) {
+            shape.append(request.host());
         }
-        String[] parts = asked.path().split("/", MOST_PARTS + 2);
+        String[] parts = request.path().split("/", MOST_PARTS + 2);
         for (int i = 0; i < parts.length && i <= MOST_PARTS; i++) {
             boolean varies =
                     parts[i].length() > LONGEST_PART || parts[i].chars().anyMatch(Character::isDigit);
--- a/src/main/java/sablehinge/common/mapping/PathPattern.java
+++ b/src/main/java/sablehinge/common/mapping/PathPattern.java
@@ -35,43 +35,43 @@
         if (!text.startsWith("/")) {
             throw new IllegalArgumentException("expected a path that begins with /");
         }
-        String[] pieces = text.substring(1).split("/", -1);
-        for (int i = 0; i < pieces.length; i++) {
-            String piece = pieces[i];
-            boolean last = i == pieces.length - 1;
-            if (piece.equals("**") || piece.endsWith("...}") && piece.startsWith("{")) {
+        String[] segments = text.substring(1).split("/", -1);
+        for (int i = 0; i < segments.length; i++) {
+            String segment = segments[i];
+            boolean last = i == segments.length - 1;
+            if (segment.equals("**") || segment.endsWith("...}") && segment.startsWith("{")) {
                 if (!last) {
-                    throw new IllegalArgumentException(piece + " takes all that is left, expected it at the end");
+                    throw new IllegalArgumentException(segment + " takes all that is left, expected it at the end");
                 }
                 open = true;
-                if (!piece.equals("**")) {
-                    rest = name(piece.substring(1, piece.length() - 4));
+                if (!segment.equals("**")) {
+                    rest = name(segment.substring(1, segment.length() - 4));
                 }
             } else {
-                parts.add(part(piece));
+                parts.add(part(segment));
             }
         }
     }
 
-    private Part part(String piece) {
-        int star = piece.indexOf('*');
-        int brace = piece.indexOf('{');
+    private Part part(String segment) {
+        int star = segment.indexOf('*');
+        int brace = segment.indexOf('{');
         if (star < 0 && brace < 0) {
-            if (piece.indexOf('}') >= 0) {
-                throw new IllegalArgumentException("a } without its { in " + piece);
+            if (segment.indexOf('}') >= 0) {
+                throw new IllegalArgumentException("a } without its { in " + segment);
             }
-            return new Part(piece, null, "");
+            return new Part(segment, null, "");
         }
         int from = brace < 0 ? star : brace;
-        int to = brace < 0 ? star + 1 : piece.indexOf('}', brace) + 1;
+        int to = brace < 0 ? star + 1 : segment.indexOf('}', brace) + 1;
         if (to <= from) {
-            throw new IllegalArgumentException("a { without its } in " + piece);
+            throw new IllegalArgumentException("a { without its } in " + segment);
         }
-        String tail = piece.substring(to);
+        String tail = segment.substring(to);
         if (tail.matches(".*[*{}].*") || brace >= 0 && star >= 0) {
-            throw new IllegalArgumentException("more than one name or star in " + piece);
+            throw new IllegalArgumentException("more than one name or star in " + segment);
         }
-        return new Part(piece.substring(0, from), brace < 0 ? "" : name(piece.substring(from + 1, to - 1)), tail);
+        return new Part(segment.substring(0, from), brace < 0 ? "" : name(segment.substring(from + 1, to - 1)), tail);
     }
 
     private String name(String name) {
--- a/src/main/java/sablehinge/common/mapping/Rule.java
+++ b/src/main/java/sablehinge/common/mapping/Rule.java
@@ -35,20 +35,20 @@
     }
 
     /** What a request is by this rule; null if it is none of those that the rule is for. */
-    MappedRequest map(RequestAttributes asked) {
-        if (methods != null && !methods.contains(asked.method())
-                || host != null && (asked.host() == null || !host.matches(asked.host()))
-                || header != null && !header.matches(asked.headers().get(header.name))
-                || query != null && !query.matches(asked.query(query.name))) {
+    MappedRequest map(RequestAttributes request) {
+        if (methods != null && !methods.contains(request.method())
+                || host != null && (request.host() == null || !host.matches(request.host()))
+                || header != null && !header.matches(request.headers().get(header.name))
+                || query != null && !query.matches(request.query(query.name))) {
             return null;
         }
-        Map<String, String> found = path == null ? Map.of() : path.match(asked.path());
+        Map<String, String> found = path == null ? Map.of() : path.match(request.path());
         if (found == null) {
             return null;
         }
-        String name = serviceClass.fill(asked, found);
+        String name = serviceClass.fill(request, found);
         return name.isEmpty()
                 ? null
-                : new MappedRequest(name, key.fill(asked, found), tenant.fill(asked, found), deadline, body);
+                : new MappedRequest(name, key.fill(request, found), tenant.fill(request, found), deadline, body);
     }
 }
--- a/src/main/java/sablehinge/common/mapping/Template.java
+++ b/src/main/java/sablehinge/common/mapping/Template.java
@@ -56,30 +56,30 @@
     }
 
     /** The text for a request; what it has not is empty. */
-    String fill(RequestAttributes asked, Map<String, String> found) {
+    String fill(RequestAttributes request, Map<String, String> found) {
         if (parts.size() == 1) {
-            return value(parts.get(0), asked, found);
+            return value(parts.get(0), request, found);
         }
         StringBuilder text = new StringBuilder();
-        parts.forEach(part -> text.append(value(part, asked, found)));
+        parts.forEach(part -> text.append(value(part, request, found)));
         return text.toString();
     }
 
-    private static String value(Part part, RequestAttributes asked, Map<String, String> found) {
+    private static String value(Part part, RequestAttributes request, Map<String, String> found) {
         if (!part.filled) {
             return part.text;
         }
         String value = found.get(part.text);
         if (value == null) {
             value = switch (part.text) {
-                case "method" -> asked.method();
-                case "host" -> asked.host();
-                case "path" -> asked.path();
-                case "caller" -> asked.caller();
+                case "method" -> request.method();
+                case "host" -> request.host();
+                case "path" -> request.path();
+                case "caller" -> request.caller();
                 default ->
                     part.text.startsWith("query.")
-                            ? asked.query(part.text.substring(6))
-                            : asked.headers().get(part.text.substring(7));
+                            ? request.query(part.text.substring(6))
+                            : request.headers().get(part.text.substring(7));
             };
         }
         return value == null ? "" : value;
--- a/src/main/java/sablehinge/common/rpc/Connection.java
+++ b/src/main/java/sablehinge/common/rpc/Connection.java
@@ -37,7 +37,7 @@
 
     private final EventLoop loop;
     private final long pingMs;
-    private final long deadMs;
+    private final long timeoutMs;
     private final LongSupplier nanoTime;
     private final Observer observer;
 
@@ -74,22 +74,22 @@
      * Connections on a loop.
      *
      * @param pingMs how often an end that hears nothing asks
-     * @param deadMs how long it hears nothing until it gives the connection up
+     * @param timeoutMs how long it hears nothing until it gives the connection up
      */
-    public Connection(EventLoop loop, long pingMs, long deadMs) {
-        this(loop, pingMs, deadMs, Observer.NONE);
+    public Connection(EventLoop loop, long pingMs, long timeoutMs) {
+        this(loop, pingMs, timeoutMs, Observer.NONE);
     }
 
     /** The same, with somebody who is told of all records. */
-    public Connection(EventLoop loop, long pingMs, long deadMs, Observer observer) {
-        this(loop, pingMs, deadMs, observer, System::nanoTime);
+    public Connection(EventLoop loop, long pingMs, long timeoutMs, Observer observer) {
+        this(loop, pingMs, timeoutMs, observer, System::nanoTime);
     }
 
     /** The same by another clock, for tests. */
-    Connection(EventLoop loop, long pingMs, long deadMs, Observer observer, LongSupplier nanoTime) {
+    Connection(EventLoop loop, long pingMs, long timeoutMs, Observer observer, LongSupplier nanoTime) {
         this.loop = loop;
         this.pingMs = pingMs;
-        this.deadMs = deadMs;
+        this.timeoutMs = timeoutMs;
         this.nanoTime = nanoTime;
         this.observer = observer;
     }
@@ -150,7 +150,7 @@
 
         private final Channel channel;
         private final Handler handler;
-        private long heardAt = nanoTime.getAsLong();
+        private long lastReceivedAt = nanoTime.getAsLong();
         private boolean ended;
         private Future<?> pings;
         /** What its user keeps with it. */
@@ -201,16 +201,16 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            heardAt = nanoTime.getAsLong();
+            lastReceivedAt = nanoTime.getAsLong();
             pings = loop.scheduleAtFixedRate(this::ping, pingMs, pingMs, TimeUnit.MILLISECONDS);
             handler.opened(this);
         }
 
         private void ping() {
-            long silent = TimeUnit.NANOSECONDS.toMillis(nanoTime.getAsLong() - heardAt);
-            if (silent > deadMs) {
+            long sinceLastMessageMs = TimeUnit.NANOSECONDS.toMillis(nanoTime.getAsLong() - lastReceivedAt);
+            if (sinceLastMessageMs > timeoutMs) {
                 channel.close();
-            } else if (silent >= pingMs) {
+            } else if (sinceLastMessageMs >= pingMs) {
                 send(new Frame(Frame.Kind.PING, new byte[0]));
             }
         }
@@ -243,7 +243,7 @@
 
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                heardAt = nanoTime.getAsLong();
+                lastReceivedAt = nanoTime.getAsLong();
                 ctx.fireChannelRead(bytes);
             }
         }
--- a/src/main/java/sablehinge/common/rpc/Frame.java
+++ b/src/main/java/sablehinge/common/rpc/Frame.java
@@ -17,13 +17,13 @@
         /** It is. */
         PONG,
         /** What members of the core say to each other to agree. */
-        AGREE,
+        RAFT,
         /** A data-plane balancer asks for news. */
         ASK,
         /** The answer to that. */
-        NEWS,
+        UPDATE,
         /** Who else to ask. */
-        ELSEWHERE,
+        REDIRECT,
         /** Asks for a part of a pool; the answer is of the same kind. */
         TOKENS,
         /** Claims shares of further tries; the answer is of the same kind. */
--- a/src/main/java/sablehinge/common/settings/LocalSettings.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettings.java
@@ -23,7 +23,7 @@
  * @param firstStart whether the whole system starts for the first time
  * @param counted whether the machine is among those that {@code tolerateMachines} counts
  * @param dataDir the folder that is kept; null for none
- * @param beatMs between two beats of an upstream
+ * @param heartbeatMs between two beats of an upstream
  * @param contracts the parts of the rules that are in force
  * @param app the address of the upstream on this machine; null for none
  * @param depot the service of that upstream; null for none
@@ -44,7 +44,7 @@
         boolean firstStart,
         boolean counted,
         String dataDir,
-        double beatMs,
+        double heartbeatMs,
         List<String> contracts,
         String app,
         String depot,
--- a/src/main/java/sablehinge/common/settings/SettingsTable.java
+++ b/src/main/java/sablehinge/common/settings/SettingsTable.java
@@ -128,7 +128,7 @@
         return fields.containsKey(key) ? figure(key) : otherwise;
     }
 
-    private int whole(String key, Object value, int least, int most) {
+    private int integer(String key, Object value, int least, int most) {
         double number = number(key, value, least, most);
         if (number != Math.rint(number)) {
             throw off(key);
@@ -138,7 +138,7 @@
 
     /** A whole number, 0 or more. */
     int count(String key) {
-        return whole(key, need(key), 0, Integer.MAX_VALUE);
+        return integer(key, need(key), 0, Integer.MAX_VALUE);
     }
 
     private List<?> list(String key) {
@@ -170,7 +170,7 @@
         if (ports.size() != 2) {
             throw off(key);
         }
-        return new int[] {whole(key, ports.get(0), 1, HIGHEST_PORT), whole(key, ports.get(1), 1, HIGHEST_PORT)};
+        return new int[] {integer(key, ports.get(0), 1, HIGHEST_PORT), integer(key, ports.get(1), 1, HIGHEST_PORT)};
     }
 
     /** All keys of this table with their texts, none of which is empty, in their order. */
--- a/src/main/java/sablehinge/controlplane/node/CallOutcome.java
+++ b/src/main/java/sablehinge/controlplane/node/CallOutcome.java
@@ -6,7 +6,7 @@
 record CallOutcome(ApiResponse reply) {
 
     /** Where else to call; where no leader is known, nowhere. */
-    static CallOutcome elsewhere(QuorumGate.Refusal refusal, String path) {
+    static CallOutcome redirect(QuorumGate.Refusal refusal, String path) {
         if (refusal.leader() != null) {
             return new CallOutcome(
                     ApiResponse.elsewhere("http://" + refusal.leader().control() + path));
--- a/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
@@ -23,7 +23,7 @@
 final class ChangeCoordinator {
 
     /** How long an operator's call waits, in ms: shorter than the second after which callers go elsewhere. */
-    static final double PATIENCE_MS = 900;
+    static final double CALL_TIMEOUT_MS = 900;
 
     /**
      * An operator's order to put a configuration in the place of another. Two are the same if all of their parts are.
@@ -62,7 +62,7 @@
 
     private final RaftNode raft;
     private final ConfigurationState configurations;
-    private final Consumer<Runnable> later;
+    private final Consumer<Runnable> deferred;
     /** By the index of the entry; the agreement bounds how many entries may be uncommitted. */
     private final Map<Long, Pending> pending = new HashMap<>();
 
@@ -71,13 +71,13 @@
     /**
      * Changes of a state.
      *
-     * @param later runs something after the event that is being handled, on the same thread: an answer may lead to the
-     *     next call, which may not come from within what the agreement calls
+     * @param deferred runs something after the event that is being handled, on the same thread: an answer may lead to
+     *     the next call, which may not come from within what the agreement calls
      */
-    ChangeCoordinator(RaftNode raft, ConfigurationState configurations, Consumer<Runnable> later) {
+    ChangeCoordinator(RaftNode raft, ConfigurationState configurations, Consumer<Runnable> deferred) {
         this.raft = raft;
         this.configurations = configurations;
-        this.later = later;
+        this.deferred = deferred;
     }
 
     /**
@@ -86,7 +86,7 @@
      * @param at the time of day in ms since 1970; it is kept and decides nothing
      */
     void submit(double now, Order order, byte[] body, long at, Consumer<Verdict> then) {
-        Listener listener = new Listener(now + PATIENCE_MS, then);
+        Listener listener = new Listener(now + CALL_TIMEOUT_MS, then);
         for (Pending one : pending.values()) {
             if (one.order.equals(order)) {
                 one.listeners.add(listener);
@@ -95,7 +95,7 @@
         }
         long index = raft.propose(now, ConfigurationState.replace(order.basedOn, order.edition, body, at));
         if (index == 0) {
-            later.accept(() -> then.accept(Verdict.UNCLEAR));
+            deferred.accept(() -> then.accept(Verdict.UNCLEAR));
             return;
         }
         Pending made = new Pending(order);
@@ -124,7 +124,7 @@
     }
 
     private void answer(Pending one, Verdict verdict) {
-        one.listeners.forEach(listener -> later.accept(() -> listener.then.accept(verdict)));
+        one.listeners.forEach(listener -> deferred.accept(() -> listener.then.accept(verdict)));
     }
 
     /** This machine's place has changed: what it proposed in an earlier term may come to anything. */
@@ -144,7 +144,7 @@
                 Listener listener = each.next();
                 if (now > listener.until) {
                     each.remove();
-                    later.accept(() -> listener.then.accept(Verdict.UNCLEAR));
+                    deferred.accept(() -> listener.then.accept(Verdict.UNCLEAR));
                 }
             }
         }
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -48,37 +48,37 @@
     private static final long TICK_MS = 20;
     private static final long MS_PER_S = 1_000;
     /** What is kept of the grace time to end in, in ms. */
-    private static final long END_MS = 1_000;
+    private static final long SHUTDOWN_RESERVE_MS = 1_000;
 
     private static final double NANOS_PER_MS = 1e6;
     /** A disk that is at one change for longer hangs, in ms; it is looked at as often. */
-    private static final long HANGS_MS = 1_000;
+    private static final long DISK_HANG_MS = 1_000;
     /** What an end of a connection between processes does when it hears nothing, in ms. */
-    static final long PING_MS = 300;
+    static final long PING_INTERVAL_MS = 300;
 
-    static final long DEAD_MS = 1_200;
+    static final long CONNECTION_TIMEOUT_MS = 1_200;
     /** The log is cut to a snapshot after so many entries. */
-    private static final int MOST_ENTRIES = 48;
+    private static final int MAX_LOG_ENTRIES = 48;
     /** Or after so many bytes of entries, which bounds the file and what a start reads. */
-    private static final long MOST_BYTES = 4 << 20;
+    private static final long MAX_LOG_BYTES = 4 << 20;
 
-    private static final int MOST_CONFIGURATION = 15 * 1024 * 1024;
+    private static final int MAX_CONFIGURATION_BYTES = 15 * 1024 * 1024;
     /** What the process ends with where it can't go on as who it was. */
-    private static final int HALTED = 3;
+    private static final int HALT_EXIT_STATUS = 3;
 
     private final EventLoop loop;
     private final Clock clock = Clock.system();
     private final ExecutorService disk = thread("disk");
     private final ExecutorService checks = thread("checks");
     private final LocalSettings settings;
-    private final long born;
+    private final long processStartedAt;
     private final Connection connection;
     private final DiskWriter diskWriter;
     private final RaftNode raft;
     private final ConfigurationState configurations = new ConfigurationState();
     private final QuorumGate gate;
-    private final FailStopExecutor guard =
-            new FailStopExecutor(() -> Runtime.getRuntime().halt(HALTED));
+    private final FailStopExecutor failStopExecutor =
+            new FailStopExecutor(() -> Runtime.getRuntime().halt(HALT_EXIT_STATUS));
     private final ChangeCoordinator changes;
     private final DataPlaneService dataPlane;
     private Member self;
@@ -88,20 +88,20 @@
     private RaftStatus standing = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
     private int sinceSnapshot;
     private long bytesSinceSnapshot;
-    private boolean hangs;
+    private boolean diskHangs;
     /** Opened once nothing that is committed hangs on this process. */
     private final CountDownLatch released = new CountDownLatch(1);
 
     private ControlNode(
             LocalSettings settings,
-            long born,
+            long processStartedAt,
             EventLoop loop,
             Supplier<RaftStore> opener,
             Connection.Observer observer) {
         this.settings = settings;
-        this.born = born;
+        this.processStartedAt = processStartedAt;
         this.loop = loop;
-        connection = new Connection(loop, PING_MS, DEAD_MS, observer);
+        connection = new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS, observer);
         diskWriter = new DiskWriter(opener, new NodeDiskCallbacks());
         raft = new RaftNode(
                 new NodeRaftActions(), RaftConfig.usual(), settings.tolerateMachines(), new SecureRandom().nextLong());
@@ -118,29 +118,30 @@
      * Starts a machine of the core. It is heard by all who call, and takes part as soon as its disk has been read and
      * takes writes, however long that lasts.
      *
-     * @param born when its process began, by {@link System#nanoTime}: whatever the process before promised a leader, it
-     *     had promised by then
+     * @param processStartedAt when its process began, by {@link System#nanoTime}: whatever the process before promised
+     *     a leader, it had promised by then
      */
-    public static ControlNode start(LocalSettings settings, long born) throws ConfigException, InterruptedException {
+    public static ControlNode start(LocalSettings settings, long processStartedAt)
+            throws ConfigException, InterruptedException {
         if (settings.dataDir() == null) {
             throw new ConfigException("a control node needs dataDir in its settings");
         }
         Path folder = Path.of(settings.dataDir());
-        return start(settings, born, () -> RaftStore.open(folder));
+        return start(settings, processStartedAt, () -> RaftStore.open(folder));
     }
 
     /** The same with a store of another kind; it is opened anew after each refusal. */
-    static ControlNode start(LocalSettings settings, long born, Supplier<RaftStore> opener)
+    static ControlNode start(LocalSettings settings, long processStartedAt, Supplier<RaftStore> opener)
             throws ConfigException, InterruptedException {
-        return start(settings, born, opener, Connection.Observer.NONE);
+        return start(settings, processStartedAt, opener, Connection.Observer.NONE);
     }
 
     /** The same with somebody who is told of its records. */
     static ControlNode start(
-            LocalSettings settings, long born, Supplier<RaftStore> opener, Connection.Observer observer)
+            LocalSettings settings, long processStartedAt, Supplier<RaftStore> opener, Connection.Observer observer)
             throws ConfigException, InterruptedException {
         EventLoop loop = ClosingEventLoops.single("control");
-        ControlNode controlNode = new ControlNode(settings, born, loop, opener, observer);
+        ControlNode controlNode = new ControlNode(settings, processStartedAt, loop, opener, observer);
         String at = settings.ip() + ":" + settings.innerFirst();
         try {
             await(
@@ -149,7 +150,7 @@
                             controlNode.new FrameHandler()),
                     at);
             await(
-                    new ApiServer(loop, controlNode.operations(), MOST_CONFIGURATION)
+                    new ApiServer(loop, controlNode.operations(), MAX_CONFIGURATION_BYTES)
                             .listen(address(settings.listenOn().control())),
                     settings.listenOn().control());
         } catch (IOException e) {
@@ -157,7 +158,7 @@
             throw new ConfigException(e.getMessage());
         }
         controlNode.disk.execute(controlNode.diskWriter::open);
-        loop.scheduleAtFixedRate(controlNode::watch, HANGS_MS, HANGS_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(controlNode::watch, DISK_HANG_MS, DISK_HANG_MS, TimeUnit.MILLISECONDS);
         // The schema is loaded before the first configuration comes, and beside what must not wait for it.
         controlNode.checks.execute(ConfigurationCheck::warm);
         return controlNode;
@@ -207,7 +208,7 @@
      * @return whether others hold it
      */
     public boolean leave() throws InterruptedException {
-        long ms = Math.max(0, Math.round(settings.bounds().graceS() * MS_PER_S) - END_MS);
+        long ms = Math.max(0, Math.round(settings.bounds().graceS() * MS_PER_S) - SHUTDOWN_RESERVE_MS);
         loop.execute(() -> raft.leave(clock.now()));
         boolean inOrder = released.await(ms, TimeUnit.MILLISECONDS);
         Log.info(LOG, "leaves").addKeyValue("released", inOrder).log("leaves the core");
@@ -226,10 +227,10 @@
     }
 
     /** Who this machine is where its disk holds nobody. */
-    private Member named(boolean damaged) {
+    private Member named(boolean isCorrupt) {
         String at = settings.ip() + ":" + settings.innerFirst();
         String control = settings.listenOn().control();
-        return settings.firstStart() && !damaged
+        return settings.firstStart() && !isCorrupt
                 ? Member.founder(at, control)
                 : Member.later(new SecureRandom().nextLong(), at, control);
     }
@@ -247,13 +248,13 @@
     private void begin(Member me, PersistedState stored) {
         double now = clock.now();
         self = me;
-        peers = new PeerConnections(connection, self, this::came);
+        peers = new PeerConnections(connection, self, this::onMessage);
         List<Member> founders = founders();
         List<String> contacts = founders.stream().map(Member::address).toList();
         raft.contacts(contacts);
         if (stored != null) {
             // Even who has nothing but a name, and asks to be let in, may have given its vote.
-            raft.start(now, stored, now - (System.nanoTime() - born) / NANOS_PER_MS);
+            raft.start(now, stored, now - (System.nanoTime() - processStartedAt) / NANOS_PER_MS);
         } else if (founders.contains(self)) {
             raft.found(now, self, founders);
         } else {
@@ -271,25 +272,25 @@
 
     private void tick() {
         double now = clock.now();
-        guard.goOn("agreement", () -> raft.tick(now));
-        guard.goOn("changes", () -> changes.expire(now));
-        guard.goOn("gate", () -> gate.expire(now));
-        guard.goOn("news", dataPlane::tell);
+        failStopExecutor.runTolerant("agreement", () -> raft.tick(now));
+        failStopExecutor.runTolerant("changes", () -> changes.expire(now));
+        failStopExecutor.runTolerant("gate", () -> gate.expire(now));
+        failStopExecutor.runTolerant("news", dataPlane::publish);
     }
 
     /** A disk that answers nothing says nothing by itself. */
     private void watch() {
         double ms = clock.now() - diskWriter.busySince();
-        if (ms > HANGS_MS && !hangs) {
-            hangs = true;
+        if (ms > DISK_HANG_MS && !diskHangs) {
+            diskHangs = true;
             Log.warn(LOG, "disk-hangs").addKeyValue("ms", Math.round(ms)).log("the disk doesn't answer");
-        } else if (ms <= HANGS_MS && hangs) {
-            hangs = false;
+        } else if (ms <= DISK_HANG_MS && diskHangs) {
+            diskHangs = false;
             Log.info(LOG, "disk-answers").log("the disk answers again");
         }
     }
 
-    private void came(Member from, Message message) {
+    private void onMessage(Member from, Message message) {
         raft.message(clock.now(), from, message);
     }
 
@@ -301,13 +302,13 @@
             try {
                 switch (frame.kind()) {
                     case HELLO -> link.attach(PeerConnections.hello(frame));
-                    case AGREE -> {
+                    case RAFT -> {
                         if (link.attachment() instanceof Member from) {
-                            ControlNode.this.came(from, RaftMessageCodec.read(frame.body()));
+                            ControlNode.this.onMessage(from, RaftMessageCodec.read(frame.body()));
                         }
                     }
                     default -> {
-                        if (!dataPlane.came(link, frame)) {
+                        if (!dataPlane.handleFrame(link, frame)) {
                             link.close();
                         }
                     }
@@ -345,9 +346,9 @@
             sinceSnapshot++;
             bytesSinceSnapshot += entry.data().length;
             if (entry.kind() == Entry.Kind.COMMAND) {
-                guard.failStop("entry", () -> command(entry));
+                failStopExecutor.failStop("entry", () -> command(entry));
             }
-            if (sinceSnapshot >= MOST_ENTRIES || bytesSinceSnapshot >= MOST_BYTES) {
+            if (sinceSnapshot >= MAX_LOG_ENTRIES || bytesSinceSnapshot >= MAX_LOG_BYTES) {
                 sinceSnapshot = 0;
                 bytesSinceSnapshot = 0;
                 byte[] state = configurations.state();
@@ -357,7 +358,7 @@
 
         private void command(Entry entry) {
             if (changes.applied(entry) == ConfigurationState.Outcome.TAKEN) {
-                guard.goOn("configuration", dataPlane::configuration);
+                failStopExecutor.runTolerant("configuration", dataPlane::configuration);
                 Log.info(LOG, "configuration")
                         .addKeyValue("edition", configurations.edition())
                         .addKeyValue("index", entry.index())
@@ -367,8 +368,8 @@
 
         @Override
         public void restore(Snapshot snapshot) {
-            guard.failStop("snapshot", () -> configurations.restore(snapshot.state()));
-            guard.goOn("configuration", dataPlane::configuration);
+            failStopExecutor.failStop("snapshot", () -> configurations.restore(snapshot.state()));
+            failStopExecutor.runTolerant("configuration", dataPlane::configuration);
         }
 
         @Override
@@ -388,12 +389,12 @@
 
         @Override
         public void confirmed(long token) {
-            gate.ended(clock.now(), token, true);
+            gate.barrierEnded(clock.now(), token, true);
         }
 
         @Override
         public void denied(long token) {
-            gate.ended(clock.now(), token, false);
+            gate.barrierEnded(clock.now(), token, false);
         }
 
         @Override
@@ -445,12 +446,12 @@
         }
 
         @Override
-        public Member named(boolean damaged) {
-            return ControlNode.this.named(damaged);
+        public Member named(boolean isCorrupt) {
+            return ControlNode.this.named(isCorrupt);
         }
 
         @Override
-        public boolean founds(Member me) {
+        public boolean isFounder(Member me) {
             return founders().contains(me);
         }
 
@@ -465,12 +466,12 @@
         }
 
         @Override
-        public void lost(StoreException why) {
+        public void stateLost(StoreException why) {
             // The next process finds what is there, and is another member if that is nothing.
             Log.error(LOG, "disk-failed")
                     .addKeyValue("code", why.code())
                     .log("what was synced is gone: {}", why.getMessage());
-            Runtime.getRuntime().halt(HALTED);
+            Runtime.getRuntime().halt(HALT_EXIT_STATUS);
         }
     }
 
--- a/src/main/java/sablehinge/controlplane/node/ControlRequest.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlRequest.java
@@ -18,7 +18,7 @@
     /** Which balancers there are. */
     MESH_NODES("/sablehinge/Mesh.Nodes", QuorumContact.RECENT),
     /** What the leader holds for the data plane. */
-    MESH_DUTIES("/sablehinge/Mesh.Duties", QuorumContact.RECENT),
+    MESH_SINGLETON_ROLES("/sablehinge/Mesh.Duties", QuorumContact.RECENT),
     /** A balancer asks for news: configuration, registry, members of the core. */
     WATCH(null, QuorumContact.RECENT),
     /** A balancer asks for news, and that they be the newest: one that has just started, for one. */
--- a/src/main/java/sablehinge/controlplane/node/ControlStatus.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -125,7 +125,7 @@
                     registration.upstream(),
                     state(line),
                     registration.berths(),
-                    Math.round(line.silentMs())));
+                    Math.round(line.sinceLastMessageMs())));
         }
         return new MeshNodes(
                 control,
@@ -144,7 +144,7 @@
                         : line.registration().ready() ? "ready" : "draining";
     }
 
-    MeshDuties duties() {
+    MeshDuties singletonRoles() {
         double now = authority.now();
         List<MeshDuties.Pool> pools = new ArrayList<>();
         for (Pool.Line line : pool.lines(now)) {
@@ -158,7 +158,7 @@
                 Math.round(authority.pulse().leaseMs()),
                 registry.stamp(),
                 registry.isComplete(now),
-                queue.askers().size(),
+                queue.subscribers().size(),
                 cut(pools),
                 more(pools.size()));
     }
--- a/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
+++ b/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
@@ -32,10 +32,10 @@
 final class DataPlaneService {
 
     private static final Logger LOG = LoggerFactory.getLogger(DataPlaneService.class);
-    private static final double COMPLETE_MS = 2_500;
-    private static final double GONE_MS = 12_000;
+    private static final double REGISTRY_COMPLETE_MS = 2_500;
+    private static final double REGISTRATION_EXPIRY_MS = 12_000;
     /** News are looked at each tick: after a longer pause, in ms, it was this process that stood still. */
-    private static final double STOOD_STILL_MS = 1_000;
+    private static final double PAUSE_DETECTION_MS = 1_000;
 
     private static final byte[] NONE = new byte[0];
 
@@ -43,14 +43,14 @@
     private final Clock clock;
     private final QuorumGate gate;
     private final ConfigurationState configurations;
-    private final Registry registry = new Registry(COMPLETE_MS, GONE_MS);
+    private final Registry registry = new Registry(REGISTRY_COMPLETE_MS, REGISTRATION_EXPIRY_MS);
     private final WatchServer<Connection.Link> watchServer = new WatchServer<>(registry);
     private final QuotaPools pools;
-    private final RetryBudgetCoordinator retryBudgetHolder;
+    private final RetryBudgetCoordinator retryBudgetCoordinator;
     /** Whether what is due will be sent once all that has come in together is read. */
-    private boolean tellsSoon;
+    private boolean publishScheduled;
 
-    private double toldAt;
+    private double lastPublishedAt;
     /** The edition in force as all are sent it; packed once for each edition, and only while this leads. */
     private byte[] packed = NONE;
 
@@ -67,9 +67,9 @@
         this.clock = clock;
         this.gate = gate;
         this.configurations = configurations;
-        retryBudgetHolder = new RetryBudgetCoordinator(bounds);
+        retryBudgetCoordinator = new RetryBudgetCoordinator(bounds);
         pools = new QuotaPools(
-                loop, clock, bounds, watchServer::askers, now -> gate.allows(now, ControlRequest.QUOTA_TOKENS));
+                loop, clock, bounds, watchServer::subscribers, now -> gate.allows(now, ControlRequest.QUOTA_TOKENS));
     }
 
     /** Who is known, to be looked at. */
@@ -93,11 +93,11 @@
      * @return whether it is of a kind that balancers send
      * @throws IOException where it can't be read
      */
-    boolean came(Connection.Link link, Frame frame) throws IOException {
+    boolean handleFrame(Connection.Link link, Frame frame) throws IOException {
         switch (frame.kind()) {
             case ASK -> watch(link, WatchRequest.read(frame.body()));
-            case TOKENS -> pools.asked(link, Tokens.read(frame.body()));
-            case PULL -> pools.lent(Tokens.read(frame.body()));
+            case TOKENS -> pools.handleRequest(link, Tokens.read(frame.body()));
+            case PULL -> pools.handleReturn(Tokens.read(frame.body()));
             case SHARES -> claimed(link, RetryBudgetCodec.claim(frame.body()));
             default -> {
                 return false;
@@ -114,20 +114,20 @@
     private void watch(Connection.Link link, WatchRequest request) {
         if (request.term() > standing.term()) {
             // It has been told news by the leader of a later term: what is known here is older.
-            elsewhere(link, new QuorumGate.Refusal(null, false));
+            redirect(link, new QuorumGate.Refusal(null, false));
             return;
         }
         gate.require(
                 clock.now(),
                 ControlRequest.WATCH,
                 () -> {
-                    watchServer.asked(clock.now(), link, request);
+                    watchServer.handleRequest(clock.now(), link, request);
                     if (request.confirm()) {
                         confirm(link, request);
                     }
-                    tellSoon();
+                    schedulePublish();
                 },
-                refusal -> elsewhere(link, refusal));
+                refusal -> redirect(link, refusal));
     }
 
     private void confirm(Connection.Link link, WatchRequest request) {
@@ -136,14 +136,14 @@
                 ControlRequest.WATCH_CONFIRMED,
                 () -> {
                     watchServer.confirmed(link, request.number());
-                    tellSoon();
+                    schedulePublish();
                 },
-                refusal -> elsewhere(link, refusal));
+                refusal -> redirect(link, refusal));
     }
 
-    private static void elsewhere(Connection.Link link, QuorumGate.Refusal refusal) {
+    private static void redirect(Connection.Link link, QuorumGate.Refusal refusal) {
         String leader = refusal.leader() == null ? "" : refusal.leader().address();
-        link.send(new Frame(Frame.Kind.ELSEWHERE, leader.getBytes(StandardCharsets.UTF_8)));
+        link.send(new Frame(Frame.Kind.REDIRECT, leader.getBytes(StandardCharsets.UTF_8)));
     }
 
     private void claimed(Connection.Link link, Claim claim) {
@@ -151,7 +151,7 @@
                 clock.now(),
                 ControlRequest.RETRY_SHARES,
                 () -> {
-                    Frame answer = retryBudgetHolder.answer(clock.now(), claim);
+                    Frame answer = retryBudgetCoordinator.answer(clock.now(), claim);
                     if (answer != null) {
                         link.send(answer);
                     }
@@ -160,34 +160,34 @@
     }
 
     /** Sends the news that are due once what has come in together is read: once for all of it. */
-    private void tellSoon() {
-        if (!tellsSoon) {
-            tellsSoon = true;
-            loop.execute(this::tell);
+    private void schedulePublish() {
+        if (!publishScheduled) {
+            publishScheduled = true;
+            loop.execute(this::publish);
         }
     }
 
     /** Sends the news that are due. */
-    void tell() {
-        tellsSoon = false;
+    void publish() {
+        publishScheduled = false;
         double now = clock.now();
-        if (now - toldAt > STOOD_STILL_MS) {
-            registry.stoodStill(now, now - toldAt);
+        if (now - lastPublishedAt > PAUSE_DETECTION_MS) {
+            registry.processPaused(now, now - lastPublishedAt);
         }
-        toldAt = now;
+        lastPublishedAt = now;
         if (!gate.allows(now, ControlRequest.WATCH)) {
             return;
         }
-        for (WatchServer.Delivery<Connection.Link> told : watchServer.due(now)) {
-            told.to().send(new Frame(Frame.Kind.NEWS, told.update().bytes()));
+        for (WatchServer.Delivery<Connection.Link> delivery : watchServer.due(now)) {
+            delivery.to().send(new Frame(Frame.Kind.UPDATE, delivery.update().bytes()));
         }
-        for (HealthView.HealthChange ruling : watchServer.rulings()) {
+        for (HealthView.HealthChange change : watchServer.healthChanges()) {
             Log.info(LOG, "health")
-                    .addKeyValue("peer", ruling.node())
-                    .addKeyValue("health", ruling.health())
-                    .addKeyValue("before", ruling.before())
-                    .addKeyValue("accusers", ruling.accusers())
-                    .addKeyValue("watchers", ruling.watchers())
+                    .addKeyValue("peer", change.node())
+                    .addKeyValue("health", change.health())
+                    .addKeyValue("before", change.before())
+                    .addKeyValue("accusers", change.suspecting())
+                    .addKeyValue("watchers", change.watchers())
                     .log("what is known of a balancer");
         }
     }
@@ -200,13 +200,13 @@
         if (leads() && (!led || newTerm)) {
             watchServer.begin(clock.now(), next.term());
             pools.begin();
-            retryBudgetHolder.begin(next.term());
+            retryBudgetCoordinator.begin(next.term());
             adopt();
         } else if (led && !leads()) {
             QuorumGate.Refusal refusal = gate.refusal(clock.now());
-            watchServer.askers().forEach(link -> elsewhere(link, refusal));
+            watchServer.subscribers().forEach(link -> redirect(link, refusal));
         }
-        holds();
+        publishConfiguration();
     }
 
     private boolean leads() {
@@ -216,7 +216,7 @@
     /** The committed configuration has changed. */
     void configuration() {
         // First what the balancers are told: it must not hang on what the pools make of it.
-        holds();
+        publishConfiguration();
         adopt();
     }
 
@@ -225,15 +225,15 @@
         if (leads() && configurations.edition() > 0) {
             Configuration configuration = ConfigurationReader.read(configurations.body());
             pools.adopt(configuration);
-            retryBudgetHolder.adopt(clock.now(), configuration);
+            retryBudgetCoordinator.adopt(clock.now(), configuration);
         }
     }
 
-    private void holds() {
+    private void publishConfiguration() {
         List<String> members = new ArrayList<>();
         standing.members().forEach(member -> members.add(member.address()));
-        watchServer.holds(configurations.edition(), packed(), members);
-        tellSoon();
+        watchServer.configurationChanged(configurations.edition(), packed(), members);
+        schedulePublish();
     }
 
     private byte[] packed() {
--- a/src/main/java/sablehinge/controlplane/node/DiskWriter.java
+++ b/src/main/java/sablehinge/controlplane/node/DiskWriter.java
@@ -28,13 +28,13 @@
         void later(double ms, Runnable work);
 
         /** Who this machine is to be, as the disk holds nobody; called once. */
-        Member named(boolean damaged);
+        Member named(boolean isCorrupt);
 
         /**
          * Whether a member that the disk does not hold yet is one of those that found the core. Its name goes to the
          * disk with its first change, in one commit; that of any other before all else.
          */
-        boolean founds(Member self);
+        boolean isFounder(Member self);
 
         /** The disk is open and holds who this is; {@code stored} is null if it held nobody before. */
         void opened(Member self, PersistedState stored);
@@ -43,32 +43,32 @@
         void persisted(long number);
 
         /** What was reported is gone, or a change doesn't follow: this one can't go on as who it was. */
-        void lost(StoreException why);
+        void stateLost(StoreException why);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(DiskWriter.class);
 
     private final Supplier<RaftStore> opener;
-    private final Callbacks host;
-    private final RetryBackoff patience = new RetryBackoff();
+    private final Callbacks callbacks;
+    private final RetryBackoff backoff = new RetryBackoff();
     private final Deque<WriteBatch> waiting = new ArrayDeque<>();
     private RaftStore store;
     private Member self;
-    private boolean begun;
+    private boolean initialized;
     /** Whether the disk is to get the name with the next change. */
-    private boolean unnamed;
+    private boolean foundingPending;
 
     private boolean pausing;
-    private boolean ended;
+    private boolean closed;
     /** The store's version with all changes that were reported. */
     private long version;
 
     private volatile double busySince = Double.POSITIVE_INFINITY;
 
     /** Opens the store with each call of {@code opener}; that throws a {@link StoreException} if it can't. */
-    DiskWriter(Supplier<RaftStore> opener, Callbacks host) {
+    DiskWriter(Supplier<RaftStore> opener, Callbacks callbacks) {
         this.opener = opener;
-        this.host = host;
+        this.callbacks = callbacks;
     }
 
     /** Opens the store, now or when the disk lets it. */
@@ -84,7 +84,7 @@
 
     /** Writes nothing any more. */
     void close() {
-        ended = true;
+        closed = true;
         if (store != null) {
             store.close();
             store = null;
@@ -97,22 +97,22 @@
     }
 
     private void work() {
-        if (pausing || ended) {
+        if (pausing || closed) {
             return;
         }
         try {
-            busySince = host.now();
+            busySince = callbacks.now();
             if (store == null) {
                 RaftStore opened = opener.get();
                 store = opened;
-                took(opened);
+                verifyReopened(opened);
             }
             while (!waiting.isEmpty()) {
-                busySince = host.now();
+                busySince = callbacks.now();
                 write();
-                done();
+                completed();
             }
-            well();
+            recovered();
         } catch (StoreException e) {
             refused(e);
         } finally {
@@ -121,7 +121,7 @@
     }
 
     private void write() {
-        if (unnamed) {
+        if (foundingPending) {
             store.found(self, waiting.peekFirst());
         } else {
             store.write(waiting.peekFirst());
@@ -129,13 +129,13 @@
     }
 
     /** Finds out what is on disk. */
-    private void took(RaftStore opened) {
-        if (!begun) {
+    private void verifyReopened(RaftStore opened) {
+        if (!initialized) {
             begin(opened);
             return;
         }
         boolean landed = opened.version() == version + 1 && !waiting.isEmpty();
-        Member expected = unnamed && !landed ? null : self;
+        Member expected = foundingPending && !landed ? null : self;
         if (!Objects.equals(expected, opened.self()) || opened.version() != version && !landed) {
             throw new StoreException(
                     StoreException.Code.LOST,
@@ -144,7 +144,7 @@
                     null);
         }
         if (landed) {
-            done();
+            completed();
         }
     }
 
@@ -152,10 +152,10 @@
         PersistedState stored = opened.load();
         if (stored == null) {
             if (self == null) {
-                self = host.named(opened.damaged());
+                self = callbacks.named(opened.isCorrupt());
             }
-            unnamed = host.founds(self);
-            if (!unnamed) {
+            foundingPending = callbacks.isFounder(self);
+            if (!foundingPending) {
                 opened.begin(self);
             }
         } else if (stored.self().equals(self)) {
@@ -164,21 +164,21 @@
         } else {
             self = stored.self();
         }
-        begun = true;
+        initialized = true;
         version = opened.version();
-        host.opened(self, stored);
+        callbacks.opened(self, stored);
     }
 
-    private void done() {
-        unnamed = false;
+    private void completed() {
+        foundingPending = false;
         version = store.version();
-        host.persisted(waiting.removeFirst().number());
+        callbacks.persisted(waiting.removeFirst().number());
     }
 
-    private void well() {
-        int refusals = patience.refusals();
-        long ms = Math.round(patience.lasts(host.now()));
-        if (patience.well()) {
+    private void recovered() {
+        int refusals = backoff.refusals();
+        long ms = Math.round(backoff.failingForMs(callbacks.now()));
+        if (backoff.recovered()) {
             Log.info(LOG, "disk-well")
                     .addKeyValue("refusals", refusals)
                     .addKeyValue("ms", ms)
@@ -192,21 +192,21 @@
             store = null;
         }
         if (e.code() == StoreException.Code.ORDER || e.code() == StoreException.Code.LOST) {
-            ended = true;
-            host.lost(e);
+            closed = true;
+            callbacks.stateLost(e);
             return;
         }
-        double now = host.now();
-        if (patience.refused(now, e.code())) {
+        double now = callbacks.now();
+        if (backoff.refused(now, e.code())) {
             Log.warn(LOG, "disk-refuses")
                     .addKeyValue("code", e.code())
-                    .addKeyValue("refusals", patience.refusals())
-                    .addKeyValue("ms", Math.round(patience.lasts(now)))
+                    .addKeyValue("refusals", backoff.refusals())
+                    .addKeyValue("ms", Math.round(backoff.failingForMs(now)))
                     .addKeyValue("waiting", waiting.size())
                     .log("the disk refuses, and is tried again: {}", e.getMessage());
         }
         pausing = true;
-        host.later(patience.pause(), () -> {
+        callbacks.later(backoff.pause(), () -> {
             pausing = false;
             work();
         });
--- a/src/main/java/sablehinge/controlplane/node/FailStopExecutor.java
+++ b/src/main/java/sablehinge/controlplane/node/FailStopExecutor.java
@@ -21,7 +21,7 @@
     }
 
     /** Does work that is done again soon, or may be left out: an error is logged, and all else goes on. */
-    void goOn(String what, Runnable work) {
+    void runTolerant(String what, Runnable work) {
         try {
             work.run();
         } catch (RuntimeException | Error e) {
--- a/src/main/java/sablehinge/controlplane/node/OperatorApi.java
+++ b/src/main/java/sablehinge/controlplane/node/OperatorApi.java
@@ -11,14 +11,14 @@
     private OperatorApi() {}
 
     /** All calls, settled by an authority, with what this machine sees. */
-    static List<Operation<?, ?>> all(CallContext authority, ControlStatus sight) {
+    static List<Operation<?, ?>> all(CallContext authority, ControlStatus status) {
         return List.of(
                 new ReplaceOperation(authority),
                 ReadOperation.plain(authority, ControlRequest.CONFIG_READ, () -> newest(authority.configurations())),
-                ReadOperation.worded(authority, ControlRequest.CONFIG_HISTORY, sight::editions),
-                ReadOperation.worded(authority, ControlRequest.MESH_STATUS, sight::status),
-                ReadOperation.worded(authority, ControlRequest.MESH_NODES, sight::nodes),
-                ReadOperation.worded(authority, ControlRequest.MESH_DUTIES, sight::duties));
+                ReadOperation.ofRecord(authority, ControlRequest.CONFIG_HISTORY, status::editions),
+                ReadOperation.ofRecord(authority, ControlRequest.MESH_STATUS, status::status),
+                ReadOperation.ofRecord(authority, ControlRequest.MESH_NODES, status::nodes),
+                ReadOperation.ofRecord(authority, ControlRequest.MESH_SINGLETON_ROLES, status::singletonRoles));
     }
 
     private static ApiResponse newest(ConfigurationState configurations) {
--- a/src/main/java/sablehinge/controlplane/node/PeerConnections.java
+++ b/src/main/java/sablehinge/controlplane/node/PeerConnections.java
@@ -25,7 +25,7 @@
     private static final long RETRY_NANOS = 100_000_000;
     private final Connection connection;
     private final Member self;
-    private final BiConsumer<Member, Message> hears;
+    private final BiConsumer<Member, Message> messageHandler;
     private final Map<String, Peer> peers = new HashMap<>();
 
     private static final class Peer implements Connection.Handler {
@@ -61,22 +61,22 @@
         }
     }
 
-    PeerConnections(Connection connection, Member self, BiConsumer<Member, Message> hears) {
+    PeerConnections(Connection connection, Member self, BiConsumer<Member, Message> messageHandler) {
         this.connection = connection;
         this.self = self;
-        this.hears = hears;
+        this.messageHandler = messageHandler;
     }
 
     void send(Member to, Message message) {
         if (to.id() == self.id()) {
-            hears.accept(self, message);
+            messageHandler.accept(self, message);
             return;
         }
         if (peers.size() > MOST) {
             peers.values().removeIf(peer -> peer.link == null);
         }
         Peer peer = peers.computeIfAbsent(to.address(), at -> new Peer(hello()));
-        Frame frame = new Frame(Frame.Kind.AGREE, RaftMessageCodec.write(message));
+        Frame frame = new Frame(Frame.Kind.RAFT, RaftMessageCodec.write(message));
         if (peer.link != null && peer.link.isUp()) {
             peer.link.send(frame);
             return;
--- a/src/main/java/sablehinge/controlplane/node/QuorumGate.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumGate.java
@@ -13,15 +13,15 @@
  * at the time of each act, never at what the last tick found: a process that stood still finds calls in its buffers
  * before its first tick. {@code now} is a steady clock in ms.
  *
- * <p>Refusals come at once where the contact is known to be missing, and within {@link #PATIENCE_MS} otherwise, which
- * is shorter than the second after which callers go elsewhere.
+ * <p>Refusals come at once where the contact is known to be missing, and within {@link #CALL_TIMEOUT_MS} otherwise,
+ * which is shorter than the second after which callers go elsewhere.
  */
 final class QuorumGate {
 
     /** The age, in ms, up to which a majority's answer counts as recent; a leader resigns after as much. */
-    static final double RECENT_MS = 900;
+    static final double MAJORITY_RECENT_MS = 900;
     /** How long a majority's confirmation is waited for, in ms. */
-    static final double PATIENCE_MS = 900;
+    static final double CALL_TIMEOUT_MS = 900;
     /** A follower that has not heard for so long of the leader that it knows names it no more, in ms. */
     static final double LEADER_KNOWN_MS = 1_500;
 
@@ -40,7 +40,7 @@
         /** See {@link sablehinge.controlplane.raft.RaftNode#leases}. */
         boolean leases(double now);
 
-        /** See {@link sablehinge.controlplane.raft.RaftNode#barrier}; {@link QuorumGate#ended} tells its end. */
+        /** See {@link sablehinge.controlplane.raft.RaftNode#barrier}; {@link QuorumGate#barrierEnded} tells its end. */
         void barrier(double now, long token);
     }
 
@@ -55,19 +55,19 @@
     private record Waiting(double until, Runnable granted, Consumer<Refusal> refused) {}
 
     private final Contact contact;
-    private final Consumer<Runnable> later;
+    private final Consumer<Runnable> deferred;
     private final Map<Long, Waiting> waiting = new HashMap<>();
     private long lastToken;
 
     /**
      * A gate.
      *
-     * @param later runs something after the event that is being handled, on the same thread: the agreement may not be
-     *     called from within what it calls
+     * @param deferred runs something after the event that is being handled, on the same thread: the agreement may not
+     *     be called from within what it calls
      */
-    QuorumGate(Contact contact, Consumer<Runnable> later) {
+    QuorumGate(Contact contact, Consumer<Runnable> deferred) {
         this.contact = contact;
-        this.later = later;
+        this.deferred = deferred;
     }
 
     /** Whether there is the contact by which something may be begun, or answered where that is enough. */
@@ -76,7 +76,7 @@
             case NONE -> true;
             case LEASE -> contact.leases(now);
             case RECENT, CONFIRMED, COMMITTED ->
-                contact.standing().role() == RaftStatus.Role.LEADER && contact.sinceMajority(now) <= RECENT_MS;
+                contact.standing().role() == RaftStatus.Role.LEADER && contact.sinceMajority(now) <= MAJORITY_RECENT_MS;
         };
     }
 
@@ -86,7 +86,7 @@
             refused.accept(refusal(now));
         } else if (what.contact() == QuorumContact.CONFIRMED) {
             long token = ++lastToken;
-            waiting.put(token, new Waiting(now + PATIENCE_MS, granted, refused));
+            waiting.put(token, new Waiting(now + CALL_TIMEOUT_MS, granted, refused));
             contact.barrier(now, token);
         } else {
             granted.run();
@@ -94,10 +94,10 @@
     }
 
     /** A barrier has ended: everything committed before it was asked for is applied here, or none knows. */
-    void ended(double now, long token, boolean confirmed) {
+    void barrierEnded(double now, long token, boolean confirmed) {
         Waiting one = waiting.remove(token);
         if (one != null) {
-            later.accept(confirmed ? one.granted : () -> one.refused.accept(refusal(now)));
+            deferred.accept(confirmed ? one.granted : () -> one.refused.accept(refusal(now)));
         }
     }
 
--- a/src/main/java/sablehinge/controlplane/node/QuotaPools.java
+++ b/src/main/java/sablehinge/controlplane/node/QuotaPools.java
@@ -25,7 +25,7 @@
 final class QuotaPools {
 
     /** How long others have to give something up, in ms: well below the asker's patience. */
-    private static final long PULL_MS = 15;
+    private static final long RECLAIM_MS = 15;
 
     private static final int MOST_WAITING = 4_096;
 
@@ -36,7 +36,7 @@
     private final DoublePredicate leases;
     private final Pool pool = new Pool();
     private final Map<String, List<Waiting>> waiting = new HashMap<>();
-    private int waitingInAll;
+    private int totalWaiting;
 
     private record Waiting(Connection.Link link, int wanted) {}
 
@@ -61,7 +61,7 @@
     void begin() {
         pool.begin();
         waiting.clear();
-        waitingInAll = 0;
+        totalWaiting = 0;
     }
 
     /** The quotas in force are what the pools are filled by. */
@@ -83,14 +83,14 @@
     }
 
     /** A balancer asks; without a lease it gets no answer. */
-    void asked(Connection.Link link, Tokens wanted) {
+    void handleRequest(Connection.Link link, Tokens wanted) {
         if (!leases.test(clock.now())) {
             return;
         }
         String tenant = wanted.tenant();
         int given = pool.take(clock.now(), tenant, wanted.count());
         if (given > 0
-                || waitingInAll >= MOST_WAITING
+                || totalWaiting >= MOST_WAITING
                 || !waiting.containsKey(tenant) && !pool.pulls(clock.now(), tenant)) {
             answer(link, tenant, given);
             return;
@@ -99,21 +99,21 @@
             waiting.put(tenant, new ArrayList<>());
             Frame pull = new Frame(Frame.Kind.PULL, new Tokens(tenant, 0).bytes());
             balancers.get().forEach(balancer -> balancer.send(pull));
-            loop.schedule(() -> settle(tenant), PULL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> settle(tenant), RECLAIM_MS, TimeUnit.MILLISECONDS);
         }
         waiting.get(tenant).add(new Waiting(link, wanted.count()));
-        waitingInAll++;
+        totalWaiting++;
     }
 
     /** A balancer gives something up. */
-    void lent(Tokens tokens) {
+    void handleReturn(Tokens tokens) {
         pool.regain(clock.now(), tokens.tenant(), tokens.count());
     }
 
     private void settle(String tenant) {
         List<Waiting> all = waiting.remove(tenant);
         if (all != null) {
-            waitingInAll -= all.size();
+            totalWaiting -= all.size();
         }
         if (all != null && leases.test(clock.now())) {
             all.forEach(one -> answer(one.link, tenant, pool.take(clock.now(), tenant, one.wanted)));
--- a/src/main/java/sablehinge/controlplane/node/RaftStore.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStore.java
@@ -35,32 +35,32 @@
  * <p>When {@link #begin} or {@link #write} returns, what it was given survives a loss of power; until then the disk
  * holds what it did before or all of the change. After a refusal the store is closed; who opens it again finds the one
  * or the other, written anew, and {@link #version} tells which. An empty file is made under another name, so a file
- * {@code log.mv.db} is always whole. One that is not is kept as {@code log.mv.db.damaged}; as long as that is there and
- * nothing was begun after it, {@link #damaged} says so, in later processes also.
+ * {@code log.mv.db} is always whole. One that is not is kept as {@code log.mv.db.isCorrupt}; as long as that is there
+ * and nothing was begun after it, {@link #isCorrupt} says so, in later processes also.
  */
 public final class RaftStore implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(RaftStore.class);
 
     static final String FILE = "log.mv.db";
-    static final String NEW = FILE + ".new";
-    static final String ASIDE = FILE + ".damaged";
+    static final String NEW_FILE = FILE + ".new";
+    static final String CORRUPT_FILE = FILE + ".damaged";
 
     private static final long SELF = 1;
     private static final long VOTE = 2;
     private static final long SNAPSHOT = 1;
     /** A file longer than this, in bytes, is made less sparse as it is written. */
-    private static final long ROOMY = 64L << 20;
+    private static final long COMPACTION_MIN_FILE_BYTES = 64L << 20;
     /** Of the chunks' bytes, those still in use in percent under which some are written anew. */
-    private static final int SPARSE = 50;
+    private static final int COMPACTION_FILL_PERCENT = 50;
     /** How much is written anew with one change, at most, in bytes. */
-    private static final int ANEW = 1 << 20;
+    private static final int COMPACTION_BYTES_PER_WRITE = 1 << 20;
 
     private final MVStore store;
     private final MVMap<Long, byte[]> state;
     private final MVMap<Long, byte[]> snapshots;
     private final MVMap<Long, byte[]> entries;
-    private final boolean damaged;
+    private final boolean isCorrupt;
     private Member self;
     private long term;
     private long votedFor;
@@ -91,27 +91,29 @@
                 // It may have got its name just before an end, or before a sync that was refused.
                 disk.sync();
                 try {
-                    return new RaftStore(disk, FILE, disk.has(ASIDE));
+                    return new RaftStore(disk, FILE, disk.has(CORRUPT_FILE));
                 } catch (CorruptStoreException e) {
                     Log.error(LOG, "disk-damaged")
                             .addKeyValue("file", disk.file(FILE))
                             .addKeyValue("cause", e.getMessage())
-                            .log("the log is damaged; it is kept as {}, and what this member had is lost", ASIDE);
-                    disk.rename(FILE, ASIDE);
+                            .log(
+                                    "the log is damaged; it is kept as {}, and what this member had is lost",
+                                    CORRUPT_FILE);
+                    disk.rename(FILE, CORRUPT_FILE);
                     disk.sync();
                 }
             }
-            disk.delete(NEW);
-            new RaftStore(disk, NEW, false).close();
-            disk.rename(NEW, FILE);
+            disk.delete(NEW_FILE);
+            new RaftStore(disk, NEW_FILE, false).close();
+            disk.rename(NEW_FILE, FILE);
             disk.sync();
-            return new RaftStore(disk, FILE, disk.has(ASIDE));
+            return new RaftStore(disk, FILE, disk.has(CORRUPT_FILE));
         } catch (IOException e) {
             throw new StoreException(StoreException.Code.REFUSED, e.getMessage(), e);
         }
     }
 
-    private RaftStore(Disk disk, String name, boolean aside) throws CorruptStoreException {
+    private RaftStore(Disk disk, String name, boolean corruptFileExists) throws CorruptStoreException {
         String file = VerifyingFilePath.name(disk.file(name));
         MVStore opened = null;
         VerifyingFileChannel channel = null;
@@ -149,9 +151,9 @@
         } catch (RuntimeException | IOException e) {
             VerifyingFileChannel left = channel == null ? VerifyingFilePath.taken(file) : channel;
             abandon(opened, left);
-            throw judged(file, left != null && left.mending(), e);
+            throw classify(file, left != null && left.isRecovering(), e);
         }
-        damaged = aside && self == null;
+        isCorrupt = corruptFileExists && self == null;
     }
 
     private static MVMap<Long, byte[]> map(MVStore store, String name) {
@@ -174,17 +176,17 @@
     }
 
     /** What an error at the opening means: damage is returned, all else thrown. */
-    private static CorruptStoreException judged(String file, boolean mending, Exception e) {
+    private static CorruptStoreException classify(String file, boolean isRecovering, Exception e) {
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
-            if (cause instanceof CorruptStoreException damage) {
-                return damage;
+            if (cause instanceof CorruptStoreException corrupt) {
+                return corrupt;
             }
         }
         int code = e instanceof MVStoreException error ? error.getErrorCode() : 0;
         if (code == DataUtils.ERROR_FILE_LOCKED) {
             throw new StoreException(StoreException.Code.LOCKED, file + " is open in another process", e);
         }
-        if (mending || code == DataUtils.ERROR_WRITING_FAILED) {
+        if (isRecovering || code == DataUtils.ERROR_WRITING_FAILED) {
             throw new StoreException(StoreException.Code.REFUSED, e.getMessage(), e);
         }
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
@@ -208,8 +210,9 @@
             String fields = chunk.getValue();
             if (chunk.getKey().startsWith("chunk.")
                     && ChunkFooter.field(fields, "livePages") != 0
-                    && !channel.whole(ChunkFooter.field(fields, "block"), (int) ChunkFooter.field(fields, "len"), (int)
-                            ChunkFooter.field(fields, "chunk"))) {
+                    && !channel.isIntact(
+                            ChunkFooter.field(fields, "block"), (int) ChunkFooter.field(fields, "len"), (int)
+                                    ChunkFooter.field(fields, "chunk"))) {
                 throw new CorruptStoreException(chunk.getKey() + " is not as it was written");
             }
         }
@@ -251,8 +254,8 @@
     }
 
     /** Whether what this machine had was lost; it then has to come back as another member. */
-    public boolean damaged() {
-        return damaged;
+    public boolean isCorrupt() {
+        return isCorrupt;
     }
 
     /**
@@ -437,8 +440,9 @@
     private void commit(Runnable changes) {
         try {
             changes.run();
-            if (store.getFileStore().size() > ROOMY && store.getFileStore().getChunksFillRate() < SPARSE) {
-                store.compact(SPARSE, ANEW);
+            if (store.getFileStore().size() > COMPACTION_MIN_FILE_BYTES
+                    && store.getFileStore().getChunksFillRate() < COMPACTION_FILL_PERCENT) {
+                store.compact(COMPACTION_FILL_PERCENT, COMPACTION_BYTES_PER_WRITE);
             }
             if (store.hasUnsavedChanges()) {
                 // The chunk is written by this thread when commit returns; sync is the file's force.
--- a/src/main/java/sablehinge/controlplane/node/ReadOperation.java
+++ b/src/main/java/sablehinge/controlplane/node/ReadOperation.java
@@ -10,18 +10,18 @@
 
     private final CallContext authority;
     private final ControlRequest request;
-    private final AnswerSource telling;
+    private final AnswerSource source;
 
     /** What is answered. */
     private interface AnswerSource {
         void to(Consumer<CallOutcome> answer);
     }
 
-    private ReadOperation(CallContext authority, ControlRequest request, AnswerSource telling) {
+    private ReadOperation(CallContext authority, ControlRequest request, AnswerSource source) {
         super(request.path());
         this.authority = authority;
         this.request = request;
-        this.telling = telling;
+        this.source = source;
     }
 
     /** A question that a reply answers which is there. */
@@ -30,9 +30,9 @@
     }
 
     /** A question that a record answers: it is taken on the API server's thread, and put in words beside. */
-    static ReadOperation worded(CallContext authority, ControlRequest request, Supplier<Record> told) {
+    static ReadOperation ofRecord(CallContext authority, ControlRequest request, Supplier<Record> source) {
         return new ReadOperation(authority, request, answer -> {
-            Record record = told.get();
+            Record record = source.get();
             authority.check(() -> {
                 CallOutcome settled;
                 try {
@@ -53,8 +53,8 @@
                 .require(
                         authority.now(),
                         request,
-                        () -> telling.to(answer),
-                        refusal -> answer.accept(CallOutcome.elsewhere(refusal, path())));
+                        () -> source.to(answer),
+                        refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
 
     @Override
--- a/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
+++ b/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
@@ -25,17 +25,17 @@
     record ReplaceRequest(long basedOn, byte[] body) {}
 
     @Override
-    public ReplaceRequest read(ApiRequest asked) {
-        String basedOn = asked.headers().get("Sablehinge-Based-On");
+    public ReplaceRequest read(ApiRequest request) {
+        String basedOn = request.headers().get("Sablehinge-Based-On");
         try {
-            return new ReplaceRequest(Long.parseLong(String.valueOf(basedOn).strip()), asked.body());
+            return new ReplaceRequest(Long.parseLong(String.valueOf(basedOn).strip()), request.body());
         } catch (NumberFormatException e) {
             throw new CallException(400, "BASED_ON", "Sablehinge-Based-On is no version: " + basedOn);
         }
     }
 
     @Override
-    public void carryOut(ReplaceRequest call, Consumer<CallOutcome> answer) {
+    public void execute(ReplaceRequest call, Consumer<CallOutcome> answer) {
         authority
                 .gate()
                 .require(
@@ -45,7 +45,7 @@
                             long term = authority.standing().term();
                             authority.check(() -> check(call, term, answer));
                         },
-                        refusal -> answer.accept(CallOutcome.elsewhere(refusal, path())));
+                        refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
 
     /** On the thread beside: what is wrong with the body is so whoever is asked. */
@@ -86,7 +86,7 @@
                                         body,
                                         authority.timeOfDay(),
                                         verdict -> answer.accept(reply(order, verdict))),
-                        refusal -> answer.accept(CallOutcome.elsewhere(refusal, path())));
+                        refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
 
     private CallOutcome reply(ChangeCoordinator.Order order, ChangeCoordinator.Verdict verdict) {
--- a/src/main/java/sablehinge/controlplane/node/RetryBackoff.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBackoff.java
@@ -7,19 +7,19 @@
 final class RetryBackoff {
 
     /** The pause after the first refusal, ms; each is twice the one before. */
-    static final double FIRST = 10;
+    static final double FIRST_PAUSE_MS = 10;
     /** The longest pause, ms: so much later than the disk is well again, at most, it is found to be. */
-    static final double MOST = 640;
+    static final double MAX_PAUSE_MS = 640;
     /** Between two lines while the code stays, ms. */
-    static final double SAME = 60_000;
+    static final double SAME_CODE_LOG_INTERVAL_MS = 60_000;
     /** Between two lines whatever has changed, ms. */
-    static final double OTHER = 5_000;
+    static final double MIN_LOG_INTERVAL_MS = 5_000;
 
     private int refusals;
     private double since;
-    private double toldAt = Double.NEGATIVE_INFINITY;
+    private double loggedAt = Double.NEGATIVE_INFINITY;
     /** Whether a line told of these refusals. */
-    private boolean told;
+    private boolean logged;
 
     private StoreException.Code code;
 
@@ -33,18 +33,18 @@
             since = now;
         }
         refusals++;
-        boolean tells = now - toldAt >= (told && why == code ? SAME : OTHER);
-        if (tells) {
-            toldAt = now;
-            told = true;
+        boolean logs = now - loggedAt >= (logged && why == code ? SAME_CODE_LOG_INTERVAL_MS : MIN_LOG_INTERVAL_MS);
+        if (logs) {
+            loggedAt = now;
+            logged = true;
             code = why;
         }
-        return tells;
+        return logs;
     }
 
     /** How long to wait after the last refusal, ms. */
     double pause() {
-        return Math.min(MOST, FIRST * (1L << Math.min(16, refusals - 1)));
+        return Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * (1L << Math.min(16, refusals - 1)));
     }
 
     /**
@@ -52,11 +52,11 @@
      *
      * @return whether it is worth a line, as the refusals were
      */
-    boolean well() {
-        boolean tells = told;
+    boolean recovered() {
+        boolean logs = logged;
         refusals = 0;
-        told = false;
-        return tells;
+        logged = false;
+        return logs;
     }
 
     /** Refusals in a row; 0 while the disk is well. */
@@ -65,7 +65,7 @@
     }
 
     /** How long the disk has been refusing, ms. */
-    double lasts(double now) {
+    double failingForMs(double now) {
         return refusals == 0 ? 0 : now - since;
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
@@ -14,26 +14,26 @@
 /** The duty of holding the budget of further tries: balancers' claims are answered under a lease only. */
 final class RetryBudgetCoordinator {
 
-    private final RetryBudgetAllocator holder;
+    private final RetryBudgetAllocator allocator;
 
     RetryBudgetCoordinator(LocalSettings.Bounds bounds) {
-        holder = new RetryBudgetAllocator(
+        allocator = new RetryBudgetAllocator(
                 new RetryBudgetRule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()));
     }
 
     void begin(long term) {
-        holder.begin(term);
+        allocator.begin(term);
     }
 
     void adopt(double now, Configuration configuration) {
         List<String> services = new ArrayList<>();
         configuration.services().forEach(service -> services.add(service.name()));
-        holder.adopt(now, services);
+        allocator.adopt(now, services);
     }
 
     /** The answer to a claim; null where there is none. */
     Frame answer(double now, Claim claim) {
-        Grant grant = holder.claimed(now, claim);
+        Grant grant = allocator.claimed(now, claim);
         return grant == null ? null : new Frame(Frame.Kind.SHARES, RetryBudgetCodec.bytes(grant));
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/VerifyingFileChannel.java
+++ b/src/main/java/sablehinge/controlplane/node/VerifyingFileChannel.java
@@ -24,7 +24,7 @@
 
     private final FileChannel base;
     private long version = -1;
-    private boolean mending;
+    private boolean isRecovering;
 
     VerifyingFileChannel(FileChannel base) {
         this.base = base;
@@ -36,30 +36,30 @@
     }
 
     /** Whether it was last heard of as it wrote what it mends. */
-    boolean mending() {
-        return mending;
+    boolean isRecovering() {
+        return isRecovering;
     }
 
     @Override
     public FileLock tryLock(long position, long size, boolean shared) throws IOException {
         FileLock lock = base.tryLock(position, size, shared);
         if (lock != null && size() > 0) {
-            mend();
+            recoverLastCommit();
         }
         return lock;
     }
 
-    private void mend() throws IOException {
+    private void recoverLastCommit() throws IOException {
         List<ChunkFooter> seals = seals();
         seals.sort((a, b) -> Long.compare(b.version(), a.version()));
         List<ChunkFooter> torn = new ArrayList<>();
         ChunkFooter newest = null;
-        for (ChunkFooter seal : seals) {
-            if (whole(seal)) {
-                newest = seal;
+        for (ChunkFooter footer : seals) {
+            if (isIntact(footer)) {
+                newest = footer;
                 break;
             }
-            torn.add(seal);
+            torn.add(footer);
         }
         if (newest == null) {
             throw new CorruptStoreException("no commit in it is whole");
@@ -68,10 +68,10 @@
             throw new CorruptStoreException(
                     "commits " + newest.version() + " to " + torn.get(0).version() + " are not whole");
         }
-        mending = true;
-        for (ChunkFooter seal : torn) {
-            if (seal.version() == newest.version() + 1) {
-                put(ByteBuffer.allocate(ChunkFooter.LENGTH), end(seal) - ChunkFooter.LENGTH);
+        isRecovering = true;
+        for (ChunkFooter footer : torn) {
+            if (footer.version() == newest.version() + 1) {
+                put(ByteBuffer.allocate(ChunkFooter.LENGTH), end(footer) - ChunkFooter.LENGTH);
             }
         }
         // What is read may not be on disk: the process that wrote it ended before its sync, or the sync
@@ -80,12 +80,12 @@
         put(chunk(newest), newest.block() * ChunkFooter.BLOCK);
         put(header(newest), 0);
         base.force(true);
-        mending = false;
+        isRecovering = false;
         version = newest.version();
     }
 
-    private static long end(ChunkFooter seal) {
-        return (seal.block() + seal.blocks()) * ChunkFooter.BLOCK;
+    private static long end(ChunkFooter footer) {
+        return (footer.block() + footer.blocks()) * ChunkFooter.BLOCK;
     }
 
     /** All seals in the file, those of chunks that were given up and in part written over, too. */
@@ -100,9 +100,9 @@
             for (int end = ChunkFooter.BLOCK; end <= step.limit(); end += ChunkFooter.BLOCK) {
                 if (ChunkFooter.chunk(step, end - ChunkFooter.LENGTH)) {
                     step.get(end - ChunkFooter.LENGTH, tail);
-                    ChunkFooter seal = ChunkFooter.read(tail, block + end / ChunkFooter.BLOCK);
-                    if (seal != null) {
-                        seals.add(seal);
+                    ChunkFooter footer = ChunkFooter.read(tail, block + end / ChunkFooter.BLOCK);
+                    if (footer != null) {
+                        seals.add(footer);
                     }
                 }
             }
@@ -111,26 +111,26 @@
     }
 
     /** Whether a chunk is in the file as it was written. */
-    boolean whole(ChunkFooter seal) throws IOException {
-        ByteBuffer chunk = chunk(seal);
-        return ChunkFooter.chunk(chunk, 0) && ChunkFooter.crc(chunk) == seal.crc();
+    boolean isIntact(ChunkFooter footer) throws IOException {
+        ByteBuffer chunk = chunk(footer);
+        return ChunkFooter.chunk(chunk, 0) && ChunkFooter.crc(chunk) == footer.crc();
     }
 
-    private ByteBuffer chunk(ChunkFooter seal) throws IOException {
-        ByteBuffer chunk = ByteBuffer.allocate(seal.blocks() * ChunkFooter.BLOCK);
-        fill(chunk, seal.block() * ChunkFooter.BLOCK);
+    private ByteBuffer chunk(ChunkFooter footer) throws IOException {
+        ByteBuffer chunk = ByteBuffer.allocate(footer.blocks() * ChunkFooter.BLOCK);
+        fill(chunk, footer.block() * ChunkFooter.BLOCK);
         return chunk;
     }
 
     /** Whether the chunk of that number is at a place, and is as it was written. */
-    boolean whole(long block, int blocks, int id) throws IOException {
+    boolean isIntact(long block, int blocks, int id) throws IOException {
         if (block < 2 || blocks < 1 || (block + blocks) * ChunkFooter.BLOCK > size()) {
             return false;
         }
         ByteBuffer tail = ByteBuffer.allocate(ChunkFooter.LENGTH);
         fill(tail, (block + blocks) * ChunkFooter.BLOCK - ChunkFooter.LENGTH);
-        ChunkFooter seal = ChunkFooter.read(tail.array(), block + blocks);
-        return seal != null && seal.id() == id && seal.blocks() == blocks && whole(seal);
+        ChunkFooter footer = ChunkFooter.read(tail.array(), block + blocks);
+        return footer != null && footer.id() == id && footer.blocks() == blocks && isIntact(footer);
     }
 
     private void fill(ByteBuffer bytes, long position) throws IOException {
--- a/src/main/java/sablehinge/controlplane/node/WatchServer.java
+++ b/src/main/java/sablehinge/controlplane/node/WatchServer.java
@@ -23,22 +23,22 @@
 public final class WatchServer<K> {
 
     /** How long an ask without news is held, in ms. */
-    private static final double HELD_MS = 400;
+    private static final double LONG_POLL_MS = 400;
     /** How often it is ruled on who is off, in ms. */
-    private static final double JUDGE_MS = 40;
+    private static final double EVALUATION_INTERVAL_MS = 40;
     /**
      * How often one asker is sent a configuration while many come in succession, in ms; the first two of them are told
      * at once. Reading one of thousands of routes takes a narrow machine a good part of a second.
      */
-    private static final double CONFIGURATION_EVERY_MS = 1_000;
+    private static final double MIN_CONFIGURATION_INTERVAL_MS = 1_000;
 
     private static final byte[] NONE = new byte[0];
 
     private final Registry registry;
     private final HealthView healthView = new HealthView();
-    private final Map<K, Subscriber> askers = new LinkedHashMap<>();
-    private final List<HealthView.HealthChange> rulings = new ArrayList<>();
-    private double judgedAt = Double.NEGATIVE_INFINITY;
+    private final Map<K, Subscriber> subscribers = new LinkedHashMap<>();
+    private final List<HealthView.HealthChange> healthChanges = new ArrayList<>();
+    private double evaluatedAt = Double.NEGATIVE_INFINITY;
     private long term;
     private long edition;
     private byte[] body = NONE;
@@ -46,20 +46,20 @@
 
     private static final class Subscriber {
         WatchRequest request;
-        double askedAt;
-        boolean waits;
+        double requestedAt;
+        boolean pending;
         boolean confirmed;
-        boolean toldComplete;
+        boolean sentComplete;
         /** Until when the configurations that it was sent would have lasted, in ms, at that many a second. */
-        double suppliedUntil = Double.NEGATIVE_INFINITY;
+        double configurationQuotaUntil = Double.NEGATIVE_INFINITY;
 
         boolean mayHaveConfiguration(double now) {
-            return request.confirm() || suppliedUntil - now <= CONFIGURATION_EVERY_MS;
+            return request.confirm() || configurationQuotaUntil - now <= MIN_CONFIGURATION_INTERVAL_MS;
         }
 
         void hasConfiguration(double now) {
-            double before = Math.min(Math.max(now, suppliedUntil), now + CONFIGURATION_EVERY_MS);
-            suppliedUntil = before + CONFIGURATION_EVERY_MS;
+            double before = Math.min(Math.max(now, configurationQuotaUntil), now + MIN_CONFIGURATION_INTERVAL_MS);
+            configurationQuotaUntil = before + MIN_CONFIGURATION_INTERVAL_MS;
         }
     }
 
@@ -74,8 +74,8 @@
     /** Begins to answer as the leader of a term; the configuration is what is committed. */
     public void begin(double now, long asLeaderOf) {
         term = asLeaderOf;
-        askers.clear();
-        registry.begin(now);
+        subscribers.clear();
+        registry.reset(now);
         healthView.begin(now);
     }
 
@@ -83,55 +83,55 @@
      * The committed configuration as {@link PackedConfiguration} packs it, and where the members of the core take
      * records.
      */
-    public void holds(long newest, byte[] newestBody, List<String> members) {
+    public void configurationChanged(long newest, byte[] newestBody, List<String> members) {
         edition = newest;
         body = newestBody;
         core = List.copyOf(members);
     }
 
     /** An ask has come; its confirmation, if it wants one, is told by {@link #confirmed}. */
-    public void asked(double now, K from, WatchRequest request) {
-        Subscriber asker = askers.computeIfAbsent(from, key -> new Subscriber());
-        asker.request = request;
-        asker.askedAt = now;
-        asker.waits = true;
-        asker.confirmed = false;
-        registry.told(now, request.registration());
+    public void handleRequest(double now, K from, WatchRequest request) {
+        Subscriber subscriber = subscribers.computeIfAbsent(from, key -> new Subscriber());
+        subscriber.request = request;
+        subscriber.requestedAt = now;
+        subscriber.pending = true;
+        subscriber.confirmed = false;
+        registry.register(now, request.registration());
         request.vouched().forEach(registration -> registry.vouched(now, registration));
-        healthView.heard(now, request.registration().node(), request.accusations());
+        healthView.heard(now, request.registration().node(), request.suspicions());
     }
 
-    /** All that was committed before an ask came is in {@link #holds} by now. */
-    public void confirmed(K asker, int number) {
-        Subscriber one = askers.get(asker);
+    /** All that was committed before an ask came is in {@link #configurationChanged} by now. */
+    public void confirmed(K subscriber, int number) {
+        Subscriber one = subscribers.get(subscriber);
         if (one != null && one.request.number() == number) {
             one.confirmed = true;
         }
     }
 
     /** An asker has gone. */
-    public void gone(K asker) {
-        askers.remove(asker);
+    public void gone(K subscriber) {
+        subscribers.remove(subscriber);
     }
 
     /** Who is to be told elsewhere, as this one answers no more. */
-    public Collection<K> askers() {
-        return List.copyOf(askers.keySet());
+    public Collection<K> subscribers() {
+        return List.copyOf(subscribers.keySet());
     }
 
     /** The answers that are due. */
     public List<Delivery<K>> due(double now) {
-        if (now - judgedAt >= JUDGE_MS) {
-            judgedAt = now;
-            judge(now);
+        if (now - evaluatedAt >= EVALUATION_INTERVAL_MS) {
+            evaluatedAt = now;
+            evaluate(now);
         }
         registry.expire(now);
         Snapshot round = new Snapshot(now);
         List<Delivery<K>> due = new ArrayList<>();
-        for (Map.Entry<K, Subscriber> entry : askers.entrySet()) {
-            Subscriber asker = entry.getValue();
-            if (asker.waits) {
-                Update update = update(round, asker);
+        for (Map.Entry<K, Subscriber> entry : subscribers.entrySet()) {
+            Subscriber subscriber = entry.getValue();
+            if (subscriber.pending) {
+                Update update = update(round, subscriber);
                 if (update != null) {
                     due.add(new Delivery<>(entry.getKey(), update));
                 }
@@ -144,13 +144,13 @@
     private final class Snapshot {
         private final double now;
         private final boolean complete;
-        private final int sharers;
+        private final int quotaSharers;
         private final Map<Long, List<Registration>> since = new HashMap<>();
 
         Snapshot(double now) {
             this.now = now;
             complete = registry.isComplete(now);
-            sharers = registry.sharers();
+            quotaSharers = registry.quotaSharers();
         }
 
         List<Registration> since(long stamp) {
@@ -158,54 +158,55 @@
         }
     }
 
-    private void judge(double now) {
+    private void evaluate(double now) {
         List<HealthView.Subject> subjects = new ArrayList<>();
-        List<Registration> present = registry.present();
+        List<Registration> present = registry.withUpstream();
         present.forEach(registration -> subjects.add(new HealthView.Subject(
                 registration.node(), registration.zone(), registration.service(), registration.ready())));
-        List<HealthView.HealthChange> changed = healthView.judge(now, subjects);
-        changed.forEach(ruling -> registry.rule(ruling.node(), ruling.health().isOff()));
+        List<HealthView.HealthChange> changed = healthView.evaluate(now, subjects);
+        changed.forEach(
+                change -> registry.setEjected(change.node(), change.health().isUnavailable()));
         for (Registration registration : present) {
             if (healthView.health(registration.node()) == Health.CUT_FROM_CORE) {
                 registry.vouched(now, registration);
             }
         }
-        rulings.addAll(changed);
+        healthChanges.addAll(changed);
     }
 
     /** What has changed of who is heard, since this was asked last. */
-    public List<HealthView.HealthChange> rulings() {
-        List<HealthView.HealthChange> latest = List.copyOf(rulings);
-        rulings.clear();
+    public List<HealthView.HealthChange> healthChanges() {
+        List<HealthView.HealthChange> latest = List.copyOf(healthChanges);
+        healthChanges.clear();
         return latest;
     }
 
-    private Update update(Snapshot round, Subscriber asker) {
-        WatchRequest request = asker.request;
+    private Update update(Snapshot round, Subscriber subscriber) {
+        WatchRequest request = subscriber.request;
         boolean complete = round.complete;
-        boolean whole = request.term() != term || complete && !asker.toldComplete;
-        boolean newer = request.edition() < edition && asker.mayHaveConfiguration(round.now);
-        boolean changed = whole || request.stamp() < registry.stamp();
-        boolean held = round.now - asker.askedAt < HELD_MS;
-        if (request.confirm() && !asker.confirmed || !newer && !changed && !request.confirm() && held) {
+        boolean full = request.term() != term || complete && !subscriber.sentComplete;
+        boolean newer = request.edition() < edition && subscriber.mayHaveConfiguration(round.now);
+        boolean changed = full || request.stamp() < registry.stamp();
+        boolean held = round.now - subscriber.requestedAt < LONG_POLL_MS;
+        if (request.confirm() && !subscriber.confirmed || !newer && !changed && !request.confirm() && held) {
             return null;
         }
-        asker.waits = false;
-        asker.toldComplete |= complete;
+        subscriber.pending = false;
+        subscriber.sentComplete |= complete;
         if (newer) {
-            asker.hasConfiguration(round.now);
+            subscriber.hasConfiguration(round.now);
         }
         return new Update(
                 request.number(),
-                asker.confirmed,
+                subscriber.confirmed,
                 edition,
                 newer ? body : NONE,
                 term,
                 registry.stamp(),
-                whole,
+                full,
                 complete,
-                round.sharers,
-                changed ? round.since(whole ? 0 : request.stamp()) : List.of(),
+                round.quotaSharers,
+                changed ? round.since(full ? 0 : request.stamp()) : List.of(),
                 core);
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/Message.java
+++ b/src/main/java/sablehinge/controlplane/raft/Message.java
@@ -73,7 +73,7 @@
         }
 
         /** Whether this chunk is all of the snapshot. */
-        public boolean isWhole() {
+        public boolean isComplete() {
             return offset == 0 && part.state().length == total;
         }
     }
--- a/src/main/java/sablehinge/controlplane/raft/RaftNode.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftNode.java
@@ -128,7 +128,7 @@
     private double wonAt;
     private long round;
     /** When each of the last rounds was asked, until when a lease holds, and whether this term was given up. */
-    private final double[] askedAt = new double[ASKED];
+    private final double[] requestedAt = new double[ASKED];
     /** Up to where all was committed when each of the last rounds was asked. */
     private final long[] committedAt = new long[ASKED];
 
@@ -177,9 +177,9 @@
     /**
      * Goes on with what the disk holds.
      *
-     * @param born when this life began, ms; all that the life before said, it said by then
+     * @param processStartedAt when this life began, ms; all that the life before said, it said by then
      */
-    public void start(double now, PersistedState stored, double born) {
+    public void start(double now, PersistedState stored, double processStartedAt) {
         self = stored.self();
         term = stored.term();
         votedFor = stored.votedFor();
@@ -196,7 +196,7 @@
         queue.begin(log.lastIndex(), term);
         if (term > 0) {
             // A leader may hold a lease by an answer of the life before: as if it had been heard at its end.
-            leaderHeard = born;
+            leaderHeard = processStartedAt;
         }
         run(now);
     }
@@ -831,7 +831,7 @@
     /** Asks all peers whether this still leads. */
     private void ask(double now) {
         round++;
-        askedAt[(int) (round % ASKED)] = now;
+        requestedAt[(int) (round % ASKED)] = now;
         committedAt[(int) (round % ASKED)] = commit;
         heartbeatAt = now + timing.heartbeat();
         for (ReplicaProgress peer : peers.values()) {
@@ -1093,7 +1093,7 @@
         if (answered <= Math.max(0, round - ASKED)) {
             return;
         }
-        majorityAskedAt = Math.max(majorityAskedAt, askedAt[(int) (answered % ASKED)]);
+        majorityAskedAt = Math.max(majorityAskedAt, requestedAt[(int) (answered % ASKED)]);
         if (!handedOver) {
             leaseUntil = Math.max(leaseUntil, majorityAskedAt + LEASE_PART * timing.electionLeast());
         }
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
@@ -29,7 +29,7 @@
      */
     Snapshot take(Message.InstallSnapshotRequest install) {
         Snapshot part = install.part();
-        if (install.isWhole()) {
+        if (install.isComplete()) {
             clear();
             return part;
         }
--- a/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
+++ b/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
@@ -16,13 +16,13 @@
 public final class ConfigurationState {
 
     /** Editions that are remembered, so that an order that is repeated late still has its true answer. */
-    private static final int MOST_TAKEN = 2_000;
+    private static final int MAX_ACCEPTED = 2_000;
 
     private static final int FORMAT = 3;
     /** States of this format have checksums of bodies in the place of digests. */
-    private static final int CHECKSUM_FORMAT = 2;
+    private static final int FORMAT_2 = 2;
     /** States of this format do not tell either what an edition was based on, nor when it was taken. */
-    private static final int BARE_FORMAT = 1;
+    private static final int FORMAT_1 = 1;
 
     private static final int COMMAND_FORMAT = 1;
     /** What is not known of an edition that was taken under the bare format. */
@@ -101,7 +101,7 @@
     }
 
     /** What a command would come to if it were committed now. An order is its base, edition and body. */
-    public Outcome foresee(long basedOn, long next, byte[] nextBody) {
+    public Outcome evaluate(long basedOn, long next, byte[] nextBody) {
         AcceptedChange known = taken.get(next);
         if (known != null && known.isOrder(basedOn, nextBody)) {
             return Outcome.REPEATED;
@@ -124,11 +124,11 @@
             byte[] nextBody = new byte[in.readInt()];
             in.readFully(nextBody);
             long at = in.available() >= Long.BYTES ? in.readLong() : UNKNOWN;
-            Outcome outcome = foresee(basedOn, next, nextBody);
+            Outcome outcome = evaluate(basedOn, next, nextBody);
             if (outcome == Outcome.TAKEN) {
                 edition = next;
                 body = nextBody;
-                remember(next, new AcceptedChange(nextBody.length, BodyDigest.of(nextBody), basedOn, at));
+                record(next, new AcceptedChange(nextBody.length, BodyDigest.of(nextBody), basedOn, at));
             }
             return outcome;
         } catch (IOException e) {
@@ -136,9 +136,9 @@
         }
     }
 
-    private void remember(long one, AcceptedChange what) {
+    private void record(long one, AcceptedChange what) {
         taken.put(one, what);
-        if (taken.size() > MOST_TAKEN) {
+        if (taken.size() > MAX_ACCEPTED) {
             forgottenUpTo = taken.keySet().iterator().next();
             taken.remove(forgottenUpTo);
         }
@@ -184,9 +184,9 @@
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(state))) {
             int format = in.readByte();
-            if (format < BARE_FORMAT || format > FORMAT) {
+            if (format < FORMAT_1 || format > FORMAT) {
                 throw new IllegalArgumentException(
-                        "a state of format " + format + "; " + BARE_FORMAT + " to " + FORMAT + " are expected");
+                        "a state of format " + format + "; " + FORMAT_1 + " to " + FORMAT + " are expected");
             }
             edition = in.readLong();
             body = new byte[in.readInt()];
@@ -205,15 +205,15 @@
     private static AcceptedChange readTaken(int format, DataInputStream in) throws IOException {
         int length = in.readInt();
         BodyDigest digest =
-                format <= CHECKSUM_FORMAT ? BodyDigest.checksums(in.readLong(), in.readInt()) : BodyDigest.read(in);
-        return format == BARE_FORMAT
+                format <= FORMAT_2 ? BodyDigest.checksums(in.readLong(), in.readInt()) : BodyDigest.read(in);
+        return format == FORMAT_1
                 ? new AcceptedChange(length, digest, UNKNOWN, UNKNOWN)
                 : new AcceptedChange(length, digest, in.readLong(), in.readLong());
     }
 
     /** The formats before the third don't tell; where they are full, one may have been dropped. */
     private long mayBeForgotten() {
-        return taken.size() < MOST_TAKEN ? 0 : taken.keySet().iterator().next() - 1;
+        return taken.size() < MAX_ACCEPTED ? 0 : taken.keySet().iterator().next() - 1;
     }
 
     private interface Writing {
--- a/src/main/java/sablehinge/controlplane/state/Registry.java
+++ b/src/main/java/sablehinge/controlplane/state/Registry.java
@@ -15,8 +15,8 @@
  */
 public final class Registry {
 
-    private final double goneAfter;
-    private final double completeAfter;
+    private final double expiryMs;
+    private final double completeAfterMs;
     private final Map<String, Row> rows = new HashMap<>();
     private long stamp;
     private double beganAt = Double.NaN;
@@ -25,12 +25,12 @@
         Registration registration;
         long stamp;
         double heardAt;
-        boolean off;
+        boolean ejected;
         /** Whether it fell silent while it took new requests, and has not said that it leaves. */
         boolean lost;
 
-        Registration told() {
-            return off
+        Registration published() {
+            return ejected
                     ? new Registration(
                             registration.node(),
                             registration.zone(),
@@ -39,7 +39,7 @@
                             registration.upstream(),
                             false,
                             registration.berths(),
-                            registration.coldMs())
+                            registration.warmUpMs())
                     : registration;
         }
     }
@@ -47,37 +47,38 @@
     /**
      * An empty roll.
      *
-     * @param completeAfter ms after its beginning until which whoever lives has told of itself
-     * @param goneAfter ms without a word after which one counts as gone
+     * @param completeAfterMs ms after its beginning until which whoever lives has told of itself
+     * @param expiryMs ms without a word after which one counts as gone
      */
-    public Registry(double completeAfter, double goneAfter) {
-        this.completeAfter = completeAfter;
-        this.goneAfter = goneAfter;
+    public Registry(double completeAfterMs, double expiryMs) {
+        this.completeAfterMs = completeAfterMs;
+        this.expiryMs = expiryMs;
     }
 
     /** Forgets all, and is kept anew from now on. */
-    public void begin(double now) {
+    public void reset(double now) {
         rows.clear();
         stamp = 0;
         beganAt = now;
     }
 
     /** A balancer tells of itself; true if that is news. */
-    public boolean told(double now, Registration registration) {
+    public boolean register(double now, Registration registration) {
         Row row = rows.computeIfAbsent(registration.node(), node -> new Row());
         row.heardAt = now;
-        boolean news = row.off || row.registration == null || !sameBut(row.registration, registration);
-        row.off = false;
+        boolean changed =
+                row.ejected || row.registration == null || !equalsIgnoringWarmUp(row.registration, registration);
+        row.ejected = false;
         row.lost = false;
-        if (news) {
+        if (changed) {
             row.registration = registration;
             row.stamp = ++stamp;
         }
-        return news;
+        return changed;
     }
 
     /** How long it stays cold passes by itself, and is no news. */
-    private static boolean sameBut(Registration one, Registration other) {
+    private static boolean equalsIgnoringWarmUp(Registration one, Registration other) {
         return one.upstream().equals(other.upstream())
                 && one.ready() == other.ready()
                 && one.inbound().equals(other.inbound())
@@ -97,48 +98,48 @@
     }
 
     /** Whether nothing new is to be sent to one on the roll, whatever it told of itself. */
-    public void rule(String node, boolean off) {
+    public void setEjected(String node, boolean ejected) {
         Row row = rows.get(node);
-        if (row != null && row.off != off) {
-            row.off = off;
+        if (row != null && row.ejected != ejected) {
+            row.ejected = ejected;
             row.stamp = ++stamp;
         }
     }
 
     /** Those whose upstream is known, as they told of themselves. */
-    public List<Registration> present() {
-        List<Registration> present = new ArrayList<>(rows.size());
+    public List<Registration> withUpstream() {
+        List<Registration> withUpstream = new ArrayList<>(rows.size());
         for (Row row : rows.values()) {
             if (!row.registration.upstream().isEmpty()) {
-                present.add(row.registration);
+                withUpstream.add(row.registration);
             }
         }
-        return present;
+        return withUpstream;
     }
 
     /**
      * This process stood still for some ms until now: what was said to it meanwhile waits in its buffers, so that this
      * time counts as nobody's silence.
      */
-    public void stoodStill(double now, double ms) {
+    public void processPaused(double now, double ms) {
         rows.values().forEach(row -> row.heardAt = Math.min(now, row.heardAt + ms));
     }
 
     /** Strikes out who has long said nothing; true if there was one. */
     public boolean expire(double now) {
-        boolean news = false;
+        boolean changed = false;
         for (Row row : rows.values()) {
             Registration known = row.registration;
-            if (now - row.heardAt > goneAfter && !known.upstream().isEmpty()) {
+            if (now - row.heardAt > expiryMs && !known.upstream().isEmpty()) {
                 row.registration =
                         new Registration(known.node(), known.zone(), known.inbound(), known.service(), "", false, 0, 0);
                 row.lost = known.ready();
                 row.stamp = ++stamp;
-                news = true;
+                changed = true;
             }
         }
-        rows.values().removeIf(row -> now - row.heardAt > 4 * goneAfter);
-        return news;
+        rows.values().removeIf(row -> now - row.heardAt > 4 * expiryMs);
+        return changed;
     }
 
     /** The stamp of the last change. */
@@ -148,7 +149,7 @@
 
     /** Whether everyone who lives has had the time to tell of itself: who is not on it is gone. */
     public boolean isComplete(double now) {
-        return now - beganAt >= completeAfter;
+        return now - beganAt >= completeAfterMs;
     }
 
     /** What changed after a stamp, in the order of the changes. */
@@ -160,25 +161,25 @@
             }
         }
         later.sort(Comparator.comparingLong(row -> row.stamp));
-        List<Registration> news = new ArrayList<>(later.size());
-        later.forEach(row -> news.add(row.told()));
-        return news;
+        List<Registration> changes = new ArrayList<>(later.size());
+        later.forEach(row -> changes.add(row.published()));
+        return changes;
     }
 
     /**
      * A balancer that is on the roll.
      *
-     * @param silentMs since it last told of itself
+     * @param sinceLastMessageMs since it last told of itself
      * @param gone whether that is so long that it counts as gone
      */
-    public record Entry(Registration registration, double silentMs, boolean gone) {}
+    public record Entry(Registration registration, double sinceLastMessageMs, boolean gone) {}
 
     /** All that is on the roll, in the order of the nodes' names. */
     public List<Entry> lines(double now) {
         List<Entry> lines = new ArrayList<>(rows.size());
         rows.values()
-                .forEach(row ->
-                        lines.add(new Entry(row.registration, now - row.heardAt, now - row.heardAt > goneAfter)));
+                .forEach(
+                        row -> lines.add(new Entry(row.registration, now - row.heardAt, now - row.heardAt > expiryMs)));
         lines.sort(Comparator.comparing(line -> line.registration().node()));
         return lines;
     }
@@ -187,12 +188,12 @@
      * Balancers among which a quota is divided: also those that fell silent without having left, until they are
      * forgotten. One that is cut off goes on with its part, which nobody else may have meanwhile.
      */
-    public int sharers() {
-        int sharers = 0;
+    public int quotaSharers() {
+        int quotaSharers = 0;
         for (Row row : rows.values()) {
-            sharers += row.registration.upstream().isEmpty() && !row.lost ? 0 : 1;
+            quotaSharers += row.registration.upstream().isEmpty() && !row.lost ? 0 : 1;
         }
-        return Math.max(1, sharers);
+        return Math.max(1, quotaSharers);
     }
 
     /** Balancers that were heard of lately. */
--- a/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
+++ b/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
@@ -21,12 +21,12 @@
     /** Those that wait, for each slot. */
     private static final int WAITING_PER_SLOT = 3;
     /** Advice to those refused as full, in ms: about what a slot takes to be free. */
-    private static final double COME_BACK = 40;
+    private static final double RETRY_AFTER_MS = 40;
 
     private final Actions actions;
-    private final Map<Long, PendingRequest> asked = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private final List<PendingRequest> waiting = new ArrayList<>();
-    private long life;
+    private long incarnation;
     private int slots;
     private int running;
     private double closesAt = Double.POSITIVE_INFINITY;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** A gate that is closed until {@link #opens}. */
+    /** A gate that is closed until {@link #open}. */
     public AdmissionController(Actions actions) {
         this.actions = actions;
     }
@@ -68,11 +68,11 @@
      * @param upstream its life
      * @param berths requests that it works on at once
      */
-    public void opens(double now, long upstream, int berths) {
-        if (life != upstream) {
+    public void open(double now, long upstream, int berths) {
+        if (incarnation != upstream) {
             closesAt = Double.POSITIVE_INFINITY;
         }
-        life = upstream;
+        incarnation = upstream;
         slots = berths;
         if (now < closesAt) {
             next(now);
@@ -81,7 +81,7 @@
 
     /** A life of the upstream takes nothing new from the given time on. */
     public void closes(double now, long upstream, double at) {
-        if (life == upstream) {
+        if (incarnation == upstream) {
             closesAt = Math.min(closesAt, at);
             if (now >= closesAt) {
                 refuseWaiting();
@@ -102,7 +102,7 @@
     @Override
     public void request(double now, Request request) {
         PendingRequest one = new PendingRequest(request);
-        asked.put(request.id(), one);
+        pending.put(request.id(), one);
         if (!isOpen(now, request)) {
             refuse(one, 0);
         } else if (running < slots && waiting.isEmpty()) {
@@ -111,12 +111,12 @@
             waiting.add(one);
             actions.setTimer(request.id(), now + request.cost());
         } else {
-            refuse(one, COME_BACK);
+            refuse(one, RETRY_AFTER_MS);
         }
     }
 
     private boolean isOpen(double now, Request request) {
-        return life != 0 && request.key() == life && now < closesAt;
+        return incarnation != 0 && request.key() == incarnation && now < closesAt;
     }
 
     private void send(PendingRequest one, double now) {
@@ -127,7 +127,7 @@
 
     private void refuse(PendingRequest one, double retryAfter) {
         one.over = true;
-        asked.remove(one.request.id());
+        pending.remove(one.request.id());
         actions.refuse(one.request.id(), retryAfter);
     }
 
@@ -158,7 +158,7 @@
 
     @Override
     public void attemptFinished(double now, Outcome outcome) {
-        PendingRequest one = asked.remove(outcome.requestId());
+        PendingRequest one = pending.remove(outcome.requestId());
         if (one == null) {
             return;
         }
@@ -166,7 +166,7 @@
         if (!outcome.closed() && !one.over) {
             one.over = true;
             if (outcome.result().neverRan()) {
-                actions.refuse(one.request.id(), COME_BACK);
+                actions.refuse(one.request.id(), RETRY_AFTER_MS);
             } else {
                 actions.fail(one.request.id());
             }
@@ -181,7 +181,7 @@
 
     @Override
     public void clientGone(double now, long requestId) {
-        PendingRequest one = asked.get(requestId);
+        PendingRequest one = pending.get(requestId);
         if (one == null) {
             return;
         }
@@ -190,16 +190,16 @@
             actions.cancel(requestId, 0);
         } else {
             waiting.remove(one);
-            asked.remove(requestId);
+            pending.remove(requestId);
         }
     }
 
     /** A request has waited for as long as it may. */
     @Override
     public void timer(double now, long token) {
-        PendingRequest one = asked.get(token);
+        PendingRequest one = pending.get(token);
         if (one != null && !one.sent && waiting.remove(one)) {
-            refuse(one, COME_BACK);
+            refuse(one, RETRY_AFTER_MS);
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/admission/UpstreamLifecycle.java
+++ b/src/main/java/sablehinge/dataplane/admission/UpstreamLifecycle.java
@@ -15,11 +15,11 @@
 public final class UpstreamLifecycle {
 
     /** The part of {@code unloadMs} for which an unloading upstream still takes new requests. */
-    private static final double DRAIN_PART = 0.5;
+    private static final double DRAIN_CLOSE_SHARE = 0.5;
     /** Heartbeats that may be missing until an upstream counts as silent. */
-    private static final double MISSING = 3.5;
+    private static final double MISSED_HEARTBEATS = 3.5;
     /** Earlier lives that are remembered, so that a late call of one is known. */
-    private static final int MOST_FORMER = 64;
+    private static final int MAX_FORMER = 64;
 
     private static final long SIGNED_OFF = Long.MAX_VALUE;
 
@@ -30,22 +30,22 @@
      * @param service that it is of
      * @param unloading whether it is about to leave
      * @param berths requests that it works on at once
-     * @param coldMs how much longer it is slow
+     * @param warmUpMs how much longer it is slow
      * @param callCount rises with each call of the life
      */
-    public record Heartbeat(String id, String service, boolean unloading, int berths, int coldMs, long callCount) {}
+    public record Heartbeat(String id, String service, boolean unloading, int berths, int warmUpMs, long callCount) {}
 
     private final AdmissionController gate;
-    private final ToLongFunction<String> lifeOf;
+    private final ToLongFunction<String> incarnationOf;
     private final double unloadMs;
-    private final double silentAfterMs;
+    private final double heartbeatTimeoutMs;
     /** The highest call count of each earlier life, the oldest life first. */
     private final Map<String, Long> former = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > MOST_FORMER;
+            return size() > MAX_FORMER;
         }
     };
 
@@ -54,66 +54,72 @@
     private double heardAt;
     private double closesAt = Double.POSITIVE_INFINITY;
     private boolean unloading;
-    private boolean silent;
+    private boolean timedOut;
 
     /**
      * An upstream of which nothing is known yet; its gate is closed.
      *
-     * @param lifeOf the number by which requests name a life
+     * @param incarnationOf the number by which requests name a life
      * @param unloadMs after an acknowledged {@code unloading} nothing new may reach the upstream
-     * @param beatMs between two heartbeats
+     * @param heartbeatMs between two heartbeats
      */
-    public UpstreamLifecycle(AdmissionController gate, ToLongFunction<String> lifeOf, double unloadMs, double beatMs) {
+    public UpstreamLifecycle(
+            AdmissionController gate, ToLongFunction<String> incarnationOf, double unloadMs, double heartbeatMs) {
         this.gate = gate;
-        this.lifeOf = lifeOf;
+        this.incarnationOf = incarnationOf;
         this.unloadMs = unloadMs;
-        silentAfterMs = MISSING * beatMs;
+        heartbeatTimeoutMs = MISSED_HEARTBEATS * heartbeatMs;
     }
 
     /** A heartbeat, which the caller acknowledges; true if others are to be told of a change. */
-    public boolean heard(double now, Heartbeat beat) {
-        if (former.getOrDefault(beat.id(), Long.MIN_VALUE) >= beat.callCount()) {
+    public boolean handleHeartbeat(double now, Heartbeat heartbeat) {
+        if (former.getOrDefault(heartbeat.id(), Long.MIN_VALUE) >= heartbeat.callCount()) {
             return false;
         }
         boolean changed = false;
-        if (current == null || !current.id().equals(beat.id())) {
-            begins(now, beat);
+        if (current == null || !current.id().equals(heartbeat.id())) {
+            handleFirst(now, heartbeat);
             changed = true;
-        } else if (beat.callCount() >= current.callCount()) {
-            changed = goesOn(now, beat);
+        } else if (heartbeat.callCount() >= current.callCount()) {
+            changed = handleRepeated(now, heartbeat);
         }
         // Even a late one is acknowledged, and an acknowledged one holds.
-        if (beat.unloading() && !unloading) {
-            leaves(now, now - firstHeardAt < unloadMs ? now : now + DRAIN_PART * unloadMs);
+        if (heartbeat.unloading() && !unloading) {
+            leaves(now, now - firstHeardAt < unloadMs ? now : now + DRAIN_CLOSE_SHARE * unloadMs);
             changed = true;
         }
         return changed;
     }
 
-    private void begins(double now, Heartbeat beat) {
+    private void handleFirst(double now, Heartbeat heartbeat) {
         if (current != null) {
             former.put(current.id(), current.callCount());
         }
-        former.remove(beat.id());
-        current = beat;
+        former.remove(heartbeat.id());
+        current = heartbeat;
         firstHeardAt = now;
         heardAt = now;
         unloading = false;
-        silent = false;
+        timedOut = false;
         closesAt = Double.POSITIVE_INFINITY;
-        gate.opens(now, lifeOf.applyAsLong(beat.id()), beat.berths());
+        gate.open(now, incarnationOf.applyAsLong(heartbeat.id()), heartbeat.berths());
     }
 
-    private boolean goesOn(double now, Heartbeat beat) {
-        boolean others = current.berths() != beat.berths();
-        boolean changed = silent || others;
+    private boolean handleRepeated(double now, Heartbeat heartbeat) {
+        boolean others = current.berths() != heartbeat.berths();
+        boolean changed = timedOut || others;
         // How long it stays cold was told once, and passes by itself: telling it anew would be news to all.
         current = new Heartbeat(
-                beat.id(), beat.service(), beat.unloading(), beat.berths(), current.coldMs(), beat.callCount());
+                heartbeat.id(),
+                heartbeat.service(),
+                heartbeat.unloading(),
+                heartbeat.berths(),
+                current.warmUpMs(),
+                heartbeat.callCount());
         heardAt = now;
-        silent = false;
+        timedOut = false;
         if (others && !unloading) {
-            gate.opens(now, lifeOf.applyAsLong(beat.id()), beat.berths());
+            gate.open(now, incarnationOf.applyAsLong(heartbeat.id()), heartbeat.berths());
         }
         return changed;
     }
@@ -125,11 +131,11 @@
     private void leaves(double now, double at) {
         unloading = true;
         closesAt = Math.min(closesAt, at);
-        gate.closes(now, lifeOf.applyAsLong(current.id()), closesAt);
+        gate.closes(now, incarnationOf.applyAsLong(current.id()), closesAt);
     }
 
     /** A life has signed off, which the caller acknowledges; true if others are to be told of a change. */
-    public boolean signedOff(double now, String id) {
+    public boolean handleSignOff(double now, String id) {
         former.put(id, SIGNED_OFF);
         if (current == null || !current.id().equals(id)) {
             return false;
@@ -141,10 +147,10 @@
     /** Looks for what has become due; true if others are to be told of a change. */
     public boolean tick(double now) {
         if (unloading && now >= closesAt) {
-            gate.closes(now, lifeOf.applyAsLong(current.id()), closesAt);
+            gate.closes(now, incarnationOf.applyAsLong(current.id()), closesAt);
         }
-        if (current != null && !silent && now - heardAt > silentAfterMs) {
-            silent = true;
+        if (current != null && !timedOut && now - heardAt > heartbeatTimeoutMs) {
+            timedOut = true;
             return true;
         }
         return false;
@@ -152,7 +158,7 @@
 
     /** The last heartbeat of the upstream that is there; null if there is none. */
     public Heartbeat present() {
-        return silent ? null : current;
+        return timedOut ? null : current;
     }
 
     /** Whether an upstream is there and does not leave. */
--- a/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
+++ b/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
@@ -52,19 +52,19 @@
 
     /** A call that was taken in. */
     public final class Call {
-        private final AttemptBudget purse;
+        private final AttemptBudget budget;
         private final double deadline;
-        private final double worth;
+        private final double value;
         private final List<Long> path;
         private boolean first = true;
         private int tries;
         private boolean again = true;
         private boolean closed;
 
-        private Call(AttemptBudget purse, double deadline, double worth, List<Long> path) {
-            this.purse = purse;
+        private Call(AttemptBudget budget, double deadline, double value, List<Long> path) {
+            this.budget = budget;
             this.deadline = deadline;
-            this.worth = worth;
+            this.value = value;
             this.path = path;
         }
 
@@ -74,13 +74,13 @@
         }
 
         /** Its worth within the operator's bound. */
-        public double worth() {
-            return worth;
+        public double value() {
+            return value;
         }
 
         /** The most attempts that there can be for it here, if each spends as little as it can. */
         public int most() {
-            return Math.max(1, purse.left - Math.max(0, purse.owed - 1) * terms.need());
+            return Math.max(1, budget.left - Math.max(0, budget.owed - 1) * terms.need());
         }
 
         /**
@@ -88,9 +88,9 @@
          * need, once each of the calls that are still expected has its first.
          */
         public int attempts() {
-            int others = purse.owed - (first ? 1 : 0);
-            int free = Math.max(0, purse.left - others * terms.need());
-            return !again || purse.left < 1 ? 0 : Math.max(first ? 1 : 0, free / terms.need());
+            int others = budget.owed - (first ? 1 : 0);
+            int free = Math.max(0, budget.left - others * terms.need());
+            return !again || budget.left < 1 ? 0 : Math.max(first ? 1 : 0, free / terms.need());
         }
     }
 
@@ -115,7 +115,7 @@
         /** What the attempt carries, written at the given time; null if too little time is left for that. */
         public Budget budget(double now) {
             double left = call.deadline - now - terms.wire();
-            return left <= 0 ? null : new Budget(id, attempts, Math.min(Budget.MOST_MS, left), call.worth, call.path);
+            return left <= 0 ? null : new Budget(id, attempts, Math.min(Budget.MOST_MS, left), call.value, call.path);
         }
     }
 
@@ -126,7 +126,7 @@
     private final long service;
     private final SplittableRandom random;
     /** Those that were granted above, in the order of their last use, the longest ago first. */
-    private final Map<Long, AttemptBudget> purses = new LinkedHashMap<>();
+    private final Map<Long, AttemptBudget> attemptBudgets = new LinkedHashMap<>();
 
     private final Map<HeaderText.Kind, Long> read = new LinkedHashMap<>();
 
@@ -139,7 +139,7 @@
 
     /** How many grants are remembered. */
     public int size() {
-        return purses.size();
+        return attemptBudgets.size();
     }
 
     /** How many calls came with a budget that was read, and so on. */
@@ -155,10 +155,10 @@
      * @param entry whether it is a client's, which carries no budget and is not trusted with one
      * @param remaining time in ms that its caller says it waits
      * @param waited for how long it may have lain here before it was read: a pause of this process makes no time
-     * @param worth of its class, for a call that carries none
+     * @param value of its class, for a call that carries none
      */
     public Admission arrive(
-            double now, HeaderText.Found<Budget> found, boolean entry, double remaining, double waited, double worth) {
+            double now, HeaderText.Found<Budget> found, boolean entry, double remaining, double waited, double value) {
         read.merge(found.kind(), 1L, Long::sum);
         Budget carried = entry ? null : found.value();
         List<Long> path = carried == null ? List.of() : carried.path();
@@ -173,12 +173,12 @@
             time = Math.min(time, carried.remaining());
         }
         double deadline = now + time - Math.max(0, waited) - terms.margin();
-        AttemptBudget purse = carried == null ? null : purses.remove(carried.grant());
-        if (purse == null) {
+        AttemptBudget budget = carried == null ? null : attemptBudgets.remove(carried.grant());
+        if (budget == null) {
             if (deadline <= now) {
                 return refuse(Refusal.DEAD, here, carried, null);
             }
-            if (carried != null && purses.size() >= terms.purses() && !forget(now)) {
+            if (carried != null && attemptBudgets.size() >= terms.attemptBudgets() && !forget(now)) {
                 return refuse(Refusal.FULL, here, carried, null);
             }
             int given = entry
@@ -186,42 +186,42 @@
                     : carried == null ? terms.unknown() : Math.min(terms.attempts(), carried.attempts());
             long grant = carried == null ? random.nextLong() : carried.grant();
             // Whoever makes one call for each client's request owes no others their first attempt.
-            purse = new AttemptBudget(grant, deadline, given, entry || carried == null ? 1 : terms.calls());
+            budget = new AttemptBudget(grant, deadline, given, entry || carried == null ? 1 : terms.calls());
         } else {
-            deadline = Math.min(deadline, purse.deadline);
+            deadline = Math.min(deadline, budget.deadline);
         }
         if (carried != null) {
             // Of a call that carries none no other can draw on its purse.
-            purses.put(purse.grant, purse);
+            attemptBudgets.put(budget.grant, budget);
         }
         if (deadline <= now) {
-            return refuse(Refusal.DEAD, here, carried, purse);
+            return refuse(Refusal.DEAD, here, carried, budget);
         }
-        if (purse.left < 1) {
-            return refuse(Refusal.SPENT, here, carried, purse);
+        if (budget.left < 1) {
+            return refuse(Refusal.SPENT, here, carried, budget);
         }
-        purse.open++;
-        purse.owed = Math.max(1, purse.owed);
-        double bounded = Math.min(terms.worth(), carried == null ? worth : carried.worth());
-        return new Admission(new Call(purse, deadline, bounded, here), null, here, null);
+        budget.open++;
+        budget.owed = Math.max(1, budget.owed);
+        double bounded = Math.min(terms.value(), carried == null ? value : carried.value());
+        return new Admission(new Call(budget, deadline, bounded, here), null, here, null);
     }
 
-    private static Admission refuse(Refusal why, List<Long> path, Budget carried, AttemptBudget purse) {
+    private static Admission refuse(Refusal why, List<Long> path, Budget carried, AttemptBudget budget) {
         return new Admission(
                 null,
                 why,
                 path,
                 carried == null
                         ? null
-                        : new Report(carried.grant(), purse == null ? 0 : purse.spent, why == Refusal.FULL));
+                        : new Report(carried.grant(), budget == null ? 0 : budget.spent, why == Refusal.FULL));
     }
 
     /** Makes room by one grant under which no call is open, those that no more can come of first. */
     private boolean forget(double now) {
-        Iterator<AttemptBudget> all = purses.values().iterator();
+        Iterator<AttemptBudget> all = attemptBudgets.values().iterator();
         while (all.hasNext()) {
-            AttemptBudget purse = all.next();
-            if (purse.open == 0 && purse.out == 0 && purse.deadline <= now) {
+            AttemptBudget budget = all.next();
+            if (budget.open == 0 && budget.out == 0 && budget.deadline <= now) {
                 all.remove();
                 return true;
             }
@@ -239,18 +239,18 @@
         if (call.closed || call.attempts() < 1 || call.deadline - now - terms.wire() <= Math.max(0, least)) {
             return null;
         }
-        AttemptBudget purse = call.purse;
+        AttemptBudget budget = call.budget;
         if (call.first) {
             call.first = false;
-            purse.owed = Math.max(0, purse.owed - 1);
+            budget.owed = Math.max(0, budget.owed - 1);
         }
-        int need = Math.min(terms.need(), purse.left);
-        int free = Math.max(need, purse.left - purse.owed * terms.need());
+        int need = Math.min(terms.need(), budget.left);
+        int free = Math.max(need, budget.left - budget.owed * terms.need());
         int part = terms.last() ? 1 : Math.max(need, free - (resendable ? (int) (free * terms.kept()) : 0));
         call.tries++;
-        purse.left -= part;
-        purse.spent += part;
-        purse.out++;
+        budget.left -= part;
+        budget.spent += part;
+        budget.out++;
         return new Grant(call, part, random.nextLong());
     }
 
@@ -278,12 +278,12 @@
             return;
         }
         grant.settled = true;
-        AttemptBudget purse = grant.call.purse;
-        purse.out--;
+        AttemptBudget budget = grant.call.budget;
+        budget.out--;
         // An attempt at the last tier has run or has not: no report is asked for.
         int used = terms.last() && spent > 0 ? 1 : spent;
-        purse.left += grant.attempts - used;
-        purse.spent -= grant.attempts - used;
+        budget.left += grant.attempts - used;
+        budget.spent -= grant.attempts - used;
     }
 
     /**
@@ -296,11 +296,11 @@
     public Report close(Call call, boolean again) {
         if (!call.closed) {
             call.closed = true;
-            call.purse.open--;
+            call.budget.open--;
             if (call.first) {
-                call.purse.owed = Math.max(0, call.purse.owed - 1);
+                call.budget.owed = Math.max(0, call.budget.owed - 1);
             }
         }
-        return new Report(call.purse.grant, call.purse.spent, again && call.again && call.tries < 2);
+        return new Report(call.budget.grant, call.budget.spent, again && call.again && call.tries < 2);
     }
 }
--- a/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
+++ b/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
@@ -5,7 +5,7 @@
  *
  * @param attempts the most attempts at the last tier for one client's request, whatever a caller says
  * @param remaining the most time in ms, likewise
- * @param worth the most worth, likewise
+ * @param value the most worth, likewise
  * @param unknown attempts for a call that carries no readable budget where one is expected
  * @param calls the most calls that one server makes for one request; first attempts of these come before retries
  * @param need attempts at the last tier that one attempt here takes without any retry at the most: 1 at the last tier,
@@ -15,12 +15,12 @@
  * @param wire time in ms that a call takes on the wire to the next hop
  * @param kept share of a grant that is kept for another attempt here while one is out, 0 to below 1
  * @param reentries how often a call may come back to a service that it has passed; 0 where that is a loop
- * @param purses grants that are remembered at most
+ * @param attemptBudgets grants that are remembered at most
  */
 public record BudgetSettings(
         int attempts,
         double remaining,
-        double worth,
+        double value,
         int unknown,
         int calls,
         int need,
@@ -29,7 +29,7 @@
         double wire,
         double kept,
         int reentries,
-        int purses) {
+        int attemptBudgets) {
 
     /** Throws {@link IllegalArgumentException} for what is out of range. */
     public BudgetSettings {
@@ -41,12 +41,12 @@
                 || need < 1
                 || last && need > 1
                 || !(remaining > 0)
-                || !(worth >= 0)
+                || !(value >= 0)
                 || !(margin >= 0)
                 || !(wire >= 0)
                 || !(kept >= 0 && kept < 1)
                 || reentries < 0
-                || purses < 1) {
+                || attemptBudgets < 1) {
             throw new IllegalArgumentException("terms of a budget out of range");
         }
     }
--- a/src/main/java/sablehinge/dataplane/budget/HeaderText.java
+++ b/src/main/java/sablehinge/dataplane/budget/HeaderText.java
@@ -45,7 +45,7 @@
         budget.path().forEach(hop -> path.add(hex(hop).substring(HEX - 12)));
         // Rounded down: nothing on the way makes time or worth.
         return sign("v=1;g=" + hex(budget.grant()) + ";n=" + budget.attempts() + ";t="
-                + decimal(budget.remaining()) + ";w=" + decimal(budget.worth()) + ";p="
+                + decimal(budget.remaining()) + ";w=" + decimal(budget.value()) + ";p="
                 + String.join(".", path));
     }
 
--- a/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
+++ b/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
@@ -39,7 +39,7 @@
 
     /** What a caller has claimed of late; it fades. */
     private static final class Claim {
-        double worth;
+        double value;
         double at;
     }
 
@@ -84,11 +84,11 @@
      * Whether a call is let in.
      *
      * @param caller who claims the worth
-     * @param worth as it was carried, 0 and more
+     * @param value as it was carried, 0 and more
      * @param cost expected work, above 0
      */
-    public boolean admits(double now, String caller, double worth, double cost) {
-        double counted = counted(now, caller, worth) / cost;
+    public boolean admits(double now, String caller, double value, double cost) {
+        double counted = counted(now, caller, value) / cost;
         density[count % RANKED] = counted;
         work[count % RANKED] = cost;
         count++;
@@ -108,20 +108,20 @@
         return below >= given || equal > 0 && below + equal > given && random.nextDouble() >= (given - below) / equal;
     }
 
-    private double counted(double now, String caller, double worth) {
+    private double counted(double now, String caller, double value) {
         Claim own = claims.computeIfAbsent(caller, name -> new Claim());
         fade(own, now);
         fade(all, now);
-        own.worth += worth;
-        all.worth += worth;
-        double others = all.worth - own.worth;
+        own.value += value;
+        all.value += value;
+        double others = all.value - own.value;
         // Alone it may have all; beside others no more than its share of what both make together.
-        double allowed = terms.share() >= 1 || others <= 0 ? own.worth : others * terms.share() / (1 - terms.share());
-        return own.worth <= allowed ? worth : worth * allowed / own.worth;
+        double allowed = terms.share() >= 1 || others <= 0 ? own.value : others * terms.share() / (1 - terms.share());
+        return own.value <= allowed ? value : value * allowed / own.value;
     }
 
     private static void fade(Claim claim, double now) {
-        claim.worth *= Math.exp(-Math.max(0, now - claim.at) / FADE_MS);
+        claim.value *= Math.exp(-Math.max(0, now - claim.at) / FADE_MS);
         claim.at = now;
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
+++ b/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
@@ -9,15 +9,15 @@
     private final transient HttpResponseStatus status;
     private final boolean last;
     private final double retryAfter;
-    private final double patience;
+    private final double maxWaitMs;
 
     private BadRequestException(
-            HttpResponseStatus status, String message, boolean last, double retryAfter, double patience) {
+            HttpResponseStatus status, String message, boolean last, double retryAfter, double maxWaitMs) {
         super(message, null, false, false);
         this.status = status;
         this.last = last;
         this.retryAfter = retryAfter;
-        this.patience = patience;
+        this.maxWaitMs = maxWaitMs;
     }
 
     /** One that its caller has got wrong; what else comes from there may be no better. */
@@ -31,12 +31,12 @@
     }
 
     /** One that was read well and is turned away; its connection goes on. */
-    public static BadRequestException turnedAway(HttpResponseStatus status, String message) {
+    public static BadRequestException rejected(HttpResponseStatus status, String message) {
         return new BadRequestException(status, message, false, 0, 0);
     }
 
     /** Likewise, and its caller ought to come back after so many ms. */
-    public static BadRequestException turnedAway(HttpResponseStatus status, String message, double retryAfter) {
+    public static BadRequestException rejected(HttpResponseStatus status, String message, double retryAfter) {
         return new BadRequestException(status, message, false, retryAfter, 0);
     }
 
@@ -56,8 +56,8 @@
     }
 
     /** For how many ms its request may be put off since it came, as what it asks for may be on its way. */
-    public double patience() {
-        return patience;
+    public double maxWaitMs() {
+        return maxWaitMs;
     }
 
     /** When to come back, in ms from now; 0 for no advice. */
--- a/src/main/java/sablehinge/dataplane/http1/FrontTerms.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontTerms.java
@@ -7,7 +7,7 @@
  * @param bodyBytes of a body, at most
  * @param requestMs in which a request that has begun, or a new connection's first, must be there
  * @param bytesPerMs a body has a ms more for each so many bytes
- * @param silentMs that a connection may stay without its first request
+ * @param firstRequestTimeoutMs that a connection may stay without its first request
  * @param idleMs that it may rest between two
  * @param keptBytes a body of up to so many is kept whole, so that it can be sent again,
  * @param keptInAll as long as so many bytes fit
@@ -18,7 +18,7 @@
         long bodyBytes,
         double requestMs,
         double bytesPerMs,
-        double silentMs,
+        double firstRequestTimeoutMs,
         double idleMs,
         int keptBytes,
         int keptInAll,
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -420,7 +420,7 @@
 
         private boolean isPutOff;
         /** The answer that is being written. */
-        private Answer said;
+        private Answer pendingAnswer;
 
         private String txn;
         /** The version under which it came, once it is read. */
@@ -482,7 +482,7 @@
                     tooSlow();
                 }
             } else if (age
-                    > (served ? dialect.terms().idleMs() : dialect.terms().silentMs())) {
+                    > (served ? dialect.terms().idleMs() : dialect.terms().firstRequestTimeoutMs())) {
                 closeIfIdle();
             }
         }
@@ -495,7 +495,7 @@
             if (held) {
                 woken++;
                 trace(TraceEvent.WOKEN, 0);
-                passed.pace(true);
+                passed.setWritable(true);
             }
             held = !held;
         }
@@ -684,11 +684,11 @@
             }
             coming.add(content.content());
             if (coming != null && content instanceof LastHttpContent) {
-                Relay whole = coming;
+                Relay complete = coming;
                 coming = null;
                 head = null;
                 body = null;
-                whole.end();
+                complete.end();
                 if (exchange != null) {
                     core.ended(exchange);
                 }
@@ -933,8 +933,8 @@
             }
             if (doubtful) {
                 // Its status must not promise that nothing has run.
-                said = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
-                write(dialect.status(said), Unpooled.EMPTY_BUFFER, 0);
+                pendingAnswer = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
+                write(dialect.status(pendingAnswer), Unpooled.EMPTY_BUFFER, 0);
                 return;
             }
             write(
@@ -949,7 +949,7 @@
                 pass(passing, answer);
                 return;
             }
-            said = answer;
+            pendingAnswer = answer;
             write(dialect.status(answer), dialect.content(answer).retain(), answer.retryAfter());
         }
 
@@ -965,8 +965,8 @@
             if (retryAfter > 0) {
                 response.headers().set("Retry-After", UpstreamClient.seconds(Math.ceil(retryAfter)));
             }
-            setHeaders(response, said);
-            said = null;
+            setHeaders(response, pendingAnswer);
+            pendingAnswer = null;
             writeLast(response);
         }
 
@@ -1010,7 +1010,7 @@
                 channel.flush();
             }
             if (passed != null) {
-                passed.pace(channel.isWritable());
+                passed.setWritable(channel.isWritable());
             }
         }
 
@@ -1053,7 +1053,7 @@
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             trace(channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, Outlet.unwritten(channel));
             if (passed != null) {
-                passed.pace(channel.isWritable());
+                passed.setWritable(channel.isWritable());
             }
             ctx.fireChannelWritabilityChanged();
         }
--- a/src/main/java/sablehinge/dataplane/http1/Payloads.java
+++ b/src/main/java/sablehinge/dataplane/http1/Payloads.java
@@ -14,11 +14,11 @@
     public static HttpMessage head(Payload payload) {
         return payload instanceof Passing passing
                 ? passing.head()
-                : payload instanceof HttpPayload whole ? whole.message() : null;
+                : payload instanceof HttpPayload complete ? complete.message() : null;
     }
 
     /** The whole body of a payload, lent; nothing where it passes through. */
     public static ByteBuf content(Payload payload) {
-        return payload instanceof HttpPayload whole ? whole.message().content() : Unpooled.EMPTY_BUFFER;
+        return payload instanceof HttpPayload complete ? complete.message().content() : Unpooled.EMPTY_BUFFER;
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/PlatformUpstream.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformUpstream.java
@@ -57,9 +57,9 @@
     @Override
     public Result judge(HttpResponse answer) {
         int status = answer.status().code();
-        boolean turnedAway =
+        boolean rejected =
                 (status == 503 || status == 504) && "1".equals(answer.headers().get("X-Turned-Away"));
-        return turnedAway ? Result.FULL : status == 200 ? Result.OK : Result.ERROR;
+        return rejected ? Result.FULL : status == 200 ? Result.OK : Result.ERROR;
     }
 
     @Override
--- a/src/main/java/sablehinge/dataplane/http1/Relay.java
+++ b/src/main/java/sablehinge/dataplane/http1/Relay.java
@@ -140,7 +140,7 @@
     }
 
     /** The writer can take more, or no more for now. */
-    void pace(boolean on) {
+    void setWritable(boolean on) {
         if (!over && !ended) {
             read(on);
         }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
@@ -155,7 +155,7 @@
     private static final class Target {
         Member member;
         /** When this balancer was told that it wants nothing new; NaN while it does. */
-        double toldOff = Double.NaN;
+        double drainingSince = Double.NaN;
         /** Whether it is on the list no more. */
         boolean gone;
 
@@ -202,7 +202,7 @@
             target.member = member;
             target.gone = false;
             if (member.upstream().state() == State.READY) {
-                target.toldOff = Double.NaN;
+                target.drainingSince = Double.NaN;
             } else {
                 tellOff(target, now);
             }
@@ -218,8 +218,8 @@
     }
 
     private void tellOff(Target target, double now) {
-        if (target != null && Double.isNaN(target.toldOff)) {
-            target.toldOff = now;
+        if (target != null && Double.isNaN(target.drainingSince)) {
+            target.drainingSince = now;
             target.closeIdle();
             if (dialect.terms().wary()) {
                 // It may be gone without a word: what has not been sent goes elsewhere once the module knows.
@@ -255,9 +255,9 @@
             return AttemptResult.without(result);
         }
         HttpMessage head = Payloads.head(payload);
-        boolean told = result == Result.OK || result == Result.ERROR && dialect.keeps(head);
+        boolean notified = result == Result.OK || result == Result.ERROR && dialect.keeps(head);
         return new AttemptResult(
-                result, told ? payload : Payload.NONE, dialect.report(head, settings), dialect.spent(head));
+                result, notified ? payload : Payload.NONE, dialect.report(head, settings), dialect.spent(head));
     }
 
     /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
@@ -275,10 +275,11 @@
                         (result, payload) -> end.accept(new AttemptResult(
                                 result,
                                 Payload.NONE,
-                                result != Result.OK || !(payload instanceof HttpPayload whole)
+                                result != Result.OK || !(payload instanceof HttpPayload complete)
                                         ? null
                                         : LoadReport.parse(
-                                                whole.message().content().toString(StandardCharsets.UTF_8), fields))))
+                                                complete.message().content().toString(StandardCharsets.UTF_8),
+                                                fields))))
                 .start(targets.get(upstream));
     }
 
@@ -309,16 +310,16 @@
         }
         // Whoever left long ago and holds nothing need not be remembered.
         double grace = settings.rules().drainGrace();
-        targets.values().removeIf(t -> t.gone && t.toldOff < now - 2 * grace && t.idle.isEmpty());
+        targets.values().removeIf(t -> t.gone && t.drainingSince < now - 2 * grace && t.idle.isEmpty());
     }
 
     /** Tells whether a connection to an address comes up within so many ms, and closes it. */
-    public void reach(InetSocketAddress address, int patience, Consumer<Boolean> end) {
+    public void reach(InetSocketAddress address, int connectTimeoutMs, Consumer<Boolean> end) {
         if (!sockets.roomForUpstream(clock.now())) {
             end.accept(false);
             return;
         }
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(1, patience));
+        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(1, connectTimeoutMs));
         ChannelFuture connect = bootstrap.connect(address);
         sockets.count(connect.channel());
         connect.addListener(up -> {
@@ -435,8 +436,8 @@
                 // A shortage here says nothing of the upstream.
                 end(state.ends(Event.NO_ROOM), Payload.NONE);
             } else {
-                int patience = (int) Math.max(1, terms.limits().connectTimeout());
-                bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, patience);
+                int connectTimeoutMs = (int) Math.max(1, terms.limits().connectTimeout());
+                bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
                 ChannelFuture connect = bootstrap.connect(to.member.address());
                 if (connect.cause() instanceof ChannelException) {
                     // There is no socket, for want of a descriptor.
@@ -472,7 +473,7 @@
             begunAt = now;
             rested = now - connection.idleSince;
             // NaN compares false: a ready upstream takes anything.
-            boolean drained = now >= target.toldOff + terms.rules().drainGrace();
+            boolean drained = now >= target.drainingSince + terms.rules().drainGrace();
             budget = grant == null ? null : grant.budget(now);
             boolean dead = grant != null && budget == null;
             if (drained
@@ -532,7 +533,7 @@
          */
         private AttemptState reached() {
             if (lastWrite != null && lastWrite.isSuccess()) {
-                state = state.wholeSent();
+                state = state.fullySent();
             }
             return state;
         }
@@ -559,7 +560,7 @@
          * without this, one that never reads again would hold both for good.
          */
         private void look() {
-            if (over || isWhole()) {
+            if (over || isComplete()) {
                 return;
             }
             if (!channel.isWritable() && clock.now() - movedAt > dialect.terms().stuckMs()) {
@@ -575,7 +576,7 @@
             if (!channel.isWritable()) {
                 channel.flush();
             }
-            passing.body().pace(channel.isWritable());
+            passing.body().setWritable(channel.isWritable());
         }
 
         @Override
@@ -600,7 +601,7 @@
         }
 
         /** Whether the system has taken all of the request. */
-        private boolean isWhole() {
+        private boolean isComplete() {
             AttemptState now = reached();
             return now == AttemptState.SENT || now == AttemptState.ANSWERING;
         }
@@ -800,7 +801,7 @@
         private long passed;
         private boolean reset;
         /** Whether it was told that the answer has begun. */
-        private boolean told;
+        private boolean notified;
 
         Connection(Channel channel) {
             this.channel = channel;
@@ -814,7 +815,7 @@
             carried = attempt;
             home = attempt.target;
             decoder.matched = 0;
-            told = false;
+            notified = false;
             informational = 0;
             checks = 0;
         }
@@ -823,7 +824,7 @@
         void park(Target target) {
             carried = null;
             home = target;
-            if (!Double.isNaN(target.toldOff)) {
+            if (!Double.isNaN(target.drainingSince)) {
                 channel.close();
                 return;
             }
@@ -886,10 +887,10 @@
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (carried != null
                     && head != null
-                    && !told
+                    && !notified
                     && dialect.passable(head)
                     && dialect.answers(carried.request, head)) {
-                told = true;
+                notified = true;
                 carried.begun();
             }
             if (amid && (carried != null || relay != null) && check == null) {
@@ -953,7 +954,7 @@
                 if (relay != null) {
                     pass(content);
                 } else if (content instanceof LastHttpContent && head != null) {
-                    whole();
+                    complete();
                 }
             }
         }
@@ -977,7 +978,7 @@
             Attempt attempt = carried;
             if (attempt == null
                     || attempt.over
-                    || !attempt.isWhole()
+                    || !attempt.isComplete()
                     || !channel.isActive()
                     || !dialect.passable(head)
                     || !dialect.answers(attempt.request, head)) {
@@ -1044,7 +1045,7 @@
             dropped.release();
         }
 
-        private void whole() {
+        private void complete() {
             HttpResponse answer = head;
             FullHttpResponse response = new DefaultFullHttpResponse(
                     answer.protocolVersion(), answer.status(), body, answer.headers(), EmptyHttpHeaders.INSTANCE);
@@ -1052,13 +1053,13 @@
             boolean delimited = endsWithConnection();
             head = null;
             try {
-                whole(response, delimited);
+                complete(response, delimited);
             } finally {
                 response.release();
             }
         }
 
-        private void whole(FullHttpResponse response, boolean delimited) {
+        private void complete(FullHttpResponse response, boolean delimited) {
             endMessage();
             if (carried != null && !channel.isActive() && !delimited) {
                 // What the end of the connection completes is no answer: a crash would look like that too.
@@ -1089,7 +1090,8 @@
             }
             Attempt attempt = carried;
             carried = null;
-            boolean keep = !attempt.over && attempt.isWhole() && HttpUtil.isKeepAlive(response) && !decoder.holdsMore();
+            boolean keep =
+                    !attempt.over && attempt.isComplete() && HttpUtil.isKeepAlive(response) && !decoder.holdsMore();
             attempt.answered(response, new HttpPayload(response));
             // Only now: the module's next send must not read from a connection that is being read.
             if (keep && channel.isActive()) {
@@ -1104,7 +1106,7 @@
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             trace(channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, Outlet.unwritten(channel));
             if (carried != null && carried.passing != null) {
-                carried.passing.body().pace(channel.isWritable());
+                carried.passing.body().setWritable(channel.isWritable());
             }
             ctx.fireChannelWritabilityChanged();
         }
--- a/src/main/java/sablehinge/dataplane/proxy/AttemptState.java
+++ b/src/main/java/sablehinge/dataplane/proxy/AttemptState.java
@@ -59,7 +59,7 @@
     }
 
     /** The state once the last byte of the request has gone. */
-    public AttemptState wholeSent() {
+    public AttemptState fullySent() {
         return switch (this) {
             case UNSENT, PARTLY_SENT, SENT -> SENT;
             case ANSWERED_EARLY, ANSWERING -> ANSWERING;
--- a/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
@@ -17,7 +17,7 @@
 
     private static final int MOST_LOOPS = 64;
 
-    final AttemptBudgets purses;
+    final AttemptBudgets attemptBudgets;
     final MinimumTime least = new MinimumTime();
     /** Whether it is clients of outside that call here, whose word on budgets counts for nothing. */
     final boolean entry;
@@ -47,7 +47,7 @@
             long seed,
             Consumer<String> report) {
         shedder = shed == null ? null : new LoadShedder(shed, seed);
-        purses = new AttemptBudgets(terms, service, seed);
+        attemptBudgets = new AttemptBudgets(terms, service, seed);
         this.entry = entry;
         this.report = report;
     }
@@ -75,7 +75,7 @@
         String caller = admission.path().size() < 2
                 ? "tenant " + arrival.tenant()
                 : Long.toHexString(admission.path().get(admission.path().size() - 2));
-        return shedder.admits(now, caller, admission.call().worth(), arrival.cost() > 0 ? arrival.cost() : 1);
+        return shedder.admits(now, caller, admission.call().value(), arrival.cost() > 0 ? arrival.cost() : 1);
     }
 
     /** How an attempt ended: what is late, or was turned away by a full server, tells of too much work. */
--- a/src/main/java/sablehinge/dataplane/proxy/Core.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Core.java
@@ -71,10 +71,10 @@
     }
 
     /** Begins to decide with a first version and the servers as they were last known. */
-    public void start(Version first, long seed, Roster known, Transport carriesOut, Registry source) {
+    public void start(Version first, long seed, Roster known, Transport attemptTransport, Registry source) {
         version = first;
         live.put(first.number(), new Live(first));
-        transport = carriesOut;
+        transport = attemptTransport;
         registry = source;
         transport.adopt(first);
         transport.update(known);
@@ -124,8 +124,8 @@
      * Servers that a source which is not the current one's says are draining or gone: requests of an older version must
      * not go there either.
      */
-    public void warn(Roster toldOff) {
-        transport.update(toldOff);
+    public void warn(Roster draining) {
+        transport.update(draining);
     }
 
     /** How many versions there are under which requests arrive, may arrive again, or are at work. */
@@ -222,7 +222,7 @@
     }
 
     /** What has become of a call to the registry; the list is null if it failed. */
-    public void told(Change change, Roster roster) {
+    public void onRosterChanged(Change change, Roster roster) {
         List<Upstream> upstreams = roster == null ? List.of() : roster.upstreams();
         tracer.note(TraceEvent.SERVERS, 0, 0, roster == null ? -1 : upstreams.size());
         if (roster != null) {
@@ -267,7 +267,7 @@
         setWaiting(exchange);
         for (Transport.Attempt attempt : exchange.attempts) {
             if (attempt != null) {
-                attempt.waitUntil(now + exchange.patience);
+                attempt.waitUntil(now + exchange.queueTimeoutMs);
             }
         }
     }
@@ -291,15 +291,15 @@
         Arrival arrival = given;
         AttemptBudgets.Call budget = null;
         if (budgets != null && given.budget() != null) {
-            double worth =
-                    arrivedUnder.settings().classes().get(given.serviceClass()).worth();
-            AttemptBudgets.Admission admission = budgets.purses.arrive(
+            double value =
+                    arrivedUnder.settings().classes().get(given.serviceClass()).value();
+            AttemptBudgets.Admission admission = budgets.attemptBudgets.arrive(
                     clock.now(),
                     given.budget(),
                     budgets.entry,
                     given.deadline() - clock.now(),
                     budgets.waited(clock.now()),
-                    worth);
+                    value);
             if (admission.call() != null && !budgets.admits(clock.now(), given, admission)) {
                 return shed(admission, arrivedUnder, given, payload, caller);
             }
@@ -336,7 +336,7 @@
                         Answer.Kind.REFUSED,
                         Payload.NONE,
                         limits.retryAfter() ? limits.maxRetryAfter() : 0,
-                        budgets.purses.close(admission.call(), false),
+                        budgets.attemptBudgets.close(admission.call(), false),
                         List.of()));
         payload.release();
         return exchange;
@@ -478,9 +478,9 @@
         tracer.note(TraceEvent.ATTEMPT_ENDED, 0, exchange.id, end.result().ordinal());
         AttemptBudgets.Grant grant = number < exchange.grants.size() ? exchange.grants.get(number) : null;
         if (grant != null && end.result().neverRan()) {
-            budgets.purses.neverRan(grant);
+            budgets.attemptBudgets.neverRan(grant);
         } else if (grant != null) {
-            budgets.purses.over(grant, end.spent(), end.result() == Result.OK);
+            budgets.attemptBudgets.over(grant, end.spent(), end.result() == Result.OK);
         }
         if (grant != null && end.result() != Result.NOT_SENT && end.result() != Result.CANCELLED) {
             budgets.ended(clock.now(), Math.max(sentAt, exchange.endedAt), exchange.deadline, end.result());
@@ -512,7 +512,7 @@
     private void settle(Exchange exchange) {
         if (!exchange.isOpen() && exchange.running == 0 && exchanges.remove(exchange.id) != null) {
             if (exchange.budget != null) {
-                budgets.purses.close(exchange.budget, false);
+                budgets.attemptBudgets.close(exchange.budget, false);
             }
             exchange.request.release();
             exchange.failed(Payload.NONE);
@@ -546,7 +546,7 @@
         }
         AttemptBudgets.Grant grant = null;
         if (exchange.budget != null) {
-            grant = budgets.purses.take(
+            grant = budgets.attemptBudgets.take(
                     exchange.budget,
                     now,
                     exchange.version
@@ -565,7 +565,7 @@
         }
         double deadline = exchange.coming ? now + exchange.remaining : exchange.deadline;
         double until = timeout == 0 ? deadline : Math.min(deadline, now + timeout);
-        exchange.patience = until - now;
+        exchange.queueTimeoutMs = until - now;
         Sent sent = new Sent(exchange, number, upstream, now);
         if (extras != null && exchange.reached > 0) {
             Waiting waiting = new Waiting(sent, until);
@@ -679,7 +679,7 @@
                                         .get(exchange.serviceClass)
                                         .repeat()
                                 != LoadBalancer.Repeat.AT_MOST_ONCE;
-        return budgets.purses.close(exchange.budget, again);
+        return budgets.attemptBudgets.close(exchange.budget, again);
     }
 
     @Override
--- a/src/main/java/sablehinge/dataplane/proxy/Exchange.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Exchange.java
@@ -30,7 +30,7 @@
     boolean coming;
 
     final double remaining;
-    double patience;
+    double queueTimeoutMs;
     /** When it had come to its end, before which no attempt is measured. */
     double endedAt = Double.NEGATIVE_INFINITY;
     /** Its budget, and what each attempt was granted of it; null where budgets are off. */
--- a/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
@@ -27,7 +27,7 @@
     /** How long an upstream that has started may be slow, at most; beats tell how much of it is left. */
     static final double WARM_UP_MS = 3_000;
 
-    private static final double LATE_WORTH = 0.3;
+    private static final double LATE_VALUE = 0.3;
     /** Growth of l across zones: a body of 60 kB costs more than its way, a small one next to nothing. */
     private static final double BULKY = 30;
 
@@ -56,7 +56,7 @@
 
         /** The place of a node: nobody numbers them, so its name does. */
         static Place of(String node, int zone, int zones) {
-            return new Place((int) Math.floorMod(MeshHeaders.life(node), POSITIONS), zone, zones);
+            return new Place((int) Math.floorMod(MeshHeaders.incarnation(node), POSITIONS), zone, zones);
         }
     }
 
@@ -75,7 +75,7 @@
                 0,
                 600_000,
                 1,
-                LATE_WORTH,
+                LATE_VALUE,
                 Repeat.AT_MOST_ONCE,
                 Group.ALL,
                 0,
@@ -116,14 +116,14 @@
                 String name = name(route, share.service());
                 if (classes.putIfAbsent(name, names.size()) == null) {
                     names.add(name);
-                    double worth = route.priority() <= 1 ? 2 : 1;
+                    double value = route.priority() <= 1 ? 2 : 1;
                     types.add(new ServiceClass(
                             name,
                             route.targetMs(),
                             0,
                             Math.max(route.timeoutMs(), route.targetMs()),
-                            worth,
-                            LATE_WORTH,
+                            value,
+                            LATE_VALUE,
                             route.kind() == Configuration.Kind.SAFE ? Repeat.IDEMPOTENT : Repeat.AT_MOST_ONCE,
                             Group.ALL,
                             0,
--- a/src/main/java/sablehinge/dataplane/sidecar/HeartbeatPacket.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatPacket.java
@@ -11,10 +11,10 @@
  * A heartbeat of a balancer to one that watches over it.
  *
  * @param place of its name on the ring
- * @param life drawn anew with each start of its process
+ * @param incarnation drawn anew with each start of its process
  * @param number counts up in one life
  */
-record HeartbeatPacket(long place, int life, int number) {
+record HeartbeatPacket(long place, int incarnation, int number) {
 
     /** Of the format, first in each record. */
     private static final int VERSION = 1;
@@ -26,7 +26,7 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
             out.writeLong(place);
-            out.writeInt(life);
+            out.writeInt(incarnation);
             out.writeInt(number);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
@@ -22,7 +22,7 @@
     private String address;
     private String state;
     private int berths = 1;
-    private int coldMs;
+    private int warmUpMs;
     private long callCount;
 
     private HeartbeatReader() {}
@@ -56,7 +56,7 @@
                 case "address" -> address = text(in);
                 case "state" -> state = text(in);
                 case "berths" -> berths = in.getValueAsInt(1);
-                case "coldLeftMs" -> coldMs = in.getValueAsInt(0);
+                case "coldLeftMs" -> warmUpMs = in.getValueAsInt(0);
                 case "callCount" -> callCount = in.getValueAsLong(0);
                 default -> {
                     // What is not known here is skipped.
@@ -82,7 +82,7 @@
         }
         require("depot", service);
         return new Heartbeat(
-                id, service, unloading, Math.max(1, Math.min(MOST_BERTHS, berths)), Math.max(0, coldMs), callCount);
+                id, service, unloading, Math.max(1, Math.min(MOST_BERTHS, berths)), Math.max(0, warmUpMs), callCount);
     }
 
     private static void require(String name, String value) {
--- a/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -48,12 +48,19 @@
             throw new BadRequestException(MeshHeaders.DELIVER + " is missing");
         }
         double left = MeshHeaders.millis(headers, MeshHeaders.LEFT, 0);
-        double patience = MeshHeaders.millis(headers, MeshHeaders.PATIENCE, 0);
+        double queueTimeoutMs = MeshHeaders.millis(headers, MeshHeaders.QUEUE_TIMEOUT, 0);
         int rank = (int) MeshHeaders.millis(headers, MeshHeaders.RANK, 0);
-        headers.remove(MeshHeaders.PATIENCE).remove(MeshHeaders.RANK);
+        headers.remove(MeshHeaders.QUEUE_TIMEOUT).remove(MeshHeaders.RANK);
         return new Checked(
                 "",
-                new Arrival(0, rank, MeshHeaders.life(meant), cameAt + left, Math.min(patience, left), false, false),
+                new Arrival(
+                        0,
+                        rank,
+                        MeshHeaders.incarnation(meant),
+                        cameAt + left,
+                        Math.min(queueTimeoutMs, left),
+                        false,
+                        false),
                 core.version());
     }
 
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshHeaders.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshHeaders.java
@@ -16,7 +16,7 @@
     static final String STAMP = "Sablehinge-Postmark";
     static final String NOT_RUN = "Sablehinge-Not-Run";
     /** Between balancers: how long the request may wait for a slot, in ms, and its rank. */
-    static final String PATIENCE = "Sablehinge-Patience";
+    static final String QUEUE_TIMEOUT = "Sablehinge-Patience";
 
     static final String RANK = "Sablehinge-Rank";
     /** Between balancers: what is known of the request; and where its upstream is leaving, that. */
@@ -56,7 +56,7 @@
     }
 
     /** A life of an upstream as a number. */
-    static long life(String upstream) {
+    static long incarnation(String upstream) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < upstream.length(); i++) {
             hash = (hash ^ upstream.charAt(i)) * 0x100000001b3L;
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
@@ -29,22 +29,22 @@
 
     private final Clock clock;
     private final boolean toBalancers;
-    private final Runnable turnedAway;
+    private final Runnable onRejected;
 
     /** The dialect to other balancers. */
     MeshUpstream(Clock clock) {
         this(clock, true, () -> {});
     }
 
-    /** The dialect to the upstream of the own machine; {@code turnedAway} hears of each refusal there. */
-    MeshUpstream(Clock clock, Runnable turnedAway) {
-        this(clock, false, turnedAway);
+    /** The dialect to the upstream of the own machine; {@code onRejected} hears of each refusal there. */
+    MeshUpstream(Clock clock, Runnable onRejected) {
+        this(clock, false, onRejected);
     }
 
-    private MeshUpstream(Clock clock, boolean toBalancers, Runnable turnedAway) {
+    private MeshUpstream(Clock clock, boolean toBalancers, Runnable onRejected) {
         this.clock = clock;
         this.toBalancers = toBalancers;
-        this.turnedAway = turnedAway;
+        this.onRejected = onRejected;
     }
 
     @Override
@@ -61,8 +61,8 @@
         if (toBalancers) {
             headers.set(MeshHeaders.DELIVER, to.name());
             // Kept as the time until which it may wait, as it may be sent more than once.
-            double until = Double.parseDouble(headers.get(MeshHeaders.PATIENCE));
-            headers.set(MeshHeaders.PATIENCE, (long) Math.max(0, until - clock.now()));
+            double until = Double.parseDouble(headers.get(MeshHeaders.QUEUE_TIMEOUT));
+            headers.set(MeshHeaders.QUEUE_TIMEOUT, (long) Math.max(0, until - clock.now()));
         }
     }
 
@@ -73,9 +73,9 @@
 
     @Override
     public boolean answers(HttpRequest request, HttpResponse answer) {
-        String asked = request.headers().get(MeshHeaders.TRY);
+        String sentTryId = request.headers().get(MeshHeaders.TRY);
         String given = answer.headers().get(MeshHeaders.TRY);
-        return asked == null || given == null || asked.equals(given);
+        return sentTryId == null || given == null || sentTryId.equals(given);
     }
 
     /** Every answer of an upstream, and every one of ours to a request that was read, names its request. */
@@ -93,7 +93,7 @@
     public Result judge(HttpResponse answer) {
         Result result = verdict(answer);
         if (result == Result.FULL) {
-            turnedAway.run();
+            onRejected.run();
         }
         return result;
     }
