--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -29,17 +29,17 @@
     private static final FrontTerms FIRST =
             new FrontTerms(HEADER_BYTES, KEPT, 5_000, SLOWEST, 15_000, 15_000, KEPT, KEPT_IN_ALL, true);
     /** A client sends a body over a link, not from memory: its time is more than that of a head. */
-    private static final double LENIENT = 1.5;
+    private static final double READ_LENIENCY = 1.5;
     /** The part of its aim that a request may wait for a slot: after that its answer would come late. */
-    private static final double PATIENCE = 0.6;
+    private static final double QUEUE_TIME_SHARE = 0.6;
     /** How long a request waits at most for news that would let it in, in ms. */
-    private static final double WAITS_MS = 400;
+    private static final double MAX_HOLD_MS = 400;
     /** The part of its aim for which it may wait so: one that is refused later earns nothing by that. */
     private static final double HELD_OF_AIM = 0.2;
     /** The same of its client's time, where its aim is not known: aims are a seventh of that or more. */
     private static final double HELD_OF_TIME = HELD_OF_AIM / 7;
     /** Advice to who was refused for want of news, in ms: at least this, at most this part of its time. */
-    private static final double COME_BACK_MS = 300;
+    private static final double RETRY_AFTER_MS = 300;
 
     private static final double LATEST_RETURN = 0.3;
 
@@ -83,7 +83,7 @@
         terms = new FrontTerms(
                 Math.max(HEADER_BYTES / 4, limits.headerBytes()),
                 limits.bodyBytes(),
-                limits.headerMs() * LENIENT,
+                limits.headerMs() * READ_LENIENCY,
                 SLOWEST,
                 limits.idleMs(),
                 limits.idleMs(),
@@ -116,26 +116,26 @@
             firstCameAt = cameAt;
         }
         if (plan == null) {
-            throw withoutNews(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs()), now);
+            throw withoutConfiguration(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs()), now);
         }
         if (MeshHeaders.single(headers, MeshHeaders.TRY) == null) {
             throw new BadRequestException(MeshHeaders.TRY + " is missing");
         }
         RoutingTable.RouteMatch found = plan.find(MeshHeaders.single(headers, "Host"), request.uri());
         if (found == null) {
-            throw BadRequestException.turnedAway(HttpResponseStatus.NOT_FOUND, "no route")
+            throw BadRequestException.rejected(HttpResponseStatus.NOT_FOUND, "no route")
                     .heldFor(held(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs())));
         }
         Configuration.Route route = found.route();
         Configuration.Tenant tenant = plan.tenant(MeshHeaders.single(headers, MeshHeaders.KEY));
         if (plan.wantsKeys() && !route.open() && tenant == null) {
-            throw BadRequestException.turnedAway(HttpResponseStatus.UNAUTHORIZED, "unknown key")
+            throw BadRequestException.rejected(HttpResponseStatus.UNAUTHORIZED, "unknown key")
                     .heldFor(held(route));
         }
         double given = Math.min(route.timeoutMs(), MeshHeaders.millis(headers, MeshHeaders.LEFT, route.timeoutMs()));
         double left = given - (now - cameAt);
         if (left <= 0) {
-            throw BadRequestException.turnedAway(HttpResponseStatus.SERVICE_UNAVAILABLE, "its time is over");
+            throw BadRequestException.rejected(HttpResponseStatus.SERVICE_UNAVAILABLE, "its time is over");
         }
         if (tenant != null) {
             claim(tenant, route, left, now);
@@ -151,7 +151,7 @@
         if (tenant != null) {
             headers.set(MeshHeaders.SENDER, tenant.name());
         }
-        headers.set(MeshHeaders.PATIENCE, cameAt + PATIENCE * Math.min(route.targetMs(), given));
+        headers.set(MeshHeaders.QUEUE_TIMEOUT, cameAt + QUEUE_TIME_SHARE * Math.min(route.targetMs(), given));
         headers.set(MeshHeaders.RANK, rank);
         return new Checked(
                 "",
@@ -170,31 +170,31 @@
     private void claim(Configuration.Tenant tenant, Configuration.Route route, double left, double now)
             throws BadRequestException {
         Quotas.Claim claim = quotas.claim(now, tenant);
-        if (claim == Quotas.Claim.ASKED) {
+        if (claim == Quotas.Claim.REQUESTED) {
             // The answer of the tenant's pool is a round trip away.
-            throw BadRequestException.turnedAway(HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", COME_BACK_MS)
+            throw BadRequestException.rejected(HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", RETRY_AFTER_MS)
                     .heldFor(held(route));
         } else if (claim == Quotas.Claim.REFUSED) {
-            throw BadRequestException.turnedAway(
+            throw BadRequestException.rejected(
                     HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", Math.min(quotas.next(tenant), left));
         }
     }
 
     private static double held(Configuration.Route route) {
-        return Math.min(WAITS_MS, HELD_OF_AIM * route.targetMs());
+        return Math.min(MAX_HOLD_MS, HELD_OF_AIM * route.targetMs());
     }
 
     private static double held(double time) {
-        return Math.min(WAITS_MS, HELD_OF_TIME * time);
+        return Math.min(MAX_HOLD_MS, HELD_OF_TIME * time);
     }
 
     /**
      * Nothing has run, and it may be tried again once there is news: nobody knows when that will be, and what has taken
      * long already is likely to take as long again.
      */
-    private BadRequestException withoutNews(double time, double now) {
-        double comeBack = Math.max(COME_BACK_MS, now - firstCameAt);
-        return BadRequestException.turnedAway(
+    private BadRequestException withoutConfiguration(double time, double now) {
+        double comeBack = Math.max(RETRY_AFTER_MS, now - firstCameAt);
+        return BadRequestException.rejected(
                         HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "no configuration yet",
                         Math.min(comeBack, LATEST_RETURN * time))
@@ -213,17 +213,17 @@
         if (unknown && confirming.confirmedAt() >= cameAt) {
             return why;
         }
-        if (mayWait && now - cameAt < why.patience()) {
+        if (mayWait && now - cameAt < why.maxWaitMs()) {
             if (unknown) {
                 confirming.ask();
             }
             return null;
         }
         return unknown
-                ? BadRequestException.turnedAway(
+                ? BadRequestException.rejected(
                         HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "not known whether this is the newest configuration",
-                        COME_BACK_MS)
+                        RETRY_AFTER_MS)
                 : why;
     }
 
--- a/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
@@ -40,14 +40,14 @@
 
 /**
  * Sends beats to those that the ring names as watchers of this balancer, and watches over those that name it. Beats are
- * datagrams to the first of the inner ports, as many ticks apart as make {@link Monitor#BEAT_MS}. The loop of its
+ * datagrams to the first of the inner ports, as many ticks apart as make {@link Monitor#HEARTBEAT_MS}. The loop of its
  * balancer owns it.
  */
 final class PeerMonitor {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerMonitor.class);
     /** How long a suspect's machine has to take a connection or refuse it. */
-    private static final int REACH_MS = 200;
+    private static final int PROBE_CONNECT_TIMEOUT_MS = 200;
     /** Beats that can't be read are told of by the first and then each so many. */
     private static final long EACH_MALFORMED = 1_000;
 
@@ -59,14 +59,14 @@
     private final Bootstrap reaching;
     private final Map<String, Registration> known = new HashMap<>();
     /** Of whom the present keeper of the roll knows. */
-    private final Set<String> kept = new HashSet<>();
+    private final Set<String> registered = new HashSet<>();
 
     private final long place;
-    private final int life = ThreadLocalRandom.current().nextInt();
+    private final int incarnation = ThreadLocalRandom.current().nextInt();
     private HashRing hashRing = new HashRing(Map.of());
-    private List<InetSocketAddress> beatTo = List.of();
+    private List<InetSocketAddress> heartbeatTargets = List.of();
     private Channel channel;
-    private double beatAt = Double.NEGATIVE_INFINITY;
+    private double heartbeatSentAt = Double.NEGATIVE_INFINITY;
     private int number;
     private long malformed;
 
@@ -80,7 +80,7 @@
         reaching = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, REACH_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, PROBE_CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInboundHandlerAdapter());
     }
 
@@ -111,11 +111,11 @@
     }
 
     /** The keeper of the roll has told of some, or of all that it knows of. */
-    void told(Update told) {
-        if (told.whole()) {
-            kept.clear();
+    void onUpdate(Update update) {
+        if (update.full()) {
+            registered.clear();
         }
-        told.registrations().forEach(registration -> kept.add(registration.node()));
+        update.registrations().forEach(registration -> registered.add(registration.node()));
     }
 
     /** Who is on the roll now. */
@@ -129,9 +129,10 @@
             }
         }
         hashRing = new HashRing(zones);
-        beatTo = new ArrayList<>();
+        heartbeatTargets = new ArrayList<>();
         hashRing.watchers(settings.node())
-                .forEach(watcher -> beatTo.add(new InetSocketAddress(at(watcher).getAddress(), settings.innerFirst())));
+                .forEach(watcher ->
+                        heartbeatTargets.add(new InetSocketAddress(at(watcher).getAddress(), settings.innerFirst())));
         watch.over(clock.now(), hashRing.watched(settings.node()));
     }
 
@@ -145,11 +146,11 @@
     void tick() {
         double now = clock.now();
         // A tick may come a little early: half a tick before its time is time enough.
-        if (channel != null && now - beatAt >= Monitor.BEAT_MS - Sidecar.TICK_MS / 2.0) {
-            beatAt = now;
-            byte[] beat = new HeartbeatPacket(place, life, ++number).bytes();
-            for (InetSocketAddress to : beatTo) {
-                channel.write(new DatagramPacket(Unpooled.wrappedBuffer(beat), to));
+        if (channel != null && now - heartbeatSentAt >= Monitor.HEARTBEAT_MS - Sidecar.TICK_MS / 2.0) {
+            heartbeatSentAt = now;
+            byte[] heartbeat = new HeartbeatPacket(place, incarnation, ++number).bytes();
+            for (InetSocketAddress to : heartbeatTargets) {
+                channel.write(new DatagramPacket(Unpooled.wrappedBuffer(heartbeat), to));
             }
             channel.flush();
         }
@@ -157,15 +158,15 @@
     }
 
     /** Whom this balancer accuses now. */
-    List<Suspicion> accusations() {
-        return watch.accusations();
+    List<Suspicion> suspicions() {
+        return watch.suspicions();
     }
 
     /** Whom this balancer hears and the keeper of the roll does not know of: new, or cut off from it. */
     List<Registration> vouched() {
         List<Registration> vouched = new ArrayList<>();
-        for (String node : watch.hears()) {
-            if (!kept.contains(node)) {
+        for (String node : watch.heardPeers()) {
+            if (!registered.contains(node)) {
                 vouched.add(known.get(node));
             }
         }
@@ -214,7 +215,7 @@
             try {
                 HeartbeatPacket pulse = HeartbeatPacket.read(bytes);
                 String node = hashRing.at(pulse.place());
-                if (node != null && watch.heard(clock.now(), node, pulse.life(), pulse.number())) {
+                if (node != null && watch.heard(clock.now(), node, pulse.incarnation(), pulse.number())) {
                     Log.info(LOG, "hears-again").addKeyValue("peer", node).log("a balancer is heard again");
                     update.run();
                 }
--- a/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
@@ -13,7 +13,7 @@
 final class Quotas {
 
     /** How long an answer from the pool is waited for, and how long an empty one is not asked again, in ms. */
-    private static final double PATIENCE_MS = 60;
+    private static final double POOL_TIMEOUT_MS = 60;
 
     private static final double EMPTY_MS = 100;
     private static final double FIRST = 0.5;
@@ -24,7 +24,7 @@
     private static final int MOST_AT_ONCE = 20;
     private static final double KEPT = 0.5;
     /** Balancers that are reckoned with until a complete roster has told how many there are. */
-    private static final int RECKONED = 16;
+    private static final int ASSUMED_BALANCERS = 16;
     /**
      * For so long after another leader has begun, in ms, no fewer are reckoned with than before it: who is cut off from
      * it may be on no roster of its, and goes on with its part.
@@ -34,27 +34,27 @@
     private final LocalSettings.Bounds bounds;
     private final ObjIntConsumer<String> pool;
     private final Map<String, TenantMeter> metered = new HashMap<>();
-    private int least = RECKONED;
+    private int least = ASSUMED_BALANCERS;
     /** Whether the last roster was complete; one that is not begins another leader's. */
-    private boolean whole;
+    private boolean wasComplete;
 
     private int held = 1;
     private double heldUntil = Double.NEGATIVE_INFINITY;
-    private int balancers = RECKONED;
+    private int balancers = ASSUMED_BALANCERS;
 
     /** What became of a request's claim on its tenant's quota. */
     enum Claim {
         GRANTED,
-        ASKED,
+        REQUESTED,
         REFUSED
     }
 
     private static final class TenantMeter {
         Quota quota;
         final Bucket bucket = new Bucket(FIRST);
-        double askedAt = Double.NEGATIVE_INFINITY;
+        double requestedAt = Double.NEGATIVE_INFINITY;
         double emptyUntil = Double.NEGATIVE_INFINITY;
-        boolean asked;
+        boolean requested;
         double claims;
         double claimedAt;
 
@@ -98,11 +98,11 @@
      * @param complete whether all that live are on it
      */
     void divide(double now, int size, boolean complete) {
-        if (whole && !complete) {
+        if (wasComplete && !complete) {
             held = now < heldUntil ? Math.max(held, least) : least;
             heldUntil = now + HELD_MS;
         }
-        whole = complete;
+        wasComplete = complete;
         if (complete) {
             least = Math.max(1, size);
         }
@@ -117,7 +117,7 @@
     Claim claim(double now, Configuration.Tenant tenant) {
         TenantMeter one = metered.get(tenant.name());
         if (one != null) {
-            one.claims = one.claims(now) + (one.asked ? 0 : 1);
+            one.claims = one.claims(now) + (one.requested ? 0 : 1);
             one.claimedAt = now;
         }
         if (one == null || one.bucket.take(now, 1) == 1) {
@@ -126,17 +126,17 @@
         if (now < one.emptyUntil) {
             return Claim.REFUSED;
         }
-        if (!one.asked) {
-            one.asked = true;
-            one.askedAt = now;
+        if (!one.requested) {
+            one.requested = true;
+            one.requestedAt = now;
             pool.accept(tenant.name(), (int) Math.max(1, Math.min(MOST_AT_ONCE, AHEAD * one.claims(now))));
-        } else if (now - one.askedAt > PATIENCE_MS) {
+        } else if (now - one.requestedAt > POOL_TIMEOUT_MS) {
             // Nobody answers: what the even part brings has to do.
-            one.asked = false;
+            one.requested = false;
             one.emptyUntil = now + EMPTY_MS;
             return Claim.REFUSED;
         }
-        return Claim.ASKED;
+        return Claim.REQUESTED;
     }
 
     /** In how many ms a token comes by itself. */
@@ -154,8 +154,8 @@
     /** The pool has answered. */
     void given(double now, String tenant, int count) {
         TenantMeter one = metered.get(tenant);
-        if (one != null && one.asked) {
-            one.asked = false;
+        if (one != null && one.requested) {
+            one.requested = false;
             one.bucket.add(count);
             if (count == 0) {
                 one.emptyUntil = now + EMPTY_MS;
--- a/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
@@ -32,11 +32,11 @@
         this.claims = claims;
         node = settings.node();
         depot = settings.depot();
-        long life = MeshHeaders.life(node + " " + System.currentTimeMillis() + " " + System.nanoTime());
+        long incarnation = MeshHeaders.incarnation(node + " " + System.currentTimeMillis() + " " + System.nanoTime());
         LocalSettings.Bounds bounds = settings.bounds();
         shares = new RetryBudgetShares(
                 new RetryBudgetRule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()),
-                life,
+                incarnation,
                 depot);
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Which balancers there are, at least so many: the places are by their names. */
-    void divide(Collection<Registration> registry, int reckoned) {
+    void divide(Collection<Registration> registry, int assumedBalancers) {
         int place = 0;
         int among = 0;
         for (Registration registration : registry) {
@@ -57,7 +57,7 @@
                 place += registration.node().compareTo(node) < 0 ? 1 : 0;
             }
         }
-        shares.place(place, Math.max(place + 1, Math.max(among, reckoned)));
+        shares.place(place, Math.max(place + 1, Math.max(among, assumedBalancers)));
     }
 
     /** A request has come; where requests need a key, one without any is a call of the upstream beside. */
@@ -70,7 +70,7 @@
     }
 
     /** The upstream beside has turned away what had arrived there. */
-    void turnedAway() {
+    void rejected() {
         shares.arrived(depot);
     }
 
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -56,19 +56,19 @@
     private static final int PAGE = 8_192;
     private static final int CHUNK_ORDER = 7;
     private static final int CACHED = 32;
-    private static final long PING_MS = 300;
-    private static final long DEAD_MS = 1_200;
+    private static final long PING_INTERVAL_MS = 300;
+    private static final long CONNECTION_TIMEOUT_MS = 1_200;
     static final long TICK_MS = 100;
-    private static final int MOST_BEAT = 64 * 1024;
+    private static final int MAX_HEARTBEAT_BYTES = 64 * 1024;
     /** After SIGTERM: how long clients may not have heard yet, and what is kept of the grace to end. */
-    private static final double UNHEARD_MS = 2_300;
+    private static final double READINESS_NOTICE_MS = 2_300;
     /** Of that, the last part, in which the other balancers are told to draw this upstream no more. */
-    private static final double TOLD_MS = 500;
+    private static final double DRAIN_NOTICE_MS = 500;
 
-    private static final double ENDS_BEFORE_MS = 600;
+    private static final double SHUTDOWN_RESERVE_MS = 600;
     private static final long DRAIN_CHECK_MS = 20;
     /** Balancers that are reckoned with for further tries until the roll is complete. */
-    private static final int RECKONED = 16;
+    private static final int ASSUMED_BALANCERS = 16;
 
     private static final Registry NO_REGISTRY = new Registry() {
         @Override
@@ -94,7 +94,7 @@
     private final OutboundFront routes;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
-    private final WatchClient update;
+    private final WatchClient watchClient;
     private final PeerMonitor watchers;
     private final List<String> zones;
     private final Map<String, Integer> kinds = BalancerSettings.kinds();
@@ -105,8 +105,8 @@
     private final Map<Integer, Version> versions = new HashMap<>();
     private Version version;
     private long edition;
-    private long rollTerm;
-    private long rollStamp;
+    private long registryTerm;
+    private long registryStamp;
     private boolean wantsConfirmation = true;
     private double confirmedAt = Double.NEGATIVE_INFINITY;
     private boolean leaving;
@@ -133,7 +133,7 @@
             return admission;
         });
         lifecycle = new UpstreamLifecycle(
-                admission, MeshHeaders::life, settings.bounds().unloadMs(), settings.beatMs());
+                admission, MeshHeaders::incarnation, settings.bounds().unloadMs(), settings.heartbeatMs());
         routes = new OutboundFront(
                 settings.depot(),
                 quotas,
@@ -143,7 +143,7 @@
                     public void ask() {
                         if (!wantsConfirmation) {
                             wantsConfirmation = true;
-                            update.askNow();
+                            watchClient.requestNow();
                         }
                     }
 
@@ -157,7 +157,7 @@
         inFront = new Frontend(loop, sockets, memory, inbound, new InboundFront(inbound));
         UpstreamClient peers = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
         UpstreamClient app =
-                new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, retryBudget::turnedAway));
+                new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, retryBudget::rejected));
         Version first = BalancerSettings.gate();
         Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
         inbound.start(
@@ -170,9 +170,13 @@
         versions.put(0, version);
         outbound.bound(retryBudget);
         outbound.start(version, System.nanoTime(), new Roster(0, true, List.of()), peers, NO_REGISTRY);
-        update = new WatchClient(
-                loop, clock, new Connection(loop, PING_MS, DEAD_MS), contacts(settings), new WatchListener());
-        watchers = new PeerMonitor(loop, clock, settings, update::askNow);
+        watchClient = new WatchClient(
+                loop,
+                clock,
+                new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS),
+                contacts(settings),
+                new WatchListener());
+        watchers = new PeerMonitor(loop, clock, settings, watchClient::requestNow);
     }
 
     /** Starts a balancer where nobody listens yet. */
@@ -194,19 +198,20 @@
         try {
             loop.submit(() -> {
                         sidecar.outFront.adopt(listening.outbound());
-                        sidecar.update.start();
+                        sidecar.watchClient.start();
                     })
                     .sync();
             sidecar.inFront.bind(ListeningSockets.address(at.inbound()), false);
             new ApiServer(
                             loop,
                             List.of(
-                                    UpstreamCalls.beats(settings.app(), sidecar::heard),
-                                    UpstreamCalls.signOffs(sidecar::signedOff)),
-                            MOST_BEAT)
+                                    UpstreamCalls.heartbeats(settings.app(), sidecar::handleHeartbeat),
+                                    UpstreamCalls.signOffs(sidecar::handleSignOff)),
+                            MAX_HEARTBEAT_BYTES)
                     .adopt(listening.control());
             sidecar.watchers.listen();
-            sidecar.opens(new ApiServer(loop, List.of(new Readiness(sidecar::isReady)), MOST_BEAT), at.ready());
+            sidecar.opens(
+                    new ApiServer(loop, List.of(new Readiness(sidecar::isReady)), MAX_HEARTBEAT_BYTES), at.ready());
         } catch (IOException e) {
             throw new ConfigException(e.getMessage());
         }
@@ -233,30 +238,30 @@
 
     // ---- The upstream beside -------------------------------------------------------------------------
 
-    private void heard(UpstreamLifecycle.Heartbeat beat) {
+    private void handleHeartbeat(UpstreamLifecycle.Heartbeat heartbeat) {
         double now = clock.now();
         UpstreamLifecycle.Heartbeat before = lifecycle.present();
         double closed = lifecycle.closesAt();
-        if (lifecycle.heard(now, beat)) {
-            update.askNow();
+        if (lifecycle.handleHeartbeat(now, heartbeat)) {
+            watchClient.requestNow();
         }
-        if (before == null || !before.id().equals(beat.id())) {
+        if (before == null || !before.id().equals(heartbeat.id())) {
             Log.info(LOG, "upstream")
-                    .addKeyValue("id", beat.id())
-                    .addKeyValue("berths", beat.berths())
-                    .addKeyValue("unloading", beat.unloading())
+                    .addKeyValue("id", heartbeat.id())
+                    .addKeyValue("berths", heartbeat.berths())
+                    .addKeyValue("unloading", heartbeat.unloading())
                     .addKeyValue("after-ms", (long) (now - startedListeningAt))
                     .log("an upstream is heard");
         }
         if (lifecycle.closesAt() < closed) {
-            leaves(beat.id(), lifecycle.closesAt() - now);
+            leaves(heartbeat.id(), lifecycle.closesAt() - now);
         }
     }
 
-    private void signedOff(UpstreamCalls.SignOff call) {
-        if (lifecycle.signedOff(clock.now(), call.id())) {
+    private void handleSignOff(UpstreamCalls.SignOff call) {
+        if (lifecycle.handleSignOff(clock.now(), call.id())) {
             leaves(call.id(), 0);
-            update.askNow();
+            watchClient.requestNow();
         }
     }
 
@@ -270,7 +275,7 @@
         retryBudget.tick();
         watchers.tick();
         if (lifecycle.tick(clock.now())) {
-            update.askNow();
+            watchClient.requestNow();
         }
     }
 
@@ -284,15 +289,15 @@
                 present == null ? "" : present.id(),
                 lifecycle.isReady() && !shuts,
                 present == null ? 0 : present.berths(),
-                present == null ? 0 : present.coldMs());
+                present == null ? 0 : present.warmUpMs());
     }
 
     private void claim(Frame frame) {
-        update.shares(frame);
+        watchClient.shares(frame);
     }
 
     private void askPool(String tenant, int count) {
-        update.tokens(new Tokens(tenant, count));
+        watchClient.tokens(new Tokens(tenant, count));
     }
 
     // ---- Update ----------------------------------------------------------------------------------------
@@ -305,25 +310,25 @@
                     number,
                     self(),
                     edition,
-                    rollTerm,
-                    rollStamp,
+                    registryTerm,
+                    registryStamp,
                     wantsConfirmation,
-                    watchers.accusations(),
+                    watchers.suspicions(),
                     watchers.vouched());
         }
 
         @Override
-        public void update(double askedAt, Update told) throws IOException {
+        public void update(double requestedAt, Update update) throws IOException {
             double now = clock.now();
-            quotas.divide(now, told.size(), told.complete());
-            if (told.edition() > edition && told.body().length > 0) {
-                adopt(now, told.edition(), PackedConfiguration.unpack(told.body()));
+            quotas.divide(now, update.size(), update.complete());
+            if (update.edition() > edition && update.body().length > 0) {
+                adopt(now, update.edition(), PackedConfiguration.unpack(update.body()));
             }
-            if (told.confirmed()) {
-                confirmedAt = Math.max(confirmedAt, askedAt);
+            if (update.confirmed()) {
+                confirmedAt = Math.max(confirmedAt, requestedAt);
                 wantsConfirmation = false;
             }
-            enter(now, told);
+            enter(now, update);
         }
 
         @Override
@@ -364,24 +369,24 @@
                 .log("a configuration is in force here");
     }
 
-    private void enter(double now, Update told) {
-        if (told.term() < rollTerm) {
+    private void enter(double now, Update update) {
+        if (update.term() < registryTerm) {
             return;
         }
-        boolean changed = !told.registrations().isEmpty();
-        if (told.whole() && told.complete()) {
-            changed |= registry.size() != told.registrations().size();
+        boolean changed = !update.registrations().isEmpty();
+        if (update.full() && update.complete()) {
+            changed |= registry.size() != update.registrations().size();
             registry.clear();
         }
-        watchers.told(told);
-        rollTerm = told.term();
-        rollStamp = told.stamp();
-        for (Registration registration : told.registrations()) {
+        watchers.onUpdate(update);
+        registryTerm = update.term();
+        registryStamp = update.stamp();
+        for (Registration registration : update.registrations()) {
             registry.put(registration.node(), registration);
         }
-        retryBudget.divide(registry.values(), told.complete() ? 1 : RECKONED);
+        retryBudget.divide(registry.values(), update.complete() ? 1 : ASSUMED_BALANCERS);
         if (changed) {
-            outbound.told(Change.FULL, roster(now));
+            outbound.onRosterChanged(Change.FULL, roster(now));
             watchers.registry(registry.values());
         }
     }
@@ -395,12 +400,12 @@
                     && kind < version.settings().kinds()) {
                 double began = startedAt.computeIfAbsent(
                         registration.upstream(),
-                        id -> registration.coldMs() > 0
-                                ? now + registration.coldMs() - BalancerSettings.WARM_UP_MS
+                        id -> registration.warmUpMs() > 0
+                                ? now + registration.warmUpMs() - BalancerSettings.WARM_UP_MS
                                 : 0);
                 members.add(new Member(
                         new Upstream(
-                                MeshHeaders.life(registration.upstream()),
+                                MeshHeaders.incarnation(registration.upstream()),
                                 Math.max(0, zones.indexOf(registration.zone())),
                                 kind,
                                 0,
@@ -413,13 +418,13 @@
         }
         // A set: a list would be walked for each of them, of whom there may be hundreds.
         startedAt.keySet().retainAll(members.stream().map(Member::name).collect(Collectors.toSet()));
-        return new Roster(rollStamp, true, members);
+        return new Roster(registryStamp, true, members);
     }
 
     /** Takes over what may change while it runs: where the core may be. */
     public void reload(LocalSettings next) {
         loop.execute(() -> {
-            update.seeds(contacts(next));
+            watchClient.seeds(contacts(next));
             Log.info(LOG, "settings").addKeyValue("seeds", next.seeds().size()).log("the settings were read again");
         });
     }
@@ -444,13 +449,13 @@
                 .sync();
         // Its upstream is well: it serves the others until the door is about to shut, since while balancers
         // are stopped in turn each of them is out for longer than the next one waits.
-        TimeUnit.MILLISECONDS.sleep((long) (UNHEARD_MS - TOLD_MS));
+        TimeUnit.MILLISECONDS.sleep((long) (READINESS_NOTICE_MS - DRAIN_NOTICE_MS));
         loop.submit(() -> {
                     shuts = true;
-                    update.askNow();
+                    watchClient.requestNow();
                 })
                 .sync();
-        TimeUnit.MILLISECONDS.sleep((long) TOLD_MS);
+        TimeUnit.MILLISECONDS.sleep((long) DRAIN_NOTICE_MS);
         // Whoever comes from here on finds no one, rather than someone who has no time left to answer: where
         // few balancers of a zone are in, clients keep coming to one that says it is not ready.
         loop.submit(() -> {
@@ -458,7 +463,7 @@
                     inFront.handOver();
                 })
                 .sync();
-        double end = begun + settings.bounds().graceS() * 1_000 - ENDS_BEFORE_MS;
+        double end = begun + settings.bounds().graceS() * 1_000 - SHUTDOWN_RESERVE_MS;
         boolean done = false;
         while (!done && clock.now() < end) {
             done = loop.submit(() -> outFront.endDrain() & inFront.endDrain())
--- a/src/main/java/sablehinge/dataplane/sidecar/UpdateFilter.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/UpdateFilter.java
@@ -9,7 +9,7 @@
 final class UpdateFilter {
 
     /** News that took longer, in ms, waited in a buffer while this process stood still, or the other one. */
-    static final double MOST_AGE_MS = 1_500;
+    static final double MAX_AGE_MS = 1_500;
 
     private long latestTerm;
     private boolean confirmedOnce;
@@ -33,7 +33,7 @@
         if (update.term() < latestTerm && !update.confirmed()) {
             return Verdict.DEPOSED;
         }
-        if (ageMs > MOST_AGE_MS || !confirmedOnce && !update.confirmed()) {
+        if (ageMs > MAX_AGE_MS || !confirmedOnce && !update.confirmed()) {
             return Verdict.ASK_AGAIN;
         }
         latestTerm = update.term();
--- a/src/main/java/sablehinge/dataplane/sidecar/UpstreamCalls.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/UpstreamCalls.java
@@ -23,16 +23,16 @@
      *
      * @param app the address of the upstream of the own machine, {@code ip:port}
      */
-    static Operation<Heartbeat, Acknowledgement> beats(String app, Consumer<Heartbeat> hears) {
+    static Operation<Heartbeat, Acknowledgement> heartbeats(String app, Consumer<Heartbeat> listener) {
         return new HttpOperation<>("POST", "/sablehinge/Servers.Heartbeat/") {
             @Override
-            public Heartbeat read(ApiRequest asked) {
-                return HeartbeatReader.read(asked.name(), asked.body(), app);
+            public Heartbeat read(ApiRequest request) {
+                return HeartbeatReader.read(request.name(), request.body(), app);
             }
 
             @Override
-            public void carryOut(Heartbeat beat, Consumer<Acknowledgement> answer) {
-                hears.accept(beat);
+            public void execute(Heartbeat heartbeat, Consumer<Acknowledgement> answer) {
+                listener.accept(heartbeat);
                 answer.accept(new Acknowledgement());
             }
 
@@ -44,16 +44,16 @@
     }
 
     /** The operation of those that leave. */
-    static Operation<SignOff, Acknowledgement> signOffs(Consumer<SignOff> hears) {
+    static Operation<SignOff, Acknowledgement> signOffs(Consumer<SignOff> listener) {
         return new HttpOperation<>("POST", "/sablehinge/Servers.SignOff/") {
             @Override
-            public SignOff read(ApiRequest asked) {
-                return new SignOff(asked.name());
+            public SignOff read(ApiRequest request) {
+                return new SignOff(request.name());
             }
 
             @Override
-            public void carryOut(SignOff call, Consumer<Acknowledgement> answer) {
-                hears.accept(call);
+            public void execute(SignOff call, Consumer<Acknowledgement> answer) {
+                listener.accept(call);
                 answer.accept(new Acknowledgement());
             }
 
--- a/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
@@ -28,20 +28,20 @@
 final class WatchClient implements Connection.Handler {
 
     private static final Logger LOG = LoggerFactory.getLogger(WatchClient.class);
-    private static final long AGAIN_MS = 60;
-    private static final double PATIENCE_MS = UpdateFilter.MOST_AGE_MS;
+    private static final long RECONNECT_DELAY_MS = 60;
+    private static final double RESPONSE_TIMEOUT_MS = UpdateFilter.MAX_AGE_MS;
     private static final int MOST_CONTACTS = 32;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Connection connection;
     private List<String> seeds;
-    private final Listener teller;
+    private final Listener listener;
     private final UpdateFilter filter = new UpdateFilter();
     private final Set<String> contacts = new LinkedHashSet<>();
     private Connection.Link link;
     private int number;
-    private double askedAt;
+    private double requestedAt;
     private int next;
     private boolean closed;
 
@@ -51,11 +51,11 @@
         WatchRequest request(int number);
 
         /**
-         * News have come; {@code askedAt} is when their ask left.
+         * News have come; {@code requestedAt} is when their ask left.
          *
          * @throws IOException where their configuration can't be read; nothing of them is taken then
          */
-        void update(double askedAt, Update update) throws IOException;
+        void update(double requestedAt, Update update) throws IOException;
 
         /** A part of a pool has come. */
         void tokens(Tokens tokens);
@@ -67,12 +67,12 @@
         void shares(Grant grant);
     }
 
-    WatchClient(EventLoop loop, Clock clock, Connection connection, List<String> seeds, Listener teller) {
+    WatchClient(EventLoop loop, Clock clock, Connection connection, List<String> seeds, Listener listener) {
         this.loop = loop;
         this.clock = clock;
         this.connection = connection;
         this.seeds = List.copyOf(seeds);
-        this.teller = teller;
+        this.listener = listener;
         contacts.addAll(seeds);
         // Not all balancers begin with the same machine.
         next = Math.floorMod(System.nanoTime() / 1_000, Math.max(1, seeds.size()));
@@ -85,7 +85,7 @@
     }
 
     void start() {
-        reach(null);
+        connect(null);
     }
 
     /** Asks nobody any more. */
@@ -100,7 +100,7 @@
     }
 
     /** Asks at once, in place of what was asked before. */
-    void askNow() {
+    void requestNow() {
         if (link != null && link.isUp()) {
             request();
         }
@@ -121,8 +121,8 @@
     }
 
     private void request() {
-        askedAt = clock.now();
-        link.send(new Frame(Frame.Kind.ASK, teller.request(++number).bytes()));
+        requestedAt = clock.now();
+        link.send(new Frame(Frame.Kind.ASK, listener.request(++number).bytes()));
         int waitsFor = number;
         loop.schedule(
                 () -> {
@@ -130,11 +130,11 @@
                         link.close();
                     }
                 },
-                (long) PATIENCE_MS,
+                (long) RESPONSE_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void reach(String at) {
+    private void connect(String at) {
         if (link != null || closed) {
             return;
         }
@@ -163,24 +163,24 @@
             return;
         }
         try {
-            if (frame.kind() == Frame.Kind.NEWS) {
+            if (frame.kind() == Frame.Kind.UPDATE) {
                 Update update = Update.read(frame.body());
                 if (update.number() == number) {
-                    news(from, update);
+                    handleUpdate(from, update);
                 }
             } else if (frame.kind() == Frame.Kind.TOKENS) {
-                teller.tokens(Tokens.read(frame.body()));
+                listener.tokens(Tokens.read(frame.body()));
             } else if (frame.kind() == Frame.Kind.PULL) {
                 String tenant = Tokens.read(frame.body()).tenant();
-                int lent = teller.lends(tenant);
+                int lent = listener.lends(tenant);
                 if (lent > 0) {
                     from.send(new Frame(Frame.Kind.PULL, new Tokens(tenant, lent).bytes()));
                 }
             } else if (frame.kind() == Frame.Kind.SHARES) {
-                teller.shares(RetryBudgetCodec.grant(frame.body()));
-            } else if (frame.kind() == Frame.Kind.ELSEWHERE) {
+                listener.shares(RetryBudgetCodec.grant(frame.body()));
+            } else if (frame.kind() == Frame.Kind.REDIRECT) {
                 String leader = new String(frame.body(), StandardCharsets.UTF_8);
-                leave(from, leader.isEmpty() ? null : leader);
+                redirect(from, leader.isEmpty() ? null : leader);
             }
         } catch (IOException e) {
             Log.warn(LOG, "news-malformed").addKeyValue("cause", e.getMessage()).log("news can't be read");
@@ -188,10 +188,10 @@
         }
     }
 
-    private void news(Connection.Link from, Update update) throws IOException {
-        UpdateFilter.Verdict verdict = filter.judge(clock.now() - askedAt, update);
+    private void handleUpdate(Connection.Link from, Update update) throws IOException {
+        UpdateFilter.Verdict verdict = filter.judge(clock.now() - requestedAt, update);
         if (verdict == UpdateFilter.Verdict.DEPOSED) {
-            leave(from, null);
+            redirect(from, null);
             return;
         }
         if (verdict == UpdateFilter.Verdict.TAKE) {
@@ -201,17 +201,17 @@
             while (contacts.size() > MOST_CONTACTS) {
                 contacts.remove(contacts.iterator().next());
             }
-            teller.update(askedAt, update);
+            listener.update(requestedAt, update);
         }
         request();
     }
 
     /** Asks another machine from now on: one that is named, or the next that is known. */
-    private void leave(Connection.Link from, String to) {
+    private void redirect(Connection.Link from, String to) {
         link = null;
         from.close();
         number++;
-        loop.schedule(() -> reach(to), AGAIN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> connect(to), RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -219,7 +219,7 @@
         if (closed == link) {
             link = null;
             number++;
-            loop.schedule(() -> reach(null), AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> connect(null), RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
@@ -87,8 +87,8 @@
             double window,
             double aim,
             double deadline,
-            double worth,
-            double lateWorth,
+            double value,
+            double lateValue,
             List<String> zones,
             List<String> kinds) {}
 
@@ -174,8 +174,8 @@
                     part.aim,
                     0,
                     part.deadline,
-                    part.worth,
-                    part.lateWorth,
+                    part.value,
+                    part.lateValue,
                     part.effect,
                     part.group,
                     part.window,
--- a/src/main/java/sablehinge/gateway/discovery/Discovery.java
+++ b/src/main/java/sablehinge/gateway/discovery/Discovery.java
@@ -53,7 +53,7 @@
     public interface Listener {
 
         /** News; the roster is null if the call failed. */
-        void told(Change change, Roster roster);
+        void onRosterChanged(Change change, Roster roster);
     }
 
     private final EventLoop loop;
@@ -180,15 +180,15 @@
     /** A list that its listener can't take must not end the watch for good: it counts as a failed call. */
     private void tell(Roster roster) {
         if (roster == null) {
-            listener.told(Change.FAILED, null);
+            listener.onRosterChanged(Change.FAILED, null);
             return;
         }
         try {
-            listener.told(roster.full() ? Change.FULL : Change.DELTA, roster);
+            listener.onRosterChanged(roster.full() ? Change.FULL : Change.DELTA, roster);
             version = roster.version();
         } catch (RuntimeException e) {
             Log.error(LOG, "list-failed").setCause(e).log("a list of upstreams could not be taken in");
-            listener.told(Change.FAILED, null);
+            listener.onRosterChanged(Change.FAILED, null);
         }
     }
 
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -100,7 +100,7 @@
                 config.known().version(),
                 new RosterParser(config.zones(), config.kinds(), false),
                 memory,
-                this::told,
+                this::onRosterChanged,
                 Discovery.WATCH_MS);
         frontend = new Frontend(loop, sockets, memory, core);
     }
@@ -157,8 +157,8 @@
         core.start(config.version(1), config.seed(), maintenance.take(config.known()), upstreams, discovery);
     }
 
-    private void told(Change change, Roster roster) {
-        core.told(change, roster == null ? null : maintenance.take(roster));
+    private void onRosterChanged(Change change, Roster roster) {
+        core.onRosterChanged(change, roster == null ? null : maintenance.take(roster));
     }
 
     // ---- Operators ---------------------------------------------------------------------------------
@@ -207,7 +207,7 @@
             out.remove(number);
         }
         if (!change.members().isEmpty()) {
-            core.told(Change.DELTA, change);
+            core.onRosterChanged(Change.DELTA, change);
             Log.info(LOG, suspends ? "server-taken-out" : "server-put-back")
                     .addKeyValue("server", id)
                     .log("operators {} {}", suspends ? "took out" : "put back", id);
--- a/src/main/java/sablehinge/gateway/node/ServerSource.java
+++ b/src/main/java/sablehinge/gateway/node/ServerSource.java
@@ -39,11 +39,11 @@
     /** Servers that a discovery tells of; {@code maker} makes it, given what hears of them. */
     static ServerSource discovered(Function<Discovery.Listener, Discovery> maker, BiConsumer<Change, Roster> listener) {
         ServerSource source = new ServerSource(listener);
-        source.discovery = maker.apply(source::told);
+        source.discovery = maker.apply(source::onRosterChanged);
         return source;
     }
 
-    private void told(Change change, Roster roster) {
+    private void onRosterChanged(Change change, Roster roster) {
         fetching = false;
         if (roster != null) {
             take(roster);
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -168,14 +168,14 @@
             AtomicReference<ServerSource> made = new AtomicReference<>();
             made.set(ServerSource.discovered(
                     told -> node.discovery(a, zones, kinds, told),
-                    (change, roster) -> told(made.get(), change, roster)));
+                    (change, roster) -> onRosterChanged(made.get(), change, roster)));
             return made.get();
         });
     }
 
-    private void told(ServerSource source, Change change, Roster roster) {
+    private void onRosterChanged(ServerSource source, Change change, Roster roster) {
         if (source == current().source) {
-            node.core().told(change, roster);
+            node.core().onRosterChanged(change, roster);
         } else if (roster != null) {
             List<Roster.Member> off = new ArrayList<>(roster.members());
             off.removeIf(m -> m.upstream().state() == State.READY);
--- a/src/main/java/sablehinge/mesh/api/ApiServer.java
+++ b/src/main/java/sablehinge/mesh/api/ApiServer.java
@@ -38,18 +38,18 @@
 
     private final EventLoop loop;
     private final List<Operation<?, ?>> operations;
-    private final int mostBytes;
+    private final int maxBodyBytes;
     private final Set<Channel> open = new HashSet<>();
 
     /**
      * A door.
      *
-     * @param mostBytes of a call's body; a longer one gets 413
+     * @param maxBodyBytes of a call's body; a longer one gets 413
      */
-    public ApiServer(EventLoop loop, List<Operation<?, ?>> operations, int mostBytes) {
+    public ApiServer(EventLoop loop, List<Operation<?, ?>> operations, int maxBodyBytes) {
         this.loop = loop;
         this.operations = List.copyOf(operations);
-        this.mostBytes = mostBytes;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     /** Takes calls at an address. */
@@ -79,7 +79,7 @@
                         open.add(channel);
                         channel.closeFuture().addListener(closed -> open.remove(channel));
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(mostBytes), new Calls());
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(maxBodyBytes), new Calls());
                     }
                 });
     }
@@ -133,7 +133,7 @@
                 Operation<?, ?> operation = operation(request);
                 byte[] body = new byte[request.content().readableBytes()];
                 request.content().readBytes(body);
-                carry(
+                dispatch(
                         ctx,
                         operation,
                         new ApiRequest(path(request).substring(operation.path().length()), request.headers(), body),
@@ -149,9 +149,9 @@
             }
         }
 
-        private <Q, A> void carry(
-                ChannelHandlerContext ctx, Operation<Q, A> operation, ApiRequest asked, boolean keep) {
-            operation.carryOut(operation.read(asked), answer -> answer(ctx, operation.write(answer), keep));
+        private <Q, A> void dispatch(
+                ChannelHandlerContext ctx, Operation<Q, A> operation, ApiRequest request, boolean keep) {
+            operation.execute(operation.read(request), answer -> answer(ctx, operation.write(answer), keep));
         }
 
         private void answer(ChannelHandlerContext ctx, ApiResponse reply, boolean keep) {
--- a/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
@@ -25,9 +25,9 @@
     public static final int MOST_PROBLEMS = 20;
 
     /** Lists and objects within each other; a configuration has 8. */
-    private static final int DEEPEST = 64;
+    private static final int MAX_NESTING = 64;
 
-    private static final String TINY = "{\"edition\":1,\"limits\":{\"headerBytes\":1,\"bodyBytes\":1,"
+    private static final String WARM_UP_CONFIGURATION = "{\"edition\":1,\"limits\":{\"headerBytes\":1,\"bodyBytes\":1,"
             + "\"headerMs\":1,\"idleMs\":1},\"senders\":[{\"name\":\"t\",\"passes\":[\"k\"],\"priority\":0,"
             + "\"perS\":1,\"burst\":1}],\"gates\":[{\"station\":\"h\",\"regulations\":[{\"name\":\"r\","
             + "\"kind\":\"safe\",\"targetMs\":1,\"priority\":0,\"open\":false,\"sorting\":"
@@ -69,7 +69,7 @@
 
     /** Loads all that a check needs, so that the first real one does not wait for it. */
     public static void warm() {
-        check(TINY.getBytes(StandardCharsets.UTF_8));
+        check(WARM_UP_CONFIGURATION.getBytes(StandardCharsets.UTF_8));
     }
 
     private static JsonNode tree(byte[] body) {
@@ -95,7 +95,7 @@
         static final JsonMapper JSON = JsonMapper.builder(JsonFactory.builder()
                         .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                         .streamReadConstraints(StreamReadConstraints.builder()
-                                .maxNestingDepth(DEEPEST)
+                                .maxNestingDepth(MAX_NESTING)
                                 .build())
                         .build())
                 .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
--- a/src/main/java/sablehinge/mesh/api/Operation.java
+++ b/src/main/java/sablehinge/mesh/api/Operation.java
@@ -18,10 +18,10 @@
     String path();
 
     /** Reads a call; throws {@link CallException} where it can't be read. */
-    Q read(ApiRequest asked);
+    Q read(ApiRequest request);
 
     /** Carries it out; the answer may come later, once, on the thread of the door. */
-    void carryOut(Q call, Consumer<A> answer);
+    void execute(Q call, Consumer<A> answer);
 
     /** Words the answer. */
     ApiResponse write(A answer);
--- a/src/main/java/sablehinge/mesh/api/Query.java
+++ b/src/main/java/sablehinge/mesh/api/Query.java
@@ -18,12 +18,12 @@
     }
 
     @Override
-    public final EmptyRequest read(ApiRequest asked) {
+    public final EmptyRequest read(ApiRequest request) {
         return new EmptyRequest();
     }
 
     @Override
-    public final void carryOut(EmptyRequest call, Consumer<A> answer) {
+    public final void execute(EmptyRequest call, Consumer<A> answer) {
         answer(answer);
     }
 
--- a/src/main/java/sablehinge/mesh/api/SemanticCheck.java
+++ b/src/main/java/sablehinge/mesh/api/SemanticCheck.java
@@ -145,8 +145,8 @@
     }
 
     private void service(JsonNode name, String place) {
-        boolean told = problems.size() < ConfigurationCheck.MOST_PROBLEMS;
-        if (told && name.isTextual() && !services.containsKey(name.asText())) {
+        boolean wanted = problems.size() < ConfigurationCheck.MOST_PROBLEMS;
+        if (wanted && name.isTextual() && !services.containsKey(name.asText())) {
             String nearest = NearestName.of(name.asText(), services.keySet());
             add(
                     Code.UNKNOWN_SERVICE,
--- a/src/main/java/sablehinge/mesh/failuredetection/Health.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Health.java
@@ -18,7 +18,7 @@
     LOST;
 
     /** Whether nothing new is to be sent there. */
-    public boolean isOff() {
+    public boolean isUnavailable() {
         return this == FROZEN || this == DEAD || this == LOST;
     }
 }
--- a/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
@@ -22,16 +22,16 @@
      * Silence after which the keeper doesn't hear one: each asks it again when it was answered, which is after 400 ms
      * at the latest.
      */
-    static final double SILENT_MS = 900;
+    static final double PEER_TIMEOUT_MS = 900;
 
-    private final Map<String, PeerReport> voices = new HashMap<>();
-    private final Map<String, Health> ruled = new HashMap<>();
+    private final Map<String, PeerReport> reports = new HashMap<>();
+    private final Map<String, Health> healthByNode = new HashMap<>();
     private HashRing hashRing = new HashRing(Map.of());
     private Map<String, String> zones = Map.of();
 
     private double begunAt = Double.NEGATIVE_INFINITY;
 
-    private record PeerReport(double at, List<Suspicion> accusations) {}
+    private record PeerReport(double at, List<Suspicion> suspicions) {}
 
     /**
      * One on the roll whose upstream is known.
@@ -43,80 +43,81 @@
     /**
      * What is known of one has changed.
      *
-     * @param accusers of its watchers in touch, those who don't hear it
+     * @param suspecting of its watchers in touch, those who don't hear it
      * @param watchers of it that the keeper hears
      */
-    public record HealthChange(String node, Health before, Health health, int accusers, int watchers) {}
+    public record HealthChange(String node, Health before, Health health, int suspecting, int watchers) {}
 
     /** Forgets all: another term of the keeper has begun, and all have time to be heard by it. */
     public void begin(double now) {
         begunAt = now;
-        voices.clear();
-        ruled.clear();
+        reports.clear();
+        healthByNode.clear();
     }
 
     /** The keeper hears one, and whom it accuses now. */
-    public void heard(double now, String node, List<Suspicion> accusations) {
-        voices.put(node, new PeerReport(now, List.copyOf(accusations)));
+    public void heard(double now, String node, List<Suspicion> suspicions) {
+        reports.put(node, new PeerReport(now, List.copyOf(suspicions)));
     }
 
     /** What is known of one. */
     public Health health(String node) {
-        return ruled.getOrDefault(node, Health.WELL);
+        return healthByNode.getOrDefault(node, Health.WELL);
     }
 
     /** Rules on all that are on the roll now; returns what has changed. */
-    public List<HealthChange> judge(double now, Collection<Subject> subjects) {
+    public List<HealthChange> evaluate(double now, Collection<Subject> subjects) {
         Map<String, String> present = new HashMap<>();
         subjects.forEach(subject -> present.put(subject.node(), subject.zone()));
         if (!present.equals(zones)) {
             zones = present;
             hashRing = new HashRing(present);
-            ruled.keySet().retainAll(present.keySet());
+            healthByNode.keySet().retainAll(present.keySet());
         }
-        Map<String, Set<String>> accusers = new HashMap<>();
-        voices.forEach((watcher, voice) -> {
-            if (now - voice.at() <= SILENT_MS) {
-                voice.accusations()
-                        .forEach(accusation -> accusers.computeIfAbsent(accusation.node(), node -> new HashSet<>())
-                                .add(watcher));
+        Map<String, Set<String>> suspectedBy = new HashMap<>();
+        reports.forEach((watcher, report) -> {
+            if (now - report.at() <= PEER_TIMEOUT_MS) {
+                report.suspicions().forEach(suspicion -> suspectedBy
+                        .computeIfAbsent(suspicion.node(), node -> new HashSet<>())
+                        .add(watcher));
             }
         });
-        Map<String, HealthChange> rulings = new LinkedHashMap<>();
+        Map<String, HealthChange> healthChanges = new LinkedHashMap<>();
         for (Subject subject : subjects) {
-            rulings.put(subject.node(), assess(now, subject.node(), accusers.getOrDefault(subject.node(), Set.of())));
+            healthChanges.put(
+                    subject.node(), assess(now, subject.node(), suspectedBy.getOrDefault(subject.node(), Set.of())));
         }
-        hold(subjects, rulings);
+        suppressWhenMany(subjects, healthChanges);
         List<HealthChange> changed = new ArrayList<>();
-        rulings.values().forEach(ruling -> {
+        healthChanges.values().forEach(ruling -> {
             if (ruling.health() != ruling.before()) {
-                ruled.put(ruling.node(), ruling.health());
+                healthByNode.put(ruling.node(), ruling.health());
                 changed.add(ruling);
             }
         });
-        voices.keySet().removeIf(node -> now - voices.get(node).at() > SILENT_MS && !present.containsKey(node));
+        reports.keySet().removeIf(node -> now - reports.get(node).at() > PEER_TIMEOUT_MS && !present.containsKey(node));
         return changed;
     }
 
-    private boolean hears(double now, String node) {
-        PeerReport voice = voices.get(node);
-        return now - (voice == null ? begunAt : voice.at()) <= SILENT_MS;
+    private boolean isHeard(double now, String node) {
+        PeerReport report = reports.get(node);
+        return now - (report == null ? begunAt : report.at()) <= PEER_TIMEOUT_MS;
     }
 
-    private HealthChange assess(double now, String node, Set<String> accusedBy) {
+    private HealthChange assess(double now, String node, Set<String> suspectedBy) {
         Health before = health(node);
-        boolean heard = hears(now, node);
-        if (heard && accusedBy.isEmpty()) {
+        boolean heard = isHeard(now, node);
+        if (heard && suspectedBy.isEmpty()) {
             return new HealthChange(node, before, Health.WELL, 0, 0);
         }
         int watchers = 0;
-        int accusers = 0;
+        int suspecting = 0;
         SuspicionCause gravest = SuspicionCause.SILENT;
         for (String watcher : hashRing.watchers(node)) {
-            if (hears(now, watcher)) {
+            if (isHeard(now, watcher)) {
                 watchers++;
-                if (accusedBy.contains(watcher)) {
-                    accusers++;
+                if (suspectedBy.contains(watcher)) {
+                    suspecting++;
                     SuspicionCause evidence = evidence(watcher, node);
                     gravest = evidence.compareTo(gravest) > 0 ? evidence : gravest;
                 }
@@ -124,13 +125,13 @@
         }
         Health health;
         if (heard) {
-            health = accusers == 0 ? Health.WELL : Health.CUT_FROM_SOME;
-        } else if (before.isOff() && (watchers == 0 || accusers > 0)) {
+            health = suspecting == 0 ? Health.WELL : Health.CUT_FROM_SOME;
+        } else if (before.isUnavailable() && (watchers == 0 || suspecting > 0)) {
             // A watcher that is new to it has not had the time to accuse it, and is no sign of life.
             health = before;
         } else if (watchers == 0) {
             health = Health.UNSEEN;
-        } else if (2 * accusers <= watchers) {
+        } else if (2 * suspecting <= watchers) {
             health = Health.CUT_FROM_CORE;
         } else {
             health = switch (gravest) {
@@ -139,48 +140,48 @@
                 case SILENT -> Health.LOST;
             };
         }
-        return new HealthChange(node, before, health, accusers, watchers);
+        return new HealthChange(node, before, health, suspecting, watchers);
     }
 
     private SuspicionCause evidence(String watcher, String node) {
-        for (Suspicion accusation : voices.get(watcher).accusations()) {
-            if (accusation.node().equals(node)) {
-                return accusation.evidence();
+        for (Suspicion suspicion : reports.get(watcher).suspicions()) {
+            if (suspicion.node().equals(node)) {
+                return suspicion.evidence();
             }
         }
         return SuspicionCause.SILENT;
     }
 
     /** Takes back what would be ruled anew beyond the bounds. */
-    private static void hold(Collection<Subject> subjects, Map<String, HealthChange> rulings) {
-        int silent = 0;
+    private static void suppressWhenMany(Collection<Subject> subjects, Map<String, HealthChange> healthChanges) {
+        int timedOut = 0;
         Map<String, Integer> ready = new HashMap<>();
         Map<String, Integer> taken = new HashMap<>();
         for (Subject subject : subjects) {
-            HealthChange ruling = rulings.get(subject.node());
-            if (ruling.health().isOff() || ruling.health() == Health.UNSEEN) {
-                silent++;
+            HealthChange ruling = healthChanges.get(subject.node());
+            if (ruling.health().isUnavailable() || ruling.health() == Health.UNSEEN) {
+                timedOut++;
             }
             if (subject.ready()) {
                 ready.merge(subject.service(), 1, Integer::sum);
-                if (ruling.health().isOff() && ruling.before().isOff()) {
+                if (ruling.health().isUnavailable() && ruling.before().isUnavailable()) {
                     taken.merge(subject.service(), 1, Integer::sum);
                 }
             }
         }
-        boolean many = 2 * silent > subjects.size();
+        boolean many = 2 * timedOut > subjects.size();
         for (Subject subject : subjects) {
-            HealthChange ruling = rulings.get(subject.node());
-            if (ruling.health().isOff() && !ruling.before().isOff()) {
+            HealthChange ruling = healthChanges.get(subject.node());
+            if (ruling.health().isUnavailable() && !ruling.before().isUnavailable()) {
                 int left = ready.getOrDefault(subject.service(), 0) / 2 - taken.getOrDefault(subject.service(), 0);
                 if (many || subject.ready() && left <= 0) {
-                    rulings.put(
+                    healthChanges.put(
                             subject.node(),
                             new HealthChange(
                                     subject.node(),
                                     ruling.before(),
                                     Health.UNSEEN,
-                                    ruling.accusers(),
+                                    ruling.suspecting(),
                                     ruling.watchers()));
                 } else if (subject.ready()) {
                     taken.merge(subject.service(), 1, Integer::sum);
--- a/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
@@ -14,7 +14,7 @@
 public final class Monitor {
 
     /** Between two beats of one. */
-    public static final double BEAT_MS = 300;
+    public static final double HEARTBEAT_MS = 300;
     /** Silence after which one is suspected: three beats, and some of the way. */
     public static final double SUSPECT_MS = 900;
     /** An own tick that is so late tells that this process stood still: it can accuse nobody of silence. */
@@ -34,7 +34,7 @@
     private double tickedAt = Double.NaN;
 
     private static final class WatchedPeer {
-        int life;
+        int incarnation;
         int number;
         double heardAt;
         boolean heard;
@@ -66,16 +66,16 @@
     /**
      * A beat has come. One that was overtaken by a later one of the same life is no sign of life.
      *
-     * @param life of the process that beats
+     * @param incarnation of the process that beats
      * @param number of the beat, which counts up in one life
      * @return whether an accusation is taken back by it
      */
-    public boolean heard(double now, String node, int life, int number) {
+    public boolean heard(double now, String node, int incarnation, int number) {
         WatchedPeer one = watched.get(node);
-        if (one == null || one.life == life && number - one.number <= 0) {
+        if (one == null || one.incarnation == incarnation && number - one.number <= 0) {
             return false;
         }
-        one.life = life;
+        one.incarnation = incarnation;
         one.number = number;
         one.heardAt = now;
         one.heard = true;
@@ -127,24 +127,24 @@
     }
 
     /** Who spoke lately. */
-    public List<String> hears() {
-        List<String> hears = new ArrayList<>();
+    public List<String> heardPeers() {
+        List<String> heardPeers = new ArrayList<>();
         watched.forEach((node, one) -> {
             if (one.heard && !one.suspected) {
-                hears.add(node);
+                heardPeers.add(node);
             }
         });
-        return hears;
+        return heardPeers;
     }
 
     /** Who is accused now, and by what. */
-    public List<Suspicion> accusations() {
-        List<Suspicion> accusations = new ArrayList<>();
+    public List<Suspicion> suspicions() {
+        List<Suspicion> suspicions = new ArrayList<>();
         watched.forEach((node, one) -> {
             if (one.evidence != null) {
-                accusations.add(new Suspicion(node, one.evidence));
+                suspicions.add(new Suspicion(node, one.evidence));
             }
         });
-        return accusations;
+        return suspicions;
     }
 }
--- a/src/main/java/sablehinge/mesh/quota/Quota.java
+++ b/src/main/java/sablehinge/mesh/quota/Quota.java
@@ -12,7 +12,7 @@
 public record Quota(double perSecond, double bound) {
 
     /** The part that is divided evenly among all balancers. */
-    public static final double EVEN = 0.6;
+    public static final double EVEN_SHARE = 0.6;
 
     /**
      * The quota of a tenant under a rule that counts within windows (RULES, QUOTA). Half of what the rule grants above
@@ -30,11 +30,11 @@
 
     /** The even part of one of so many balancers. */
     public Quota even(int balancers) {
-        return new Quota(perSecond * EVEN / balancers, bound * EVEN / balancers);
+        return new Quota(perSecond * EVEN_SHARE / balancers, bound * EVEN_SHARE / balancers);
     }
 
     /** The pool. */
     public Quota pool() {
-        return new Quota(perSecond * (1 - EVEN), bound * (1 - EVEN));
+        return new Quota(perSecond * (1 - EVEN_SHARE), bound * (1 - EVEN_SHARE));
     }
 }
--- a/src/main/java/sablehinge/mesh/retrybudget/Claim.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/Claim.java
@@ -6,13 +6,13 @@
  * What a balancer tells the holder of the pools, and what it wants. Counts only grow, so that one which is lost,
  * doubled or late does no harm.
  *
- * @param life of the balancer's process
+ * @param incarnation of the balancer's process
  * @param number counts its claims up
  * @param term of the holder whose share it has; 0 for none
  * @param service beside it, whose runs make the calls that it counts
  * @param lines one for each service of which there is something to tell
  */
-public record Claim(long life, int number, long term, String service, List<Line> lines) {
+public record Claim(long incarnation, int number, long term, String service, List<Line> lines) {
 
     /** Services that one claim may tell of; further tries of more services are not sent. */
     public static final int MOST = 200;
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
@@ -22,9 +22,9 @@
 public final class RetryBudgetAllocator {
 
     /** How long a share lasts here from when it was given, in ms; its owner counts less from earlier on. */
-    static final double LASTS_MS = 1_000;
+    static final double GRANT_LIFETIME_MS = 1_000;
     /** How long a silent balancer's counts are kept, in ms. */
-    private static final double FORGOTTEN_MS = 5_000;
+    private static final double OWNER_EXPIRY_MS = 5_000;
 
     private static final int MOST_OWNERS = 4_096;
     /** The part of what is in hand that one balancer is given at once: others may want some too. */
@@ -81,7 +81,7 @@
             return Math.max(0, share - spent);
         }
 
-        void anew() {
+        void resetEpoch() {
             spent = 0;
             share = 0;
         }
@@ -93,8 +93,8 @@
     }
 
     /** Takes the duty over as the holder of a term. */
-    public void begin(long asHolderOf) {
-        term = asHolderOf;
+    public void begin(long asLeaderOf) {
+        term = asLeaderOf;
         pools.clear();
         owners.clear();
     }
@@ -119,36 +119,36 @@
     /** Answers a claim; null for one that is late or doubled, or when there are too many balancers. */
     public Grant claimed(double now, Claim claim) {
         expire(now);
-        Owner owner = owners.get(claim.life());
+        Owner owner = owners.get(claim.incarnation());
         if (owner == null && owners.size() < MOST_OWNERS) {
             owner = new Owner();
-            owners.put(claim.life(), owner);
+            owners.put(claim.incarnation(), owner);
         }
         if (owner == null || claim.number() <= owner.number) {
             return null;
         }
         owner.number = claim.number();
         owner.heardAt = now;
-        boolean anew = claim.term() != term;
-        if (anew) {
+        boolean resetEpoch = claim.term() != term;
+        if (resetEpoch) {
             // It has dropped what it had, and counts its spending anew.
             forfeit(owner);
-            owner.parts.values().forEach(ServiceGrant::anew);
+            owner.parts.values().forEach(ServiceGrant::resetEpoch);
         }
         // What is spent or given back makes room for what is earned.
-        Set<String> told = new HashSet<>();
+        Set<String> reportedServices = new HashSet<>();
         for (Claim.Line line : claim.lines()) {
             if (pools.containsKey(line.service())) {
-                told.add(line.service());
+                reportedServices.add(line.service());
                 settle(
                         owner.parts.computeIfAbsent(line.service(), ServiceGrant::new),
-                        anew ? 0 : line.spent(),
-                        anew ? 0 : line.share());
+                        resetEpoch ? 0 : line.spent(),
+                        resetEpoch ? 0 : line.share());
             }
         }
         // Of what it does not tell, nothing was spent since, and nothing is kept.
         for (ServiceGrant part : owner.parts.values()) {
-            if (!told.contains(part.service)) {
+            if (!reportedServices.contains(part.service)) {
                 settle(part, part.spent, part.spent);
             }
         }
@@ -158,7 +158,7 @@
             }
         }
         fade();
-        owner.end = now + LASTS_MS;
+        owner.end = now + GRANT_LIFETIME_MS;
         List<Grant.Line> given = new ArrayList<>();
         for (Claim.Line line : claim.lines()) {
             ServiceGrant part = owner.parts.get(line.service());
@@ -306,7 +306,7 @@
             if (now >= owner.end) {
                 forfeit(owner);
             }
-            if (now - owner.heardAt > FORGOTTEN_MS) {
+            if (now - owner.heardAt > OWNER_EXPIRY_MS) {
                 each.remove();
             }
         }
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
@@ -15,7 +15,7 @@
 public final class RetryBudgetShares {
 
     /** How long a share lasts, in ms from when it was asked for: less than with the holder. */
-    static final double LASTS_MS = 900;
+    static final double GRANT_LIFETIME_MS = 900;
     /** Least time between two claims, where something is wanted and where there is only something to tell. */
     private static final double URGENT_MS = 15;
 
@@ -27,21 +27,21 @@
     private static final double ROUNDED = 0.5;
     private static final int MOST_WANTED = 1_000;
     /** How long a further try waits for an answer, in ms, and how many of a service do. */
-    private static final double PATIENCE_MS = 60;
+    private static final double CLAIM_TIMEOUT_MS = 60;
 
     private static final int MOST_WAITING = 256;
     /** What must be left for others before a second copy beside one that is out is sent. */
     private static final int KEPT = 1;
 
     private final RetryBudgetRule rule;
-    private final long life;
-    private final String beside;
+    private final long incarnation;
+    private final String localService;
     private final Map<String, ServiceShare> parts = new HashMap<>();
     private int place;
     private int among = 1;
     private int number;
     private int answered;
-    private double askedAt = Double.NEGATIVE_INFINITY;
+    private double requestedAt = Double.NEGATIVE_INFINITY;
     private long term;
     private double end = Double.NEGATIVE_INFINITY;
     /** When a holder last answered. */
@@ -55,9 +55,9 @@
         /** Of both there may be many, one after the other: spending counts from 0 in each. */
         int epoch;
         /** What was last told of requests and calls, and of spending. */
-        int told;
+        int reportedRequests;
 
-        int toldSpent;
+        int reportedSpent;
         /** Uses and refusals of late, faded. */
         double need;
 
@@ -83,10 +83,10 @@
             needAt = now;
         }
 
-        void anew() {
+        void resetEpoch() {
             spent = 0;
             share = 0;
-            toldSpent = 0;
+            reportedSpent = 0;
             epoch++;
         }
 
@@ -102,13 +102,13 @@
      * No shares yet. The reserved tokens are there at once: what a process before may have used of them is covered by
      * what of the rule's slack is not given out.
      *
-     * @param life names this process's life among all others
-     * @param beside the service of the upstream on this machine
+     * @param incarnation names this process's life among all others
+     * @param localService the service of the upstream on this machine
      */
-    public RetryBudgetShares(RetryBudgetRule rule, long life, String beside) {
+    public RetryBudgetShares(RetryBudgetRule rule, long incarnation, String localService) {
         this.rule = rule;
-        this.life = life;
-        this.beside = beside;
+        this.incarnation = incarnation;
+        this.localService = localService;
     }
 
     /** The services that there are; what is kept of others is dropped. */
@@ -163,8 +163,8 @@
             then.accept(part.spend());
         } else if (spare || part.waiting.size() >= MOST_WAITING) {
             then.accept(null);
-        } else if (now < touchedAt + LASTS_MS) {
-            part.waiting.addLast(new Waiting(now + PATIENCE_MS, then));
+        } else if (now < touchedAt + GRANT_LIFETIME_MS) {
+            part.waiting.addLast(new Waiting(now + CLAIM_TIMEOUT_MS, then));
         } else {
             then.accept(reserved(now, part));
         }
@@ -203,25 +203,25 @@
     public Claim claim(double now) {
         if (now >= end && term != 0) {
             term = 0;
-            parts.values().forEach(ServiceShare::anew);
+            parts.values().forEach(ServiceShare::resetEpoch);
         }
-        double since = now - askedAt;
+        double since = now - requestedAt;
         boolean urgent = parts.values().stream().anyMatch(part -> part.urgent);
         if (since < URGENT_MS || since < USUAL_MS && !urgent) {
             return null;
         }
         List<Claim.Line> lines = new ArrayList<>();
         parts.forEach((service, part) -> {
-            boolean asked = part.requests + part.calls != part.told;
+            boolean changed = part.requests + part.calls != part.reportedRequests;
             int wanted = Math.min(
                     MOST_WANTED, Math.max(part.waiting.size(), (int) Math.ceil(AHEAD * part.need(now) - ROUNDED)));
             int open = Math.max(0, part.share - part.spent);
             part.share -= Math.max(0, open - wanted);
-            if (asked || part.spent != part.toldSpent || part.share > part.spent || wanted > 0) {
+            if (changed || part.spent != part.reportedSpent || part.share > part.spent || wanted > 0) {
                 lines.add(new Claim.Line(
                         service, part.requests, part.calls, part.spent, part.share, Math.max(0, wanted - open)));
-                part.told = part.requests + part.calls;
-                part.toldSpent = part.spent;
+                part.reportedRequests = part.requests + part.calls;
+                part.reportedSpent = part.spent;
             }
             part.target = wanted;
             part.urgent = false;
@@ -229,21 +229,21 @@
         if (lines.isEmpty()) {
             return null;
         }
-        askedAt = now;
-        return new Claim(life, ++number, term, beside, lines);
+        requestedAt = now;
+        return new Claim(incarnation, ++number, term, localService, lines);
     }
 
     /** A holder has answered; what answers another claim than the last is left alone. */
     public void granted(double now, Grant grant) {
-        if (grant.number() != number || number == answered || now >= askedAt + LASTS_MS) {
+        if (grant.number() != number || number == answered || now >= requestedAt + GRANT_LIFETIME_MS) {
             return;
         }
         answered = number;
         touchedAt = now;
-        end = askedAt + LASTS_MS;
+        end = requestedAt + GRANT_LIFETIME_MS;
         if (grant.term() != term) {
             term = grant.term();
-            parts.values().forEach(ServiceShare::anew);
+            parts.values().forEach(ServiceShare::resetEpoch);
         }
         for (Grant.Line line : grant.lines()) {
             ServiceShare part = parts.get(line.service());
--- a/src/main/java/sablehinge/mesh/watch/Registration.java
+++ b/src/main/java/sablehinge/mesh/watch/Registration.java
@@ -10,7 +10,7 @@
  * @param upstream the id of the upstream's present life; empty where there is none
  * @param ready whether it takes new requests
  * @param berths requests that the upstream works on at once
- * @param coldMs how much longer the upstream was slow when its life was first told
+ * @param warmUpMs how much longer the upstream was slow when its life was first told
  */
 public record Registration(
         String node,
@@ -20,4 +20,4 @@
         String upstream,
         boolean ready,
         int berths,
-        int coldMs) {}
+        int warmUpMs) {}
--- a/src/main/java/sablehinge/mesh/watch/Registrations.java
+++ b/src/main/java/sablehinge/mesh/watch/Registrations.java
@@ -17,7 +17,7 @@
         out.writeUTF(registration.upstream());
         out.writeBoolean(registration.ready());
         out.writeShort(registration.berths());
-        out.writeInt(registration.coldMs());
+        out.writeInt(registration.warmUpMs());
     }
 
     static Registration read(DataInputStream in) throws IOException {
--- a/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
+++ b/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
@@ -15,7 +15,7 @@
     /** Writes a claim. */
     public static byte[] bytes(Claim claim) {
         return RecordBytes.of(out -> {
-            out.writeLong(claim.life());
+            out.writeLong(claim.incarnation());
             out.writeInt(claim.number());
             out.writeLong(claim.term());
             out.writeUTF(claim.service());
@@ -34,7 +34,7 @@
     /** Reads a claim; fails on anything else. */
     public static Claim claim(byte[] bytes) throws IOException {
         DataInputStream in = RecordBytes.in(bytes);
-        long life = in.readLong();
+        long incarnation = in.readLong();
         int number = in.readInt();
         long term = in.readLong();
         String service = in.readUTF();
@@ -45,7 +45,7 @@
                     in.readUTF(), in.readInt(), in.readInt(), in.readInt(), in.readInt(), in.readUnsignedShort()));
         }
         ended(in);
-        return new Claim(life, number, term, service, lines);
+        return new Claim(incarnation, number, term, service, lines);
     }
 
     /** Writes a grant. */
--- a/src/main/java/sablehinge/mesh/watch/Update.java
+++ b/src/main/java/sablehinge/mesh/watch/Update.java
@@ -16,7 +16,7 @@
  * @param body that configuration as {@link PackedConfiguration} packs it; empty where the asker has it
  * @param term of who keeps the roll
  * @param stamp of the roll
- * @param whole whether the registrations are all there are, rather than those that changed
+ * @param full whether the registrations are all there are, rather than those that changed
  * @param complete whether who is not on the roll is gone
  * @param size balancers among which quotas are divided
  * @param registrations that changed since the stamp of the ask
@@ -29,7 +29,7 @@
         byte[] body,
         long term,
         long stamp,
-        boolean whole,
+        boolean full,
         boolean complete,
         int size,
         List<Registration> registrations,
@@ -56,7 +56,7 @@
         out.write(body);
         out.writeLong(term);
         out.writeLong(stamp);
-        out.writeBoolean(whole);
+        out.writeBoolean(full);
         out.writeBoolean(complete);
         out.writeShort(size);
         out.writeShort(registrations.size());
@@ -79,7 +79,7 @@
         in.readFully(body);
         long term = in.readLong();
         long stamp = in.readLong();
-        boolean whole = in.readBoolean();
+        boolean full = in.readBoolean();
         boolean complete = in.readBoolean();
         int size = in.readUnsignedShort();
         int count = RecordBytes.bounded(in.readUnsignedShort(), MOST);
@@ -92,6 +92,6 @@
         for (int i = 0; i < count; i++) {
             core.add(in.readUTF());
         }
-        return new Update(number, confirmed, edition, body, term, stamp, whole, complete, size, registrations, core);
+        return new Update(number, confirmed, edition, body, term, stamp, full, complete, size, registrations, core);
     }
 }
--- a/src/main/java/sablehinge/mesh/watch/WatchRequest.java
+++ b/src/main/java/sablehinge/mesh/watch/WatchRequest.java
@@ -18,7 +18,7 @@
  * @param term of the one who kept the roll that it has; 0 for none
  * @param stamp of that roll
  * @param confirm whether it wants to be sure that nothing newer was acknowledged before it asked
- * @param accusations whom it watches over and doesn't hear; {@link Monitor#MOST} at most
+ * @param suspicions whom it watches over and doesn't hear; {@link Monitor#MOST} at most
  * @param vouched whom it hears, and the keeper of the roll doesn't know of; as many at most
  */
 public record WatchRequest(
@@ -28,14 +28,14 @@
         long term,
         long stamp,
         boolean confirm,
-        List<Suspicion> accusations,
+        List<Suspicion> suspicions,
         List<Registration> vouched) {
 
     private static final SuspicionCause[] EVIDENCE = SuspicionCause.values();
 
     /** An ask whose lists can't be changed. */
     public WatchRequest {
-        accusations = List.copyOf(accusations);
+        suspicions = List.copyOf(suspicions);
         vouched = List.copyOf(vouched);
     }
 
@@ -51,10 +51,10 @@
         out.writeLong(term);
         out.writeLong(stamp);
         out.writeBoolean(confirm);
-        out.writeByte(accusations.size());
-        for (Suspicion accusation : accusations) {
-            out.writeUTF(accusation.node());
-            out.writeByte(accusation.evidence().ordinal());
+        out.writeByte(suspicions.size());
+        for (Suspicion suspicion : suspicions) {
+            out.writeUTF(suspicion.node());
+            out.writeByte(suspicion.evidence().ordinal());
         }
         out.writeByte(vouched.size());
         for (Registration other : vouched) {
@@ -72,9 +72,9 @@
         long stamp = in.readLong();
         boolean confirm = in.readBoolean();
         int count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MOST);
-        List<Suspicion> accusations = new ArrayList<>(count);
+        List<Suspicion> suspicions = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            accusations.add(new Suspicion(
+            suspicions.add(new Suspicion(
                     in.readUTF(), EVIDENCE[RecordBytes.bounded(in.readUnsignedByte(), EVIDENCE.length - 1)]));
         }
         count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MOST);
@@ -82,6 +82,6 @@
         for (int i = 0; i < count; i++) {
             vouched.add(Registrations.read(in));
         }
-        return new WatchRequest(number, registration, edition, term, stamp, confirm, accusations, vouched);
+        return new WatchRequest(number, registration, edition, term, stamp, confirm, suspicions, vouched);
     }
 }
--- a/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
+++ b/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
@@ -53,7 +53,7 @@
     /** Power with which a crowd at a server offsets the price of crossing: little at half the aim. */
     private static final double CROWD_POWER = 4;
     /** Share of calls lost at a server that is worth a crossing, about what a crossing costs of a call. */
-    private static final double WORTH_LEAVING = 0.4;
+    private static final double ZONE_EXIT_RATIO = 0.4;
     /** Bound of the factor for that: its few calls must still show when it is well again. */
     private static final double MOST_LEAVING = 16;
     /** Own calls that a server takes beside each other; so few in flight are no crowd. */
@@ -80,7 +80,7 @@
     /** Least share of the expected latency that must be left for a send to make sense. */
     private static final double TOO_LATE = 0.25;
     /** Share of the allowed multiple of a cold server's capacity that its send budget uses. */
-    private static final double COLD_MARGIN = 0.3;
+    private static final double WARM_UP_MARGIN = 0.3;
     /** Ms after which a request that finds no server to go to looks again; well below any aim. */
     private static final double LOOK_AGAIN = 20;
     /** Share of its time for which a request is held that finds no server: the rest is its client's. */
@@ -130,7 +130,7 @@
 
     private Server.Kind[] kinds;
     private double extraCalls;
-    private double coldUntil = Double.NEGATIVE_INFINITY;
+    private double warmUpUntil = Double.NEGATIVE_INFINITY;
     /** When the registry was last heard of or asked, and how long its silence is trusted. */
     private double heardAt;
 
@@ -233,12 +233,12 @@
         // Where a late answer is worth nothing, the work for it is better spent on others.
         double stretched = call.type.aim() + call.type.aimStretch() * request.cost();
         double aim = now + Math.min(call.type.deadline(), stretched);
-        call.usefulEnd = call.type.lateWorth() > 0 ? request.deadline() : Math.min(request.deadline(), aim);
+        call.usefulEnd = call.type.lateValue() > 0 ? request.deadline() : Math.min(request.deadline(), aim);
         if (shed(call)) {
             answerUnserved(call, now);
             return;
         }
-        earnColdBudget(call, now);
+        earnWarmUpBudget(call, now);
         if (call.type.inOrder() && request.key() != 0) {
             call.line = lines.computeIfAbsent(request.key(), key -> new ArrayDeque<>());
             call.line.addLast(call);
@@ -319,10 +319,11 @@
     private void planShedding(ClassRecord leader) {
         ClassRecord[] cheapestFirst = Arrays.stream(current.classes)
                 .filter(c -> c.leader == leader)
-                .sorted(Comparator.comparingDouble(c -> worth(c) / work(c)))
+                .sorted(Comparator.comparingDouble(c -> value(c) / work(c)))
                 .toArray(ClassRecord[]::new);
         double allWork = Arrays.stream(cheapestFirst).mapToDouble(this::work).sum();
-        double allWorth = Arrays.stream(cheapestFirst).mapToDouble(this::worth).sum();
+        double totalValue =
+                Arrays.stream(cheapestFirst).mapToDouble(this::value).sum();
         double forWorst = settings.goal().worstClass();
         double[] parts = new double[cheapestFirst.length];
         double least = Double.MAX_VALUE;
@@ -333,7 +334,7 @@
             for (int i = 0; i < parts.length; i++) {
                 parts[i] = Math.min(most, left / work(cheapestFirst[i]));
                 left -= parts[i] * work(cheapestFirst[i]);
-                loss += (1 - forWorst) * parts[i] * worth(cheapestFirst[i]) / allWorth;
+                loss += (1 - forWorst) * parts[i] * value(cheapestFirst[i]) / totalValue;
             }
             if (left < allWork / 1_000 && loss < least) {
                 least = loss;
@@ -349,8 +350,8 @@
         return (c.share + SEEN_LEAST) * (c.hint.value() > 0 ? c.hint.value() : c.latency.value());
     }
 
-    private double worth(ClassRecord c) {
-        return c.type.worth() * (settings.worthByWork() ? work(c) : c.share + SEEN_LEAST);
+    private double value(ClassRecord c) {
+        return c.type.value() * (settings.valueByWork() ? work(c) : c.share + SEEN_LEAST);
     }
 
     // ---- The draw ----------------------------------------------------------------------------------
@@ -366,7 +367,7 @@
             tries += server.tries;
             boolean usable = mayGoTo(call, server, now)
                     && !(untried && call.tried(server))
-                    && (server.coldBudget >= 1 || warmth(server, now) >= 1);
+                    && (server.warmUpBudget >= 1 || warmth(server, now) >= 1);
             server.weight = usable ? 1 / cost(server, call, now) : 0;
             total += server.weight;
         }
@@ -393,7 +394,7 @@
         // two, which may befall any server, is not yet worth a crossing.
         Settings terms = call.view.settings;
         double crossing = CROSSING * Math.sqrt(terms.prices().crossZone()) + call.type.crossing();
-        l *= 1 + crossing * Math.min(MOST_LEAVING, Math.pow((1 - success) / WORTH_LEAVING, CROWD_POWER));
+        l *= 1 + crossing * Math.min(MOST_LEAVING, Math.pow((1 - success) / ZONE_EXIT_RATIO, CROWD_POWER));
         l *= 1 + IN_FLIGHT * server.out.size();
         if (!server.out.isEmpty()) {
             Attempt oldest = server.out.peekFirst();
@@ -469,18 +470,18 @@
      * not sends, lets a fleet that is cold as a whole begin; the half that is taken as warm at least keeps it from
      * being pushed over.
      */
-    private void earnColdBudget(Call call, double now) {
-        if (now >= coldUntil) {
+    private void earnWarmUpBudget(Call call, double now) {
+        if (now >= warmUpUntil) {
             return;
         }
         List<Server> open = call.view.ready.stream()
                 .filter(server -> call.type.admits(server.listed))
                 .toList();
         double warm = open.stream().mapToDouble(server -> warmth(server, now)).sum();
-        double part = Math.min(1, COLD_MARGIN * settings.rules().fallMultiple());
+        double part = Math.min(1, WARM_UP_MARGIN * settings.rules().fallMultiple());
         part /= Math.max(warm, open.size() / 2.0);
         for (Server server : open) {
-            server.coldBudget = Math.min(1, server.coldBudget + part * warmth(server, now));
+            server.warmUpBudget = Math.min(1, server.warmUpBudget + part * warmth(server, now));
         }
     }
 
@@ -500,7 +501,7 @@
         call.running++;
         server.out.addLast(attempt);
         if (warmth(server, now) < 1) {
-            server.coldBudget -= 1;
+            server.warmUpBudget -= 1;
         }
         if (settings.tier() == 0) {
             actions.setTimer(call.id << 8 | STRAIN_TIMER | attempt.number, now + strainedAfter(call));
@@ -567,11 +568,11 @@
         learn(attempt, outcome, now);
         boolean inGoodTime = outcome.elapsed() < strainedAfter(call);
         // What breaks at once tells of a sick server: to refuse others would not help.
-        boolean sick = inGoodTime
+        boolean unhealthy = inGoodTime
                 && (outcome.result() == Result.ERROR
                         || outcome.result() == Result.RESET
                         || outcome.result() == Result.CONNECT_FAILED);
-        if (settings.tier() == 0 && !attempt.strained && outcome.result() != Result.CANCELLED && !sick) {
+        if (settings.tier() == 0 && !attempt.strained && outcome.result() != Result.CANCELLED && !unhealthy) {
             feelPressure(call.record.leader, outcome.result() == Result.OK && inGoodTime, now);
         }
         if (outcome.result() == Result.OK && attempt.number > 0) {
@@ -720,7 +721,7 @@
     }
 
     private static double strainedAfter(Call call) {
-        return (STRAINED + call.type.lateWorth()) * call.type.aim() * Math.max(1, call.size());
+        return (STRAINED + call.type.lateValue()) * call.type.aim() * Math.max(1, call.size());
     }
 
     /**
@@ -795,8 +796,8 @@
                 Server.Kind kind = kinds[Math.min(upstream.kind(), kinds.length - 1)];
                 servers.put(upstream.id(), new Server(upstream, kind, places, now, random.nextDouble()));
                 if (upstream.startedAt() != 0) {
-                    coldUntil = Math.max(
-                            coldUntil, upstream.startedAt() + settings.rules().warmUp());
+                    warmUpUntil = Math.max(
+                            warmUpUntil, upstream.startedAt() + settings.rules().warmUp());
                 }
             } else {
                 known.listed = upstream;
--- a/src/main/java/sablehinge/policy/LoadBalancer.java
+++ b/src/main/java/sablehinge/policy/LoadBalancer.java
@@ -215,7 +215,7 @@
      * @param aim answered within this it earns its full worth
      * @param aimStretch the aim grows by this many times the request's own work
      * @param deadline how long a client waits over all its tries
-     * @param lateWorth the share of the worth left after the aim
+     * @param lateValue the share of the worth left after the aim
      * @param memory how long repeats are dropped, from the first attempt that may have run
      * @param streamed whether answers are streams
      * @param inOrder whether requests of one key, over all such classes, take turns in order of arrival
@@ -228,8 +228,8 @@
             double aim,
             double aimStretch,
             double deadline,
-            double worth,
-            double lateWorth,
+            double value,
+            double lateValue,
             Repeat repeat,
             Group group,
             double memory,
@@ -293,7 +293,7 @@
      * @param nines tenfold steps by which the unserved worth lies below the whole, full at {@code topNines}
      */
     record Goal(
-            double whole,
+            double exact,
             double worstWindow,
             double worstClass,
             double worstTenant,
@@ -322,8 +322,8 @@
      * @param subscribe whether the registry tells only those who ask
      * @param passesDeadline whether calls between tiers carry the time their caller has left
      * @param warmKeys whether an upstream that served a key lately serves it cheaper
-     * @param worthByWork whether worth counts per unit of work rather than per request
-     * @param overShareWorth what a request beyond its tenant's share is worth, of its class's worth
+     * @param valueByWork whether worth counts per unit of work rather than per request
+     * @param overShareValue what a request beyond its tenant's share is worth, of its class's worth
      */
     record Settings(
             int position,
@@ -337,8 +337,8 @@
             boolean passesDeadline,
             boolean warmKeys,
             boolean retriesMarked,
-            boolean worthByWork,
-            double overShareWorth,
+            boolean valueByWork,
+            double overShareValue,
             WeightKind weightKind,
             Reports reports,
             List<String> reportFields,
--- a/src/main/java/sablehinge/policy/Server.java
+++ b/src/main/java/sablehinge/policy/Server.java
@@ -36,7 +36,7 @@
     /** Whether it belongs to the subset of the fleet that this instance prefers. */
     boolean preferred;
     /** Sends that it has earned while cold. */
-    double coldBudget;
+    double warmUpBudget;
     /** Until when it is taken to have a full table of connections. */
     double crowdedUntil = Double.NEGATIVE_INFINITY;
     /** Calls that it turned away or did not let connect since it last served one. */
@@ -46,12 +46,12 @@
 
     private double fadedAt;
 
-    Server(LoadBalancer.Upstream listed, Kind kind, int classes, double now, double coldBudget) {
+    Server(LoadBalancer.Upstream listed, Kind kind, int classes, double now, double warmUpBudget) {
         servedOf = new double[classes];
         triesOf = new double[classes];
         this.listed = listed;
         this.kind = kind;
-        this.coldBudget = coldBudget;
+        this.warmUpBudget = warmUpBudget;
         fadedAt = now;
     }
 
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
@@ -18,7 +18,7 @@
     /** After an acknowledgement, how long an older configuration may be in force. */
     public static final int EDITION_MS = 2_500;
     /** Between two beats of an upstream. */
-    public static final int BEAT_MS = 500;
+    public static final int HEARTBEAT_MS = 500;
     /** The zone of all machines. */
     public static final String ZONE = "valley";
 
@@ -122,7 +122,7 @@
     /** The settings file of a machine of the core. */
     public String controlSettings(int place, String dataDir, boolean firstStart) {
         return head("core-" + (place + 1), "control", CORE + place) + "dataDir = \"" + dataDir + "\"\n"
-                + String.format(Locale.ROOT, REST, firstStart, true, BEAT_MS, 1_000, UNLOAD_MS, EDITION_MS)
+                + String.format(Locale.ROOT, REST, firstStart, true, HEARTBEAT_MS, 1_000, UNLOAD_MS, EDITION_MS)
                 + "[listenOn]\ncontrol = \"" + coreControl(place) + "\"\n";
     }
 
@@ -130,7 +130,7 @@
     public String sidecarSettings(int place) {
         return head("sidecar-" + (place + 1), "sidecar", SIDECARS + place) + "app = \"" + app(place)
                 + "\"\ndepot = \"" + services.get(place) + "\"\n"
-                + String.format(Locale.ROOT, REST, true, false, BEAT_MS, 0, UNLOAD_MS, EDITION_MS)
+                + String.format(Locale.ROOT, REST, true, false, HEARTBEAT_MS, 0, UNLOAD_MS, EDITION_MS)
                 + "[listenOn]\ninbound = \"" + at(SIDECARS + place, INBOUND) + "\"\noutbound = \""
                 + outbound(place) + "\"\nready = \"" + ready(place) + "\"\ncontrol = \"" + control(place)
                 + "\"\n";
--- a/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
@@ -131,7 +131,7 @@
             ready(i);
         }
         // The roll comes with the beats: every balancer has heard of every upstream after two of them.
-        TimeUnit.MILLISECONDS.sleep(2 * MeshPlan.BEAT_MS);
+        TimeUnit.MILLISECONDS.sleep(2 * MeshPlan.HEARTBEAT_MS);
     }
 
     /** Ends all daemons at once, in any order, and returns when they are gone. */
@@ -175,7 +175,7 @@
                             WORK_MS),
                     ledger);
             upstreams.add(new HeartbeatSender(
-                    upstream, ClientCall.address(plan.control(i)), MeshPlan.ZONE, MeshPlan.BEAT_MS, ledger));
+                    upstream, ClientCall.address(plan.control(i)), MeshPlan.ZONE, MeshPlan.HEARTBEAT_MS, ledger));
         }
     }
 
--- a/src/main/java/sablehinge/tools/standin/scenario/Scenario.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/Scenario.java
@@ -36,8 +36,8 @@
             double window,
             double aim,
             double deadline,
-            double worth,
-            double lateWorth,
+            double value,
+            double lateValue,
             double work) {}
 
     /**
--- a/src/test/java/sablehinge/common/mapping/MappingTest.java
+++ b/src/test/java/sablehinge/common/mapping/MappingTest.java
@@ -18,7 +18,7 @@
 
     private static final Mapping NONE = new Mapping(List.of());
 
-    private static RequestAttributes asked(String method, String target) {
+    private static RequestAttributes request(String method, String target) {
         return new RequestAttributes(method, "tiles.example", target, "10.0.0.1", Map.of("x-partner", "council-7"));
     }
 
@@ -38,17 +38,17 @@
     }
 
     private static MappedRequest by(String path, String key, String target) {
-        return new Mapping(List.of(rule(path, "c", key))).map(asked("GET", target));
+        return new Mapping(List.of(rule(path, "c", key))).map(request("GET", target));
     }
 
     @Test
     void withoutRulesTheFirstPartIsTheClassAndTheSecondTheKey() {
-        assertEquals(new MappedRequest("tile", "12", "", 0, -1), NONE.map(asked("GET", "/tile/12/more?z=3")));
-        assertEquals(new MappedRequest("tile", "12", "", 0, -1), NONE.map(asked("GET", "/tile/12")));
-        assertEquals(new MappedRequest("tile", "", "", 0, -1), NONE.map(asked("GET", "/tile?z=/3")));
-        assertEquals(new MappedRequest("tile", "", "", 0, -1), NONE.map(asked("GET", "/tile/")));
+        assertEquals(new MappedRequest("tile", "12", "", 0, -1), NONE.map(request("GET", "/tile/12/more?z=3")));
+        assertEquals(new MappedRequest("tile", "12", "", 0, -1), NONE.map(request("GET", "/tile/12")));
+        assertEquals(new MappedRequest("tile", "", "", 0, -1), NONE.map(request("GET", "/tile?z=/3")));
+        assertEquals(new MappedRequest("tile", "", "", 0, -1), NONE.map(request("GET", "/tile/")));
         for (String target : List.of("/", "//x", "/?a=/b", "*", "", "example:443")) {
-            assertNull(NONE.map(asked("GET", target)), target);
+            assertNull(NONE.map(request("GET", target)), target);
         }
     }
 
@@ -77,14 +77,16 @@
         Rule second = rule("/t/**", "second", "");
         assertEquals(
                 "first",
-                new Mapping(List.of(first, second)).map(asked("GET", "/t/1")).serviceClass());
+                new Mapping(List.of(first, second)).map(request("GET", "/t/1")).serviceClass());
         assertEquals(
                 "second",
-                new Mapping(List.of(first, second)).map(asked("GET", "/t/1/2")).serviceClass());
+                new Mapping(List.of(first, second))
+                        .map(request("GET", "/t/1/2"))
+                        .serviceClass());
         assertEquals(
                 "second",
-                new Mapping(List.of(second, first)).map(asked("GET", "/t/1")).serviceClass());
-        assertNull(new Mapping(List.of(first, second)).map(asked("GET", "/u")));
+                new Mapping(List.of(second, first)).map(request("GET", "/t/1")).serviceClass());
+        assertNull(new Mapping(List.of(first, second)).map(request("GET", "/u")));
     }
 
     @Test
@@ -98,10 +100,10 @@
                 Set.of("GET", "HEAD"), new Glob("*.example"), null, header, query, fixed, key, tenant, 1_500, 64)));
         assertEquals(
                 new MappedRequest("c", "HEAD tiles.example /a 10.0.0.1 7", "council-7", 1_500, 64),
-                all.map(asked("HEAD", "/a?f=png&k=7")));
-        assertNull(all.map(asked("POST", "/a?f=png")));
-        assertNull(all.map(asked("GET", "/a?f=jpg")));
-        assertNull(all.map(asked("GET", "/a?ff=png")));
+                all.map(request("HEAD", "/a?f=png&k=7")));
+        assertNull(all.map(request("POST", "/a?f=png")));
+        assertNull(all.map(request("GET", "/a?f=jpg")));
+        assertNull(all.map(request("GET", "/a?ff=png")));
         assertNull(
                 all.map(new RequestAttributes("GET", "tiles.other", "/a?f=png", "", Map.of("x-partner", "council-7"))));
         assertNull(all.map(new RequestAttributes("GET", null, "/a?f=png", "", Map.of("x-partner", "council-7"))));
@@ -121,8 +123,8 @@
                 new Template("", Set.of()),
                 0,
                 -1)));
-        assertNull(byQuery.map(asked("GET", "/a")));
-        assertEquals("x", byQuery.map(asked("GET", "/a?class=x")).serviceClass());
+        assertNull(byQuery.map(request("GET", "/a")));
+        assertEquals("x", byQuery.map(request("GET", "/a?class=x")).serviceClass());
     }
 
     @Test
@@ -160,9 +162,9 @@
 
     @Test
     void shapesLeaveOutWhatVaries() {
-        assertEquals("GET tiles.example/tiles/{}/x/{}", Mapping.shape(asked("GET", "/tiles/7/x/5.png?v=1")));
-        assertEquals("GET tiles.example/{}", Mapping.shape(asked("GET", "/" + "a".repeat(1_000))));
-        assertEquals("GET tiles.example/a/b/c/d/e/f/…", Mapping.shape(asked("GET", "/a/b/c/d/e/f/g/h/i")));
+        assertEquals("GET tiles.example/tiles/{}/x/{}", Mapping.shape(request("GET", "/tiles/7/x/5.png?v=1")));
+        assertEquals("GET tiles.example/{}", Mapping.shape(request("GET", "/" + "a".repeat(1_000))));
+        assertEquals("GET tiles.example/a/b/c/d/e/f/…", Mapping.shape(request("GET", "/a/b/c/d/e/f/g/h/i")));
     }
 
     /** Against the same pattern as a regular expression, which is not bounded in time as this is. */
--- a/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
@@ -46,7 +46,7 @@
             Connection server = new Connection(loop, NEVER_MS, NEVER_MS);
             var listening = server.listen(
                             new InetSocketAddress("127.0.0.1", 0),
-                            (link, frame) -> link.send(new Frame(Frame.Kind.NEWS, new byte[100])))
+                            (link, frame) -> link.send(new Frame(Frame.Kind.UPDATE, new byte[100])))
                     .sync();
             Notes notes = new Notes();
             Connection client = new Connection(loop, NEVER_MS, NEVER_MS, notes);
--- a/src/test/java/sablehinge/common/rpc/ConnectionTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionTest.java
@@ -57,7 +57,7 @@
         body[RECORD - 1] = 7;
         ByteBuf record = Unpooled.buffer()
                 .writeInt(1 + RECORD)
-                .writeByte(Frame.Kind.NEWS.ordinal())
+                .writeByte(Frame.Kind.UPDATE.ordinal())
                 .writeBytes(body);
         while (record.isReadable()) {
             assertFalse(closed, "closed with " + record.readableBytes() + " bytes to come");
--- a/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
+++ b/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
@@ -114,7 +114,7 @@
         assertTrue(read.firstStart());
         assertFalse(read.counted());
         assertNull(read.dataDir());
-        assertEquals(1_500, read.beatMs());
+        assertEquals(1_500, read.heartbeatMs());
         assertTrue(read.inForce("quota"));
         assertFalse(read.inForce("fees"));
         assertEquals("10.1.0.11:8363", read.app());
--- a/src/test/java/sablehinge/controlplane/node/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -273,7 +273,7 @@
         }
 
         private <Q, A> void carry(Operation<Q, A> operation, ApiRequest asked, Consumer<ApiResponse> answer) {
-            operation.carryOut(operation.read(asked), told -> answer.accept(operation.write(told)));
+            operation.execute(operation.read(asked), told -> answer.accept(operation.write(told)));
         }
 
         // What the agreement asks for.
@@ -351,12 +351,12 @@
 
         @Override
         public void confirmed(long token) {
-            gate.ended(now, token, true);
+            gate.barrierEnded(now, token, true);
         }
 
         @Override
         public void denied(long token) {
-            gate.ended(now, token, false);
+            gate.barrierEnded(now, token, false);
         }
 
         // What the gate and the operations ask for.
--- a/src/test/java/sablehinge/controlplane/node/ControlNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlNodeTest.java
@@ -398,11 +398,11 @@
                     List.of(),
                     List.of());
             Frame elsewhere = asked(loop, (leader + 1) % 3, request);
-            assertEquals(Frame.Kind.ELSEWHERE, elsewhere.kind());
+            assertEquals(Frame.Kind.REDIRECT, elsewhere.kind());
             String host = seeds.get(leader).substring(0, seeds.get(leader).indexOf(':'));
             assertEquals(host + ":7100", new String(elsewhere.body(), StandardCharsets.UTF_8));
             Frame told = asked(loop, leader, request);
-            assertEquals(Frame.Kind.NEWS, told.kind());
+            assertEquals(Frame.Kind.UPDATE, told.kind());
             Update update = Update.read(told.body());
             assertEquals(3, update.number());
             assertTrue(update.confirmed());
@@ -438,7 +438,7 @@
                             false,
                             List.of(),
                             List.of()));
-            assertEquals(Frame.Kind.ELSEWHERE, elsewhere.kind());
+            assertEquals(Frame.Kind.REDIRECT, elsewhere.kind());
             assertEquals("", new String(elsewhere.body(), StandardCharsets.UTF_8));
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
--- a/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
+++ b/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
@@ -29,12 +29,12 @@
     private Runnable wakes;
     private int pauses;
     /** Whether the member's name goes to the disk with its first change. */
-    private boolean founds;
+    private boolean isFounder;
 
     private int opened;
     private PersistedState found;
     private final List<Long> reported = new ArrayList<>();
-    private StoreException lost;
+    private StoreException stateLost;
 
     @Override
     public double now() {
@@ -50,13 +50,13 @@
     }
 
     @Override
-    public Member named(boolean damaged) {
+    public Member named(boolean isCorrupt) {
         return RaftStoreCrashTest.SELF;
     }
 
     @Override
-    public boolean founds(Member self) {
-        return founds;
+    public boolean isFounder(Member self) {
+        return isFounder;
     }
 
     @Override
@@ -74,8 +74,8 @@
     }
 
     @Override
-    public void lost(StoreException why) {
-        lost = why;
+    public void stateLost(StoreException why) {
+        stateLost = why;
     }
 
     private void begins(long seed) {
@@ -104,7 +104,7 @@
         RaftStoreCrashTest.Model model = new RaftStoreCrashTest.Model();
         List<String> states = new ArrayList<>();
         diskWriter.open();
-        model.begun = !founds;
+        model.begun = !isFounder;
         states.add(model.text());
         for (int i = 1; i <= CHANGES; i++) {
             WriteBatch change = RaftStoreCrashTest.next(model, i, random);
@@ -119,14 +119,14 @@
             }
         }
         for (int i = 0; i < 200 && wake(); i++) {
-            assertNull(lost);
+            assertNull(stateLost);
         }
         return states;
     }
 
     private String onDisk(String place) {
         try (RaftStore store = RaftStore.open(disk)) {
-            assertFalse(store.damaged(), place);
+            assertFalse(store.isCorrupt(), place);
             return RaftStoreCrashTest.text(store.load());
         }
     }
@@ -134,7 +134,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whatWasReportedStaysAndTheRestFollowsInOrderWhereverTheDiskRefuses(boolean founder) {
-        founds = founder;
+        isFounder = founder;
         for (long seed = 1; seed <= 2; seed++) {
             begins(seed);
             run(seed);
@@ -148,7 +148,7 @@
                     List<String> states = run(seed);
                     // A file that can't be shortened at once is as good.
                     assertTrue(pauses > 0 || disk.refusedTruncations == length, place);
-                    assertNull(lost, place);
+                    assertNull(stateLost, place);
                     assertEquals(CHANGES, reported.size(), place);
                     assertEquals(1, opened, place);
                     assertNull(found, place + ": it had begun in this life");
@@ -162,7 +162,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whatWasReportedOutlivesALossOfPowerAtEachStepAfterARefusal(boolean founder) {
-        founds = founder;
+        isFounder = founder;
         for (long seed = 1; seed <= 2; seed++) {
             begins(seed);
             run(seed);
@@ -205,8 +205,8 @@
             assertTrue(wake());
             longest = Math.max(longest, now - before);
         }
-        assertEquals(RetryBackoff.MOST, longest);
-        assertTrue(now - start > 90 * RetryBackoff.MOST, "paused for " + (now - start));
+        assertEquals(RetryBackoff.MAX_PAUSE_MS, longest);
+        assertTrue(now - start > 90 * RetryBackoff.MAX_PAUSE_MS, "paused for " + (now - start));
         assertEquals(List.of(), reported);
         disk.room = Long.MAX_VALUE;
         assertTrue(wake());
@@ -226,31 +226,31 @@
         diskWriter.write(new WriteBatch(3, 3, 9, 0, List.of(), null));
         disk.bytes(RaftStore.FILE, older);
         wake();
-        assertEquals(StoreException.Code.LOST, lost.code());
+        assertEquals(StoreException.Code.LOST, stateLost.code());
         assertEquals(List.of(1L, 2L), reported);
         assertFalse(wake());
     }
 
     @Test
     void aLineIsWorthItAtFirstAndForAnotherCodeAndOnceAMinute() {
-        RetryBackoff patience = new RetryBackoff();
+        RetryBackoff backoff = new RetryBackoff();
         int lines = 0;
         for (int ms = 0; ms < 600_000; ms += 500) {
-            lines += patience.refused(ms, ms < 300_000 ? StoreException.Code.REFUSED : StoreException.Code.UNREADABLE)
+            lines += backoff.refused(ms, ms < 300_000 ? StoreException.Code.REFUSED : StoreException.Code.UNREADABLE)
                     ? 1
                     : 0;
         }
         assertEquals(10, lines);
-        assertEquals(1200, patience.refusals());
-        assertEquals(600_000, patience.lasts(600_000));
-        assertTrue(patience.well());
-        assertTrue(patience.refused(600_001, StoreException.Code.UNREADABLE));
-        assertEquals(RetryBackoff.FIRST, patience.pause());
+        assertEquals(1200, backoff.refusals());
+        assertEquals(600_000, backoff.failingForMs(600_000));
+        assertTrue(backoff.recovered());
+        assertTrue(backoff.refused(600_001, StoreException.Code.UNREADABLE));
+        assertEquals(RetryBackoff.FIRST_PAUSE_MS, backoff.pause());
         // A disk that is well in between, again and again, fills no log either.
         lines = 0;
         for (int ms = 600_001; ms < 660_001; ms += 10) {
-            lines += patience.well() ? 1 : 0;
-            lines += patience.refused(ms, StoreException.Code.REFUSED) ? 1 : 0;
+            lines += backoff.recovered() ? 1 : 0;
+            lines += backoff.refused(ms, StoreException.Code.REFUSED) ? 1 : 0;
         }
         assertEquals(23, lines);
     }
--- a/src/test/java/sablehinge/controlplane/node/FailStopExecutorTest.java
+++ b/src/test/java/sablehinge/controlplane/node/FailStopExecutorTest.java
@@ -14,13 +14,13 @@
 
     @Test
     void workThatIsDoneAgainSoonMayFailAndNothingElseIsTouched() {
-        guard.goOn("a tick", () -> {
+        guard.runTolerant("a tick", () -> {
             throw new IllegalStateException("broken");
         });
-        guard.goOn("a tick", () -> {
+        guard.runTolerant("a tick", () -> {
             throw new OutOfMemoryError("direct");
         });
-        guard.goOn("a tick", () -> came.add("done"));
+        guard.runTolerant("a tick", () -> came.add("done"));
         assertEquals(List.of("done"), came);
     }
 
--- a/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
@@ -73,7 +73,7 @@
 
         @Override
         public void barrier(double at, long token) {
-            gate.ended(at, token, sure);
+            gate.barrierEnded(at, token, sure);
         }
     }
 
@@ -128,9 +128,9 @@
 
     private ApiResponse call(String path, HttpHeaders headers, String body) {
         CallContext authority = new Scripted();
-        ControlStatus sight = new ControlStatus(
+        ControlStatus status = new ControlStatus(
                 "core-1", "z-a", ONE.control(), registry, new WatchServer<String>(registry), pool, authority);
-        for (Operation<?, ?> one : OperatorApi.all(authority, sight)) {
+        for (Operation<?, ?> one : OperatorApi.all(authority, status)) {
             if (one.path().equals("/sablehinge/" + path)) {
                 return carry(one, new ApiRequest("", headers, body.getBytes(StandardCharsets.UTF_8)));
             }
@@ -140,7 +140,7 @@
 
     private static <Q, A> ApiResponse carry(Operation<Q, A> operation, ApiRequest asked) {
         ApiResponse[] reply = new ApiResponse[1];
-        operation.carryOut(operation.read(asked), answer -> reply[0] = operation.write(answer));
+        operation.execute(operation.read(asked), answer -> reply[0] = operation.write(answer));
         return reply[0];
     }
 
@@ -151,7 +151,7 @@
     }
 
     private void tells(double at, String node, String upstream, boolean ready) {
-        registry.told(at, new Registration(node, "z-a", "10.0.1.1:7703", "basalt", upstream, ready, 12, 0));
+        registry.register(at, new Registration(node, "z-a", "10.0.1.1:7703", "basalt", upstream, ready, 12, 0));
     }
 
     @Test
@@ -176,7 +176,7 @@
 
     @Test
     void theLeaderTellsWhoIsReadyWhoDrainsAndWhoIsGone() throws IOException {
-        registry.begin(0);
+        registry.reset(0);
         silent.put(TWO.id(), 180.2);
         tells(0, "n-gone", "i-4", true);
         tells(9_000, "n-ready", "i-1", true);
@@ -200,10 +200,10 @@
     void thePoolsAreToldWithWhatIsLeftOfThem() throws IOException {
         pool.adopt(0, Map.of("t", new Quota(10, 100)));
         assertEquals(15, pool.take(5_000, "t", 15));
-        MeshDuties duties = told("Mesh.Duties", MeshDuties.class);
-        assertEquals(250, duties.leaseMs());
+        MeshDuties singletonRoles = told("Mesh.Duties", MeshDuties.class);
+        assertEquals(250, singletonRoles.leaseMs());
         // 4 a second of 10 are the pool's: 20 come within 5 s, and 20 within the other 5 s.
-        assertEquals(List.of(new MeshDuties.Pool("t", 4, 40, 25)), duties.pools());
+        assertEquals(List.of(new MeshDuties.Pool("t", 4, 40, 25)), singletonRoles.pools());
     }
 
     @Test
--- a/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
@@ -130,7 +130,7 @@
         String before = model.text();
         try {
             RaftStore store = RaftStore.open(disk);
-            assertFalse(store.damaged());
+            assertFalse(store.isCorrupt());
             assertEquals(model.text(), text(store.load()));
             if (!model.begun) {
                 model.begun = true;
@@ -215,7 +215,7 @@
         }
         disk.powerUp();
         try (RaftStore store = RaftStore.open(disk)) {
-            assertFalse(store.damaged(), place);
+            assertFalse(store.isCorrupt(), place);
             String found = text(store.load());
             assertTrue(allowed.contains(found), () -> place + ": found " + found + " of " + allowed);
         }
--- a/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
@@ -45,7 +45,7 @@
     void holdsWhatItWasGivenAcrossOpenings() {
         try (RaftStore store = RaftStore.open(folder.resolve("a/b"))) {
             assertNull(store.load());
-            assertFalse(store.damaged());
+            assertFalse(store.isCorrupt());
             store.begin(SELF);
             store.write(new WriteBatch(1, 7, 42, 0, List.of(entry(1, 10), entry(2, 300_000)), null));
         }
@@ -129,16 +129,16 @@
             disk.bytes(RaftStore.FILE, bytes);
             for (int opening = 0; opening < 2; opening++) {
                 try (RaftStore store = RaftStore.open(disk)) {
-                    assertTrue(store.damaged(), "kind " + kind);
+                    assertTrue(store.isCorrupt(), "kind " + kind);
                     assertNull(store.load());
-                    assertTrue(disk.has(RaftStore.ASIDE));
+                    assertTrue(disk.has(RaftStore.CORRUPT_FILE));
                 }
             }
             try (RaftStore store = RaftStore.open(disk)) {
                 store.begin(Member.later(8, "10.0.0.1:7000", "10.0.0.1:7001"));
             }
             try (RaftStore store = RaftStore.open(disk)) {
-                assertFalse(store.damaged());
+                assertFalse(store.isCorrupt());
             }
         }
     }
@@ -153,7 +153,7 @@
         }
         Arrays.fill(disk.bytes(RaftStore.FILE), 0, 8192, (byte) 0);
         try (RaftStore store = RaftStore.open(disk)) {
-            assertFalse(store.damaged());
+            assertFalse(store.isCorrupt());
             assertEquals(List.of(1L, 2L), indexes(store));
         }
     }
@@ -196,7 +196,7 @@
             Arrays.fill(torn, end - older, end, (byte) 'x');
             disk.bytes(RaftStore.FILE, torn);
             try (RaftStore found = RaftStore.open(disk)) {
-                assertFalse(found.damaged(), older + " bytes");
+                assertFalse(found.isCorrupt(), older + " bytes");
                 assertEquals(List.of(1L), indexes(found), older + " bytes");
             }
         }
@@ -224,7 +224,7 @@
     void anEmptyFolderStaysWithoutThreads() {
         RaftStore.open(folder).close();
         assertTrue(Files.exists(folder.resolve(RaftStore.FILE)));
-        assertFalse(Files.exists(folder.resolve(RaftStore.NEW)));
+        assertFalse(Files.exists(folder.resolve(RaftStore.NEW_FILE)));
         assertTrue(Thread.getAllStackTraces().keySet().stream()
                 .noneMatch(t -> t.getName().contains("MVStore")));
     }
--- a/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
+++ b/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
@@ -26,7 +26,7 @@
 
     WatchServerTest() {
         watchServer.begin(0, TERM);
-        watchServer.holds(4, BODY, List.of("127.0.0.1:7000"));
+        watchServer.configurationChanged(4, BODY, List.of("127.0.0.1:7000"));
     }
 
     private static Registration registration(String node) {
@@ -44,9 +44,9 @@
             long edition,
             long stamp,
             boolean confirm,
-            List<Suspicion> accusations,
+            List<Suspicion> suspicions,
             List<Registration> vouched) {
-        watchServer.asked(
+        watchServer.handleRequest(
                 now,
                 node,
                 new WatchRequest(
@@ -56,7 +56,7 @@
                         stamp == 0 ? 0 : TERM,
                         stamp,
                         confirm,
-                        accusations,
+                        suspicions,
                         vouched));
     }
 
@@ -76,7 +76,7 @@
         Update first = only(0);
         assertEquals(4, first.edition());
         assertArrayEquals(BODY, first.body());
-        assertTrue(first.whole());
+        assertTrue(first.full());
         assertEquals(TERM, first.term());
         asks(0, node, 2, 4, first.stamp(), false);
     }
@@ -94,7 +94,7 @@
         Update update = only(400);
         assertEquals(2, update.number());
         assertEquals(0, update.body().length);
-        assertFalse(update.whole());
+        assertFalse(update.full());
         assertEquals(List.of(), update.registrations());
         none(500);
     }
@@ -103,7 +103,7 @@
     void aNewEditionIsToldAtOnceToWhoIsHeld() {
         settled("a");
         none(10);
-        watchServer.holds(6, new byte[] {9}, List.of());
+        watchServer.configurationChanged(6, new byte[] {9}, List.of());
         Update update = only(11);
         assertEquals(6, update.edition());
         assertArrayEquals(new byte[] {9}, update.body());
@@ -119,7 +119,7 @@
         int number = 3;
         for (double now = 10; now <= 11_000; now += 10) {
             if (now <= 9_000) {
-                watchServer.holds(4 + (long) (now / 10), BODY, List.of());
+                watchServer.configurationChanged(4 + (long) (now / 10), BODY, List.of());
             }
             for (WatchServer.Delivery<String> answer : watchServer.due(now)) {
                 if (answer.update().body().length > 0) {
@@ -140,14 +140,14 @@
         settled("a");
         long known = 4;
         for (int i = 0; i < 50; i++) {
-            watchServer.holds(5 + i, BODY, List.of());
+            watchServer.configurationChanged(5 + i, BODY, List.of());
             asks(20 + i, "a", 3 + i, known, registry.stamp(), true);
             watchServer.confirmed("a", 3 + i);
             known = only(20 + i).edition();
             assertEquals(5 + i, known);
         }
         asks(80, "a", 90, known, registry.stamp(), false);
-        watchServer.holds(100, BODY, List.of());
+        watchServer.configurationChanged(100, BODY, List.of());
         none(90);
         watchServer.due(500);
         asks(500, "a", 91, known, registry.stamp(), false);
@@ -167,7 +167,7 @@
                 .orElseThrow()
                 .update();
         assertEquals(List.of(registration("b")), update.registrations());
-        assertFalse(update.whole());
+        assertFalse(update.full());
     }
 
     @Test
@@ -176,7 +176,7 @@
         asks(10, "a", 3, 4, registry.stamp(), true);
         none(10);
         none(5_000 - 1);
-        watchServer.holds(6, BODY, List.of());
+        watchServer.configurationChanged(6, BODY, List.of());
         none(5_000);
         watchServer.confirmed("a", 2);
         none(5_001);
@@ -202,13 +202,13 @@
         assertFalse(only(400).complete());
         asks(2_400, "a", 3, 4, registry.stamp(), false);
         none(2_499);
-        Update whole = only(2_500);
-        assertTrue(whole.whole());
-        assertTrue(whole.complete());
-        assertEquals(List.of(registration("a")), whole.registrations());
+        Update full = only(2_500);
+        assertTrue(full.full());
+        assertTrue(full.complete());
+        assertEquals(List.of(registration("a")), full.registrations());
         asks(2_500, "a", 4, 4, registry.stamp(), false);
         none(2_600);
-        assertFalse(only(2_900).whole());
+        assertFalse(only(2_900).full());
     }
 
     private Update told(double now, String node) {
@@ -227,7 +227,7 @@
         Registration off = told(1_000, "a").registrations().get(0);
         assertEquals("i-b", off.upstream());
         assertFalse(off.ready());
-        assertEquals(Health.DEAD, watchServer.rulings().get(0).health());
+        assertEquals(Health.DEAD, watchServer.healthChanges().get(0).health());
         asks(1_010, "a", 4, 4, registry.stamp(), false);
         asks(1_020, "b", 2, 4, registry.stamp(), false);
         assertEquals(List.of(registration("b")), told(1_020, "a").registrations());
@@ -246,7 +246,7 @@
         assertEquals(List.of(registration("a"), registration("b")), registry.since(0));
         assertEquals(
                 List.of(Health.CUT_FROM_CORE),
-                watchServer.rulings().stream()
+                watchServer.healthChanges().stream()
                         .map(HealthView.HealthChange::health)
                         .toList());
     }
@@ -255,9 +255,9 @@
     void whoHasLeftIsToldNothing() {
         settled("a");
         watchServer.gone("a");
-        watchServer.holds(6, BODY, List.of());
+        watchServer.configurationChanged(6, BODY, List.of());
         none(1_000);
-        assertEquals(0, watchServer.askers().size());
+        assertEquals(0, watchServer.subscribers().size());
     }
 
     @Test
@@ -269,7 +269,7 @@
         asks(1_000, "a", 3, 4, known, false);
         Update update = only(1_000);
         assertEquals(TERM + 1, update.term());
-        assertTrue(update.whole());
+        assertTrue(update.full());
         assertFalse(update.complete());
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/Claims.java
+++ b/src/test/java/sablehinge/controlplane/raft/Claims.java
@@ -265,7 +265,7 @@
     }
 
     private static boolean repeats(Machine at, Call call) {
-        return at.configurations.foresee(call.basedOn, call.edition, call.body) == ConfigurationState.Outcome.REPEATED;
+        return at.configurations.evaluate(call.basedOn, call.edition, call.body) == ConfigurationState.Outcome.REPEATED;
     }
 
     private static Map<Long, Taken> taken(Machine at) {
@@ -275,7 +275,7 @@
         return all;
     }
 
-    /** By what {@link ConfigurationState#foresee} says REPEATED, without a digest of the body each time. */
+    /** By what {@link ConfigurationState#evaluate} says REPEATED, without a digest of the body each time. */
     private static boolean isTaken(Acknowledged one, Taken taken) {
         return taken != null
                 && taken.basedOn == one.call.basedOn
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeRandomTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRandomTest.java
@@ -97,13 +97,13 @@
                     cluster.after(random.nextDouble() * 300, () -> up(machine));
                 });
             case 7, 8 -> {
-                if (cluster.isWhole() && hit.self != null) {
+                if (cluster.isComplete() && hit.self != null) {
                     hit.wipe();
                     cluster.after(length, hit::outside);
                 }
             }
             case 9 -> {
-                if (added < 4 && cluster.isWhole()) {
+                if (added < 4 && cluster.isComplete()) {
                     hit.kill(true);
                     cluster.add("10.0.1." + added + ":1").outside();
                     cluster.after(length * 3, () -> up(hit));
@@ -147,7 +147,7 @@
         cluster.run(7000);
         cluster.commitOne(4000);
         cluster.run(2000);
-        if (!cluster.isWhole()) {
+        if (!cluster.isComplete()) {
             throw new AssertionError(
                     "seed " + cluster.seed + ": not whole again, " + cluster.list + "\n" + cluster.describe());
         }
--- a/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -661,7 +661,7 @@
     }
 
     /** Whether all listed members live with their disks, and all that are up know of that list. */
-    boolean isWhole() {
+    boolean isComplete() {
         return list.size() >= 3 && lost() == 0 && knowSameList();
     }
 
--- a/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
@@ -36,7 +36,7 @@
     void aSmallOneGoesAsOneChunk() {
         Snapshot small = snapshot(9, 100);
         Message.InstallSnapshotRequest only = new SnapshotSender(small).next(0, 3, 1);
-        assertTrue(only.isWhole());
+        assertTrue(only.isComplete());
         assertSame(small, receiver.take(only));
     }
 
--- a/src/test/java/sablehinge/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/sablehinge/controlplane/state/ConfigurationStateTest.java
@@ -25,7 +25,7 @@
     }
 
     private static Outcome send(ConfigurationState to, long basedOn, long edition, String body) {
-        Outcome foreseen = to.foresee(basedOn, edition, bytes(body));
+        Outcome foreseen = to.evaluate(basedOn, edition, bytes(body));
         Outcome outcome = to.apply(ConfigurationState.replace(basedOn, edition, bytes(body), AT + edition));
         assertEquals(foreseen, outcome);
         return outcome;
--- a/src/test/java/sablehinge/controlplane/state/RegistryTest.java
+++ b/src/test/java/sablehinge/controlplane/state/RegistryTest.java
@@ -14,11 +14,11 @@
     private final Registry registry = new Registry(2_500, 1_000);
 
     RegistryTest() {
-        registry.begin(0);
+        registry.reset(0);
     }
 
-    private static Registration registration(String node, String upstream, boolean ready, int coldMs) {
-        return new Registration(node, "monza-a", "127.0.0.1:80", "huvo11a", upstream, ready, 4, coldMs);
+    private static Registration registration(String node, String upstream, boolean ready, int warmUpMs) {
+        return new Registration(node, "monza-a", "127.0.0.1:80", "huvo11a", upstream, ready, 4, warmUpMs);
     }
 
     private static List<String> lives(List<Registration> registrations) {
@@ -27,11 +27,11 @@
 
     @Test
     void whoKnowsAllUpToAStampIsToldWhatCameAfterInItsOrder() {
-        assertTrue(registry.told(0, registration("a", "i-1", true, 0)));
-        assertTrue(registry.told(0, registration("b", "i-2", true, 0)));
-        assertTrue(registry.told(0, registration("c", "i-3", true, 0)));
+        assertTrue(registry.register(0, registration("a", "i-1", true, 0)));
+        assertTrue(registry.register(0, registration("b", "i-2", true, 0)));
+        assertTrue(registry.register(0, registration("c", "i-3", true, 0)));
         assertEquals(3, registry.stamp());
-        assertTrue(registry.told(1, registration("a", "i-1", false, 0)));
+        assertTrue(registry.register(1, registration("a", "i-1", false, 0)));
         assertEquals(List.of("i-3", "i-1"), lives(registry.since(2)));
         assertEquals(List.of(), registry.since(registry.stamp()));
         assertEquals(List.of("i-2", "i-3", "i-1"), lives(registry.since(0)));
@@ -40,50 +40,50 @@
     /** RULES, QUOTA: counted across all machines, whether in touch or not. */
     @Test
     void whoFallsSilentStillHasItsPartOfAQuotaAndWhoLeavesHasNot() {
-        registry.told(0, registration("a", "i-1", true, 0));
-        registry.told(0, registration("b", "i-2", true, 0));
-        registry.told(900, registration("c", "i-3", true, 0));
-        assertEquals(3, registry.sharers());
-        registry.told(900, registration("b", "", false, 0));
-        assertEquals(2, registry.sharers(), "b has left");
+        registry.register(0, registration("a", "i-1", true, 0));
+        registry.register(0, registration("b", "i-2", true, 0));
+        registry.register(900, registration("c", "i-3", true, 0));
+        assertEquals(3, registry.quotaSharers());
+        registry.register(900, registration("b", "", false, 0));
+        assertEquals(2, registry.quotaSharers(), "b has left");
         assertTrue(registry.expire(1_001));
         assertEquals(1, registry.size());
-        assertEquals(2, registry.sharers(), "a may only be cut off");
-        registry.told(1_500, registration("a", "", false, 0));
-        assertEquals(1, registry.sharers(), "a has come back without an upstream");
-        registry.told(1_600, registration("a", "i-4", true, 0));
-        registry.told(5_000, registration("c", "i-3", true, 0));
+        assertEquals(2, registry.quotaSharers(), "a may only be cut off");
+        registry.register(1_500, registration("a", "", false, 0));
+        assertEquals(1, registry.quotaSharers(), "a has come back without an upstream");
+        registry.register(1_600, registration("a", "i-4", true, 0));
+        registry.register(5_000, registration("c", "i-3", true, 0));
         registry.expire(5_500);
-        assertEquals(2, registry.sharers());
+        assertEquals(2, registry.quotaSharers());
         registry.expire(5_601);
-        assertEquals(1, registry.sharers(), "a is forgotten");
+        assertEquals(1, registry.quotaSharers(), "a is forgotten");
     }
 
     /** Its process ends with its upstream, some moments after that has said that it leaves. */
     @Test
     void whoSaidThatItsUpstreamLeavesHasNoPartOnceItIsSilent() {
-        registry.told(0, registration("a", "i-1", true, 0));
-        registry.told(0, registration("b", "i-2", true, 0));
-        registry.told(100, registration("b", "i-2", false, 0));
-        registry.told(1_000, registration("a", "i-1", true, 0));
-        assertEquals(2, registry.sharers());
+        registry.register(0, registration("a", "i-1", true, 0));
+        registry.register(0, registration("b", "i-2", true, 0));
+        registry.register(100, registration("b", "i-2", false, 0));
+        registry.register(1_000, registration("a", "i-1", true, 0));
+        assertEquals(2, registry.quotaSharers());
         assertTrue(registry.expire(1_101));
-        assertEquals(1, registry.sharers());
+        assertEquals(1, registry.quotaSharers());
     }
 
     @Test
     void toBeToldTheSameOrOnlyToWarmUpIsNoNews() {
-        registry.told(0, registration("a", "i-1", true, 900));
-        assertFalse(registry.told(1, registration("a", "i-1", true, 900)));
-        assertFalse(registry.told(2, registration("a", "i-1", true, 100)));
+        registry.register(0, registration("a", "i-1", true, 900));
+        assertFalse(registry.register(1, registration("a", "i-1", true, 900)));
+        assertFalse(registry.register(2, registration("a", "i-1", true, 100)));
         assertEquals(1, registry.stamp());
     }
 
     @Test
     void whoSaysNothingForLongHasNoUpstreamAndThatIsNews() {
-        registry.told(0, registration("a", "i-1", true, 0));
-        registry.told(0, registration("b", "i-2", true, 0));
-        registry.told(600, registration("b", "i-2", true, 0));
+        registry.register(0, registration("a", "i-1", true, 0));
+        registry.register(0, registration("b", "i-2", true, 0));
+        registry.register(600, registration("b", "i-2", true, 0));
         assertFalse(registry.expire(1_000));
         assertTrue(registry.expire(1_001));
         assertFalse(registry.expire(1_002));
@@ -94,13 +94,13 @@
         assertEquals("", registry.since(2).get(0).upstream());
         assertFalse(registry.since(2).get(0).ready());
         assertEquals(1, registry.size());
-        assertTrue(registry.told(1_100, registration("a", "i-1", true, 0)));
+        assertTrue(registry.register(1_100, registration("a", "i-1", true, 0)));
         assertEquals(2, registry.size());
     }
 
     @Test
     void whoIsLongGoneIsForgotten() {
-        registry.told(0, registration("a", "i-1", true, 0));
+        registry.register(0, registration("a", "i-1", true, 0));
         registry.expire(1_001);
         registry.expire(4_001);
         assertEquals(List.of(), registry.since(0));
@@ -109,9 +109,9 @@
     /** Else all who are told of would be gone as soon as a machine that was stopped goes on. */
     @Test
     void aTimeInWhichTheKeeperItselfStoodStillIsNobodysSilence() {
-        registry.told(0, registration("a", "i-1", true, 0));
-        registry.told(500, registration("b", "i-2", true, 0));
-        registry.stoodStill(20_700, 20_000);
+        registry.register(0, registration("a", "i-1", true, 0));
+        registry.register(500, registration("b", "i-2", true, 0));
+        registry.processPaused(20_700, 20_000);
         assertFalse(registry.expire(20_900));
         assertTrue(registry.expire(21_050));
         assertEquals(List.of("i-2", ""), lives(registry.since(0)));
@@ -121,8 +121,8 @@
     void itIsCompleteOnceAllWhoLiveHadTheTimeToTellAndIncompleteAgainWhenKeptAnew() {
         assertFalse(registry.isComplete(2_499));
         assertTrue(registry.isComplete(2_500));
-        registry.told(2_500, registration("a", "i-1", true, 0));
-        registry.begin(3_000);
+        registry.register(2_500, registration("a", "i-1", true, 0));
+        registry.reset(3_000);
         assertFalse(registry.isComplete(3_001));
         assertEquals(0, registry.stamp());
         assertEquals(List.of(), registry.since(0));
--- a/src/test/java/sablehinge/dataplane/admission/AdmissionControllerTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/AdmissionControllerTest.java
@@ -82,8 +82,8 @@
         done.clear();
     }
 
-    private void asks(double now, long id, int rank, long life, double deadline, double patience) {
-        admission.request(now, new Request(id, 0, rank, life, deadline, patience, false, true, 0));
+    private void asks(double now, long id, int rank, long incarnation, double deadline, double patience) {
+        admission.request(now, new Request(id, 0, rank, incarnation, deadline, patience, false, true, 0));
     }
 
     private void asks(double now, long id) {
@@ -103,7 +103,7 @@
 
     @Test
     void asManyGoInAsThereAreSlotsAndTheNextWaitsForOne() {
-        admission.opens(0, LIFE, 2);
+        admission.open(0, LIFE, 2);
         asks(0, 1);
         asks(0, 2);
         asks(0, 3);
@@ -116,7 +116,7 @@
 
     @Test
     void theHighestRankGoesFirstAndOfOneRankWhatHasTheLeastTimeLeft() {
-        admission.opens(0, LIFE, 2);
+        admission.open(0, LIFE, 2);
         asks(0, 1);
         asks(0, 2);
         asks(0, 3, 2, LIFE, 1_000, 500);
@@ -131,7 +131,7 @@
 
     @Test
     void oneWaitsForAsLongAsItWasGivenAndNoLonger() {
-        admission.opens(0, LIFE, 1);
+        admission.open(0, LIFE, 1);
         asks(0, 1);
         asks(5, 2, 0, LIFE, DEADLINE, 300);
         expect("send 1", "timer 2 305");
@@ -143,7 +143,7 @@
 
     @Test
     void whatMayNotWaitIsRefusedAtOnceAndSoIsWhatFindsAllPlacesTaken() {
-        admission.opens(0, LIFE, 1);
+        admission.open(0, LIFE, 1);
         asks(0, 1);
         asks(0, 2, 0, LIFE, DEADLINE, 0);
         expect("send 1", "refuse 2 later");
@@ -157,20 +157,20 @@
 
     @Test
     void anotherLifeIsRefusedAtItsArrivalAndWhereItWaited() {
-        admission.opens(0, LIFE, 1);
+        admission.open(0, LIFE, 1);
         asks(0, 1, 0, LIFE + 1, DEADLINE, 500);
         expect("refuse 1");
         asks(0, 2);
         asks(0, 3);
         done.clear();
-        admission.opens(10, LIFE + 1, 1);
+        admission.open(10, LIFE + 1, 1);
         ends(11, 2, Result.RESET);
         expect("fail 2", "refuse 3");
     }
 
     @Test
     void anUpstreamThatLeavesTakesWhatComesUntilItsTimeAndNothingFromThenOn() {
-        admission.opens(0, LIFE, 1);
+        admission.open(0, LIFE, 1);
         admission.closes(0, LIFE, 100);
         asks(99, 1);
         asks(99, 2);
@@ -185,7 +185,7 @@
 
     @Test
     void whatWaitedWhenItsTimeCameIsNotSentEvenIfNobodyWokeTheGate() {
-        admission.opens(0, LIFE, 1);
+        admission.open(0, LIFE, 1);
         asks(0, 1);
         asks(0, 2);
         admission.closes(50, LIFE, 100);
@@ -196,12 +196,12 @@
 
     @Test
     void aLateBeatOfTheSameLifeDoesNotOpenTheGateAgainButTheNextLifeDoes() {
-        admission.opens(0, LIFE, 1);
+        admission.open(0, LIFE, 1);
         admission.closes(0, LIFE, 0);
-        admission.opens(10, LIFE, 1);
+        admission.open(10, LIFE, 1);
         asks(10, 1);
         expect("refuse 1");
-        admission.opens(20, LIFE + 1, 1);
+        admission.open(20, LIFE + 1, 1);
         asks(20, 2, 0, LIFE + 1, DEADLINE, 500);
         expect("send 2");
         admission.closes(30, LIFE, 30);
@@ -213,7 +213,7 @@
     @ParameterizedTest
     @EnumSource(Result.class)
     void onlyWhatIsProvenNotToHaveRunIsRefused(Result result) {
-        admission.opens(0, LIFE, 1);
+        admission.open(0, LIFE, 1);
         asks(0, 1);
         done.clear();
         ends(10, 1, result);
@@ -227,7 +227,7 @@
 
     @Test
     void whoeverLeavesWhileItWaitsIsForgottenAndWhoLeavesAtWorkKeepsItsSlotUntilItsEnd() {
-        admission.opens(0, LIFE, 1);
+        admission.open(0, LIFE, 1);
         asks(0, 1);
         asks(0, 2);
         asks(0, 3);
--- a/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
@@ -74,7 +74,7 @@
 
         void beats(boolean unloading, long count) {
             if (runs()) {
-                lifecycle.heard(now, new Heartbeat(LIFE, SERVICE, unloading, BERTHS, 0, count));
+                lifecycle.handleHeartbeat(now, new Heartbeat(LIFE, SERVICE, unloading, BERTHS, 0, count));
                 if (unloading) {
                     leavesAt = Math.min(leavesAt, now);
                 }
@@ -108,7 +108,7 @@
                 case SIGN_OFF -> {
                     leaves = true;
                     if (runs()) {
-                        lifecycle.signedOff(now, LIFE);
+                        lifecycle.handleSignOff(now, LIFE);
                         leavesAt = Math.min(leavesAt, now);
                     }
                 }
@@ -251,7 +251,7 @@
                 "served until " + (machine.latest - at) + " ms after");
     }
 
-    private static Heartbeat beat(String id, long count) {
+    private static Heartbeat heartbeat(String id, long count) {
         return new Heartbeat(id, SERVICE, false, 4, 0, count);
     }
 
@@ -263,11 +263,11 @@
     @Test
     void aLateHeartbeatChangesNothing() {
         UpstreamLifecycle lifecycle = lifecycle();
-        assertTrue(lifecycle.heard(0, beat(LIFE, 5)));
-        assertFalse(lifecycle.heard(1, new Heartbeat(LIFE, SERVICE, false, 9, 0, 4)));
+        assertTrue(lifecycle.handleHeartbeat(0, heartbeat(LIFE, 5)));
+        assertFalse(lifecycle.handleHeartbeat(1, new Heartbeat(LIFE, SERVICE, false, 9, 0, 4)));
         assertEquals(4, lifecycle.present().berths());
         // Nor does it say that the upstream lives still.
-        lifecycle.heard(5_000, beat(LIFE, 4));
+        lifecycle.handleHeartbeat(5_000, heartbeat(LIFE, 4));
         assertTrue(lifecycle.tick(5_400));
         assertNull(lifecycle.present());
     }
@@ -276,8 +276,8 @@
     @Test
     void aHeartbeatThatComesTwiceIsTheSame() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.heard(0, beat(LIFE, 5));
-        assertFalse(lifecycle.heard(5_000, beat(LIFE, 5)));
+        lifecycle.handleHeartbeat(0, heartbeat(LIFE, 5));
+        assertFalse(lifecycle.handleHeartbeat(5_000, heartbeat(LIFE, 5)));
         assertFalse(lifecycle.tick(5_400));
         assertEquals(LIFE, lifecycle.present().id());
     }
@@ -285,50 +285,50 @@
     @Test
     void aLaterHeartbeatResizesItAndItsColdTimeStays() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.heard(0, new Heartbeat(LIFE, SERVICE, false, 4, 3_000, 1));
-        assertTrue(lifecycle.heard(1, new Heartbeat(LIFE, SERVICE, false, 6, 2_000, 2)));
-        assertFalse(lifecycle.heard(2, new Heartbeat(LIFE, SERVICE, false, 6, 1_000, 3)));
+        lifecycle.handleHeartbeat(0, new Heartbeat(LIFE, SERVICE, false, 4, 3_000, 1));
+        assertTrue(lifecycle.handleHeartbeat(1, new Heartbeat(LIFE, SERVICE, false, 6, 2_000, 2)));
+        assertFalse(lifecycle.handleHeartbeat(2, new Heartbeat(LIFE, SERVICE, false, 6, 1_000, 3)));
         assertEquals(6, lifecycle.present().berths());
-        assertEquals(3_000, lifecycle.present().coldMs());
+        assertEquals(3_000, lifecycle.present().warmUpMs());
     }
 
     @Test
     void thatItUnloadsIsNotTakenBackButByTheNextLife() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.heard(0, beat(LIFE, 1));
-        lifecycle.heard(1, new Heartbeat(LIFE, SERVICE, true, 4, 0, 2));
-        lifecycle.heard(2, beat(LIFE, 3));
+        lifecycle.handleHeartbeat(0, heartbeat(LIFE, 1));
+        lifecycle.handleHeartbeat(1, new Heartbeat(LIFE, SERVICE, true, 4, 0, 2));
+        lifecycle.handleHeartbeat(2, heartbeat(LIFE, 3));
         assertFalse(lifecycle.isReady());
-        lifecycle.heard(3, beat(NEXT, 1));
+        lifecycle.handleHeartbeat(3, heartbeat(NEXT, 1));
         assertTrue(lifecycle.isReady());
     }
 
     @Test
     void aLateHeartbeatThatSaysUnloadingIsAcknowledgedAndSoHolds() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.heard(0, beat(LIFE, 5));
-        assertTrue(lifecycle.heard(5_000, new Heartbeat(LIFE, SERVICE, true, 4, 0, 4)));
+        lifecycle.handleHeartbeat(0, heartbeat(LIFE, 5));
+        assertTrue(lifecycle.handleHeartbeat(5_000, new Heartbeat(LIFE, SERVICE, true, 4, 0, 4)));
         assertFalse(lifecycle.isReady());
     }
 
     @Test
     void aLateHeartbeatOfAnEarlierLifeDoesNotBringItBack() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.heard(0, beat(LIFE, 5));
-        lifecycle.heard(1, beat(NEXT, 1));
-        assertFalse(lifecycle.heard(2, beat(LIFE, 5)));
+        lifecycle.handleHeartbeat(0, heartbeat(LIFE, 5));
+        lifecycle.handleHeartbeat(1, heartbeat(NEXT, 1));
+        assertFalse(lifecycle.handleHeartbeat(2, heartbeat(LIFE, 5)));
         assertEquals(NEXT, lifecycle.present().id());
         // A process that has just begun may hear a late one first: the live one goes on calling.
-        lifecycle.heard(3, beat(LIFE, 6));
-        assertTrue(lifecycle.heard(4, beat(NEXT, 2)));
+        lifecycle.handleHeartbeat(3, heartbeat(LIFE, 6));
+        assertTrue(lifecycle.handleHeartbeat(4, heartbeat(NEXT, 2)));
         assertEquals(NEXT, lifecycle.present().id());
     }
 
     @Test
     void aLifeThatHasSignedOffNeverComesBack() {
         UpstreamLifecycle lifecycle = lifecycle();
-        assertFalse(lifecycle.signedOff(0, LIFE));
-        assertFalse(lifecycle.heard(1, beat(LIFE, 50)));
+        assertFalse(lifecycle.handleSignOff(0, LIFE));
+        assertFalse(lifecycle.handleHeartbeat(1, heartbeat(LIFE, 50)));
         assertNull(lifecycle.present());
     }
 }
--- a/src/test/java/sablehinge/dataplane/budget/AttemptBudgetsTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/AttemptBudgetsTest.java
@@ -21,16 +21,16 @@
     private static final long RENDER = 0xbbbb;
     private static final long FRONT = 0xaaaa;
 
-    private static BudgetSettings terms(boolean last, int calls, int purses) {
-        return new BudgetSettings(8, 10_000, 100, 1, calls, 1, last, 5, 2, 0.5, 0, purses);
+    private static BudgetSettings terms(boolean last, int calls, int attemptBudgets) {
+        return new BudgetSettings(8, 10_000, 100, 1, calls, 1, last, 5, 2, 0.5, 0, attemptBudgets);
     }
 
     private static Found<Budget> carried(long grant, int attempts, double remaining, Long... path) {
         return new Found<>(Kind.READ, new Budget(grant, attempts, remaining, 7, List.of(path)));
     }
 
-    private static Admission client(AttemptBudgets purses, double now) {
-        return purses.arrive(now, new Found<>(Kind.MISSING, null), true, 1_000, 0, 3);
+    private static Admission client(AttemptBudgets attemptBudgets, double now) {
+        return attemptBudgets.arrive(now, new Found<>(Kind.MISSING, null), true, 1_000, 0, 3);
     }
 
     @Test
@@ -43,7 +43,7 @@
         // 1,000 ms, less the margin of 5, the wire's 2 and the 100 that have passed.
         assertEquals(893, budget.remaining());
         assertEquals(List.of(FRONT), budget.path());
-        assertEquals(3, budget.worth());
+        assertEquals(3, budget.value());
         front.over(first, new Report(budget.grant(), 1, true), false);
         assertEquals(7, client.call().attempts());
         Grant second = front.take(client.call(), 200, true, 0);
@@ -211,7 +211,7 @@
                 List.of(
                         (double) much.call().attempts(),
                         much.call().deadline(),
-                        much.call().worth()));
+                        much.call().value()));
         for (Kind kind : List.of(Kind.MISSING, Kind.UNREADABLE, Kind.FORGED)) {
             assertEquals(
                     1,
--- a/src/test/java/sablehinge/dataplane/budget/Chain.java
+++ b/src/test/java/sablehinge/dataplane/budget/Chain.java
@@ -32,7 +32,7 @@
     /** What became of a client's request, and what it cost. */
     static final class Asked {
         final int number;
-        final double worth;
+        final double value;
         final boolean unsafe;
         int leaves;
         double arrivedAt;
@@ -41,9 +41,9 @@
         int answers;
         boolean stripped;
 
-        Asked(int number, double worth, boolean unsafe) {
+        Asked(int number, double value, boolean unsafe) {
             this.number = number;
-            this.worth = worth;
+            this.value = value;
             this.unsafe = unsafe;
         }
     }
@@ -62,31 +62,31 @@
         final Balancer balancer;
         final Asked asked;
         final double deadline;
-        final AttemptBudgets.Call purse;
+        final AttemptBudgets.Call budget;
         final Ending end;
         int attempts;
         int runs;
         boolean over;
 
-        Call(Balancer balancer, Asked asked, double deadline, AttemptBudgets.Call purse, Ending end) {
+        Call(Balancer balancer, Asked asked, double deadline, AttemptBudgets.Call budget, Ending end) {
             this.balancer = balancer;
             this.asked = asked;
             this.deadline = deadline;
-            this.purse = purse;
+            this.budget = budget;
             this.end = end;
         }
 
         void send() {
             boolean resendable = !asked.unsafe;
             AttemptBudgets.Grant grant = null;
-            Budget budget = null;
+            Budget attemptBudget = null;
             if (plan.budgets()) {
-                grant = balancer.purses.take(purse, now, resendable, balancer.least.value(now));
-                budget = grant == null ? null : grant.budget(now);
-                if (grant != null && budget == null) {
-                    balancer.purses.neverRan(grant);
+                grant = balancer.attemptBudgets.take(budget, now, resendable, balancer.least.value(now));
+                attemptBudget = grant == null ? null : grant.budget(now);
+                if (grant != null && attemptBudget == null) {
+                    balancer.attemptBudgets.neverRan(grant);
                 }
-                if (budget == null) {
+                if (attemptBudget == null) {
                     close(new Back(false, runs > 0, null));
                     return;
                 }
@@ -111,15 +111,15 @@
             };
             // Without budgets a lower tier does not know when its caller's client has given up.
             at(deadline, () -> back.done(new Back(false, true, null)));
-            server.take(this, budget, () -> runs++, back);
+            server.take(this, attemptBudget, () -> runs++, back);
         }
 
         private void finished(AttemptBudgets.Grant grant, Back back, double sentAt) {
             if (grant != null) {
                 if (!back.ran()) {
-                    balancer.purses.neverRan(grant);
+                    balancer.attemptBudgets.neverRan(grant);
                 } else {
-                    balancer.purses.over(grant, back.report(), back.served());
+                    balancer.attemptBudgets.over(grant, back.report(), back.served());
                 }
                 if (back.served()) {
                     balancer.least.served(now, now - sentAt);
@@ -147,16 +147,16 @@
             if (asked.unsafe && runs > 1) {
                 unsafeTwice++;
             }
-            Report report = purse == null
+            Report report = budget == null
                     ? null
-                    : balancer.purses.close(purse, !back.served() && !(asked.unsafe && back.ran()));
+                    : balancer.attemptBudgets.close(budget, !back.served() && !(asked.unsafe && back.ran()));
             end.done(new Back(back.served(), back.ran(), report));
         }
     }
 
     private final class Balancer {
         final int tier;
-        final AttemptBudgets purses;
+        final AttemptBudgets attemptBudgets;
         final MinimumTime least = new MinimumTime();
         final LoadShedder shedder;
 
@@ -164,7 +164,7 @@
             this.tier = tier;
             shedder = new LoadShedder(new LoadShedder.Settings(0.1, 1), seed);
             boolean last = tier == plan.tiers() - 1;
-            purses = new AttemptBudgets(
+            attemptBudgets = new AttemptBudgets(
                     new BudgetSettings(
                             BOUND,
                             10_000,
@@ -187,14 +187,15 @@
                 new Call(this, asked, now + remaining, null, end).send();
                 return;
             }
-            AttemptBudgets.Admission admission = purses.arrive(now, found, tier == 0, remaining, 0, asked.worth);
+            AttemptBudgets.Admission admission =
+                    attemptBudgets.arrive(now, found, tier == 0, remaining, 0, asked.value);
             if (admission.call() == null) {
                 end.done(new Back(false, false, null));
                 return;
             }
-            if (!shedder.admits(now, "all", admission.call().worth(), 1)) {
+            if (!shedder.admits(now, "all", admission.call().value(), 1)) {
                 shed++;
-                end.done(new Back(false, false, purses.close(admission.call(), false)));
+                end.done(new Back(false, false, attemptBudgets.close(admission.call(), false)));
                 return;
             }
             new Call(this, asked, admission.call().deadline(), admission.call(), end).send();
@@ -353,10 +354,10 @@
 
     /** Worth served in time, of all that was asked for. */
     double kept() {
-        double all = asked.stream().mapToDouble(one -> one.worth).sum();
+        double all = asked.stream().mapToDouble(one -> one.value).sum();
         return asked.stream()
                         .filter(one -> one.served && one.answeredAt <= one.arrivedAt + 250)
-                        .mapToDouble(one -> one.worth)
+                        .mapToDouble(one -> one.value)
                         .sum()
                 / all;
     }
--- a/src/test/java/sablehinge/dataplane/budget/HeaderTextTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/HeaderTextTest.java
@@ -41,11 +41,11 @@
             @ForAll long grant,
             @ForAll @IntRange(max = 10_000) int attempts,
             @ForAll @DoubleRange(max = 3_600_000) double remaining,
-            @ForAll @DoubleRange(max = 1e9) double worth,
+            @ForAll @DoubleRange(max = 1e9) double value,
             @ForAll @Size(max = 16) List<@LongRange(max = MOST_ID) Long> path,
             @ForAll boolean signed) {
         HeaderText text = new HeaderText(signed ? keys("a", OLD) : null);
-        Budget budget = new Budget(grant, attempts, remaining, worth, path);
+        Budget budget = new Budget(grant, attempts, remaining, value, path);
         String written = text.write(budget);
         assertTrue(written.length() <= HeaderText.MOST_CHARS, written);
         HeaderText.Found<Budget> found = text.readBudget(written);
@@ -54,7 +54,7 @@
         assertEquals(List.of(grant, (long) attempts), List.of(read.grant(), (long) read.attempts()));
         assertEquals(path, read.path());
         assertTrue(read.remaining() <= remaining && read.remaining() > remaining - 0.002);
-        assertTrue(read.worth() <= worth && read.worth() > worth - 0.002);
+        assertTrue(read.value() <= value && read.value() > value - 0.002);
         Report report = new Report(grant, attempts, attempts % 2 == 0);
         assertEquals(report, text.readReport(text.write(report)).value());
     }
--- a/src/test/java/sablehinge/dataplane/budget/LoadShedderTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/LoadShedderTest.java
@@ -71,9 +71,9 @@
             for (int i = 0; i < each; i++) {
                 // One of four equal callers, with worths from 1 to 9.
                 for (int caller = 0; caller < 4; caller++) {
-                    double worth = 1 + 8 * random.nextDouble();
+                    double value = 1 + 8 * random.nextDouble();
                     boolean admitted =
-                            shedder.admits(i, "c" + caller, caller == 0 && lies == 1 ? 100 * worth : worth, 1);
+                            shedder.admits(i, "c" + caller, caller == 0 && lies == 1 ? 100 * value : value, 1);
                     in[lies] += caller == 0 && admitted ? 1 : 0;
                 }
             }
--- a/src/test/java/sablehinge/dataplane/http1/PassingTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/PassingTest.java
@@ -44,7 +44,7 @@
     }
 
     private static byte[] chunked(InputStream in) throws IOException {
-        java.io.ByteArrayOutputStream whole = new java.io.ByteArrayOutputStream();
+        java.io.ByteArrayOutputStream complete = new java.io.ByteArrayOutputStream();
         while (true) {
             StringBuilder size = new StringBuilder();
             for (int c = in.read(); c != '\n'; c = in.read()) {
@@ -54,10 +54,10 @@
                 size.append((char) c);
             }
             int length = Integer.parseInt(size.toString().strip(), 16);
-            whole.write(in.readNBytes(length));
+            complete.write(in.readNBytes(length));
             in.readNBytes(2);
             if (length == 0) {
-                return whole.toByteArray();
+                return complete.toByteArray();
             }
         }
     }
--- a/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
@@ -60,14 +60,14 @@
 
     @ParameterizedTest
     @CsvSource({"500,,ERROR", "503,1,FULL", "504,1,FULL", "503,,ERROR", "404,,ERROR", "500,1,ERROR"})
-    void anAnswersStatusTellsItsOutcome(int status, String turnedAway, Result expected) throws Exception {
+    void anAnswersStatusTellsItsOutcome(int status, String rejected, Result expected) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
             upstream.write("HTTP/1.1 " + status + " No\r\nContent-Length: 0\r\n"
-                    + (turnedAway == null ? "" : "X-Turned-Away: " + turnedAway + "\r\n") + "\r\n");
+                    + (rejected == null ? "" : "X-Turned-Away: " + rejected + "\r\n") + "\r\n");
             assertEquals(expected, stage.script.result());
             assertEquals(502, caller.read().status());
         }
--- a/src/test/java/sablehinge/dataplane/proxy/AttemptStateTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/AttemptStateTest.java
@@ -72,11 +72,11 @@
     @Test
     void whatMayHaveRunNeverGoesBack() {
         for (AttemptState state : AttemptState.values()) {
-            for (AttemptState next : List.of(state.partSent(), state.wholeSent(), state.answerBegins())) {
+            for (AttemptState next : List.of(state.partSent(), state.fullySent(), state.answerBegins())) {
                 assertEquals(state.mayHaveRun() || next.mayHaveRun(), next.mayHaveRun(), state + " " + next);
             }
         }
         assertEquals(AttemptState.ANSWERED_EARLY, AttemptState.PARTLY_SENT.answerBegins());
-        assertEquals(AttemptState.ANSWERING, AttemptState.ANSWERED_EARLY.wholeSent());
+        assertEquals(AttemptState.ANSWERING, AttemptState.ANSWERED_EARLY.fullySent());
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/Mesh.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/Mesh.java
@@ -86,7 +86,7 @@
     static Mesh served(String senders) throws Exception {
         Mesh mesh = new Mesh();
         mesh.core.holds(configuration(4, senders, ""), 4);
-        mesh.beat("i-1", "ready");
+        mesh.heartbeat("i-1", "ready");
         mesh.core.awaitKnown("i-1");
         return mesh;
     }
@@ -226,20 +226,20 @@
     }
 
     /** What another balancer would say for a life of the upstream. */
-    static String meant(String id, String life, String... headers) {
-        return get("/u/x", id, "Sablehinge-Deliver-To: " + life + "\r\n", String.join("", headers));
+    static String meant(String id, String incarnation, String... headers) {
+        return get("/u/x", id, "Sablehinge-Deliver-To: " + incarnation + "\r\n", String.join("", headers));
     }
 
     /** A balancer beside another upstream of the service, which the test plays. */
-    Listener other(String life) throws IOException {
+    Listener other(String incarnation) throws IOException {
         Listener other = new Listener();
         listeners.add(other);
-        tells(life, other.address());
+        tells(incarnation, other.address());
         return other;
     }
 
-    void tells(String life, String inbound) {
-        core.tells(new Registration("s-" + life, "monza-a", inbound, SERVICE, life, true, 8, 0));
+    void tells(String incarnation, String inbound) {
+        core.tells(new Registration("s-" + incarnation, "monza-a", inbound, SERVICE, incarnation, true, 8, 0));
     }
 
     Wire.Message call(String to, String method, String path, String body) throws IOException {
@@ -249,7 +249,7 @@
         }
     }
 
-    Wire.Message beat(String id, String state) throws IOException {
+    Wire.Message heartbeat(String id, String state) throws IOException {
         return call(at.control(), "POST", "/sablehinge/Servers.Heartbeat/" + id, beatBody(state));
     }
 
--- a/src/test/java/sablehinge/dataplane/sidecar/NewsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/NewsTest.java
@@ -36,7 +36,7 @@
             assertEquals(503, answer.status());
             assertNotNull(answer.one("Retry-After"));
             mesh.core.holds(Mesh.configuration(4, "", ""), 4);
-            mesh.beat("i-1", "ready");
+            mesh.heartbeat("i-1", "ready");
             mesh.core.awaitKnown("i-1");
             assertEquals(200, mesh.ready());
             assertEquals(200, mesh.client().ask(Mesh.get("/s/x", "t-2")).status());
@@ -154,14 +154,14 @@
     @Test
     void aBeatIsAcknowledgedShortlyAndToldToTheCore() throws Exception {
         try (Mesh mesh = Mesh.served()) {
-            Wire.Message answer = mesh.beat("i-1", "ready");
+            Wire.Message answer = mesh.heartbeat("i-1", "ready");
             assertEquals(200, answer.status());
             assertTrue(answer.body().length() <= 4_096);
             assertEquals("application/json", answer.one("Content-Type"));
             assertEquals(Mesh.SERVICE, mesh.core.told().service());
             assertEquals(4, mesh.core.told().berths());
             assertTrue(mesh.core.told().ready());
-            assertEquals(400, mesh.beat("i-1", "asleep").status());
+            assertEquals(400, mesh.heartbeat("i-1", "asleep").status());
             assertEquals(
                     400,
                     mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.Heartbeat/i-1", "{")
@@ -178,7 +178,7 @@
         })) {
             Wire balancer = mesh.balancer();
             assertEquals(200, balancer.ask(Mesh.meant("t-0", "i-1")).status());
-            assertEquals(200, mesh.beat("i-1", "unloading").status());
+            assertEquals(200, mesh.heartbeat("i-1", "unloading").status());
             long acknowledged = System.nanoTime();
             int sent = 0;
             Wire.Message answer = balancer.ask(Mesh.meant("t-1", "i-1"));
@@ -189,14 +189,14 @@
             assertEquals(503, answer.status());
             assertEquals("not-run", answer.one("Sablehinge-Verdict"));
             int before = mesh.arrived.size();
-            mesh.beat("i-1", "unloading");
-            mesh.beat("i-1", "ready");
+            mesh.heartbeat("i-1", "unloading");
+            mesh.heartbeat("i-1", "ready");
             assertEquals("not-run", balancer.ask(Mesh.meant("u-1", "i-1")).one("Sablehinge-Verdict"));
             assertEquals(before, mesh.arrived.size());
             long later = (latest.get() - acknowledged) / 1_000_000;
             assertTrue(later < Mesh.UNLOAD_MS, "the last one came " + later + " ms later");
             assertFalse(mesh.core.told().ready());
-            assertEquals(200, mesh.beat("i-2", "ready").status());
+            assertEquals(200, mesh.heartbeat("i-2", "ready").status());
             assertEquals(200, balancer.ask(Mesh.meant("u-2", "i-2")).status());
         }
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
@@ -60,21 +60,21 @@
                 HeartbeatPacket first = read(socket);
                 assertEquals(HashRing.place("s-1"), first.place());
                 HeartbeatPacket second = read(socket);
-                assertEquals(new HeartbeatPacket(first.place(), first.life(), first.number() + 1), second);
-                HeartbeatPacket beat = new HeartbeatPacket(HashRing.place(OTHER), 5, 1);
-                send(socket, mesh, beat.bytes());
+                assertEquals(new HeartbeatPacket(first.place(), first.incarnation(), first.number() + 1), second);
+                HeartbeatPacket heartbeat = new HeartbeatPacket(HashRing.place(OTHER), 5, 1);
+                send(socket, mesh, heartbeat.bytes());
                 send(socket, mesh, new HeartbeatPacket(HashRing.place("s-3"), 6, 1).bytes());
                 send(socket, mesh, new byte[3]);
                 Mesh.await("they are accused", () -> accused(mesh).equals(Set.of(OTHER, "s-3")));
-                send(socket, mesh, beat.bytes());
-                send(socket, mesh, new HeartbeatPacket(beat.place(), 5, 2).bytes());
+                send(socket, mesh, heartbeat.bytes());
+                send(socket, mesh, new HeartbeatPacket(heartbeat.place(), 5, 2).bytes());
                 Mesh.await("it is heard again", () -> accused(mesh).equals(Set.of("s-3")));
             }
         }
     }
 
     private static Set<String> accused(Mesh mesh) {
-        return mesh.core.accusations().stream().map(Suspicion::node).collect(Collectors.toSet());
+        return mesh.core.suspicions().stream().map(Suspicion::node).collect(Collectors.toSet());
     }
 
     @Test
@@ -135,7 +135,7 @@
         assertTrue(took < 900, "took " + took + " ms");
     }
 
-    private static Registration registration(String at, String life, boolean ready) {
-        return new Registration(OTHER, "monza-a", at, Mesh.SERVICE, life, ready, 4, 0);
+    private static Registration registration(String at, String incarnation, boolean ready) {
+        return new Registration(OTHER, "monza-a", at, Mesh.SERVICE, incarnation, ready, 4, 0);
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
@@ -40,7 +40,7 @@
             mesh.core.holds(
                     Mesh.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":0.01," + "\"burst\":400}", ""),
                     4);
-            mesh.beat("i-1", "ready");
+            mesh.heartbeat("i-1", "ready");
             Mesh.await("it asks", () -> mesh.core.confirmationsAsked() > 0);
             mesh.core.confirms(true);
             mesh.core.awaitKnown("i-1");
--- a/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
@@ -41,7 +41,7 @@
         address = ip + ":" + port;
         loop.submit(() -> {
                     watchServer.begin(clock.now(), TERM);
-                    watchServer.holds(0, new byte[0], List.of(address));
+                    watchServer.configurationChanged(0, new byte[0], List.of(address));
                 })
                 .sync();
         new Connection(loop, 300, 1_200)
@@ -60,7 +60,7 @@
 
     private void answer() {
         for (WatchServer.Delivery<Connection.Link> told : watchServer.due(clock.now())) {
-            told.to().send(new Frame(Frame.Kind.NEWS, told.update().bytes()));
+            told.to().send(new Frame(Frame.Kind.UPDATE, told.update().bytes()));
         }
     }
 
@@ -81,12 +81,12 @@
         }
         lastFrom = link;
         readyAt = last.registration().ready() ? System.nanoTime() : readyAt;
-        watchServer.asked(clock.now(), link, last);
+        watchServer.handleRequest(clock.now(), link, last);
         confirmationsAsked += last.confirm() ? 1 : 0;
         if (last.confirm() && nextEdition > 0) {
             edition = nextEdition;
             nextEdition = 0;
-            watchServer.holds(edition, nextBody, List.of(address));
+            watchServer.configurationChanged(edition, nextBody, List.of(address));
         }
         if (last.confirm() && confirms) {
             watchServer.confirmed(link, last.number());
@@ -103,7 +103,7 @@
     void holds(String configuration, long next) {
         request(() -> {
             edition = next;
-            watchServer.holds(next, packed(configuration), List.of(address));
+            watchServer.configurationChanged(next, packed(configuration), List.of(address));
             answer();
             return null;
         });
@@ -113,7 +113,7 @@
     void holdsAsItTravels(byte[] packed, long next) {
         request(() -> {
             edition = next;
-            watchServer.holds(next, packed, List.of(address));
+            watchServer.configurationChanged(next, packed, List.of(address));
             answer();
             return null;
         });
@@ -135,7 +135,7 @@
 
     /** A balancer that the test plays is there. */
     void tells(Registration registration) {
-        request(() -> registry.told(clock.now(), registration));
+        request(() -> registry.register(clock.now(), registration));
     }
 
     /** Confirmations wait from now on, or no more. */
@@ -182,8 +182,8 @@
     }
 
     /** Whom the last to ask accused. */
-    List<Suspicion> accusations() {
-        return request(() -> last == null ? List.of() : last.accusations());
+    List<Suspicion> suspicions() {
+        return request(() -> last == null ? List.of() : last.suspicions());
     }
 
     @Override
--- a/src/test/java/sablehinge/dataplane/sidecar/UpstreamDrainTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/UpstreamDrainTest.java
@@ -27,7 +27,7 @@
             mesh.core.awaitKnown("");
             Wire peer = mesh.balancer();
             assertEquals(REFUSED, peer.ask(Mesh.meant("t-1", "i-1")).status());
-            mesh.beat("i-1", "ready");
+            mesh.heartbeat("i-1", "ready");
             assertEquals(200, peer.ask(Mesh.meant("t-2", "i-1")).status());
             assertEquals(List.of("t-2"), mesh.arrivedIds());
         }
@@ -37,7 +37,7 @@
     @Test
     void anUpstreamThatIsFirstHeardToUnloadGetsNothing() throws Exception {
         try (Mesh mesh = new Mesh().answers(request -> Mesh.ok(request.id(), "x"))) {
-            assertEquals(200, mesh.beat("i-1", "unloading").status());
+            assertEquals(200, mesh.heartbeat("i-1", "unloading").status());
             assertEquals(REFUSED, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
             assertEquals(List.of(), mesh.arrivedIds());
         }
@@ -69,7 +69,7 @@
                     200,
                     mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-1", "")
                             .status());
-            assertEquals(200, mesh.beat("i-1", "ready").status());
+            assertEquals(200, mesh.heartbeat("i-1", "ready").status());
             assertEquals(REFUSED, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
         }
     }
--- a/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
@@ -41,33 +41,33 @@
     }
 
     /** All ask but some, and accuse whom they accuse. */
-    private void asks(Set<String> silent, Map<String, List<Suspicion>> accusations) {
+    private void asks(Set<String> timedOut, Map<String, List<Suspicion>> suspicions) {
         for (Subject subject : subjects) {
-            if (!silent.contains(subject.node())) {
-                healthView.heard(now, subject.node(), accusations.getOrDefault(subject.node(), List.of()));
+            if (!timedOut.contains(subject.node())) {
+                healthView.heard(now, subject.node(), suspicions.getOrDefault(subject.node(), List.of()));
             }
         }
     }
 
-    private List<HealthChange> later(Set<String> silent, Map<String, List<Suspicion>> accusations) {
+    private List<HealthChange> later(Set<String> timedOut, Map<String, List<Suspicion>> suspicions) {
         now += SILENCE;
-        asks(silent, accusations);
-        return healthView.judge(now, subjects);
+        asks(timedOut, suspicions);
+        return healthView.evaluate(now, subjects);
     }
 
     /** The first so many of its watchers accuse one. */
     private Map<String, List<Suspicion>> accused(String node, int watchers, SuspicionCause evidence) {
-        Map<String, List<Suspicion>> accusations = new HashMap<>();
+        Map<String, List<Suspicion>> suspicions = new HashMap<>();
         hashRing.watchers(node)
                 .subList(0, watchers)
-                .forEach(watcher -> accusations.put(watcher, List.of(new Suspicion(node, evidence))));
-        return accusations;
+                .forEach(watcher -> suspicions.put(watcher, List.of(new Suspicion(node, evidence))));
+        return suspicions;
     }
 
-    private void only(List<HealthChange> rulings, Health health) {
-        assertEquals(1, rulings.size(), rulings.toString());
-        assertEquals("n1", rulings.get(0).node());
-        assertEquals(health, rulings.get(0).health());
+    private void only(List<HealthChange> healthChanges, Health health) {
+        assertEquals(1, healthChanges.size(), healthChanges.toString());
+        assertEquals("n1", healthChanges.get(0).node());
+        assertEquals(health, healthChanges.get(0).health());
         assertEquals(health, healthView.health("n1"));
     }
 
@@ -76,10 +76,10 @@
     void whomNeitherKeeperNorWatchersHearIsOffByWhatTheyFoundUntilItIsHeardAgain(SuspicionCause evidence) {
         Health health = List.of(Health.LOST, Health.FROZEN, Health.DEAD).get(evidence.ordinal());
         only(later(Set.of("n1"), accused("n1", 2, evidence)), health);
-        assertTrue(health.isOff());
+        assertTrue(health.isUnavailable());
         assertEquals(List.of(), later(Set.of("n1"), accused("n1", 3, evidence)));
         healthView.heard(now, "n1", List.of());
-        only(healthView.judge(now, subjects), Health.CUT_FROM_SOME);
+        only(healthView.evaluate(now, subjects), Health.CUT_FROM_SOME);
         only(later(Set.of(), Map.of()), Health.WELL);
     }
 
@@ -87,13 +87,13 @@
     void whomTheWatchersHearIsCutFromTheCoreAndServesOn() {
         only(later(Set.of("n1"), Map.of()), Health.CUT_FROM_CORE);
         assertEquals(List.of(), later(Set.of("n1"), accused("n1", 1, SuspicionCause.SILENT)));
-        assertFalse(Health.CUT_FROM_CORE.isOff());
+        assertFalse(Health.CUT_FROM_CORE.isUnavailable());
     }
 
     @Test
     void whomTheKeeperHearsIsAtMostCutFromSome() {
         only(later(Set.of(), accused("n1", 3, SuspicionCause.RESET)), Health.CUT_FROM_SOME);
-        assertFalse(Health.CUT_FROM_SOME.isOff());
+        assertFalse(Health.CUT_FROM_SOME.isUnavailable());
     }
 
     @Test
@@ -104,11 +104,11 @@
         healthView.heard(now, watchers.get(1), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
         now += SILENCE;
         asks(Set.of("n1", watchers.get(0), watchers.get(1)), Map.of());
-        healthView.judge(now, subjects);
+        healthView.evaluate(now, subjects);
         assertEquals(Health.CUT_FROM_CORE, healthView.health("n1"));
         now += SILENCE;
         asks(Set.of("n1", watchers.get(0), watchers.get(1), watchers.get(2)), Map.of());
-        healthView.judge(now, subjects);
+        healthView.evaluate(now, subjects);
         assertEquals(Health.UNSEEN, healthView.health("n1"));
     }
 
@@ -131,22 +131,22 @@
         assertEquals(Health.LOST, healthView.health("n1"));
         now += 1;
         asks(Set.of("n1"), Map.of());
-        healthView.judge(now, subjects);
+        healthView.evaluate(now, subjects);
         assertEquals(Health.CUT_FROM_CORE, healthView.health("n1"));
     }
 
     /** Those listed are silent, and whoever watches over them says so. */
     private void fall(Set<String> fallen) {
-        Map<String, List<Suspicion>> accusations = new HashMap<>();
-        fallen.forEach(node -> hashRing.watchers(node).forEach(watcher -> accusations
+        Map<String, List<Suspicion>> suspicions = new HashMap<>();
+        fallen.forEach(node -> hashRing.watchers(node).forEach(watcher -> suspicions
                 .computeIfAbsent(watcher, name -> new ArrayList<>())
                 .add(new Suspicion(node, SuspicionCause.SILENT))));
-        later(fallen, accusations);
+        later(fallen, suspicions);
     }
 
     private long off() {
         return subjects.stream()
-                .filter(subject -> healthView.health(subject.node()).isOff())
+                .filter(subject -> healthView.health(subject.node()).isUnavailable())
                 .count();
     }
 
@@ -175,7 +175,7 @@
             fall(names);
             Map<String, Integer> taken = new HashMap<>();
             for (Subject subject : subjects) {
-                if (healthView.health(subject.node()).isOff()) {
+                if (healthView.health(subject.node()).isUnavailable()) {
                     assertTrue(names.contains(subject.node()));
                     taken.merge(subject.service(), 1, Integer::sum);
                 }
--- a/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
@@ -42,11 +42,11 @@
         assertEquals(List.of(), until(900));
         assertEquals(List.of("a"), until(1_000));
         assertEquals(List.of(), until(1_400));
-        assertEquals(List.of(), watch.accusations());
+        assertEquals(List.of(), watch.suspicions());
         assertFalse(watch.found(now, "b", SuspicionCause.RESET));
         assertTrue(watch.found(now, "a", SuspicionCause.RESET));
         assertFalse(watch.found(now, "a", SuspicionCause.SILENT));
-        assertEquals(List.of(new Suspicion("a", SuspicionCause.RESET)), watch.accusations());
+        assertEquals(List.of(new Suspicion("a", SuspicionCause.RESET)), watch.suspicions());
     }
 
     @Test
@@ -56,9 +56,9 @@
         watch.found(now, "a", SuspicionCause.SILENT);
         assertFalse(beat("a", 8));
         assertFalse(beat("a", 9));
-        assertEquals(1, watch.accusations().size());
+        assertEquals(1, watch.suspicions().size());
         assertTrue(beat("a", 10));
-        assertEquals(List.of(), watch.accusations());
+        assertEquals(List.of(), watch.suspicions());
         assertFalse(watch.found(now, "a", SuspicionCause.SILENT));
     }
 
@@ -76,7 +76,7 @@
         watch.found(now, "a", SuspicionCause.SILENT);
         now += 5_000;
         assertEquals(List.of(), watch.tick(now));
-        assertEquals(List.of(), watch.accusations());
+        assertEquals(List.of(), watch.suspicions());
         assertEquals(List.of(), until(now + 900));
         assertEquals(List.of("a", "b"), until(now + 100));
     }
@@ -88,7 +88,7 @@
         assertEquals(List.of("c"), until(now + TICK));
         watch.found(now, "c", SuspicionCause.SILENT);
         watch.over(now, List.of("b"));
-        assertEquals(List.of(), watch.accusations());
+        assertEquals(List.of(), watch.suspicions());
     }
 
     @Test
@@ -97,11 +97,11 @@
         assertEquals(List.of("c", "d"), until(Monitor.GRACE_MS + Monitor.SUSPECT_MS + TICK));
         assertFalse(watch.found(now, "c", SuspicionCause.FROZEN));
         assertTrue(watch.found(now, "d", SuspicionCause.SILENT));
-        assertEquals(List.of(), watch.hears());
+        assertEquals(List.of(), watch.heardPeers());
         assertEquals(List.of("c"), until(now + Monitor.GRACE_MS + Monitor.SUSPECT_MS + TICK));
         assertTrue(watch.found(now, "c", SuspicionCause.RESET));
         beat("d", 1);
-        assertEquals(List.of("d"), watch.hears());
+        assertEquals(List.of("d"), watch.heardPeers());
     }
 
     @Test
@@ -114,7 +114,7 @@
         for (int i = 3; i < 110; i++) {
             beat("a", i);
             beat("b", i);
-            until(now + Monitor.BEAT_MS);
+            until(now + Monitor.HEARTBEAT_MS);
         }
         assertEquals(List.of("a", "b"), until(now + Monitor.SUSPECT_MS));
     }
--- a/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
@@ -23,12 +23,12 @@
         holder.adopt(0, List.of(A, B));
     }
 
-    private Claim claim(long life, long term, String beside, Claim.Line... lines) {
-        return new Claim(life, ++claims, term, beside, List.of(lines));
+    private Claim claim(long incarnation, long term, String localService, Claim.Line... lines) {
+        return new Claim(incarnation, ++claims, term, localService, List.of(lines));
     }
 
-    private int share(double now, long life, int requests, int spent, int share, int wanted) {
-        return holder.claimed(now, claim(life, 1, B, new Claim.Line(A, requests, 0, spent, share, wanted)))
+    private int share(double now, long incarnation, int requests, int spent, int share, int wanted) {
+        return holder.claimed(now, claim(incarnation, 1, B, new Claim.Line(A, requests, 0, spent, share, wanted)))
                 .lines()
                 .get(0)
                 .share();
@@ -100,13 +100,13 @@
 
     /** 1 for a token, 0 for none, -1 while it waits. */
     private int taken(RetryBudgetShares shares, double now, String service, boolean spare) {
-        int[] told = {-1};
+        int[] reportedRequests = {-1};
         heard = 0;
         shares.take(now, service, spare, token -> {
-            told[0] = token == null ? 0 : 1;
+            reportedRequests[0] = token == null ? 0 : 1;
             heard += token == null ? 2 : 1;
         });
-        return told[0];
+        return reportedRequests[0];
     }
 
     /** So many services are asked for in docs/CAPACITY.md. */
--- a/src/test/java/sablehinge/policy/ModuleTest.java
+++ b/src/test/java/sablehinge/policy/ModuleTest.java
@@ -418,7 +418,7 @@
     @Test
     void underOverloadTheCheapClassIsRefusedFirstAndOnlyWhereClientsArrive() {
         for (int tier = 0; tier < 2; tier++) {
-            Bench bench = new Bench(Sites.plain().tier(tier).lateWorth(0).build(), 1);
+            Bench bench = new Bench(Sites.plain().tier(tier).lateValue(0).build(), 1);
             bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
             int[] sent = new int[2];
             for (int i = 0; i < 400; i++) {
@@ -441,7 +441,7 @@
 
     @Test
     void refusingEndsSoonAfterItsCauseEvenIfFewCallsAreLeftToTell() {
-        Bench bench = new Bench(Sites.plain().lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().lateValue(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 0; i < 200; i++) {
             bench.request(i, 0);
@@ -489,7 +489,7 @@
     @Test
     void overloadIsFeltWhileCallsAreStillOut() {
         Bench bench =
-                new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+                new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateValue(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         int i = 0;
         for (; i < 40; i++) {
@@ -509,7 +509,7 @@
     void errorsThatComeAtOnceAreNoSignOfOverload() {
         for (Result result : new Result[] {Result.ERROR, Result.FULL}) {
             Bench bench = new Bench(
-                    Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+                    Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateValue(0).build(), 1);
             bench.list(Change.CACHED, Sites.server(1));
             for (int i = 0; i < 200; i++) {
                 bench.request(i, 0);
@@ -532,16 +532,16 @@
                 Sites.server(1),
                 Sites.server(2).zone(1),
                 Sites.server(3).zone(1));
-        long sick = 0;
+        long unhealthy = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
             boolean home = bench.lastSend().upstream() == 1;
-            sick += home ? 1 : 0;
+            unhealthy += home ? 1 : 0;
             bench.finishAfter(bench.lastSend(), home && i % 10 < 7 ? Result.ERROR : Result.OK, 100);
             // Evidence fades with time alone: a server that is left is tried again by and by.
             bench.advance(40);
         }
-        assertTrue(sick > 5 && sick < 250, sick + " sent to the sick server");
+        assertTrue(unhealthy > 5 && unhealthy < 250, unhealthy + " sent to the sick server");
     }
 
     @Test
@@ -660,7 +660,7 @@
     @Test
     void workStopsAtTheAimWhereALateAnswerIsWorthNothing() {
         Bench bench =
-                new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateWorth(0).build(), 1);
+                new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateValue(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1));
         bench.request(1, 0);
         assertEquals(Sites.AIM, bench.lastSend().timeout());
@@ -766,7 +766,7 @@
 
     @Test
     void aRequestWhoseTurnCannotComeInTimeIsRefusedOnArrival() {
-        Bench bench = new Bench(Sites.plain().inOrder(true).lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().inOrder(true).lateValue(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         for (int i = 1; i <= 20; i++) {
             bench.keyed(i, 0, 7);
@@ -826,7 +826,7 @@
 
     @Test
     void overloadOfABoundClassRefusesNothingOfTheOthers() {
-        Bench bench = new Bench(Sites.plain().onlyKinds(1).lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().onlyKinds(1).lateValue(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2).kind(1));
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
@@ -844,7 +844,7 @@
 
     @Test
     void thoseWhoMayGoElsewhereMakeRoomForABoundClass() {
-        Bench bench = new Bench(Sites.plain().onlyKinds(1).lateWorth(0).build(), 1);
+        Bench bench = new Bench(Sites.plain().onlyKinds(1).lateValue(0).build(), 1);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2).kind(1));
         int[] free = new int[3];
         for (int i = 0; i < 600; i++) {
--- a/src/test/java/sablehinge/policy/RandomEventsTest.java
+++ b/src/test/java/sablehinge/policy/RandomEventsTest.java
@@ -103,7 +103,7 @@
                     .streamed(streamed)
                     .inOrder(inOrder)
                     .siblings(3)
-                    .lateWorth(random.nextBoolean() ? 0.3 : 0);
+                    .lateValue(random.nextBoolean() ? 0.3 : 0);
             bench = new Bench((placed ? site.onlyZones(1).onlyKinds(0) : site).build(), seed);
             for (int i = 0; i < SERVERS; i++) {
                 servers[i] = Sites.server(i + 1).zone(i % 2).cell(i / 2).kind(i / 4);
--- a/src/test/java/sablehinge/policy/Sites.java
+++ b/src/test/java/sablehinge/policy/Sites.java
@@ -76,7 +76,7 @@
         private Repeat repeat = Repeat.IDEMPOTENT;
         private Group group = Group.ALL;
         private double memory = 5_000;
-        private double lateWorth = 0.5;
+        private double lateValue = 0.5;
         private boolean parallel;
         private boolean subscribe;
         private boolean streamed;
@@ -122,8 +122,8 @@
             return this;
         }
 
-        Builder lateWorth(double value) {
-            lateWorth = value;
+        Builder lateValue(double value) {
+            lateValue = value;
             return this;
         }
 
@@ -170,10 +170,10 @@
         Settings build() {
             List<ServiceClass> classes = List.of(
                     new ServiceClass(
-                            "first", AIM, 0, DEADLINE, 5, lateWorth, repeat, group, memory, streamed, inOrder,
+                            "first", AIM, 0, DEADLINE, 5, lateValue, repeat, group, memory, streamed, inOrder,
                             onlyZones, onlyKinds, 0),
                     new ServiceClass(
-                            "second", AIM, 0, DEADLINE, 1, lateWorth, repeat, group, memory, streamed, inOrder, null,
+                            "second", AIM, 0, DEADLINE, 1, lateValue, repeat, group, memory, streamed, inOrder, null,
                             null, 0));
             return new Settings(
                     position,
