--- a/bench/src/sablehinge/controlplane/raft/Calm.java
+++ b/bench/src/sablehinge/controlplane/raft/Calm.java
@@ -91,7 +91,7 @@
         Machine leader = null;
         for (int i = 0; i < cluster.size(); i++) {
             Machine machine = cluster.machine(i);
-            if (!machine.up() || machine.standing == null) {
+            if (!machine.up() || machine.raftStatus == null) {
                 return machine.address + " does not run";
             }
             if (machine.leads()) {
@@ -104,11 +104,11 @@
         if (leader == null) {
             return "nobody leads";
         }
-        int voters = leader.standing.members().size();
+        int voters = leader.raftStatus.members().size();
         if (voters < voters()) {
             return voters + " voters of " + voters();
         }
-        for (Member voter : leader.standing.members()) {
+        for (Member voter : leader.raftStatus.members()) {
             if (cluster.machines.get(voter.address()).self.id() != voter.id()) {
                 return "a voter at " + voter.address() + " that lost its disk is not replaced";
             }
@@ -118,12 +118,12 @@
             if (machine.applied < cluster.committed.size()) {
                 return machine.address + " has applied " + machine.applied + " of " + cluster.committed.size();
             }
-            if (!machine.standing.members().equals(leader.standing.members())) {
+            if (!machine.raftStatus.members().equals(leader.raftStatus.members())) {
                 return machine.address + " knows other voters than the leader";
             }
-            boolean listed = leader.standing.members().contains(machine.self);
-            if (listed == (machine.standing.role() == RaftStatus.Role.OUTSIDER)) {
-                return machine.address + " takes itself for " + machine.standing.role();
+            boolean listed = leader.raftStatus.members().contains(machine.self);
+            if (listed == (machine.raftStatus.role() == RaftStatus.Role.OUTSIDER)) {
+                return machine.address + " takes itself for " + machine.raftStatus.role();
             }
         }
         return "";
--- a/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
+++ b/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
@@ -14,7 +14,7 @@
 final class CarriedChanges {
 
     /** A leader that looks at its clock after so long asks its peers something, ms. */
-    private static final double ASKS = RaftConfig.usual().heartbeat();
+    private static final double ASKS = RaftConfig.defaults().heartbeatIntervalMs();
     /**
      * A voter counts as caught up by the latest question or the one before, and both may be one look older than the
      * change.
@@ -38,9 +38,9 @@
         }
         Looks its = looks.computeIfAbsent(machine.address, address -> new Looks());
         double now = machine.clock();
-        if (its.life != machine.life || its.term != machine.standing.term()) {
+        if (its.life != machine.life || its.term != machine.raftStatus.term()) {
             its.life = machine.life;
-            its.term = machine.standing.term();
+            its.term = machine.raftStatus.term();
             Arrays.fill(its.applied, 0);
             its.last = now;
         } else if (now - its.last >= ASKS) {
@@ -53,7 +53,7 @@
     /** A leader has appended a list. */
     void check(SimulatedCluster cluster, Machine leader, List<Member> list) {
         Looks its = looks.get(leader.address);
-        if (its == null || its.life != leader.life || its.term != leader.standing.term() || its.applied[0] == 0) {
+        if (its == null || its.life != leader.life || its.term != leader.raftStatus.term() || its.applied[0] == 0) {
             return;
         }
         Entry entry = cluster.committed.get((int) its.applied[0] - 1);
--- a/bench/src/sablehinge/controlplane/raft/EveryOrder.java
+++ b/bench/src/sablehinge/controlplane/raft/EveryOrder.java
@@ -286,7 +286,7 @@
             if (cluster.leaders.size() > before
                     && leader != null
                     && leader.applied > 0
-                    && cluster.committed.get((int) leader.applied - 1).term() == leader.standing.term()) {
+                    && cluster.committed.get((int) leader.applied - 1).term() == leader.raftStatus.term()) {
                 return place(leader);
             }
         }
--- a/bench/src/sablehinge/controlplane/raft/Fingerprint.java
+++ b/bench/src/sablehinge/controlplane/raft/Fingerprint.java
@@ -19,7 +19,7 @@
 
     private static final long PRIME = 0x100000001b3L;
     private static final Set<Class<?>> NO_PART =
-            Set.of(Random.class, RaftNode.Actions.class, SimulatedCluster.class, RaftConfig.class);
+            Set.of(Random.class, RaftActions.class, SimulatedCluster.class, RaftConfig.class);
     private static final Map<Class<?>, List<Field>> FIELDS = new ConcurrentHashMap<>();
 
     private long sum = 0xcbf29ce484222325L;
--- a/bench/src/sablehinge/controlplane/raft/LeaderLoss.java
+++ b/bench/src/sablehinge/controlplane/raft/LeaderLoss.java
@@ -59,7 +59,7 @@
     /** Strikes the leader, at a moment that the seed draws, and lets it come back. */
     Outcome play(Kind kind) {
         awaitLeader();
-        run(CALM_MS + random.nextDouble() * timing.heartbeat());
+        run(CALM_MS + random.nextDouble() * timing.heartbeatIntervalMs());
         commitOne(WITHIN_MS);
         double struckAt = now;
         Machine struck = leader();
@@ -128,10 +128,10 @@
     private boolean isAtFullStrength() {
         for (Machine machine : machines.values()) {
             if (!machine.up()
-                    || machine.standing == null
+                    || machine.raftStatus == null
                     || machine.applied < committed.size()
-                    || machine.standing.role() == RaftStatus.Role.OUTSIDER
-                    || machine.standing.members().size() != size
+                    || machine.raftStatus.role() == RaftStatus.Role.OUTSIDER
+                    || machine.raftStatus.members().size() != size
                     || now < machine.stalledUntil) {
                 return false;
             }
@@ -149,7 +149,7 @@
         after(TICK_MS, () -> {
             if (machine.life == life) {
                 if (!frozen.contains(machine)) {
-                    machine.master.tick(machine.clock());
+                    machine.raft.tick(machine.clock());
                 }
                 tick(machine, life);
             }
--- a/bench/src/sablehinge/controlplane/raft/LostChange.java
+++ b/bench/src/sablehinge/controlplane/raft/LostChange.java
@@ -61,7 +61,7 @@
     /** The leader has commands and a change in memory, the follower has them too; whether it came to that. */
     private boolean appendChange(int first, int behind, int away, int commands) {
         Machine leader = cluster.machine(first);
-        double nearlySilent = cluster.timing.silent() - BEFORE;
+        double nearlySilent = cluster.timing.voterLostMs() - BEFORE;
         for (int i = 0; i < WAITS && leader.leads() && silentMs(leader, away) < nearlySilent; i++) {
             player.take(Step.pass(SHORT));
             player.flow();
@@ -70,11 +70,13 @@
             player.take(Step.of(Step.Kind.PROPOSE, first));
         }
         int before = cluster.list.size();
-        for (int i = 0; i < WAITS && leader.leads() && leader.standing.members().size() == before; i++) {
+        for (int i = 0;
+                i < WAITS && leader.leads() && leader.raftStatus.members().size() == before;
+                i++) {
             player.take(Step.pass(SHORT));
             handOver(first, behind);
         }
-        if (!leader.leads() || leader.standing.members().size() == before) {
+        if (!leader.leads() || leader.raftStatus.members().size() == before) {
             return false;
         }
         handOver(first, behind);
@@ -91,8 +93,8 @@
     }
 
     private double silentMs(Machine leader, int of) {
-        return leader.master
-                .pulse(leader.clock())
+        return leader.raft
+                .metrics(leader.clock())
                 .silentMs()
                 .getOrDefault(cluster.machine(of).self.id(), Double.MAX_VALUE);
     }
--- a/bench/src/sablehinge/controlplane/raft/Player.java
+++ b/bench/src/sablehinge/controlplane/raft/Player.java
@@ -90,7 +90,7 @@
         return leader != null
                 && cluster.leaders.size() > before
                 && leader.applied > 0
-                && cluster.committed.get((int) leader.applied - 1).term() == leader.standing.term();
+                && cluster.committed.get((int) leader.applied - 1).term() == leader.raftStatus.term();
     }
 
     /** All writes and messages go on until there are none left, or no more may. */
@@ -121,7 +121,7 @@
     /** The places of the voters beside one, as that one knows them. */
     int[] followers(int leader) {
         Machine machine = cluster.machine(leader);
-        List<Member> voters = machine.standing == null ? List.of() : machine.standing.members();
+        List<Member> voters = machine.raftStatus == null ? List.of() : machine.raftStatus.members();
         return IntStream.range(0, cluster.size())
                 .filter(i -> i != leader && voters.contains(cluster.machine(i).self))
                 .toArray();
--- a/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
+++ b/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
@@ -71,24 +71,24 @@
         for (int i = 0; i < MOST * MOST; i++) {
             links.add(new ArrayList<>());
         }
-        RaftConfig usual = RaftConfig.usual();
+        RaftConfig usual = RaftConfig.defaults();
         boolean plain = seed == PLAIN;
         for (int i = 0; i < MOST; i++) {
             rates[i] = plain ? 1 + (i % 3 - 1) * PLAINLY_WRONG : 1 + (random.nextInt(3) - 1) * WRONG;
         }
         // Few entries a message and short patience bring about what a core meets seldom.
         timing = new RaftConfig(
-                usual.heartbeat(),
-                usual.electionLeast(),
-                plain ? usual.electionLeast() : usual.electionMost(),
-                usual.quorum(),
+                usual.heartbeatIntervalMs(),
+                usual.minElectionTimeoutMs(),
+                plain ? usual.minElectionTimeoutMs() : usual.maxElectionTimeoutMs(),
+                usual.quorumTimeoutMs(),
                 700,
-                usual.fresh(),
-                usual.stall(),
-                usual.barrier(),
+                usual.peerAliveMs(),
+                usual.diskStallMs(),
+                usual.barrierTimeoutMs(),
                 plain ? 1 : 1 + random.nextInt(3),
-                usual.bytes(),
-                usual.waiting());
+                usual.maxBytesPerMessage(),
+                usual.maxUncommittedEntries());
         if (!plain && (Focus.of(seed) == Focus.SNAPSHOTS && random.nextInt(FEW_LARGE) == 0)) {
             claims.stateBytes = LARGE;
         }
@@ -164,7 +164,7 @@
 
     @Override
     void made(Machine machine, Entry entry) {
-        if (entry.kind() == Entry.Kind.MEMBERS && machine.leads() && machine.standing.term() == entry.term()) {
+        if (entry.kind() == Entry.Kind.MEMBERS && machine.leads() && machine.raftStatus.term() == entry.term()) {
             carried.check(this, machine, MemberListCodec.read(entry.data()));
         }
     }
@@ -283,10 +283,10 @@
             case CAPTURE -> captured[step.a()] = new Captured(a.life, a.applied, a.state());
             case LEAVE -> {
                 beyond |= lost() >= bearable();
-                a.master.leave(a.clock());
+                a.raft.leave(a.clock());
                 leaving[step.a()] = a.life;
             }
-            case FORGET -> KeptEntries.forget(a.master);
+            case FORGET -> KeptEntries.forget(a.raft);
             case COMPACT -> {
                 return compact(a, step.a());
             }
@@ -300,7 +300,7 @@
     private void tick(Machine machine) {
         if (machine.up()) {
             carried.ticks(machine);
-            machine.master.tick(machine.clock());
+            machine.raft.tick(machine.clock());
         }
     }
 
@@ -311,7 +311,7 @@
             return false;
         }
         if (one != null && one.life == machine.life && one.index > 0) {
-            machine.master.compact(one.index, one.state);
+            machine.raft.compact(one.index, one.state);
         } else {
             machine.compact();
         }
@@ -350,7 +350,7 @@
         moved = letter.message();
         Machine to = byPlace.get(step.b());
         if (step.kind() != Step.Kind.DROP && to.up()) {
-            to.master.message(to.clock(), letter.from(), letter.message());
+            to.raft.handleMessage(to.clock(), letter.from(), letter.message());
         }
         return true;
     }
@@ -414,15 +414,15 @@
         if (leader == null) {
             return list.size();
         }
-        Map<Long, Double> silentMs = leader.master.pulse(leader.clock()).silentMs();
+        Map<Long, Double> silentMs = leader.raft.metrics(leader.clock()).silentMs();
         int count = 0;
         for (Member member : list) {
-            RaftStatus its = machines.get(member.address()).standing;
+            RaftStatus its = machines.get(member.address()).raftStatus;
             int place = places.get(member.address());
             boolean lost = graves.containsKey(member.id()) || leaving[place] == byPlace.get(place).life;
             // Whoever has just won counts all as heard, also those that know nothing of its term.
             boolean silent = its == null
-                    || its.term() != leader.standing.term()
+                    || its.term() != leader.raftStatus.term()
                     || silentMs.getOrDefault(member.id(), Double.MAX_VALUE) > SILENT;
             count += member.id() != but.self.id() && (lost || silent) ? 1 : 0;
         }
@@ -437,9 +437,9 @@
             if (machine.up()) {
                 text.append(' ')
                         .append(
-                                machine.standing == null
+                                machine.raftStatus == null
                                         ? "founds"
-                                        : machine.standing.role() + " " + machine.standing.term())
+                                        : machine.raftStatus.role() + " " + machine.raftStatus.term())
                         .append(" applied ")
                         .append(machine.applied);
             } else {
@@ -452,6 +452,6 @@
     /** The settings that follow from the seed. */
     String settings() {
         return byPlace.size() + " founders, clocks " + Arrays.toString(Arrays.copyOf(rates, size() + 2)) + ", "
-                + timing.entries() + " entries a message";
+                + timing.maxEntriesPerMessage() + " entries a message";
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/CallContext.java
+++ b/src/main/java/sablehinge/controlplane/node/CallContext.java
@@ -18,10 +18,10 @@
     Member self();
 
     /** The place of this machine in the core. */
-    RaftStatus standing();
+    RaftStatus raftStatus();
 
     /** What this machine can tell of its part in the agreement. */
-    RaftMetrics pulse();
+    RaftMetrics metrics();
 
     /** Holds what each answer needs of a majority. */
     QuorumGate gate();
--- a/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
@@ -128,13 +128,13 @@
     }
 
     /** This machine's place has changed: what it proposed in an earlier term may come to anything. */
-    void standing(RaftStatus standing) {
-        if (standing.role() != RaftStatus.Role.LEADER || standing.term() != term) {
+    void onStatusChanged(RaftStatus raftStatus) {
+        if (raftStatus.role() != RaftStatus.Role.LEADER || raftStatus.term() != term) {
             List<Pending> left = List.copyOf(pending.values());
             pending.clear();
             left.forEach(one -> answer(one, Verdict.UNCLEAR));
         }
-        term = standing.term();
+        term = raftStatus.term();
     }
 
     /** Lets time pass: who has waited too long is answered; their entry goes its way. */
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -26,6 +26,7 @@
 import sablehinge.controlplane.raft.Member;
 import sablehinge.controlplane.raft.Message;
 import sablehinge.controlplane.raft.PersistedState;
+import sablehinge.controlplane.raft.RaftActions;
 import sablehinge.controlplane.raft.RaftConfig;
 import sablehinge.controlplane.raft.RaftMetrics;
 import sablehinge.controlplane.raft.RaftNode;
@@ -85,7 +86,7 @@
     /** Null, as is {@code self}, until the disk has been read. */
     private PeerConnections peers;
 
-    private RaftStatus standing = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
+    private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
     private int sinceSnapshot;
     private long bytesSinceSnapshot;
     private boolean diskHangs;
@@ -104,7 +105,10 @@
         connection = new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS, observer);
         diskWriter = new DiskWriter(opener, new NodeDiskCallbacks());
         raft = new RaftNode(
-                new NodeRaftActions(), RaftConfig.usual(), settings.tolerateMachines(), new SecureRandom().nextLong());
+                new NodeRaftActions(),
+                RaftConfig.defaults(),
+                settings.tolerateMachines(),
+                new SecureRandom().nextLong());
         gate = new QuorumGate(new RaftContact(), loop::execute);
         changes = new ChangeCoordinator(raft, configurations, loop::execute);
         dataPlane = new DataPlaneService(loop, clock, settings.bounds(), gate, configurations);
@@ -256,9 +260,9 @@
             // Even who has nothing but a name, and asks to be let in, may have given its vote.
             raft.start(now, stored, now - (System.nanoTime() - processStartedAt) / NANOS_PER_MS);
         } else if (founders.contains(self)) {
-            raft.found(now, self, founders);
+            raft.bootstrap(now, self, founders);
         } else {
-            raft.outside(now, self, contacts);
+            raft.startAsLearner(now, self, contacts);
         }
         // Not at a fixed rate: after a pause of the process all that it missed would be run at once.
         loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
@@ -291,7 +295,7 @@
     }
 
     private void onMessage(Member from, Message message) {
-        raft.message(clock.now(), from, message);
+        raft.handleMessage(clock.now(), from, message);
     }
 
     /** Hears connections of peers and of the data plane. */
@@ -329,7 +333,7 @@
     }
 
     /** Carries out what the agreement asks for. */
-    private final class NodeRaftActions implements RaftNode.Actions {
+    private final class NodeRaftActions implements RaftActions {
 
         @Override
         public void send(Member to, Message message) {
@@ -373,8 +377,8 @@
         }
 
         @Override
-        public void standing(RaftStatus next) {
-            standing = next;
+        public void onStatusChanged(RaftStatus next) {
+            raftStatus = next;
             Log.info(LOG, "standing")
                     .addKeyValue("role", next.role())
                     .addKeyValue("term", next.term())
@@ -382,18 +386,18 @@
                             "leader", next.leader() == null ? "" : next.leader().address())
                     .addKeyValue("members", next.members().size())
                     .log("the core's standing");
-            changes.standing(next);
-            dataPlane.standing(next);
+            changes.onStatusChanged(next);
+            dataPlane.onStatusChanged(next);
             peers.members(next.members());
         }
 
         @Override
-        public void confirmed(long token) {
+        public void barrierConfirmed(long token) {
             gate.barrierEnded(clock.now(), token, true);
         }
 
         @Override
-        public void denied(long token) {
+        public void barrierRejected(long token) {
             gate.barrierEnded(clock.now(), token, false);
         }
 
@@ -407,23 +411,23 @@
     private final class RaftContact implements QuorumGate.Contact {
 
         @Override
-        public RaftStatus standing() {
-            return standing;
+        public RaftStatus raftStatus() {
+            return raftStatus;
         }
 
         @Override
-        public double sinceMajority(double now) {
-            return raft.sinceMajority(now);
+        public double sinceMajorityMs(double now) {
+            return raft.sinceMajorityMs(now);
         }
 
         @Override
-        public double sinceLeader(double now) {
-            return raft.sinceLeader(now);
+        public double sinceLeaderMs(double now) {
+            return raft.sinceLeaderMs(now);
         }
 
         @Override
-        public boolean leases(double now) {
-            return raft.leases(now);
+        public boolean hasLease(double now) {
+            return raft.hasLease(now);
         }
 
         @Override
@@ -489,13 +493,13 @@
         }
 
         @Override
-        public RaftStatus standing() {
-            return standing;
+        public RaftStatus raftStatus() {
+            return raftStatus;
         }
 
         @Override
-        public RaftMetrics pulse() {
-            return raft.pulse(clock.now());
+        public RaftMetrics metrics() {
+            return raft.metrics(clock.now());
         }
 
         @Override
--- a/src/main/java/sablehinge/controlplane/node/ControlStatus.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -55,10 +55,10 @@
                 zone,
                 id(authority.self()),
                 control,
-                authority.standing().role().name().toLowerCase(Locale.ROOT),
-                authority.standing().term(),
+                authority.raftStatus().role().name().toLowerCase(Locale.ROOT),
+                authority.raftStatus().term(),
                 leader(),
-                authority.pulse().commit(),
+                authority.metrics().commit(),
                 authority.configurations().edition(),
                 members(),
                 authority.gate().allows(authority.now(), ControlRequest.MESH_STATUS_PLANE) ? plane() : null);
@@ -76,10 +76,10 @@
     }
 
     private List<Machine> members() {
-        RaftMetrics pulse = authority.pulse();
+        RaftMetrics metrics = authority.metrics();
         List<Machine> members = new ArrayList<>();
-        for (Member member : authority.standing().members()) {
-            Double silent = pulse.silentMs().get(member.id());
+        for (Member member : authority.raftStatus().members()) {
+            Double silent = metrics.silentMs().get(member.id());
             members.add(new Machine(id(member), member.control(), silent == null ? null : Math.round(silent)));
         }
         return members;
@@ -129,7 +129,7 @@
         }
         return new MeshNodes(
                 control,
-                authority.standing().term(),
+                authority.raftStatus().term(),
                 registry.isComplete(now),
                 cut(balancers),
                 more(balancers.size()),
@@ -154,8 +154,8 @@
         return new MeshDuties(
                 node,
                 control,
-                authority.standing().term(),
-                Math.round(authority.pulse().leaseMs()),
+                authority.raftStatus().term(),
+                Math.round(authority.metrics().leaseMs()),
                 registry.stamp(),
                 registry.isComplete(now),
                 queue.subscribers().size(),
--- a/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
+++ b/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
@@ -55,7 +55,7 @@
     private byte[] packed = NONE;
 
     private long packedEdition;
-    private RaftStatus standing = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
+    private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
 
     DataPlaneService(
             EventLoop loop,
@@ -112,7 +112,7 @@
     }
 
     private void watch(Connection.Link link, WatchRequest request) {
-        if (request.term() > standing.term()) {
+        if (request.term() > raftStatus.term()) {
             // It has been told news by the leader of a later term: what is known here is older.
             redirect(link, new QuorumGate.Refusal(null, false));
             return;
@@ -193,10 +193,10 @@
     }
 
     /** The place of this machine in the core has changed. */
-    void standing(RaftStatus next) {
+    void onStatusChanged(RaftStatus next) {
         boolean led = leads();
-        boolean newTerm = standing.term() != next.term();
-        standing = next;
+        boolean newTerm = raftStatus.term() != next.term();
+        raftStatus = next;
         if (leads() && (!led || newTerm)) {
             watchServer.begin(clock.now(), next.term());
             pools.begin();
@@ -210,7 +210,7 @@
     }
 
     private boolean leads() {
-        return standing.role() == RaftStatus.Role.LEADER;
+        return raftStatus.role() == RaftStatus.Role.LEADER;
     }
 
     /** The committed configuration has changed. */
@@ -231,7 +231,7 @@
 
     private void publishConfiguration() {
         List<String> members = new ArrayList<>();
-        standing.members().forEach(member -> members.add(member.address()));
+        raftStatus.members().forEach(member -> members.add(member.address()));
         watchServer.configurationChanged(configurations.edition(), packed(), members);
         schedulePublish();
     }
--- a/src/main/java/sablehinge/controlplane/node/QuorumGate.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumGate.java
@@ -29,16 +29,16 @@
     interface Contact {
 
         /** The place of this machine. */
-        RaftStatus standing();
+        RaftStatus raftStatus();
 
-        /** See {@link sablehinge.controlplane.raft.RaftNode#sinceMajority}. */
-        double sinceMajority(double now);
+        /** See {@link sablehinge.controlplane.raft.RaftNode#sinceMajorityMs}. */
+        double sinceMajorityMs(double now);
 
-        /** See {@link sablehinge.controlplane.raft.RaftNode#sinceLeader}. */
-        double sinceLeader(double now);
+        /** See {@link sablehinge.controlplane.raft.RaftNode#sinceLeaderMs}. */
+        double sinceLeaderMs(double now);
 
-        /** See {@link sablehinge.controlplane.raft.RaftNode#leases}. */
-        boolean leases(double now);
+        /** See {@link sablehinge.controlplane.raft.RaftNode#hasLease}. */
+        boolean hasLease(double now);
 
         /** See {@link sablehinge.controlplane.raft.RaftNode#barrier}; {@link QuorumGate#barrierEnded} tells its end. */
         void barrier(double now, long token);
@@ -74,9 +74,10 @@
     boolean allows(double now, ControlRequest what) {
         return switch (what.contact()) {
             case NONE -> true;
-            case LEASE -> contact.leases(now);
+            case LEASE -> contact.hasLease(now);
             case RECENT, CONFIRMED, COMMITTED ->
-                contact.standing().role() == RaftStatus.Role.LEADER && contact.sinceMajority(now) <= MAJORITY_RECENT_MS;
+                contact.raftStatus().role() == RaftStatus.Role.LEADER
+                        && contact.sinceMajorityMs(now) <= MAJORITY_RECENT_MS;
         };
     }
 
@@ -110,9 +111,9 @@
 
     /** Who else may have an answer at this moment. */
     Refusal refusal(double now) {
-        RaftStatus standing = contact.standing();
-        boolean leads = standing.role() == RaftStatus.Role.LEADER;
-        boolean known = !leads && standing.leader() != null && contact.sinceLeader(now) <= LEADER_KNOWN_MS;
-        return new Refusal(known ? standing.leader() : null, leads);
+        RaftStatus raftStatus = contact.raftStatus();
+        boolean leads = raftStatus.role() == RaftStatus.Role.LEADER;
+        boolean known = !leads && raftStatus.leader() != null && contact.sinceLeaderMs(now) <= LEADER_KNOWN_MS;
+        return new Refusal(known ? raftStatus.leader() : null, leads);
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
+++ b/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
@@ -42,7 +42,7 @@
                         authority.now(),
                         ControlRequest.CONFIG_REPLACE,
                         () -> {
-                            long term = authority.standing().term();
+                            long term = authority.raftStatus().term();
                             authority.check(() -> check(call, term, answer));
                         },
                         refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
@@ -68,7 +68,7 @@
     }
 
     private void submit(ChangeCoordinator.Order order, byte[] body, long term, Consumer<CallOutcome> answer) {
-        if (authority.standing().term() != term) {
+        if (authority.raftStatus().term() != term) {
             // A copy that was sent elsewhere meanwhile may have been answered there.
             answer.accept(CallOutcome.error(503, "NO_MAJORITY", "the core's leader has changed"));
             return;
--- a/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
+++ b/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
@@ -49,8 +49,8 @@
      */
     MembershipPlanner(int losses, RaftConfig timing) {
         wanted = Math.max(LEAST_VOTERS, 2 * losses + 1);
-        freshMs = timing.fresh();
-        silentMs = timing.silent();
+        freshMs = timing.peerAliveMs();
+        silentMs = timing.voterLostMs();
     }
 
     /**
--- a/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
+++ b/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
@@ -9,7 +9,7 @@
 final class PersistQueue {
 
     /** Changes that the disk is given at a time; what is decided while it has them goes in one after them. */
-    private static final int MOST_CHANGES = 8;
+    private static final int MAX_BATCHES = 8;
     /** Bytes of entries and states that wait for the disk, above which no more are to be taken. */
     private static final long MOST_BYTES = 8 << 20;
     /** Messages that wait for the disk; of more, the oldest is lost, as any message may be. */
@@ -119,9 +119,9 @@
     }
 
     /** Makes the next change, if there is any, and sends what need not wait. */
-    void flush(double now, long term, long votedFor, long lastIndex, RaftNode.Actions actions) {
+    void flush(double now, long term, long votedFor, long lastIndex, RaftActions actions) {
         WriteBatch change = null;
-        if (dirty && outstanding.size() < MOST_CHANGES) {
+        if (dirty && outstanding.size() < MAX_BATCHES) {
             change = new WriteBatch(++number, term, votedFor, truncateFrom, append, snapshot);
             outstanding.addLast(new PendingBatch(number, term, lastIndex, now, bytes()));
             append.clear();
@@ -143,7 +143,7 @@
     }
 
     /** The disk holds all changes up to a number. */
-    void persisted(long upTo, RaftNode.Actions actions) {
+    void persisted(long upTo, RaftActions actions) {
         while (!outstanding.isEmpty() && outstanding.peekFirst().number <= upTo) {
             PendingBatch one = outstanding.removeFirst();
             synced = Math.max(synced, one.end);
@@ -152,7 +152,7 @@
         release(actions);
     }
 
-    private void release(RaftNode.Actions actions) {
+    private void release(RaftActions actions) {
         long done = outstanding.isEmpty() ? number : outstanding.peekFirst().number - 1;
         while (!held.isEmpty() && held.peekFirst().number <= done) {
             PendingMessage one = held.removeFirst();
--- a/src/main/java/sablehinge/controlplane/raft/RaftNode.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftNode.java
@@ -17,48 +17,14 @@
  * One member's part in the agreement of the core on one log: Raft with pre-votes, a check of the leader's quorum, and
  * changes of one member at a time that are entries of the log.
  *
- * <p>It decides only. All calls come from one thread, never from within one of the {@link Actions} (but
- * {@link #compact} may be called from within {@link Actions#apply}), and {@code now} is a steady clock in ms. Only what
- * is synced counts: a vote and the word that entries are held leave once the disk has them, and the leader's own copy
- * counts like any other, when its disk has it and not before. So a commit needs a majority of disks, whichever they
- * are, and a member whose disk stalls delays nobody.
+ * <p>It decides only. All calls come from one thread, never from within one of the {@link RaftActions} (but
+ * {@link #compact} may be called from within {@link RaftActions#apply}), and {@code now} is a steady clock in ms. Only
+ * what is synced counts: a vote and the word that entries are held leave once the disk has them, and the leader's own
+ * copy counts like any other, when its disk has it and not before. So a commit needs a majority of disks, whichever
+ * they are, and a member whose disk stalls delays nobody.
  */
 public final class RaftNode {
 
-    /** What the host does for a member; none of these may call back, except as said above. */
-    public interface Actions {
-
-        /**
-         * Sends a message; it may be lost, doubled or overtaken. A member whose id is 0 is known by its {@code address}
-         * only.
-         */
-        void send(Member to, Message message);
-
-        /**
-         * Writes and syncs, in order; {@link RaftNode#persisted} is called after. A disk that refuses is one that takes
-         * longer. Some ten changes are under way at a time.
-         */
-        void persist(WriteBatch change);
-
-        /** A committed entry; each comes once in a life of the process, in order, and of every kind. */
-        void apply(Entry entry);
-
-        /** This state takes the place of all that was applied. */
-        void restore(Snapshot snapshot);
-
-        /** Called whenever it has changed. */
-        void standing(RaftStatus standing);
-
-        /** What was committed before {@link RaftNode#barrier} is applied here, and this still led. */
-        void confirmed(long token);
-
-        /** Nothing can be said about the barrier. */
-        void denied(long token);
-
-        /** After {@link RaftNode#leave}: nothing that is committed hangs on this process any more. */
-        default void released() {}
-    }
-
     /** How far ahead of what a peer has synced entries are sent, entries. */
     private static final int AHEAD = 256;
     /** Between two requests to be let in, ms. */
@@ -90,7 +56,7 @@
 
     private record Barrier(long token, long round, long index, double until) {}
 
-    private final Actions actions;
+    private final RaftActions actions;
     private final RaftConfig timing;
     private final Random random;
     private final MembershipPlanner planner;
@@ -153,11 +119,11 @@
     private boolean released;
 
     /**
-     * A member that takes part after one of {@link #found}, {@link #start}, {@link #outside}.
+     * A member that takes part after one of {@link #bootstrap}, {@link #start}, {@link #startAsLearner}.
      *
      * @param losses how many members may be lost at once while the core goes on
      */
-    public RaftNode(Actions actions, RaftConfig timing, int losses, long seed) {
+    public RaftNode(RaftActions actions, RaftConfig timing, int losses, long seed) {
         this.actions = actions;
         this.timing = timing;
         this.random = new Random(seed);
@@ -165,7 +131,7 @@
     }
 
     /** The first start of the system: the disk is empty, and all founders name the same founders. */
-    public void found(double now, Member me, List<Member> founders) {
+    public void bootstrap(double now, Member me, List<Member> founders) {
         self = me;
         Snapshot first = new Snapshot(0, 0, founders, new byte[0]);
         log.install(first);
@@ -202,7 +168,7 @@
     }
 
     /** The disk is empty although the system was founded before: asks to be let in. */
-    public void outside(double now, Member me, List<String> addresses) {
+    public void startAsLearner(double now, Member me, List<String> addresses) {
         self = me;
         contacts(addresses);
         run(now);
@@ -215,9 +181,9 @@
         joinAt = log.holds(self.id()) ? now + LOST : now;
         // Where all have just started there is no leader to wait for, only what they may have promised one;
         // where there is one, its followers refuse.
-        double bound = leaderHeard + timing.electionLeast();
-        electionAt = Math.max(bound, now + FIRST_PART * timing.electionLeast())
-                + FIRST_PART * random.nextDouble() * (timing.electionMost() - timing.electionLeast());
+        double bound = leaderHeard + timing.minElectionTimeoutMs();
+        electionAt = Math.max(bound, now + FIRST_PART * timing.minElectionTimeoutMs())
+                + FIRST_PART * random.nextDouble() * (timing.maxElectionTimeoutMs() - timing.minElectionTimeoutMs());
         end(now);
     }
 
@@ -231,7 +197,7 @@
     }
 
     /**
-     * This process is about to end, perhaps for good: leadership goes to another, and {@link Actions#released} is
+     * This process is about to end, perhaps for good: leadership goes to another, and {@link RaftActions#released} is
      * called once a majority of those that stay has everything on disk that is committed, and, where a learner waits to
      * take the place, once it has taken it. Without a majority that is never. Nothing may be proposed here any more;
      * all else goes on until the process ends.
@@ -286,14 +252,14 @@
     /**
      * Asks for a command to be committed.
      *
-     * @return its index, or 0 if this does not lead or too many wait. It is committed when {@link Actions#apply} has an
-     *     entry of that index and of the term in which it was proposed; an entry of another term there means that it
-     *     never will be
+     * @return its index, or 0 if this does not lead or too many wait. It is committed when {@link RaftActions#apply}
+     *     has an entry of that index and of the term in which it was proposed; an entry of another term there means
+     *     that it never will be
      */
     public long propose(double now, byte[] command) {
         if (!running
                 || role != RaftStatus.Role.LEADER
-                || log.lastIndex() - commit >= timing.waiting()
+                || log.lastIndex() - commit >= timing.maxUncommittedEntries()
                 || queue.isFull()
                 || isLeaving()) {
             return 0;
@@ -303,15 +269,15 @@
         return index;
     }
 
-    /** Asks whether all that was committed anywhere before this call is applied here; see {@link Actions}. */
+    /** Asks whether all that was committed anywhere before this call is applied here; see {@link RaftActions}. */
     public void barrier(double now, long token) {
         if (!running || role != RaftStatus.Role.LEADER) {
-            actions.denied(token);
+            actions.barrierRejected(token);
             return;
         }
         boolean underWay = !barriers.isEmpty();
         // Only a question that is asked after this call counts; those that come meanwhile share the next one.
-        barriers.add(new Barrier(token, round + 1, Math.max(commit, firstOfTerm), now + timing.barrier()));
+        barriers.add(new Barrier(token, round + 1, Math.max(commit, firstOfTerm), now + timing.barrierTimeoutMs()));
         if (!underWay) {
             ask(now);
         }
@@ -335,7 +301,7 @@
     }
 
     /** A message came in. {@code from} is its sender as it names itself. */
-    public void message(double now, Member from, Message message) {
+    public void handleMessage(double now, Member from, Message message) {
         if (!running || from.id() == self.id()) {
             return;
         }
@@ -389,7 +355,7 @@
                 || told.members() != log.members()
                 || !Objects.equals(told.leader(), leader)) {
             told = new RaftStatus(shown, term, leader, log.members());
-            actions.standing(told);
+            actions.onStatusChanged(told);
         }
     }
 
@@ -413,8 +379,9 @@
     }
 
     private void waitForLeader(double now) {
-        electionAt =
-                now + timing.electionLeast() + random.nextDouble() * (timing.electionMost() - timing.electionLeast());
+        electionAt = now
+                + timing.minElectionTimeoutMs()
+                + random.nextDouble() * (timing.maxElectionTimeoutMs() - timing.minElectionTimeoutMs());
     }
 
     private void commitTo(double now, long index) {
@@ -437,7 +404,7 @@
         }
         if (role == RaftStatus.Role.LEADER) {
             peers.clear();
-            barriers.forEach(barrier -> actions.denied(barrier.token()));
+            barriers.forEach(barrier -> actions.barrierRejected(barrier.token()));
             barriers.clear();
             verified = commit;
             leader = null;
@@ -532,7 +499,7 @@
 
     private void askVote(double now, Member from, Message.VoteRequest ask) {
         boolean known = log.holds(from.id());
-        boolean led = role == RaftStatus.Role.LEADER || now - leaderHeard < timing.electionLeast();
+        boolean led = role == RaftStatus.Role.LEADER || now - leaderHeard < timing.minElectionTimeoutMs();
         // Who hears a leader disturbs it for nobody, save for whom the leader itself asked to stand.
         boolean refused = led && !(ask.handed() && known);
         boolean current = ask.lastTerm() > log.lastTerm()
@@ -763,7 +730,7 @@
         wonAt = now;
         leaseUntil = Double.NEGATIVE_INFINITY;
         majorityAskedAt = stoodAt;
-        heartbeatAt = now + timing.heartbeat();
+        heartbeatAt = now + timing.heartbeatIntervalMs();
         handAt = now;
         keepPeers(now);
         firstOfTerm = append(now, Entry.Kind.NOOP, new byte[0]);
@@ -804,13 +771,13 @@
         for (Barrier barrier : List.copyOf(barriers)) {
             if (now >= barrier.until()) {
                 barriers.remove(barrier);
-                actions.denied(barrier.token());
+                actions.barrierRejected(barrier.token());
             }
         }
         if (now >= heartbeatAt) {
             ask(now);
         }
-        if (now - queue.busySince() > timing.stall() && now >= handAt) {
+        if (now - queue.busySince() > timing.diskStallMs() && now >= handAt) {
             handOver(now);
         }
         changeMembers(now);
@@ -821,7 +788,7 @@
         int count = 0;
         for (Member member : log.members()) {
             ReplicaProgress peer = peers.get(member.id());
-            if (member.id() == self.id() || peer != null && now - peer.heard <= timing.quorum()) {
+            if (member.id() == self.id() || peer != null && now - peer.heard <= timing.quorumTimeoutMs()) {
                 count++;
             }
         }
@@ -833,9 +800,9 @@
         round++;
         requestedAt[(int) (round % ASKED)] = now;
         committedAt[(int) (round % ASKED)] = commit;
-        heartbeatAt = now + timing.heartbeat();
+        heartbeatAt = now + timing.heartbeatIntervalMs();
         for (ReplicaProgress peer : peers.values()) {
-            feed(now, peer, now - peer.heard <= timing.fresh() || peer.probing);
+            feed(now, peer, now - peer.heard <= timing.peerAliveMs() || peer.probing);
         }
     }
 
@@ -853,9 +820,9 @@
             return;
         }
         peer.window.expire(now);
-        int most = Math.min(timing.bytes(), peer.window.limit());
+        int most = Math.min(timing.maxBytesPerMessage(), peer.window.limit());
         List<Entry> entries =
-                withEntries && mayHaveMore(peer) ? log.from(peer.next, timing.entries(), most) : List.of();
+                withEntries && mayHaveMore(peer) ? log.from(peer.next, timing.maxEntriesPerMessage(), most) : List.of();
         long previous = peer.next - 1;
         actions.send(
                 peer.member, new Message.AppendRequest(term, previous, log.termAt(previous), entries, commit, round));
@@ -892,7 +859,7 @@
     private void feedMore(double now, ReplicaProgress peer) {
         while (peer.next <= log.lastIndex()
                 && peer.snapshot == null
-                && now - peer.heard <= timing.fresh()
+                && now - peer.heard <= timing.peerAliveMs()
                 && mayHaveMore(peer)) {
             feed(now, peer, true);
         }
@@ -1022,7 +989,7 @@
         for (Barrier barrier : List.copyOf(barriers)) {
             if (barrier.round() <= answered && barrier.index() <= commit) {
                 barriers.remove(barrier);
-                actions.confirmed(barrier.token());
+                actions.barrierConfirmed(barrier.token());
             } else if (barrier.round() > round) {
                 unasked = true;
             }
@@ -1054,7 +1021,7 @@
      * gives its vote to another yet; counted from when the question was asked, and less than they wait, as clocks
      * differ in speed. Not in a term in which it asked another to take over.
      */
-    public boolean leases(double now) {
+    public boolean hasLease(double now) {
         // A sole member has nobody to ask, and nobody else can be voted for.
         return running && role == RaftStatus.Role.LEADER && (now < leaseUntil || majority() == 1);
     }
@@ -1064,7 +1031,7 @@
      * one does not lead. Unlike the time at which an answer was read, it can't be made to look recent by answers that
      * waited in a buffer while this process stood still.
      */
-    public double sinceMajority(double now) {
+    public double sinceMajorityMs(double now) {
         if (!running || role != RaftStatus.Role.LEADER) {
             return Double.POSITIVE_INFINITY;
         }
@@ -1072,12 +1039,12 @@
     }
 
     /** How long ago a follower heard of the leader that it names, ms; infinite where it names none. */
-    public double sinceLeader(double now) {
+    public double sinceLeaderMs(double now) {
         return leader == null ? Double.POSITIVE_INFINITY : role == RaftStatus.Role.LEADER ? 0 : now - leaderHeard;
     }
 
     /** What this member can tell of its part at this moment. */
-    public RaftMetrics pulse(double now) {
+    public RaftMetrics metrics(double now) {
         Map<Long, Double> silentMs = new HashMap<>();
         if (role == RaftStatus.Role.LEADER) {
             silentMs.put(self.id(), 0.0);
@@ -1085,7 +1052,7 @@
         } else if (leader != null) {
             silentMs.put(leader.id(), now - leaderHeard);
         }
-        return new RaftMetrics(commit, leases(now) ? leaseUntil - now : 0, silentMs);
+        return new RaftMetrics(commit, hasLease(now) ? leaseUntil - now : 0, silentMs);
     }
 
     private void extendLease() {
@@ -1095,7 +1062,7 @@
         }
         majorityAskedAt = Math.max(majorityAskedAt, requestedAt[(int) (answered % ASKED)]);
         if (!handedOver) {
-            leaseUntil = Math.max(leaseUntil, majorityAskedAt + LEASE_PART * timing.electionLeast());
+            leaseUntil = Math.max(leaseUntil, majorityAskedAt + LEASE_PART * timing.minElectionTimeoutMs());
         }
     }
 
@@ -1112,7 +1079,7 @@
         ReplicaProgress best = null;
         for (ReplicaProgress peer : peers.values()) {
             if (log.holds(peer.member.id())
-                    && now - peer.heard <= timing.fresh()
+                    && now - peer.heard <= timing.peerAliveMs()
                     && !leaves(now, peer)
                     && peer.match >= least
                     && (best == null || peer.match > best.match)) {
@@ -1137,7 +1104,7 @@
 
     /** Whether a peer has said lately that it is about to end; one that has come back says so no more. */
     private boolean leaves(double now, ReplicaProgress peer) {
-        return now - peer.leaves <= timing.fresh();
+        return now - peer.leaves <= timing.peerAliveMs();
     }
 
     private void leaveOn(double now) {
@@ -1191,7 +1158,8 @@
     }
 
     private boolean hasLearner(double now) {
-        return peers.values().stream().anyMatch(peer -> isLearner(now, peer) && now - peer.heard <= timing.fresh());
+        return peers.values().stream()
+                .anyMatch(peer -> isLearner(now, peer) && now - peer.heard <= timing.peerAliveMs());
     }
 
     /**
--- a/src/test/java/sablehinge/controlplane/node/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -16,6 +16,7 @@
 import sablehinge.controlplane.raft.Member;
 import sablehinge.controlplane.raft.Message;
 import sablehinge.controlplane.raft.PersistedState;
+import sablehinge.controlplane.raft.RaftActions;
 import sablehinge.controlplane.raft.RaftConfig;
 import sablehinge.controlplane.raft.RaftMetrics;
 import sablehinge.controlplane.raft.RaftNode;
@@ -88,7 +89,7 @@
             if (machine.up()
                     && !machine.frozen
                     && machine.gate.allows(now, ControlRequest.WATCH)
-                    && (leader == null || machine.standing.term() > leader.standing.term())) {
+                    && (leader == null || machine.raftStatus.term() > leader.raftStatus.term())) {
                 leader = machine;
             }
         }
@@ -98,7 +99,7 @@
     Machine awaitLeader() {
         for (int i = 0; i < 1_000; i++) {
             Machine leader = leader();
-            if (leader != null && leader.raft.leases(now)) {
+            if (leader != null && leader.raft.hasLease(now)) {
                 return leader;
             }
             run(TICK_MS);
@@ -136,11 +137,11 @@
     }
 
     /** A machine of the core and its disk. */
-    final class Machine implements RaftNode.Actions, QuorumGate.Contact, CallContext {
+    final class Machine implements RaftActions, QuorumGate.Contact, CallContext {
 
         final Member member;
         RaftNode raft;
-        RaftStatus standing;
+        RaftStatus raftStatus;
         QuorumGate gate;
         ConfigurationState state;
         ChangeCoordinator changes;
@@ -178,9 +179,9 @@
             frozen = false;
             sinceCompacted = 0;
             diskFreeAt = now;
-            standing = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
+            raftStatus = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
             state = new ConfigurationState();
-            raft = new RaftNode(this, RaftConfig.usual(), machines.size() / 2, random.nextLong());
+            raft = new RaftNode(this, RaftConfig.defaults(), machines.size() / 2, random.nextLong());
             gate = new QuorumGate(this, this::later);
             changes = new ChangeCoordinator(raft, state, this::later);
             Registry registry = new Registry(2_500, 12_000);
@@ -193,7 +194,7 @@
 
         private void found(List<Member> members) {
             boot();
-            raft.found(now, member, members);
+            raft.bootstrap(now, member, members);
         }
 
         void start() {
@@ -283,7 +284,8 @@
             if (!cuts.contains(member.address() + ">" + to.address())) {
                 for (Machine machine : machines.values()) {
                     if (machine.member.address().equals(to.address())) {
-                        machine.arrives(0.2 + random.nextDouble(), () -> machine.raft.message(now, member, message));
+                        machine.arrives(
+                                0.2 + random.nextDouble(), () -> machine.raft.handleMessage(now, member, message));
                     }
                 }
             }
@@ -344,36 +346,36 @@
         }
 
         @Override
-        public void standing(RaftStatus next) {
-            standing = next;
-            changes.standing(next);
+        public void onStatusChanged(RaftStatus next) {
+            raftStatus = next;
+            changes.onStatusChanged(next);
         }
 
         @Override
-        public void confirmed(long token) {
+        public void barrierConfirmed(long token) {
             gate.barrierEnded(now, token, true);
         }
 
         @Override
-        public void denied(long token) {
+        public void barrierRejected(long token) {
             gate.barrierEnded(now, token, false);
         }
 
         // What the gate and the operations ask for.
 
         @Override
-        public double sinceMajority(double at) {
-            return raft.sinceMajority(at);
+        public double sinceMajorityMs(double at) {
+            return raft.sinceMajorityMs(at);
         }
 
         @Override
-        public double sinceLeader(double at) {
-            return raft.sinceLeader(at);
+        public double sinceLeaderMs(double at) {
+            return raft.sinceLeaderMs(at);
         }
 
         @Override
-        public boolean leases(double at) {
-            return raft.leases(at);
+        public boolean hasLease(double at) {
+            return raft.hasLease(at);
         }
 
         @Override
@@ -397,13 +399,13 @@
         }
 
         @Override
-        public RaftStatus standing() {
-            return standing;
+        public RaftStatus raftStatus() {
+            return raftStatus;
         }
 
         @Override
-        public RaftMetrics pulse() {
-            return raft.pulse(now);
+        public RaftMetrics metrics() {
+            return raft.metrics(now);
         }
 
         @Override
--- a/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
@@ -39,11 +39,11 @@
     private final Registry registry = new Registry(2_500, 12_000);
     private final Pool pool = new Pool();
     private final Map<Long, Double> silent = new HashMap<>();
-    private RaftStatus standing = new RaftStatus(RaftStatus.Role.LEADER, 7, ONE, List.of(ONE, TWO));
+    private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.LEADER, 7, ONE, List.of(ONE, TWO));
     private boolean sure = true;
     private Runnable duringCheck = () -> {};
-    private double sinceMajority = 50;
-    private double sinceLeader = 50;
+    private double sinceMajorityMs = 50;
+    private double sinceLeaderMs = 50;
     private final QuorumGate gate = new QuorumGate(new ScriptedContact(), Runnable::run);
     private final ChangeCoordinator changes = new ChangeCoordinator(null, configurations, Runnable::run);
     private double now = 10_000;
@@ -52,23 +52,23 @@
     private final class ScriptedContact implements QuorumGate.Contact {
 
         @Override
-        public RaftStatus standing() {
-            return standing;
+        public RaftStatus raftStatus() {
+            return raftStatus;
         }
 
         @Override
-        public double sinceMajority(double at) {
-            return sinceMajority;
+        public double sinceMajorityMs(double at) {
+            return sinceMajorityMs;
         }
 
         @Override
-        public double sinceLeader(double at) {
-            return sinceLeader;
+        public double sinceLeaderMs(double at) {
+            return sinceLeaderMs;
         }
 
         @Override
-        public boolean leases(double at) {
-            return sinceMajority < 400;
+        public boolean hasLease(double at) {
+            return sinceMajorityMs < 400;
         }
 
         @Override
@@ -85,8 +85,8 @@
         }
 
         @Override
-        public RaftStatus standing() {
-            return standing;
+        public RaftStatus raftStatus() {
+            return raftStatus;
         }
 
         @Override
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public RaftMetrics pulse() {
+        public RaftMetrics metrics() {
             return new RaftMetrics(42, 250.4, silent);
         }
 
@@ -156,7 +156,7 @@
 
     @Test
     void whoFollowsNobodySaysSoOfItselfAndSendsNobodyElsewhere() throws IOException {
-        standing = new RaftStatus(RaftStatus.Role.CANDIDATE, 8, null, List.of(ONE, TWO));
+        raftStatus = new RaftStatus(RaftStatus.Role.CANDIDATE, 8, null, List.of(ONE, TWO));
         MeshStatus status = told("Mesh.Status", MeshStatus.class);
         assertEquals("candidate", status.role());
         assertEquals(42, status.commit());
@@ -168,7 +168,7 @@
 
     @Test
     void whoFollowsSendsQuestionsOfTheRollToTheLeader() {
-        standing = new RaftStatus(RaftStatus.Role.FOLLOWER, 7, TWO, List.of(ONE, TWO));
+        raftStatus = new RaftStatus(RaftStatus.Role.FOLLOWER, 7, TWO, List.of(ONE, TWO));
         ApiResponse reply = call("Mesh.Duties", new DefaultHttpHeaders(), "");
         assertEquals(307, reply.status());
         assertEquals("http://10.0.0.2:7701/sablehinge/Mesh.Duties", reply.location());
@@ -227,10 +227,10 @@
     @Test
     void anOrderThatCameInAnEarlierTermIsLeftWithoutAClearAnswer() throws IOException {
         String body = OperatorModel.body(3, 1);
-        duringCheck = () -> standing = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
+        duringCheck = () -> raftStatus = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
         assertEquals(503, replaced(body));
-        duringCheck = () -> standing = new RaftStatus(RaftStatus.Role.FOLLOWER, 9, TWO, List.of(ONE, TWO));
-        standing = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
+        duringCheck = () -> raftStatus = new RaftStatus(RaftStatus.Role.FOLLOWER, 9, TWO, List.of(ONE, TWO));
+        raftStatus = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
         assertEquals(307, replaced(body));
     }
 
--- a/src/test/java/sablehinge/controlplane/node/QuorumContactTest.java
+++ b/src/test/java/sablehinge/controlplane/node/QuorumContactTest.java
@@ -120,7 +120,7 @@
         cluster.others(leader).forEach(ControlCluster.Machine::kill);
         cluster.run(FROZEN_MS);
         leader.thaw();
-        assertTrue(leader.raft.sinceMajority(cluster.now()) >= FROZEN_MS);
+        assertTrue(leader.raft.sinceMajorityMs(cluster.now()) >= FROZEN_MS);
         assertFalse(leader.gate.allows(cluster.now(), ControlRequest.WATCH));
         assertFalse(leader.gate.allows(cluster.now(), ControlRequest.RETRY_SHARES));
     }
@@ -197,9 +197,9 @@
                     ControlRequest.CONFIG_REPLACE, 0, OperatorModel.body(3, 1), reply -> statuses.add(reply.status()));
             cluster.run(50);
         }
-        long before = leader.pulse().commit();
+        long before = leader.metrics().commit();
         cluster.run(900);
         assertEquals(List.of(200, 200, 200), statuses);
-        assertEquals(before + 1, leader.pulse().commit());
+        assertEquals(before + 1, leader.metrics().commit());
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
@@ -50,9 +50,9 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine leader = cluster.leader();
         cluster.machines.values().forEach(machine -> cluster.slow(machine, SLOW));
-        long term = leader.standing.term();
+        long term = leader.raftStatus.term();
         cluster.storm(STORM, ORDERS);
-        assertEquals(term, cluster.leader().standing.term());
+        assertEquals(term, cluster.leader().raftStatus.term());
         assertTrue(cluster.committed.size() > 12, cluster.committed.size() + " entries");
         for (Machine machine : cluster.others(leader)) {
             cluster.catchUp(machine, 5000);
--- a/src/test/java/sablehinge/controlplane/raft/Claims.java
+++ b/src/test/java/sablehinge/controlplane/raft/Claims.java
@@ -120,12 +120,12 @@
     private boolean propose(Machine at, Call call) {
         double now = at.clock();
         long index =
-                at.master.propose(now, ConfigurationState.replace(call.basedOn, call.edition, call.body, (long) now));
+                at.raft.propose(now, ConfigurationState.replace(call.basedOn, call.edition, call.body, (long) now));
         if (index > 0) {
             proposed++;
             latest = call;
             remember(call);
-            at.calls.put(index, new Call(call.basedOn, call.edition, call.body, at.standing.term()));
+            at.calls.put(index, new Call(call.basedOn, call.edition, call.body, at.raftStatus.term()));
         }
         return index > 0;
     }
@@ -146,7 +146,7 @@
     /** Carries out a committed entry. */
     void applied(Machine at, Entry entry) {
         ConfigurationState.Outcome outcome = entry.kind() == Entry.Kind.COMMAND ? command(at, entry) : null;
-        if (at.leads() && entry.term() == at.standing.term()) {
+        if (at.leads() && entry.term() == at.raftStatus.term()) {
             holds(at, one -> one.call.term < entry.term());
         }
         Call call = at.calls.remove(entry.index());
--- a/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
@@ -12,9 +12,9 @@
 /** What the planner does next, for each state of voters and learners that a core of three or five meets. */
 class MembershipPlannerTest {
 
-    private static final RaftConfig TIMING = RaftConfig.usual();
-    private static final double STALE = TIMING.fresh() + 1;
-    private static final double LOST = TIMING.silent() + 1;
+    private static final RaftConfig TIMING = RaftConfig.defaults();
+    private static final double STALE = TIMING.peerAliveMs() + 1;
+    private static final double LOST = TIMING.voterLostMs() + 1;
 
     private final MembershipPlanner three = new MembershipPlanner(1, TIMING);
     private final MembershipPlanner five = new MembershipPlanner(2, TIMING);
@@ -216,7 +216,7 @@
     }
 
     private static boolean sound(Replica one) {
-        return one.silentMs() <= TIMING.fresh() && one.caughtUp();
+        return one.silentMs() <= TIMING.peerAliveMs() && one.caughtUp();
     }
 
     /** How many of the sound voters of a list may be lost while the rest is a majority. */
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -195,7 +195,7 @@
                 Machine newcomer = cluster.add("10.0.1.1:1");
                 newcomer.outside();
                 long before = cluster.changes;
-                while (cluster.leader().standing.members().contains(dead.self)) {
+                while (cluster.leader().raftStatus.members().contains(dead.self)) {
                     cluster.run(1);
                 }
                 cluster.run(moves * 0.2);
@@ -260,11 +260,11 @@
             Machine newcomer = cluster.add("10.0.1.1:1");
             newcomer.outside();
             awaitVoters(cluster, 5, 5000);
-            long term = cluster.leader().standing.term();
+            long term = cluster.leader().raftStatus.term();
             away.start();
             cluster.run(5000);
-            assertEquals(RaftStatus.Role.OUTSIDER, away.standing.role());
-            assertEquals(term, cluster.leader().standing.term());
+            assertEquals(RaftStatus.Role.OUTSIDER, away.raftStatus.role());
+            assertEquals(term, cluster.leader().raftStatus.term());
             cluster.commitOne(100);
             cluster.run(200);
             assertEquals(cluster.committed.size(), away.applied);
@@ -283,11 +283,11 @@
                 cluster.run(700);
                 hit.outside();
                 Machine leader = cluster.leader();
-                List<Member> before = leader.standing.members();
-                for (int i = 0; i < 4000 && leader.standing.members().equals(before); i++) {
+                List<Member> before = leader.raftStatus.members();
+                for (int i = 0; i < 4000 && leader.raftStatus.members().equals(before); i++) {
                     cluster.run(1);
                 }
-                assertFalse(leader.standing.members().equals(before));
+                assertFalse(leader.raftStatus.members().equals(before));
                 cluster.run(cluster.seed * 0.3);
                 cluster.machines.values().forEach(Machine::powerLoss);
                 cluster.machines.values().forEach(Machine::start);
@@ -300,7 +300,7 @@
     /** SIGTERM to a machine; the ms until it may end. */
     private static double leave(SimulatedCluster cluster, Machine machine, double atMost) {
         double start = cluster.now;
-        machine.master.leave(machine.clock());
+        machine.raft.leave(machine.clock());
         while (!machine.released) {
             assertTrue(cluster.now - start < atMost, "seed " + cluster.seed + ": not released\n" + cluster.describe());
             cluster.run(1);
@@ -315,7 +315,7 @@
             play(losses, cluster -> {
                 cluster.commitOne(100);
                 Machine leader = cluster.leader();
-                leader.master.leave(leader.clock());
+                leader.raft.leave(leader.clock());
                 cluster.run(60);
                 assertTrue(cluster.leader() != null && cluster.leader() != leader, cluster.describe());
                 cluster.commitOne(30);
@@ -384,7 +384,7 @@
             cluster.add("10.0.1.1:1").outside();
             cluster.add("10.0.1.2:1").outside();
             cluster.run(1000);
-            other.master.leave(other.clock());
+            other.raft.leave(other.clock());
             leave(cluster, leader, 3000);
             leader.wipe();
             cluster.machines.remove(leader.address);
@@ -414,7 +414,7 @@
             Machine leaver = cluster.seed % 2 == 0
                     ? leader
                     : cluster.others(leader, slow).get(0);
-            leaver.master.leave(leaver.clock());
+            leaver.raft.leave(leaver.clock());
             cluster.run(1000);
             assertFalse(leaver.released);
             for (int i = 0; i < 2000 && !leaver.released; i++) {
@@ -434,7 +434,7 @@
             play(losses, cluster -> {
                 cluster.commitOne(100);
                 cluster.run(300);
-                cluster.machines.values().forEach(one -> one.master.leave(one.clock()));
+                cluster.machines.values().forEach(one -> one.raft.leave(one.clock()));
                 double start = cluster.now;
                 while (cluster.machines.values().stream().anyMatch(Machine::up)) {
                     cluster.machines.values().stream()
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** One member among scripted peers: what it may say when, which faults at random seldom show. */
-class RaftNodeRulesTest implements RaftNode.Actions {
+class RaftNodeRulesTest implements RaftActions {
 
     private static final Member A = Member.founder("a:1", "ca");
     private static final Member B = Member.founder("b:1", "cb");
@@ -20,11 +20,11 @@
 
     private record Sent(Member to, Message message) {}
 
-    private final RaftNode master = new RaftNode(this, RaftConfig.usual(), 1, 1);
+    private final RaftNode raft = new RaftNode(this, RaftConfig.defaults(), 1, 1);
     private final List<Sent> sent = new ArrayList<>();
     private final List<WriteBatch> changes = new ArrayList<>();
     private final List<Entry> applied = new ArrayList<>();
-    private RaftStatus standing;
+    private RaftStatus raftStatus;
     private double now = 1000;
 
     @Override
@@ -46,30 +46,30 @@
     public void restore(Snapshot snapshot) {}
 
     @Override
-    public void standing(RaftStatus latest) {
-        standing = latest;
+    public void onStatusChanged(RaftStatus latest) {
+        raftStatus = latest;
     }
 
     @Override
-    public void confirmed(long token) {}
+    public void barrierConfirmed(long token) {}
 
     @Override
-    public void denied(long token) {}
+    public void barrierRejected(long token) {}
 
     private static Entry entry(long index, long term) {
         return new Entry(index, term, Entry.Kind.COMMAND, NONE);
     }
 
     private void start(long term, List<Member> members, Entry... entries) {
-        master.start(now, new PersistedState(A, term, 0, new Snapshot(0, 0, members, NONE), List.of(entries)), now);
+        raft.start(now, new PersistedState(A, term, 0, new Snapshot(0, 0, members, NONE), List.of(entries)), now);
     }
 
     private void persisted() {
-        master.persisted(now, changes.get(changes.size() - 1).number());
+        raft.persisted(now, changes.get(changes.size() - 1).number());
     }
 
     private void from(Member member, Message message) {
-        master.message(now, member, message);
+        raft.handleMessage(now, member, message);
     }
 
     private <M extends Message> List<M> sent(Class<M> kind) {
@@ -88,17 +88,17 @@
     /** Makes it leader by the vote of {@code voter}. */
     private void elect(Member voter) {
         now += 1100;
-        master.tick(now);
-        long term = standing.term() + 1;
+        raft.tick(now);
+        long term = raftStatus.term() + 1;
         from(voter, new Message.VoteResponse(term, true, true));
-        assertEquals(RaftStatus.Role.CANDIDATE, standing.role());
+        assertEquals(RaftStatus.Role.CANDIDATE, raftStatus.role());
         persisted();
         from(voter, new Message.VoteResponse(term, true, false));
-        assertEquals(RaftStatus.Role.LEADER, standing.role());
+        assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
     }
 
     private void answer(Member member, long match) {
-        from(member, new Message.AppendResponse(standing.term(), true, match, match, 1));
+        from(member, new Message.AppendResponse(raftStatus.term(), true, match, match, 1));
     }
 
     /** The same in answer to the latest question. */
@@ -106,7 +106,7 @@
         from(
                 member,
                 new Message.AppendResponse(
-                        standing.term(),
+                        raftStatus.term(),
                         true,
                         match,
                         match,
@@ -138,23 +138,23 @@
                         1));
         persisted();
         now += 1100;
-        master.tick(now);
+        raft.tick(now);
         assertEquals(2, sent(Message.VoteRequest.class).size());
         from(B, new Message.VoteResponse(2, true, true));
-        assertEquals(RaftStatus.Role.OUTSIDER, standing.role(), "its own vote counts for nothing");
+        assertEquals(RaftStatus.Role.OUTSIDER, raftStatus.role(), "its own vote counts for nothing");
         from(C, new Message.VoteResponse(2, true, true));
         persisted();
         from(B, new Message.VoteResponse(2, true, false));
         from(C, new Message.VoteResponse(2, true, false));
-        assertEquals(RaftStatus.Role.LEADER, standing.role());
+        assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
         persisted();
         answer(B, 2);
         answer(C, 2);
-        master.tick(now);
-        assertEquals(RaftStatus.Role.OUTSIDER, standing.role());
+        raft.tick(now);
+        assertEquals(RaftStatus.Role.OUTSIDER, raftStatus.role());
         now += 5000;
         sent.clear();
-        master.tick(now);
+        raft.tick(now);
         assertEquals(List.of(), sent(Message.VoteRequest.class));
     }
 
@@ -202,7 +202,7 @@
         for (int ms = 0; ms < 500; ms += 20) {
             from(B, new Message.VoteRequest(2, 0, 0, true, false));
             from(B, new Message.VoteRequest(2, 0, 0, false, false));
-            master.tick(now);
+            raft.tick(now);
             now += 20;
         }
         assertTrue(sent(Message.VoteResponse.class).stream().noneMatch(Message.VoteResponse::granted));
@@ -216,15 +216,15 @@
     void itAsksForVotesWhenItsOwnIsSynced() {
         start(1, List.of(A, B, C));
         now += 1100;
-        master.tick(now);
+        raft.tick(now);
         from(B, new Message.VoteResponse(2, true, true));
         assertTrue(sent(Message.VoteRequest.class).stream().allMatch(Message.VoteRequest::pre));
         // Its own vote counts no sooner either.
         from(B, new Message.VoteResponse(2, true, false));
-        assertEquals(RaftStatus.Role.CANDIDATE, standing.role());
+        assertEquals(RaftStatus.Role.CANDIDATE, raftStatus.role());
         persisted();
         assertFalse(last(Message.VoteRequest.class).pre());
-        assertEquals(RaftStatus.Role.LEADER, standing.role());
+        assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
     }
 
     @Test
@@ -254,9 +254,9 @@
                         List.of(new Entry(1, 2, Entry.Kind.MEMBERS, MemberListCodec.write(List.of(A, B)))),
                         0,
                         1));
-        assertEquals(List.of(A, B), standing.members());
+        assertEquals(List.of(A, B), raftStatus.members());
         from(C, new Message.AppendRequest(3, 0, 0, List.of(entry(1, 3)), 0, 1));
-        assertEquals(List.of(A, B, C), standing.members());
+        assertEquals(List.of(A, B, C), raftStatus.members());
         assertEquals(1, changes.get(changes.size() - 1).truncateFrom());
     }
 
@@ -270,39 +270,39 @@
         answer(B, 0);
         answer(D, 1);
         answer(E, 1);
-        master.tick(now);
+        raft.tick(now);
         assertEquals(0, memberChanges());
         answer(B, 2);
         answer(D, 2);
         answer(E, 2);
-        master.tick(now);
+        raft.tick(now);
         assertEquals(1, memberChanges());
-        assertEquals(List.of(A, B, D), standing.members());
+        assertEquals(List.of(A, B, D), raftStatus.members());
         persisted();
         // B is silent long enough to be replaced, but D's coming in has not been committed.
         for (int i = 0; i < 200; i++) {
             now += 20;
-            from(D, new Message.AppendResponse(standing.term(), true, 2, 3, 1));
+            from(D, new Message.AppendResponse(raftStatus.term(), true, 2, 3, 1));
             from(E, new Message.JoinRequest(E, 2));
             answer(E, 2);
-            master.tick(now);
+            raft.tick(now);
         }
         assertEquals(1, memberChanges());
-        assertEquals(RaftStatus.Role.LEADER, standing.role());
+        assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
         answer(D, 3);
         answerLatest(D, 3);
-        master.tick(now);
+        raft.tick(now);
         answerLatest(D, 3);
-        assertEquals(List.of(A, B, D), standing.members(), "E's disk has not all that is committed");
+        assertEquals(List.of(A, B, D), raftStatus.members(), "E's disk has not all that is committed");
         answer(E, 3);
-        assertEquals(List.of(A, B, D), standing.members(), "D may have gone since it answered");
+        assertEquals(List.of(A, B, D), raftStatus.members(), "D may have gone since it answered");
         answerLatest(D, 3);
-        assertEquals(List.of(A, D), standing.members());
+        assertEquals(List.of(A, D), raftStatus.members());
         persisted();
         answerLatest(E, 3);
         answer(D, 4);
         // Without a tick: it lets the newcomer in as soon as the removal is committed.
-        assertEquals(List.of(A, D, E), standing.members());
+        assertEquals(List.of(A, D, E), raftStatus.members());
     }
 
     @Test
@@ -318,13 +318,13 @@
                         1,
                         1));
         assertEquals(1, applied.size());
-        master.compact(1, NONE);
+        raft.compact(1, NONE);
         Snapshot snapshot = changes.get(changes.size() - 1).snapshot();
         assertEquals(List.of(A, B, C), snapshot.members());
         assertEquals(1, snapshot.index());
-        assertEquals(List.of(A, B), standing.members());
+        assertEquals(List.of(A, B), raftStatus.members());
         from(C, new Message.AppendRequest(3, 1, 2, List.of(entry(2, 3)), 0, 1));
-        assertEquals(List.of(A, B, C), standing.members());
+        assertEquals(List.of(A, B, C), raftStatus.members());
     }
 
     @Test
@@ -343,15 +343,15 @@
             if (ms % 400 == 0 && ms <= 800) {
                 answer(B, 1);
             }
-            master.tick(now);
+            raft.tick(now);
         }
         assertEquals(0, memberChanges());
-        assertEquals(RaftStatus.Role.LEADER, standing.role());
+        assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
         answer(B, 1);
-        master.tick(now);
+        raft.tick(now);
         assertEquals(0, memberChanges(), "B may have gone since it answered");
         answerLatest(B, 1);
-        assertEquals(List.of(A, B), standing.members());
+        assertEquals(List.of(A, B), raftStatus.members());
     }
 
     /** As an outsider it would be given the place that it has just left. */
@@ -367,11 +367,11 @@
                         List.of(new Entry(1, 2, Entry.Kind.MEMBERS, MemberListCodec.write(List.of(B, C, D)))),
                         0,
                         1));
-        assertEquals(RaftStatus.Role.OUTSIDER, standing.role());
-        master.leave(now);
+        assertEquals(RaftStatus.Role.OUTSIDER, raftStatus.role());
+        raft.leave(now);
         for (int i = 0; i < 100; i++) {
             now += 20;
-            master.tick(now);
+            raft.tick(now);
         }
         assertEquals(List.of(), sent(Message.JoinRequest.class));
         assertFalse(sent(Message.LeaveRequest.class).isEmpty());
@@ -383,9 +383,9 @@
         elect(B);
         persisted();
         answer(B, 1);
-        assertTrue(master.propose(now, NONE) > 0);
-        master.leave(now);
-        assertEquals(0, master.propose(now, NONE));
+        assertTrue(raft.propose(now, NONE) > 0);
+        raft.leave(now);
+        assertEquals(0, raft.propose(now, NONE));
     }
 
     /** What it has beyond them it gives to others first; if they do not take it, the best of them leads. */
@@ -395,12 +395,12 @@
         elect(B);
         persisted();
         answer(B, 1);
-        master.propose(now, NONE);
-        master.leave(now);
+        raft.propose(now, NONE);
+        raft.leave(now);
         assertEquals(List.of(), sent(Message.TimeoutNowRequest.class));
         answer(C, 2);
         now += 20;
-        master.tick(now);
+        raft.tick(now);
         assertEquals(1, sent(Message.TimeoutNowRequest.class).size());
         assertEquals(C, sent.get(sent.size() - 1).to());
     }
@@ -411,12 +411,12 @@
         elect(B);
         persisted();
         answer(B, 1);
-        long term = standing.term();
+        long term = raftStatus.term();
         from(D, new Message.VoteRequest(term + 5, 9, 9, false, true));
         from(D, new Message.VoteResponse(term + 5, false, false));
         from(D, new Message.AppendResponse(term + 5, false, 0, 0, 0));
-        assertEquals(RaftStatus.Role.LEADER, standing.role());
-        assertEquals(term, standing.term());
+        assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
+        assertEquals(term, raftStatus.term());
     }
 
     @Test
@@ -427,11 +427,11 @@
         answer(B, 1);
         from(D, new Message.JoinRequest(D, 7));
         from(D, new Message.AppendResponse(9, false, 0, 0, 0));
-        assertEquals(10, standing.term());
+        assertEquals(10, raftStatus.term());
         persisted();
         assertTrue(last(Message.VoteRequest.class).handed());
         from(B, new Message.VoteResponse(10, true, false));
-        assertEquals(RaftStatus.Role.LEADER, standing.role());
+        assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
     }
 
     @Test
@@ -444,7 +444,7 @@
         elect(B);
         persisted();
         long match = 0;
-        from(B, new Message.AppendResponse(standing.term(), false, 0, 0, 1));
+        from(B, new Message.AppendResponse(raftStatus.term(), false, 0, 0, 1));
         while (match < 201) {
             List<Entry> got = last(Message.AppendRequest.class).entries();
             assertTrue(!got.isEmpty() && got.size() <= 64);
@@ -457,7 +457,7 @@
     }
 
     private void persistedOnly(long number) {
-        master.persisted(now, number);
+        raft.persisted(now, number);
     }
 
     private static Entry large(long index) {
@@ -509,7 +509,7 @@
         for (int i = 1; i <= 10; i++) {
             from(B, new Message.AppendRequest(2, i - 1, i == 1 ? 0 : 2, List.of(entry(i, 2)), i, i));
         }
-        master.compact(10, NONE);
+        raft.compact(10, NONE);
         from(B, new Message.InstallSnapshotRequest(2, new Snapshot(20, 2, List.of(A, B, C), NONE), 11));
         from(B, new Message.AppendRequest(2, 20, 2, List.of(entry(21, 2)), 20, 12));
         assertEquals(8, changes.size());
@@ -558,14 +558,14 @@
         assertFalse(last(Message.VoteResponse.class).granted());
         for (int i = 0; i < 100; i++) {
             now += 20;
-            master.tick(now);
+            raft.tick(now);
         }
         assertEquals(List.of(), sent(Message.VoteRequest.class));
         persisted();
         from(C, new Message.VoteRequest(3, 2, 2, true, false));
         assertTrue(last(Message.VoteResponse.class).granted());
         now += 1100;
-        master.tick(now);
+        raft.tick(now);
         assertTrue(last(Message.VoteRequest.class).pre());
     }
 
@@ -577,12 +577,12 @@
             now += 20;
             answer(B, 1);
             answer(C, 1);
-            master.tick(now);
+            raft.tick(now);
         }
         assertEquals(List.of(), sent(Message.TimeoutNowRequest.class), "none is better off");
         answer(C, 2);
         now += 20;
-        master.tick(now);
+        raft.tick(now);
         assertEquals(1, sent(Message.TimeoutNowRequest.class).size());
         assertEquals(C, sent.get(sent.size() - 1).to());
     }
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
@@ -38,9 +38,9 @@
         Machine newcomer = cluster.add("10.0.1.1:1");
         newcomer.outside();
         RaftStatus leads = new RaftStatus(RaftStatus.Role.LEADER, 1_000, newcomer.self, cluster.list);
-        assertThrows(AssertionError.class, () -> newcomer.standing(leads));
+        assertThrows(AssertionError.class, () -> newcomer.onStatusChanged(leads));
         Machine founder = cluster.machines.values().iterator().next();
-        founder.standing(new RaftStatus(RaftStatus.Role.LEADER, 1_001, founder.self, cluster.list));
+        founder.onStatusChanged(new RaftStatus(RaftStatus.Role.LEADER, 1_001, founder.self, cluster.list));
     }
 
     @Test
@@ -51,7 +51,7 @@
             cluster.run(200);
             Machine leader = cluster.leader();
             for (Machine machine : cluster.machines.values()) {
-                assertEquals(leader.self, machine.standing.leader());
+                assertEquals(leader.self, machine.raftStatus.leader());
                 assertEquals(cluster.committed.size(), machine.applied);
             }
         });
@@ -60,9 +60,9 @@
     @Test
     void aQuietCoreKeepsItsLeader() {
         play(cluster -> {
-            long term = cluster.leader().standing.term();
+            long term = cluster.leader().raftStatus.term();
             cluster.run(20_000);
-            assertEquals(term, cluster.leader().standing.term());
+            assertEquals(term, cluster.leader().raftStatus.term());
         });
     }
 
@@ -144,8 +144,8 @@
             newcomer.outside();
             cluster.run(8000);
             assertEquals(before, cluster.list);
-            assertEquals(RaftStatus.Role.OUTSIDER, newcomer.standing.role());
-            assertEquals(cluster.leader().self, newcomer.standing.leader());
+            assertEquals(RaftStatus.Role.OUTSIDER, newcomer.raftStatus.role());
+            assertEquals(cluster.leader().self, newcomer.raftStatus.leader());
             Machine dead = cluster.others(newcomer, cluster.leader()).get(0);
             dead.kill(true);
             cluster.run(5000);
@@ -161,15 +161,15 @@
             Machine newcomer = cluster.add("10.0.1.1:1");
             newcomer.outside();
             cluster.run(9000);
-            long term = cluster.leader().standing.term();
+            long term = cluster.leader().raftStatus.term();
             dead.start();
             cluster.run(5000);
-            assertEquals(RaftStatus.Role.OUTSIDER, dead.standing.role());
-            assertEquals(term, cluster.leader().standing.term(), "it disturbed the others");
+            assertEquals(RaftStatus.Role.OUTSIDER, dead.raftStatus.role());
+            assertEquals(term, cluster.leader().raftStatus.term(), "it disturbed the others");
             newcomer.kill(true);
             cluster.run(6000);
             assertTrue(listed(cluster, dead), "it takes the place of the next that is lost");
-            assertEquals(RaftStatus.Role.FOLLOWER, dead.standing.role());
+            assertEquals(RaftStatus.Role.FOLLOWER, dead.raftStatus.role());
         });
     }
 
@@ -234,14 +234,14 @@
     void aMemberThatHearsNothingDisturbsNobody() {
         play(cluster -> {
             Machine leader = cluster.leader();
-            long term = leader.standing.term();
+            long term = leader.raftStatus.term();
             Machine deaf = cluster.others(leader).get(0);
             cluster.others(deaf).forEach(other -> cluster.cut(other, deaf));
             cluster.run(5000);
-            assertEquals(term, cluster.leader().standing.term());
+            assertEquals(term, cluster.leader().raftStatus.term());
             cluster.cuts.clear();
             cluster.run(2000);
-            assertEquals(term, cluster.leader().standing.term());
+            assertEquals(term, cluster.leader().raftStatus.term());
             assertEquals(cluster.committed.size(), deaf.applied);
         });
     }
@@ -311,7 +311,7 @@
         while (leader.propose()) {
             taken++;
         }
-        assertEquals(RaftConfig.usual().waiting(), taken);
+        assertEquals(RaftConfig.defaults().maxUncommittedEntries(), taken);
     }
 
     @Test
--- a/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -68,12 +68,12 @@
     }
 
     /** One machine at its address; its process and its disk may go and come. */
-    final class Machine implements RaftNode.Actions {
+    final class Machine implements RaftActions {
         final String address;
         Member self;
         Disk disk = new Disk();
-        RaftNode master;
-        RaftStatus standing;
+        RaftNode raft;
+        RaftStatus raftStatus;
         long life;
         long applied;
         long chain;
@@ -103,11 +103,11 @@
         }
 
         boolean up() {
-            return master != null;
+            return raft != null;
         }
 
         boolean leads() {
-            return up() && standing != null && standing.role() == RaftStatus.Role.LEADER;
+            return up() && raftStatus != null && raftStatus.role() == RaftStatus.Role.LEADER;
         }
 
         private void boot() {
@@ -116,12 +116,12 @@
             chain = 0;
             configurations = new ConfigurationState();
             calls.clear();
-            standing = null;
+            raftStatus = null;
             unsynced = new ArrayList<>();
             barriers.clear();
             released = false;
             diskFreeAt = now;
-            master = new RaftNode(this, timing, losses, dice(this));
+            raft = new RaftNode(this, timing, losses, dice(this));
             booted(this);
         }
 
@@ -132,13 +132,13 @@
                     .orElseThrow();
             disk.self = self;
             boot();
-            master.found(clock(), self, founders);
+            raft.bootstrap(clock(), self, founders);
         }
 
         void start() {
             boot();
-            master.contacts(addresses());
-            master.start(
+            raft.contacts(addresses());
+            raft.start(
                     clock(), new PersistedState(self, disk.term, disk.votedFor, disk.snapshot, disk.entries), clock());
         }
 
@@ -147,15 +147,15 @@
             self = me;
             disk.self = me;
             boot();
-            master.outside(clock(), me, addresses());
+            raft.startAsLearner(clock(), me, addresses());
         }
 
         /** Begins as a founder whose name comes to its empty disk with its first change. */
         void begin(Member me, List<Member> founders) {
             self = me;
             boot();
-            master.contacts(addresses());
-            master.found(clock(), me, founders);
+            raft.contacts(addresses());
+            raft.bootstrap(clock(), me, founders);
         }
 
         /** A change arrives on the disk, the first one with the member's name. */
@@ -170,7 +170,7 @@
             disk = new Disk();
             disk.self = self;
             boot();
-            master.outside(clock(), self, addresses());
+            raft.startAsLearner(clock(), self, addresses());
         }
 
         /** Ends the process; with {@code power}, some of what was not synced is lost. */
@@ -182,8 +182,8 @@
 
         /** Ends the process; the disk has the first {@code kept} of the changes that were under way. */
         void end(int kept) {
-            master = null;
-            standing = null;
+            raft = null;
+            raftStatus = null;
             life++;
             for (WriteBatch change : unsynced.subList(0, kept)) {
                 store(change);
@@ -211,7 +211,7 @@
 
         private void tick(long mine) {
             if (life == mine) {
-                master.tick(clock());
+                raft.tick(clock());
                 after(TICK, () -> tick(mine));
             }
         }
@@ -260,7 +260,7 @@
         void syncOne() {
             WriteBatch change = unsynced.remove(0);
             store(change);
-            master.persisted(clock(), change.number());
+            raft.persisted(clock(), change.number());
         }
 
         private void synced(long mine, WriteBatch change) {
@@ -274,7 +274,7 @@
             while (!unsynced.isEmpty() && unsynced.get(0).number() <= change.number()) {
                 store(unsynced.remove(0));
             }
-            master.persisted(clock(), change.number());
+            raft.persisted(clock(), change.number());
         }
 
         @Override
@@ -310,7 +310,7 @@
         }
 
         void compact() {
-            master.compact(applied, state());
+            raft.compact(applied, state());
         }
 
         /** The state after all that was applied, as a snapshot holds it. */
@@ -324,12 +324,12 @@
 
         /** A commit stands on the disks of a majority, of which some may have been wiped since. */
         private void checkDurable(Entry entry) {
-            int on = disksWith(entry, standing.members());
+            int on = disksWith(entry, raftStatus.members());
             check(
-                    on > standing.members().size() / 2,
+                    on > raftStatus.members().size() / 2,
                     this,
                     () -> "entry " + entry.index() + " committed on " + on + " disks of "
-                            + standing.members().size());
+                            + raftStatus.members().size());
         }
 
         @Override
@@ -348,25 +348,25 @@
         }
 
         @Override
-        public void standing(RaftStatus now) {
+        public void onStatusChanged(RaftStatus now) {
             if (now.role() == RaftStatus.Role.LEADER) {
                 Long other = leaders.putIfAbsent(now.term(), self.id());
                 check(other == null || other == self.id(), this, () -> "a second leader of term " + now.term());
                 // A list that leaves it out counts as soon as it has applied it; who is on none never leads.
                 check(now.members().contains(self) || isMemberAsApplied(), this, () -> "leads as an outsider");
             }
-            standing = now;
+            raftStatus = now;
         }
 
         @Override
-        public void confirmed(long token) {
+        public void barrierConfirmed(long token) {
             long needed = barriers.remove(token);
             check(applied >= needed, this, () -> "barrier confirmed at " + applied + ", " + needed + " was committed");
             confirmed.add(token);
         }
 
         @Override
-        public void denied(long token) {
+        public void barrierRejected(long token) {
             check(barriers.remove(token) != null, this, () -> "a barrier ended twice");
             denied.add(token);
         }
@@ -379,7 +379,7 @@
         void barrier() {
             long token = ++tokens;
             barriers.put(token, (long) committed.size());
-            master.barrier(clock(), token);
+            raft.barrier(clock(), token);
         }
 
         /** An operator puts a configuration in the place of the one that it has read here. */
@@ -418,7 +418,7 @@
     final Map<Long, Entry> made = new HashMap<>();
 
     final Claims claims = new Claims(this);
-    RaftConfig timing = RaftConfig.usual();
+    RaftConfig timing = RaftConfig.defaults();
     /** How many members may be lost at once, as the deployment states it. */
     int losses;
     /** The last list that was committed. */
@@ -552,7 +552,7 @@
             return;
         }
         try {
-            machine.master.message(machine.clock(), from, RaftMessageCodec.read(bytes));
+            machine.raft.handleMessage(machine.clock(), from, RaftMessageCodec.read(bytes));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -574,7 +574,7 @@
     final void checkLease() {
         Machine holder = null;
         for (Machine machine : machines.values()) {
-            if (machine.up() && machine.leads() && machine.master.leases(machine.clock())) {
+            if (machine.up() && machine.leads() && machine.raft.hasLease(machine.clock())) {
                 Machine other = holder;
                 check(other == null, machine, () -> "a lease beside that of " + other.address);
                 holder = machine;
@@ -586,7 +586,7 @@
     Machine leader() {
         Machine leader = null;
         for (Machine machine : machines.values()) {
-            if (machine.leads() && (leader == null || machine.standing.term() > leader.standing.term())) {
+            if (machine.leads() && (leader == null || machine.raftStatus.term() > leader.raftStatus.term())) {
                 leader = machine;
             }
         }
@@ -598,7 +598,7 @@
             Machine leader = leader();
             if (leader != null
                     && leader.applied > 0
-                    && committed.get((int) leader.applied - 1).term() == leader.standing.term()) {
+                    && committed.get((int) leader.applied - 1).term() == leader.raftStatus.term()) {
                 return leader;
             }
             run(20);
@@ -636,7 +636,7 @@
                 .append(' ')
                 .append(one.self.id())
                 .append(one.up() ? " up " : " down ")
-                .append(one.standing)
+                .append(one.raftStatus)
                 .append(" applied ")
                 .append(one.applied)
                 .append('\n'));
@@ -681,9 +681,9 @@
     final boolean knowSameList() {
         for (Machine machine : machines.values()) {
             if (machine.up()
-                    && machine.standing != null
-                    && !machine.standing.members().equals(list)
-                    && !machine.standing.members().isEmpty()) {
+                    && machine.raftStatus != null
+                    && !machine.raftStatus.members().equals(list)
+                    && !machine.raftStatus.members().isEmpty()) {
                 return false;
             }
         }
--- a/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
@@ -84,7 +84,7 @@
         after(link.freeAt - now + LATENCY, () -> {
             Machine machine = machines.get(to);
             if (link.life == life && machine != null && machine.up()) {
-                machine.master.message(machine.clock(), from, message);
+                machine.raft.handleMessage(machine.clock(), from, message);
             }
         });
     }
