--- a/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
@@ -1,6 +1,11 @@
 package sablehinge.controlplane.raft;
 
+import static sablehinge.controlplane.raft.Faults.BARRIERS;
+import static sablehinge.controlplane.raft.Faults.CANDIDATE;
+import static sablehinge.controlplane.raft.Faults.FOLLOWER;
+import static sablehinge.controlplane.raft.Faults.LEADER;
 import static sablehinge.controlplane.raft.Faults.NODE;
+import static sablehinge.controlplane.raft.Faults.ROUNDS;
 
 import java.util.List;
 import sablehinge.torture.Mutant;
@@ -11,83 +16,79 @@
     static final List<Mutant> ALL = List.of(
             new Mutant(
                     "a lease counts from the answer's arrival",
-                    NODE,
-                    "private void extendLease(",
-                    "requestedAt[(int) (answered % ASKED)]",
-                    "peers.values().stream().mapToDouble(one -> one.heard).max().orElse(0)"),
+                    ROUNDS,
+                    "void extendLease(",
+                    "sentAt[(int) (answered % REMEMBERED)]",
+                    "peers.values().stream().mapToDouble(one -> one.lastResponseAt).max().orElse(0)"),
             new Mutant(
-                    "a lease is as long as voters wait",
-                    NODE,
-                    "private void extendLease(",
-                    "LEASE_PART * timing",
-                    "timing"),
+                    "a lease is as long as voters wait", ROUNDS, "void extendLease(", "LEASE_SHARE * state", "state"),
             new Mutant(
                     "who hears a leader votes for another",
-                    NODE,
-                    "private void askVote(",
-                    "led && !(ask.handed() && known)",
+                    CANDIDATE,
+                    "void handleVoteRequest(",
+                    "led && !(request.leadershipTransfer() && known)",
                     "led && !known"),
             new Mutant(
                     "who starts again forgets that it answered a leader",
                     NODE,
                     "public void start(",
-                    "leaderHeard = processStartedAt;",
+                    "state.leaderHeardAt = processStartedAt;",
                     ""),
             new Mutant(
                     "a follower does not note that it heard its leader",
-                    NODE,
-                    "private boolean heard(",
-                    "leaderHeard = now;",
+                    FOLLOWER,
+                    "private boolean acceptLeader(",
+                    "state.leaderHeardAt = now;",
                     ""),
             new Mutant(
                     "a barrier counts answers to an older round",
-                    NODE,
-                    "public void barrier(",
-                    "new Barrier(token, round + 1,",
-                    "new Barrier(token, round,"),
+                    BARRIERS,
+                    "void add(",
+                    "leader.rounds.latest() + 1,",
+                    "leader.rounds.latest(),"),
             new Mutant(
                     "a barrier does not wait for the term's first commit",
-                    NODE,
-                    "public void barrier(",
-                    "Math.max(commit, firstOfTerm)",
-                    "commit"),
+                    BARRIERS,
+                    "void add(",
+                    "Math.max(state.commitIndex, leader.firstIndexOfTerm())",
+                    "state.commitIndex"),
             new Mutant(
                     "a barrier needs no answers of others",
-                    NODE,
-                    "private long answered(List",
+                    ROUNDS,
+                    "long answeredByMajorityOf(List",
                     "rounds[rounds.length - (members.size() / 2 + 1)]",
                     "rounds[rounds.length - 1]"),
             new Mutant(
                     "a barrier is confirmed before its entries are applied",
-                    NODE,
-                    "private void confirm(",
-                    "barrier.round() <= answered && barrier.index() <= commit",
+                    BARRIERS,
+                    "void confirm(",
+                    "barrier.round() <= answered && barrier.index() <= state.commitIndex",
                     "barrier.round() <= answered"),
-            new Mutant("rounds of an older term count", NODE, "private void stepDown(", "lastRound = 0;", ""),
+            new Mutant("rounds of an older term count", FOLLOWER, "void resetForTerm(", "lastRound = 0;", ""),
             new Mutant(
                     "an answer counts for a later term",
-                    NODE,
-                    "private ReplicaProgress answered(",
-                    "itsTerm < term",
-                    "itsTerm < 0"),
+                    LEADER,
+                    "private ReplicaProgress noteResponse(",
+                    "responseTerm < state.term",
+                    "responseTerm < 0"),
             new Mutant(
                     "a leader of an older term is followed",
-                    NODE,
-                    "private boolean heard(",
-                    "itsTerm < term || itsTerm == term",
-                    "itsTerm == term"),
+                    FOLLOWER,
+                    "private boolean acceptLeader(",
+                    "leaderTerm < state.term || leaderTerm == state.term",
+                    "leaderTerm == state.term"),
             new Mutant(
                     "votes of an older term count",
-                    NODE,
-                    "private void vote(",
-                    "role == RaftStatus.Role.CANDIDATE && vote.term() == term",
-                    "role == RaftStatus.Role.CANDIDATE"),
+                    CANDIDATE,
+                    "void handleVoteResponse(",
+                    "state.role == RaftStatus.Role.CANDIDATE && response.term() == state.term",
+                    "state.role == RaftStatus.Role.CANDIDATE"),
             new Mutant(
                     "who has handed over takes a lease again",
-                    NODE,
-                    "private void extendLease(",
-                    "if (!handedOver) {",
-                    "if (round >= 0) {"));
+                    ROUNDS,
+                    "void extendLease(",
+                    "if (!leaseGivenUp) {",
+                    "if (latest >= 0) {"));
 
     private CutOffFaults() {}
 }
--- a/bench/src/sablehinge/controlplane/raft/Faults.java
+++ b/bench/src/sablehinge/controlplane/raft/Faults.java
@@ -8,6 +8,15 @@
 final class Faults {
 
     static final String NODE = "controlplane/raft/RaftNode";
+    static final String REPLICA = "controlplane/raft/ReplicaState";
+    static final String QUORUM = "controlplane/raft/QuorumState";
+    static final String CANDIDATE = "controlplane/raft/CandidateState";
+    static final String FOLLOWER = "controlplane/raft/FollowerState";
+    static final String LEADER = "controlplane/raft/LeaderState";
+    static final String ROUNDS = "controlplane/raft/HeartbeatRounds";
+    static final String BARRIERS = "controlplane/raft/ReadBarriers";
+    static final String REPLICATOR = "controlplane/raft/Replicator";
+    static final String VOTER_CHANGES = "controlplane/raft/VoterChanges";
     static final String LOG = "controlplane/raft/RaftLog";
     static final String QUEUE = "controlplane/raft/PersistQueue";
     static final String STATE = "controlplane/state/ConfigurationState";
--- a/bench/src/sablehinge/controlplane/raft/Fingerprint.java
+++ b/bench/src/sablehinge/controlplane/raft/Fingerprint.java
@@ -5,6 +5,8 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
+import java.util.Collections;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -23,6 +25,8 @@
     private static final Map<Class<?>, List<Field>> FIELDS = new ConcurrentHashMap<>();
 
     private long sum = 0xcbf29ce484222325L;
+    /** Parts of a replica that refer to each other; each is added once. */
+    private final Set<Object> visited = Collections.newSetFromMap(new IdentityHashMap<>());
 
     long sum() {
         return sum;
@@ -52,7 +56,7 @@
         } else if (value instanceof Map<?, ?> map) {
             number(map.size());
             map.forEach((key, one) -> add(key).add(one));
-        } else {
+        } else if (value instanceof Record || visited.add(value)) {
             for (Field field : FIELDS.computeIfAbsent(value.getClass(), Fingerprint::fields)) {
                 try {
                     add(field.get(value));
--- a/bench/src/sablehinge/controlplane/raft/KeptEntries.java
+++ b/bench/src/sablehinge/controlplane/raft/KeptEntries.java
@@ -8,7 +8,7 @@
  */
 final class KeptEntries {
 
-    private static final Field LOG = field(RaftNode.class, "log");
+    private static final Field STATE = field(RaftNode.class, "state");
     private static final Field RECENT = field(RaftLog.class, "recent");
 
     private KeptEntries() {}
@@ -26,7 +26,8 @@
     /** Has a member forget them. */
     static void forget(RaftNode member) {
         try {
-            ((RecentEntries) RECENT.get(LOG.get(member))).clear();
+            ReplicaState state = (ReplicaState) STATE.get(member);
+            ((RecentEntries) RECENT.get(state.log)).clear();
         } catch (IllegalAccessException e) {
             throw new IllegalStateException(e);
         }
--- a/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
@@ -1,7 +1,8 @@
 package sablehinge.controlplane.raft;
 
 import static sablehinge.controlplane.raft.Faults.LOG;
-import static sablehinge.controlplane.raft.Faults.NODE;
+import static sablehinge.controlplane.raft.Faults.REPLICA;
+import static sablehinge.controlplane.raft.Faults.VOTER_CHANGES;
 
 import java.util.List;
 import sablehinge.torture.Mutant;
@@ -21,9 +22,9 @@
                     "return founder(address, control);"),
             new Mutant(
                     "members change while a change is uncommitted",
-                    NODE,
-                    "private void changeMembers(",
-                    "log.membersIndex() > commit || ",
+                    VOTER_CHANGES,
+                    "void appendNext(",
+                    "state.log.membersIndex() > state.commitIndex || ",
                     ""),
             new Mutant(
                     "members stay when their entry is rolled back",
@@ -45,8 +46,8 @@
                     "members()"),
             new Mutant(
                     "half of an even core is a majority",
-                    NODE,
-                    "private int majority()",
+                    REPLICA,
+                    "int majority()",
                     "log.members().size() / 2 + 1",
                     "(log.members().size() + 1) / 2"),
             new Mutant(
@@ -57,11 +58,10 @@
                     "next.add(member);\n            next.remove(0);"),
             new Mutant(
                     "all who wait are let in in one step",
-                    NODE,
-                    "private void changeMembers(",
-                    "due.get().applied(log.members())",
-                    "java.util.stream.Stream.concat(due.get().applied(log.members()).stream(), "
-                            + "learners.stream().map(MembershipPlanner.Replica::member)).distinct().toList()"),
+                    VOTER_CHANGES,
+                    "void appendNext(",
+                    "due.get().applied(state.log.members())",
+                    "java.util.stream.Stream.concat(due.get().applied(state.log.members()).stream(), learners.stream().map(MembershipPlanner.Replica::member)).distinct().toList()"),
             new Mutant(
                     "the core does not grow",
                     PLANNER,
--- a/bench/src/sablehinge/controlplane/raft/OrderFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/OrderFaults.java
@@ -80,8 +80,8 @@
                     "who does not lead takes orders",
                     NODE,
                     "public long propose(",
-                    "!running || role != RaftStatus.Role.LEADER || log",
-                    "!running || log"));
+                    "!state.running || !state.isLeader() || state.log",
+                    "!state.running || state.log"));
 
     private OrderFaults() {}
 }
--- a/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
@@ -1,8 +1,10 @@
 package sablehinge.controlplane.raft;
 
+import static sablehinge.controlplane.raft.Faults.FOLLOWER;
 import static sablehinge.controlplane.raft.Faults.LOG;
 import static sablehinge.controlplane.raft.Faults.NODE;
 import static sablehinge.controlplane.raft.Faults.QUEUE;
+import static sablehinge.controlplane.raft.Faults.REPLICATOR;
 
 import java.util.List;
 import sablehinge.torture.Mutant;
@@ -41,16 +43,16 @@
                     ""),
             new Mutant(
                     "the disk keeps entries that a snapshot drops",
-                    NODE,
-                    "private void takeInstall(",
-                    "queue.truncate(log.base().index() + 1);",
+                    FOLLOWER,
+                    "private void install(",
+                    "state.queue.truncate(log.base().index() + 1);",
                     ""),
             new Mutant(
                     "an old snapshot takes the place of a newer state",
-                    NODE,
-                    "private void takeInstall(",
-                    "install.part().index() > commit || log.isBare()",
-                    "install.part().index() > 0 || log.isBare()"),
+                    FOLLOWER,
+                    "void handleInstallSnapshotRequest(",
+                    "request.chunk().index() > state.commitIndex || state.log.isBare()",
+                    "request.chunk().index() > 0 || state.log.isBare()"),
             new Mutant(
                     "entries in a snapshot are written behind it",
                     QUEUE,
@@ -61,25 +63,25 @@
                     "a host's older state takes the place of a newer snapshot",
                     NODE,
                     "public void compact(",
-                    "index <= log.base().index()",
+                    "index <= state.log.base().index()",
                     "index <= 0"),
             new Mutant(
                     "entries below a snapshot are compared",
-                    NODE,
-                    "private void takeAppend(",
-                    "previous > commit && log",
-                    "log"),
+                    FOLLOWER,
+                    "void handleAppendRequest(",
+                    "previous > state.commitIndex && state.log",
+                    "state.log"),
             new Mutant(
                     "entries below a snapshot are appended",
-                    NODE,
-                    "private void take(Entry entry)",
-                    "entry.index() <= log.base().index()",
+                    FOLLOWER,
+                    "private void appendEntry(Entry entry)",
+                    "entry.index() <= state.log.base().index()",
                     "entry.index() < 0"),
             new Mutant(
                     "a start forgets that a snapshot is committed",
                     NODE,
                     "public void start(",
-                    "commit = stored.snapshot().index();",
+                    "state.commitIndex = stored.snapshot().index();",
                     ""),
             new Mutant(
                     "a lost chunk is never sent again",
@@ -91,20 +93,20 @@
                     "a chunk counts for another snapshot",
                     RECEIVER,
                     "private boolean isOf(",
-                    "leaderTerm == install.term() && index == install.part().index()",
+                    "leaderTerm == request.term() && index == request.chunk().index()",
                     "leaderTerm > 0"),
             new Mutant(
                     "a chunk that comes twice counts twice",
                     RECEIVER,
-                    "Snapshot take(",
-                    "install.offset() == held",
-                    "install.offset() <= held"),
+                    "Snapshot receive(",
+                    "request.offset() == receivedBytes",
+                    "request.offset() <= receivedBytes"),
             new Mutant(
                     "a chunk before a lost one counts",
                     RECEIVER,
-                    "Snapshot take(",
-                    "install.offset() == held",
-                    "install.offset() >= held"),
+                    "Snapshot receive(",
+                    "request.offset() == receivedBytes",
+                    "request.offset() >= receivedBytes"),
             new Mutant(
                     "kept entries do not join the snapshot",
                     LOG,
@@ -119,10 +121,10 @@
                     "recent.holds(index)"),
             new Mutant(
                     "who has nothing is sent entries only",
-                    NODE,
-                    "private void takeAppended(",
-                    "peer.bare = answer.hint() < 0;",
-                    "peer.bare = false;"));
+                    REPLICATOR,
+                    "private void onRejected(",
+                    "peer.empty = response.hint() < 0;",
+                    "peer.empty = false;"));
 
     private SnapshotFaults() {}
 }
--- a/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
@@ -21,22 +21,22 @@
 public final class RaftMessageCodec {
 
     /** Most entries that are read in one message. */
-    public static final int MOST_ENTRIES = 4096;
+    public static final int MAX_ENTRIES = 4096;
     /** Most bytes that are read of one entry or one state. */
-    public static final int MOST_BYTES = 64 << 20;
-
-    private static final int MOST_ADDRESS = 256;
-    private static final int ASK_VOTE = 1;
-    private static final int VOTE = 2;
-    private static final int APPEND = 3;
-    private static final int APPENDED = 4;
-    private static final int INSTALL = 5;
-    private static final int JOIN = 6;
-    private static final int GUIDE = 7;
-    private static final int TAKE_OVER = 8;
-    private static final int INSTALLING = 9;
-    private static final int LEAVE = 10;
-    private static final int RELEASED = 11;
+    public static final int MAX_BYTES = 64 << 20;
+
+    private static final int MAX_ADDRESS_LENGTH = 256;
+    private static final int VOTE_REQUEST = 1;
+    private static final int VOTE_RESPONSE = 2;
+    private static final int APPEND_REQUEST = 3;
+    private static final int APPEND_RESPONSE = 4;
+    private static final int INSTALL_SNAPSHOT_REQUEST = 5;
+    private static final int JOIN_REQUEST = 6;
+    private static final int LEADER_HINT = 7;
+    private static final int TIMEOUT_NOW_REQUEST = 8;
+    private static final int INSTALL_SNAPSHOT_RESPONSE = 9;
+    private static final int LEAVE_REQUEST = 10;
+    private static final int LEAVE_RESPONSE = 11;
 
     private RaftMessageCodec() {}
 
@@ -44,78 +44,111 @@
     public static byte[] write(Message message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            write(message, out);
+            message.accept(new Writer(out));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    private static void write(Message message, DataOutputStream out) throws IOException {
-        if (message instanceof Message.VoteRequest ask) {
-            out.writeByte(ASK_VOTE);
-            out.writeLong(ask.term());
-            out.writeLong(ask.lastIndex());
-            out.writeLong(ask.lastTerm());
-            out.writeBoolean(ask.pre());
-            out.writeBoolean(ask.handed());
-        } else if (message instanceof Message.VoteResponse vote) {
-            out.writeByte(VOTE);
-            out.writeLong(vote.term());
-            out.writeBoolean(vote.granted());
-            out.writeBoolean(vote.pre());
-        } else if (message instanceof Message.AppendRequest append) {
-            out.writeByte(APPEND);
-            out.writeLong(append.term());
-            out.writeLong(append.prevIndex());
-            out.writeLong(append.prevTerm());
-            out.writeLong(append.commit());
-            out.writeLong(append.round());
-            out.writeInt(append.entries().size());
-            for (Entry entry : append.entries()) {
+    /** Writes the kind of a message and its fields. */
+    private record Writer(DataOutputStream out) implements Message.Visitor<IOException> {
+
+        @Override
+        public void visit(Message.VoteRequest request) throws IOException {
+            out.writeByte(VOTE_REQUEST);
+            out.writeLong(request.term());
+            out.writeLong(request.lastIndex());
+            out.writeLong(request.lastTerm());
+            out.writeBoolean(request.preVote());
+            out.writeBoolean(request.leadershipTransfer());
+        }
+
+        @Override
+        public void visit(Message.VoteResponse response) throws IOException {
+            out.writeByte(VOTE_RESPONSE);
+            out.writeLong(response.term());
+            out.writeBoolean(response.granted());
+            out.writeBoolean(response.preVote());
+        }
+
+        @Override
+        public void visit(Message.AppendRequest request) throws IOException {
+            out.writeByte(APPEND_REQUEST);
+            out.writeLong(request.term());
+            out.writeLong(request.prevIndex());
+            out.writeLong(request.prevTerm());
+            out.writeLong(request.commit());
+            out.writeLong(request.round());
+            out.writeInt(request.entries().size());
+            for (Entry entry : request.entries()) {
                 writeEntry(entry, out);
             }
-        } else if (message instanceof Message.AppendResponse appended) {
-            out.writeByte(APPENDED);
-            out.writeLong(appended.term());
-            out.writeBoolean(appended.success());
-            out.writeLong(appended.matchIndex());
-            out.writeLong(appended.hint());
-            out.writeLong(appended.round());
-        } else if (message instanceof Message.InstallSnapshotRequest install) {
-            out.writeByte(INSTALL);
-            out.writeLong(install.term());
-            out.writeLong(install.round());
-            out.writeInt(install.offset());
-            out.writeInt(install.total());
-            writeSnapshot(install.part(), out);
-        } else if (message instanceof Message.InstallSnapshotResponse installing) {
-            out.writeByte(INSTALLING);
-            out.writeLong(installing.term());
-            out.writeLong(installing.index());
-            out.writeInt(installing.held());
-            out.writeLong(installing.round());
-        } else if (message instanceof Message.JoinRequest join) {
-            out.writeByte(JOIN);
-            writeMember(join.self(), out);
-            out.writeLong(join.lastIndex());
-        } else if (message instanceof Message.LeaderHint guide) {
-            out.writeByte(GUIDE);
-            out.writeLong(guide.term());
-            out.writeBoolean(guide.leader() != null);
-            if (guide.leader() != null) {
-                writeMember(guide.leader(), out);
+        }
+
+        @Override
+        public void visit(Message.AppendResponse response) throws IOException {
+            out.writeByte(APPEND_RESPONSE);
+            out.writeLong(response.term());
+            out.writeBoolean(response.success());
+            out.writeLong(response.matchIndex());
+            out.writeLong(response.hint());
+            out.writeLong(response.round());
+        }
+
+        @Override
+        public void visit(Message.InstallSnapshotRequest request) throws IOException {
+            out.writeByte(INSTALL_SNAPSHOT_REQUEST);
+            out.writeLong(request.term());
+            out.writeLong(request.round());
+            out.writeInt(request.offset());
+            out.writeInt(request.total());
+            writeSnapshot(request.chunk(), out);
+        }
+
+        @Override
+        public void visit(Message.InstallSnapshotResponse response) throws IOException {
+            out.writeByte(INSTALL_SNAPSHOT_RESPONSE);
+            out.writeLong(response.term());
+            out.writeLong(response.index());
+            out.writeInt(response.receivedBytes());
+            out.writeLong(response.round());
+        }
+
+        @Override
+        public void visit(Message.JoinRequest request) throws IOException {
+            out.writeByte(JOIN_REQUEST);
+            writeMember(request.self(), out);
+            out.writeLong(request.lastIndex());
+        }
+
+        @Override
+        public void visit(Message.LeaderHint hint) throws IOException {
+            out.writeByte(LEADER_HINT);
+            out.writeLong(hint.term());
+            out.writeBoolean(hint.leader() != null);
+            if (hint.leader() != null) {
+                writeMember(hint.leader(), out);
             }
-            writeMembers(guide.members(), out);
-        } else if (message instanceof Message.TimeoutNowRequest take) {
-            out.writeByte(TAKE_OVER);
-            out.writeLong(take.term());
-        } else if (message instanceof Message.LeaveRequest leave) {
-            out.writeByte(LEAVE);
-            writeMember(leave.self(), out);
-        } else if (message instanceof Message.LeaveResponse released) {
-            out.writeByte(RELEASED);
-            out.writeLong(released.term());
+            writeMembers(hint.members(), out);
+        }
+
+        @Override
+        public void visit(Message.TimeoutNowRequest request) throws IOException {
+            out.writeByte(TIMEOUT_NOW_REQUEST);
+            out.writeLong(request.term());
+        }
+
+        @Override
+        public void visit(Message.LeaveRequest request) throws IOException {
+            out.writeByte(LEAVE_REQUEST);
+            writeMember(request.self(), out);
+        }
+
+        @Override
+        public void visit(Message.LeaveResponse response) throws IOException {
+            out.writeByte(LEAVE_RESPONSE);
+            out.writeLong(response.term());
         }
     }
 
@@ -132,29 +165,29 @@
     private static Message read(DataInputStream in) throws IOException {
         int kind = in.readUnsignedByte();
         switch (kind) {
-            case ASK_VOTE:
+            case VOTE_REQUEST:
                 return new Message.VoteRequest(
                         in.readLong(), in.readLong(), in.readLong(), in.readBoolean(), in.readBoolean());
-            case VOTE:
+            case VOTE_RESPONSE:
                 return new Message.VoteResponse(in.readLong(), in.readBoolean(), in.readBoolean());
-            case APPEND:
+            case APPEND_REQUEST:
                 return readAppend(in);
-            case APPENDED:
+            case APPEND_RESPONSE:
                 return new Message.AppendResponse(
                         in.readLong(), in.readBoolean(), in.readLong(), in.readLong(), in.readLong());
-            case INSTALL:
+            case INSTALL_SNAPSHOT_REQUEST:
                 return readInstall(in);
-            case INSTALLING:
+            case INSTALL_SNAPSHOT_RESPONSE:
                 return new Message.InstallSnapshotResponse(in.readLong(), in.readLong(), in.readInt(), in.readLong());
-            case JOIN:
+            case JOIN_REQUEST:
                 return new Message.JoinRequest(readMember(in), in.readLong());
-            case GUIDE:
+            case LEADER_HINT:
                 return new Message.LeaderHint(in.readLong(), in.readBoolean() ? readMember(in) : null, readMembers(in));
-            case TAKE_OVER:
+            case TIMEOUT_NOW_REQUEST:
                 return new Message.TimeoutNowRequest(in.readLong());
-            case LEAVE:
+            case LEAVE_REQUEST:
                 return new Message.LeaveRequest(readMember(in));
-            case RELEASED:
+            case LEAVE_RESPONSE:
                 return new Message.LeaveResponse(in.readLong());
             default:
                 throw new IOException("a message of the unknown kind " + kind);
@@ -167,7 +200,7 @@
         int offset = in.readInt();
         int total = in.readInt();
         Snapshot part = readSnapshot(in);
-        if (offset < 0 || total > MOST_BYTES || total - part.state().length < offset) {
+        if (offset < 0 || total > MAX_BYTES || total - part.state().length < offset) {
             throw new IOException(
                     "bytes " + offset + " to " + ((long) offset + part.state().length) + " of a state of " + total);
         }
@@ -181,8 +214,8 @@
         long commit = in.readLong();
         long round = in.readLong();
         int count = in.readInt();
-        if (count < 0 || count > MOST_ENTRIES) {
-            throw new IOException(count + " entries in a message; " + MOST_ENTRIES + " at most are expected");
+        if (count < 0 || count > MAX_ENTRIES) {
+            throw new IOException(count + " entries in a message; " + MAX_ENTRIES + " at most are expected");
         }
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -253,7 +286,7 @@
     /** Addresses are ASCII; {@link MemberListCodec#write} could not write others. */
     private static String readAddress(DataInputStream in) throws IOException {
         String text = in.readUTF();
-        if (text.length() > MOST_ADDRESS || text.chars().anyMatch(c -> c == 0 || c > Byte.MAX_VALUE)) {
+        if (text.length() > MAX_ADDRESS_LENGTH || text.chars().anyMatch(c -> c == 0 || c > Byte.MAX_VALUE)) {
             throw new IOException("an address that is none");
         }
         return text;
@@ -287,8 +320,8 @@
 
     private static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
-        if (length < 0 || length > MOST_BYTES) {
-            throw new IOException(length + " bytes of data; " + MOST_BYTES + " at most are expected");
+        if (length < 0 || length > MAX_BYTES) {
+            throw new IOException(length + " bytes of data; " + MAX_BYTES + " at most are expected");
         }
         // Reads as it goes: a length that lies costs no more memory than the bytes that came.
         byte[] bytes = in.readNBytes(length);
--- a/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
+++ b/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
@@ -11,9 +11,9 @@
     /** Changes that the disk is given at a time; what is decided while it has them goes in one after them. */
     private static final int MAX_BATCHES = 8;
     /** Bytes of entries and states that wait for the disk, above which no more are to be taken. */
-    private static final long MOST_BYTES = 8 << 20;
+    private static final long MAX_PENDING_BYTES = 8 << 20;
     /** Messages that wait for the disk; of more, the oldest is lost, as any message may be. */
-    private static final int MOST_HELD = 256;
+    private static final int MAX_PENDING_MESSAGES = 256;
 
     private static final class PendingBatch {
         final long number;
@@ -33,26 +33,26 @@
 
     private record PendingMessage(long number, Member to, Message message) {}
 
-    private final Deque<PendingBatch> outstanding = new ArrayDeque<>();
-    private final Deque<PendingMessage> held = new ArrayDeque<>();
-    private final List<PendingMessage> fresh = new ArrayList<>();
+    private final Deque<PendingBatch> pendingBatches = new ArrayDeque<>();
+    private final Deque<PendingMessage> pendingMessages = new ArrayDeque<>();
+    private final List<PendingMessage> newMessages = new ArrayList<>();
     private final List<Entry> append = new ArrayList<>();
     private long truncateFrom;
     private Snapshot snapshot;
     private boolean dirty;
     private long number;
     /** Up to here the disk holds what the log in memory holds. */
-    private long synced;
+    private long syncedIndex;
     /** The term that the disk knows. */
     private long syncedTerm;
 
     void begin(long index, long term) {
-        synced = index;
+        syncedIndex = index;
         syncedTerm = term;
     }
 
-    long synced() {
-        return synced;
+    long syncedIndex() {
+        return syncedIndex;
     }
 
     long syncedTerm() {
@@ -61,16 +61,16 @@
 
     /** Since when the oldest change is under way; infinity if none is, ms. */
     double busySince() {
-        return outstanding.isEmpty() ? Double.POSITIVE_INFINITY : outstanding.peekFirst().since;
+        return pendingBatches.isEmpty() ? Double.POSITIVE_INFINITY : pendingBatches.peekFirst().since;
     }
 
     /** Whether so much waits for the disk that no more is to be taken. */
     boolean isFull() {
         long bytes = bytes();
-        for (PendingBatch one : outstanding) {
+        for (PendingBatch one : pendingBatches) {
             bytes += one.bytes;
         }
-        return bytes > MOST_BYTES;
+        return bytes > MAX_PENDING_BYTES;
     }
 
     /** Of what goes into the next change. */
@@ -83,7 +83,7 @@
     }
 
     /** The term or the vote has changed. */
-    void touch() {
+    void markDirty() {
         dirty = true;
     }
 
@@ -96,13 +96,13 @@
         dirty = true;
         truncateFrom = truncateFrom == 0 ? from : Math.min(truncateFrom, from);
         append.removeIf(entry -> entry.index() >= from);
-        forget(from);
+        limitSyncedTo(from);
     }
 
     /** What is on the way to the disk from an index on, or there, does not count any more. */
-    private void forget(long from) {
-        synced = Math.min(synced, from - 1);
-        for (PendingBatch one : outstanding) {
+    private void limitSyncedTo(long from) {
+        syncedIndex = Math.min(syncedIndex, from - 1);
+        for (PendingBatch one : pendingBatches) {
             one.end = Math.min(one.end, from - 1);
         }
     }
@@ -114,48 +114,48 @@
     }
 
     /** A message that may not leave before all that was decided up to now is synced. */
-    void hold(Member to, Message message) {
-        fresh.add(new PendingMessage(0, to, message));
+    void sendWhenSynced(Member to, Message message) {
+        newMessages.add(new PendingMessage(0, to, message));
     }
 
     /** Makes the next change, if there is any, and sends what need not wait. */
     void flush(double now, long term, long votedFor, long lastIndex, RaftActions actions) {
-        WriteBatch change = null;
-        if (dirty && outstanding.size() < MAX_BATCHES) {
-            change = new WriteBatch(++number, term, votedFor, truncateFrom, append, snapshot);
-            outstanding.addLast(new PendingBatch(number, term, lastIndex, now, bytes()));
+        WriteBatch batch = null;
+        if (dirty && pendingBatches.size() < MAX_BATCHES) {
+            batch = new WriteBatch(++number, term, votedFor, truncateFrom, append, snapshot);
+            pendingBatches.addLast(new PendingBatch(number, term, lastIndex, now, bytes()));
             append.clear();
             truncateFrom = 0;
             snapshot = null;
             dirty = false;
         }
-        for (PendingMessage one : fresh) {
-            held.addLast(new PendingMessage(dirty ? number + 1 : number, one.to, one.message));
-            if (held.size() > MOST_HELD) {
-                held.removeFirst();
+        for (PendingMessage one : newMessages) {
+            pendingMessages.addLast(new PendingMessage(dirty ? number + 1 : number, one.to, one.message));
+            if (pendingMessages.size() > MAX_PENDING_MESSAGES) {
+                pendingMessages.removeFirst();
             }
         }
-        fresh.clear();
-        if (change != null) {
-            actions.persist(change);
+        newMessages.clear();
+        if (batch != null) {
+            actions.persist(batch);
         }
         release(actions);
     }
 
     /** The disk holds all changes up to a number. */
     void persisted(long upTo, RaftActions actions) {
-        while (!outstanding.isEmpty() && outstanding.peekFirst().number <= upTo) {
-            PendingBatch one = outstanding.removeFirst();
-            synced = Math.max(synced, one.end);
+        while (!pendingBatches.isEmpty() && pendingBatches.peekFirst().number <= upTo) {
+            PendingBatch one = pendingBatches.removeFirst();
+            syncedIndex = Math.max(syncedIndex, one.end);
             syncedTerm = one.term;
         }
         release(actions);
     }
 
     private void release(RaftActions actions) {
-        long done = outstanding.isEmpty() ? number : outstanding.peekFirst().number - 1;
-        while (!held.isEmpty() && held.peekFirst().number <= done) {
-            PendingMessage one = held.removeFirst();
+        long done = pendingBatches.isEmpty() ? number : pendingBatches.peekFirst().number - 1;
+        while (!pendingMessages.isEmpty() && pendingMessages.peekFirst().number <= done) {
+            PendingMessage one = pendingMessages.removeFirst();
             actions.send(one.to, one.message);
         }
     }
--- a/src/main/java/sablehinge/controlplane/raft/RaftActions.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftActions.java
@@ -16,8 +16,8 @@
 
     /**
      * Writes and syncs a batch; batches are written in the order of their numbers. {@link RaftNode#persisted} is called
-     * once the batch is on disk, never when the disk refuses it: a refusing disk is treated as a slow one. At most
-     * {@value PersistQueue#MAX_BATCHES} batches are outstanding.
+     * once the batch is on disk, never when the disk refuses it: a refusing disk is treated as a slow one. A few
+     * batches are outstanding at a time.
      */
     void persist(WriteBatch batch);
 
--- a/src/main/java/sablehinge/controlplane/raft/ReplicaProgress.java
+++ b/src/main/java/sablehinge/controlplane/raft/ReplicaProgress.java
@@ -1,33 +1,43 @@
 package sablehinge.controlplane.raft;
 
-/** What a leader knows of one that it feeds, be it a member or one that waits to be let in. */
+/** What a leader knows of a peer that it replicates to, be it a voter or a learner. */
 final class ReplicaProgress {
 
     final Member member;
-    /** The next index to send. */
-    long next;
-    /** Up to here its disk surely holds the leader's log. */
-    long match;
-    /** The highest round that it has answered. */
-    long round;
+    /** The index of the next entry to send. */
+    long nextIndex;
+    /** Up to this index the peer's disk surely holds the leader's log. */
+    long matchIndex;
+    /** The highest heartbeat round that it has answered. */
+    long answeredRound;
     /** When it last answered, ms. */
-    double heard;
-    /** When it last asked to be let in, ms. */
-    double asked = Double.NEGATIVE_INFINITY;
+    double lastResponseAt;
+    /** When it last asked to become a voter, ms. */
+    double joinRequestedAt = Double.NEGATIVE_INFINITY;
     /** When it last said that its process is about to end, ms. */
-    double leaves = Double.NEGATIVE_INFINITY;
-    /** Whether {@code next} is a guess: then nothing is sent ahead of answers. */
+    double leaveAnnouncedAt = Double.NEGATIVE_INFINITY;
+    /** Whether {@link #nextIndex} is a guess: then nothing is sent ahead of answers. */
     boolean probing = true;
-    /** It has nothing to which entries could be appended. */
-    boolean bare;
-    /** The snapshot that is under way; null for none. */
+    /** Whether it has nothing to which entries could be appended, so that only a snapshot will do. */
+    boolean empty;
+    /** The snapshot that is being sent; null for none. */
     SnapshotSender snapshot;
-    /** Entries that are under way. */
+    /** Entries that are in flight. */
     final SendWindow window = new SendWindow();
 
-    ReplicaProgress(Member member, long next, double heard) {
+    ReplicaProgress(Member member, long nextIndex, double lastResponseAt) {
         this.member = member;
-        this.next = next;
-        this.heard = heard;
+        this.nextIndex = nextIndex;
+        this.lastResponseAt = lastResponseAt;
+    }
+
+    /** Whether it has answered lately. */
+    boolean isAlive(double now, RaftConfig config) {
+        return now - lastResponseAt <= config.peerAliveMs();
+    }
+
+    /** Whether it has said lately that it is about to end; one that has come back says so no more. */
+    boolean isLeaving(double now, RaftConfig config) {
+        return now - leaveAnnouncedAt <= config.peerAliveMs();
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/SendWindow.java
+++ b/src/main/java/sablehinge/controlplane/raft/SendWindow.java
@@ -11,34 +11,34 @@
 final class SendWindow {
 
     /** Bounds of the window, bytes. */
-    static final int LEAST = 16 << 10;
+    static final int MIN_BYTES = 16 << 10;
 
-    static final int FIRST = 64 << 10;
-    static final int MOST = 4 << 20;
+    static final int INITIAL_BYTES = 64 << 10;
+    static final int MAX_BYTES = 4 << 20;
     /** Messages that are on their way at most. */
-    static final int MOST_MESSAGES = 256;
+    static final int MAX_MESSAGES = 256;
     /** Answered sooner, the window grows; answered later, it shrinks, ms. */
-    private static final double SOON = 100;
+    private static final double FAST_RESPONSE_MS = 100;
 
-    private static final double LATE = 300;
+    private static final double SLOW_RESPONSE_MS = 300;
     /**
      * Bounds of the time, in ms, after which what has no answer is taken for lost: twice what the last answer took, and
      * twice as long after each time that none came.
      */
-    static final double FIRST_PATIENCE = 1000;
+    static final double INITIAL_TIMEOUT_MS = 1000;
 
-    static final double MOST_PATIENCE = 16_000;
+    static final double MAX_TIMEOUT_MS = 16_000;
 
     private record InFlight(long round, long lastIndex, long bytes, double sentAt) {}
 
-    private final Deque<InFlight> onTheirWay = new ArrayDeque<>();
+    private final Deque<InFlight> inFlight = new ArrayDeque<>();
     private long bytes;
-    private int limit = FIRST;
-    private double patience = FIRST_PATIENCE;
+    private int limit = INITIAL_BYTES;
+    private double timeoutMs = INITIAL_TIMEOUT_MS;
 
     /** Whether entries may be sent. */
     boolean isOpen() {
-        return onTheirWay.isEmpty() || bytes < limit && onTheirWay.size() < MOST_MESSAGES;
+        return inFlight.isEmpty() || bytes < limit && inFlight.size() < MAX_MESSAGES;
     }
 
     /** How many bytes may be on their way, and so how many a message is to have if it can. */
@@ -48,12 +48,12 @@
 
     /** Whether nothing is on its way. */
     boolean isEmpty() {
-        return onTheirWay.isEmpty();
+        return inFlight.isEmpty();
     }
 
     /** Entries up to an index were sent, in a round of the leader's questions. */
     void sent(double now, long round, long lastIndex, long sentBytes) {
-        onTheirWay.addLast(new InFlight(round, lastIndex, sentBytes, now));
+        inFlight.addLast(new InFlight(round, lastIndex, sentBytes, now));
         bytes += sentBytes;
     }
 
@@ -63,8 +63,8 @@
      */
     void received(double now, long index, long round) {
         InFlight newest = null;
-        while (!onTheirWay.isEmpty() && onTheirWay.peekFirst().lastIndex <= index) {
-            newest = onTheirWay.removeFirst();
+        while (!inFlight.isEmpty() && inFlight.peekFirst().lastIndex <= index) {
+            newest = inFlight.removeFirst();
             bytes -= newest.bytes;
         }
         if (newest != null) {
@@ -75,32 +75,32 @@
 
     /** The peer has heard a round: what was sent before it and has not been answered is lost. */
     void passed(long round) {
-        if (!onTheirWay.isEmpty() && onTheirWay.peekFirst().round < round) {
+        if (!inFlight.isEmpty() && inFlight.peekFirst().round < round) {
             clear();
         }
     }
 
     private void adapt(double took) {
-        patience = Math.max(FIRST_PATIENCE, Math.min(MOST_PATIENCE, 2 * took));
-        if (took > LATE) {
-            limit = Math.max(LEAST, limit / 2);
-        } else if (took < SOON) {
-            limit = Math.min(MOST, limit * 2);
+        timeoutMs = Math.max(INITIAL_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, 2 * took));
+        if (took > SLOW_RESPONSE_MS) {
+            limit = Math.max(MIN_BYTES, limit / 2);
+        } else if (took < FAST_RESPONSE_MS) {
+            limit = Math.min(MAX_BYTES, limit * 2);
         }
     }
 
     /** Gives up what has been on its way for too long. */
     void expire(double now) {
-        if (!onTheirWay.isEmpty() && now - onTheirWay.peekFirst().sentAt >= patience) {
+        if (!inFlight.isEmpty() && now - inFlight.peekFirst().sentAt >= timeoutMs) {
             clear();
-            limit = LEAST;
-            patience = Math.min(MOST_PATIENCE, patience * 2);
+            limit = MIN_BYTES;
+            timeoutMs = Math.min(MAX_TIMEOUT_MS, timeoutMs * 2);
         }
     }
 
     /** What was on its way did not arrive, or does not follow on what the peer holds. */
     void clear() {
-        onTheirWay.clear();
+        inFlight.clear();
         bytes = 0;
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
@@ -11,7 +11,7 @@
 final class SnapshotReceiver {
 
     /** The largest state that is put together, bytes. */
-    static final int MOST_BYTES = 64 << 20;
+    static final int MAX_BYTES = 64 << 20;
 
     private static final byte[] NOTHING = {};
 
@@ -20,41 +20,41 @@
     private long term;
     private int total;
     private byte[] bytes = NOTHING;
-    private int held;
+    private int receivedBytes;
 
     /**
      * Takes a chunk.
      *
      * @return the snapshot if this chunk makes it whole, else null
      */
-    Snapshot take(Message.InstallSnapshotRequest install) {
-        Snapshot part = install.part();
-        if (install.isComplete()) {
+    Snapshot receive(Message.InstallSnapshotRequest request) {
+        Snapshot chunk = request.chunk();
+        if (request.isComplete()) {
             clear();
-            return part;
+            return chunk;
         }
-        if (install.total() > MOST_BYTES || install.offset() + part.state().length > install.total()) {
+        if (request.total() > MAX_BYTES || request.offset() + chunk.state().length > request.total()) {
             return null;
         }
-        if (!isOf(install)) {
-            begin(install);
+        if (!isOf(request)) {
+            begin(request);
         }
         // One that comes twice, or before the one that it follows, brings nothing.
-        if (install.offset() == held) {
-            append(part.state());
+        if (request.offset() == receivedBytes) {
+            append(chunk.state());
         }
-        if (held < total) {
+        if (receivedBytes < total) {
             return null;
         }
-        List<Member> members = part.members();
-        Snapshot whole = new Snapshot(index, term, members, Arrays.copyOf(bytes, held));
+        List<Member> members = chunk.members();
+        Snapshot complete = new Snapshot(index, term, members, Arrays.copyOf(bytes, receivedBytes));
         clear();
-        return whole;
+        return complete;
     }
 
     /** Up to which byte the state of this chunk's snapshot is here. */
-    int held(Message.InstallSnapshotRequest install) {
-        return isOf(install) ? held : 0;
+    int receivedBytes(Message.InstallSnapshotRequest request) {
+        return isOf(request) ? receivedBytes : 0;
     }
 
     /** Forgets what came so far. */
@@ -63,26 +63,26 @@
         index = 0;
         total = 0;
         bytes = NOTHING;
-        held = 0;
+        receivedBytes = 0;
     }
 
-    private boolean isOf(Message.InstallSnapshotRequest install) {
-        return leaderTerm == install.term() && index == install.part().index() && total == install.total();
+    private boolean isOf(Message.InstallSnapshotRequest request) {
+        return leaderTerm == request.term() && index == request.chunk().index() && total == request.total();
     }
 
-    private void begin(Message.InstallSnapshotRequest install) {
+    private void begin(Message.InstallSnapshotRequest request) {
         clear();
-        leaderTerm = install.term();
-        index = install.part().index();
-        term = install.part().term();
-        total = install.total();
+        leaderTerm = request.term();
+        index = request.chunk().index();
+        term = request.chunk().term();
+        total = request.total();
     }
 
     private void append(byte[] more) {
-        if (held + more.length > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.min(total, Math.max(2 * bytes.length, held + more.length)));
+        if (receivedBytes + more.length > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.min(total, Math.max(2 * bytes.length, receivedBytes + more.length)));
         }
-        System.arraycopy(more, 0, bytes, held, more.length);
-        held += more.length;
+        System.arraycopy(more, 0, bytes, receivedBytes, more.length);
+        receivedBytes += more.length;
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotSender.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotSender.java
@@ -11,29 +11,29 @@
 final class SnapshotSender {
 
     /** Sizes of a chunk, bytes. */
-    static final int LEAST_CHUNK = 16 << 10;
+    static final int MIN_CHUNK_BYTES = 16 << 10;
 
-    static final int FIRST_CHUNK = 64 << 10;
-    static final int MOST_CHUNK = 1 << 20;
+    static final int INITIAL_CHUNK_BYTES = 64 << 10;
+    static final int MAX_CHUNK_BYTES = 1 << 20;
     /** A chunk that was answered sooner may be followed by a larger one, ms. */
-    private static final double SOON = 100;
+    private static final double FAST_RESPONSE_MS = 100;
     /** One that was answered later is followed by a smaller one, ms: heartbeats wait behind it. */
-    private static final double LATE = 300;
+    private static final double SLOW_RESPONSE_MS = 300;
     /**
      * Bounds of the time, in ms, after which a chunk that has no answer is sent again: twice what the last answer took,
      * and twice as long after each time that none came.
      */
-    static final double FIRST_PATIENCE = 500;
+    static final double INITIAL_TIMEOUT_MS = 500;
 
-    static final double MOST_PATIENCE = 2000;
+    static final double MAX_TIMEOUT_MS = 2000;
 
     private Snapshot snapshot;
     private int offset;
-    private int chunkBytes = FIRST_CHUNK;
+    private int chunkBytes = INITIAL_CHUNK_BYTES;
     private boolean waiting;
     private double sentAt;
     private long sentRound;
-    private double patience = FIRST_PATIENCE;
+    private double timeoutMs = INITIAL_TIMEOUT_MS;
 
     SnapshotSender(Snapshot snapshot) {
         this.snapshot = snapshot;
@@ -46,7 +46,7 @@
 
     /** Whether a chunk is to be sent: none is on its way, or the last one is taken for lost. */
     boolean isDue(double now) {
-        return !waiting || now - sentAt >= patience;
+        return !waiting || now - sentAt >= timeoutMs;
     }
 
     /** Takes the leader's newest snapshot, unless the peer holds some of the one before, or may soon. */
@@ -59,20 +59,20 @@
     /** The chunk to send, which counts as sent now. */
     Message.InstallSnapshotRequest next(double now, long term, long round) {
         if (waiting) {
-            chunkBytes = Math.max(LEAST_CHUNK, chunkBytes / 2);
-            patience = Math.min(MOST_PATIENCE, patience * 2);
+            chunkBytes = Math.max(MIN_CHUNK_BYTES, chunkBytes / 2);
+            timeoutMs = Math.min(MAX_TIMEOUT_MS, timeoutMs * 2);
         }
         waiting = true;
         sentAt = now;
         sentRound = round;
         int total = snapshot.state().length;
         int end = Math.min(total, offset + chunkBytes);
-        Snapshot part = new Snapshot(
+        Snapshot chunk = new Snapshot(
                 snapshot.index(),
                 snapshot.term(),
                 snapshot.members(),
                 Arrays.copyOfRange(snapshot.state(), offset, end));
-        return new Message.InstallSnapshotRequest(term, part, offset, total, round);
+        return new Message.InstallSnapshotRequest(term, chunk, offset, total, round);
     }
 
     /**
@@ -81,14 +81,17 @@
      * @param index of the snapshot that it tells of
      * @return whether that is news, so that the next chunk is due
      */
-    boolean received(double now, long index, int held) {
-        if (index != snapshot.index() || held == offset || held < 0 || held > snapshot.state().length) {
+    boolean received(double now, long index, int receivedBytes) {
+        if (index != snapshot.index()
+                || receivedBytes == offset
+                || receivedBytes < 0
+                || receivedBytes > snapshot.state().length) {
             return false;
         }
-        if (held > offset) {
+        if (receivedBytes > offset) {
             adapt(now - sentAt);
         }
-        offset = held;
+        offset = receivedBytes;
         waiting = false;
         return true;
     }
@@ -103,16 +106,16 @@
             return false;
         }
         waiting = false;
-        patience = FIRST_PATIENCE;
+        timeoutMs = INITIAL_TIMEOUT_MS;
         return true;
     }
 
     private void adapt(double took) {
-        patience = Math.max(FIRST_PATIENCE, Math.min(MOST_PATIENCE, 2 * took));
-        if (took > LATE) {
-            chunkBytes = Math.max(LEAST_CHUNK, chunkBytes / 2);
-        } else if (took < SOON) {
-            chunkBytes = Math.min(MOST_CHUNK, chunkBytes * 2);
+        timeoutMs = Math.max(INITIAL_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, 2 * took));
+        if (took > SLOW_RESPONSE_MS) {
+            chunkBytes = Math.max(MIN_CHUNK_BYTES, chunkBytes / 2);
+        } else if (took < FAST_RESPONSE_MS) {
+            chunkBytes = Math.min(MAX_CHUNK_BYTES, chunkBytes * 2);
         }
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
@@ -218,12 +218,12 @@
         now += 1100;
         raft.tick(now);
         from(B, new Message.VoteResponse(2, true, true));
-        assertTrue(sent(Message.VoteRequest.class).stream().allMatch(Message.VoteRequest::pre));
+        assertTrue(sent(Message.VoteRequest.class).stream().allMatch(Message.VoteRequest::preVote));
         // Its own vote counts no sooner either.
         from(B, new Message.VoteResponse(2, true, false));
         assertEquals(RaftStatus.Role.CANDIDATE, raftStatus.role());
         persisted();
-        assertFalse(last(Message.VoteRequest.class).pre());
+        assertFalse(last(Message.VoteRequest.class).preVote());
         assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
     }
 
@@ -429,7 +429,7 @@
         from(D, new Message.AppendResponse(9, false, 0, 0, 0));
         assertEquals(10, raftStatus.term());
         persisted();
-        assertTrue(last(Message.VoteRequest.class).handed());
+        assertTrue(last(Message.VoteRequest.class).leadershipTransfer());
         from(B, new Message.VoteResponse(10, true, false));
         assertEquals(RaftStatus.Role.LEADER, raftStatus.role());
     }
@@ -566,7 +566,7 @@
         assertTrue(last(Message.VoteResponse.class).granted());
         now += 1100;
         raft.tick(now);
-        assertTrue(last(Message.VoteRequest.class).pre());
+        assertTrue(last(Message.VoteRequest.class).preVote());
     }
 
     @Test
--- a/src/test/java/sablehinge/controlplane/raft/SendWindowTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SendWindowTest.java
@@ -15,11 +15,11 @@
     @Test
     void oneMessageMayAlwaysBeOnItsWayAndMoreUpToTheWindow() {
         assertTrue(window.isOpen());
-        window.sent(0, 1, 1, 10 * SendWindow.MOST);
+        window.sent(0, 1, 1, 10 * SendWindow.MAX_BYTES);
         assertFalse(window.isOpen());
         window.received(200, 1, 1);
         assertTrue(window.isOpen());
-        window.sent(200, 1, 2, SendWindow.FIRST - 1);
+        window.sent(200, 1, 2, SendWindow.INITIAL_BYTES - 1);
         assertTrue(window.isOpen());
         window.sent(200, 1, 3, 1);
         assertFalse(window.isOpen());
@@ -30,7 +30,7 @@
 
     @Test
     void manySmallMessagesAreBoundedToo() {
-        for (int i = 1; i <= SendWindow.MOST_MESSAGES; i++) {
+        for (int i = 1; i <= SendWindow.MAX_MESSAGES; i++) {
             assertTrue(window.isOpen());
             window.sent(0, 1, i, 0);
         }
@@ -43,14 +43,14 @@
             window.sent(i, 1, i, 1);
             window.received(i + 450, i, 1);
         }
-        window.sent(0, 1, 21, SendWindow.LEAST);
+        window.sent(0, 1, 21, SendWindow.MIN_BYTES);
         assertFalse(window.isOpen());
         window.received(1, 21, 1);
         for (int i = 22; i <= 40; i++) {
             window.sent(i, 1, i, 1);
             window.received(i + 1, i, 1);
         }
-        window.sent(0, 1, 41, SendWindow.MOST - 1);
+        window.sent(0, 1, 41, SendWindow.MAX_BYTES - 1);
         assertTrue(window.isOpen());
         window.sent(0, 1, 42, 1);
         assertFalse(window.isOpen());
@@ -58,7 +58,7 @@
 
     @Test
     void whatALaterRoundDoesNotFindIsLost() {
-        window.sent(0, 7, 5, SendWindow.MOST);
+        window.sent(0, 7, 5, SendWindow.MAX_BYTES);
         window.received(10, 4, 7);
         assertFalse(window.isOpen(), "it may be on its way");
         window.received(20, 4, 8);
@@ -67,19 +67,19 @@
 
     @Test
     void whatIsNotAnsweredIsGivenUpEverLater() {
-        window.sent(0, 1, 1, SendWindow.MOST);
-        window.expire(SendWindow.FIRST_PATIENCE - 1);
+        window.sent(0, 1, 1, SendWindow.MAX_BYTES);
+        window.expire(SendWindow.INITIAL_TIMEOUT_MS - 1);
         assertFalse(window.isEmpty());
-        window.expire(SendWindow.FIRST_PATIENCE);
+        window.expire(SendWindow.INITIAL_TIMEOUT_MS);
         assertTrue(window.isEmpty());
-        window.sent(0, 1, 1, SendWindow.MOST);
-        window.expire(2 * SendWindow.FIRST_PATIENCE - 1);
+        window.sent(0, 1, 1, SendWindow.MAX_BYTES);
+        window.expire(2 * SendWindow.INITIAL_TIMEOUT_MS - 1);
         assertFalse(window.isEmpty());
         for (int i = 0; i < 20; i++) {
             window.expire(Double.MAX_VALUE);
             window.sent(0, 1, 1, 1);
         }
-        window.expire(SendWindow.MOST_PATIENCE);
+        window.expire(SendWindow.MAX_TIMEOUT_MS);
         assertTrue(window.isEmpty());
     }
 
--- a/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
@@ -15,7 +15,7 @@
 class SnapshotTransferTest {
 
     private static final List<Member> MEMBERS = List.of(Member.founder("a:1", "ca"));
-    private static final int CHUNK = SnapshotSender.FIRST_CHUNK;
+    private static final int CHUNK = SnapshotSender.INITIAL_CHUNK_BYTES;
 
     private final SnapshotReceiver receiver = new SnapshotReceiver();
 
@@ -37,7 +37,7 @@
         Snapshot small = snapshot(9, 100);
         Message.InstallSnapshotRequest only = new SnapshotSender(small).next(0, 3, 1);
         assertTrue(only.isComplete());
-        assertSame(small, receiver.take(only));
+        assertSame(small, receiver.receive(only));
     }
 
     @Test
@@ -45,10 +45,10 @@
         Snapshot large = snapshot(9, 3 * CHUNK);
         SnapshotSender sender = new SnapshotSender(large);
         Message.InstallSnapshotRequest first = sender.next(0, 3, 1);
-        assertEquals(CHUNK, first.part().state().length);
+        assertEquals(CHUNK, first.chunk().state().length);
         assertFalse(sender.isDue(1));
-        assertNull(receiver.take(first));
-        assertTrue(sender.received(200, 9, receiver.held(first)));
+        assertNull(receiver.receive(first));
+        assertTrue(sender.received(200, 9, receiver.receivedBytes(first)));
         assertTrue(sender.isDue(200));
         Message.InstallSnapshotRequest second = sender.next(200, 3, 1);
         assertEquals(CHUNK, second.offset());
@@ -56,53 +56,54 @@
         assertFalse(sender.received(210, 8, 2 * CHUNK), "of another snapshot");
         assertFalse(sender.received(210, 9, 3 * CHUNK + 1), "more than there is");
         assertFalse(sender.isDue(210));
-        assertNull(receiver.take(second));
+        assertNull(receiver.receive(second));
         assertTrue(sender.received(400, 9, 2 * CHUNK));
-        assertSame(large, receiver.take(sender.next(400, 3, 1)));
+        assertSame(large, receiver.receive(sender.next(400, 3, 1)));
     }
 
     @Test
     void theSizeOfAChunkFollowsTheLink() {
-        SnapshotSender sender = new SnapshotSender(snapshot(9, 40 * SnapshotSender.MOST_CHUNK));
+        SnapshotSender sender = new SnapshotSender(snapshot(9, 40 * SnapshotSender.MAX_CHUNK_BYTES));
         double now = 0;
         int held = 0;
         int largest = 0;
         for (int i = 0; i < 10; i++) {
-            int sent = sender.next(now, 3, 1).part().state().length;
+            int sent = sender.next(now, 3, 1).chunk().state().length;
             largest = Math.max(largest, sent);
             held += sent;
             now += 1;
             sender.received(now, 9, held);
         }
-        assertEquals(SnapshotSender.MOST_CHUNK, largest);
+        assertEquals(SnapshotSender.MAX_CHUNK_BYTES, largest);
         for (int i = 0; i < 10; i++) {
-            held += sender.next(now, 3, 1).part().state().length;
+            held += sender.next(now, 3, 1).chunk().state().length;
             now += 450;
             sender.received(now, 9, held);
         }
-        assertEquals(SnapshotSender.LEAST_CHUNK, sender.next(now, 3, 1).part().state().length);
+        assertEquals(
+                SnapshotSender.MIN_CHUNK_BYTES, sender.next(now, 3, 1).chunk().state().length);
     }
 
     @Test
     void aLostChunkIsSentAgainSmallerAndEverLater() {
         SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
         sender.next(0, 3, 1);
-        assertFalse(sender.isDue(SnapshotSender.FIRST_PATIENCE - 1));
-        assertTrue(sender.isDue(SnapshotSender.FIRST_PATIENCE));
-        Message.InstallSnapshotRequest again = sender.next(SnapshotSender.FIRST_PATIENCE, 3, 1);
+        assertFalse(sender.isDue(SnapshotSender.INITIAL_TIMEOUT_MS - 1));
+        assertTrue(sender.isDue(SnapshotSender.INITIAL_TIMEOUT_MS));
+        Message.InstallSnapshotRequest again = sender.next(SnapshotSender.INITIAL_TIMEOUT_MS, 3, 1);
         assertEquals(0, again.offset());
-        assertEquals(CHUNK / 2, again.part().state().length);
-        assertFalse(sender.isDue(3 * SnapshotSender.FIRST_PATIENCE - 1));
-        assertTrue(sender.isDue(3 * SnapshotSender.FIRST_PATIENCE));
+        assertEquals(CHUNK / 2, again.chunk().state().length);
+        assertFalse(sender.isDue(3 * SnapshotSender.INITIAL_TIMEOUT_MS - 1));
+        assertTrue(sender.isDue(3 * SnapshotSender.INITIAL_TIMEOUT_MS));
         double now = 0;
         for (int i = 0; i < 20; i++) {
-            now += SnapshotSender.MOST_PATIENCE;
+            now += SnapshotSender.MAX_TIMEOUT_MS;
             assertTrue(sender.isDue(now));
             assertEquals(
-                    SnapshotSender.LEAST_CHUNK,
+                    SnapshotSender.MIN_CHUNK_BYTES,
                     Math.min(
-                            SnapshotSender.LEAST_CHUNK,
-                            sender.next(now, 3, 1).part().state().length));
+                            SnapshotSender.MIN_CHUNK_BYTES,
+                            sender.next(now, 3, 1).chunk().state().length));
         }
     }
 
@@ -123,8 +124,8 @@
         sender.next(0, 3, 1);
         sender.received(10, 9, CHUNK);
         Message.InstallSnapshotRequest second = sender.next(10, 3, 1);
-        assertNull(receiver.take(second));
-        assertEquals(0, receiver.held(second), "the first is not here");
+        assertNull(receiver.receive(second));
+        assertEquals(0, receiver.receivedBytes(second), "the first is not here");
         assertTrue(sender.received(20, 9, 0));
         assertEquals(0, sender.next(20, 3, 1).offset());
     }
@@ -136,7 +137,7 @@
         sender.next(0, 3, 1);
         sender.renew(100, newer);
         assertEquals(9, sender.index(), "the first chunk may be there");
-        sender.renew(SnapshotSender.FIRST_PATIENCE, newer);
+        sender.renew(SnapshotSender.INITIAL_TIMEOUT_MS, newer);
         assertEquals(19, sender.index());
         sender.next(600, 3, 1);
         sender.received(700, 19, CHUNK / 2);
@@ -149,30 +150,30 @@
         SnapshotSender of9 = new SnapshotSender(snapshot(9, 2 * CHUNK));
         Snapshot second = snapshot(19, 2 * CHUNK);
         SnapshotSender of19 = new SnapshotSender(second);
-        assertNull(receiver.take(of9.next(0, 3, 1)));
+        assertNull(receiver.receive(of9.next(0, 3, 1)));
         Message.InstallSnapshotRequest other = of19.next(0, 3, 1);
-        assertNull(receiver.take(other));
-        assertEquals(CHUNK, receiver.held(other));
+        assertNull(receiver.receive(other));
+        assertEquals(CHUNK, receiver.receivedBytes(other));
         of9.received(1, 9, CHUNK);
-        assertNull(receiver.take(of9.next(1, 3, 1)), "the beginning of 9 is gone");
+        assertNull(receiver.receive(of9.next(1, 3, 1)), "the beginning of 9 is gone");
         SnapshotSender later = new SnapshotSender(second);
         later.next(2, 4, 1);
         later.received(2, 19, CHUNK);
         Message.InstallSnapshotRequest ofLater = later.next(2, 4, 1);
-        assertNull(receiver.take(ofLater), "of a leader of another term");
-        assertEquals(0, receiver.held(ofLater));
+        assertNull(receiver.receive(ofLater), "of a leader of another term");
+        assertEquals(0, receiver.receivedBytes(ofLater));
     }
 
     @Test
     void aLengthThatIsTooLargeOrDoesNotFitIsNotTaken() {
         Snapshot part = snapshot(9, 100);
-        assertNull(receiver.take(new Message.InstallSnapshotRequest(3, part, 0, SnapshotReceiver.MOST_BYTES + 1, 1)));
-        assertNull(receiver.take(new Message.InstallSnapshotRequest(3, part, 50, 140, 1)));
+        assertNull(receiver.receive(new Message.InstallSnapshotRequest(3, part, 0, SnapshotReceiver.MAX_BYTES + 1, 1)));
+        assertNull(receiver.receive(new Message.InstallSnapshotRequest(3, part, 50, 140, 1)));
         Message.InstallSnapshotRequest first = new Message.InstallSnapshotRequest(3, part, 0, 140, 1);
-        assertNull(receiver.take(first));
-        assertEquals(100, receiver.held(first));
+        assertNull(receiver.receive(first));
+        assertEquals(100, receiver.receivedBytes(first));
         receiver.clear();
-        assertEquals(0, receiver.held(first));
+        assertEquals(0, receiver.receivedBytes(first));
     }
 
     @Test
@@ -197,12 +198,12 @@
             }
             if (!onTheWay.isEmpty() && random.nextBoolean()) {
                 Message.InstallSnapshotRequest chunk = onTheWay.remove(random.nextInt(onTheWay.size()));
-                Snapshot whole = receiver.take(chunk);
+                Snapshot whole = receiver.receive(chunk);
                 if (whole != null) {
                     return whole;
                 }
                 if (random.nextInt(4) > 0) {
-                    sender.received(now, chunk.part().index(), receiver.held(chunk));
+                    sender.received(now, chunk.chunk().index(), receiver.receivedBytes(chunk));
                 }
                 if (random.nextInt(40) == 0) {
                     receiver.clear();
