--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -25,7 +25,7 @@
     private static final int THREADS = 4;
     private static final int MOST_SHOWN = 20;
     private static final String STATE = "dataplane/proxy/AttemptState";
-    private static final String CLIENT = "dataplane/http1/UpstreamClient";
+    private static final String ATTEMPT = "dataplane/http1/UpstreamAttempt";
     private static final String DIALECT = "dataplane/sidecar/MeshUpstream";
     private static final String ANSWERS = "dataplane/sidecar/MeshResponses";
 
@@ -71,7 +71,7 @@
             new Mutant(
                     "what was sent whole counts as half",
                     STATE,
-                    "public AttemptState wholeSent()",
+                    "public AttemptState fullySent()",
                     "case UNSENT, PARTLY_SENT, SENT -> SENT;",
                     "case UNSENT, PARTLY_SENT, SENT -> this;"),
             new Mutant(
@@ -84,7 +84,7 @@
                     "whatever answer comes is the one",
                     DIALECT,
                     "public boolean answers(",
-                    "asked == null || given == null || asked.equals(given)",
+                    "sentTryId == null || given == null || sentTryId.equals(given)",
                     "true"),
             new Mutant(
                     "any 503 is a refusal",
@@ -130,16 +130,16 @@
                     "answer == null || answer.kind() != Answer.Kind.SERVED"),
             new Mutant(
                     "a connection with bytes behind its answer is kept",
-                    CLIENT,
+                    "dataplane/http1/UpstreamConnection",
                     "private void complete(FullHttpResponse response, boolean delimited)",
-                    "&& !decoder.holdsMore()",
+                    "&& !decoder.hasUnreadBytes()",
                     ""),
             new Mutant(
                     "an attempt that is given up leaves its connection",
-                    CLIENT,
-                    "private void giveUp(Event event)",
+                    ATTEMPT,
+                    "void giveUp(Event event)",
                     "channel.close();",
-                    "connection.park(target);"));
+                    "connection.release(target);"));
 
     /** All faults that the outbound hop must show. */
     static final List<Mutant> OUTBOUND_MUTANTS = List.of(
@@ -148,9 +148,9 @@
             MUTANTS.get(2),
             new Mutant(
                     "what was sent whole counts as half",
-                    CLIENT,
-                    "private AttemptState reached()",
-                    "state = state.wholeSent();",
+                    ATTEMPT,
+                    "private AttemptState currentState()",
+                    "state = state.fullySent();",
                     ""),
             new Mutant(
                     "no answer but a success proves anything but that nothing ran",
@@ -162,7 +162,7 @@
                     "whatever answer comes is the one",
                     DIALECT,
                     "public boolean answers(",
-                    "asked == null || given == null || asked.equals(given)",
+                    "sentTryId == null || given == null || sentTryId.equals(given)",
                     "true"),
             new Mutant(
                     "an answer that names no request is the one",
@@ -221,13 +221,13 @@
             new Mutant(
                     "the caller is not named",
                     FRONT,
-                    "public Checked read(",
+                    "public CheckedRequest read(",
                     "headers.set(MeshHeaders.CALLER, caller);",
                     ""),
             new Mutant(
                     "a request is given more time than its route has",
                     FRONT,
-                    "public Checked read(",
+                    "public CheckedRequest read(",
                     "Math.min(route.timeoutMs(),",
                     "Math.max(route.timeoutMs(),"),
             new Mutant(
@@ -250,19 +250,19 @@
                     ""),
             new Mutant(
                     "an attempt that is given up leaves its connection",
-                    CLIENT,
-                    "private void giveUp(Event event)",
+                    ATTEMPT,
+                    "void giveUp(Event event)",
                     "channel.close();",
-                    "connection.park(target);"),
+                    "connection.release(target);"),
             new Mutant(
                     "a connection with bytes behind its answer is kept",
-                    CLIENT,
+                    "dataplane/http1/UpstreamConnection",
                     "private void complete(FullHttpResponse response, boolean delimited)",
-                    "&& !decoder.holdsMore()",
+                    "&& !decoder.hasUnreadBytes()",
                     ""),
             new Mutant(
                     "what was sent behind the last answer is begun",
-                    "dataplane/http1/Frontend",
+                    "dataplane/http1/CallerConnection",
                     "private void advance()",
                     "while (current == null && !closing && ",
                     "while (current == null && "));
--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -13,70 +13,85 @@
 public record Mutant(String name, String in, String after, String text, String instead) {
 
     private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
-    private static final String FRONT = "dataplane/http1/Frontend";
-    private static final String UPSTREAM = "dataplane/http1/UpstreamClient";
+    private static final String CALLER = "dataplane/http1/CallerConnection";
+    private static final String ASSEMBLER = "dataplane/http1/RequestAssembler";
+    private static final String ATTEMPT = "dataplane/http1/UpstreamAttempt";
+    private static final String CONNECTION = "dataplane/http1/UpstreamConnection";
     private static final String RELAY = "dataplane/http1/Relay";
 
     /** All of them. */
     static final List<Mutant> ALL = List.of(
             new Mutant(
                     "a writer that can go on is not read for",
-                    FRONT,
+                    CALLER,
                     "public void channelWritabilityChanged",
-                    "passed.setWritable(channel.isWritable());",
+                    "responseRelay.setWritable(channel.isWritable());",
                     ""),
             new Mutant(
                     "a part that can't be written is dropped in silence",
-                    FRONT,
-                    "private void wrote(",
+                    CALLER,
+                    "private void onWritten(",
                     "if (!written.isSuccess() && channel.isOpen()) {",
                     "if (written == null) {"),
             new Mutant(
                     "the sending ends under an answer that passes",
-                    FRONT,
+                    CALLER,
                     "private void writeLast(",
-                    "if (lingers() && written.isSuccess()) {",
-                    "if (closing && unsent == 0 && written.isSuccess()) {"),
+                    "if (isLingering() && written.isSuccess()) {",
+                    "if (closing && unwrittenAnswers == 0 && written.isSuccess()) {"),
             new Mutant(
                     "a request that lost a part goes on",
-                    FRONT,
-                    "public void exceptionCaught(ChannelHandlerContext ctx, "
-                            + "Throwable cause) {\n            if (!(cause",
-                    "closing = true;\n            breakOff();\n            " + "dropPart();",
+                    CALLER,
+                    "public void exceptionCaught(",
+                    "closing = true; breakRequestRelay(); dropIncoming();",
                     ""),
             new Mutant(
                     "a message is not released",
-                    FRONT,
-                    "spoil(e);\n",
+                    CALLER,
+                    "rejectRest(e);",
                     "ReferenceCountUtil.release(message);",
                     "message.hashCode();"),
-            new Mutant("bytes kept are never given back", FRONT, "private void finish()", "kept -= reserved;", ""),
+            new Mutant(
+                    "bytes kept are never given back",
+                    CALLER,
+                    "private void finish()",
+                    "assembler.releaseReservation();",
+                    ""),
             new Mutant(
                     "an answer is read on after its caller left",
-                    FRONT,
+                    CALLER,
                     "public void channelInactive",
                     "rest.abandon();",
                     ""),
             new Mutant(
                     "a body that waits is not read again",
-                    FRONT,
+                    CALLER,
                     "public void read(boolean on)",
                     "channel.config().setAutoRead(on);",
                     "channel.config().setAutoRead(false);"),
             new Mutant(
                     "what nobody wants is not read to its end",
-                    FRONT,
+                    CALLER,
                     "public void giveUp()",
                     "channel.config().setAutoRead(true);",
                     ""),
             new Mutant(
-                    "parts of a body are not flushed", FRONT, "public void channelReadComplete", "coming.flush();", ""),
-            new Mutant("the end of a body is not told", FRONT, "private void passOn(", "complete.end();", ""),
-            new Mutant("a body that breaks off is not told", FRONT, "private void breakOff()", "half.broke();", ""),
+                    "parts of a body are not flushed",
+                    CALLER,
+                    "public void channelReadComplete",
+                    "requestRelay.flush();",
+                    ""),
+            new Mutant("the end of a body is not told", CALLER, "private void forward(", "complete.end();", ""),
+            new Mutant(
+                    "a body that breaks off is not told",
+                    CALLER,
+                    "private void breakRequestRelay()",
+                    "half.broke();",
+                    ""),
             new Mutant(
                     "an unframed answer that breaks looks whole",
-                    FRONT,
-                    "private void endUnmistakably()",
+                    CALLER,
+                    "private void closeAsTruncated()",
                     "ChannelOption.SO_LINGER, 0",
                     "ChannelOption.SO_LINGER, -1"),
             new Mutant("the source is never paused", RELAY, "void setWritable(", "read(on);", "read(true);"),
@@ -103,67 +118,67 @@
             new Mutant("an answer that breaks off is not told", RELAY, "void broke()", "sink.broke();", ""),
             new Mutant(
                     "parts of an answer are not flushed",
-                    UPSTREAM,
+                    CONNECTION,
                     "public void channelReadComplete",
                     "relay.flush();",
                     ""),
             new Mutant(
                     "a connection is kept that is not read",
-                    UPSTREAM,
+                    CONNECTION,
                     "done.end();",
                     "channel.config().setAutoRead(true);",
                     ""),
             new Mutant(
                     "a reset is taken for an end",
-                    UPSTREAM,
+                    CONNECTION,
                     "private boolean endsWithConnection()",
                     "return !reset && ",
                     "return "),
             new Mutant(
                     "an end is taken for a whole answer",
-                    UPSTREAM,
-                    "private void pass(HttpContent",
+                    CONNECTION,
+                    "private void forwardContent(HttpContent",
                     "if (!channel.isActive() && !endsWithConnection()) {",
                     "if (head == null) {"),
             new Mutant(
                     "a part of a body is dropped in silence",
-                    UPSTREAM,
-                    "private void wrotePart(",
+                    ATTEMPT,
+                    "private void onPartWritten(",
                     "if (!write.isSuccess()) {",
                     "if (write == null) {"),
             new Mutant(
                     "a body that nobody takes waits for ever",
-                    UPSTREAM,
-                    "private void look()",
-                    "now() - movedAt > dialect.terms().stuckMs()",
-                    "now() < 0"),
+                    ATTEMPT,
+                    "private void checkBodyProgress()",
+                    "context.clock.now() - lastProgressAt > context.dialect.terms().stuckMs()",
+                    "context.clock.now() < 0"),
             new Mutant(
                     "a connection is parked twice",
-                    UPSTREAM,
-                    "void park(",
-                    "target.idle.addLast(this);",
-                    "target.idle.addLast(this);\n            target.idle.addLast(this);"),
+                    CONNECTION,
+                    "void release(",
+                    "owner.idle.addLast(this);",
+                    "owner.idle.addLast(this); owner.idle.addLast(this);"),
             new Mutant(
                     "new requests go to who was told off",
-                    UPSTREAM,
-                    "private void begin(Connection on)",
+                    ATTEMPT,
+                    "private void begin(UpstreamConnection on)",
                     "boolean drained = now >= target.drainingSince + terms.rules().drainGrace();",
                     "boolean drained = false;"),
             new Mutant(
                     "what may have run is said not to have",
-                    UPSTREAM,
-                    "private AttemptState reached()",
-                    "state = state.wholeSent();",
+                    ATTEMPT,
+                    "private AttemptState currentState()",
+                    "state = state.fullySent();",
                     ""),
             new Mutant(
                     "the beginning of an answer is not released",
-                    UPSTREAM,
-                    "private void dropBody()",
+                    CONNECTION,
+                    "private void releaseBody()",
                     "dropped.release();",
                     ""),
             new Mutant(
                     "a half request ends as whole",
-                    UPSTREAM,
+                    ATTEMPT,
                     "and the upstream must not take it for whole",
                     "cancel();",
                     "end();"),
@@ -178,19 +193,19 @@
     static final List<Mutant> STALLS = List.of(
             new Mutant(
                     "LOST_WAKE_UP an answer",
-                    FRONT,
+                    CALLER,
                     "public void channelWritabilityChanged",
-                    "passed.setWritable(channel.isWritable());",
+                    "responseRelay.setWritable(channel.isWritable());",
                     ""),
             new Mutant(
                     "LOST_WAKE_UP a request",
-                    UPSTREAM,
+                    CONNECTION,
                     "public void channelWritabilityChanged",
-                    "carried.passing.body().setWritable(channel.isWritable());",
+                    "attempt.passing.body().setWritable(channel.isWritable());",
                     ""),
             new Mutant(
                     "UNWRITTEN the end of an answer",
-                    FRONT,
+                    CALLER,
                     "private void writeLast(",
                     "channel.writeAndFlush(last)",
                     "channel.write(last)"),
@@ -208,15 +223,20 @@
                     "exchanges.get(exchange.id)"),
             new Mutant(
                     "BELOW_ZERO given back twice",
-                    FRONT,
+                    ASSEMBLER,
+                    "void releaseReservation()",
+                    "context.keptBytes -= reserved;",
+                    "context.keptBytes -= 2 * reserved;"),
+            new Mutant(
+                    "LEFT_OVER never given back",
+                    CALLER,
                     "private void finish()",
-                    "kept -= reserved;",
-                    "kept -= 2 * reserved;"),
-            new Mutant("LEFT_OVER never given back", FRONT, "private void finish()", "kept -= reserved;", ""),
+                    "assembler.releaseReservation();",
+                    ""),
             new Mutant(
                     "LEAK a message that is not released",
-                    FRONT,
-                    "spoil(e);\n",
+                    CALLER,
+                    "rejectRest(e);",
                     "ReferenceCountUtil.release(message);",
                     "message.hashCode();"));
 
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -519,7 +519,7 @@
             }
         }
         equal("callers", front.callers(), 0);
-        equal("bytes kept", front.kept(), 0);
+        equal("bytes kept", front.keptBytes(), 0);
         equal("requests", core.requests(), 0);
         equal("connections", sockets.open(), 0);
         equal("bytes of buffers", memory.used(), 0);
--- a/src/main/java/sablehinge/dataplane/http1/Outlet.java
+++ b/src/main/java/sablehinge/dataplane/http1/ChannelOutlet.java
@@ -5,7 +5,7 @@
 import sablehinge.dataplane.proxy.Passage;
 
 /** The writing side of a connection as a watch sees it; by itself, what waits there to be written out. */
-record Outlet(Channel channel, int connection, Sockets sockets) implements Passage {
+record ChannelOutlet(Channel channel, int connection, Sockets sockets) implements Passage {
 
     @Override
     public long moved() {
--- a/src/main/java/sablehinge/dataplane/http1/Checked.java
+++ b/src/main/java/sablehinge/dataplane/http1/CheckedRequest.java
@@ -9,4 +9,4 @@
  * @param name its caller's name for it; empty for none
  * @param version by which it was read, and to which it belongs
  */
-public record Checked(String name, Arrival arrival, Version version) {}
+public record CheckedRequest(String name, Arrival arrival, Version version) {}
--- a/src/main/java/sablehinge/dataplane/http1/Early.java
+++ b/src/main/java/sablehinge/dataplane/http1/EarlyRequest.java
@@ -13,7 +13,7 @@
  * A request that was begun before its turn on its connection: its answer is kept until then. Only what may be repeated
  * is begun so, as what comes ahead of it may close the connection.
  */
-final class Early implements Caller {
+final class EarlyRequest implements Caller {
 
     final FullHttpRequest request;
     final Version version;
@@ -22,7 +22,7 @@
     private boolean over;
     private Consumer<Answer> turn;
 
-    Early(FullHttpRequest request, Version version) {
+    EarlyRequest(FullHttpRequest request, Version version) {
         this.request = request;
         this.version = version;
     }
@@ -57,7 +57,7 @@
         if (turn != null) {
             over = true;
             turn.accept(answer);
-        } else if (answer.payload() instanceof Passing) {
+        } else if (answer.payload() instanceof RelayedPayload) {
             // What passes through as it comes can't be held back; its client may ask again.
             kept = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
         } else {
--- a/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
@@ -31,7 +31,7 @@
      * @param cameAt when it was here whole, or now if it is still coming; its time counts from then
      * @param now in ms of the core's clock
      */
-    Checked read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException;
+    CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException;
 
     /**
      * What to answer to a request that can't be taken, or null to read it again a little later: what it asks for may be
--- a/src/main/java/sablehinge/dataplane/http1/Payloads.java
+++ b/src/main/java/sablehinge/dataplane/http1/Payloads.java
@@ -12,7 +12,7 @@
 
     /** The head of a payload; null where it has none. */
     public static HttpMessage head(Payload payload) {
-        return payload instanceof Passing passing
+        return payload instanceof RelayedPayload passing
                 ? passing.head()
                 : payload instanceof HttpPayload complete ? complete.message() : null;
     }
--- a/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
@@ -57,8 +57,9 @@
     }
 
     @Override
-    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException {
-        Checked checked;
+    public CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now)
+            throws BadRequestException {
+        CheckedRequest checked;
         try {
             checked = check().read(request, hasBody, now);
         } catch (BadRequestException e) {
@@ -70,7 +71,7 @@
         }
         return budgets == null
                 ? checked
-                : new Checked(
+                : new CheckedRequest(
                         checked.name(),
                         checked.arrival()
                                 .with(budgets.readBudget(request.headers().get(UpstreamClient.BUDGET))),
--- a/src/main/java/sablehinge/dataplane/http1/Relay.java
+++ b/src/main/java/sablehinge/dataplane/http1/Relay.java
@@ -39,7 +39,7 @@
         void broke();
 
         /** What the parts are written to. */
-        Outlet outlet();
+        ChannelOutlet outlet();
     }
 
     private final Source source;
--- a/src/main/java/sablehinge/dataplane/http1/Passing.java
+++ b/src/main/java/sablehinge/dataplane/http1/RelayedPayload.java
@@ -8,7 +8,7 @@
  *
  * @param length of the body in bytes; -1 where it is not known ahead
  */
-record Passing(HttpMessage head, long length, Relay body) implements Payload {
+record RelayedPayload(HttpMessage head, long length, Relay body) implements Payload {
 
     @Override
     public boolean canBeSent() {
--- a/src/main/java/sablehinge/dataplane/http1/RequestCheck.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestCheck.java
@@ -111,12 +111,12 @@
     }
 
     /** Reads a whole request that came at the given time. */
-    Checked read(FullHttpRequest request, double now) throws BadRequestException {
+    CheckedRequest read(FullHttpRequest request, double now) throws BadRequestException {
         return read(request, request.content().isReadable(), now);
     }
 
     /** Reads the head of a request; the body may be still coming. */
-    Checked read(HttpRequest request, boolean hasBody, double now) throws BadRequestException {
+    CheckedRequest read(HttpRequest request, boolean hasBody, double now) throws BadRequestException {
         if (!TARGET.matcher(request.uri()).matches()) {
             throw new BadRequestException("the target is no path");
         }
@@ -154,7 +154,7 @@
         }
         double estimate = number(headers, "X-Estimate");
         // No client of this class waits longer, whatever it says; what is kept for it must not stay either.
-        return new Checked(
+        return new CheckedRequest(
                 txn,
                 new Arrival(
                         place,
--- a/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import sablehinge.dataplane.http1.BadRequestException;
-import sablehinge.dataplane.http1.Checked;
+import sablehinge.dataplane.http1.CheckedRequest;
 import sablehinge.dataplane.http1.FrontDialect;
 import sablehinge.dataplane.http1.FrontTerms;
 import sablehinge.dataplane.proxy.Answer;
@@ -41,7 +41,8 @@
     }
 
     @Override
-    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException {
+    public CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now)
+            throws BadRequestException {
         HttpHeaders headers = request.headers();
         String meant = MeshHeaders.single(headers, MeshHeaders.DELIVER);
         if (meant == null) {
@@ -51,7 +52,7 @@
         double queueTimeoutMs = MeshHeaders.millis(headers, MeshHeaders.QUEUE_TIMEOUT, 0);
         int rank = (int) MeshHeaders.millis(headers, MeshHeaders.RANK, 0);
         headers.remove(MeshHeaders.QUEUE_TIMEOUT).remove(MeshHeaders.RANK);
-        return new Checked(
+        return new CheckedRequest(
                 "",
                 new Arrival(
                         0,
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import sablehinge.dataplane.http1.BadRequestException;
-import sablehinge.dataplane.http1.Checked;
+import sablehinge.dataplane.http1.CheckedRequest;
 import sablehinge.dataplane.http1.FrontDialect;
 import sablehinge.dataplane.http1.FrontTerms;
 import sablehinge.dataplane.proxy.Answer;
@@ -110,7 +110,8 @@
     }
 
     @Override
-    public Checked read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException {
+    public CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now)
+            throws BadRequestException {
         HttpHeaders headers = request.headers();
         if (Double.isNaN(firstCameAt)) {
             firstCameAt = cameAt;
@@ -153,7 +154,7 @@
         }
         headers.set(MeshHeaders.QUEUE_TIMEOUT, cameAt + QUEUE_TIME_SHARE * Math.min(route.targetMs(), given));
         headers.set(MeshHeaders.RANK, rank);
-        return new Checked(
+        return new CheckedRequest(
                 "",
                 new Arrival(
                                 classes.get(BalancerSettings.name(route, service)),
--- a/src/main/java/sablehinge/gateway/node/LoopVitals.java
+++ b/src/main/java/sablehinge/gateway/node/LoopVitals.java
@@ -39,7 +39,7 @@
 
     @Override
     public long woken() {
-        return fronts.get().stream().mapToLong(Frontend::woken).sum();
+        return fronts.get().stream().mapToLong(Frontend::wokenBodies).sum();
     }
 
     @Override
@@ -54,7 +54,7 @@
 
     @Override
     public long kept() {
-        return fronts.get().stream().mapToLong(Frontend::kept).sum();
+        return fronts.get().stream().mapToLong(Frontend::keptBytes).sum();
     }
 
     @Override
--- a/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
@@ -63,7 +63,7 @@
             });
             // Four bytes of length and one of kind stand before each body.
             assertEquals(
-                    List.of("connects false 127.0.0.1", "sent ASK 12", "received NEWS 105", "handled NEWS"),
+                    List.of("connects false 127.0.0.1", "sent ASK 12", "received UPDATE 105", "handled UPDATE"),
                     List.of(notes.notes.take(), notes.notes.take(), notes.notes.take(), notes.notes.take()));
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
--- a/src/test/java/sablehinge/dataplane/http1/PassingTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
@@ -21,7 +21,7 @@
 
 /** Bodies and answers that are longer than what is kept: they pass through as they come, once. */
 @Timeout(60)
-class PassingTest {
+class RelayedPayloadTest {
 
     private static final int LONG = 1_000_000;
 
--- a/src/test/java/sablehinge/torture/TortureTest.java
+++ b/src/test/java/sablehinge/torture/TortureTest.java
@@ -81,7 +81,7 @@
     void piecesThatComeTogetherAreWrittenTogether() throws Exception {
         Mutant one = new Mutant(
                 "each piece is written at once",
-                "http1/Relay",
+                "dataplane/http1/Relay",
                 "void add(",
                 "sink.part(part.retain());",
                 "sink.part(part.retain());\n            sink.flush();");
