--- a/bench/src/sablehinge/dataplane/sidecar/GateParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/GateParts.java
@@ -11,8 +11,8 @@
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.http1.UpstreamClient;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
@@ -35,7 +35,7 @@
             InetSocketAddress upstream,
             InetSocketAddress at,
             Consumer<String> done) {
-        Core core = new Core(clock, timers, actions -> {
+        RequestProxy core = new RequestProxy(clock, timers, actions -> {
             gate = new AdmissionController(actions);
             return gate;
         });
--- a/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
@@ -15,8 +15,8 @@
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.http1.UpstreamClient;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.api.ConfigurationReader;
@@ -55,7 +55,7 @@
     private final List<InetSocketAddress> balancers;
     private final Quotas quotas;
     private final OutboundFront routes;
-    private final Core core;
+    private final RequestProxy core;
 
     private static String route(String name, String kind, String prefix) {
         return """
@@ -143,7 +143,8 @@
                     }
                 },
                 1);
-        core = new Core(clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
+        core = new RequestProxy(
+                clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
         Frontend front = new Frontend(loop, sockets, memory, core, routes);
         UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
         core.bound((version, serviceClass, beside, then) -> then.accept(() -> {}));
--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -217,7 +217,7 @@
                     "if (!on) {\n            source.read(false);\n        }"),
             new Mutant(
                     "OVERDUE a request that is not forgotten",
-                    "dataplane/proxy/Core",
+                    "dataplane/proxy/RequestProxy",
                     "private void settle(",
                     "exchanges.remove(exchange.id)",
                     "exchanges.get(exchange.id)"),
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -15,8 +15,8 @@
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.http1.UpstreamClient;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.gateway.node.LoopVitals;
@@ -146,7 +146,7 @@
     final List<Caller> callers = new ArrayList<>();
     final Set<Upstream.Connection> served = new LinkedHashSet<>();
     private final List<Upstream> upstreams = new ArrayList<>();
-    private final Core core;
+    private final RequestProxy core;
     private final Frontend front;
     private final Sockets sockets;
     private final Watched module;
@@ -177,7 +177,7 @@
         sockets = new Sockets(dice.chance(3) && script.has(Event.FEW_DESCRIPTORS) ? few : 1_024, net);
         boolean real = dice.chance(2) && script.has(Event.REAL_MODULE);
         Watched[] made = new Watched[1];
-        core = new Core(clock, timers, actions -> {
+        core = new RequestProxy(clock, timers, actions -> {
             made[0] = new Watched(
                     this,
                     actions,
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -6,7 +6,6 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.security.SecureRandom;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
@@ -52,8 +51,6 @@
     private static final long SHUTDOWN_RESERVE_MS = 1_000;
 
     private static final double NANOS_PER_MS = 1e6;
-    /** A disk that is at one change for longer hangs, in ms; it is looked at as often. */
-    private static final long DISK_HANG_MS = 1_000;
     /** What an end of a connection between processes does when it hears nothing, in ms. */
     static final long PING_INTERVAL_MS = 300;
 
@@ -74,7 +71,9 @@
     private final LocalSettings settings;
     private final long processStartedAt;
     private final Connection connection;
+    private final CoreIdentity identity;
     private final DiskWriter diskWriter;
+    private final DiskHangDetector diskHangs;
     private final RaftNode raft;
     private final ConfigurationState configurations = new ConfigurationState();
     private final QuorumGate gate;
@@ -89,7 +88,6 @@
     private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
     private int sinceSnapshot;
     private long bytesSinceSnapshot;
-    private boolean diskHangs;
     /** Opened once nothing that is committed hangs on this process. */
     private final CountDownLatch released = new CountDownLatch(1);
 
@@ -103,7 +101,9 @@
         this.processStartedAt = processStartedAt;
         this.loop = loop;
         connection = new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS, observer);
+        identity = new CoreIdentity(settings, new SecureRandom());
         diskWriter = new DiskWriter(opener, new NodeDiskCallbacks());
+        diskHangs = new DiskHangDetector(clock, diskWriter);
         raft = new RaftNode(
                 new NodeRaftActions(),
                 RaftConfig.defaults(),
@@ -162,7 +162,11 @@
             throw new ConfigException(e.getMessage());
         }
         controlNode.disk.execute(controlNode.diskWriter::open);
-        loop.scheduleAtFixedRate(controlNode::watch, DISK_HANG_MS, DISK_HANG_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                controlNode.diskHangs::check,
+                DiskHangDetector.HANG_MS,
+                DiskHangDetector.HANG_MS,
+                TimeUnit.MILLISECONDS);
         // The schema is loaded before the first configuration comes, and beside what must not wait for it.
         controlNode.checks.execute(ConfigurationCheck::warm);
         return controlNode;
@@ -222,39 +226,18 @@
     /** Takes over what may change while it runs: where other machines of the core may be. */
     public void reload(LocalSettings next) {
         loop.execute(() -> {
-            List<String> contacts = new ArrayList<>();
-            next.seeds()
-                    .forEach(seed -> contacts.add(seed.substring(0, seed.lastIndexOf(':') + 1) + next.innerFirst()));
+            List<String> contacts = CoreIdentity.raftAddresses(next);
             raft.contacts(contacts);
             Log.info(LOG, "settings").addKeyValue("seeds", contacts.size()).log("the settings were read again");
         });
     }
 
-    /** Who this machine is where its disk holds nobody. */
-    private Member named(boolean isCorrupt) {
-        String at = settings.ip() + ":" + settings.innerFirst();
-        String control = settings.listenOn().control();
-        return settings.firstStart() && !isCorrupt
-                ? Member.founder(at, control)
-                : Member.later(new SecureRandom().nextLong(), at, control);
-    }
-
-    /** Those that the settings name, as founders of the core. */
-    private List<Member> founders() {
-        List<Member> founders = new ArrayList<>();
-        for (String seed : settings.seeds()) {
-            String at = seed.substring(0, seed.lastIndexOf(':') + 1) + settings.innerFirst();
-            founders.add(Member.founder(at, seed));
-        }
-        return founders;
-    }
-
     private void begin(Member me, PersistedState stored) {
         double now = clock.now();
         self = me;
         peers = new PeerConnections(connection, self, this::onMessage);
-        List<Member> founders = founders();
-        List<String> contacts = founders.stream().map(Member::address).toList();
+        List<Member> founders = identity.founders();
+        List<String> contacts = CoreIdentity.raftAddresses(settings);
         raft.contacts(contacts);
         if (stored != null) {
             // Even who has nothing but a name, and asks to be let in, may have given its vote.
@@ -282,18 +265,6 @@
         failStopExecutor.runTolerant("news", dataPlane::publish);
     }
 
-    /** A disk that answers nothing says nothing by itself. */
-    private void watch() {
-        double ms = clock.now() - diskWriter.busySince();
-        if (ms > DISK_HANG_MS && !diskHangs) {
-            diskHangs = true;
-            Log.warn(LOG, "disk-hangs").addKeyValue("ms", Math.round(ms)).log("the disk doesn't answer");
-        } else if (ms <= DISK_HANG_MS && diskHangs) {
-            diskHangs = false;
-            Log.info(LOG, "disk-answers").log("the disk answers again");
-        }
-    }
-
     private void onMessage(Member from, Message message) {
         raft.handleMessage(clock.now(), from, message);
     }
@@ -451,12 +422,12 @@
 
         @Override
         public Member named(boolean isCorrupt) {
-            return ControlNode.this.named(isCorrupt);
+            return identity.memberForEmptyDisk(isCorrupt);
         }
 
         @Override
         public boolean isFounder(Member me) {
-            return founders().contains(me);
+            return identity.founders().contains(me);
         }
 
         @Override
--- a/src/main/java/sablehinge/controlplane/node/RaftStore.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStore.java
@@ -1,21 +1,12 @@
 package sablehinge.controlplane.node;
 
-import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
-import java.io.DataOutputStream;
-import java.io.EOFException;
 import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.nio.ByteBuffer;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.h2.mvstore.DataUtils;
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
-import org.h2.mvstore.MVStoreException;
 import org.h2.mvstore.type.ByteArrayDataType;
 import org.h2.mvstore.type.LongDataType;
 import org.slf4j.Logger;
@@ -23,7 +14,6 @@
 import sablehinge.common.logging.Log;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.MemberListCodec;
 import sablehinge.controlplane.raft.PersistedState;
 import sablehinge.controlplane.raft.Snapshot;
 import sablehinge.controlplane.raft.WriteBatch;
@@ -138,7 +128,7 @@
             if (name.equals(FILE) && channel.version() < 0) {
                 throw new CorruptStoreException("it is empty");
             }
-            check(opened, channel);
+            RaftStoreRecovery.check(opened, channel);
             state = map(opened, "state");
             snapshots = map(opened, "snapshots");
             entries = map(opened, "entries");
@@ -151,7 +141,7 @@
         } catch (RuntimeException | IOException e) {
             VerifyingFileChannel left = channel == null ? VerifyingFilePath.taken(file) : channel;
             abandon(opened, left);
-            throw classify(file, left != null && left.isRecovering(), e);
+            throw RaftStoreRecovery.classify(file, left != null && left.isRecovering(), e);
         }
         isCorrupt = corruptFileExists && self == null;
     }
@@ -175,65 +165,18 @@
         }
     }
 
-    /** What an error at the opening means: damage is returned, all else thrown. */
-    private static CorruptStoreException classify(String file, boolean isRecovering, Exception e) {
-        for (Throwable cause = e; cause != null; cause = cause.getCause()) {
-            if (cause instanceof CorruptStoreException corrupt) {
-                return corrupt;
-            }
-        }
-        int code = e instanceof MVStoreException error ? error.getErrorCode() : 0;
-        if (code == DataUtils.ERROR_FILE_LOCKED) {
-            throw new StoreException(StoreException.Code.LOCKED, file + " is open in another process", e);
-        }
-        if (isRecovering || code == DataUtils.ERROR_WRITING_FAILED) {
-            throw new StoreException(StoreException.Code.REFUSED, e.getMessage(), e);
-        }
-        for (Throwable cause = e; cause != null; cause = cause.getCause()) {
-            if (cause instanceof IOException && !(cause instanceof EOFException)) {
-                throw new StoreException(StoreException.Code.UNREADABLE, file + ": " + cause, e);
-            }
-        }
-        return new CorruptStoreException(e.toString());
-    }
-
-    /** MVStore may fall back to an older commit by itself; and of what is live, all must be as written. */
-    private static void check(MVStore store, VerifyingFileChannel channel) throws IOException {
-        if (channel.version() < 0) {
-            return;
-        }
-        if (store.getCurrentVersion() != channel.version()) {
-            throw new CorruptStoreException(
-                    "commit " + channel.version() + " can't be read, only " + store.getCurrentVersion());
-        }
-        for (Map.Entry<String, String> chunk : store.getLayoutMap().entrySet()) {
-            String fields = chunk.getValue();
-            if (chunk.getKey().startsWith("chunk.")
-                    && ChunkFooter.field(fields, "livePages") != 0
-                    && !channel.isIntact(
-                            ChunkFooter.field(fields, "block"), (int) ChunkFooter.field(fields, "len"), (int)
-                                    ChunkFooter.field(fields, "chunk"))) {
-                throw new CorruptStoreException(chunk.getKey() + " is not as it was written");
-            }
-        }
-    }
-
     private void read() throws IOException {
         byte[] who = state.get(SELF);
-        self = who == null ? null : MemberListCodec.read(who).get(0);
+        self = who == null ? null : RaftStoreCodec.readSelf(who);
         byte[] vote = state.get(VOTE);
         if (vote != null) {
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(vote));
-            term = in.readLong();
-            votedFor = in.readLong();
+            RaftStoreCodec.Vote stored = RaftStoreCodec.readVote(vote);
+            term = stored.term();
+            votedFor = stored.votedFor();
         }
         byte[] image = snapshots.get(SNAPSHOT);
         if (image != null) {
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(image));
-            long index = in.readLong();
-            long at = in.readLong();
-            List<Member> members = RaftMessageCodec.readMembers(in);
-            snapshot = new Snapshot(index, at, members, in.readAllBytes());
+            snapshot = RaftStoreCodec.readSnapshot(image);
         }
         long first = snapshot == null ? 1 : snapshot.index() + 1;
         last = first - 1 + entries.sizeAsLong();
@@ -271,7 +214,7 @@
         try {
             List<Entry> all = new ArrayList<>();
             for (Map.Entry<Long, byte[]> one : entries.entrySet()) {
-                all.add(entry(one.getKey(), one.getValue()));
+                all.add(RaftStoreCodec.readEntry(one.getKey(), one.getValue()));
             }
             return new PersistedState(self, term, votedFor, snapshot, all);
         } catch (RuntimeException e) {
@@ -279,36 +222,6 @@
         }
     }
 
-    private static Entry entry(long index, byte[] bytes) {
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        long term = in.getLong();
-        Entry.Kind kind = Entry.Kind.values()[in.get()];
-        byte[] data = new byte[in.remaining()];
-        in.get(data);
-        return new Entry(index, term, kind, data);
-    }
-
-    private static byte[] bytes(Entry entry) {
-        return ByteBuffer.allocate(9 + entry.data().length)
-                .putLong(entry.term())
-                .put((byte) entry.kind().ordinal())
-                .put(entry.data())
-                .array();
-    }
-
-    private static byte[] bytes(Snapshot snapshot) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeLong(snapshot.index());
-            out.writeLong(snapshot.term());
-            RaftMessageCodec.writeMembers(snapshot.members(), out);
-            out.write(snapshot.state());
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return bytes.toByteArray();
-    }
-
     /**
      * Puts down who this member is, once.
      *
@@ -318,7 +231,7 @@
         open();
         requireNobody();
         commit(() -> {
-            state.put(SELF, MemberListCodec.write(List.of(member)));
+            state.put(SELF, RaftStoreCodec.writeSelf(member));
             self = member;
         });
     }
@@ -335,7 +248,7 @@
         requireNobody();
         long next = follows(founding);
         commit(() -> {
-            state.put(SELF, MemberListCodec.write(List.of(member)));
+            state.put(SELF, RaftStoreCodec.writeSelf(member));
             self = member;
             apply(founding);
             last = next;
@@ -396,12 +309,7 @@
 
     private void apply(WriteBatch change) {
         if (change.term() != term || change.votedFor() != votedFor) {
-            state.put(
-                    VOTE,
-                    ByteBuffer.allocate(16)
-                            .putLong(change.term())
-                            .putLong(change.votedFor())
-                            .array());
+            state.put(VOTE, RaftStoreCodec.writeVote(change.term(), change.votedFor()));
             term = change.term();
             votedFor = change.votedFor();
         }
@@ -411,13 +319,13 @@
         long base = snapshot == null ? 0 : snapshot.index();
         if (change.snapshot() != null) {
             drop(base + 1, change.snapshot().index());
-            snapshots.put(SNAPSHOT, bytes(change.snapshot()));
+            snapshots.put(SNAPSHOT, RaftStoreCodec.writeSnapshot(change.snapshot()));
             snapshot = change.snapshot();
             base = snapshot.index();
         }
         for (Entry entry : change.append()) {
             if (entry.index() > base) {
-                entries.put(entry.index(), bytes(entry));
+                entries.put(entry.index(), RaftStoreCodec.writeEntry(entry));
             }
         }
     }
--- a/src/main/java/sablehinge/dataplane/http1/EarlyRequest.java
+++ b/src/main/java/sablehinge/dataplane/http1/EarlyRequest.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Caller;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Exchange;
 import sablehinge.dataplane.proxy.Payload;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Version;
 
 /**
@@ -69,7 +69,7 @@
     }
 
     /** Nobody wants it any more. */
-    void drop(Core core) {
+    void drop(RequestProxy core) {
         over = true;
         if (kept != null) {
             kept.payload().release();
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -27,8 +27,8 @@
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
 import sablehinge.dataplane.budget.HeaderText;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.RequestProxy;
 
 /**
  * Takes callers' requests and writes each one's answer. A caller that sends what is of no use, or nothing, has an error
@@ -51,12 +51,12 @@
     private Runnable afterwards;
 
     /** A front for the platform's callers. */
-    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, Core core) {
+    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy core) {
         this(loop, sockets, memory, core, new PlatformFront(core));
     }
 
     /** A front on the given loop, whose connections count among the given sockets. */
-    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, Core core, FrontDialect dialect) {
+    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy core, FrontDialect dialect) {
         context = new FrontendContext(loop, sockets, memory, core, dialect);
         sockets.callersGiveWay(evict);
     }
--- a/src/main/java/sablehinge/dataplane/http1/FrontendContext.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontendContext.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.RequestProxy;
 
 /** What the connections of one {@link Frontend} share. All of it belongs to the event loop. */
 final class FrontendContext {
@@ -18,7 +18,7 @@
     final EventLoop loop;
     final Sockets sockets;
     final ByteBufAllocator memory;
-    final Core core;
+    final RequestProxy core;
     final FrontDialect dialect;
     /** Every caller's connection, in the order in which they came or last became idle. */
     final Set<CallerConnection> connections = new LinkedHashSet<>();
@@ -35,7 +35,7 @@
     /** Requests that wait for a configuration. */
     int deferredRequests;
 
-    FrontendContext(EventLoop loop, Sockets sockets, ByteBufAllocator memory, Core core, FrontDialect dialect) {
+    FrontendContext(EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy core, FrontDialect dialect) {
         this.loop = loop;
         this.sockets = sockets;
         this.memory = memory;
--- a/src/main/java/sablehinge/dataplane/http1/PipelinedRequests.java
+++ b/src/main/java/sablehinge/dataplane/http1/PipelinedRequests.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.RequestProxy;
 
 /**
  * Complete requests that wait for their turn on a connection (HTTP/1.1 pipelining), and those of them that were begun
@@ -84,7 +84,7 @@
     }
 
     /** Nobody wants any of them. */
-    void drop(Core core) {
+    void drop(RequestProxy core) {
         begun.forEach(request -> request.drop(core));
         begun.clear();
         waiting.forEach(arrived -> arrived.request().release());
--- a/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
@@ -9,7 +9,7 @@
 import sablehinge.dataplane.budget.HeaderText;
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.ChainBudgets;
-import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Version;
 
 /** What the platform's callers speak. */
@@ -24,7 +24,7 @@
     private static final FrontTerms TERMS = new FrontTerms(
             HEADER_BYTES, UpstreamClient.MAX_PASSING, 2_400, 40, 2_300, 3_000, MOST_KEPT, 32 * MOST_KEPT, false);
 
-    private final Core core;
+    private final RequestProxy core;
     private RequestCheck check;
     /** The check of the version before, and until when a request may still be read by it. */
     private RequestCheck late;
@@ -33,7 +33,7 @@
     /** How budgets are read; null where they are off. */
     private HeaderText budgets;
 
-    PlatformFront(Core core) {
+    PlatformFront(RequestProxy core) {
         this.core = core;
     }
 
--- a/src/main/java/sablehinge/dataplane/proxy/Registry.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Registry.java
@@ -1,6 +1,6 @@
 package sablehinge.dataplane.proxy;
 
-/** Where the list of servers comes from; what it brings is told to {@link Core#told}. */
+/** Where the list of servers comes from; what it brings is told to {@link RequestProxy#told}. */
 public interface Registry {
 
     /** Asks once for the whole list. */
--- a/src/main/java/sablehinge/dataplane/proxy/Core.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
@@ -4,7 +4,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
@@ -25,9 +24,9 @@
  * exactly one final answer. It decides nothing itself and knows no protocol. One thread owns it with all that it calls,
  * so nothing is locked.
  */
-public final class Core implements LoadBalancer.Actions {
+public final class RequestProxy implements LoadBalancer.Actions {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Core.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RequestProxy.class);
     private final Clock clock;
     private final Timers timers;
     private final LoadBalancer balancer;
@@ -41,30 +40,18 @@
     private ChainBudgets budgets;
     private Extras extras;
     /** Versions that are not forgotten yet, by their numbers. */
-    private final Map<Integer, Live> live = new HashMap<>();
+    private final LiveVersions versions = new LiveVersions();
 
     private long lastId;
     private boolean deciding;
     /** The request that the module's present call is about, if it is about one. */
     private Exchange subject;
 
-    /** A version, and how many requests that arrived under it are not forgotten. */
-    private static final class Live {
-        final Version version;
-        int requests;
-        /** Whether nothing goes back to it. */
-        boolean released;
-
-        Live(Version version) {
-            this.version = version;
-        }
-    }
-
     /** Something to tell the module, and the request that it is about or null. */
     private record Event(Exchange about, Runnable call) {}
 
     /** A core with the given module, which is handed its actions. */
-    public Core(Clock clock, Timers timers, Function<LoadBalancer.Actions, LoadBalancer> module) {
+    public RequestProxy(Clock clock, Timers timers, Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.clock = clock;
         this.timers = timers;
         balancer = module.apply(this);
@@ -73,7 +60,7 @@
     /** Begins to decide with a first version and the servers as they were last known. */
     public void start(Version first, long seed, Roster known, Transport attemptTransport, Registry source) {
         version = first;
-        live.put(first.number(), new Live(first));
+        versions.adopt(first);
         transport = attemptTransport;
         registry = source;
         transport.adopt(first);
@@ -97,7 +84,7 @@
     public void adopt(Version next, Roster servers) {
         version = next;
         tracer.note(TraceEvent.VERSION, 0, 0, next.number());
-        live.computeIfAbsent(next.number(), number -> new Live(next)).released = false;
+        versions.adopt(next);
         List<Upstream> upstreams = servers.upstreams();
         transport.adopt(next);
         transport.update(servers);
@@ -107,16 +94,14 @@
 
     /** Nothing goes back to a version: it is forgotten with the last request that arrived under it. */
     public void release(int number) {
-        Live old = live.get(number);
-        if (old != null) {
-            old.released = true;
-            forgetIfLeft(old);
-        }
+        versions.release(number);
+        forgetIfUnused(number);
     }
 
-    private void forgetIfLeft(Live old) {
-        if (old.released && old.requests == 0 && old.version != version && live.remove(old.version.number()) != null) {
-            tell(null, () -> balancer.forget(clock.now(), old.version.settings()));
+    private void forgetIfUnused(int number) {
+        Version unused = versions.removeIfUnused(number, version);
+        if (unused != null) {
+            tell(null, () -> balancer.forget(clock.now(), unused.settings()));
         }
     }
 
@@ -130,7 +115,7 @@
 
     /** How many versions there are under which requests arrive, may arrive again, or are at work. */
     public int versions() {
-        return live.size();
+        return versions.size();
     }
 
     /** Requests that are not forgotten yet. */
@@ -216,7 +201,7 @@
     /** Answers a request over the module's head and tells it that the client waits no more. */
     private void giveUp(Exchange exchange, Answer.Kind kind) {
         answer(exchange, Answer.of(kind));
-        exchange.attempts.forEach(Core::cancel);
+        exchange.attempts.forEach(RequestProxy::cancel);
         tell(null, () -> balancer.clientGone(clock.now(), exchange.id));
         settle(exchange);
     }
@@ -313,7 +298,7 @@
         exchange.budget = budget;
         exchanges.put(exchange.id, exchange);
         tracer.note(TraceEvent.ARRIVED, 0, exchange.id, exchange.serviceClass);
-        live.get(arrivedUnder.number()).requests++;
+        versions.requestBegan(arrivedUnder.number());
         if (coming) {
             exchange.coming = true;
             exchange.deadline = Double.POSITIVE_INFINITY;
@@ -419,46 +404,6 @@
                 .forEach(exchange -> giveUp(exchange, Answer.Kind.UNANSWERED));
     }
 
-    /** An attempt that is out, and when its answer began to come; NaN while it hasn't. */
-    private final class Sent implements Transport.Progress {
-
-        private final Exchange exchange;
-        private final int number;
-        private final long upstream;
-        private final double at;
-        private double begunAt = Double.NaN;
-
-        Sent(Exchange exchange, int number, long upstream, double at) {
-            this.exchange = exchange;
-            this.number = number;
-            this.upstream = upstream;
-            this.at = at;
-        }
-
-        /**
-         * The module learns the latency now. Were it told with the end of a body that trickles in, it would take its
-         * sender's pace for a jam, and refuse others on account of it. An attempt is given up early as the next one may
-         * be quicker; one whose answer comes already has its request's whole time.
-         */
-        @Override
-        public double begun() {
-            begunAt = clock.now();
-            exchange.begun.add(number);
-            double elapsed = begunAt - Math.max(at, exchange.endedAt);
-            tell(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number, elapsed));
-            cancelBegun(exchange);
-            return exchange.deadline;
-        }
-
-        @Override
-        public void ended(AttemptResult result) {
-            if (extras != null && result.result().neverRan()) {
-                exchange.reachedNobody();
-            }
-            finished(exchange, number, upstream, at, begunAt, result);
-        }
-    }
-
     /**
      * The module leaves alone what has begun, as streams are on their way to their callers. These are not: without this
      * one would go on to its deadline though another has answered, or nobody waits any more.
@@ -471,8 +416,31 @@
         }
     }
 
-    private void finished(
-            Exchange exchange, int number, long upstream, double sentAt, double begunAt, AttemptResult end) {
+    /** The first byte of an answer has come, after a latency in ms. */
+    void answerBegins(Exchange exchange, int number, double elapsedMs) {
+        tell(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number, elapsedMs));
+        cancelBegun(exchange);
+    }
+
+    /** An attempt that went out has ended. */
+    void attemptEnded(SentAttempt sent, double begunAt, AttemptResult result) {
+        if (extras != null && result.result().neverRan()) {
+            sent.exchange.reachedNobody();
+        }
+        finished(sent, begunAt, result);
+    }
+
+    /** Sends an attempt now. */
+    Transport.Attempt sendNow(SentAttempt sent, double until, AttemptBudgets.Grant grant) {
+        Exchange exchange = sent.exchange;
+        tracer.note(TraceEvent.CHOSEN, 0, exchange.id, sent.upstream);
+        return transport.send(exchange.version, sent.upstream, exchange.request, until, grant, sent);
+    }
+
+    /** An attempt is over, whether it went out or not. */
+    void finished(SentAttempt sent, double begunAt, AttemptResult end) {
+        Exchange exchange = sent.exchange;
+        int number = sent.number;
         exchange.running--;
         exchange.begun.remove((Integer) number);
         tracer.note(TraceEvent.ATTEMPT_ENDED, 0, exchange.id, end.result().ordinal());
@@ -483,14 +451,14 @@
             budgets.attemptBudgets.over(grant, end.spent(), end.result() == Result.OK);
         }
         if (grant != null && end.result() != Result.NOT_SENT && end.result() != Result.CANCELLED) {
-            budgets.ended(clock.now(), Math.max(sentAt, exchange.endedAt), exchange.deadline, end.result());
+            budgets.ended(clock.now(), Math.max(sent.at, exchange.endedAt), exchange.deadline, end.result());
         }
         if (end.result() == Result.OK) {
             answer(exchange, new Answer(Answer.Kind.SERVED, end.payload(), 0));
         } else if (end.result() == Result.ERROR && exchange.isOpen() && end.payload() != Payload.NONE) {
             exchange.failed(end.payload().keep());
         }
-        double from = Math.max(sentAt, exchange.endedAt);
+        double from = Math.max(sent.at, exchange.endedAt);
         double until = end.result() == Result.OK && begunAt >= from ? begunAt : clock.now();
         tell(
                 exchange,
@@ -499,7 +467,7 @@
                         new Outcome(
                                 exchange.id,
                                 number,
-                                upstream,
+                                sent.upstream,
                                 end.result(),
                                 !exchange.isOpen(),
                                 until - from,
@@ -516,9 +484,9 @@
             }
             exchange.request.release();
             exchange.failed(Payload.NONE);
-            Live own = live.get(exchange.version.number());
-            own.requests--;
-            forgetIfLeft(own);
+            int number = exchange.version.number();
+            versions.requestEnded(number);
+            forgetIfUnused(number);
         }
     }
 
@@ -532,6 +500,7 @@
         }
         double now = clock.now();
         int number = exchange.sends++;
+        SentAttempt sent = new SentAttempt(this, exchange, number, upstream, now);
         exchange.running++;
         if (!exchange.isOpen()
                 || now >= exchange.deadline
@@ -541,7 +510,7 @@
                 || extras != null && exchange.isSpent()) {
             exchange.attempts.add(null);
             exchange.grants.add(null);
-            finished(exchange, number, upstream, now, Double.NaN, AttemptResult.without(Result.NOT_SENT));
+            finished(sent, Double.NaN, AttemptResult.without(Result.NOT_SENT));
             return;
         }
         AttemptBudgets.Grant grant = null;
@@ -559,76 +528,21 @@
             exchange.grants.add(grant);
             if (grant == null) {
                 exchange.attempts.add(null);
-                finished(exchange, number, upstream, now, Double.NaN, AttemptResult.without(Result.NOT_SENT));
+                finished(sent, Double.NaN, AttemptResult.without(Result.NOT_SENT));
                 return;
             }
         }
         double deadline = exchange.coming ? now + exchange.remaining : exchange.deadline;
         double until = timeout == 0 ? deadline : Math.min(deadline, now + timeout);
         exchange.queueTimeoutMs = until - now;
-        Sent sent = new Sent(exchange, number, upstream, now);
         if (extras != null && exchange.reached > 0) {
-            Waiting waiting = new Waiting(sent, until);
+            DeferredAttempt waiting = new DeferredAttempt(this, sent, until);
             exchange.attempts.add(waiting);
             extras.take(exchange.version, exchange.serviceClass, exchange.running > 1, waiting);
             return;
         }
         exchange.reaches(null);
-        tracer.note(TraceEvent.CHOSEN, 0, exchange.id, upstream);
-        exchange.attempts.add(transport.send(exchange.version, upstream, exchange.request, until, grant, sent));
-    }
-
-    /** An attempt that goes out once the right to it has come; a request that still comes has one only. */
-    private final class Waiting implements Transport.Attempt, Consumer<Runnable> {
-
-        private final Sent sent;
-        private final double until;
-        private Transport.Attempt out;
-        private boolean over;
-
-        Waiting(Sent sent, double until) {
-            this.sent = sent;
-            this.until = until;
-        }
-
-        @Override
-        public void accept(Runnable extra) {
-            Exchange exchange = sent.exchange;
-            if (over || !exchange.isOpen() || clock.now() >= until || !exchange.request.canBeSent()) {
-                if (extra != null) {
-                    extra.run();
-                }
-                end(Result.NOT_SENT);
-            } else if (extra == null) {
-                end(Result.NOT_SENT);
-            } else {
-                over = true;
-                exchange.reaches(extra);
-                tracer.note(TraceEvent.CHOSEN, 0, exchange.id, sent.upstream);
-                out = transport.send(exchange.version, sent.upstream, exchange.request, until, null, sent);
-            }
-        }
-
-        private void end(Result result) {
-            if (!over) {
-                over = true;
-                finished(sent.exchange, sent.number, sent.upstream, sent.at, Double.NaN, AttemptResult.without(result));
-            }
-        }
-
-        @Override
-        public boolean mayHaveRun() {
-            return out != null && out.mayHaveRun();
-        }
-
-        @Override
-        public void cancel() {
-            if (out != null) {
-                out.cancel();
-            } else {
-                end(Result.CANCELLED);
-            }
-        }
+        exchange.attempts.add(sendNow(sent, until, grant));
     }
 
     @Override
--- a/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -11,7 +11,7 @@
 import sablehinge.dataplane.http1.FrontTerms;
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Arrival;
-import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Version;
 
 /**
@@ -29,9 +29,9 @@
     private static final FrontTerms TERMS =
             new FrontTerms(HEADER_BYTES, BODY_BYTES, SLOW_MS, SLOWEST, IDLE_MS, IDLE_MS, KEPT, 64 * KEPT, false);
 
-    private final Core core;
+    private final RequestProxy core;
 
-    InboundFront(Core core) {
+    InboundFront(RequestProxy core) {
         this.core = core;
     }
 
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -25,8 +25,8 @@
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.http1.UpstreamClient;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Roster.Member;
 import sablehinge.dataplane.proxy.Version;
@@ -86,8 +86,8 @@
     private final EventLoop loop;
     private final Clock clock = Clock.system();
     private final Sockets sockets;
-    private final Core outbound;
-    private final Core inbound;
+    private final RequestProxy outbound;
+    private final RequestProxy inbound;
     private AdmissionController admission;
     private final Frontend outFront;
     private final Frontend inFront;
@@ -127,8 +127,9 @@
         LoopTimers timers = new LoopTimers(loop, clock);
         quotas = new Quotas(settings.bounds(), this::askPool);
         retryBudget = new RetryBudget(clock, settings, this::claim);
-        outbound = new Core(clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
-        inbound = new Core(clock, timers, actions -> {
+        outbound = new RequestProxy(
+                clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
+        inbound = new RequestProxy(clock, timers, actions -> {
             admission = new AdmissionController(actions);
             return admission;
         });
--- a/src/main/java/sablehinge/gateway/node/LoopVitals.java
+++ b/src/main/java/sablehinge/gateway/node/LoopVitals.java
@@ -7,20 +7,20 @@
 import java.util.function.Supplier;
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.gateway.recorder.Vitals;
 
 /** What a watch can see of the parts of one balancer; on their loop. */
 public final class LoopVitals implements Vitals {
 
-    private final Core core;
+    private final RequestProxy core;
     private final Sockets sockets;
     private final Supplier<Collection<Frontend>> fronts;
     private final LongSupplier memory;
 
     /** Of the given parts; {@code memory} tells the bytes of direct memory that buffers use. */
-    public LoopVitals(Core core, Sockets sockets, Supplier<Collection<Frontend>> fronts, LongSupplier memory) {
+    public LoopVitals(RequestProxy core, Sockets sockets, Supplier<Collection<Frontend>> fronts, LongSupplier memory) {
         this.core = core;
         this.sockets = sockets;
         this.fronts = fronts;
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -22,8 +22,8 @@
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.http1.UpstreamClient;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Observer;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.gateway.admin.CallServer;
@@ -71,7 +71,7 @@
     private final PlatformConfig config;
     private final EventLoop loop;
     private final Clock clock = Clock.system();
-    private final Core core;
+    private final RequestProxy core;
     private final UpstreamClient upstreams;
     private final Discovery discovery;
     private final Frontend frontend;
@@ -92,7 +92,7 @@
         this.loop = loop;
         memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
         sockets = new Sockets(config.sockets());
-        core = new Core(clock, new LoopTimers(loop, clock), module);
+        core = new RequestProxy(clock, new LoopTimers(loop, clock), module);
         upstreams = new UpstreamClient(loop, clock, sockets, memory);
         discovery = new Discovery(
                 loop,
--- a/src/main/java/sablehinge/gateway/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -34,7 +34,7 @@
 import sablehinge.dataplane.http1.UpstreamClient;
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.ChainBudgets;
-import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.gateway.admin.AdminServer;
 import sablehinge.gateway.config.operator.OperatorConfig;
@@ -64,7 +64,7 @@
     private final Timers timers;
     private final PooledByteBufAllocator memory = PooledByteBufAllocator.DEFAULT;
     private final Sockets sockets;
-    private final Core core;
+    private final RequestProxy core;
     private final UpstreamClient transport;
     /** Null where budgets are off. */
     private final HeaderText budgets;
@@ -106,7 +106,7 @@
         loop = ClosingEventLoops.single("node");
         timers = new LoopTimers(loop, clock);
         sockets = new Sockets(first.config().node().descriptors());
-        core = new Core(clock, timers, module);
+        core = new RequestProxy(clock, timers, module);
         transport = new UpstreamClient(loop, clock, sockets, memory);
         BudgetPart part = first.config().budget();
         budgets = text;
@@ -327,7 +327,7 @@
         return timers;
     }
 
-    Core core() {
+    RequestProxy core() {
         return core;
     }
 
--- a/src/main/java/sablehinge/gateway/node/Recording.java
+++ b/src/main/java/sablehinge/gateway/node/Recording.java
@@ -15,7 +15,7 @@
 import sablehinge.common.logging.Log;
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
-import sablehinge.dataplane.proxy.Core;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.TraceEvent;
 import sablehinge.gateway.recorder.Alarm;
 import sablehinge.gateway.recorder.DumpFolder;
@@ -37,7 +37,7 @@
     private static final long NANOS_PER_US = 1_000;
 
     private final EventLoop loop;
-    private final Core core;
+    private final RequestProxy core;
     private final Sockets sockets;
     private final Vitals vitals;
     private final FlightRecorder recorder;
@@ -63,7 +63,7 @@
             int keep,
             Watch.Terms terms,
             EventLoop loop,
-            Core core,
+            RequestProxy core,
             Sockets sockets,
             Supplier<Collection<Frontend>> fronts,
             LongSupplier memory) {
--- a/src/test/java/sablehinge/cli/DrainTest.java
+++ b/src/test/java/sablehinge/cli/DrainTest.java
@@ -109,7 +109,7 @@
             process = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
             Peer.toServing(new InetSocketAddress("127.0.0.1", port), process).close();
             String classes = Files.readString(loaded);
-            assertTrue(classes.contains("sablehinge.dataplane.proxy.Core "));
+            assertTrue(classes.contains("sablehinge.dataplane.proxy.RequestProxy "));
             for (String off : new String[] {
                 "picocli.",
                 "org.tomlj.",
--- a/src/test/java/sablehinge/common/logging/LoggingTest.java
+++ b/src/test/java/sablehinge/common/logging/LoggingTest.java
@@ -127,7 +127,8 @@
     void eachSubsystemHasItsLevel() {
         Consumer<org.slf4j.Logger> both = log -> {
             log.debug("of http1");
-            org.slf4j.LoggerFactory.getLogger("sablehinge.dataplane.proxy.Core").debug("of core");
+            org.slf4j.LoggerFactory.getLogger("sablehinge.dataplane.proxy.RequestProxy")
+                    .debug("of core");
             org.slf4j.LoggerFactory.getLogger("io.netty.Some").info("of netty");
         };
         String text = written(json(9, Map.of("http1", Level.DEBUG, "netty", Level.ERROR)), both);
--- a/src/test/java/sablehinge/dataplane/proxy/CoreTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
@@ -35,7 +35,7 @@
 import sablehinge.rig.Logs;
 
 /** Core in virtual time, between a transport and callers that do anything at random. */
-class CoreTest {
+class RequestProxyTest {
 
     private static Settings settings(Repeat repeat, int attempts, int mostOpen) {
         ServiceClass one =
@@ -160,14 +160,14 @@
         final List<Out> out = new ArrayList<>();
         final List<Asked> asked = new ArrayList<>();
         final Map<Integer, Integer> forgotten = new HashMap<>();
-        final Core core;
+        final RequestProxy core;
         double now = 1_000;
         private long order;
         private boolean breaks;
 
         World(long seed) {
             random = new SplittableRandom(seed);
-            core = new Core(() -> now, this, actions -> new Breaking(new LatencyWeightedBalancer(actions)));
+            core = new RequestProxy(() -> now, this, actions -> new Breaking(new LatencyWeightedBalancer(actions)));
         }
 
         /** The module, which now and then throws in the middle of a call. */
@@ -398,21 +398,24 @@
         World world = new World(9);
         List<Double> fired = new ArrayList<>();
         List<LoadBalancer.Outcome> outcomes = new ArrayList<>();
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
-                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
-                    switch (method.getName()) {
-                        case "request" -> {
-                            actions.setTimer(1, world.now + 100);
-                            actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 400);
-                            // A second copy of what can't be read twice.
-                            actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 400);
-                        }
-                        case "timer" -> fired.add(world.now);
-                        case "attemptFinished" -> outcomes.add((LoadBalancer.Outcome) arguments[1]);
-                        default -> {}
-                    }
-                    return null;
-                }));
+        RequestProxy core = new RequestProxy(
+                () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                        RequestProxyTest.class.getClassLoader(),
+                        new Class<?>[] {LoadBalancer.class},
+                        (self, method, arguments) -> {
+                            switch (method.getName()) {
+                                case "request" -> {
+                                    actions.setTimer(1, world.now + 100);
+                                    actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 400);
+                                    // A second copy of what can't be read twice.
+                                    actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 400);
+                                }
+                                case "timer" -> fired.add(world.now);
+                                case "attemptFinished" -> outcomes.add((LoadBalancer.Outcome) arguments[1]);
+                                default -> {}
+                            }
+                            return null;
+                        }));
         Version only = version(1, world.random);
         core.start(only, 9, roster(new SplittableRandom(8)), world, world);
         World.Asked one = world.new Asked(only);
@@ -441,14 +444,17 @@
     @Test
     void whatHasBegunEndsOnceNobodyWaits() {
         World world = new World(3);
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
-                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
-                    if (method.getName().equals("request")) {
-                        actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
-                        actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
-                    }
-                    return null;
-                }));
+        RequestProxy core = new RequestProxy(
+                () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                        RequestProxyTest.class.getClassLoader(),
+                        new Class<?>[] {LoadBalancer.class},
+                        (self, method, arguments) -> {
+                            if (method.getName().equals("request")) {
+                                actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
+                                actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
+                            }
+                            return null;
+                        }));
         Version only = version(1, world.random);
         core.start(only, 3, roster(new SplittableRandom(8)), world, world);
         for (boolean leaves : new boolean[] {true, false}) {
@@ -473,16 +479,19 @@
         World world = new World(5);
         List<Double> begun = new ArrayList<>();
         List<LoadBalancer.Outcome> outcomes = new ArrayList<>();
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
-                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
-                    switch (method.getName()) {
-                        case "request" -> actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
-                        case "streamStarted" -> begun.add((Double) arguments[3]);
-                        case "attemptFinished" -> outcomes.add((LoadBalancer.Outcome) arguments[1]);
-                        default -> {}
-                    }
-                    return null;
-                }));
+        RequestProxy core = new RequestProxy(
+                () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                        RequestProxyTest.class.getClassLoader(),
+                        new Class<?>[] {LoadBalancer.class},
+                        (self, method, arguments) -> {
+                            switch (method.getName()) {
+                                case "request" -> actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
+                                case "streamStarted" -> begun.add((Double) arguments[3]);
+                                case "attemptFinished" -> outcomes.add((LoadBalancer.Outcome) arguments[1]);
+                                default -> {}
+                            }
+                            return null;
+                        }));
         Version only = version(1, world.random);
         core.start(only, 5, roster(new SplittableRandom(8)), world, world);
         for (Result result : new Result[] {Result.OK, Result.RESET}) {
@@ -503,17 +512,20 @@
     @Test
     void nothingIsSentOnceItIsAnswered() {
         World world = new World(6);
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
-                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
-                    if (method.getName().equals("request")) {
-                        long id = ((LoadBalancer.Request) arguments[1]).id();
-                        actions.send(id, 1, 0);
-                        actions.fail(id);
-                        actions.send(id, 1, 0);
-                        actions.fail(id);
-                    }
-                    return null;
-                }));
+        RequestProxy core = new RequestProxy(
+                () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                        RequestProxyTest.class.getClassLoader(),
+                        new Class<?>[] {LoadBalancer.class},
+                        (self, method, arguments) -> {
+                            if (method.getName().equals("request")) {
+                                long id = ((LoadBalancer.Request) arguments[1]).id();
+                                actions.send(id, 1, 0);
+                                actions.fail(id);
+                                actions.send(id, 1, 0);
+                                actions.fail(id);
+                            }
+                            return null;
+                        }));
         Version only = version(1, world.random);
         core.start(only, 6, roster(new SplittableRandom(8)), world, world);
         World.Asked one = world.new Asked(only);
@@ -529,13 +541,16 @@
     @Test
     void nothingIsLeftOutForWhatIsGivenUp() {
         World world = new World(7);
-        Core core = new Core(() -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
-                CoreTest.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (self, method, arguments) -> {
-                    if (method.getName().equals("request")) {
-                        actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
-                    }
-                    return null;
-                }));
+        RequestProxy core = new RequestProxy(
+                () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
+                        RequestProxyTest.class.getClassLoader(),
+                        new Class<?>[] {LoadBalancer.class},
+                        (self, method, arguments) -> {
+                            if (method.getName().equals("request")) {
+                                actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 0);
+                            }
+                            return null;
+                        }));
         Version only = version(1, world.random);
         core.start(only, 7, roster(new SplittableRandom(8)), world, world);
         World.Asked one = world.new Asked(only);
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -18,9 +18,9 @@
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Arrival;
 import sablehinge.dataplane.proxy.AttemptResult;
-import sablehinge.dataplane.proxy.Core;
 import sablehinge.dataplane.proxy.Payload;
 import sablehinge.dataplane.proxy.Registry;
+import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Roster;
 import sablehinge.dataplane.proxy.Transport;
 import sablehinge.dataplane.proxy.Version;
@@ -48,7 +48,7 @@
         private final RetryBudgetAllocator holder = new RetryBudgetAllocator(new RetryBudgetRule(RATIO, 10_000, SLACK));
         private boolean reachable = true;
         private final RetryBudget retryBudget = new RetryBudget(() -> now, settings(), this::claimed);
-        private final Core core = new Core(
+        private final RequestProxy core = new RequestProxy(
                 () -> now,
                 (at, call) -> () -> {},
                 actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
