--- a/src/main/java/sablehinge/cli/Main.java
+++ b/src/main/java/sablehinge/cli/Main.java
@@ -2,6 +2,7 @@
 
 import java.io.PrintWriter;
 import java.lang.reflect.Proxy;
+import java.nio.charset.Charset;
 import java.util.Arrays;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
@@ -35,7 +36,10 @@
             System.exit(
                     MeshCommands.run(Arrays.copyOfRange(args, 1, args.length), Shell.usual(System.out, System.err)));
         } else {
-            System.exit(Commands.run(args, new PrintWriter(System.out, true), new PrintWriter(System.err, true)));
+            System.exit(Commands.run(
+                    args,
+                    new PrintWriter(System.out, true, Charset.defaultCharset()),
+                    new PrintWriter(System.err, true, Charset.defaultCharset())));
         }
     }
 
--- a/src/main/java/sablehinge/controlplane/api/MeshNodes.java
+++ b/src/main/java/sablehinge/controlplane/api/MeshNodes.java
@@ -23,8 +23,8 @@
      *
      * @param inbound where it takes requests for its upstream
      * @param upstream the id of the upstream's life; empty for none
-     * @param state {@code ready}; {@code draining}: the upstream or the balancer leaves; {@code empty}: no upstream
-     *     beside it; {@code gone}: nothing has been heard for long
+     * @param state "ready"; "draining": the upstream or the balancer leaves; "empty": no upstream beside it; "gone":
+     *     nothing has been heard for long
      * @param berths requests that the upstream works on at once
      * @param silentMs since it was last heard of
      */
--- a/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
@@ -300,8 +300,9 @@
     /** Reads a list of members; fails if it is longer than any core. */
     public static List<Member> readMembers(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
-        if (count > MemberListCodec.MOST) {
-            throw new IOException("a core of " + count + " members; " + MemberListCodec.MOST + " at most are expected");
+        if (count > MemberListCodec.MAX_MEMBERS) {
+            throw new IOException(
+                    "a core of " + count + " members; " + MemberListCodec.MAX_MEMBERS + " at most are expected");
         }
         List<Member> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sablehinge/controlplane/raft/MemberListCodec.java
+++ b/src/main/java/sablehinge/controlplane/raft/MemberListCodec.java
@@ -11,7 +11,7 @@
 public final class MemberListCodec {
 
     /** More than any core has. */
-    public static final int MOST = 64;
+    public static final int MAX_MEMBERS = 64;
 
     private static final int ID = 8;
     private static final int LENGTH = 2;
@@ -42,8 +42,9 @@
     public static List<Member> read(byte[] bytes) {
         Reader reader = new Reader(bytes);
         int count = (int) reader.number(LENGTH);
-        if (count > MOST) {
-            throw new IllegalArgumentException("a core of " + count + " members; " + MOST + " at most are expected");
+        if (count > MAX_MEMBERS) {
+            throw new IllegalArgumentException(
+                    "a core of " + count + " members; " + MAX_MEMBERS + " at most are expected");
         }
         List<Member> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -282,7 +282,7 @@
     }
 
     /** Hears of a caller that could not be let in, and waits for the next sweep before it tries again. */
-    private final class Acceptor extends ChannelInboundHandlerAdapter {
+    private static final class Acceptor extends ChannelInboundHandlerAdapter {
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -261,8 +261,10 @@
                 || !running.node().name().equals(next.node().name())) {
             return "node.name, state, descriptors and access-log can't change while the process runs";
         }
-        long names =
-                zones.size() + kinds.size() + next.zones().size() + next.kinds().size();
+        long names = (long) zones.size()
+                + kinds.size()
+                + next.zones().size()
+                + next.kinds().size();
         return names <= MOST_NAMES
                 ? null
                 : "over " + MOST_NAMES
--- a/src/main/java/sablehinge/gateway/wire/WireHost.java
+++ b/src/main/java/sablehinge/gateway/wire/WireHost.java
@@ -321,7 +321,7 @@
     private int tailOffset(int at, int unit) {
         long offset = LittleEndian.getUnsignedInt(body, at);
         long bytes = LittleEndian.getUnsignedInt(body, at + 4) * unit;
-        long size = body.length - tailAt;
+        long size = (long) body.length - tailAt;
         if (offset + bytes > size) {
             throw new MalformedInputException(
                     "offset " + offset + " with " + bytes + " bytes leaves the tail of " + size);
--- a/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
@@ -22,7 +22,7 @@
     /** One that has just come under watch may take so much longer to speak: it may not know of it yet. */
     static final double GRACE_MS = 1_500;
     /** Most balancers watched over: all the ring can ask for, with some from rings a moment older. */
-    public static final int MOST = 4 * HashRing.REACH;
+    public static final int MAX_REPORTED = 4 * HashRing.REACH;
 
     /** Each suspicion that proved wrong adds this part of the silence allowed, up to so many. */
     private static final double FLAP_PART = 0.5;
@@ -55,7 +55,7 @@
     public void over(double now, Collection<String> nodes) {
         watched.keySet().retainAll(nodes);
         for (String node : nodes) {
-            if (watched.size() < MOST && !watched.containsKey(node)) {
+            if (watched.size() < MAX_REPORTED && !watched.containsKey(node)) {
                 WatchedPeer one = new WatchedPeer();
                 one.heardAt = now + GRACE_MS;
                 watched.put(node, one);
--- a/src/main/java/sablehinge/mesh/retrybudget/Claim.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/Claim.java
@@ -15,7 +15,7 @@
 public record Claim(long incarnation, int number, long term, String service, List<Line> lines) {
 
     /** Services that one claim may tell of; further tries of more services are not sent. */
-    public static final int MOST = 200;
+    public static final int MAX_LINES = 200;
 
     /** A claim whose list can't be changed. */
     public Claim {
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
@@ -115,7 +115,7 @@
     public void adopt(Collection<String> services) {
         parts.keySet().retainAll(services);
         services.stream()
-                .limit(Claim.MOST)
+                .limit(Claim.MAX_LINES)
                 .forEach(service -> parts.computeIfAbsent(service, name -> new ServiceShare()));
     }
 
--- a/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
+++ b/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
@@ -38,7 +38,7 @@
         int number = in.readInt();
         long term = in.readLong();
         String service = in.readUTF();
-        int count = RecordBytes.bounded(in.readUnsignedByte(), Claim.MOST);
+        int count = RecordBytes.bounded(in.readUnsignedByte(), Claim.MAX_LINES);
         List<Claim.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             lines.add(new Claim.Line(
@@ -66,7 +66,7 @@
         DataInputStream in = RecordBytes.in(bytes);
         int number = in.readInt();
         long term = in.readLong();
-        int count = RecordBytes.bounded(in.readUnsignedByte(), Claim.MOST);
+        int count = RecordBytes.bounded(in.readUnsignedByte(), Claim.MAX_LINES);
         List<Grant.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             lines.add(new Grant.Line(in.readUTF(), in.readInt()));
--- a/src/main/java/sablehinge/mesh/watch/WatchRequest.java
+++ b/src/main/java/sablehinge/mesh/watch/WatchRequest.java
@@ -10,16 +10,16 @@
 import sablehinge.mesh.failuredetection.SuspicionCause;
 
 /**
- * A data-plane balancer asks for news.
+ * A sidecar's long poll for updates: configuration, registry, members of the core.
  *
- * @param number counts its asks up; the answer names it
- * @param intake itself and its upstream
+ * @param number counts the sidecar's requests up; the {@link Update} names it
+ * @param registration the sidecar itself and its upstream
  * @param edition of the configuration that it has; 0 for none
- * @param term of the one who kept the roll that it has; 0 for none
- * @param stamp of that roll
- * @param confirm whether it wants to be sure that nothing newer was acknowledged before it asked
- * @param suspicions whom it watches over and doesn't hear; {@link Monitor#MOST} at most
- * @param vouched whom it hears, and the keeper of the roll doesn't know of; as many at most
+ * @param term of the leader whose registry it has; 0 for none
+ * @param stamp of that registry
+ * @param confirm whether the answer has to be confirmed: nothing newer was acknowledged before the request
+ * @param suspicions peers that it monitors and does not hear; {@link Monitor#MAX_REPORTED} at most
+ * @param vouched peers that it hears and the registry does not have; as many at most
  */
 public record WatchRequest(
         int number,
@@ -71,13 +71,13 @@
         long term = in.readLong();
         long stamp = in.readLong();
         boolean confirm = in.readBoolean();
-        int count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MOST);
+        int count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MAX_REPORTED);
         List<Suspicion> suspicions = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             suspicions.add(new Suspicion(
                     in.readUTF(), EVIDENCE[RecordBytes.bounded(in.readUnsignedByte(), EVIDENCE.length - 1)]));
         }
-        count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MOST);
+        count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MAX_REPORTED);
         List<Registration> vouched = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             vouched.add(Registrations.read(in));
--- a/src/main/java/sablehinge/tools/replay/Formats.java
+++ b/src/main/java/sablehinge/tools/replay/Formats.java
@@ -15,13 +15,13 @@
     /** A reader for a log that was opened; {@link IllegalArgumentException} for a format of no use. */
     static EntryReader reader(String name, Inputs.Peekable in, LogOptions options, UnreadableLines unreadable)
             throws IOException {
-        String format = options.format().equals("auto") ? guess(peek(name, in, unreadable)) : options.format();
+        String format = options.format().equals("auto") ? guess(peek(in)) : options.format();
         return format.equals("har")
                 ? new HarEntries(name, in, unreadable)
                 : new LineEntries(name, in, format(format, options), unreadable);
     }
 
-    private static String peek(String name, Inputs.Peekable in, UnreadableLines unreadable) throws IOException {
+    private static String peek(Inputs.Peekable in) throws IOException {
         try {
             return in.peeked(in.peek(LOOKED_AT));
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/sablehinge/tools/replay/run/Load.java
+++ b/src/main/java/sablehinge/tools/replay/run/Load.java
@@ -66,7 +66,6 @@
     }
 
     private final Options options;
-    private final Consumer<Evidence> record;
     private final List<ReplayWorker> lanes = new ArrayList<>();
     private final Map<String, ClassPlan> plans;
     private final ReplaySchedule<Demand> pace;
@@ -81,7 +80,6 @@
     /** A replay that sends nothing yet; {@code record} hears what its clients see, on their threads. */
     public Load(Options options, Consumer<Evidence> record) throws InterruptedException {
         this.options = options;
-        this.record = record;
         plans = new HashMap<>(options.classes());
         pace = new ReplaySchedule<>(options.pace(), this::due);
         Warmup.run(options.lanes());
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
@@ -8,7 +8,7 @@
  * Where everything of a small mesh is: each machine has a loopback address of its own, all have the same ports.
  *
  * @param prefix the first three numbers of all addresses, such as 127.0.0
- * @param control nodes how many machines the core has
+ * @param controlNodes how many machines the core has
  * @param services the services of the upstreams, one for each machine with an upstream
  */
 public record MeshPlan(String prefix, int controlNodes, List<String> services) {
--- a/src/test/java/sablehinge/mesh/watch/RecordsTest.java
+++ b/src/test/java/sablehinge/mesh/watch/RecordsTest.java
@@ -94,7 +94,7 @@
 
     @Test
     void claimsAndGrantsTellOfAsManyServicesAsTheyMay() throws Exception {
-        List<Claim.Line> lines = IntStream.range(0, Claim.MOST)
+        List<Claim.Line> lines = IntStream.range(0, Claim.MAX_LINES)
                 .mapToObj(i -> new Claim.Line("service-" + i, i, 0, 0, 0, 1))
                 .toList();
         Claim claim = new Claim(1, 1, 1, "service-0", lines);
@@ -125,7 +125,7 @@
             }
         }
         // After the life, the number, the term and the service: how many lines there are.
-        bytes[8 + 4 + 8 + 2 + 7] = (byte) (Claim.MOST + 1);
+        bytes[8 + 4 + 8 + 2 + 7] = (byte) (Claim.MAX_LINES + 1);
         assertThrows(IOException.class, () -> RetryBudgetCodec.claim(bytes));
     }
 }
