--- a/bench/src/sablehinge/controlplane/raft/Calm.java
+++ b/bench/src/sablehinge/controlplane/raft/Calm.java
@@ -17,7 +17,7 @@
     /** Within how long the core must be whole, ms. */
     private static final int BOUND = 20_000;
     /** Messages and writes between two looks; what is left waits for the next. */
-    private static final int MOST_MOVES = 600;
+    private static final int MAX_MOVES = 600;
 
     private final SteppedCluster cluster;
 
@@ -68,7 +68,7 @@
     private void flow() {
         int moves = 0;
         boolean moved = true;
-        while (moved && moves < MOST_MOVES) {
+        while (moved && moves < MAX_MOVES) {
             moved = false;
             for (int a = 0; a < cluster.size(); a++) {
                 if (cluster.syncOne(a)) {
--- a/bench/src/sablehinge/controlplane/raft/LostChange.java
+++ b/bench/src/sablehinge/controlplane/raft/LostChange.java
@@ -16,7 +16,7 @@
     /** Rounds within which a silent voter is about to be replaced, and then is. */
     private static final int WAITS = 30;
 
-    private static final int MOST_COMMANDS = 4;
+    private static final int MAX_COMMANDS = 4;
     /** Commands are proposed so long before a silent voter may be replaced, ms of the leader's clock. */
     private static final double BEFORE = 60;
 
@@ -44,7 +44,7 @@
         int turn = player.random.nextInt(2);
         int behind = others[turn];
         int away = others[1 - turn];
-        int commands = 1 + player.random.nextInt(MOST_COMMANDS);
+        int commands = 1 + player.random.nextInt(MAX_COMMANDS);
         player.ways(Step.Kind.CUT, away);
         if (!appendChange(first, behind, away, commands)) {
             player.ways(Step.Kind.MEND, away);
--- a/bench/src/sablehinge/controlplane/raft/Outrun.java
+++ b/bench/src/sablehinge/controlplane/raft/Outrun.java
@@ -7,9 +7,9 @@
  */
 final class Outrun {
 
-    private static final int MOST_BEFORE = 3;
-    private static final int MOST_ENTRIES = 4;
-    private static final int MOST_TERMS = 3;
+    private static final int MAX_BEFORE = 3;
+    private static final int MAX_ENTRIES = 4;
+    private static final int MAX_TERMS = 3;
 
     private final Player player;
 
@@ -21,7 +21,7 @@
     void play() {
         player.elect();
         int first = player.leader();
-        for (int i = player.random.nextInt(MOST_BEFORE); i > 0; i--) {
+        for (int i = player.random.nextInt(MAX_BEFORE); i > 0; i--) {
             player.take(Step.of(Step.Kind.PROPOSE, first));
             player.flow();
         }
@@ -30,14 +30,14 @@
         }
         int size = player.cluster.size();
         int behind = (first + 1 + player.random.nextInt(size - 1)) % size;
-        for (int i = 1 + player.random.nextInt(MOST_ENTRIES); i > 0; i--) {
+        for (int i = 1 + player.random.nextInt(MAX_ENTRIES); i > 0; i--) {
             player.take(Step.of(Step.Kind.PROPOSE, first));
         }
         handOut(first, behind);
         player.ways(Step.Kind.CUT, behind);
         player.lose(first, behind);
         player.depose(first);
-        for (int i = 1 + player.random.nextInt(MOST_TERMS); i > 0; i--) {
+        for (int i = 1 + player.random.nextInt(MAX_TERMS); i > 0; i--) {
             player.elect();
             if (i > 1) {
                 player.depose(player.leader());
--- a/bench/src/sablehinge/controlplane/raft/Player.java
+++ b/bench/src/sablehinge/controlplane/raft/Player.java
@@ -11,7 +11,7 @@
 
     private static final int PACE = 30;
     private static final int ROUNDS = 80;
-    private static final int MOST_MOVES = 200;
+    private static final int MAX_MOVES = 200;
     /** Stands for no machine's disk. */
     private static final int NO_DISK = -1;
 
@@ -101,7 +101,7 @@
     /** The same while one disk hangs, by its machine's place. */
     void flow(int hangs) {
         boolean moved = true;
-        for (int moves = 0; moved && moves < MOST_MOVES; ) {
+        for (int moves = 0; moved && moves < MAX_MOVES; ) {
             moved = false;
             for (int a = 0; a < cluster.size(); a++) {
                 if (a != hangs && sync(a)) {
--- a/bench/src/sablehinge/controlplane/raft/QuorumBench.java
+++ b/bench/src/sablehinge/controlplane/raft/QuorumBench.java
@@ -23,10 +23,10 @@
     /** Steps of which every order is played for a fault that is not found by chance. */
     private static final int HUNTED_DEPTH = 3;
 
-    private static final int MOST_THREADS = 4;
+    private static final int MAX_THREADS = 4;
     private static final int SHOWN = 3;
     /** Schedules by chance that a fault is looked for in, before all orders. */
-    private static final int MOST_HUNTED = 20_000;
+    private static final int MAX_HUNTED = 20_000;
 
     private static final double NANOS_PER_S = 1e9;
 
@@ -46,7 +46,7 @@
         List<Fault> faults = Faults.ALL.stream()
                 .filter(fault -> arguments.length < 3 || fault.name().contains(arguments[2]))
                 .toList();
-        int threads = Math.min(MOST_THREADS, Runtime.getRuntime().availableProcessors());
+        int threads = Math.min(MAX_THREADS, Runtime.getRuntime().availableProcessors());
         // What is parallel inside of it runs on its threads.
         boolean good = new ForkJoinPool(threads)
                 .submit(() -> measure(most, depth, faults, threads))
@@ -93,7 +93,7 @@
                     "%nBROKEN, cut down from %d steps:%n%s",
                     script.steps().size(), script.shortened().told());
         }
-        int found = hunt(faults, Math.min(most, MOST_HUNTED), Math.min(depth, HUNTED_DEPTH));
+        int found = hunt(faults, Math.min(most, MAX_HUNTED), Math.min(depth, HUNTED_DEPTH));
         ObjectNode json = JsonMapper.builder().build().createObjectNode();
         json.put("schedules", byChance.schedules.sum() + inOrder.schedules.sum());
         json.put("violations", broken.size() - stuck);
--- a/bench/src/sablehinge/controlplane/raft/RandomScheduler.java
+++ b/bench/src/sablehinge/controlplane/raft/RandomScheduler.java
@@ -18,7 +18,7 @@
     /** The part of the schedules of a focus that have such a beginning. */
     private static final double LED = 0.1;
 
-    private static final int SHORTEST = 15;
+    private static final int MIN_LENGTH = 15;
     private static final int VARIES = 80;
     private static final int LONG_WAIT = 350;
     private static final int NEWCOMERS = 2;
@@ -30,8 +30,8 @@
     private final Player player;
     private final SteppedCluster cluster;
     private final Focus focus;
-    private final boolean[] lags = new boolean[SteppedCluster.MOST * SteppedCluster.MOST];
-    private final boolean[] hangs = new boolean[SteppedCluster.MOST];
+    private final boolean[] lags = new boolean[SteppedCluster.MAX * SteppedCluster.MAX];
+    private final boolean[] hangs = new boolean[SteppedCluster.MAX];
     /** Who does nothing in this spell, though it may be called in its last moment; -1 for none. */
     private int frozen = -1;
     /** Whether every other spell is without troubles. */
@@ -119,7 +119,7 @@
         }
         List<Step> cuts = calm || !chance(focus.cuts) ? List.of() : cuts();
         cuts.forEach(this::take);
-        int rounds = SHORTEST + draw(VARIES);
+        int rounds = MIN_LENGTH + draw(VARIES);
         if (!calm && focus == Focus.CUT_OFF && chance(0.15)) {
             // As long as it takes until a leader gives up for its disk.
             hangs[player.leader()] = true;
@@ -203,7 +203,7 @@
                     return true;
                 }
             } else if (!cluster.link(at / size, at % size).isEmpty()
-                    && !lags[at / size * SteppedCluster.MOST + at % size]
+                    && !lags[at / size * SteppedCluster.MAX + at % size]
                     && at % size != frozen) {
                 int waiting = cluster.link(at / size, at % size).size();
                 Step.Kind kind =
--- a/bench/src/sablehinge/controlplane/raft/Script.java
+++ b/bench/src/sablehinge/controlplane/raft/Script.java
@@ -10,7 +10,7 @@
     /** As long as any step without its comment. */
     private static final int WIDTH = 16;
 
-    private static final int LONGEST_COMMENT = 300;
+    private static final int MAX_COMMENT = 300;
 
     /** A script whose list can't be changed. */
     Script {
@@ -158,7 +158,7 @@
                     + (after.equals(before) ? "" : " => " + after);
             text.append(String.format("%-" + WIDTH + "s", step))
                     .append("# ")
-                    .append(comment, 0, Math.min(LONGEST_COMMENT, comment.length()))
+                    .append(comment, 0, Math.min(MAX_COMMENT, comment.length()))
                     .append('\n');
             before = after;
             if (breach != null) {
--- a/bench/src/sablehinge/controlplane/raft/SlowFollower.java
+++ b/bench/src/sablehinge/controlplane/raft/SlowFollower.java
@@ -11,7 +11,7 @@
     /** Rounds within which a silent voter would be replaced. */
     private static final int WAITS = 30;
 
-    private static final int MOST_COMMANDS = 3;
+    private static final int MAX_COMMANDS = 3;
 
     private final Player player;
 
@@ -35,7 +35,7 @@
         int turn = player.random.nextInt(2);
         int slow = others[turn];
         int away = others[1 - turn];
-        for (int i = 1 + player.random.nextInt(MOST_COMMANDS); i > 0; i--) {
+        for (int i = 1 + player.random.nextInt(MAX_COMMANDS); i > 0; i--) {
             player.take(Step.of(Step.Kind.PROPOSE, leader));
             player.flow(slow);
         }
--- a/bench/src/sablehinge/controlplane/raft/Step.java
+++ b/bench/src/sablehinge/controlplane/raft/Step.java
@@ -114,9 +114,9 @@
 
     private static int machine(String word) {
         int machine = word.charAt(0) - 'a';
-        if (word.length() != 1 || machine < 0 || machine >= SteppedCluster.MOST) {
+        if (word.length() != 1 || machine < 0 || machine >= SteppedCluster.MAX) {
             throw new IllegalArgumentException(
-                    "no machine is called '" + word + "'; a to " + letter(SteppedCluster.MOST - 1) + " may be");
+                    "no machine is called '" + word + "'; a to " + letter(SteppedCluster.MAX - 1) + " may be");
         }
         return machine;
     }
--- a/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
+++ b/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
@@ -16,11 +16,11 @@
 final class SteppedCluster extends SimulatedCluster {
 
     /** Most machines. */
-    static final int MOST = 8;
+    static final int MAX = 8;
     /** The seed of a core of three with the same terms for all, and clocks that differ little. */
     static final long PLAIN = 0;
     /** Messages on the way from one to another; the oldest is lost if there are more. */
-    private static final int MOST_ON_THE_WAY = 32;
+    private static final int MAX_ON_THE_WAY = 32;
     /** Clocks go 10% wrong at most, of which a lease must take account. */
     private static final double WRONG = 0.1;
     /** Length of a state whose snapshot needs several chunks, bytes; and how many seeds have it. */
@@ -47,11 +47,11 @@
     private final List<Machine> byPlace = new ArrayList<>();
     private final Map<String, Integer> places = new HashMap<>();
     private final List<List<Letter>> links = new ArrayList<>();
-    private final double[] rates = new double[MOST];
+    private final double[] rates = new double[MAX];
     /** The state that was put aside at a machine for a snapshot, in its life; by place. */
-    private final Captured[] captured = new Captured[MOST];
+    private final Captured[] captured = new Captured[MAX];
     /** The life in which a machine's process was told to end; by place. */
-    private final long[] leaving = new long[MOST];
+    private final long[] leaving = new long[MAX];
 
     private final CarriedChanges carried = new CarriedChanges();
     /** Starts of processes on empty disks; null where machines are there from the beginning. */
@@ -68,12 +68,12 @@
 
     SteppedCluster(long seed) {
         super(seed);
-        for (int i = 0; i < MOST * MOST; i++) {
+        for (int i = 0; i < MAX * MAX; i++) {
             links.add(new ArrayList<>());
         }
         RaftConfig usual = RaftConfig.defaults();
         boolean plain = seed == PLAIN;
-        for (int i = 0; i < MOST; i++) {
+        for (int i = 0; i < MAX; i++) {
             rates[i] = plain ? 1 + (i % 3 - 1) * PLAINLY_WRONG : 1 + (random.nextInt(3) - 1) * WRONG;
         }
         // Few entries a message and short patience bring about what a core meets seldom.
@@ -129,7 +129,7 @@
     }
 
     List<Letter> link(int from, int to) {
-        return links.get(from * MOST + to);
+        return links.get(from * MAX + to);
     }
 
     int done() {
@@ -184,7 +184,7 @@
         Integer place = places.get(to);
         if (place != null) {
             List<Letter> link = link(places.get(from.address()), place);
-            if (link.size() == MOST_ON_THE_WAY) {
+            if (link.size() == MAX_ON_THE_WAY) {
                 link.remove(0);
             }
             link.add(new Letter(from, message));
@@ -334,7 +334,7 @@
 
     private boolean newcomer(int place) {
         // Places are given in order, so a script that lost one newcomer has the next in its place.
-        if (place < byPlace.size() || byPlace.size() == MOST) {
+        if (place < byPlace.size() || byPlace.size() == MAX) {
             return false;
         }
         add("10.0.1." + byPlace.size() + ":1").outside();
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -36,7 +36,7 @@
     private static final int REPLACED = 5;
     private static final long REPLACED_EVERY_MS = 400;
     private static final long LEADER_MS = 15_000;
-    private static final int MOST_FAILURES = 2;
+    private static final int MAX_FAILURES = 2;
     private static final int REQUESTS = 1_500;
     private static final long LOST_MS = 20_000;
     private static final long UNDECIDED_MS = 6_000;
@@ -88,7 +88,7 @@
         memory();
         lostZone();
         lostRegion();
-        processes.failures(MOST_FAILURES).forEach(line -> progress.accept("log: " + line));
+        processes.failures(MAX_FAILURES).forEach(line -> progress.accept("log: " + line));
         return List.copyOf(measurements);
     }
 
@@ -112,7 +112,7 @@
         hollow.await(this::knowsAll);
         byte[] body = configuration.body(1);
         if (!operator.replace(0, body, START_MS)) {
-            processes.failures(MOST_FAILURES).forEach(line -> progress.accept("log: " + line));
+            processes.failures(MAX_FAILURES).forEach(line -> progress.accept("log: " + line));
             throw new IllegalStateException("the first configuration was not acknowledged");
         }
         progress.accept("first configuration acknowledged");
--- a/bench/src/sablehinge/tools/standin/mesh/Pulse.java
+++ b/bench/src/sablehinge/tools/standin/mesh/Pulse.java
@@ -22,7 +22,7 @@
     static final double WELL = 0.95;
 
     private static final int TIMEOUT_MS = 2_000;
-    private static final int MOST = 160;
+    private static final int MAX = 160;
     private static final double WINDOW_MS = 1_000;
     private static final int BODY = 200;
     private static final double NANOS = 1e6;
@@ -32,7 +32,7 @@
     private final double everyMs;
     private final List<One> all = new ArrayList<>();
     private final ThreadPoolExecutor calls =
-            new ThreadPoolExecutor(0, MOST, 1, TimeUnit.SECONDS, new SynchronousQueue<>(), work -> {
+            new ThreadPoolExecutor(0, MAX, 1, TimeUnit.SECONDS, new SynchronousQueue<>(), work -> {
                 Thread thread = new Thread(work, "pulse");
                 thread.setDaemon(true);
                 return thread;
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -23,7 +23,7 @@
     private static final int DEPTH = 4;
     private static final int MUTANT_DEPTH = 3;
     private static final int THREADS = 4;
-    private static final int MOST_SHOWN = 20;
+    private static final int MAX_SHOWN = 20;
     private static final String STATE = "dataplane/proxy/AttemptState";
     private static final String ATTEMPT = "dataplane/http1/UpstreamAttempt";
     private static final String DIALECT = "dataplane/sidecar/MeshUpstream";
@@ -365,7 +365,7 @@
 
     /** Prints what a search of the real classes has found; the number of orders that broke something. */
     private static int told(String hop, List<String> real, int depth) {
-        real.stream().skip(1).limit(MOST_SHOWN).forEach(System.out::println);
+        real.stream().skip(1).limit(MAX_SHOWN).forEach(System.out::println);
         System.out.printf(
                 Locale.ROOT,
                 "%s: %s orders of up to %d events, %d violated%n",
--- a/bench/src/sablehinge/torture/Net.java
+++ b/bench/src/sablehinge/torture/Net.java
@@ -45,7 +45,7 @@
     }
 
     /** Turns of the loop at one moment, after which something feeds itself. */
-    private static final int MOST_TURNS = 20_000;
+    private static final int MAX_TURNS = 20_000;
 
     final MockTicker ticker = Ticker.newMockTicker();
     final ManualIoEventLoop loop =
@@ -80,7 +80,7 @@
     void settle() {
         int turns = 0;
         while (loop.runNow(0) > 0) {
-            if (++turns > MOST_TURNS) {
+            if (++turns > MAX_TURNS) {
                 violated("the loop does not come to rest");
                 return;
             }
@@ -90,7 +90,7 @@
     /** Ends the loop, which Netty's resolvers keep, with all that it knows, until its end has come. */
     void end() {
         loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-        for (int turns = 0; !loop.isTerminated() && turns < MOST_TURNS; turns++) {
+        for (int turns = 0; !loop.isTerminated() && turns < MAX_TURNS; turns++) {
             // Netty sleeps through its quiet time in real time; an interrupt wakes it at once.
             Thread.currentThread().interrupt();
             loop.runNow(0);
--- a/bench/src/sablehinge/torture/Rig.java
+++ b/bench/src/sablehinge/torture/Rig.java
@@ -11,7 +11,7 @@
 /** Plays one seed after another; the entry that a class loader with mutants in it calls too. */
 public final class Rig {
 
-    private static final int MOST_SHOWN = 30;
+    private static final int MAX_SHOWN = 30;
 
     private Rig() {}
 
@@ -154,12 +154,12 @@
                             Long.parseLong(arguments[1]),
                             Runtime.getRuntime().availableProcessors(),
                             null,
-                            MOST_SHOWN)
+                            MAX_SHOWN)
                     .forEach(System.out::println);
         } else if (arguments.length == 2) {
             long from = Long.parseLong(arguments[0]);
             long to = Long.parseLong(arguments[1]);
-            List<String> found = play(from, to, Runtime.getRuntime().availableProcessors(), MOST_SHOWN);
+            List<String> found = play(from, to, Runtime.getRuntime().availableProcessors(), MAX_SHOWN);
             found.forEach(System.out::println);
             System.out.println(found.size() + " of " + (to - from) + " violated");
         } else {
--- a/bench/src/sablehinge/torture/Script.java
+++ b/bench/src/sablehinge/torture/Script.java
@@ -31,14 +31,14 @@
         HABITS
     }
 
-    private static final int MOST = 4;
+    private static final int MAX = 4;
     /** What fails by never coming to rest takes long to cut down. */
-    private static final long LONGEST_CUT_NANOS = 5_000_000_000L;
+    private static final long MAX_CUT_NANOS = 5_000_000_000L;
 
-    private static final int MOST_CALLERS = 24;
+    private static final int MAX_CALLERS = 24;
 
     static Script of(long seed) {
-        return new Script(seed, null, MOST, EnumSet.noneOf(Event.class));
+        return new Script(seed, null, MAX, EnumSet.noneOf(Event.class));
     }
 
     boolean has(Event event) {
@@ -53,7 +53,7 @@
     static Script parse(String text) {
         long seed = 0;
         Set<Integer> callers = null;
-        int requests = MOST;
+        int requests = MAX;
         Set<Event> without = EnumSet.noneOf(Event.class);
         String[] words = text.strip().split("\\s+");
         for (int i = 0; i < words.length; i++) {
@@ -95,7 +95,7 @@
                     .append(String.join(
                             ",", callers.stream().map(String::valueOf).toList()));
         }
-        if (requests < MOST) {
+        if (requests < MAX) {
             text.append(" requests ").append(requests);
         }
         if (!without.isEmpty()) {
@@ -113,7 +113,7 @@
     Script shortened() throws Exception {
         Script best = this;
         boolean shorter = true;
-        long end = System.nanoTime() + LONGEST_CUT_NANOS;
+        long end = System.nanoTime() + MAX_CUT_NANOS;
         while (shorter) {
             shorter = false;
             for (Script next : best.steps()) {
@@ -133,7 +133,7 @@
     private List<Script> steps() {
         List<Script> steps = new ArrayList<>();
         Set<Integer> now = new TreeSet<>();
-        for (int i = 0; i < MOST_CALLERS; i++) {
+        for (int i = 0; i < MAX_CALLERS; i++) {
             if (comes(i)) {
                 now.add(i);
             }
@@ -161,7 +161,7 @@
         if (requests > 1) {
             steps.add(new Script(seed, callers, requests - 1, without));
         }
-        steps.sort(Comparator.comparingInt(one -> one.callers == null ? MOST_CALLERS : one.callers.size()));
+        steps.sort(Comparator.comparingInt(one -> one.callers == null ? MAX_CALLERS : one.callers.size()));
         return steps;
     }
 }
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -57,7 +57,7 @@
 
     private static final double STEP = 5;
     /** Netty's high mark, and a read of 64 KiB in pieces of one byte with what Netty counts for each. */
-    private static final long MOST_UNWRITTEN = 4 << 20;
+    private static final long MAX_UNWRITTEN = 4 << 20;
     /** What a balancer may be late with an answer. */
     private static final double LATE = 60;
     /** An upstream that takes a long body in small pieces may need so long for the rest. */
@@ -435,7 +435,7 @@
 
     private void whoCanMoveMoves() {
         for (PipeChannel one : net.made) {
-            if (one.isOpen() && one.unwritten() > MOST_UNWRITTEN) {
+            if (one.isOpen() && one.unwritten() > MAX_UNWRITTEN) {
                 net.violated("more is read than can be written: " + one.unwritten() + ", " + one.out);
             }
             if (one.isOpen() && one.isActive() && one.unwritten() > 0 && one.out.space() > 0) {
--- a/src/main/java/sablehinge/cli/AdminClient.java
+++ b/src/main/java/sablehinge/cli/AdminClient.java
@@ -15,7 +15,7 @@
 /** One request to a running balancer's admin listener, and its answer. */
 final class AdminClient {
 
-    private static final int MOST_BYTES = 8 << 20;
+    private static final int MAX_BYTES = 8 << 20;
     private static final JsonMapper JSON = new JsonMapper();
 
     private final String place;
@@ -48,7 +48,7 @@
             write(channel, head.getBytes(StandardCharsets.US_ASCII));
             write(channel, body == null ? new byte[0] : body);
             ByteBuffer part = ByteBuffer.allocate(1 << 14);
-            while (channel.read(part) >= 0 && answer.size() < MOST_BYTES) {
+            while (channel.read(part) >= 0 && answer.size() < MAX_BYTES) {
                 answer.write(part.array(), 0, part.position());
                 part.clear();
             }
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigurationFile.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigurationFile.java
@@ -12,7 +12,7 @@
 record ConfigurationFile(byte[] body, Configuration configuration) {
 
     /** More than a control node takes. */
-    private static final int MOST_BYTES = 15 * 1024 * 1024;
+    private static final int MAX_BYTES = 15 * 1024 * 1024;
 
     /**
      * Reads a file.
@@ -24,9 +24,9 @@
         byte[] body;
         try {
             Path path = Path.of(file);
-            if (Files.size(path) > MOST_BYTES) {
+            if (Files.size(path) > MAX_BYTES) {
                 throw CommandException.input(
-                        "TOO_LONG", file, MOST_BYTES + " bytes at most were expected, found " + Files.size(path));
+                        "TOO_LONG", file, MAX_BYTES + " bytes at most were expected, found " + Files.size(path));
             }
             body = Files.readAllBytes(path);
         } catch (NoSuchFileException e) {
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreAnswer.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreAnswer.java
@@ -6,7 +6,7 @@
 /** The words of an error that came as an answer. */
 record CoreAnswer(String code, String place, String message) {
 
-    private static final int LONGEST = 400;
+    private static final int MAX_LENGTH = 400;
 
     static CoreAnswer of(HttpCaller.Answer answer) {
         JsonNode body = null;
@@ -25,7 +25,7 @@
     }
 
     private static String cut(String text) {
-        return Shell.plain(text.length() <= LONGEST ? text : text.substring(0, LONGEST) + "...");
+        return Shell.plain(text.length() <= MAX_LENGTH ? text : text.substring(0, MAX_LENGTH) + "...");
     }
 
     String line() {
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreCaller.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreCaller.java
@@ -20,7 +20,7 @@
     private static final int ODD = 3;
 
     private static final long FIRST_PAUSE_MS = 50;
-    private static final long LONGEST_PAUSE_MS = 1_000;
+    private static final long MAX_PAUSE_MS = 1_000;
     /** Of silence, after which the next address is called. */
     private static final long RESPONSE_TIMEOUT_MS = 1_000;
     /** Bytes of a body for which silence may last a ms longer. */
@@ -78,7 +78,7 @@
                 return new CommandOutcome(null, null, maybe, tries(response));
             }
             time.pause(pause);
-            pause = Math.min(LONGEST_PAUSE_MS, 2 * pause);
+            pause = Math.min(MAX_PAUSE_MS, 2 * pause);
         }
     }
 
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreCommand.java
@@ -11,9 +11,9 @@
 public abstract class CoreCommand extends OperatorCommand {
 
     private static final Pattern ADDRESS = Pattern.compile("([\\w.-]+|\\[[0-9a-fA-F:.]+\\]):(\\d{1,5})");
-    private static final int MOST_PORT = 65_535;
-    private static final int MOST_ADDRESSES = 64;
-    private static final long LONGEST_MS = 600_000;
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_ADDRESSES = 64;
+    private static final long MAX_MS = 600_000;
 
     @Option(
             name = {"-c", "--core"},
@@ -40,27 +40,26 @@
         for (String one : given.split(",", -1)) {
             var parts = ADDRESS.matcher(one.strip());
             if (!parts.matches()
-                    || Integer.parseInt(parts.group(2)) > MOST_PORT
+                    || Integer.parseInt(parts.group(2)) > MAX_PORT
                     || Integer.parseInt(parts.group(2)) == 0) {
                 throw CommandException.input(
                         "BAD_ADDRESS", source, "HOST:PORT was expected, found \"" + Shell.plain(one) + "\"");
             }
             addresses.add(one.strip());
         }
-        if (addresses.size() > MOST_ADDRESSES) {
+        if (addresses.size() > MAX_ADDRESSES) {
             throw CommandException.input(
                     "BAD_ADDRESS",
                     source,
-                    MOST_ADDRESSES + " addresses at most were expected, found " + addresses.size());
+                    MAX_ADDRESSES + " addresses at most were expected, found " + addresses.size());
         }
         return List.copyOf(addresses);
     }
 
     /** Calls the core, with all the time that was given from now on. */
     final CoreCaller caller() {
-        if (waitMs < 1 || waitMs > LONGEST_MS) {
-            throw CommandException.input(
-                    "BAD_WAIT", "--wait", "1 to " + LONGEST_MS + " ms were expected, found " + waitMs);
+        if (waitMs < 1 || waitMs > MAX_MS) {
+            throw CommandException.input("BAD_WAIT", "--wait", "1 to " + MAX_MS + " ms were expected, found " + waitMs);
         }
         return new CoreCaller(core(), shell(), waitMs);
     }
--- a/src/main/java/sablehinge/cli/mesh/operator/JdkHttpCaller.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/JdkHttpCaller.java
@@ -17,7 +17,7 @@
 final class JdkHttpCaller implements HttpCaller {
 
     /** The longest answer that is read; a configuration is smaller. */
-    private static final long MOST_BYTES = 16 << 20;
+    private static final long MAX_BYTES = 16 << 20;
     /** For a new connection to come up, ms. */
     private static final long CONNECT_MS = 1_000;
 
@@ -64,9 +64,9 @@
     /** The core tells the length of each answer. */
     private static HttpResponse.BodySubscriber<byte[]> bounded(HttpResponse.ResponseInfo head) {
         long length = head.headers().firstValueAsLong("Content-Length").orElse(Long.MAX_VALUE);
-        if (length > MOST_BYTES) {
+        if (length > MAX_BYTES) {
             throw new IllegalStateException(
-                    "an answer of " + MOST_BYTES + " bytes at most, with its length, was expected");
+                    "an answer of " + MAX_BYTES + " bytes at most, with its length, was expected");
         }
         return HttpResponse.BodySubscribers.ofByteArray();
     }
--- a/src/main/java/sablehinge/common/logging/JsonLines.java
+++ b/src/main/java/sablehinge/common/logging/JsonLines.java
@@ -11,9 +11,9 @@
 final class JsonLines {
 
     /** Frames of one exception that are written: a line has a bound. */
-    private static final int MOST_FRAMES = 40;
+    private static final int MAX_FRAMES = 40;
 
-    private static final int MOST_STACK_CHARS = 8_192;
+    private static final int MAX_STACK_CHARS = 8_192;
 
     private JsonLines() {}
 
@@ -26,8 +26,8 @@
         names.setThread("thread");
         names.setStackTrace("stack");
         ShortenedThrowableConverter stacks = new ShortenedThrowableConverter();
-        stacks.setMaxDepthPerThrowable(MOST_FRAMES);
-        stacks.setMaxLength(MOST_STACK_CHARS);
+        stacks.setMaxDepthPerThrowable(MAX_FRAMES);
+        stacks.setMaxLength(MAX_STACK_CHARS);
         stacks.setContext(loggers);
         stacks.start();
         LogstashEncoder encoder = new LogstashEncoder();
--- a/src/main/java/sablehinge/common/mapping/Mapping.java
+++ b/src/main/java/sablehinge/common/mapping/Mapping.java
@@ -9,9 +9,9 @@
 public final class Mapping {
 
     /** Parts of a path that a shape shows. */
-    private static final int MOST_PARTS = 6;
+    private static final int MAX_PARTS = 6;
 
-    private static final int LONGEST_PART = 24;
+    private static final int MAX_PART = 24;
 
     private final List<Rule> rules;
 
@@ -57,12 +57,11 @@
         if (request.host() != null) {
             shape.append(request.host());
         }
-        String[] parts = request.path().split("/", MOST_PARTS + 2);
-        for (int i = 0; i < parts.length && i <= MOST_PARTS; i++) {
-            boolean varies =
-                    parts[i].length() > LONGEST_PART || parts[i].chars().anyMatch(Character::isDigit);
+        String[] parts = request.path().split("/", MAX_PARTS + 2);
+        for (int i = 0; i < parts.length && i <= MAX_PARTS; i++) {
+            boolean varies = parts[i].length() > MAX_PART || parts[i].chars().anyMatch(Character::isDigit);
             shape.append(i == 0 ? "" : "/").append(varies ? "{}" : parts[i]);
         }
-        return shape.append(parts.length > MOST_PARTS + 1 ? "/…" : "").toString();
+        return shape.append(parts.length > MAX_PARTS + 1 ? "/…" : "").toString();
     }
 }
--- a/src/main/java/sablehinge/common/rpc/Connection.java
+++ b/src/main/java/sablehinge/common/rpc/Connection.java
@@ -26,11 +26,11 @@
 public final class Connection {
 
     /** The largest record, in bytes: a configuration with thousands of routes, or a snapshot that holds it. */
-    public static final int MOST_BYTES = 16 * 1024 * 1024;
+    public static final int MAX_BYTES = 16 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
     /** What may wait to be written to one that doesn't read, in bytes; what comes beyond is dropped. */
-    private static final int MOST_WAITING = 2 * MOST_BYTES;
+    private static final int MAX_WAITING = 2 * MAX_BYTES;
 
     private static final int CONNECT_MS = 700;
     private static final Frame.Kind[] KINDS = Frame.Kind.values();
@@ -141,7 +141,7 @@
         channel.pipeline()
                 .addLast(
                         link.new ActivityHandler(),
-                        new LengthFieldBasedFrameDecoder(MOST_BYTES + 1, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                        new LengthFieldBasedFrameDecoder(MAX_BYTES + 1, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                         link);
     }
 
@@ -167,7 +167,7 @@
                 return;
             }
             if (channel.unsafe().outboundBuffer() != null
-                    && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_WAITING) {
+                    && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_WAITING) {
                 channel.close();
                 return;
             }
--- a/src/main/java/sablehinge/common/settings/LocalSchema.java
+++ b/src/main/java/sablehinge/common/settings/LocalSchema.java
@@ -17,7 +17,7 @@
 
     private static final String RESOURCE = "/sablehinge/common/settings/local.schema.json";
 
-    private static final int LONGEST_SHOWN = 60;
+    private static final int MAX_SHOWN = 60;
 
     private LocalSchema() {}
 
@@ -75,6 +75,6 @@
                 ? "none"
                 : message.getInstanceNode().toString();
         return key + ": " + expected + " was expected, found "
-                + (found.length() <= LONGEST_SHOWN ? found : found.substring(0, LONGEST_SHOWN) + "...");
+                + (found.length() <= MAX_SHOWN ? found : found.substring(0, MAX_SHOWN) + "...");
     }
 }
--- a/src/main/java/sablehinge/common/settings/SettingsTable.java
+++ b/src/main/java/sablehinge/common/settings/SettingsTable.java
@@ -9,9 +9,9 @@
 /** A table of a settings file, asked by key; what is missing or of another type is off. */
 final class SettingsTable {
 
-    private static final double MOST = 1e300;
+    private static final double MAX = 1e300;
 
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     private static final int PORT_DIGITS = 5;
 
@@ -90,7 +90,7 @@
             }
             port = 10 * port + digit - '0';
         }
-        if (colon < 1 || port < 1 || port > HIGHEST_PORT) {
+        if (colon < 1 || port < 1 || port > MAX_PORT) {
             throw off(key);
         }
         return text;
@@ -121,7 +121,7 @@
 
     /** 0 or more. */
     double figure(String key) {
-        return number(key, need(key), 0, MOST);
+        return number(key, need(key), 0, MAX);
     }
 
     double figure(String key, double otherwise) {
@@ -170,7 +170,7 @@
         if (ports.size() != 2) {
             throw off(key);
         }
-        return new int[] {integer(key, ports.get(0), 1, HIGHEST_PORT), integer(key, ports.get(1), 1, HIGHEST_PORT)};
+        return new int[] {integer(key, ports.get(0), 1, MAX_PORT), integer(key, ports.get(1), 1, MAX_PORT)};
     }
 
     /** All keys of this table with their texts, none of which is empty, in their order. */
--- a/src/main/java/sablehinge/controlplane/node/ControlStatus.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -21,7 +21,7 @@
 final class ControlStatus {
 
     /** Lists are cut after so many lines, with the count of what is left out. */
-    static final int MOST_LINES = 2_000;
+    static final int MAX_LINES = 2_000;
 
     private final String node;
     private final String zone;
@@ -177,10 +177,10 @@
     }
 
     private static <T> List<T> cut(List<T> lines) {
-        return lines.subList(0, Math.min(MOST_LINES, lines.size()));
+        return lines.subList(0, Math.min(MAX_LINES, lines.size()));
     }
 
     private static int more(int lines) {
-        return Math.max(0, lines - MOST_LINES);
+        return Math.max(0, lines - MAX_LINES);
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/PeerConnections.java
+++ b/src/main/java/sablehinge/controlplane/node/PeerConnections.java
@@ -21,7 +21,7 @@
  */
 final class PeerConnections {
 
-    private static final int MOST = 128;
+    private static final int MAX = 128;
     private static final long RETRY_NANOS = 100_000_000;
     private final Connection connection;
     private final Member self;
@@ -72,7 +72,7 @@
             messageHandler.accept(self, message);
             return;
         }
-        if (peers.size() > MOST) {
+        if (peers.size() > MAX) {
             peers.values().removeIf(peer -> peer.link == null);
         }
         Peer peer = peers.computeIfAbsent(to.address(), at -> new Peer(hello()));
--- a/src/main/java/sablehinge/controlplane/node/QuotaPools.java
+++ b/src/main/java/sablehinge/controlplane/node/QuotaPools.java
@@ -27,7 +27,7 @@
     /** How long others have to give something up, in ms: well below the asker's patience. */
     private static final long RECLAIM_MS = 15;
 
-    private static final int MOST_WAITING = 4_096;
+    private static final int MAX_WAITING = 4_096;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -90,7 +90,7 @@
         String tenant = wanted.tenant();
         int given = pool.take(clock.now(), tenant, wanted.count());
         if (given > 0
-                || totalWaiting >= MOST_WAITING
+                || totalWaiting >= MAX_WAITING
                 || !waiting.containsKey(tenant) && !pool.pulls(clock.now(), tenant)) {
             answer(link, tenant, given);
             return;
--- a/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
+++ b/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
@@ -25,7 +25,7 @@
 final class MembershipPlanner {
 
     /** Where three machines serve the core it has three voters, whatever losses are stated. */
-    private static final int LEAST_VOTERS = 3;
+    private static final int MIN_VOTERS = 3;
 
     /**
      * What the leader knows of a voter or a learner.
@@ -48,7 +48,7 @@
      * @param timing when a member counts as alive, and when as lost
      */
     MembershipPlanner(int losses, RaftConfig timing) {
-        wanted = Math.max(LEAST_VOTERS, 2 * losses + 1);
+        wanted = Math.max(MIN_VOTERS, 2 * losses + 1);
         freshMs = timing.peerAliveMs();
         sinceLastMessageMs = timing.voterLostMs();
     }
@@ -80,7 +80,7 @@
         if (voters.size() < wanted && ready.size() >= 2 && allSound) {
             return Optional.of(add);
         }
-        if (departing.isEmpty() || voters.size() < LEAST_VOTERS) {
+        if (departing.isEmpty() || voters.size() < MIN_VOTERS) {
             return Optional.empty();
         }
         if (voters.size() == wanted && allSound) {
--- a/src/main/java/sablehinge/controlplane/raft/RecentEntries.java
+++ b/src/main/java/sablehinge/controlplane/raft/RecentEntries.java
@@ -10,24 +10,24 @@
  */
 final class RecentEntries {
 
-    static final int MOST_ENTRIES = 512;
+    static final int MAX_ENTRIES = 512;
     /** Where the snapshot is smaller, so many bytes are kept all the same. */
     static final int ALWAYS_BYTES = 64 << 10;
 
-    static final int MOST_BYTES = 4 << 20;
+    static final int MAX_BYTES = 4 << 20;
 
     private final List<Entry> entries = new ArrayList<>();
     private long bytes;
 
     /** Takes entries that follow on those that are kept, as a snapshot of some bytes takes their place. */
     void add(List<Entry> more, int snapshotBytes) {
-        int most = Math.max(ALWAYS_BYTES, Math.min(MOST_BYTES, snapshotBytes));
+        int most = Math.max(ALWAYS_BYTES, Math.min(MAX_BYTES, snapshotBytes));
         for (Entry entry : more) {
             entries.add(entry);
             bytes += entry.data().length;
         }
         int dropped = 0;
-        while (dropped < entries.size() && (bytes > most || entries.size() - dropped > MOST_ENTRIES)) {
+        while (dropped < entries.size() && (bytes > most || entries.size() - dropped > MAX_ENTRIES)) {
             bytes -= entries.get(dropped++).data().length;
         }
         entries.subList(0, dropped).clear();
--- a/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
+++ b/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
@@ -115,7 +115,7 @@
         /** What the attempt carries, written at the given time; null if too little time is left for that. */
         public Budget budget(double now) {
             double left = call.deadline - now - terms.wire();
-            return left <= 0 ? null : new Budget(id, attempts, Math.min(Budget.MOST_MS, left), call.value, call.path);
+            return left <= 0 ? null : new Budget(id, attempts, Math.min(Budget.MAX_MS, left), call.value, call.path);
         }
     }
 
@@ -165,7 +165,7 @@
         long passed = path.stream().filter(hop -> hop == service).count();
         List<Long> here = new ArrayList<>(path);
         here.add(service);
-        if (passed > terms.reentries() || path.size() >= Budget.MOST_HOPS) {
+        if (passed > terms.reentries() || path.size() >= Budget.MAX_HOPS) {
             return refuse(Refusal.LOOP, here, carried, null);
         }
         double time = Math.min(remaining, terms.remaining());
--- a/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
+++ b/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
@@ -34,7 +34,7 @@
     /** Throws {@link IllegalArgumentException} for what is out of range. */
     public BudgetSettings {
         if (attempts < 1
-                || attempts > Budget.MOST_ATTEMPTS
+                || attempts > Budget.MAX_ATTEMPTS
                 || unknown < 0
                 || unknown > attempts
                 || calls < 1
--- a/src/main/java/sablehinge/dataplane/budget/HeaderText.java
+++ b/src/main/java/sablehinge/dataplane/budget/HeaderText.java
@@ -12,7 +12,7 @@
 public final class HeaderText {
 
     /** Longer than any that is written; a longer one is not looked at. */
-    public static final int MOST_CHARS = 512;
+    public static final int MAX_CHARS = 512;
 
     private static final int HEX = 16;
     private static final String NUMBER = "([0-9]{1,10}(?:\\.[0-9]{1,3})?)";
@@ -51,7 +51,7 @@
 
     /** The header of an answer. */
     public String write(Report report) {
-        return sign("v=1;g=" + hex(report.grant()) + ";n=" + Math.min(report.spent(), Budget.MOST_ATTEMPTS) + ";again="
+        return sign("v=1;g=" + hex(report.grant()) + ";n=" + Math.min(report.spent(), Budget.MAX_ATTEMPTS) + ";again="
                 + (report.again() ? 1 : 0));
     }
 
@@ -105,7 +105,7 @@
         if (text == null) {
             return new Found<>(Kind.MISSING, null);
         }
-        if (text.length() > MOST_CHARS) {
+        if (text.length() > MAX_CHARS) {
             return new Found<>(Kind.UNREADABLE, null);
         }
         if (keys == null) {
--- a/src/main/java/sablehinge/dataplane/budget/Keys.java
+++ b/src/main/java/sablehinge/dataplane/budget/Keys.java
@@ -14,7 +14,7 @@
 public final class Keys {
 
     private static final String ALGORITHM = "HmacSHA256";
-    private static final int LEAST_BYTES = 16;
+    private static final int MIN_BYTES = 16;
     private static final int TAG_BYTES = 16;
 
     private final Map<String, Mac> macs = new LinkedHashMap<>();
@@ -31,10 +31,9 @@
         }
         signing = secrets.keySet().iterator().next();
         secrets.forEach((name, secret) -> {
-            if (!name.matches("[A-Za-z0-9]{1,16}") || secret.length < LEAST_BYTES) {
-                throw new IllegalArgumentException("key " + name
-                        + ": expected a name of letters and digits and "
-                        + LEAST_BYTES + " bytes at least");
+            if (!name.matches("[A-Za-z0-9]{1,16}") || secret.length < MIN_BYTES) {
+                throw new IllegalArgumentException(
+                        "key " + name + ": expected a name of letters and digits and " + MIN_BYTES + " bytes at least");
             }
             try {
                 Mac mac = Mac.getInstance(ALGORITHM);
--- a/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
+++ b/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
@@ -14,12 +14,12 @@
     /** Calls over which worth per work is ranked. */
     private static final int RANKED = 256;
 
-    private static final int MOST_CALLERS = 1_000;
+    private static final int MAX_CALLERS = 1_000;
     private static final double FADE_MS = 10_000;
     private static final double UP_PER_S = 0.9;
     private static final double DOWN_PER_S = 0.2;
-    private static final double LONGEST_GAP_MS = 250;
-    private static final double MOST_PRESSURE = 0.95;
+    private static final double MAX_GAP_MS = 250;
+    private static final double MAX_PRESSURE = 0.95;
 
     /**
      * What an operator states.
@@ -54,7 +54,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Claim> eldest) {
-            return size() > MOST_CALLERS;
+            return size() > MAX_CALLERS;
         }
     };
 
@@ -75,9 +75,9 @@
 
     /** An attempt has shown that there is more than can be done, or the opposite. */
     public void felt(double now, boolean overload) {
-        double seconds = Math.min(LONGEST_GAP_MS, Math.max(0, now - feltAt)) / 1_000;
+        double seconds = Math.min(MAX_GAP_MS, Math.max(0, now - feltAt)) / 1_000;
         feltAt = now;
-        pressure = Math.min(MOST_PRESSURE, Math.max(0, pressure + (overload ? UP_PER_S : -DOWN_PER_S) * seconds));
+        pressure = Math.min(MAX_PRESSURE, Math.max(0, pressure + (overload ? UP_PER_S : -DOWN_PER_S) * seconds));
     }
 
     /**
--- a/src/main/java/sablehinge/dataplane/http1/LoadReport.java
+++ b/src/main/java/sablehinge/dataplane/http1/LoadReport.java
@@ -8,7 +8,7 @@
 
     private static final String PREFIX = "TEXT";
     /** Beyond it no figure of a load is meant. */
-    private static final double MOST = 1e9;
+    private static final double MAX = 1e9;
 
     private LoadReport() {}
 
@@ -37,6 +37,6 @@
             }
         }
         // NaN compares false.
-        return Arrays.stream(values).allMatch(value -> value >= 0 && value <= MOST) ? values : null;
+        return Arrays.stream(values).allMatch(value -> value >= 0 && value <= MAX) ? values : null;
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
@@ -19,10 +19,10 @@
     private static final HttpResponseStatus LOOP_DETECTED = new HttpResponseStatus(508, "Loop Detected");
 
     private static final int HEADER_BYTES = 8_192;
-    private static final int MOST_KEPT = 256 * 1024;
+    private static final int MAX_KEPT = 256 * 1024;
     /** The slowest honest callers send 64 kB a s. */
     private static final FrontTerms TERMS = new FrontTerms(
-            HEADER_BYTES, UpstreamClient.MAX_PASSING, 2_400, 40, 2_300, 3_000, MOST_KEPT, 32 * MOST_KEPT, false);
+            HEADER_BYTES, UpstreamClient.MAX_PASSING, 2_400, 40, 2_300, 3_000, MAX_KEPT, 32 * MAX_KEPT, false);
 
     private final RequestProxy core;
     private RequestCheck check;
--- a/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
@@ -15,7 +15,7 @@
 /** The budgets of a chain of tiers at this hop, where they are switched on. */
 public final class ChainBudgets {
 
-    private static final int MOST_LOOPS = 64;
+    private static final int MAX_LOOPS = 64;
 
     final AttemptBudgets attemptBudgets;
     final MinimumTime least = new MinimumTime();
@@ -30,7 +30,7 @@
     private final LoadShedder shedder;
 
     private PauseDetector pauses;
-    private final LoopDetector loops = new LoopDetector(MOST_LOOPS);
+    private final LoopDetector loops = new LoopDetector(MAX_LOOPS);
     private final Consumer<String> report;
 
     /**
--- a/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
@@ -32,11 +32,11 @@
     private static final double BULKY = 30;
 
     private static final double SLIM = 0.3;
-    private static final int MOST_ATTEMPTS = 4;
-    private static final int MOST_OPEN = 4_000;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int MAX_OPEN = 4_000;
     /** The module's own purse never runs out: {@link RetryBudget} bounds what it sends, by services. */
     static final LatencyWeightedBalancer.Extras EXTRAS =
-            new LatencyWeightedBalancer.Extras(MOST_ATTEMPTS, MOST_ATTEMPTS * MOST_OPEN, 0, 0.2);
+            new LatencyWeightedBalancer.Extras(MAX_ATTEMPTS, MAX_ATTEMPTS * MAX_OPEN, 0, 0.2);
 
     private static final double CONNECT_MS = 1_000;
     private static final long POSITIONS = 1 << 16;
@@ -63,8 +63,7 @@
     private BalancerSettings() {}
 
     private static Limits limits(boolean copies, double restMs) {
-        return new Limits(
-                MOST_ATTEMPTS, MOST_OPEN, true, copies, false, false, true, 1_000, CONNECT_MS, restMs, 1, 0, 0);
+        return new Limits(MAX_ATTEMPTS, MAX_OPEN, true, copies, false, false, true, 1_000, CONNECT_MS, restMs, 1, 0, 0);
     }
 
     /** The version of the gate beside an upstream, which knows no classes. */
--- a/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
@@ -14,7 +14,7 @@
 final class HeartbeatReader {
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int MOST_BERTHS = 60_000;
+    private static final int MAX_BERTHS = 60_000;
     private static final int BAD_REQUEST = 400;
     private static final int MISDIRECTED = 421;
 
@@ -82,7 +82,7 @@
         }
         require("depot", service);
         return new Heartbeat(
-                id, service, unloading, Math.max(1, Math.min(MOST_BERTHS, berths)), Math.max(0, warmUpMs), callCount);
+                id, service, unloading, Math.max(1, Math.min(MAX_BERTHS, berths)), Math.max(0, warmUpMs), callCount);
     }
 
     private static void require(String name, String value) {
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshHeaders.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshHeaders.java
@@ -25,7 +25,7 @@
     static final String PROVEN = "not-run";
     static final String RAN = "ran";
     static final String DOUBT = "may-have-run";
-    private static final int MOST_MS = 600_000;
+    private static final int MAX_MS = 600_000;
 
     private MeshHeaders() {}
 
@@ -47,7 +47,7 @@
         try {
             double value = Double.parseDouble(text.strip());
             if (value >= 0 && value < Double.POSITIVE_INFINITY) {
-                return Math.min(MOST_MS, value);
+                return Math.min(MAX_MS, value);
             }
         } catch (NumberFormatException e) {
             // Told below, as any other text that is no time.
--- a/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
@@ -21,7 +21,7 @@
     private static final double FADE_MS = 1_000;
 
     private static final double AHEAD = 0.1;
-    private static final int MOST_AT_ONCE = 20;
+    private static final int MAX_AT_ONCE = 20;
     private static final double KEPT = 0.5;
     /** Balancers that are reckoned with until a complete roster has told how many there are. */
     private static final int ASSUMED_BALANCERS = 16;
@@ -129,7 +129,7 @@
         if (!one.requested) {
             one.requested = true;
             one.requestedAt = now;
-            pool.accept(tenant.name(), (int) Math.max(1, Math.min(MOST_AT_ONCE, AHEAD * one.claims(now))));
+            pool.accept(tenant.name(), (int) Math.max(1, Math.min(MAX_AT_ONCE, AHEAD * one.claims(now))));
         } else if (now - one.requestedAt > POOL_TIMEOUT_MS) {
             // Nobody answers: what the even part brings has to do.
             one.requested = false;
--- a/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
@@ -30,7 +30,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(WatchClient.class);
     private static final long RECONNECT_DELAY_MS = 60;
     private static final double RESPONSE_TIMEOUT_MS = UpdateFilter.MAX_AGE_MS;
-    private static final int MOST_CONTACTS = 32;
+    private static final int MAX_CONTACTS = 32;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -198,7 +198,7 @@
             contacts.clear();
             contacts.addAll(update.core());
             contacts.addAll(seeds);
-            while (contacts.size() > MOST_CONTACTS) {
+            while (contacts.size() > MAX_CONTACTS) {
                 contacts.remove(contacts.iterator().next());
             }
             listener.update(requestedAt, update);
--- a/src/main/java/sablehinge/gateway/admin/AdminServer.java
+++ b/src/main/java/sablehinge/gateway/admin/AdminServer.java
@@ -44,8 +44,8 @@
 public final class AdminServer {
 
     private static final JsonMapper JSON = new JsonMapper();
-    private static final int MOST_CONNECTIONS = 16;
-    private static final int MOST_BYTES = (1 << 20) + 1;
+    private static final int MAX_CONNECTIONS = 16;
+    private static final int MAX_BYTES = (1 << 20) + 1;
     private static final int TIMEOUT_S = 60;
 
     /** Does what operators ask for; called on the loop. */
@@ -114,7 +114,7 @@
     }
 
     private void admit(Channel child) {
-        if (open >= MOST_CONNECTIONS) {
+        if (open >= MAX_CONNECTIONS) {
             child.close();
             return;
         }
@@ -124,7 +124,7 @@
                 .addLast(
                         new ReadTimeoutHandler(TIMEOUT_S, TimeUnit.SECONDS),
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_BYTES),
+                        new HttpObjectAggregator(MAX_BYTES),
                         new Requests());
     }
 
--- a/src/main/java/sablehinge/gateway/admin/CallServer.java
+++ b/src/main/java/sablehinge/gateway/admin/CallServer.java
@@ -30,9 +30,9 @@
 public final class CallServer {
 
     /** Few enough for the descriptors that a process keeps for itself. */
-    static final int MOST_CONNECTIONS = 16;
+    static final int MAX_CONNECTIONS = 16;
     /** Bytes of a line, its end included. */
-    static final int MOST_BYTES = 512;
+    static final int MAX_BYTES = 512;
 
     private static final long TIMEOUT_S = 15;
     /** How long a caller that has its answer may take to close. */
@@ -80,7 +80,7 @@
     }
 
     private void admit(Channel child) {
-        if (open.size() >= MOST_CONNECTIONS) {
+        if (open.size() >= MAX_CONNECTIONS) {
             open.iterator().next().close();
         }
         open.add(child);
@@ -92,7 +92,7 @@
     /** Gathers the line of a connection. */
     private final class Line extends ChannelInboundHandlerAdapter {
 
-        private final ByteBuf line = Unpooled.buffer(0, MOST_BYTES);
+        private final ByteBuf line = Unpooled.buffer(0, MAX_BYTES);
         private boolean over;
 
         @Override
@@ -103,7 +103,7 @@
                     byte next = bytes.readByte();
                     if (next == '\n') {
                         answer(ctx);
-                    } else if (line.readableBytes() + 1 >= MOST_BYTES) {
+                    } else if (line.readableBytes() + 1 >= MAX_BYTES) {
                         say(ctx, "fail the line is too long");
                     } else {
                         line.writeByte(next);
--- a/src/main/java/sablehinge/gateway/config/operator/LogSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/LogSection.java
@@ -8,7 +8,7 @@
 /** Reads what an operator file says of the log. */
 final class LogSection {
 
-    private static final int MOST_LINES = 100_000;
+    private static final int MAX_LINES = 100_000;
     private static final Map<String, LogTerms.Format> FORMATS =
             Map.of("text", LogTerms.Format.TEXT, "json", LogTerms.Format.JSON);
     private static final Map<String, Level> LEVELS = Map.of(
@@ -20,7 +20,7 @@
         LogTerms usual = LogTerms.USUAL;
         LogTerms.Format format = s.choice("format", usual.format(), FORMATS);
         Level level = s.choice("level", usual.level(), LEVELS);
-        int limit = s.integer("limit", usual.limit(), 1, MOST_LINES);
+        int limit = s.integer("limit", usual.limit(), 1, MAX_LINES);
         Map<String, Level> levels = new TreeMap<>();
         Section single = s.section("levels");
         for (String subsystem : LogTerms.SUBSYSTEMS) {
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
@@ -48,13 +48,13 @@
 public final class OperatorFile {
 
     /** Longest file that is read, in bytes: some ten thousand servers. */
-    public static final int MOST_BYTES = 1 << 20;
+    public static final int MAX_BYTES = 1 << 20;
     /** Brackets within brackets: nothing of this file needs more than 3. */
-    private static final int MOST_NESTED = 32;
+    private static final int MAX_NESTED = 32;
 
-    private static final int MOST_ITEMS = 10_000;
-    private static final int MOST_CLASSES = 64;
-    private static final int MOST_PROBLEMS = 100;
+    private static final int MAX_ITEMS = 10_000;
+    private static final int MAX_CLASSES = 64;
+    private static final int MAX_PROBLEMS = 100;
     private static final double HOUR = 3.6e6;
     /** For the record only: no decision of this program rests on it. */
     private static final double FALL_AFTER_MS = 1_500;
@@ -100,9 +100,9 @@
             throw new IOException("is no regular file");
         }
         try (InputStream in = Files.newInputStream(path)) {
-            byte[] bytes = in.readNBytes(MOST_BYTES + 1);
-            if (bytes.length > MOST_BYTES) {
-                throw new IOException("has " + Files.size(path) + " bytes, expected " + MOST_BYTES + " at most");
+            byte[] bytes = in.readNBytes(MAX_BYTES + 1);
+            if (bytes.length > MAX_BYTES) {
+                throw new IOException("has " + Files.size(path) + " bytes, expected " + MAX_BYTES + " at most");
             }
             return bytes;
         } catch (AccessDeniedException e) {
@@ -151,9 +151,9 @@
         OperatorConfig config = file.config(bytes);
         List<Problem> sorted = new ArrayList<>(new LinkedHashSet<>(file.problems));
         sorted.sort(Problem.BY_PLACE);
-        if (sorted.size() > MOST_PROBLEMS) {
-            int more = sorted.size() - MOST_PROBLEMS;
-            sorted = new ArrayList<>(sorted.subList(0, MOST_PROBLEMS));
+        if (sorted.size() > MAX_PROBLEMS) {
+            int more = sorted.size() - MAX_PROBLEMS;
+            sorted = new ArrayList<>(sorted.subList(0, MAX_PROBLEMS));
             sorted.add(new Problem(0, "", "and " + more + " more"));
         }
         return new Checked(sorted.isEmpty() ? config : null, List.copyOf(sorted));
@@ -169,8 +169,8 @@
     }
 
     private TomlParseResult toml(byte[] bytes) {
-        if (bytes.length > MOST_BYTES) {
-            problem(0, "", "has " + bytes.length + " bytes, expected " + MOST_BYTES + " at most");
+        if (bytes.length > MAX_BYTES) {
+            problem(0, "", "has " + bytes.length + " bytes, expected " + MAX_BYTES + " at most");
             return null;
         }
         String text = decode(bytes);
@@ -253,8 +253,8 @@
             } else if (c == ']' || c == '}') {
                 depth = Math.max(0, depth - 1);
             }
-            if (depth > MOST_NESTED) {
-                problem(line, "", "brackets are nested more than " + MOST_NESTED + " deep");
+            if (depth > MAX_NESTED) {
+                problem(line, "", "brackets are nested more than " + MAX_NESTED + " deep");
                 return true;
             }
         }
@@ -266,14 +266,14 @@
         List<String> declaredKinds = declared(root, "kinds");
         InetSocketAddress discovery = root.address("discovery", false);
         List<UpstreamPart> upstreams =
-                root.sections("upstream", MOST_ITEMS, s -> upstream(s, declaredZones, declaredKinds));
+                root.sections("upstream", MAX_ITEMS, s -> upstream(s, declaredZones, declaredKinds));
         NodePart node = node(root.section("node"), declaredZones);
         List<String> zones = all(declaredZones, upstreams, UpstreamPart::zone, node.zone());
         List<String> kinds = all(declaredKinds, upstreams, UpstreamPart::kind, null);
         AdminPart admin = admin(root.section("admin"));
         List<ListenerPart> listeners = root.sections("listener", 16, OperatorFile::listener);
-        List<ClassPart> classes = root.sections("class", MOST_CLASSES, s -> serviceClass(s, zones, kinds));
-        List<TenantPart> tenants = root.sections("tenant", MOST_ITEMS, s -> new TenantPart(s.name("name", null)));
+        List<ClassPart> classes = root.sections("class", MAX_CLASSES, s -> serviceClass(s, zones, kinds));
+        List<TenantPart> tenants = root.sections("tenant", MAX_ITEMS, s -> new TenantPart(s.name("name", null)));
         Limits limits = limits(root.section("limits"));
         Rules rules = rules(root.section("rules"));
         Section goal = root.section("goal");
@@ -359,8 +359,8 @@
         String zone = zones == null
                 ? s.name("zone", "main")
                 : s.reference("zone", zones.isEmpty() ? "main" : zones.get(0), zones, "zone");
-        int siblings = s.integer("siblings", 1, 1, MOST_ITEMS);
-        int position = s.integer("position", 0, 0, MOST_ITEMS);
+        int siblings = s.integer("siblings", 1, 1, MAX_ITEMS);
+        int position = s.integer("position", 0, 0, MAX_ITEMS);
         if (position >= siblings) {
             s.problem("position", position + " is out of range, expected less than siblings, which is " + siblings);
         }
@@ -484,7 +484,7 @@
         ChangePart change = new ChangePart(
                 s.duration("confirm-within", 30_000, 1_000, HOUR),
                 s.duration("ready-within", 5_000, 10, 600_000),
-                s.integer("ready-least", 1, 0, MOST_ITEMS),
+                s.integer("ready-least", 1, 0, MAX_ITEMS),
                 s.number("failed-rise", 0.1, 0.001, 1),
                 s.number("refused-rise", 0.3, 0.001, 1),
                 s.integer("least-count", 100, 10, 1_000_000));
@@ -495,8 +495,8 @@
     private static BudgetPart budget(Section s) {
         String service = s.name("service", null);
         boolean entry = s.flag("entry", true);
-        int attempts = s.integer("attempts", 8, 1, Budget.MOST_ATTEMPTS);
-        int need = s.integer("need", 1, 1, Budget.MOST_ATTEMPTS);
+        int attempts = s.integer("attempts", 8, 1, Budget.MAX_ATTEMPTS);
+        int need = s.integer("need", 1, 1, Budget.MAX_ATTEMPTS);
         boolean last = s.flag("last", false);
         if (last && need > 1) {
             s.problem("need", need + " at the last tier, expected 1: one attempt there is one attempt");
@@ -516,7 +516,7 @@
                 s.duration("margin", 5, 0, 60_000),
                 s.duration("wire", 1, 0, 60_000),
                 s.number("kept", 0.5, 0, 0.9),
-                s.integer("reentries", 0, 0, Budget.MOST_HOPS - 1),
+                s.integer("reentries", 0, 0, Budget.MAX_HOPS - 1),
                 s.integer("open", 20_000, 1, 1_000_000));
         // The module sheds already; both together were measured to give up too much.
         boolean sheds = s.flag("shed", false);
--- a/src/main/java/sablehinge/gateway/config/operator/RecorderSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/RecorderSection.java
@@ -6,13 +6,13 @@
 final class RecorderSection {
 
     /** A dump takes some six times the ring in heap while it is made. */
-    private static final int MOST_MIB = 16;
+    private static final int MAX_MIB = 16;
 
     private RecorderSection() {}
 
     static RecorderPart read(Section s) {
         RecorderPart part = new RecorderPart(
-                s.number("ring-mib", 1, 1.0 / 16, MOST_MIB),
+                s.number("ring-mib", 1, 1.0 / 16, MAX_MIB),
                 s.text("directory", null),
                 s.integer("keep", 10, 1, 1_000),
                 s.duration("tick", 50, 10, 1_000),
--- a/src/main/java/sablehinge/gateway/config/operator/ReplaySection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/ReplaySection.java
@@ -21,8 +21,8 @@
 /** Reads what an operator file says of logs: how they are written, and what their requests are. */
 final class ReplaySection {
 
-    private static final int MOST_RULES = 1_000;
-    private static final int MOST_BODY = 1 << 16;
+    private static final int MAX_RULES = 1_000;
+    private static final int MAX_BODY = 1 << 16;
     private static final double HOUR = 3.6e6;
 
     private final Collection<String> classes;
@@ -64,7 +64,7 @@
             }
         }
         fields.end();
-        List<Rule> rules = s.sections("rule", MOST_RULES, this::rule);
+        List<Rule> rules = s.sections("rule", MAX_RULES, this::rule);
         s.end();
         return new OperatorConfig.ReplayPart(format, zone, Map.copyOf(map), rules);
     }
@@ -90,7 +90,7 @@
                 template(s, "key", names),
                 tenant,
                 s.duration("deadline", 0, 1, HOUR),
-                s.integer("body", -1, 0, MOST_BODY));
+                s.integer("body", -1, 0, MAX_BODY));
     }
 
     /** One method, or several with commas between them. */
--- a/src/main/java/sablehinge/gateway/discovery/Maintenance.java
+++ b/src/main/java/sablehinge/gateway/discovery/Maintenance.java
@@ -19,7 +19,7 @@
 public final class Maintenance {
 
     /** Upstreams that may be out at once: more than any list has, and a bound all the same. */
-    static final int MOST_OUT = 10_000;
+    static final int MAX_OUT = 10_000;
 
     /** The list as discovery has it. */
     private final Map<Long, Member> listed = new LinkedHashMap<>();
@@ -72,11 +72,11 @@
      * Takes an upstream out; one that is out stays so.
      *
      * @return what is to be passed on, which may be nothing
-     * @throws IllegalStateException if {@value #MOST_OUT} are out
+     * @throws IllegalStateException if {@value #MAX_OUT} are out
      */
     public Roster suspend(long id, double now) {
-        if (out.size() >= MOST_OUT && !out.containsKey(id)) {
-            throw new IllegalStateException(MOST_OUT + " upstreams are out");
+        if (out.size() >= MAX_OUT && !out.containsKey(id)) {
+            throw new IllegalStateException(MAX_OUT + " upstreams are out");
         }
         return out.putIfAbsent(id, now) == null ? change(id) : nothing();
     }
--- a/src/main/java/sablehinge/gateway/discovery/RosterParser.java
+++ b/src/main/java/sablehinge/gateway/discovery/RosterParser.java
@@ -21,7 +21,7 @@
 public record RosterParser(List<String> zones, List<String> kinds, boolean learns) {
 
     /** Names that are learnt at most; those beyond share a place. */
-    private static final int MOST_NAMES = 1_000;
+    private static final int MAX_NAMES = 1_000;
 
     /**
      * Reads a list; throws {@link IllegalArgumentException} if any part of it is amiss, since half a list would drop
@@ -75,7 +75,7 @@
     /** A name that the settings lack gets a place behind those that they have. */
     private int index(List<String> names, String name) {
         int at = names.indexOf(name);
-        if (at < 0 && learns && names.size() < MOST_NAMES) {
+        if (at < 0 && learns && names.size() < MAX_NAMES) {
             names.add(name);
             return names.size() - 1;
         }
--- a/src/main/java/sablehinge/gateway/node/AccessLog.java
+++ b/src/main/java/sablehinge/gateway/node/AccessLog.java
@@ -25,13 +25,13 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(AccessLog.class);
     /** Lines that may wait to be written. */
-    static final int MOST_WAITING = 16_384;
+    static final int MAX_WAITING = 16_384;
 
     private static final String END = "";
 
     private final Path file;
     private final long mostBytes;
-    private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_WAITING);
+    private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_WAITING);
     private final AtomicLong dropped = new AtomicLong();
     private final Thread writer;
     private long bytes;
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -51,7 +51,7 @@
 
     private static final long DRAIN_CHECK_MS = 10;
     /** SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more: less is used of it. */
-    private static final double LONGEST_DRAIN_MS = 3_000;
+    private static final double MAX_DRAIN_MS = 3_000;
 
     private static final double DRAIN_SLACK_MS = 550;
     /** The time that is kept of it to answer what has come, once callers are asked to leave. */
@@ -267,7 +267,7 @@
                 .max()
                 .orElse(0);
         double begun = clock.now();
-        double latest = begun + Math.min(longest, LONGEST_DRAIN_MS) + DRAIN_SLACK_MS;
+        double latest = begun + Math.min(longest, MAX_DRAIN_MS) + DRAIN_SLACK_MS;
         boolean handsOver = hasSuccessor();
         if (handsOver) {
             loop.submit(() -> {
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -49,9 +49,9 @@
     /** For so long after it is given up, a listener lets in callers who don't know yet. */
     private static final double LISTENER_GRACE_MS = 2_000;
     /** Versions that may have requests at work at once. */
-    static final int MOST_ALIVE = 8;
+    static final int MAX_ALIVE = 8;
     /** Names of zones and machine types over the life of the process. */
-    private static final int MOST_NAMES = 10_000;
+    private static final int MAX_NAMES = 10_000;
 
     /** A version that was read: what it says, and what it stands on once it is applied. */
     private static final class Running {
@@ -265,9 +265,9 @@
                 + kinds.size()
                 + next.zones().size()
                 + next.kinds().size();
-        return names <= MOST_NAMES
+        return names <= MAX_NAMES
                 ? null
-                : "over " + MOST_NAMES
+                : "over " + MAX_NAMES
                         + " names of zones and kinds since the process began; restart it to forget the old ones";
     }
 
@@ -282,7 +282,7 @@
     /** Applies a staged version; {@code confirmWithin} is 0 for what its file says. */
     Reply apply(int version, double confirmWithin, boolean automatic) {
         Running running = known.get(version);
-        if (running != null && node.core().versions() >= MOST_ALIVE) {
+        if (running != null && node.core().versions() >= MAX_ALIVE) {
             return new Reply(
                     false,
                     "requests of " + node.core().versions()
--- a/src/main/java/sablehinge/gateway/recorder/Dump.java
+++ b/src/main/java/sablehinge/gateway/recorder/Dump.java
@@ -39,7 +39,7 @@
 
     private static final byte[] MARK = "SHFR0001".getBytes(StandardCharsets.US_ASCII);
     /** A ring of 1 GiB and its head, far more than any that is made. */
-    private static final int MOST_HEAD = 1 << 20;
+    private static final int MAX_HEAD = 1 << 20;
 
     private static final JsonMapper JSON = new JsonMapper();
 
@@ -115,9 +115,9 @@
         }
         int length = in.getInt();
         expect(
-                length > 0 && length <= MOST_HEAD && length <= in.remaining() - Integer.BYTES,
+                length > 0 && length <= MAX_HEAD && length <= in.remaining() - Integer.BYTES,
                 MARK.length,
-                "the length of the head, 1 to " + MOST_HEAD + " and within the file, not " + length);
+                "the length of the head, 1 to " + MAX_HEAD + " and within the file, not " + length);
         int end = bytes.length - Integer.BYTES;
         expect(in.getInt(end) == sum(bytes, end), end, "the CRC-32C of what is before it");
         JsonNode head;
--- a/src/main/java/sablehinge/gateway/recorder/TimelinePage.java
+++ b/src/main/java/sablehinge/gateway/recorder/TimelinePage.java
@@ -12,7 +12,7 @@
 public final class TimelinePage {
 
     /** The connections with the most events are drawn, so many. */
-    static final int MOST_ROWS = 400;
+    static final int MAX_ROWS = 400;
 
     private static final int WIDTH = 1_000;
     private static final int LEFT = 90;
@@ -95,7 +95,7 @@
         Map<Integer, Integer> counts = timeline.connections();
         List<Integer> rows = counts.keySet().stream()
                 .sorted(Comparator.<Integer>comparingInt(counts::get).reversed())
-                .limit(MOST_ROWS)
+                .limit(MAX_ROWS)
                 .sorted()
                 .toList();
         List<Step> all = timeline.steps(0, 0);
--- a/src/main/java/sablehinge/gateway/recorder/Watchdog.java
+++ b/src/main/java/sablehinge/gateway/recorder/Watchdog.java
@@ -20,7 +20,7 @@
     private static final long LOOK_MS = 50;
     private static final long BETWEEN_MS = 60_000;
     private static final int MAX_REQUESTED = 4;
-    private static final int MOST_FRAMES = 60;
+    private static final int MAX_FRAMES = 60;
     private static final int IN_SHORT = 12;
     private static final long NANOS_PER_MS = 1_000_000;
 
@@ -129,7 +129,7 @@
         } else if (!reported) {
             reported = true;
             String stack = Stream.of(loop.getStackTrace())
-                    .limit(MOST_FRAMES)
+                    .limit(MAX_FRAMES)
                     .map(StackTraceElement::toString)
                     .collect(Collectors.joining("\n"));
             // Whoever had no turn either can't tell a busy loop from a process that got no CPU.
--- a/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
+++ b/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
@@ -20,9 +20,9 @@
 public final class ChangeDecider {
 
     /** Versions that may be staged at once. */
-    public static final int MOST_STAGED = 8;
+    public static final int MAX_STAGED = 8;
     /** Ended changes that are remembered. */
-    public static final int MOST_PAST = 100;
+    public static final int MAX_PAST = 100;
     /** Seconds before a change over which its shares of answers are compared with. */
     private static final int BEFORE = 60;
 
@@ -115,13 +115,13 @@
         if (base != confirmed) {
             return Reply.no("it is based on version " + base + ", but version " + confirmed + " is current");
         }
-        if (staged.size() >= MOST_STAGED) {
+        if (staged.size() >= MAX_STAGED) {
             // Nobody can apply those any more.
             staged.values().removeIf(over -> over != confirmed);
         }
-        return staged.size() < MOST_STAGED
+        return staged.size() < MAX_STAGED
                 ? Reply.yes("")
-                : Reply.no(MOST_STAGED + " versions are staged already; apply or drop one of " + staged.keySet());
+                : Reply.no(MAX_STAGED + " versions are staged already; apply or drop one of " + staged.keySet());
     }
 
     /** A version was staged over a base. */
@@ -314,7 +314,7 @@
         candidate = 0;
         guards = List.of();
         past.addLast(how);
-        if (past.size() > MOST_PAST) {
+        if (past.size() > MAX_PAST) {
             past.removeFirst();
         }
     }
--- a/src/main/java/sablehinge/mesh/api/ApiServer.java
+++ b/src/main/java/sablehinge/mesh/api/ApiServer.java
@@ -33,7 +33,7 @@
 public final class ApiServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(ApiServer.class);
-    private static final int MOST_CONNECTIONS = 256;
+    private static final int MAX_CONNECTIONS = 256;
     private static final long IDLE_S = 60;
 
     private final EventLoop loop;
@@ -72,7 +72,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (open.size() >= MOST_CONNECTIONS) {
+                        if (open.size() >= MAX_CONNECTIONS) {
                             channel.close();
                             return;
                         }
--- a/src/main/java/sablehinge/mesh/api/CheckException.java
+++ b/src/main/java/sablehinge/mesh/api/CheckException.java
@@ -69,7 +69,7 @@
         return place;
     }
 
-    /** All problems that were found, at most {@link ConfigurationCheck#MOST_PROBLEMS}; at least one. */
+    /** All problems that were found, at most {@link ConfigurationCheck#MAX_PROBLEMS}; at least one. */
     public List<Problem> problems() {
         return problems;
     }
--- a/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
@@ -22,7 +22,7 @@
 public final class ConfigurationCheck {
 
     /** How many problems are told at most. */
-    public static final int MOST_PROBLEMS = 20;
+    public static final int MAX_PROBLEMS = 20;
 
     /** Lists and objects within each other; a configuration has 8. */
     private static final int MAX_NESTING = 64;
@@ -48,7 +48,7 @@
         List<Problem> problems = new ArrayList<>(SchemaCheck.problems(root));
         new SemanticCheck(root, problems).check();
         if (!problems.isEmpty()) {
-            throw new CheckException(problems.subList(0, Math.min(MOST_PROBLEMS, problems.size())));
+            throw new CheckException(problems.subList(0, Math.min(MAX_PROBLEMS, problems.size())));
         }
         return ConfigurationReader.read(body);
     }
--- a/src/main/java/sablehinge/mesh/api/NearestName.java
+++ b/src/main/java/sablehinge/mesh/api/NearestName.java
@@ -6,7 +6,7 @@
 public final class NearestName {
 
     /** Longer ones are not compared: the work grows with the square. */
-    private static final int LONGEST = 64;
+    private static final int MAX_LENGTH = 64;
 
     private NearestName() {}
 
@@ -31,7 +31,7 @@
     }
 
     private static String cut(String text) {
-        return text.length() <= LONGEST ? text : text.substring(0, LONGEST);
+        return text.length() <= MAX_LENGTH ? text : text.substring(0, MAX_LENGTH);
     }
 
     private static int steps(String a, String b) {
--- a/src/main/java/sablehinge/mesh/api/SchemaCheck.java
+++ b/src/main/java/sablehinge/mesh/api/SchemaCheck.java
@@ -21,7 +21,7 @@
 
     private static final String RESOURCE = "/sablehinge/mesh/api/configuration.schema.json";
 
-    private static final int LONGEST_SHOWN = 60;
+    private static final int MAX_SHOWN = 60;
 
     /** Letters in which a field's name may differ from the one that it was meant to be. */
     private static final int MISTYPED = 2;
@@ -81,7 +81,7 @@
             return type + (value.isContainerNode() ? " of " + value.size() : "");
         }
         String text = value.toString();
-        return text.length() <= LONGEST_SHOWN ? text : text.substring(0, LONGEST_SHOWN) + "...";
+        return text.length() <= MAX_SHOWN ? text : text.substring(0, MAX_SHOWN) + "...";
     }
 
     private static final class Loaded {
--- a/src/main/java/sablehinge/mesh/api/SemanticCheck.java
+++ b/src/main/java/sablehinge/mesh/api/SemanticCheck.java
@@ -13,7 +13,7 @@
 final class SemanticCheck {
 
     /** Ten minutes. */
-    static final double LONGEST_MS = 600_000;
+    static final double MAX_MS = 600_000;
 
     private final JsonNode root;
 
@@ -44,7 +44,7 @@
     }
 
     private void add(Code code, String place, String text) {
-        if (problems.size() < ConfigurationCheck.MOST_PROBLEMS) {
+        if (problems.size() < ConfigurationCheck.MAX_PROBLEMS) {
             problems.add(new Problem(code, place, text));
         }
     }
@@ -129,7 +129,7 @@
             }
         }
         JsonNode timeout = dispatch.path("timeoutMs");
-        if (timeout.asDouble() > LONGEST_MS) {
+        if (timeout.asDouble() > MAX_MS) {
             add(
                     Code.LONG_TIMEOUT,
                     place + "/timeoutMs",
@@ -145,7 +145,7 @@
     }
 
     private void service(JsonNode name, String place) {
-        boolean wanted = problems.size() < ConfigurationCheck.MOST_PROBLEMS;
+        boolean wanted = problems.size() < ConfigurationCheck.MAX_PROBLEMS;
         if (wanted && name.isTextual() && !services.containsKey(name.asText())) {
             String nearest = NearestName.of(name.asText(), services.keySet());
             add(
--- a/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
@@ -27,7 +27,7 @@
     /** Each suspicion that proved wrong adds this part of the silence allowed, up to so many. */
     private static final double FLAP_PART = 0.5;
 
-    private static final int MOST_FLAPS = 2;
+    private static final int MAX_FLAPS = 2;
     private static final double CALM_MS = 30_000;
 
     private final Map<String, WatchedPeer> watched = new LinkedHashMap<>();
@@ -83,7 +83,7 @@
         if (one.suspected) {
             one.suspected = false;
             one.evidence = null;
-            one.flaps = Math.min(MOST_FLAPS, one.flaps + 1);
+            one.flaps = Math.min(MAX_FLAPS, one.flaps + 1);
             one.flappedAt = now;
         }
         return accused;
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
@@ -26,7 +26,7 @@
     /** How long a silent balancer's counts are kept, in ms. */
     private static final double OWNER_EXPIRY_MS = 5_000;
 
-    private static final int MOST_OWNERS = 4_096;
+    private static final int MAX_OWNERS = 4_096;
     /** The part of what is in hand that one balancer is given at once: others may want some too. */
     private static final int PARTS = 2;
     /** What calls are reckoned for a run, over those that were counted. */
@@ -36,7 +36,7 @@
     /** Counts of runs and calls are halved once there are so many runs. */
     private static final double MANY = 4_000;
 
-    private static final double LEAST_CALLS = 0.005;
+    private static final double MIN_CALLS = 0.005;
     /** How far calls of calls are followed. */
     private static final int DEPTH = 3;
 
@@ -120,7 +120,7 @@
     public Grant claimed(double now, Claim claim) {
         expire(now);
         Owner owner = owners.get(claim.incarnation());
-        if (owner == null && owners.size() < MOST_OWNERS) {
+        if (owner == null && owners.size() < MAX_OWNERS) {
             owner = new Owner();
             owners.put(claim.incarnation(), owner);
         }
@@ -246,7 +246,7 @@
             for (Map.Entry<String, Double> run : runs.entrySet()) {
                 for (Map.Entry<String, Pool> callee : pools.entrySet()) {
                     double each = callsOf(run.getKey(), callee.getValue()) * run.getValue();
-                    if (each >= LEAST_CALLS) {
+                    if (each >= MIN_CALLS) {
                         calls.merge(callee.getKey(), each, Double::sum);
                     }
                 }
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
@@ -25,11 +25,11 @@
 
     private static final double AHEAD = 0.6;
     private static final double ROUNDED = 0.5;
-    private static final int MOST_WANTED = 1_000;
+    private static final int MAX_WANTED = 1_000;
     /** How long a further try waits for an answer, in ms, and how many of a service do. */
     private static final double CLAIM_TIMEOUT_MS = 60;
 
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_WAITING = 256;
     /** What must be left for others before a second copy beside one that is out is sent. */
     private static final int KEPT = 1;
 
@@ -161,7 +161,7 @@
         part.urgent |= open <= KEPT;
         if (open > (spare ? KEPT : 0) && !(spare && part.scarce)) {
             then.accept(part.spend());
-        } else if (spare || part.waiting.size() >= MOST_WAITING) {
+        } else if (spare || part.waiting.size() >= MAX_WAITING) {
             then.accept(null);
         } else if (now < touchedAt + GRANT_LIFETIME_MS) {
             part.waiting.addLast(new Waiting(now + CLAIM_TIMEOUT_MS, then));
@@ -214,7 +214,7 @@
         parts.forEach((service, part) -> {
             boolean changed = part.requests + part.calls != part.reportedRequests;
             int wanted = Math.min(
-                    MOST_WANTED, Math.max(part.waiting.size(), (int) Math.ceil(AHEAD * part.need(now) - ROUNDED)));
+                    MAX_WANTED, Math.max(part.waiting.size(), (int) Math.ceil(AHEAD * part.need(now) - ROUNDED)));
             int open = Math.max(0, part.share - part.spent);
             part.share -= Math.max(0, open - wanted);
             if (changed || part.spent != part.reportedSpent || part.share > part.spent || wanted > 0) {
--- a/src/main/java/sablehinge/mesh/watch/PackedConfiguration.java
+++ b/src/main/java/sablehinge/mesh/watch/PackedConfiguration.java
@@ -15,7 +15,7 @@
 public final class PackedConfiguration {
 
     /** The longest body that is unpacked, in bytes. */
-    static final int MOST_BYTES = Connection.MOST_BYTES;
+    static final int MAX_BYTES = Connection.MAX_BYTES;
 
     private static final int DEFLATED = 1;
 
@@ -44,8 +44,8 @@
             throw new IOException("a configuration of format " + format + "; " + DEFLATED + " is expected");
         }
         int length = in.readInt();
-        if (length < 0 || length > MOST_BYTES) {
-            throw new IOException("a configuration of " + length + " bytes; " + MOST_BYTES + " at most are expected");
+        if (length < 0 || length > MAX_BYTES) {
+            throw new IOException("a configuration of " + length + " bytes; " + MAX_BYTES + " at most are expected");
         }
         Inflater inflater = new Inflater();
         try {
--- a/src/main/java/sablehinge/mesh/watch/Update.java
+++ b/src/main/java/sablehinge/mesh/watch/Update.java
@@ -35,7 +35,7 @@
         List<Registration> registrations,
         List<String> core) {
 
-    private static final int MOST = 10_000;
+    private static final int MAX = 10_000;
 
     /** Update whose lists can't be changed. */
     public Update {
@@ -75,14 +75,14 @@
         int number = in.readInt();
         boolean confirmed = in.readBoolean();
         long edition = in.readLong();
-        byte[] body = new byte[RecordBytes.bounded(in.readInt(), Connection.MOST_BYTES)];
+        byte[] body = new byte[RecordBytes.bounded(in.readInt(), Connection.MAX_BYTES)];
         in.readFully(body);
         long term = in.readLong();
         long stamp = in.readLong();
         boolean full = in.readBoolean();
         boolean complete = in.readBoolean();
         int size = in.readUnsignedShort();
-        int count = RecordBytes.bounded(in.readUnsignedShort(), MOST);
+        int count = RecordBytes.bounded(in.readUnsignedShort(), MAX);
         List<Registration> registrations = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             registrations.add(Registrations.read(in));
--- a/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
+++ b/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
@@ -41,7 +41,7 @@
     /** Expected latency before any was seen, as a share of the class's aim. */
     private static final double FIRST_GUESS = 0.2;
     /** Ms below which latencies are not told apart; keeps every l above zero. */
-    private static final double LEAST_LATENCY = 0.01;
+    private static final double MIN_LATENCY = 0.01;
     /** Share of an expected latency that goes with the hinted work; the rest is waiting that all share. */
     private static final double HINT_SHARE = 0.5;
     /** Growth of l for each own call in flight there: they will be served first. */
@@ -55,7 +55,7 @@
     /** Share of calls lost at a server that is worth a crossing, about what a crossing costs of a call. */
     private static final double ZONE_EXIT_RATIO = 0.4;
     /** Bound of the factor for that: its few calls must still show when it is well again. */
-    private static final double MOST_LEAVING = 16;
+    private static final double MAX_LEAVING = 16;
     /** Own calls that a server takes beside each other; so few in flight are no crowd. */
     private static final double ROOM = 4;
     /** Servers in the subset that an instance prefers: enough to lose a few, few enough to know. */
@@ -73,8 +73,8 @@
     /** That delay over the expected latency, at first and within bounds: for even and long-tailed classes. */
     private static final double FIRST_SLOW_RATIO = 3;
 
-    private static final double LEAST_SLOW_RATIO = 1.5;
-    private static final double MOST_SLOW_RATIO = 10;
+    private static final double MIN_SLOW_RATIO = 1.5;
+    private static final double MAX_SLOW_RATIO = 10;
     /** Without second copies an attempt that may be repeated is given up after this many such delays. */
     private static final double GIVE_UP = 2;
     /** Least share of the expected latency that must be left for a send to make sense. */
@@ -100,9 +100,9 @@
 
     private static final double PRESSURE_DOWN = 0.22;
     /** The longest time in ms for which one outcome stands. */
-    private static final double LONGEST_GAP = 250;
+    private static final double MAX_GAP = 250;
 
-    private static final double MOST_PRESSURE = 0.95;
+    private static final double MAX_PRESSURE = 0.95;
     private static final int PLAN_STEPS = 10;
     /** The longest wait advised to a refused client, of its aim: it should come back in good time. */
     private static final double RETURN_SHARE = 0.5;
@@ -394,7 +394,7 @@
         // two, which may befall any server, is not yet worth a crossing.
         Settings terms = call.view.settings;
         double crossing = CROSSING * Math.sqrt(terms.prices().crossZone()) + call.type.crossing();
-        l *= 1 + crossing * Math.min(MOST_LEAVING, Math.pow((1 - success) / ZONE_EXIT_RATIO, CROWD_POWER));
+        l *= 1 + crossing * Math.min(MAX_LEAVING, Math.pow((1 - success) / ZONE_EXIT_RATIO, CROWD_POWER));
         l *= 1 + IN_FLIGHT * server.out.size();
         if (!server.out.isEmpty()) {
             Attempt oldest = server.out.peekFirst();
@@ -729,16 +729,16 @@
      * much is refused that few outcomes come, and does not outlast its cause.
      */
     private static void feelPressure(ClassRecord leader, boolean fine, double now) {
-        double seconds = Math.min(LONGEST_GAP, now - leader.feltAt) / 1_000;
+        double seconds = Math.min(MAX_GAP, now - leader.feltAt) / 1_000;
         leader.feltAt = now;
         double changed = leader.pressure + (fine ? -PRESSURE_DOWN : PRESSURE_UP) * seconds;
-        leader.pressure = Math.min(MOST_PRESSURE, Math.max(0, changed));
+        leader.pressure = Math.min(MAX_PRESSURE, Math.max(0, changed));
     }
 
     private void observeLatency(Attempt attempt, double elapsed) {
         Call call = attempt.call;
         Server server = attempt.server;
-        double perHint = Math.max(LEAST_LATENCY, elapsed) / hintFactor(call);
+        double perHint = Math.max(MIN_LATENCY, elapsed) / hintFactor(call);
         double relative = perHint / call.record.latency.value();
         observeRatio(call.record, relative);
         call.record.latency.add(perHint / server.base(BASE_POOL));
@@ -751,7 +751,7 @@
     /** Moves the estimate of the latency over the expected one that only SLOW_SHARE of calls exceed. */
     private static void observeRatio(ClassRecord c, double ratio) {
         double slow = c.slowRatio * (1 + SLOW_STEP * (ratio > c.slowRatio ? 1 - SLOW_SHARE : -SLOW_SHARE));
-        c.slowRatio = Math.min(MOST_SLOW_RATIO, Math.max(LEAST_SLOW_RATIO, slow));
+        c.slowRatio = Math.min(MAX_SLOW_RATIO, Math.max(MIN_SLOW_RATIO, slow));
     }
 
     private static double hintFactor(Call call) {
--- a/src/main/java/sablehinge/tools/audit/Recorder.java
+++ b/src/main/java/sablehinge/tools/audit/Recorder.java
@@ -24,7 +24,7 @@
 public final class Recorder implements AutoCloseable {
 
     /** Evidence that waits to be written at most. */
-    public static final int MOST_WAITING = 1 << 17;
+    public static final int MAX_WAITING = 1 << 17;
 
     private static final int BATCH = 4_096;
 
@@ -37,7 +37,7 @@
 
     /** A record in a file, which is begun anew. */
     public Recorder(Path file) throws IOException {
-        this(Files.newOutputStream(file), MOST_WAITING);
+        this(Files.newOutputStream(file), MAX_WAITING);
     }
 
     Recorder(OutputStream file, int mostWaiting) throws IOException {
--- a/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
+++ b/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
@@ -31,7 +31,7 @@
 public final class RuleChecker {
 
     /** Requests that are held at most; beyond it the oldest is judged early, and counted as such. */
-    public static final int MOST_HELD = 1_000_000;
+    public static final int MAX_HELD = 1_000_000;
 
     private static final Comparator<Evidence> IN_ORDER =
             Comparator.comparingDouble(RuleChecker::begun).thenComparingDouble(Evidence::at);
@@ -57,7 +57,7 @@
 
     /** A judge by the given terms, who hands over each breach once it is sure. */
     public RuleChecker(AuditRules terms, Consumer<Breach> breaches) {
-        this(terms, breaches, MOST_HELD);
+        this(terms, breaches, MAX_HELD);
     }
 
     RuleChecker(AuditRules terms, Consumer<Breach> breaches, int mostHeld) {
--- a/src/main/java/sablehinge/tools/replay/HarEntries.java
+++ b/src/main/java/sablehinge/tools/replay/HarEntries.java
@@ -18,9 +18,9 @@
  */
 final class HarEntries implements EntryReader {
 
-    private static final int MOST_DEPTH = 64;
-    private static final int MOST_TEXT = 1 << 18;
-    private static final int MOST_HEADERS = 200;
+    private static final int MAX_DEPTH = 64;
+    private static final int MAX_TEXT = 1 << 18;
+    private static final int MAX_HEADERS = 200;
 
     private final String name;
     private final JsonParser parser;
@@ -34,8 +34,8 @@
         this.unreadable = unreadable;
         parser = JsonFactory.builder()
                 .streamReadConstraints(StreamReadConstraints.builder()
-                        .maxNestingDepth(MOST_DEPTH)
-                        .maxStringLength(MOST_TEXT)
+                        .maxNestingDepth(MAX_DEPTH)
+                        .maxStringLength(MAX_TEXT)
                         .build())
                 .build()
                 .createParser(in);
@@ -170,7 +170,7 @@
                     parser.skipChildren();
                 }
             }
-            if (header != null && value != null && fields.headers.size() < MOST_HEADERS) {
+            if (header != null && value != null && fields.headers.size() < MAX_HEADERS) {
                 fields.headers.putIfAbsent(header.toLowerCase(Locale.ROOT), value);
             }
         }
--- a/src/main/java/sablehinge/tools/replay/Inspection.java
+++ b/src/main/java/sablehinge/tools/replay/Inspection.java
@@ -19,18 +19,18 @@
     private static final int TOP_KEYS = 100;
 
     private static final int TOP_SHAPES = 10;
-    private static final int MOST_KEYS = 100_000;
-    private static final int MOST_CLASSES = 10_000;
-    private static final int MOST_DISTINCT = 1 << 20;
+    private static final int MAX_KEYS = 100_000;
+    private static final int MAX_CLASSES = 10_000;
+    private static final int MAX_DISTINCT = 1 << 20;
     private static final int SLICES = 4_096;
     private static final int ROWS = 24;
     private static final int BAR = 50;
-    private static final int LONGEST_KEY = 200;
+    private static final int MAX_KEY = 200;
 
-    private final TopValues classes = new TopValues(MOST_CLASSES);
-    private final TopValues topKeys = new TopValues(MOST_KEYS);
-    private final DistinctCounter keys = new DistinctCounter(MOST_DISTINCT);
-    private final TopValues shapes = new TopValues(MOST_CLASSES);
+    private final TopValues classes = new TopValues(MAX_CLASSES);
+    private final TopValues topKeys = new TopValues(MAX_KEYS);
+    private final DistinctCounter keys = new DistinctCounter(MAX_DISTINCT);
+    private final TopValues shapes = new TopValues(MAX_CLASSES);
     private final RateMeter rates = new RateMeter(SLICES);
     private Logs.Counts counts;
 
@@ -55,7 +55,7 @@
         if (!mapped.key().isEmpty()) {
             keys.add(mapped.key());
             // What a log has as a key may be as long as a line.
-            topKeys.add(mapped.key().length() > LONGEST_KEY ? mapped.key().substring(0, LONGEST_KEY) : mapped.key());
+            topKeys.add(mapped.key().length() > MAX_KEY ? mapped.key().substring(0, MAX_KEY) : mapped.key());
         }
     }
 
--- a/src/main/java/sablehinge/tools/replay/JsonLinesFormat.java
+++ b/src/main/java/sablehinge/tools/replay/JsonLinesFormat.java
@@ -39,14 +39,14 @@
             Map.entry("id", "idempotency_key|id|request_id"),
             Map.entry("host", "host|http_host"));
     /** Seconds up to the year 2100. */
-    private static final double MOST_SECONDS = 4.1e9;
+    private static final double MAX_SECONDS = 4.1e9;
 
-    private static final int MOST_DEPTH = 32;
+    private static final int MAX_DEPTH = 32;
 
     private final boolean ends;
     private final ObjectMapper json = new JsonMapper(JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
-                            .maxNestingDepth(MOST_DEPTH)
+                            .maxNestingDepth(MAX_DEPTH)
                             .build())
                     .build())
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
@@ -160,7 +160,7 @@
         }
         if (value.isNumber()) {
             double number = value.asDouble();
-            return Math.abs(number) > MOST_SECONDS ? number : number * 1_000;
+            return Math.abs(number) > MAX_SECONDS ? number : number * 1_000;
         }
         try {
             return OffsetDateTime.parse(value.asText()).toInstant().toEpochMilli();
--- a/src/main/java/sablehinge/tools/replay/LineEntries.java
+++ b/src/main/java/sablehinge/tools/replay/LineEntries.java
@@ -40,7 +40,7 @@
                 return null;
             }
             if (lines.tooLong()) {
-                unreadable.note(name, lines.number(), "expected at most " + LineReader.MOST_BYTES + " bytes in a line");
+                unreadable.note(name, lines.number(), "expected at most " + LineReader.MAX_BYTES + " bytes in a line");
                 continue;
             }
             if (line.isBlank()) {
--- a/src/main/java/sablehinge/tools/replay/LineReader.java
+++ b/src/main/java/sablehinge/tools/replay/LineReader.java
@@ -9,7 +9,7 @@
 final class LineReader {
 
     /** Bytes of a line at most: four times what servers let a request line and its headers have together. */
-    static final int MOST_BYTES = 1 << 18;
+    static final int MAX_BYTES = 1 << 18;
 
     private static final int BUFFER = 1 << 16;
 
@@ -64,13 +64,13 @@
     }
 
     private void keep(int count) {
-        if (tooLong || begunBytes + count > MOST_BYTES) {
+        if (tooLong || begunBytes + count > MAX_BYTES) {
             tooLong = true;
             begunBytes = 0;
             return;
         }
         if (begunBytes + count > begun.length) {
-            begun = Arrays.copyOf(begun, Math.min(MOST_BYTES, Math.max(begunBytes + count, begun.length * 2)));
+            begun = Arrays.copyOf(begun, Math.min(MAX_BYTES, Math.max(begunBytes + count, begun.length * 2)));
         }
         System.arraycopy(buffer, from, begun, begunBytes, count);
         begunBytes += count;
--- a/src/main/java/sablehinge/tools/replay/Logs.java
+++ b/src/main/java/sablehinge/tools/replay/Logs.java
@@ -20,9 +20,9 @@
 public final class Logs implements Closeable {
 
     /** Files that are open at a time. */
-    public static final int MOST_FILES = 500;
+    public static final int MAX_FILES = 500;
 
-    private static final int LEAST_HELD = 500;
+    private static final int MIN_HELD = 500;
 
     /** Hears of each logged try, in the order of time; for measuring the folding on logs whose truth is known. */
     public interface Tries {
@@ -64,8 +64,8 @@
      * @throws IllegalArgumentException if there are too many, or the format is of no use
      */
     public static Logs open(List<String> names, InputStream standard, LogOptions options) throws IOException {
-        if (names.size() > MOST_FILES) {
-            throw new IllegalArgumentException(names.size() + " files, expected " + MOST_FILES + " at most");
+        if (names.size() > MAX_FILES) {
+            throw new IllegalArgumentException(names.size() + " files, expected " + MAX_FILES + " at most");
         }
         Set<String> once = new HashSet<>();
         for (String name : names) {
@@ -74,7 +74,7 @@
             }
         }
         Logs all = new Logs(options);
-        int held = Math.max(LEAST_HELD, options.mostHeld() / names.size());
+        int held = Math.max(MIN_HELD, options.mostHeld() / names.size());
         try {
             for (String name : names) {
                 all.add(name, standard, options, held);
--- a/src/main/java/sablehinge/tools/replay/OrderedLog.java
+++ b/src/main/java/sablehinge/tools/replay/OrderedLog.java
@@ -14,7 +14,7 @@
     /** Times by which it is seen whether a log has whole seconds only. */
     private static final int SAMPLE = 200;
 
-    private static final int MOST_BODY = 1 << 16;
+    private static final int MAX_BODY = 1 << 16;
 
     /**
      * What is held of a request until its place is known.
@@ -106,7 +106,7 @@
                 new RequestAttributes(entry.method(), entry.host(), entry.target(), entry.caller(), entry.headers());
         MappedRequest mapped = mapping.map(requested);
         int body =
-                mapped != null && mapped.body() >= 0 ? mapped.body() : (int) Math.min(MOST_BODY, entry.requestBytes());
+                mapped != null && mapped.body() >= 0 ? mapped.body() : (int) Math.min(MAX_BODY, entry.requestBytes());
         return new Held(
                 entry.duration(),
                 entry.caller(),
--- a/src/main/java/sablehinge/tools/replay/run/Load.java
+++ b/src/main/java/sablehinge/tools/replay/run/Load.java
@@ -34,8 +34,8 @@
 
     private static final double DRAIN_GRACE = 2_050;
     private static final double SLACK = 250;
-    private static final int MOST_CLASSES = 1_000;
-    private static final int MOST_TARGET = 2_000;
+    private static final int MAX_CLASSES = 1_000;
+    private static final int MAX_TARGET = 2_000;
     private static final long PRIMING_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
     private static final double NANOS = 1e6;
 
@@ -174,7 +174,7 @@
         ClassPlan plan = plans.computeIfAbsent(
                 name,
                 key -> ClassPlan.unknown(
-                        plans.size() < MOST_CLASSES
+                        plans.size() < MAX_CLASSES
                                         && List.of("GET", "HEAD", "OPTIONS").contains(demand.method())
                                 ? Effect.SAFE
                                 : Effect.UNSAFE));
@@ -207,7 +207,7 @@
         StringBuilder plain = new StringBuilder();
         for (byte b : (has ? logged : own + (logged.startsWith("/") ? logged : "/" + logged))
                 .getBytes(StandardCharsets.UTF_8)) {
-            if (plain.length() > MOST_TARGET) {
+            if (plain.length() > MAX_TARGET) {
                 break;
             }
             if (b > ' ' && b < 127) {
--- a/src/main/java/sablehinge/tools/replay/run/LoadResult.java
+++ b/src/main/java/sablehinge/tools/replay/run/LoadResult.java
@@ -16,7 +16,7 @@
 public final class LoadResult {
 
     /** A generator that was later than this, in ms at p99, has not sent what it says. */
-    private static final double MOST_LATE = 5;
+    private static final double MAX_LATE = 5;
     /** Half a core for so many requests a second is what the generator may use. */
     private static final double RATE_OF_HALF_A_CORE = 1_700;
 
@@ -78,12 +78,12 @@
     /** Why the figures don't count; empty if they do. */
     public List<String> doubts() {
         List<String> doubts = new ArrayList<>();
-        if (sendError(99) > MOST_LATE) {
+        if (sendError(99) > MAX_LATE) {
             doubts.add(String.format(
                     Locale.ROOT,
                     "the generator ran late: by %.1f ms at p99, %.0f ms is allowed",
                     sendError(99),
-                    MOST_LATE));
+                    MAX_LATE));
         }
         double allowed = 0.5 * Math.max(1, rate() / RATE_OF_HALF_A_CORE);
         if (cores() > allowed) {
--- a/src/main/java/sablehinge/tools/replay/run/ReplayWorker.java
+++ b/src/main/java/sablehinge/tools/replay/run/ReplayWorker.java
@@ -46,7 +46,7 @@
 final class ReplayWorker {
 
     /** Requests that wait for their time at most. */
-    static final int MOST_AHEAD = 20_000;
+    static final int MAX_AHEAD = 20_000;
 
     private static final int CONNECT_MS = 1_000;
     /** How long after a try's time is up its connection stays, so that an answer that is late is seen. */
@@ -66,7 +66,7 @@
     private final SplittableRandom random;
     private final String name;
     private final LoadRecord record;
-    private final ArrayBlockingQueue<Planned> ahead = new ArrayBlockingQueue<>(MOST_AHEAD);
+    private final ArrayBlockingQueue<Planned> ahead = new ArrayBlockingQueue<>(MAX_AHEAD);
     private final RequestCounts counts = new RequestCounts();
     private final long start;
     private final long mix;
--- a/src/main/java/sablehinge/tools/replay/run/RequestCounts.java
+++ b/src/main/java/sablehinge/tools/replay/run/RequestCounts.java
@@ -8,7 +8,7 @@
 final class RequestCounts {
 
     /** An hour in µs; what takes longer counts as that. */
-    private static final long MOST = 3_600_000_000L;
+    private static final long MAX = 3_600_000_000L;
 
     static final int SLICES = 300;
 
@@ -25,7 +25,7 @@
     /** The requests of a class. */
     static final class OfClass {
         final long[] outcomes = new long[Outcome.values().length];
-        final Histogram latency = new Histogram(MOST, 3);
+        final Histogram latency = new Histogram(MAX, 3);
     }
 
     /** A slice of time: what was asked in it, and what was answered. */
@@ -46,7 +46,7 @@
 
         Histogram histogram() {
             if (latency == null) {
-                latency = new Histogram(1, MOST, 2);
+                latency = new Histogram(1, MAX, 2);
             }
             return latency;
         }
@@ -57,7 +57,7 @@
     }
 
     final Map<String, OfClass> classes = new TreeMap<>();
-    final Histogram sendError = new Histogram(MOST, 3);
+    final Histogram sendError = new Histogram(MAX, 3);
     Slice[] slices = new Slice[SLICES];
     double sliceWidth = 1_000;
     long requests;
@@ -88,7 +88,7 @@
     }
 
     private static long micros(double millis) {
-        return Math.max(0, Math.min(MOST, Math.round(millis * 1_000)));
+        return Math.max(0, Math.min(MAX, Math.round(millis * 1_000)));
     }
 
     private Slice slice(double at) {
--- a/src/main/java/sablehinge/tools/replay/schedule/ReplaySchedule.java
+++ b/src/main/java/sablehinge/tools/replay/schedule/ReplaySchedule.java
@@ -18,9 +18,9 @@
     /** How far a copy may lie from its original, in ms of the log. */
     private static final double SPREAD = 1_000;
 
-    private static final int MOST_CLASSES = 10_000;
+    private static final int MAX_CLASSES = 10_000;
     /** Copies that wait for their time at most; beyond it the first one goes early. */
-    static final int MOST_WAITING = 1 << 18;
+    static final int MAX_WAITING = 1 << 18;
 
     /**
      * How a day is replayed.
@@ -74,7 +74,7 @@
         }
         release(time);
         // Beyond the bound all classes share one account.
-        double[] owes = owed.computeIfAbsent(owed.size() < MOST_CLASSES ? serviceClass : "", name ->
+        double[] owes = owed.computeIfAbsent(owed.size() < MAX_CLASSES ? serviceClass : "", name ->
                 new double[] {terms.rateScale() < 1 ? random.nextDouble() : 0});
         owes[0] += terms.rateScale();
         // A sum of tenths may lie a little under a whole.
@@ -90,7 +90,7 @@
     }
 
     private void release(double time) {
-        while (!waiting.isEmpty() && (waiting.peek().time <= time || waiting.size() > MOST_WAITING)) {
+        while (!waiting.isEmpty() && (waiting.peek().time <= time || waiting.size() > MAX_WAITING)) {
             Copy<T> next = waiting.poll();
             send(next.time, next.copy, next.request);
         }
--- a/src/main/java/sablehinge/tools/standin/Caller.java
+++ b/src/main/java/sablehinge/tools/standin/Caller.java
@@ -41,7 +41,7 @@
     private static final long LINGER_MS = 150;
 
     private static final long IDLE_MS = 1_500;
-    private static final int MOST_BODY = 1 << 17;
+    private static final int MAX_BODY = 1 << 17;
 
     private final EventLoop loop;
     private final String name;
@@ -186,7 +186,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY), connection);
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY), connection);
                     }
                 })
                 .connect(address)
--- a/src/main/java/sablehinge/tools/standin/Directory.java
+++ b/src/main/java/sablehinge/tools/standin/Directory.java
@@ -42,7 +42,7 @@
  */
 final class Directory {
 
-    private static final int MOST_WAIT_MS = 60_000;
+    private static final int MAX_WAIT_MS = 60_000;
 
     /** A server as the list has it. */
     record Entry(String id, String zone, String kind, int cell, String state, long startedMillis) {}
@@ -256,7 +256,7 @@
                 return;
             }
             long index = number(query, "index", -1);
-            long wait = Math.min(MOST_WAIT_MS, number(query, "wait", 0));
+            long wait = Math.min(MAX_WAIT_MS, number(query, "wait", 0));
             owed.add(new Owed(balancer, ctx, index, EvidenceStamps.now() + wait));
             tellAll();
         }
--- a/src/main/java/sablehinge/tools/standin/Server.java
+++ b/src/main/java/sablehinge/tools/standin/Server.java
@@ -59,8 +59,8 @@
  */
 final class Server {
 
-    private static final int MOST_BODY = 1 << 16;
-    private static final int MOST_KEYS = 100_000;
+    private static final int MAX_BODY = 1 << 16;
+    private static final int MAX_KEYS = 100_000;
     private static final double IDLE_MS = 30_000;
 
     private final Place place;
@@ -480,7 +480,7 @@
                 }
                 if (message instanceof HttpContent part && head != null) {
                     bytes += part.content().readableBytes();
-                    if (bytes > MOST_BODY) {
+                    if (bytes > MAX_BODY) {
                         answer(413, "", true);
                     } else if (message instanceof LastHttpContent) {
                         complete(head);
@@ -550,7 +550,7 @@
                 return;
             }
             if (!key.isEmpty()) {
-                if (keys.size() >= MOST_KEYS) {
+                if (keys.size() >= MAX_KEYS) {
                     keys.clear();
                 }
                 keys.put(key, (long) EvidenceStamps.now());
--- a/src/main/java/sablehinge/tools/standin/mesh/Message.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/Message.java
@@ -18,8 +18,8 @@
  */
 record Message(String start, Map<String, String> headers, byte[] body) {
 
-    private static final int MOST_LINE = 1 << 16;
-    private static final int MOST_BODY = 1 << 26;
+    private static final int MAX_LINE = 1 << 16;
+    private static final int MAX_BODY = 1 << 26;
 
     /** The word of the first line at a place, counted from 0. */
     String word(int place) {
@@ -89,7 +89,7 @@
         if (length != null) {
             return complete(in, Integer.parseInt(length));
         }
-        return start.startsWith("HTTP/") ? in.readNBytes(MOST_BODY) : new byte[0];
+        return start.startsWith("HTTP/") ? in.readNBytes(MAX_BODY) : new byte[0];
     }
 
     private static int size(InputStream in) throws IOException {
@@ -97,7 +97,7 @@
     }
 
     private static byte[] complete(InputStream in, int size) throws IOException {
-        if (size < 0 || size > MOST_BODY) {
+        if (size < 0 || size > MAX_BODY) {
             throw new IOException("a body of " + size + " bytes");
         }
         byte[] bytes = in.readNBytes(size);
@@ -116,7 +116,7 @@
                 }
                 throw new EOFException("a head ends early");
             }
-            if (line.size() > MOST_LINE) {
+            if (line.size() > MAX_LINE) {
                 throw new IOException("a line is too long");
             }
             if (next != '\r') {
--- a/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
@@ -27,9 +27,9 @@
 public final class ScenarioFile {
 
     private static final double HOUR = 3.6e6;
-    private static final int MOST_SERVERS = 500;
-    private static final int MOST_FAULTS = 1_000;
-    private static final int MOST_BRACKETS = 4_000;
+    private static final int MAX_SERVERS = 500;
+    private static final int MAX_FAULTS = 1_000;
+    private static final int MAX_BRACKETS = 4_000;
 
     private ScenarioFile() {}
 
@@ -53,8 +53,8 @@
     public static Checked parse(String text) {
         List<Problem> problems = new ArrayList<>();
         // The parser is recursive; no scenario needs so many.
-        if (text.chars().filter(c -> c == '[' || c == '{').count() > MOST_BRACKETS) {
-            return new Checked(null, List.of(new Problem(0, "", "has more than " + MOST_BRACKETS + " brackets")));
+        if (text.chars().filter(c -> c == '[' || c == '{').count() > MAX_BRACKETS) {
+            return new Checked(null, List.of(new Problem(0, "", "has more than " + MAX_BRACKETS + " brackets")));
         }
         TomlParseResult toml;
         try {
@@ -93,7 +93,7 @@
                 root.itemProblem("tier", i, "name", "is that of another tier");
             }
         }
-        List<Fault> faults = root.sections("fault", MOST_FAULTS, s -> fault(s, names));
+        List<Fault> faults = root.sections("fault", MAX_FAULTS, s -> fault(s, names));
         Section rules = root.section("rules");
         RulesPart figures = new RulesPart(
                 rules.duration("drain-grace", 2_000, 0, 60_000),
@@ -146,7 +146,7 @@
         }
         return new TierPart(
                 name,
-                s.integer("servers", 3, 1, MOST_SERVERS),
+                s.integer("servers", 3, 1, MAX_SERVERS),
                 s.integer("balancers", 1, 1, 100),
                 s.number("share", 1, 0, 1),
                 s.integer("calls", 1, 0, 10),
@@ -155,7 +155,7 @@
                 fastest,
                 s.integer("slots", 40, 1, 100_000),
                 s.integer("queue", 200, 0, 1_000_000),
-                s.integer("cell", 4, 1, MOST_SERVERS),
+                s.integer("cell", 4, 1, MAX_SERVERS),
                 s.number("cold-from", 0.2, 0.01, 1),
                 s.duration("cold", 12_000, 0, HOUR));
     }
@@ -175,7 +175,7 @@
                 s.choice("tier", -1, tiers),
                 from,
                 from + s.duration("for", 5_000, 1, HOUR),
-                s.integer("servers", 1, 1, MOST_SERVERS),
+                s.integer("servers", 1, 1, MAX_SERVERS),
                 s.number("size", 2, 1, 1_000),
                 s.number("chance", 0.1, 0, 1));
     }
--- a/src/test/java/sablehinge/controlplane/node/OperatorModel.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorModel.java
@@ -21,7 +21,7 @@
 
     private static final double SILENCE_MS = 1_000;
     private static final double PAUSE_MS = 30;
-    private static final int MOST_UNDER_WAY = 8;
+    private static final int MAX_UNDER_WAY = 8;
     /** No answer takes longer, in ms, but of a machine that stood still. */
     private static final double AT_ONCE_MS = 930;
 
@@ -85,7 +85,7 @@
 
     /** Sends an order that is new, or the same as one before in some part. */
     void sendSomething() {
-        if (orders.stream().filter(order -> order.underWay).count() >= MOST_UNDER_WAY) {
+        if (orders.stream().filter(order -> order.underWay).count() >= MAX_UNDER_WAY) {
             return;
         }
         send(draw());
--- a/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
@@ -23,11 +23,11 @@
 /** The checker of the agreement: that it is quiet on what is right, and finds and tells what is not. */
 class QuorumTest {
 
-    private static final int LONGEST = 60;
+    private static final int MAX_LENGTH = 60;
     /** A seed by which five machines start, three of which found. */
     private static final long FIVE_START = 7;
     /** Faults of each of the points that can go wrong. */
-    private static final int LEAST_FAULTS = 8;
+    private static final int MIN_FAULTS = 8;
 
     /** A founder that lost its founding, votes, loses power, and is asked by another in the same term. */
     private static final String NAME_ONLY =
@@ -130,7 +130,7 @@
         assertArrayEquals(first, hunt(fault(name)), "another verdict");
         Script script = Script.parse(first[0].lines().toList());
         assertEquals(first[0], script.toString());
-        assertTrue(script.steps().size() <= LONGEST, first[0]);
+        assertTrue(script.steps().size() <= MAX_LENGTH, first[0]);
         assertNull(script.breach(), "the fault, not the checker, broke it");
     }
 
@@ -148,7 +148,7 @@
                 Faults.ALL.stream().map(Fault::name).distinct().count());
         for (Fault.Point point :
                 List.of(Fault.Point.CUT_OFF, Fault.Point.ORDERS, Fault.Point.MEMBERSHIP, Fault.Point.SNAPSHOTS)) {
-            assertTrue(counts.get(point) >= LEAST_FAULTS, point + " has " + counts.get(point));
+            assertTrue(counts.get(point) >= MIN_FAULTS, point + " has " + counts.get(point));
         }
     }
 
--- a/src/test/java/sablehinge/controlplane/raft/SendWindowTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SendWindowTest.java
@@ -91,31 +91,30 @@
     void recentEntriesAreBoundedByNumberAndBytes() {
         RecentEntries recent = new RecentEntries();
         assertFalse(recent.holds(0));
-        for (int i = 1; i <= RecentEntries.MOST_ENTRIES + 10; i++) {
-            recent.add(List.of(entry(i, 1)), RecentEntries.MOST_BYTES);
+        for (int i = 1; i <= RecentEntries.MAX_ENTRIES + 10; i++) {
+            recent.add(List.of(entry(i, 1)), RecentEntries.MAX_BYTES);
         }
         assertFalse(recent.holds(10));
         assertTrue(recent.holds(11));
         assertEquals(11, recent.entry(11).index());
-        assertTrue(recent.holds(RecentEntries.MOST_ENTRIES + 10));
-        assertFalse(recent.holds(RecentEntries.MOST_ENTRIES + 11));
+        assertTrue(recent.holds(RecentEntries.MAX_ENTRIES + 10));
+        assertFalse(recent.holds(RecentEntries.MAX_ENTRIES + 11));
         recent.add(
-                List.of(entry(RecentEntries.MOST_ENTRIES + 11, RecentEntries.MOST_BYTES)),
-                2 * RecentEntries.MOST_BYTES);
-        assertFalse(recent.holds(RecentEntries.MOST_ENTRIES + 10));
-        assertTrue(recent.holds(RecentEntries.MOST_ENTRIES + 11));
+                List.of(entry(RecentEntries.MAX_ENTRIES + 11, RecentEntries.MAX_BYTES)), 2 * RecentEntries.MAX_BYTES);
+        assertFalse(recent.holds(RecentEntries.MAX_ENTRIES + 10));
+        assertTrue(recent.holds(RecentEntries.MAX_ENTRIES + 11));
         recent.add(
-                List.of(entry(RecentEntries.MOST_ENTRIES + 12, RecentEntries.MOST_BYTES + 1)),
-                2 * RecentEntries.MOST_BYTES);
-        assertFalse(recent.holds(RecentEntries.MOST_ENTRIES + 12));
+                List.of(entry(RecentEntries.MAX_ENTRIES + 12, RecentEntries.MAX_BYTES + 1)),
+                2 * RecentEntries.MAX_BYTES);
+        assertFalse(recent.holds(RecentEntries.MAX_ENTRIES + 12));
         recent.add(
-                List.of(entry(RecentEntries.MOST_ENTRIES + 13, 80_000), entry(RecentEntries.MOST_ENTRIES + 14, 80_000)),
+                List.of(entry(RecentEntries.MAX_ENTRIES + 13, 80_000), entry(RecentEntries.MAX_ENTRIES + 14, 80_000)),
                 100_000);
-        assertFalse(recent.holds(RecentEntries.MOST_ENTRIES + 13), "the snapshot is smaller than both");
-        assertTrue(recent.holds(RecentEntries.MOST_ENTRIES + 14));
-        recent.add(List.of(entry(RecentEntries.MOST_ENTRIES + 15, RecentEntries.ALWAYS_BYTES)), 0);
-        assertTrue(recent.holds(RecentEntries.MOST_ENTRIES + 15));
+        assertFalse(recent.holds(RecentEntries.MAX_ENTRIES + 13), "the snapshot is smaller than both");
+        assertTrue(recent.holds(RecentEntries.MAX_ENTRIES + 14));
+        recent.add(List.of(entry(RecentEntries.MAX_ENTRIES + 15, RecentEntries.ALWAYS_BYTES)), 0);
+        assertTrue(recent.holds(RecentEntries.MAX_ENTRIES + 15));
         recent.clear();
-        assertFalse(recent.holds(RecentEntries.MOST_ENTRIES + 15));
+        assertFalse(recent.holds(RecentEntries.MAX_ENTRIES + 15));
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
@@ -13,7 +13,7 @@
 final class SlowLinkCluster extends SimulatedCluster {
 
     /** As in {@link Connection}: what waits at most, bytes. */
-    private static final long MOST_WAITING = 2L * Connection.MOST_BYTES;
+    private static final long MAX_WAITING = 2L * Connection.MAX_BYTES;
 
     private static final double LATENCY = 0.5;
     private static final double FAST = 100_000;
@@ -73,7 +73,7 @@
         Link link = link(from.address(), to);
         double begins = Math.max(now, link.freeAt);
         longestWait = Math.max(longestWait, begins - now);
-        if ((begins - now) * link.bytesPerMs > MOST_WAITING) {
+        if ((begins - now) * link.bytesPerMs > MAX_WAITING) {
             broken++;
             link.life++;
             link.freeAt = now;
--- a/src/test/java/sablehinge/dataplane/budget/Chain.java
+++ b/src/test/java/sablehinge/dataplane/budget/Chain.java
@@ -14,7 +14,7 @@
 final class Chain {
 
     static final int BOUND = 8;
-    private static final int MOST_ATTEMPTS = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
     /** What is drawn for a chain, and what is done to it; the load is a share of what the first tier can do. */
     record Plan(
@@ -135,7 +135,7 @@
             }
             if (back.served()) {
                 close(back);
-            } else if (asked.unsafe && back.ran() || attempts >= MOST_ATTEMPTS || now >= deadline) {
+            } else if (asked.unsafe && back.ran() || attempts >= MAX_ATTEMPTS || now >= deadline) {
                 close(new Back(false, runs > 0, null));
             } else {
                 send();
--- a/src/test/java/sablehinge/dataplane/budget/HeaderTextTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/HeaderTextTest.java
@@ -26,7 +26,7 @@
 
     private static final byte[] OLD = "an old secret of some length".getBytes();
     private static final byte[] NEW = "the next secret, as long again".getBytes();
-    private static final long MOST_ID = 0xffff_ffff_ffffL;
+    private static final long MAX_ID = 0xffff_ffff_ffffL;
 
     private static Keys keys(Object... namesAndSecrets) {
         Map<String, byte[]> secrets = new LinkedHashMap<>();
@@ -42,12 +42,12 @@
             @ForAll @IntRange(max = 10_000) int attempts,
             @ForAll @DoubleRange(max = 3_600_000) double remaining,
             @ForAll @DoubleRange(max = 1e9) double value,
-            @ForAll @Size(max = 16) List<@LongRange(max = MOST_ID) Long> path,
+            @ForAll @Size(max = 16) List<@LongRange(max = MAX_ID) Long> path,
             @ForAll boolean signed) {
         HeaderText text = new HeaderText(signed ? keys("a", OLD) : null);
         Budget budget = new Budget(grant, attempts, remaining, value, path);
         String written = text.write(budget);
-        assertTrue(written.length() <= HeaderText.MOST_CHARS, written);
+        assertTrue(written.length() <= HeaderText.MAX_CHARS, written);
         HeaderText.Found<Budget> found = text.readBudget(written);
         assertEquals(Kind.READ, found.kind(), written);
         Budget read = found.value();
@@ -87,7 +87,7 @@
         HeaderText text = new HeaderText(null);
         assertEquals(
                 Kind.UNREADABLE,
-                text.readBudget("v=1;" + "x".repeat(HeaderText.MOST_CHARS)).kind());
+                text.readBudget("v=1;" + "x".repeat(HeaderText.MAX_CHARS)).kind());
         assertEquals(Kind.MISSING, text.readBudget(null).kind());
         assertEquals(Kind.MISSING, text.readReport(null).kind());
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/StopTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/StopTest.java
@@ -20,9 +20,9 @@
     private static final int CLIENTS = 6;
     private static final long WORK_NANOS = 60_000_000;
     /** The grace is 6 s; a balancer whose clients never stop must not need all of it. */
-    private static final double MOST_MS = 4_500;
+    private static final double MAX_MS = 4_500;
 
-    private static final double LEAST_READY_MS = 1_000;
+    private static final double MIN_READY_MS = 1_000;
 
     /**
      * The bench found it (mix of cos-niamey, seed 171970698965): where too few balancers are in, clients stay with one
@@ -51,11 +51,11 @@
             for (Thread client : clients) {
                 client.join();
             }
-            assertTrue(took < MOST_MS, "it took " + took + " ms");
+            assertTrue(took < MAX_MS, "it took " + took + " ms");
             // The bench found it (scale-1 of cos-niamey-grown, where balancers are stopped in turn): an
             // upstream that is well was drawn no more from SIGTERM on.
             double ready = (mesh.core.readyAt() - from) / 1e6;
-            assertTrue(ready > LEAST_READY_MS, "its upstream was to be drawn for " + ready + " ms");
+            assertTrue(ready > MIN_READY_MS, "its upstream was to be drawn for " + ready + " ms");
             Set<String> lost = new TreeSet<>();
             mesh.arrived.forEach(request -> lost.add(request.id()));
             lost.removeAll(answered);
--- a/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
+++ b/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
@@ -245,7 +245,7 @@
     @Test
     void aFileOfTheGreatestSizeIsRead() {
         StringBuilder text = new StringBuilder(SHORT);
-        text.append("#".repeat(OperatorFile.MOST_BYTES - text.length()));
+        text.append("#".repeat(OperatorFile.MAX_BYTES - text.length()));
         assertEquals(List.of(), problems(text.toString()));
         assertEquals(1, problems(text.append("#").toString()).size());
     }
--- a/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
@@ -86,7 +86,7 @@
     void theUnknownAreNotKnownAndTheTableIsBounded() {
         Maintenance out = new Maintenance();
         assertFalse(out.knows(1));
-        for (long id = 0; id < Maintenance.MOST_OUT; id++) {
+        for (long id = 0; id < Maintenance.MAX_OUT; id++) {
             out.suspend(id, 1);
         }
         assertTrue(out.suspend(5, 2).members().isEmpty(), "one that is out takes no more room");
--- a/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
@@ -149,7 +149,7 @@
             boolean onTrial = decider.phase() == Phase.TRIAL || decider.phase() == Phase.CONFIRMING;
             Assertions.assertEquals(onTrial ? decider.candidate() : decider.confirmed(), follower.serving);
             Assertions.assertEquals(follower.begun - follower.ended, decider.phase() == Phase.NONE ? 0 : 1);
-            Assertions.assertTrue(decider.stagedVersions().size() <= ChangeDecider.MOST_STAGED);
+            Assertions.assertTrue(decider.stagedVersions().size() <= ChangeDecider.MAX_STAGED);
         }
         Assertions.assertEquals(kept.stream().distinct().count(), kept.size(), "a version was confirmed twice");
         // Left to itself, what is under way and waits for nobody ends.
--- a/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
@@ -166,7 +166,7 @@
 
     @Test
     void stagedVersionsAreBoundedAndThoseOfNoUseGiveWay() {
-        for (int i = 0; i < ChangeDecider.MOST_STAGED; i++) {
+        for (int i = 0; i < ChangeDecider.MAX_STAGED; i++) {
             assertTrue(decider.mayStage(1).done());
             decider.staged(2 + i, 1);
         }
@@ -175,7 +175,7 @@
         decider.confirm(now, 2);
         decider.written(now, 2, null);
         decider.staged(20, 2);
-        assertEquals(ChangeDecider.MOST_STAGED, decider.stagedVersions().size());
+        assertEquals(ChangeDecider.MAX_STAGED, decider.stagedVersions().size());
         assertTrue(decider.mayStage(2).done());
         assertEquals(java.util.Map.of(20, 2), decider.stagedVersions());
     }
@@ -192,7 +192,7 @@
             onTrial(i, TERMS);
             decider.rollback(now);
         }
-        assertEquals(ChangeDecider.MOST_PAST, decider.past().size());
+        assertEquals(ChangeDecider.MAX_PAST, decider.past().size());
         assertEquals(299, decider.past().get(99).version());
     }
 
--- a/src/test/java/sablehinge/mesh/api/ConfigurationCheckTest.java
+++ b/src/test/java/sablehinge/mesh/api/ConfigurationCheckTest.java
@@ -45,7 +45,7 @@
         assertFalse(e.place().isEmpty());
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
         assertEquals(e.code(), e.problems().get(0).code());
-        assertTrue(e.problems().size() <= ConfigurationCheck.MOST_PROBLEMS);
+        assertTrue(e.problems().size() <= ConfigurationCheck.MAX_PROBLEMS);
         return e;
     }
 
--- a/src/test/java/sablehinge/mesh/watch/PackedConfigurationTest.java
+++ b/src/test/java/sablehinge/mesh/watch/PackedConfigurationTest.java
@@ -86,13 +86,13 @@
 
     @Test
     void moreThanTheBoundIsRefusedAndSoIsMoreThanIsNamed() {
-        byte[] large = PackedConfiguration.pack(new byte[PackedConfiguration.MOST_BYTES + 1]);
+        byte[] large = PackedConfiguration.pack(new byte[PackedConfiguration.MAX_BYTES + 1]);
         assertThrows(IOException.class, () -> PackedConfiguration.unpack(large));
         // It names less than what it inflates to: no more is inflated than is named.
         ByteBuffer.wrap(large).putInt(LENGTH_AT, 100);
         assertThrows(IOException.class, () -> PackedConfiguration.unpack(large));
         byte[] small = PackedConfiguration.pack(routes(3));
-        for (int length : new int[] {-1, PackedConfiguration.MOST_BYTES, Integer.MAX_VALUE}) {
+        for (int length : new int[] {-1, PackedConfiguration.MAX_BYTES, Integer.MAX_VALUE}) {
             ByteBuffer.wrap(small).putInt(LENGTH_AT, length);
             assertThrows(IOException.class, () -> PackedConfiguration.unpack(small), "it names " + length);
         }
--- a/src/test/java/sablehinge/tools/replay/LogsTest.java
+++ b/src/test/java/sablehinge/tools/replay/LogsTest.java
@@ -222,7 +222,7 @@
             text.append("{nonsense\n\n");
         }
         text.append("{\"target\":\"/")
-                .append("x".repeat(LineReader.MOST_BYTES))
+                .append("x".repeat(LineReader.MAX_BYTES))
                 .append("\"}\n")
                 .append(get(DAY, "x", "/t/b", 200));
         String log = file("some", text.toString());
--- a/src/test/java/sablehinge/tools/replay/schedule/ReplayScheduleTest.java
+++ b/src/test/java/sablehinge/tools/replay/schedule/ReplayScheduleTest.java
@@ -98,7 +98,7 @@
         ReplaySchedule<Integer> schedule = new ReplaySchedule<>(terms(1, 1_000), (at, copy, request) -> sent[0]++);
         for (int i = 0; i < 1_000; i++) {
             schedule.take(i * 0.001, "c", i);
-            assertTrue((i + 1) * 1_000 - sent[0] <= ReplaySchedule.MOST_WAITING + 1_000);
+            assertTrue((i + 1) * 1_000 - sent[0] <= ReplaySchedule.MAX_WAITING + 1_000);
         }
         schedule.end();
         assertEquals(1_000_000, sent[0]);
--- a/src/test/java/sablehinge/tools/standin/scenario/ScenarioFileTest.java
+++ b/src/test/java/sablehinge/tools/standin/scenario/ScenarioFileTest.java
@@ -14,7 +14,7 @@
 
 class ScenarioFileTest {
 
-    private static final String LEAST = "[[class]]\nname = \"tile\"\n[[tier]]\nname = \"front\"\n";
+    private static final String MIN = "[[class]]\nname = \"tile\"\n[[tier]]\nname = \"front\"\n";
 
     private static List<String> problems(String text) {
         return ScenarioFile.parse(text).problems().stream().map(p -> p.in("f")).toList();
@@ -34,7 +34,7 @@
 
     @Test
     void aShortOneHasDefaults() {
-        Scenario scenario = ScenarioFile.parse(LEAST).scenario();
+        Scenario scenario = ScenarioFile.parse(MIN).scenario();
         assertNotNull(scenario);
         assertEquals(List.of("main"), scenario.zones());
         assertEquals(3, scenario.tiers().get(0).servers());
@@ -44,7 +44,7 @@
 
     @Test
     void faultsNameTheirTier() {
-        Scenario scenario = ScenarioFile.parse(LEAST
+        Scenario scenario = ScenarioFile.parse(MIN
                         + "[[fault]]\nkind = \"reset-before\"\ntier = \"front\"\nat = \"2s\"\n"
                         + "for = \"500ms\"\nchance = 0.5\n[[fault]]\nkind = \"slow\"\n")
                 .scenario();
@@ -70,11 +70,11 @@
                 List.of(
                         "f:6: fault[1].kind: \"stal\", did you mean stall?",
                         "f:7: fault[1].tier: \"frnt\", did you mean front?"),
-                problems(LEAST + "[[fault]]\nkind = \"stal\"\n" + "tier = \"frnt\"\n"));
+                problems(MIN + "[[fault]]\nkind = \"stal\"\n" + "tier = \"frnt\"\n"));
         assertEquals(
                 List.of("f:1: listen: is no loopback address, expected one such as \"127.0.0.1:8080\""),
-                problems("listen = \"192.0.2.1:80\"\n" + LEAST));
-        assertEquals(1, problems(LEAST + LEAST).size() - 1, "a class and a tier that are there twice");
+                problems("listen = \"192.0.2.1:80\"\n" + MIN));
+        assertEquals(1, problems(MIN + MIN).size() - 1, "a class and a tier that are there twice");
         assertNull(ScenarioFile.parse("[".repeat(5_000)).scenario());
         assertEquals(
                 List.of("nowhere: there is no such file"),
--- a/src/test/java/sablehinge/torture/ExchangeTest.java
+++ b/src/test/java/sablehinge/torture/ExchangeTest.java
@@ -15,20 +15,20 @@
 class ExchangeTest {
 
     private static final int DEPTH = 2;
-    private static final int LEAST_PLAYED = 200;
+    private static final int MIN_PLAYED = 200;
 
     @Test
     void noShortOrderOfEventsBreaksWhatMustHold() throws Exception {
         List<String> found = ExchangeBench.search(DEPTH, Integer.MAX_VALUE);
         assertEquals(List.of(), found.subList(1, found.size()));
-        assertTrue(Long.parseLong(found.get(0)) > LEAST_PLAYED, found.get(0));
+        assertTrue(Long.parseLong(found.get(0)) > MIN_PLAYED, found.get(0));
     }
 
     @Test
     void noShortOrderOnTheOutboundHopBreaksWhatMustHold() throws Exception {
         List<String> found = ExchangeBench.searchOutbound(DEPTH, Integer.MAX_VALUE);
         assertEquals(List.of(), found.subList(1, found.size()));
-        assertTrue(Long.parseLong(found.get(0)) > LEAST_PLAYED, found.get(0));
+        assertTrue(Long.parseLong(found.get(0)) > MIN_PLAYED, found.get(0));
     }
 
     /** A request that an inbound balancer stood still with runs when all has been answered. */
--- a/src/test/java/sablehinge/torture/HeldRequestsTest.java
+++ b/src/test/java/sablehinge/torture/HeldRequestsTest.java
@@ -23,7 +23,7 @@
     private static final InetSocketAddress BALANCER = new InetSocketAddress(InetAddress.getLoopbackAddress(), 10_001);
     private static final int ROOM = 1 << 20;
     /** As many as are held at once (Frontend). */
-    private static final int MOST_HELD = 256;
+    private static final int MAX_HELD = 256;
     /** A client's time, and the most of it that is a quarter of its aim. */
     private static final int TIME_LEFT = 2_100;
 
@@ -185,7 +185,7 @@
 
     @Test
     void noMoreThanSoManyAreHeldAndAllOthersRefusedAtOnce() throws Exception {
-        for (int i = 0; i < MOST_HELD + 4; i++) {
+        for (int i = 0; i < MAX_HELD + 4; i++) {
             calls("/u/x", TIME_LEFT);
         }
         assertEquals(4, calls.stream().filter(call -> call.has("HTTP/1.1 503 ")).count());
@@ -196,7 +196,7 @@
         assertEquals(4, calls.stream().filter(call -> call.has("HTTP/1.1 503 ")).count());
         passes(QUARTER_OF_AIM);
         assertEquals(
-                MOST_HELD + 4,
+                MAX_HELD + 4,
                 calls.stream().filter(call -> call.has("HTTP/1.1 503 ")).count());
         calls("/u/x", TIME_LEFT);
         assertTrue(calls.get(calls.size() - 1).heard.isEmpty(), "those that have gone are counted still");
