--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -179,7 +179,7 @@
             new Mutant(
                     "a half request ends as whole",
                     ATTEMPT,
-                    "and the upstream must not take it for whole",
+                    "and the upstream must not take it for complete",
                     "cancel();",
                     "end();"),
             new Mutant(
--- a/src/main/java/sablehinge/cli/SettingsWatch.java
+++ b/src/main/java/sablehinge/cli/SettingsWatch.java
@@ -8,14 +8,14 @@
 
 /**
  * Notices that the settings file has changed where no signal tells it, and that one which was half written at the
- * signal is whole. A process that is cut off from all machines that it knows has no other news of them.
+ * signal is complete. A process that is cut off from all machines that it knows has no other news of them.
  */
 final class SettingsWatch {
 
     /** Between two looks at the file, in ms. */
     private static final long EVERY_MS = 5_000;
 
-    /** Reads the whole file. */
+    /** Reads the complete file. */
     interface Contents {
         byte[] read() throws IOException;
     }
@@ -28,7 +28,7 @@
      * A watch that has seen nothing yet: its first look finds a change, as the file may have changed since the process
      * has read it.
      *
-     * @param file reads the whole file
+     * @param file reads the complete file
      * @param changed is run once for each content
      */
     SettingsWatch(Contents file, Runnable changed) {
--- a/src/main/java/sablehinge/cli/mesh/operator/HttpCaller.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/HttpCaller.java
@@ -23,7 +23,7 @@
     }
 
     /**
-     * A whole answer.
+     * A complete answer.
      *
      * @param location where to call instead; null for none
      */
@@ -33,7 +33,7 @@
      * Makes one call, follows nothing and repeats nothing. It has ended within the bound, whatever happens.
      *
      * @throws java.net.ConnectException where the call surely was not sent
-     * @throws IOException where there was no whole answer in time; what became of the call is not known
+     * @throws IOException where there was no complete answer in time; what became of the call is not known
      */
     Answer call(String address, Request request, long withinMs) throws IOException, InterruptedException;
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/OperatorCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/OperatorCommand.java
@@ -55,12 +55,12 @@
     /** Does it, and returns the exit status; what it can't do is a {@link CommandException}. */
     abstract int run() throws InterruptedException;
 
-    /** Whether JSON was asked for. */
+    /** Whether JSON was requested. */
     final boolean wantsJson() {
         return json;
     }
 
-    /** Prints a value as JSON where that was asked for, else as people like it. */
+    /** Prints a value as JSON where that was requested, else as people like it. */
     final void print(Object value, Runnable forPeople) {
         if (json) {
             shell.out().println(Json.text(value));
--- a/src/main/java/sablehinge/common/eventloop/ClosingEventLoops.java
+++ b/src/main/java/sablehinge/common/eventloop/ClosingEventLoops.java
@@ -14,8 +14,8 @@
  * Event loops whose channels are closed, listeners among them, once their shutdown has been awaited.
  *
  * <p>Netty's own loop closes its channels only if it sees the shutdown between its I/O and its tasks. If the shutdown
- * is asked for while tasks run, with no quiet period, the loop ends and its sockets stay open for as long as the
- * process lives: a listener then holds its address and accepts connections that nobody reads.
+ * is requested while tasks run, with no quiet period, the loop ends and its sockets stay open for as long as the
+ * process runs: a listener then holds its address and accepts connections that nobody reads.
  */
 public final class ClosingEventLoops extends MultiThreadIoEventLoopGroup {
 
--- a/src/main/java/sablehinge/common/logging/LogTerms.java
+++ b/src/main/java/sablehinge/common/logging/LogTerms.java
@@ -8,8 +8,8 @@
  * How the log is kept.
  *
  * @param format of its lines
- * @param level what is said of all subsystems
- * @param levels what is said of single ones, by their names in {@link #SUBSYSTEMS}
+ * @param level of all subsystems
+ * @param levels of single ones, by their names in {@link #SUBSYSTEMS}
  * @param limit how many lines may be written in five seconds, so that peers can't fill it
  */
 public record LogTerms(Format format, Level level, Map<String, Level> levels, int limit) {
@@ -37,7 +37,7 @@
             "control", "sablehinge.controlplane.node",
             "sidecar", "sablehinge.dataplane.sidecar");
 
-    /** Where nothing is said of it, as on the platform. */
+    /** Where the settings have none, as on the platform. */
     public static final LogTerms USUAL = new LogTerms(Format.TEXT, Level.INFO, Map.of(), 10);
 
     /** Where the mesh's daemons say nothing else: a line of pairs an event. */
--- a/src/main/java/sablehinge/common/mapping/RequestAttributes.java
+++ b/src/main/java/sablehinge/common/mapping/RequestAttributes.java
@@ -6,7 +6,7 @@
  * A logged request as rules see it.
  *
  * @param host without a port, in lower case; null where the log doesn't tell
- * @param target path and query as they were asked for
+ * @param target path and query as they were requested
  * @param headers by their names in lower case, those that the log has
  */
 public record RequestAttributes(String method, String host, String target, String caller, Map<String, String> headers) {
--- a/src/main/java/sablehinge/common/rpc/Connection.java
+++ b/src/main/java/sablehinge/common/rpc/Connection.java
@@ -21,7 +21,7 @@
 
 /**
  * Connections that carry records between processes of the system. Both ends ping each other while they have nothing to
- * say: a cut is silent, and only an answer tells that the other end is there.
+ * say: a partition raises no error, and only an answer shows that the other end is there.
  */
 public final class Connection {
 
@@ -41,7 +41,7 @@
     private final LongSupplier nanoTime;
     private final Observer observer;
 
-    /** Is told of each record on its way, with its bytes on the wire; called on the loop. */
+    /** Observes each record, with its bytes on the wire; called on the loop. */
     public interface Observer {
 
         /** Of one that observes nothing. */
@@ -57,7 +57,7 @@
         default void connects(Channel channel, InetSocketAddress to) {}
     }
 
-    /** What one end of a connection hears. */
+    /** The events of one end of a connection. */
     public interface Handler {
 
         /** The connection is up. */
@@ -73,14 +73,14 @@
     /**
      * Connections on a loop.
      *
-     * @param pingMs how often an end that hears nothing asks
-     * @param timeoutMs how long it hears nothing until it gives the connection up
+     * @param pingMs how often an end that receives nothing pings
+     * @param timeoutMs after how long without any bytes it closes the connection
      */
     public Connection(EventLoop loop, long pingMs, long timeoutMs) {
         this(loop, pingMs, timeoutMs, Observer.NONE);
     }
 
-    /** The same, with somebody who is told of all records. */
+    /** The same, with an observer of all records. */
     public Connection(EventLoop loop, long pingMs, long timeoutMs, Observer observer) {
         this(loop, pingMs, timeoutMs, observer, System::nanoTime);
     }
@@ -110,7 +110,7 @@
                 .bind(address);
     }
 
-    /** Connects to an address; the handler hears what comes of it. */
+    /** Connects to an address; the handler gets the events. */
     public Link connect(InetSocketAddress address, Handler handler) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
--- a/src/main/java/sablehinge/common/rpc/Frame.java
+++ b/src/main/java/sablehinge/common/rpc/Frame.java
@@ -18,7 +18,7 @@
         PONG,
         /** What members of the core say to each other to agree. */
         RAFT,
-        /** A data-plane balancer asks for news. */
+        /** A data-plane balancer watches for updates. */
         ASK,
         /** The answer to that. */
         UPDATE,
--- a/src/main/java/sablehinge/common/settings/LocalSchema.java
+++ b/src/main/java/sablehinge/common/settings/LocalSchema.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Puts in words what is wrong with a settings file, by its schema; too slow to load for more than that. */
+/** Describes what is wrong with a settings file, by its schema; too slow to load for more than that. */
 final class LocalSchema {
 
     private static final String RESOURCE = "/sablehinge/common/settings/local.schema.json";
--- a/src/main/java/sablehinge/common/settings/LocalSettings.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettings.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * What a process of the mesh is told in its settings file (DEPLOY, "What a process is told").
+ * The settings file of a process of the mesh (DEPLOY, "What a process is told").
  *
  * <p>Which keys there must be, and of what type and range, stands in the resource {@code local.schema.json}, and there
  * alone is it put in words. To load the library that checks by a schema takes longer than all else at a start, so a
@@ -20,10 +20,10 @@
  * @param innerFirst the first of the ports that are free for what balancers say to each other
  * @param innerLast the last one of them
  * @param seeds addresses, with ports, of machines that serve control
- * @param firstStart whether the whole system starts for the first time
+ * @param firstStart whether the system as such starts for the first time
  * @param counted whether the machine is among those that {@code tolerateMachines} counts
  * @param dataDir the folder that is kept; null for none
- * @param heartbeatMs between two beats of an upstream
+ * @param heartbeatMs between two heartbeats of an upstream
  * @param contracts the parts of the rules that are in force
  * @param app the address of the upstream on this machine; null for none
  * @param depot the service of that upstream; null for none
@@ -56,7 +56,7 @@
 
     /** What a process is. */
     public enum Role {
-        /** Carries the traffic of the machine that it shares with an upstream. */
+        /** Proxies the traffic of the machine that it shares with an upstream. */
         SIDECAR,
         /** Keeps the configuration and knows the upstreams. */
         CONTROL
--- a/src/main/java/sablehinge/common/settings/SettingsTable.java
+++ b/src/main/java/sablehinge/common/settings/SettingsTable.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A table of a settings file, asked by key; what is missing or of another type is off. */
+/** A table of a settings file, read by key; what is missing or of another type is off. */
 final class SettingsTable {
 
     private static final double MAX = 1e300;
@@ -136,7 +136,7 @@
         return (int) number;
     }
 
-    /** A whole number, 0 or more. */
+    /** An integer, 0 or more. */
     int count(String key) {
         return integer(key, need(key), 0, Integer.MAX_VALUE);
     }
--- a/src/main/java/sablehinge/controlplane/api/MeshNodes.java
+++ b/src/main/java/sablehinge/controlplane/api/MeshNodes.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The roll of the leader: the answer to {@code Mesh.Nodes}.
+ * The registry of the leader: the answer to {@code Mesh.Nodes}.
  *
- * @param leader where operators call the one who keeps the roll
- * @param complete whether whoever lives has had the time to tell of itself
+ * @param leader where operators call the leader, which keeps the registry
+ * @param complete whether every live balancer has had the time to register
  * @param more balancers that are left out
  */
 public record MeshNodes(
@@ -22,7 +22,7 @@
      * A balancer of the data plane and what is beside it.
      *
      * @param inbound where it takes requests for its upstream
-     * @param upstream the id of the upstream's life; empty for none
+     * @param upstream the id of the upstream's incarnation; empty for none
      * @param state "ready"; "draining": the upstream or the balancer leaves; "empty": no upstream beside it; "gone":
      *     nothing has been heard for long
      * @param berths requests that the upstream works on at once
--- a/src/main/java/sablehinge/controlplane/api/MeshSingletonRoles.java
+++ b/src/main/java/sablehinge/controlplane/api/MeshSingletonRoles.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What the leader does that nobody else may: the answer to {@code Mesh.Duties}.
+ * The singleton roles of the leader: the answer to {@code Mesh.Duties}.
  *
- * @param node who holds the duties
+ * @param node which node has the roles
  * @param control where operators call it
  * @param leaseMs for how long it may still give out of the pools; 0 where it may not
- * @param stamp the last change of its roll, counted from the beginning of the term
- * @param complete whether whoever lives has had the time to tell of itself
- * @param askers balancers that ask it for news
+ * @param stamp the last change of its registry, counted from the beginning of the term
+ * @param complete whether every live balancer has had the time to register
+ * @param askers balancers that watch it for updates
  * @param more pools that are left out
  */
 public record MeshSingletonRoles(
@@ -24,7 +24,7 @@
         List<Pool> pools,
         int more) {
 
-    /** Duties whose list can't be changed. */
+    /** Roles whose list can't be changed. */
     public MeshSingletonRoles {
         pools = List.copyOf(pools);
     }
--- a/src/main/java/sablehinge/controlplane/api/MeshStatus.java
+++ b/src/main/java/sablehinge/controlplane/api/MeshStatus.java
@@ -12,7 +12,7 @@
  * @param commit the index up to which the log is committed, and applied, here
  * @param edition of the configuration in force here; 0 for none
  * @param members the latest list of members that it has
- * @param plane what is on the roll; null with one that does not lead, as it keeps none
+ * @param plane what is in the registry; null for a member that does not lead, as it keeps none
  */
 public record MeshStatus(
         String node,
@@ -42,7 +42,7 @@
      *
      * @param known balancers that it has heard of lately
      * @param ready balancers whose upstream takes new requests
-     * @param complete whether whoever lives has had the time to tell of itself to this leader
+     * @param complete whether every live balancer has had the time to register to this leader
      * @param more services that are left out
      */
     public record Plane(int known, int ready, boolean complete, List<Service> services, int more) {
--- a/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
@@ -103,7 +103,7 @@
         pending.put(index, made);
     }
 
-    /** Carries out a committed command, and answers who waits for it. */
+    /** Executes a committed command, and answers the callers that wait for it. */
     ConfigurationState.Outcome applied(Entry entry) {
         ConfigurationState.Outcome outcome = configurations.apply(entry.data());
         Pending one = pending.remove(entry.index());
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -39,7 +39,7 @@
 
 /**
  * A machine of the core: it agrees with the others on the configuration, keeps it on disk, takes operators' calls and,
- * while it leads, tells the data plane the news. One thread owns all of it but the disk's work and the checks of
+ * while it leads, publishes updates to the data plane. One thread owns all of it but the disk's work and the checks of
  * configurations, which have a thread each.
  */
 public final class ControlNode {
@@ -51,7 +51,7 @@
     private static final long SHUTDOWN_RESERVE_MS = 1_000;
 
     private static final double NANOS_PER_MS = 1e6;
-    /** What an end of a connection between processes does when it hears nothing, in ms. */
+    /** How often an end of a connection between processes pings when it receives nothing, ms. */
     static final long PING_INTERVAL_MS = 300;
 
     static final long CONNECTION_TIMEOUT_MS = 1_200;
@@ -140,7 +140,7 @@
         return start(settings, processStartedAt, opener, Connection.Observer.NONE);
     }
 
-    /** The same with somebody who is told of its records. */
+    /** The same, with an observer of its records. */
     static ControlNode start(
             LocalSettings settings, long processStartedAt, Supplier<RaftStore> opener, Connection.Observer observer)
             throws ConfigException, InterruptedException {
@@ -269,7 +269,7 @@
         raft.handleMessage(clock.now(), from, message);
     }
 
-    /** Hears connections of peers and of the data plane. */
+    /** Handles records of peers and of the data plane. */
     private final class FrameHandler implements Connection.Handler {
 
         @Override
@@ -303,7 +303,7 @@
         }
     }
 
-    /** Carries out what the agreement asks for. */
+    /** Executes the actions of the Raft node. */
     private final class NodeRaftActions implements RaftActions {
 
         @Override
--- a/src/main/java/sablehinge/controlplane/node/ControlRequest.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlRequest.java
@@ -19,9 +19,9 @@
     MESH_NODES("/sablehinge/Mesh.Nodes", QuorumContact.RECENT),
     /** What the leader holds for the data plane. */
     MESH_SINGLETON_ROLES("/sablehinge/Mesh.Duties", QuorumContact.RECENT),
-    /** A balancer asks for news: configuration, registry, members of the core. */
+    /** A balancer watches for updates: configuration, registry, members of the core. */
     WATCH(null, QuorumContact.RECENT),
-    /** A balancer asks for news, and that they be the newest: one that has just started, for one. */
+    /** A balancer watches for a confirmed update, which nothing newer precedes: one that has just started, for one. */
     WATCH_CONFIRMED(null, QuorumContact.CONFIRMED),
     /** A balancer asks for tokens of a tenant's quota; so does the core that balancers give some back. */
     QUOTA_TOKENS(null, QuorumContact.LEASE),
--- a/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
+++ b/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
@@ -26,15 +26,15 @@
 import sablehinge.mesh.watch.WatchRequest;
 
 /**
- * What a machine of the core does for the data plane while it leads: it tells balancers the news, and holds the pools
- * of quotas and of retry budgets. Each answer passes the {@link QuorumGate}. Called on one thread.
+ * What a machine of the core does for the data plane while it leads: it publishes updates to balancers, and holds the
+ * pools of quotas and of retry budgets. Each answer passes the {@link QuorumGate}. Called on one thread.
  */
 final class DataPlaneService {
 
     private static final Logger LOG = LoggerFactory.getLogger(DataPlaneService.class);
     private static final double REGISTRY_COMPLETE_MS = 2_500;
     private static final double REGISTRATION_EXPIRY_MS = 12_000;
-    /** News are looked at each tick: after a longer pause, in ms, it was this process that stood still. */
+    /** Updates are published each tick: after a longer pause, in ms, it was this process that stood still. */
     private static final double PAUSE_DETECTION_MS = 1_000;
 
     private static final byte[] NONE = new byte[0];
@@ -77,7 +77,7 @@
         return registry;
     }
 
-    /** Who asks for news, to be looked at. */
+    /** The subscribers, for reading. */
     WatchServer<?> watchServer() {
         return watchServer;
     }
@@ -113,7 +113,7 @@
 
     private void watch(Connection.Link link, WatchRequest request) {
         if (request.term() > raftStatus.term()) {
-            // It has been told news by the leader of a later term: what is known here is older.
+            // It has an update of the leader of a later term: what is known here is older.
             redirect(link, new QuorumGate.Refusal(null, false));
             return;
         }
@@ -159,7 +159,7 @@
                 refusal -> {});
     }
 
-    /** Sends the news that are due once what has come in together is read: once for all of it. */
+    /** Publishes what is due once all records that came in together are read: once for all of them. */
     private void schedulePublish() {
         if (!publishScheduled) {
             publishScheduled = true;
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Sends the news that are due. */
+    /** Sends the updates that are due. */
     void publish() {
         publishScheduled = false;
         double now = clock.now();
@@ -215,7 +215,7 @@
 
     /** The committed configuration has changed. */
     void configuration() {
-        // First what the balancers are told: it must not hang on what the pools make of it.
+        // Balancers first: publishing must not depend on what the pools make of it.
         publishConfiguration();
         adopt();
     }
--- a/src/main/java/sablehinge/controlplane/node/DiskWriter.java
+++ b/src/main/java/sablehinge/controlplane/node/DiskWriter.java
@@ -12,10 +12,10 @@
 import sablehinge.controlplane.raft.WriteBatch;
 
 /**
- * Puts changes down, in order, however often the disk refuses: to whoever waits for them a disk that refuses is one
- * that stalls. After a refusal the store is closed, and after a pause opened from what is on disk; the change that was
- * under way is there, or it is written again. None is reported before it is synced, and none twice. All calls are made
- * on one thread; how many changes wait is bounded by who makes them.
+ * Writes batches, in order, however often the disk refuses: to whoever waits for them a disk that refuses is one that
+ * stalls. After a refusal the store is closed, and after a pause opened from what is on disk; the change that was under
+ * way is there, or it is written again. None is reported before it is synced, and none twice. All calls are made on one
+ * thread; how many changes wait is bounded by who makes them.
  */
 final class DiskWriter {
 
--- a/src/main/java/sablehinge/controlplane/node/PeerConnections.java
+++ b/src/main/java/sablehinge/controlplane/node/PeerConnections.java
@@ -16,7 +16,7 @@
 import sablehinge.controlplane.raft.Message;
 
 /**
- * Connections to the other machines of the core: one to each for what is said to it. What can't be sent now is dropped,
+ * Connections to the other machines of the core: one to each for what is sent to it. What can't be sent now is dropped,
  * as the agreement says everything again that matters.
  */
 final class PeerConnections {
--- a/src/main/java/sablehinge/controlplane/node/QuorumContact.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumContact.java
@@ -8,7 +8,7 @@
     /** Nothing: the answer is about this machine or the call itself, and no other machine could deny it. */
     NONE,
     /**
-     * It leads, and a majority has answered a question of its that was asked within {@link QuorumGate#RECENT_MS}. For
+     * It leads, and a majority has answered a heartbeat round that was sent within {@link QuorumGate#RECENT_MS}. For
      * what may be somewhat old, but not older than that.
      */
     RECENT,
--- a/src/main/java/sablehinge/controlplane/node/QuorumGate.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumGate.java
@@ -94,7 +94,7 @@
         }
     }
 
-    /** A barrier has ended: everything committed before it was asked for is applied here, or none knows. */
+    /** A barrier has ended: everything committed before it is applied here, or none knows. */
     void barrierEnded(double now, long token, boolean confirmed) {
         Waiting one = waiting.remove(token);
         if (one != null) {
--- a/src/main/java/sablehinge/controlplane/node/QuotaPools.java
+++ b/src/main/java/sablehinge/controlplane/node/QuotaPools.java
@@ -19,12 +19,12 @@
 import sablehinge.mesh.watch.Tokens;
 
 /**
- * The duty of keeping the pools of quotas. Who asks one that is dry is answered a little later, once the other
- * balancers have given up what they can do without.
+ * The leader's pools of quotas. A request to a pool that is dry is answered a little later, once the other balancers
+ * have given up what they can do without.
  */
 final class QuotaPools {
 
-    /** How long others have to give something up, in ms: well below the asker's patience. */
+    /** How long others have to give something up, in ms: well below the requester's timeout. */
     private static final long RECLAIM_MS = 15;
 
     private static final int MAX_WAITING = 4_096;
--- a/src/main/java/sablehinge/controlplane/node/RaftStore.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStore.java
@@ -25,8 +25,8 @@
  * <p>When {@link #begin} or {@link #write} returns, what it was given survives a loss of power; until then the disk
  * holds what it did before or all of the change. After a refusal the store is closed; who opens it again finds the one
  * or the other, written anew, and {@link #version} tells which. An empty file is made under another name, so a file
- * {@code log.mv.db} is always whole. One that is not is kept as {@code log.mv.db.isCorrupt}; as long as that is there
- * and nothing was begun after it, {@link #isCorrupt} says so, in later processes also.
+ * {@code log.mv.db} is always complete. One that is corrupt is kept as {@code log.mv.db.damaged}; as long as that is
+ * there and nothing was begun after it, {@link #isCorrupt} says so, in later processes also.
  */
 public final class RaftStore implements AutoCloseable {
 
@@ -223,7 +223,7 @@
     }
 
     /**
-     * Puts down who this member is, once.
+     * Writes who this member is, once.
      *
      * @throws StoreException {@code ORDER} if it is someone already, {@code CLOSED}, {@code REFUSED}
      */
@@ -237,7 +237,7 @@
     }
 
     /**
-     * Puts down who this member is together with its first change, both or neither: a founder that has its name has its
+     * Writes who this member is together with its first change, both or neither: a founder that has its name has its
      * founding, whenever power is lost.
      *
      * @throws StoreException {@code ORDER} if it is someone already, or the change doesn't follow on an empty log;
@@ -262,7 +262,7 @@
     }
 
     /**
-     * Puts down a change, all of it or nothing.
+     * Writes a batch, all of it or nothing.
      *
      * @throws StoreException {@code ORDER} if it doesn't follow on what is held, {@code CLOSED}, {@code REFUSED}
      */
--- a/src/main/java/sablehinge/controlplane/node/RaftStoreRecovery.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStoreRecovery.java
@@ -12,7 +12,7 @@
 
     private RaftStoreRecovery() {}
 
-    /** What an error at the opening means: damage is returned, all else thrown. */
+    /** What an error at the opening means: corruption is returned, all else thrown. */
     static CorruptStoreException classify(String file, boolean isRecovering, Exception e) {
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
             if (cause instanceof CorruptStoreException corrupt) {
--- a/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
+++ b/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
@@ -48,7 +48,7 @@
                         refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
 
-    /** On the thread beside: what is wrong with the body is so whoever is asked. */
+    /** On the checks' thread: an invalid body is invalid whichever member checks it. */
     private void check(ReplaceRequest call, long term, Consumer<CallOutcome> answer) {
         CallOutcome refused;
         try {
--- a/src/main/java/sablehinge/controlplane/node/RetryBackoff.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBackoff.java
@@ -1,8 +1,8 @@
 package sablehinge.controlplane.node;
 
 /**
- * When a disk that refuses is tried again, and which of its refusals are worth a line of the log. It decides only;
- * {@code now} is a steady clock in ms.
+ * When a disk that refuses is tried again, and which of its refusals are logged. It decides only; {@code now} is a
+ * steady clock in ms.
  */
 final class RetryBackoff {
 
@@ -18,7 +18,7 @@
     private int refusals;
     private double since;
     private double loggedAt = Double.NEGATIVE_INFINITY;
-    /** Whether a line told of these refusals. */
+    /** Whether these refusals were logged. */
     private boolean logged;
 
     private StoreException.Code code;
@@ -26,7 +26,7 @@
     /**
      * The disk has refused.
      *
-     * @return whether it is worth a line
+     * @return whether to log it
      */
     boolean refused(double now, StoreException.Code why) {
         if (refusals == 0) {
@@ -50,7 +50,7 @@
     /**
      * The disk has taken all that waited: what comes next is a first refusal again.
      *
-     * @return whether it is worth a line, as the refusals were
+     * @return whether to log it, as the refusals were
      */
     boolean recovered() {
         boolean logs = logged;
--- a/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
@@ -11,7 +11,7 @@
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.RetryBudgetCodec;
 
-/** The duty of holding the budget of further tries: balancers' claims are answered under a lease only. */
+/** Answers balancers' claims on the retry budget, under a lease only. */
 final class RetryBudgetCoordinator {
 
     private final RetryBudgetAllocator allocator;
--- a/src/main/java/sablehinge/controlplane/node/StoreException.java
+++ b/src/main/java/sablehinge/controlplane/node/StoreException.java
@@ -1,6 +1,6 @@
 package sablehinge.controlplane.node;
 
-/** The store can't do what it was asked for. */
+/** The store can't do what was requested. */
 public final class StoreException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -31,7 +31,7 @@
         this.code = code;
     }
 
-    /** What the system said; MVStore says only where. */
+    /** The system's message; MVStore's names only the place. */
     private static String root(Throwable cause) {
         Throwable root = cause;
         while (root != null && root.getCause() != null) {
--- a/src/main/java/sablehinge/controlplane/node/VerifyingFileChannel.java
+++ b/src/main/java/sablehinge/controlplane/node/VerifyingFileChannel.java
@@ -11,11 +11,11 @@
 /**
  * A file of MVStore whose chunks are sealed, and are mended before MVStore reads them.
  *
- * <p>MVStore takes a chunk for whole if its first and its last bytes are there. A disk that loses power may have
+ * <p>MVStore takes a chunk for complete if its first and its last bytes are there. A disk that loses power may have
  * written these and not what lies between. And it finds the newest chunk through a header that may be on disk when the
  * chunk is not; it then may take an older one for the newest. So when the file is locked and before MVStore reads it,
- * this looks for the newest chunk that is whole, takes the seal from one after it, which the power cut off, and lets
- * the header point to the newest. As each commit is synced before the next, only the last may be torn.
+ * this looks for the newest chunk that is complete, takes the footer from one after it, which the power cut off, and
+ * lets the header point to the newest. As each commit is synced before the next, only the last may be torn.
  */
 final class VerifyingFileChannel extends FileBase {
 
@@ -30,7 +30,7 @@
         this.base = base;
     }
 
-    /** The version of the newest commit that was whole when the file was locked; -1 if the file was empty. */
+    /** The version of the newest commit that was complete when the file was locked; -1 if the file was empty. */
     long version() {
         return version;
     }
--- a/src/main/java/sablehinge/controlplane/node/WatchServer.java
+++ b/src/main/java/sablehinge/controlplane/node/WatchServer.java
@@ -15,20 +15,20 @@
 import sablehinge.mesh.watch.WatchRequest;
 
 /**
- * Answers data-plane balancers that ask for news: at once where there is some, and after a while where there is none.
- * It decides when and with what; whoever leads the core keeps one.
+ * Answers the long polls of data-plane balancers: at once where there is an update, and after a while where there is
+ * none. It decides when and with what; whoever leads the core keeps one.
  *
  * @param <K> what names an asker's connection
  */
 public final class WatchServer<K> {
 
-    /** How long an ask without news is held, in ms. */
+    /** How long a request without an update is held, ms. */
     private static final double LONG_POLL_MS = 400;
     /** How often it is ruled on who is off, in ms. */
     private static final double EVALUATION_INTERVAL_MS = 40;
     /**
-     * How often one asker is sent a configuration while many come in succession, in ms; the first two of them are told
-     * at once. Reading one of thousands of routes takes a narrow machine a good part of a second.
+     * How often one subscriber is sent a configuration while many come in succession, ms; the first two of them are
+     * sent at once. Reading one of thousands of routes takes a narrow machine a good part of a second.
      */
     private static final double MIN_CONFIGURATION_INTERVAL_MS = 1_000;
 
@@ -63,10 +63,10 @@
         }
     }
 
-    /** An answer for whoever asked. */
+    /** An update and the subscriber that it is for. */
     public record Delivery<K>(K to, Update update) {}
 
-    /** A desk over a roll, which it keeps up. */
+    /** A server of updates over a registry, which it maintains. */
     public WatchServer(Registry registry) {
         this.registry = registry;
     }
@@ -89,7 +89,7 @@
         core = List.copyOf(members);
     }
 
-    /** An ask has come; its confirmation, if it wants one, is told by {@link #confirmed}. */
+    /** A request has come; its confirmation, if it wants one, comes by {@link #confirmed}. */
     public void handleRequest(double now, K from, WatchRequest request) {
         Subscriber subscriber = subscribers.computeIfAbsent(from, key -> new Subscriber());
         subscriber.request = request;
@@ -114,7 +114,7 @@
         subscribers.remove(subscriber);
     }
 
-    /** Who is to be told elsewhere, as this one answers no more. */
+    /** The subscribers to redirect, as this server answers no more. */
     public Collection<K> subscribers() {
         return List.copyOf(subscribers.keySet());
     }
@@ -174,7 +174,7 @@
         healthChanges.addAll(changed);
     }
 
-    /** What has changed of who is heard, since this was asked last. */
+    /** Changes of peers' health since the last call. */
     public List<HealthView.HealthChange> healthChanges() {
         List<HealthView.HealthChange> latest = List.copyOf(healthChanges);
         healthChanges.clear();
--- a/src/main/java/sablehinge/controlplane/raft/CandidateState.java
+++ b/src/main/java/sablehinge/controlplane/raft/CandidateState.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * Elections, from both sides: pre-votes and votes that this replica asks for, and those that it is asked for.
+ * Elections, from both sides: pre-votes and votes that this replica requests, and those that are requested of it.
  *
  * <p>A pre-vote only asks whether the vote would be given; nothing follows from it, so that a replica that was cut off
  * disturbs nobody when it returns (Ongaro, "Consensus: Bridging Theory and Practice", 9.6). A vote leaves once it is on
@@ -25,7 +25,7 @@
         this.quorum = quorum;
     }
 
-    /** When this replica asked for the votes of its latest term, ms. */
+    /** When this replica requested the votes of its latest term, ms. */
     double electionStartedAt() {
         return electionStartedAt;
     }
@@ -43,7 +43,7 @@
         return state.isVoter() || state.log.held(state.self.id(), state.commitIndex);
     }
 
-    /** Asks who would vote for this replica, and starts the election at once where nobody else is to be asked. */
+    /** Requests pre-votes, and starts the election at once where there is no other voter. */
     void requestPreVotes(double now) {
         state.role = RaftStatus.Role.FOLLOWER;
         state.leader = null;
@@ -95,7 +95,8 @@
     void handleVoteRequest(double now, Member from, Message.VoteRequest request) {
         boolean known = state.log.holds(from.id());
         boolean led = state.isLeader() || now - state.leaderHeardAt < state.config.minElectionTimeoutMs();
-        // A replica that hears a leader votes for nobody, save for whom the leader itself has asked to stand: else a
+        // A replica that hears from a leader votes for nobody, except for a successor that the leader itself chose:
+        // else a
         // lease might outlast the leadership.
         boolean refused = led && !(request.leadershipTransfer() && known);
         boolean upToDate = isUpToDate(request);
--- a/src/main/java/sablehinge/controlplane/raft/Departure.java
+++ b/src/main/java/sablehinge/controlplane/raft/Departure.java
@@ -1,7 +1,7 @@
 package sablehinge.controlplane.raft;
 
 /**
- * Processes that are about to end: this one, and peers that have told the leader so.
+ * Processes that are about to end: this one, and peers that have announced it to the leader.
  *
  * <p>The leaving process announces itself to the leader until it is released, which means that a majority of those that
  * stay has everything committed on disk and that, where a learner waits, it has taken the place. A leader that leaves
@@ -13,7 +13,7 @@
     private static final double ANNOUNCE_INTERVAL_MS = 100;
     /** For so long a leaving leader waits for a successor that has all of its log, ms. */
     private static final double COMPLETE_SUCCESSOR_WAIT_MS = 300;
-    /** After so long all learners have asked a new leader to become voters, ms. */
+    /** After so long all learners have sent a new leader their request to become voters, ms. */
     private static final double ALL_JOINED_MS = CoreDiscovery.JOIN_INTERVAL_MS + 100;
 
     private final ReplicaState state;
@@ -112,7 +112,7 @@
 
     /**
      * Whether a majority of the voters that stay without one has everything that is committed. Where those that stay
-     * are no majority the core is being stopped as a whole, and nobody has to wait for it.
+     * are no majority the core is being stopped as a complete, and nobody has to wait for it.
      */
     private boolean isHeldWithout(double now, long id) {
         int staying = 0;
--- a/src/main/java/sablehinge/controlplane/raft/FollowerState.java
+++ b/src/main/java/sablehinge/controlplane/raft/FollowerState.java
@@ -35,7 +35,7 @@
         snapshotReceiver.clear();
     }
 
-    /** Forgets a leader that fell silent, and starts an election when the timer has run out. */
+    /** Forgets a leader that sends nothing any more, and starts an election when the timer has run out. */
     void tick(double now) {
         if (state.leader != null && now - state.leaderHeardAt > ReplicaState.LEADER_LOST_MS) {
             state.leader = null;
--- a/src/main/java/sablehinge/controlplane/raft/HeartbeatRounds.java
+++ b/src/main/java/sablehinge/controlplane/raft/HeartbeatRounds.java
@@ -27,9 +27,9 @@
     private final long[] commitIndexAt = new long[REMEMBERED];
 
     private double leaseUntil = Double.NEGATIVE_INFINITY;
-    /** Whether another was asked to take over in this term: from then on there is no lease. */
+    /** Whether leadership was transferred in this term: from then on there is no lease. */
     private boolean leaseGivenUp;
-    /** When the latest round was sent that a majority has answered; or when the votes were asked for, ms. */
+    /** When the latest round was sent that a majority has answered; or when the votes were requested, ms. */
     private double majorityContactAt = Double.NEGATIVE_INFINITY;
 
     HeartbeatRounds(ReplicaState state, Map<Long, ReplicaProgress> peers) {
--- a/src/main/java/sablehinge/controlplane/raft/LeaderState.java
+++ b/src/main/java/sablehinge/controlplane/raft/LeaderState.java
@@ -14,7 +14,7 @@
  */
 final class LeaderState {
 
-    /** A peer that is no voter and has neither asked nor answered for so long is dropped, ms. */
+    /** A peer that is no voter and has sent nothing for so long is dropped, ms. */
     private static final double PEER_EXPIRY_MS = 10_000;
     /** Learners that are replicated to at a time. */
     private static final int MAX_LEARNERS = 8;
@@ -131,7 +131,7 @@
             addVoters(now);
         }
         for (ReplicaProgress peer : peers.values()) {
-            // At the start of a term the guessed index is worth an attempt; later only an answer confirms it.
+            // At the start of a term the guessed index is tried once; later only an answer confirms it.
             if (!peer.probing || entry.index() == peer.nextIndex && kind == Entry.Kind.NOOP) {
                 replicator.sendPending(now, peer);
             }
@@ -245,7 +245,7 @@
         peer.joinRequestedAt = now;
     }
 
-    /** Whether a peer is no voter and has asked lately to become one. */
+    /** Whether a peer is no voter and has lately requested to become one. */
     boolean isLearner(double now, ReplicaProgress peer) {
         return !state.log.holds(peer.member.id())
                 && now - peer.joinRequestedAt <= ReplicaState.LEADER_LOST_MS
--- a/src/main/java/sablehinge/controlplane/raft/LeadershipTransfer.java
+++ b/src/main/java/sablehinge/controlplane/raft/LeadershipTransfer.java
@@ -1,8 +1,9 @@
 package sablehinge.controlplane.raft;
 
 /**
- * Hands leadership to a peer: where the own disk stalls, and where this process is about to end. The peer is asked to
- * start an election at once (Ongaro's thesis, 3.10); it need not succeed, and is asked again later.
+ * Hands leadership to a peer: where the own disk stalls, and where this process is about to end. The peer is told by
+ * {@link Message.TimeoutNowRequest} to start an election at once (Ongaro's thesis, 3.10); it need not succeed, and the
+ * transfer is tried again later.
  */
 final class LeadershipTransfer {
 
@@ -27,7 +28,7 @@
         return now >= nextAttemptAt;
     }
 
-    /** The successor that was asked may be gone: another may be asked at once. */
+    /** The successor may be gone: the transfer may be tried again at once. */
     void retryNow(double now) {
         nextAttemptAt = Math.min(nextAttemptAt, now);
     }
--- a/src/main/java/sablehinge/controlplane/raft/Member.java
+++ b/src/main/java/sablehinge/controlplane/raft/Member.java
@@ -1,10 +1,10 @@
 package sablehinge.controlplane.raft;
 
 /**
- * A machine of the core in one life of its disk. Who loses its disk comes back as another member: it has forgotten what
- * it voted for, so nothing that was said by the one before binds it or counts for it.
+ * A machine of the core with one incarnation of its disk. A machine that loses its disk comes back as another member:
+ * it has forgotten what it voted for, so no promise of the member before binds it or counts for it.
  *
- * @param id tells lives apart; never 0
+ * @param id differs for each incarnation; never 0
  * @param address where it takes records from its peers, {@code ip:port}
  * @param control where operators call it, {@code ip:port}
  */
--- a/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
+++ b/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
@@ -33,7 +33,7 @@
      * @param member who it is
      * @param sinceLastMessageMs since its last answer, ms; 0 for the leader itself
      * @param caughtUp whether its disk has everything that is committed
-     * @param leaving whether it has said lately that it is about to end
+     * @param leaving whether it has announced lately that it is about to end
      */
     record Replica(Member member, double sinceLastMessageMs, boolean caughtUp, boolean leaving) {}
 
@@ -93,10 +93,13 @@
         return new VoterChange(VoterChange.Kind.REMOVE, voter.member());
     }
 
-    /** Whose place may be taken: a former life of a learner, then who leaves, then who is silent longest. */
+    /**
+     * Whose place may be taken: a former incarnation of a learner, then a voter that leaves, then the one that has not
+     * answered for longest.
+     */
     private Optional<Replica> departing(List<Replica> voters, List<Replica> ready) {
         for (Replica voter : voters) {
-            // Two lives of one disk can't both answer: the one before need not be waited for.
+            // Two incarnations of one disk can't both answer: the one before need not be waited for.
             if (!isFresh(voter) && ready.stream().anyMatch(one -> isSameMachine(one, voter))) {
                 return Optional.of(voter);
             }
--- a/src/main/java/sablehinge/controlplane/raft/Message.java
+++ b/src/main/java/sablehinge/controlplane/raft/Message.java
@@ -59,7 +59,7 @@
      * @param lastIndex of the sender's log
      * @param lastTerm of the entry there
      * @param preVote only asks whether the vote would be given; nothing follows from it
-     * @param leadershipTransfer the leader has asked for the election, so that having heard of a leader is no reason to
+     * @param leadershipTransfer the leader has requested the election, so that having heard of a leader is no reason to
      *     refuse
      */
     record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote, boolean leadershipTransfer)
@@ -73,7 +73,7 @@
     /**
      * Answers {@link VoteRequest}.
      *
-     * @param term the one that was asked for if granted, else the latest that the sender has seen
+     * @param term the requested one if granted, else the latest that the sender has seen
      * @param granted whether the vote is given
      * @param preVote as in the request
      */
@@ -114,7 +114,7 @@
      * @param term the latest that the sender has seen
      * @param success whether the sender's log holds the entry before the sent ones
      * @param matchIndex up to here the sender's disk surely holds what the leader's log holds
-     * @param hint if success, up to here its memory does; else the last index worth trying, and -1 if only a snapshot
+     * @param hint if success, up to here its memory does; else the last index that may match, and -1 if only a snapshot
      *     will do
      * @param round the highest heartbeat round of this leader that the sender has seen
      */
--- a/src/main/java/sablehinge/controlplane/raft/PersistedState.java
+++ b/src/main/java/sablehinge/controlplane/raft/PersistedState.java
@@ -5,7 +5,7 @@
 /**
  * What a member finds on its disk when it starts.
  *
- * @param self who it is; what it said under this id binds it
+ * @param self who it is; what it promised under this id binds it
  * @param term the latest that it has seen
  * @param votedFor the id of who has its vote in that term; 0 for nobody
  * @param snapshot null where there is none
--- a/src/main/java/sablehinge/controlplane/raft/QuorumState.java
+++ b/src/main/java/sablehinge/controlplane/raft/QuorumState.java
@@ -4,8 +4,8 @@
  * The role of a replica, and the only place where it changes.
  *
  * <ul>
- *   <li>Follower to candidate: the election timer ran out, a majority would vote for this replica
- *       ({@link CandidateState} asks first, by pre-votes), or the leader has asked it to take over.
+ *   <li>Follower to candidate: the election timer ran out, a majority would vote for this replica (by pre-votes, see
+ *       {@link CandidateState}), or the leader transfers its leadership to it.
  *   <li>Candidate to leader: a majority has voted for it, its own vote being on disk.
  *   <li>Candidate or leader to follower: a later term was seen, a leader of the same term was heard (candidate only),
  *       or no majority has answered for {@link RaftConfig#quorumTimeoutMs} (leader only).
@@ -55,7 +55,7 @@
     /**
      * Starts an election in a later term.
      *
-     * @param leadershipTransfer whether the leader has asked for it, so that voters do not insist on their leader
+     * @param leadershipTransfer whether the leader has requested it, so that voters do not insist on their leader
      */
     void startElection(double now, long newTerm, boolean leadershipTransfer) {
         becomeFollower(now, newTerm, null);
--- a/src/main/java/sablehinge/controlplane/raft/RaftActions.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftActions.java
@@ -36,7 +36,7 @@
      */
     void barrierConfirmed(long token);
 
-    /** Nothing can be said about the barrier: this member does not lead, lost its leadership, or ran out of time. */
+    /** The barrier's outcome is unknown: this member does not lead, lost its leadership, or ran out of time. */
     void barrierRejected(long token);
 
     /** After {@link RaftNode#leave}: this process may end, nothing committed depends on it any more. */
--- a/src/main/java/sablehinge/controlplane/raft/RaftLog.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftLog.java
@@ -109,7 +109,7 @@
         return false;
     }
 
-    /** Puts a state in the place of all entries up to an index. */
+    /** Replaces all entries up to an index by a state. */
     void compact(long index, byte[] state) {
         Snapshot snapshot =
                 new Snapshot(index, termAt(index), lists.floorEntry(index).getValue(), state);
--- a/src/main/java/sablehinge/controlplane/raft/RaftNode.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftNode.java
@@ -301,8 +301,8 @@
 
     /**
      * Whether this replica may do what only one may do at a time. A majority has answered a heartbeat round lately
-     * enough that none of it votes for another yet; see {@link HeartbeatRounds}. Not in a term in which it asked
-     * another to take over.
+     * enough that none of it votes for another yet; see {@link HeartbeatRounds}. Not in a term in which it transferred
+     * its leadership. another to take over.
      */
     public boolean hasLease(double now) {
         return leader.rounds.hasLease(now);
--- a/src/main/java/sablehinge/controlplane/raft/ReplicaProgress.java
+++ b/src/main/java/sablehinge/controlplane/raft/ReplicaProgress.java
@@ -12,9 +12,9 @@
     long answeredRound;
     /** When it last answered, ms. */
     double lastResponseAt;
-    /** When it last asked to become a voter, ms. */
+    /** When it last requested to become a voter, ms. */
     double joinRequestedAt = Double.NEGATIVE_INFINITY;
-    /** When it last said that its process is about to end, ms. */
+    /** When it last announced that its process is about to end, ms. */
     double leaveAnnouncedAt = Double.NEGATIVE_INFINITY;
     /** Whether {@link #nextIndex} is a guess: then nothing is sent ahead of answers. */
     boolean probing = true;
@@ -36,7 +36,7 @@
         return now - lastResponseAt <= config.peerAliveMs();
     }
 
-    /** Whether it has said lately that it is about to end; one that has come back says so no more. */
+    /** Whether it has announced lately that it is about to end; one that has come back does so no more. */
     boolean isLeaving(double now, RaftConfig config) {
         return now - leaveAnnouncedAt <= config.peerAliveMs();
     }
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Puts the chunks of a leader's snapshot together, in memory: nothing of it counts before it is whole, so nothing of it
+ * Assembles the chunks of a leader's snapshot, in memory: nothing of it counts before it is complete, so nothing of it
  * is on disk either. It holds one snapshot at a time, that of the latest leader that sent one; its memory grows with
  * the bytes that came, not with the length that was named.
  */
@@ -25,7 +25,7 @@
     /**
      * Takes a chunk.
      *
-     * @return the snapshot if this chunk makes it whole, else null
+     * @return the snapshot if this chunk completes it, else null
      */
     Snapshot receive(Message.InstallSnapshotRequest request) {
         Snapshot chunk = request.chunk();
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotSender.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotSender.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * Sends one snapshot to one peer in chunks, one at a time: the next leaves when the peer has said up to which byte it
- * holds the state, so that at most one chunk lies before a heartbeat. A chunk is as large as the link and the peer
- * carry in some tenths of a second. Once the peer holds some of it, the snapshot stays the same to its end, whatever
- * the leader compacts meanwhile; whoever lost what it had names a lower offset and gets it from there.
+ * Sends one snapshot to one peer in chunks, one at a time: the next leaves when the peer has acknowledged up to which
+ * byte it holds the state, so that at most one chunk lies before a heartbeat. A chunk is as large as the link and the
+ * peer carry in some tenths of a second. Once the peer holds some of it, the snapshot stays the same to its end,
+ * whatever the leader compacts meanwhile; whoever lost what it had names a lower offset and gets it from there.
  */
 final class SnapshotSender {
 
@@ -79,7 +79,7 @@
      * The peer holds the state up to an offset.
      *
      * @param index of the snapshot that it tells of
-     * @return whether that is news, so that the next chunk is due
+     * @return whether that was not known, so that the next chunk is due
      */
     boolean received(double now, long index, int receivedBytes) {
         if (index != snapshot.index()
@@ -97,7 +97,7 @@
     }
 
     /**
-     * The peer has answered a round and said nothing of the chunk.
+     * The peer has answered a round and not mentioned the chunk.
      *
      * @return whether the chunk left before that round, so that it is lost and due again
      */
--- a/src/main/java/sablehinge/controlplane/raft/VoterChanges.java
+++ b/src/main/java/sablehinge/controlplane/raft/VoterChanges.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Carries out what {@link MembershipPlanner} decides: one change of one voter at a time, as an entry of the log, the
- * next only after the last is committed.
+ * Executes what {@link MembershipPlanner} decides: one change of one voter at a time, as an entry of the log, the next
+ * only after the last is committed.
  */
 final class VoterChanges {
 
--- a/src/main/java/sablehinge/controlplane/raft/WriteBatch.java
+++ b/src/main/java/sablehinge/controlplane/raft/WriteBatch.java
@@ -5,7 +5,7 @@
 /**
  * What the disk is to hold next: all of it or nothing. Changes are written in the order of their numbers.
  *
- * @param number counts up from 1 in each life of the process
+ * @param number counts up from 1 in each process
  * @param term the latest that was seen
  * @param votedFor the id of who has this member's vote in it; 0 for nobody
  * @param truncateFrom all entries from this index on go first; 0 for none
--- a/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
+++ b/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
@@ -40,7 +40,7 @@
         OLD,
         /** It is based on a version that is not there yet: the same order may be taken later. */
         AHEAD,
-        /** So many editions have been taken since that it can't be told whether it was one of them. */
+        /** So many editions have been accepted since that it is unknown whether it was one of them. */
         FORGOTTEN
     }
 
@@ -56,7 +56,7 @@
      * @param length of its body in bytes
      * @param basedOn the edition that it took the place of; -1 where that is not known
      * @param at when it was proposed, by the time of day of whoever proposed it, in ms since 1970; -1 where that is not
-     *     known. It is only ever told, and nothing is decided by it
+     *     known. It is only reported, and nothing is decided by it
      */
     private record AcceptedChange(int length, BodyDigest digest, long basedOn, long at) {
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Is told of the editions that were taken. */
+    /** Receives the history of accepted editions. */
     public interface HistoryReader {
 
         /**
@@ -84,7 +84,7 @@
     }
 
     /**
-     * A command that puts a configuration in the place of another.
+     * A command that replaces one configuration by another.
      *
      * @param at ms since 1970; it comes with the command, as all members must keep the same
      */
@@ -115,7 +115,7 @@
         return next <= edition ? Outcome.OLD : Outcome.TAKEN;
     }
 
-    /** Carries out a committed command. */
+    /** Executes a committed command. */
     public Outcome apply(byte[] command) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(command))) {
             in.readByte();
@@ -154,7 +154,7 @@
         return body;
     }
 
-    /** The whole state as bytes. */
+    /** The complete state as bytes. */
     public byte[] state() {
         return bytes(out -> {
             out.writeByte(FORMAT);
--- a/src/main/java/sablehinge/controlplane/state/Registry.java
+++ b/src/main/java/sablehinge/controlplane/state/Registry.java
@@ -8,10 +8,10 @@
 import sablehinge.mesh.watch.Registration;
 
 /**
- * Which data-plane balancers there are, and what is beside them: what they last told the one who keeps the roll. It is
- * not agreed upon and on no disk, since each of them tells it anew to whoever keeps it next. Each entry has the stamp
- * of its last change, so that who knows all up to a stamp is told what came after. Who is ruled off is told as not
- * ready until it tells of itself again.
+ * Which data-plane balancers there are, and what is beside them: as they last registered with the leader. It is neither
+ * replicated nor on disk, since each of them registers anew with the next leader. Each entry has the stamp of its last
+ * change, so that a reader of all up to a stamp gets what came after. An ejected balancer is published as not ready
+ * until it registers again.
  */
 public final class Registry {
 
@@ -26,7 +26,7 @@
         long stamp;
         double heardAt;
         boolean ejected;
-        /** Whether it fell silent while it took new requests, and has not said that it leaves. */
+        /** Whether it stopped registering while it took new requests, and has not announced that it leaves. */
         boolean lost;
 
         Registration published() {
@@ -45,9 +45,9 @@
     }
 
     /**
-     * An empty roll.
+     * An empty registry.
      *
-     * @param completeAfterMs ms after its beginning until which whoever lives has told of itself
+     * @param completeAfterMs ms after its reset until which every live balancer has registered
      * @param expiryMs ms without a word after which one counts as gone
      */
     public Registry(double completeAfterMs, double expiryMs) {
@@ -62,7 +62,7 @@
         beganAt = now;
     }
 
-    /** A balancer tells of itself; true if that is news. */
+    /** A balancer registers; true if that changes something. */
     public boolean register(double now, Registration registration) {
         Row row = rows.computeIfAbsent(registration.node(), node -> new Row());
         row.heardAt = now;
@@ -77,7 +77,7 @@
         return changed;
     }
 
-    /** How long it stays cold passes by itself, and is no news. */
+    /** The rest of the warm-up passes by itself, and is no change. */
     private static boolean equalsIgnoringWarmUp(Registration one, Registration other) {
         return one.upstream().equals(other.upstream())
                 && one.ready() == other.ready()
@@ -87,7 +87,7 @@
                 && one.zone().equals(other.zone());
     }
 
-    /** Others hear one that tells nothing here: it stays, as they know it where it never told anything. */
+    /** Peers hear a balancer that does not register here: it stays, as they know it where it never registered. */
     public void vouched(double now, Registration registration) {
         Row row = rows.computeIfAbsent(registration.node(), node -> new Row());
         row.heardAt = now;
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Whether nothing new is to be sent to one on the roll, whatever it told of itself. */
+    /** Ejects a balancer, or takes that back: nothing new is sent to an ejected one, whatever it registered. */
     public void setEjected(String node, boolean ejected) {
         Row row = rows.get(node);
         if (row != null && row.ejected != ejected) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Those whose upstream is known, as they told of themselves. */
+    /** Those whose upstream is known, as they registered. */
     public List<Registration> withUpstream() {
         List<Registration> withUpstream = new ArrayList<>(rows.size());
         for (Row row : rows.values()) {
@@ -118,14 +118,14 @@
     }
 
     /**
-     * This process stood still for some ms until now: what was said to it meanwhile waits in its buffers, so that this
-     * time counts as nobody's silence.
+     * This process stood still for some ms until now: what was sent to it meanwhile waits in its buffers, so that this
+     * time counts against nobody.
      */
     public void processPaused(double now, double ms) {
         rows.values().forEach(row -> row.heardAt = Math.min(now, row.heardAt + ms));
     }
 
-    /** Strikes out who has long said nothing; true if there was one. */
+    /** Drops the upstreams of balancers that have not registered for long; true if there was one. */
     public boolean expire(double now) {
         boolean changed = false;
         for (Row row : rows.values()) {
@@ -147,7 +147,7 @@
         return stamp;
     }
 
-    /** Whether everyone who lives has had the time to tell of itself: who is not on it is gone. */
+    /** Whether every live balancer has had the time to register: one that is not in it is gone. */
     public boolean isComplete(double now) {
         return now - beganAt >= completeAfterMs;
     }
@@ -167,14 +167,14 @@
     }
 
     /**
-     * A balancer that is on the roll.
+     * A balancer in the registry.
      *
-     * @param sinceLastMessageMs since it last told of itself
+     * @param sinceLastMessageMs since it last registered
      * @param gone whether that is so long that it counts as gone
      */
     public record Entry(Registration registration, double sinceLastMessageMs, boolean gone) {}
 
-    /** All that is on the roll, in the order of the nodes' names. */
+    /** All balancers, in the order of the nodes' names. */
     public List<Entry> lines(double now) {
         List<Entry> lines = new ArrayList<>(rows.size());
         rows.values()
@@ -185,7 +185,7 @@
     }
 
     /**
-     * Balancers among which a quota is divided: also those that fell silent without having left, until they are
+     * Balancers among which a quota is divided: also those that stopped registering without having left, until they are
      * forgotten. One that is cut off goes on with its part, which nobody else may have meanwhile.
      */
     public int quotaSharers() {
--- a/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
+++ b/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
@@ -9,10 +9,10 @@
 /**
  * Admits requests to the one upstream of its machine: as many at once as it works on, a few that wait, and refuses the
  * rest, which proves that they have not run. All that reaches the upstream passes here, so what is held here holds,
- * however old the knowledge of the balancers elsewhere is: its slots, its life and its drain.
+ * however old the knowledge of the balancers elsewhere is: its slots, its incarnation and its drain.
  *
  * <p>A request's {@code cost} is how long it may wait here, in ms; its {@code tenant} the rank, 0 being the highest;
- * its {@code key} the upstream's life that it is meant for.
+ * its {@code key} the upstream's incarnation that it is meant for.
  */
 public final class AdmissionController implements LoadBalancer {
 
@@ -59,13 +59,13 @@
 
     @Override
     public void upstreamsChanged(double now, Change change, List<Upstream> upstreams) {
-        // It has one upstream, of which it hears by opens and closes.
+        // It has one upstream, whose state comes by open and closes.
     }
 
     /**
      * The upstream says that it is ready.
      *
-     * @param upstream its life
+     * @param upstream its incarnation
      * @param berths requests that it works on at once
      */
     public void open(double now, long upstream, int berths) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** A life of the upstream takes nothing new from the given time on. */
+    /** An incarnation of the upstream takes nothing new from the given time on. */
     public void closes(double now, long upstream, double at) {
         if (incarnation == upstream) {
             closesAt = Math.min(closesAt, at);
--- a/src/main/java/sablehinge/dataplane/admission/UpstreamLifecycle.java
+++ b/src/main/java/sablehinge/dataplane/admission/UpstreamLifecycle.java
@@ -5,20 +5,20 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The lives of the upstream on the own machine, as its heartbeats and sign-offs tell them, and what follows for the
- * gate before it (PROTOCOL, "Which upstreams there are"; RULES, DRAIN). It decides only: events and their times go in,
- * the gate is opened and closed.
+ * The incarnations of the upstream on the own machine, by its heartbeats and sign-offs, and what follows for the gate
+ * before it (PROTOCOL, "Which upstreams there are"; RULES, DRAIN). It decides only: events and their times go in, the
+ * gate is opened and closed.
  *
- * <p>Only a heartbeat opens the gate. A health answer names the life too, but not whether an earlier process of this
- * balancer has acknowledged that the life unloads, and it may be false.
+ * <p>Only a heartbeat opens the gate. A health answer names the incarnation too, but not whether an earlier process of
+ * this balancer has acknowledged that the incarnation unloads, and it may be false.
  */
 public final class UpstreamLifecycle {
 
     /** The part of {@code unloadMs} for which an unloading upstream still takes new requests. */
     private static final double DRAIN_CLOSE_SHARE = 0.5;
-    /** Heartbeats that may be missing until an upstream counts as silent. */
+    /** Heartbeats that may be missing until an upstream counts as gone. */
     private static final double MISSED_HEARTBEATS = 3.5;
-    /** Earlier lives that are remembered, so that a late call of one is known. */
+    /** Earlier incarnations that are remembered, so that a late call of one is recognized. */
     private static final int MAX_FORMER = 64;
 
     private static final long SIGNED_OFF = Long.MAX_VALUE;
@@ -26,12 +26,12 @@
     /**
      * What an upstream says of itself.
      *
-     * @param id of its life
+     * @param id of its incarnation
      * @param service that it is of
      * @param unloading whether it is about to leave
      * @param berths requests that it works on at once
      * @param warmUpMs how much longer it is slow
-     * @param callCount rises with each call of the life
+     * @param callCount rises with each call of the incarnation
      */
     public record Heartbeat(String id, String service, boolean unloading, int berths, int warmUpMs, long callCount) {}
 
@@ -39,7 +39,7 @@
     private final ToLongFunction<String> incarnationOf;
     private final double unloadMs;
     private final double heartbeatTimeoutMs;
-    /** The highest call count of each earlier life, the oldest life first. */
+    /** The highest call count of each earlier incarnation, the oldest first. */
     private final Map<String, Long> former = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -59,7 +59,7 @@
     /**
      * An upstream of which nothing is known yet; its gate is closed.
      *
-     * @param incarnationOf the number by which requests name a life
+     * @param incarnationOf the number by which requests name an incarnation
      * @param unloadMs after an acknowledged {@code unloading} nothing new may reach the upstream
      * @param heartbeatMs between two heartbeats
      */
@@ -71,7 +71,7 @@
         heartbeatTimeoutMs = MISSED_HEARTBEATS * heartbeatMs;
     }
 
-    /** A heartbeat, which the caller acknowledges; true if others are to be told of a change. */
+    /** A heartbeat, which the caller acknowledges; true if others are to be notified of a change. */
     public boolean handleHeartbeat(double now, Heartbeat heartbeat) {
         if (former.getOrDefault(heartbeat.id(), Long.MIN_VALUE) >= heartbeat.callCount()) {
             return false;
@@ -108,7 +108,7 @@
     private boolean handleRepeated(double now, Heartbeat heartbeat) {
         boolean others = current.berths() != heartbeat.berths();
         boolean changed = timedOut || others;
-        // How long it stays cold was told once, and passes by itself: telling it anew would be news to all.
+        // The rest of the warm-up was sent once, and passes by itself: to send it anew would be a change for all.
         current = new Heartbeat(
                 heartbeat.id(),
                 heartbeat.service(),
@@ -134,7 +134,7 @@
         gate.closes(now, incarnationOf.applyAsLong(current.id()), closesAt);
     }
 
-    /** A life has signed off, which the caller acknowledges; true if others are to be told of a change. */
+    /** An incarnation has signed off, which the caller acknowledges; true if others are to be notified of a change. */
     public boolean handleSignOff(double now, String id) {
         former.put(id, SIGNED_OFF);
         if (current == null || !current.id().equals(id)) {
@@ -144,7 +144,7 @@
         return true;
     }
 
-    /** Looks for what has become due; true if others are to be told of a change. */
+    /** Looks for what has become due; true if others are to be notified of a change. */
     public boolean tick(double now) {
         if (unloading && now >= closesAt) {
             gate.closes(now, incarnationOf.applyAsLong(current.id()), closesAt);
@@ -166,7 +166,7 @@
         return present() != null && !unloading;
     }
 
-    /** When the gate closes for the present life, in ms; infinite while that is not known. */
+    /** When the gate closes for the present incarnation, in ms; infinite while that is not known. */
     public double closesAt() {
         return closesAt;
     }
--- a/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
+++ b/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
@@ -10,8 +10,8 @@
 
 /**
  * The budgets of one hop: which calls are taken in, how much each of their attempts may spend further down, and what is
- * left once it has come back. All calls that a server makes for one attempt of the tier above draw on one purse, so
- * that a fan-out does not multiply what they may spend. An attempt is granted a part of the purse, which is gone until
+ * left once it has come back. All calls that a server makes for one attempt of the tier above draw on one budget, so
+ * that a fan-out does not multiply what they may spend. An attempt is granted a part of the budget, which is gone until
  * a report says what was spent of it; without a report it is spent. So the attempts at the last tier never exceed what
  * the first hop was given, whatever is lost on the way.
  */
@@ -94,7 +94,7 @@
         }
     }
 
-    /** An attempt's part of a purse. */
+    /** An attempt's part of a budget. */
     public final class Grant {
         private final Call call;
         private final int attempts;
@@ -191,7 +191,7 @@
             deadline = Math.min(deadline, budget.deadline);
         }
         if (carried != null) {
-            // Of a call that carries none no other can draw on its purse.
+            // Of a call that carries none no other can draw on its budget.
             attemptBudgets.put(budget.grant, budget);
         }
         if (deadline <= now) {
@@ -280,7 +280,7 @@
         grant.settled = true;
         AttemptBudget budget = grant.call.budget;
         budget.out--;
-        // An attempt at the last tier has run or has not: no report is asked for.
+        // An attempt at the last tier has run or has not: no report is requested.
         int used = terms.last() && spent > 0 ? 1 : spent;
         budget.left += grant.attempts - used;
         budget.spent -= grant.attempts - used;
--- a/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
+++ b/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
@@ -6,7 +6,7 @@
 
 /**
  * What a lower tier gives up first when it has more than it can do: the least worth per unit of work, over all its
- * callers, by the worth that was carried down. A part of everything is let in all the same, so that the cheap class
+ * callers, by the value that was carried down. A part of everything is let in all the same, so that the cheap class
  * does not starve, and a caller that claims more than its share is scaled down to that.
  */
 public final class LoadShedder {
@@ -68,7 +68,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** The share of the work asked for that is given up now, 0 to 0.95. */
+    /** The share of the work requested that is given up now, 0 to 0.95. */
     public double pressure() {
         return pressure;
     }
@@ -83,7 +83,7 @@
     /**
      * Whether a call is let in.
      *
-     * @param caller who claims the worth
+     * @param caller who claims the value
      * @param value as it was carried, 0 and more
      * @param cost expected work, above 0
      */
--- a/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
+++ b/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
@@ -30,7 +30,7 @@
         this(HttpResponseStatus.BAD_REQUEST, message);
     }
 
-    /** One that was read well and is turned away; its connection goes on. */
+    /** One that was read well and is rejected; its connection goes on. */
     public static BadRequestException rejected(HttpResponseStatus status, String message) {
         return new BadRequestException(status, message, false, 0, 0);
     }
--- a/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
@@ -59,7 +59,7 @@
     final CallerDecoder decoder;
     private final PipelinedRequests pipelined = new PipelinedRequests();
     private final RequestAssembler assembler;
-    /** What came that is no request: said once what came before it is answered, and nothing after it. */
+    /** What came that is no request: answered after what came before it, and nothing after it is. */
     private BadRequestException malformed;
     /** The body that is sent on while it comes; whether the rest of one is of no use. */
     private Relay requestRelay;
@@ -73,7 +73,7 @@
     private long forwardedBytes;
 
     private double pausedAt;
-    /** The answer that is passed on as it comes, and whether its end can be told from a break. */
+    /** The answer that is passed on as it comes, and whether its end can be distinguished from a break. */
     private Relay responseRelay;
 
     private boolean endIsMarked;
@@ -81,7 +81,7 @@
     private HttpRequest current;
 
     private Exchange exchange;
-    /** When it was here whole; whether it waits for news. */
+    /** When it was complete, ms; whether it waits for an update. */
     private double receivedAt;
 
     private boolean deferred;
@@ -208,7 +208,7 @@
 
     private void tooSlow() {
         if (discardingBody) {
-            // Its answer has been said.
+            // Its answer has been given.
             channel.close();
             return;
         }
@@ -222,7 +222,7 @@
             Relay half = requestRelay;
             requestRelay = null;
             mayHaveRun = exchange != null && exchange.mayHaveRun();
-            // Known to the module before it hears what becomes of the attempt.
+            // Reported to the module before the attempt's outcome.
             abandon();
             half.broke();
         }
@@ -280,7 +280,7 @@
         if (message instanceof HttpRequest begun) {
             RequestCheck.head(begun, context.dialect.terms().bodyBytes());
             assembler.begin(begun);
-            // One that waits behind another will send its body without being asked.
+            // One that waits behind another will send its body without a 100.
             if (HttpUtil.is100ContinueExpected(begun) && current == null && pipelined.isEmpty()) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(
                                 HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER))
@@ -305,7 +305,7 @@
         }
     }
 
-    /** Begins the request before it is whole: its body goes on as it comes. */
+    /** Begins the request before it is complete: its body goes on as it comes. */
     private void startRequestRelay() throws BadRequestException {
         if (current != null || !pipelined.isEmpty()) {
             // Nobody who sends ahead needs to send so much.
@@ -358,7 +358,7 @@
         channel.config().setAutoRead(on);
     }
 
-    /** The rest of the body is of no use: it is read and dropped, so that its caller hears the answer. */
+    /** The rest of the body is of no use: it is read and dropped, so that its caller gets the answer. */
     @Override
     public void giveUp() {
         requestRelay = null;
@@ -375,7 +375,7 @@
     private void complete() throws BadRequestException {
         pipelined.add(assembler.complete(), context.core.now());
         if (pipelined.isTooLong()) {
-            // None of them is answered, the one at work neither: it could take its whole time.
+            // None of them is answered, the one at work neither: it could take all of its time.
             dropPipelined();
             abandon();
             throw new BadRequestException("too many requests sent ahead");
@@ -395,7 +395,7 @@
         ctx.fireChannelReadComplete();
     }
 
-    /** Nothing after this is read; a body that was sent on meanwhile won't be whole. */
+    /** Nothing after this is read; a body that was sent on meanwhile won't be complete. */
     private void rejectRest(BadRequestException why) {
         breakRequestRelay();
         malformed = why;
@@ -517,7 +517,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** What is at work waits for news no more. */
+    /** The current request waits for an update no more. */
     private void endDeferral() {
         if (deferred) {
             deferred = false;
@@ -525,7 +525,7 @@
         }
     }
 
-    /** Hands a request to core, whole or with its body still coming. */
+    /** Hands a request to core, complete or with its body still coming. */
     private void begin(HttpRequest request, boolean hasBody, Payload payload) throws BadRequestException {
         CheckedRequest checked = context.dialect.read(
                 request, hasBody, requestRelay == null ? receivedAt : context.core.now(), context.core.now());
@@ -604,7 +604,7 @@
     private void setHeaders(HttpResponse response, Answer answer) {
         context.dialect.dress(response, answer, version, current);
         boolean wantsMore = current != null && HttpUtil.isKeepAlive(current);
-        // What has come whole already was taken, and is still answered here.
+        // What has come complete already was taken, and is still answered here.
         closing |= !wantsMore || context.draining && pipelined.isEmpty() && !decoder.receiving;
         if (closing) {
             response.headers().set("Connection", "close");
@@ -666,7 +666,7 @@
         }
     }
 
-    /** The caller must be able to tell that its answer is not whole. */
+    /** The caller must be able to see that its answer is incomplete. */
     @Override
     public void broke() {
         responseRelay = null;
@@ -794,7 +794,7 @@
                     .addKeyValue("cause", cause.toString())
                     .log("a caller's connection failed: {}", cause.toString());
         }
-        // The decoder goes on with what it holds: a request that has lost a part must not look whole.
+        // The decoder goes on with what it holds: a request that has lost a part must not look complete.
         closing = true;
         breakRequestRelay();
         dropIncoming();
--- a/src/main/java/sablehinge/dataplane/http1/CallerDecoder.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerDecoder.java
@@ -9,7 +9,7 @@
 final class CallerDecoder extends RequestCheck.Decoder {
 
     private final CallerConnection connection;
-    /** Whether bytes have come since the last whole request. */
+    /** Whether bytes have come since the last complete request. */
     boolean receiving;
 
     CallerDecoder(CallerConnection connection, int headerBytes) {
--- a/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
@@ -28,7 +28,7 @@
      * Reads the head of a request, and may change it for those that it goes on to.
      *
      * @param hasBody whether it has one, which may be still coming
-     * @param cameAt when it was here whole, or now if it is still coming; its time counts from then
+     * @param cameAt when it was complete, or now if it is still coming; its time counts from then
      * @param now in ms of the core's clock
      */
     CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException;
@@ -38,7 +38,7 @@
      * on its way here.
      *
      * @param mayWait whether it may be put off; false where too many are
-     * @param cameAt when it was here whole, in ms of the core's clock
+     * @param cameAt when it was complete, in ms of the core's clock
      * @param now in ms of the core's clock
      */
     default BadRequestException refusal(BadRequestException why, boolean mayWait, double cameAt, double now) {
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -45,7 +45,7 @@
 
     private final DoublePredicate evict = this::evictIdle;
     private ScheduledFuture<?> sweeps;
-    /** Once its callers have been told to go elsewhere: when it lets in no more, and what then follows. */
+    /** While its callers are asked to leave: when it accepts no more, ms, and what then follows. */
     private double closesAt = Double.POSITIVE_INFINITY;
 
     private Runnable afterwards;
@@ -83,7 +83,7 @@
         listens(context.listening);
     }
 
-    /** Lets callers in at the given address; {@code done} hears, on the loop, why not, or null. */
+    /** Lets callers in at the given address; {@code done} gets, on the loop, why not, or null. */
     public void open(InetSocketAddress address, Consumer<String> done) {
         listen(address, false).addListener((ChannelFuture bound) -> {
             if (bound.isSuccess()) {
@@ -150,7 +150,7 @@
         return context.keptBytes;
     }
 
-    /** How many requests wait for news. */
+    /** How many requests wait for an update. */
     int deferredRequests() {
         return context.deferredRequests;
     }
@@ -231,8 +231,8 @@
     }
 
     /**
-     * Leaves new callers to another process that listens at the same address; those that it has are answered, and asked
-     * to leave with that.
+     * Leaves new callers to another process that listens at the same address; those that it has are answered, and
+     * requested to leave with that.
      */
     public void handOver() {
         context.draining = true;
@@ -270,7 +270,7 @@
      */
     private boolean evictIdle(double before) {
         for (CallerConnection connection : new ArrayList<>(context.connections)) {
-            // One that is closed stays here until its end is told: to count it again would make no room.
+            // One that is closed stays here until its end is reported: to count it again would make no room.
             if (connection.channel.isOpen()
                     && connection.lastActivityAt < before
                     && (connection.isLingering() || connection.closeIfIdle())) {
@@ -281,7 +281,7 @@
         return false;
     }
 
-    /** Hears of a caller that could not be let in, and waits for the next sweep before it tries again. */
+    /** Handles a caller that could not be accepted, and waits for the next sweep before it tries again. */
     private static final class Acceptor extends ChannelInboundHandlerAdapter {
 
         @Override
--- a/src/main/java/sablehinge/dataplane/http1/HttpPayload.java
+++ b/src/main/java/sablehinge/dataplane/http1/HttpPayload.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.FullHttpMessage;
 import sablehinge.dataplane.proxy.Payload;
 
-/** A whole HTTP/1.1 request or response. */
+/** A complete HTTP/1.1 request or response. */
 public record HttpPayload(FullHttpMessage message) implements Payload {
 
     @Override
--- a/src/main/java/sablehinge/dataplane/http1/Payloads.java
+++ b/src/main/java/sablehinge/dataplane/http1/Payloads.java
@@ -17,7 +17,7 @@
                 : payload instanceof HttpPayload complete ? complete.message() : null;
     }
 
-    /** The whole body of a payload, lent; nothing where it passes through. */
+    /** The complete body of a payload, lent; nothing where it passes through. */
     public static ByteBuf content(Payload payload) {
         return payload instanceof HttpPayload complete ? complete.message().content() : Unpooled.EMPTY_BUFFER;
     }
--- a/src/main/java/sablehinge/dataplane/http1/Relay.java
+++ b/src/main/java/sablehinge/dataplane/http1/Relay.java
@@ -6,7 +6,7 @@
 
 /**
  * A body that passes through as it comes, once, from whoever reads it to whoever writes it. What is not written is not
- * read: the writer sets the pace, so that little of it is held. Both ends are on one loop.
+ * read: the writer limits the reading, so that little of it is held. Both ends are on one loop.
  */
 final class Relay implements Passage {
 
@@ -32,7 +32,7 @@
         /** No more parts come for now. */
         void flush();
 
-        /** The body is whole. */
+        /** The body is complete. */
         void end();
 
         /** The rest will not come. */
--- a/src/main/java/sablehinge/dataplane/http1/RequestCheck.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestCheck.java
@@ -110,7 +110,7 @@
         return new BadRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
 
-    /** Reads a whole request that came at the given time. */
+    /** Reads a complete request that came at the given time. */
     CheckedRequest read(FullHttpRequest request, double now) throws BadRequestException {
         return read(request, request.content().isReadable(), now);
     }
--- a/src/main/java/sablehinge/dataplane/http1/SocketKind.java
+++ b/src/main/java/sablehinge/dataplane/http1/SocketKind.java
@@ -49,6 +49,6 @@
     /** Handles at once what has come for an open channel, whether it is read at the moment or not. */
     void readNow(Channel channel);
 
-    /** Hands an open channel's kernel what it can take, whether it has told that it can or not. */
+    /** Hands an open channel's kernel what it can take, whether it has signalled that it can or not. */
     void writeNow(Channel channel);
 }
--- a/src/main/java/sablehinge/dataplane/http1/Sockets.java
+++ b/src/main/java/sablehinge/dataplane/http1/Sockets.java
@@ -52,12 +52,12 @@
         return kind;
     }
 
-    /** Names who is told what happens on connections that are made from now on. */
+    /** Sets the tracer of connections that are made from now on. */
     public void trace(Tracer listener) {
         tracer = listener;
     }
 
-    /** Who is told what happens. */
+    /** The present tracer. */
     Tracer tracer() {
         return tracer;
     }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -35,12 +35,12 @@
     private final UpstreamContext context;
     private final Settings terms;
     final HttpRequest request;
-    /** The body where it passes through; null where it is whole. */
+    /** The body where it passes through; null where it is complete. */
     final RelayedPayload passing;
 
     private final AttemptBudgets.Grant grant;
     private final BiConsumer<Result, Payload> end;
-    /** Null for a probe, of which nobody hears before its end. */
+    /** Null for a health check, which reports nothing before its end. */
     Transport.Progress progress;
 
     private double until;
@@ -202,8 +202,8 @@
     }
 
     /**
-     * How far it has come by now. The write itself is asked, as its listeners may be told a turn later: Netty puts them
-     * off once they are nested deeply, and a reset could come first.
+     * How far it has come by now. The write itself is looked at, as its listeners may be notified a turn later: Netty
+     * puts them off once they are nested deeply, and a reset could come first.
      */
     private AttemptState currentState() {
         if (lastWrite != null && lastWrite.isSuccess()) {
@@ -221,7 +221,7 @@
         return currentState().mayHaveRun();
     }
 
-    /** What can't be written, for want of memory say, leaves a gap: the request will never be whole. */
+    /** What can't be written, for want of memory say, leaves a gap: the request will never be complete. */
     private void onPartWritten(io.netty.util.concurrent.Future<? super Void> write) {
         lastProgressAt = context.clock.now();
         if (!write.isSuccess()) {
@@ -270,7 +270,7 @@
         write(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** The caller has left its request half, and the upstream must not take it for whole. */
+    /** The caller has left its request half, and the upstream must not take it for complete. */
     @Override
     public void broke() {
         cancel();
@@ -287,7 +287,7 @@
         return context.dialect.resendable(request);
     }
 
-    /** The connection is of no more use: what was not written whole can't have run. */
+    /** The connection is of no more use: what was not written complete can't have run. */
     private void broke(Event event) {
         if (!ended && !Double.isNaN(idleMs) && context.clock.now() - startedAt < Freshness.AT_ONCE_MS) {
             context.freshness.broke(idleMs);
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
@@ -34,14 +34,14 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /**
- * Carries attempts and probes to upstreams, one at a time on a connection, and reports how each ended. It sends nothing
- * twice: what breaks is an outcome.
+ * Sends attempts and health checks to upstreams, one at a time on a connection, and reports how each ended. It sends
+ * nothing twice: what breaks is an outcome.
  */
 public final class UpstreamClient implements Transport {
 
-    /** Up to so many bytes an answer's body is passed on whole, and so can be tried again. */
+    /** Up to so many bytes an answer's body is kept until complete, and so can be retried. */
     static final int MAX_BODY = 64 * 1024;
-    /** Bodies and answers are 32 MB long at most; what is said to have more is spoilt. */
+    /** Bodies and answers are 32 MB long at most; one that announces more is malformed. */
     static final int MAX_PASSING = 36 * 1024 * 1024;
     /** The most bytes that are handed on in one part. */
     static final int PART = 32 * 1024;
@@ -267,7 +267,7 @@
         return longest != null;
     }
 
-    /** Whole ms as a decimal number of seconds. */
+    /** Ms, without their fraction, as a decimal number of seconds. */
     static String seconds(double millis) {
         return BigDecimal.valueOf((long) millis, MILLI).toPlainString();
     }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamConnection.java
@@ -53,7 +53,7 @@
     Relay relay;
     private long forwardedBytes;
     private boolean reset;
-    /** Whether it was told that the answer has begun. */
+    /** Whether it was notified that the answer has begun. */
     private boolean responseStartReported;
 
     UpstreamConnection(UpstreamContext context, Channel channel) {
@@ -98,7 +98,7 @@
         breakRelay();
     }
 
-    /** Who is passed the answer on to must be able to tell that it is not whole. */
+    /** The reader of a relayed answer must be able to see that it is incomplete. */
     private void breakRelay() {
         if (relay != null) {
             Relay broken = relay;
@@ -137,7 +137,7 @@
         }
     }
 
-    /** An answer that has begun and stands still will not be whole in time. */
+    /** An answer that has begun and stands still will not be complete in time. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (attempt != null
@@ -176,7 +176,7 @@
         }
     }
 
-    /** The message is whole, and with it what had come of it. */
+    /** The message is complete, and with it what had come of it. */
     private void onMessageComplete() {
         trace(TraceEvent.LAST_BYTE, 0);
         answerStarted = decoder.hasUnreadBytes();
@@ -362,7 +362,7 @@
         }
     }
 
-    /** The upstream sets the pace of a body that passes through. */
+    /** The upstream limits the reading of a body that is relayed. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         trace(channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, ChannelOutlet.unwritten(channel));
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
@@ -38,10 +38,10 @@
         return true;
     }
 
-    /** Whether an answer may be passed on before it is whole. */
+    /** Whether an answer may be passed on before it is complete. */
     boolean passable(HttpResponse answer);
 
-    /** What an answer says of its attempt; it is whole, or {@link #passable}. */
+    /** The result of an attempt by its answer, which is complete, or {@link #passable}. */
     Result judge(HttpResponse answer);
 
     /** The load report that came with an answer, or null. */
@@ -57,7 +57,7 @@
     /** Switches on the headers of budgets, where there are any. */
     default void budgets(HeaderText text) {}
 
-    /** Whether an answer that is no success is told to the caller where nothing better comes. */
+    /** Whether an answer that is no success is passed on to the caller where nothing better comes. */
     default boolean keeps(HttpMessage answer) {
         return false;
     }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamTarget.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamTarget.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 import sablehinge.dataplane.proxy.Roster.Member;
 
-/** An upstream, its idle connections, the longest idle first, and when it last was told to be ready. */
+/** An upstream, its idle connections, the longest idle first, and whether it drains. */
 final class UpstreamTarget {
     Member member;
-    /** When this balancer was told that it wants nothing new; NaN while it does. */
+    /** Since when it takes nothing new, ms; NaN while it does. */
     double drainingSince = Double.NaN;
     /** Whether it is on the list no more. */
     boolean gone;
--- a/src/main/java/sablehinge/dataplane/proxy/Answer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Answer.java
@@ -14,7 +14,7 @@
  */
 public record Answer(Kind kind, Payload payload, double retryAfter, Report spent, List<Long> path) {
 
-    /** An answer of which no budget is told. */
+    /** An answer without a budget report. */
     public Answer(Kind kind, Payload payload, double retryAfter) {
         this(kind, payload, retryAfter, null, List.of());
     }
--- a/src/main/java/sablehinge/dataplane/proxy/Arrival.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Arrival.java
@@ -15,7 +15,7 @@
  * @param cost expected work in ms of a standard core; 0 where not known
  * @param retry whether its caller marked it as a repeat
  * @param write whether it changes something
- * @param budget what it carries of that; null where budgets are off
+ * @param budget its attempt budget; null where budgets are off
  * @param attempts the most servers that it may reach; 0 for as many as the version's limits allow
  */
 public record Arrival(
@@ -38,7 +38,7 @@
         return new Arrival(serviceClass, tenant, key, earlier, cost, retry, write, budget, attempts);
     }
 
-    /** The same with what it carries. */
+    /** The same with its attempt budget. */
     public Arrival with(HeaderText.Found<Budget> carried) {
         return new Arrival(serviceClass, tenant, key, deadline, cost, retry, write, carried, attempts);
     }
--- a/src/main/java/sablehinge/dataplane/proxy/AttemptResult.java
+++ b/src/main/java/sablehinge/dataplane/proxy/AttemptResult.java
@@ -4,7 +4,7 @@
 import sablehinge.policy.LoadBalancer.Result;
 
 /**
- * How an attempt or a probe ended.
+ * How an attempt or a health check ended.
  *
  * @param payload the answer of a server that served, or of one that failed if its caller may see it; lent for the call
  *     in which it is handed over
--- a/src/main/java/sablehinge/dataplane/proxy/AttemptState.java
+++ b/src/main/java/sablehinge/dataplane/proxy/AttemptState.java
@@ -6,8 +6,8 @@
  * How far an attempt has come on its connection to a server, and what each way in which it can end says of it. This
  * table alone decides whether an attempt may have run ({@link Verdict}); transports report states and events.
  *
- * <p>A server can't run what it has not been sent whole. One that has begun to answer has seen more of the request than
- * we can know, so from then on only its own word proves that nothing has run.
+ * <p>A server can't run what it has not been sent completely. One that has begun to answer has seen more of the request
+ * than we can know, so from then on only its own word proves that nothing has run.
  */
 public enum AttemptState {
     /** No byte of the request has gone to a connection. */
@@ -37,11 +37,11 @@
         DEADLINE,
         /** Nobody waits for it any more. */
         CANCELLED,
-        /** A whole answer says that the request has not run. */
+        /** A complete answer says that the request has not run. */
         REFUSED_ANSWER,
-        /** A whole answer that is no success. */
+        /** A complete answer that is no success. */
         FAILED_ANSWER,
-        /** A success, whole or to be passed on. */
+        /** A success, complete or to be passed on. */
         SERVED_ANSWER
     }
 
@@ -82,7 +82,7 @@
             case CANCELLED -> Result.CANCELLED;
             case REFUSED_ANSWER -> Result.FULL;
             case FAILED_ANSWER -> Result.ERROR;
-            // What is served before the request is whole was made for something else.
+            // What is served before the request is complete was made for something else.
             case SERVED_ANSWER -> this == SENT || this == ANSWERING ? Result.OK : Result.ERROR;
         };
     }
--- a/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
@@ -26,7 +26,7 @@
     /** Share of the time of an attempt after which its end is a sign of too much work. */
     private static final double LATE = 0.8;
 
-    /** Null where nothing is shed by worth here. */
+    /** Null where no load is shed here. */
     private final LoadShedder shedder;
 
     private PauseDetector pauses;
@@ -36,7 +36,7 @@
     /**
      * The budgets of a hop that stands for a service.
      *
-     * @param shed by what terms work is given up by its worth; null for none
+     * @param shed how load is shed by value; null for not at all
      * @param report takes a line for operators
      */
     public ChainBudgets(
@@ -66,7 +66,7 @@
         return pauses.waited(now);
     }
 
-    /** Whether a call that was taken in may go on, by its worth among those of all callers. */
+    /** Whether a call that was taken in may go on, by its value among those of all callers. */
     boolean admits(double now, Arrival arrival, AttemptBudgets.Admission admission) {
         if (shedder == null) {
             return true;
@@ -78,7 +78,7 @@
         return shedder.admits(now, caller, admission.call().value(), arrival.cost() > 0 ? arrival.cost() : 1);
     }
 
-    /** How an attempt ended: what is late, or was turned away by a full server, tells of too much work. */
+    /** How an attempt ended: what is late, or was rejected by a full server, is a sign of overload. */
     void ended(double now, double sentAt, double deadline, Result result) {
         if (result == Result.OK) {
             least.served(now, now - sentAt);
@@ -89,7 +89,7 @@
         }
     }
 
-    /** A call has come back to this service: told once a loop. */
+    /** A call has come back to this service: logged once a loop. */
     void looped(List<Long> path) {
         if (loops.isNew(path)) {
             report.accept("a loop of calls: " + text(path) + "; what "
--- a/src/main/java/sablehinge/dataplane/proxy/Exchange.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Exchange.java
@@ -18,7 +18,7 @@
     final int serviceClass;
     final double arrivedAt;
     final List<Transport.Attempt> attempts = new ArrayList<>(2);
-    /** How many attempts were asked for, and how many of them are out; one not sent is null in the list. */
+    /** How many attempts were requested, and how many of them are out; one not sent is null in the list. */
     int sends;
 
     int running;
@@ -81,7 +81,7 @@
         return true;
     }
 
-    /** Whether an attempt of it was sent whole, or has had a part of an answer, and so may have run. */
+    /** Whether an attempt of it was sent complete, or has had a part of an answer, and so may have run. */
     public boolean mayHaveRun() {
         return attempts.stream().anyMatch(attempt -> attempt != null && attempt.mayHaveRun());
     }
--- a/src/main/java/sablehinge/dataplane/proxy/Extras.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Extras.java
@@ -11,7 +11,7 @@
      * @param version under which the request arrived
      * @param serviceClass index into its classes
      * @param beside whether another attempt is still out
-     * @param then is told once, perhaps before this returns: of what gives the right back, once it is known that
+     * @param then is called once, perhaps before this returns, with what gives the right back, once it is known that
      *     nothing was reached; of null where there is none to be had soon
      */
     void take(Version version, int serviceClass, boolean beside, Consumer<Runnable> then);
--- a/src/main/java/sablehinge/dataplane/proxy/Observer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Observer.java
@@ -9,7 +9,7 @@
      * @param request what its caller calls it; empty if it has no name
      * @param version under which the request arrived
      * @param serviceClass index into the classes of that version
-     * @param attempts how many were asked for
+     * @param attempts how many were requested
      * @param elapsed ms since the request arrived
      */
     void answered(String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed);
--- a/src/main/java/sablehinge/dataplane/proxy/Passage.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Passage.java
@@ -12,10 +12,10 @@
     /** Bytes that the writer has and its kernel has not. */
     long unwritten();
 
-    /** Whether the writer has bytes that it was not told to write yet, and none that it was. */
+    /** Whether the writer has bytes that were not flushed yet, and none that were. */
     boolean isUnflushed();
 
-    /** Whether the reader was told to wait. */
+    /** Whether the reader is paused. */
     boolean isPaused();
 
     /** Whether the writer can take more. */
--- a/src/main/java/sablehinge/dataplane/proxy/Registry.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Registry.java
@@ -1,9 +1,9 @@
 package sablehinge.dataplane.proxy;
 
-/** Where the list of servers comes from; what it brings is told to {@link RequestProxy#told}. */
+/** Where the list of servers comes from; what it brings goes to {@link RequestProxy#onRosterChanged}. */
 public interface Registry {
 
-    /** Asks once for the whole list. */
+    /** Requests the complete list once. */
     void fetch();
 
     /** Begins to watch for changes, anew if it does so already, or ends that. */
--- a/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
@@ -20,9 +20,9 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * Owns the decision module: tells it what happens, carries out what it asks for, and sees to it that each request has
- * exactly one final answer. It decides nothing itself and knows no protocol. One thread owns it with all that it calls,
- * so nothing is locked.
+ * Owns the decision module: reports events to it, executes its actions, and sees to it that each request has exactly
+ * one final answer. It decides nothing itself and knows no protocol. One thread owns it with all that it calls, so
+ * nothing is locked.
  */
 public final class RequestProxy implements LoadBalancer.Actions {
 
@@ -79,7 +79,7 @@
      * Lets requests arrive under another version from now on, or again under one that was not released. Those that have
      * arrived keep theirs.
      *
-     * @param servers the whole list of the servers of that version
+     * @param servers the complete list of the servers of that version
      */
     public void adopt(Version next, Roster servers) {
         version = next;
@@ -128,7 +128,7 @@
         observer = sees;
     }
 
-    /** Names who is told of each step of each request. */
+    /** Sets the tracer of each step of each request. */
     public void trace(Tracer listener) {
         tracer = listener;
     }
@@ -310,7 +310,7 @@
         return exchange;
     }
 
-    /** What is worth least is refused first, and is not worth another try elsewhere: all are as busy. */
+    /** What has the least value is refused first, and another attempt elsewhere is no use: all are as busy. */
     private Exchange shed(
             AttemptBudgets.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
@@ -366,7 +366,7 @@
         }
     }
 
-    /** So many are at work that the module isn't asked: nothing has run, so a refusal is harmless. */
+    /** So many are at work that the module isn't consulted: nothing has run, so a refusal is harmless. */
     private Exchange refuseBeyond(Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
         LoadBalancer.Limits limits = arrivedUnder.settings().limits();
--- a/src/main/java/sablehinge/dataplane/proxy/Roster.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Roster.java
@@ -6,7 +6,7 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * A list of servers: the whole one, or what has changed.
+ * A list of servers: the complete one, or a delta.
  *
  * @param version as its source counts, which need not be as a configuration counts
  */
--- a/src/main/java/sablehinge/dataplane/proxy/SentAttempt.java
+++ b/src/main/java/sablehinge/dataplane/proxy/SentAttempt.java
@@ -19,9 +19,9 @@
     }
 
     /**
-     * The module learns the latency now. Were it told with the end of a body that trickles in, it would take its
-     * sender's pace for a jam, and refuse others on account of it. An attempt is given up early as the next one may be
-     * quicker; one whose answer comes already has its request's whole time.
+     * The module learns the latency now. With the end of a body that trickles in it would take its sender's slowness
+     * for overload, and refuse others on account of it. An attempt is given up early as the next one may be quicker;
+     * one whose answer comes already has all of its request's time.
      */
     @Override
     public double begun() {
--- a/src/main/java/sablehinge/dataplane/proxy/TraceEvent.java
+++ b/src/main/java/sablehinge/dataplane/proxy/TraceEvent.java
@@ -1,7 +1,7 @@
 package sablehinge.dataplane.proxy;
 
 /**
- * What a {@link Tracer} is told of. The name of each is what a dump keeps; its value means what {@link #of} says, and 0
+ * The events of a {@link Tracer}. The name of each is what a dump keeps; its value means what {@link #of} says, and 0
  * where that is empty.
  */
 public enum TraceEvent {
@@ -15,19 +15,19 @@
     ARRIVED("class"),
     /** The module has chosen a server for an attempt. */
     CHOSEN("upstream"),
-    /** The server of a probe. */
+    /** The server of a health check. */
     PROBED("upstream"),
     /** A connection is opened for an attempt. */
     CONNECTING("upstream"),
     /** It is up. */
     CONNECTED(""),
-    /** A connection that rested carries an attempt. */
+    /** An idle connection is used for an attempt. */
     REUSED("upstream"),
     /** The last of a request was handed to the kernel, or could not be. */
     SENT("done"),
     /** The first byte of an answer has come. */
     FIRST_BYTE(""),
-    /** The answer is whole. */
+    /** The answer is complete. */
     LAST_BYTE(""),
     /** An upstream's connection is gone. */
     UPSTREAM_CLOSED(""),
--- a/src/main/java/sablehinge/dataplane/proxy/Tracer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Tracer.java
@@ -1,8 +1,8 @@
 package sablehinge.dataplane.proxy;
 
 /**
- * Is told of what happens, by the thread that owns the core, as it happens: for a flight recorder. It must neither wait
- * nor allocate, as it is called some twenty times for each request.
+ * Receives events, on the thread that owns the proxy, as they happen: for a flight recorder. It must neither wait nor
+ * allocate, as it is called some twenty times for each request.
  */
 public interface Tracer {
 
--- a/src/main/java/sablehinge/dataplane/proxy/Transport.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Transport.java
@@ -5,19 +5,19 @@
 import sablehinge.dataplane.budget.AttemptBudgets;
 
 /**
- * Carries attempts and probes to servers, and nothing on its own account: what breaks is a result. All calls are made,
- * and all results come, on the thread that owns the core.
+ * Sends attempts and health checks to servers, and nothing on its own account: what breaks is a result. All calls are
+ * made, and all results come, on the thread that owns the core.
  */
 public interface Transport {
 
-    /** Hears of an attempt that is out. */
+    /** Listens to an attempt that is in flight. */
     interface Progress {
 
         /**
-         * Its answer has begun to come and is not whole yet, at most once: what the body takes from here on tells of
-         * its sender's pace, and not of how long the server had it wait.
+         * Its answer has begun to come and is not complete yet, at most once: what the body takes from here on depends
+         * on its sender's speed, and not on how long the server had it wait.
          *
-         * @return until when it may come, in ms of the {@link Clock}, in place of what {@code send} said
+         * @return until when it may come, in ms of the {@link Clock}, in place of the time given to {@code send}
          */
         double begun();
 
@@ -48,7 +48,7 @@
      * @param until in ms of the {@link Clock}; of a request that is still coming, the time that it would have if it
      *     ended now, and {@link Attempt#waitUntil} tells the true one
      * @param grant its part of the request's budget, read when it is written; null where budgets are off
-     * @param progress is told, perhaps before this returns
+     * @param progress is called, perhaps before this returns
      */
     Attempt send(
             Version version,
@@ -64,7 +64,7 @@
     /** Gives back what is kept for a server between attempts. */
     void closeIdle(long upstream);
 
-    /** Takes in a list of servers, whole or in part. */
+    /** Takes in a list of servers, complete or a delta. */
     void update(Roster roster);
 
     /** From now on requests arrive under this version; its limits hold for what is kept between attempts. */
--- a/src/main/java/sablehinge/dataplane/proxy/Verdict.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Verdict.java
@@ -4,7 +4,7 @@
 
 /**
  * What is known of a request that was sent on. Only {@link #NOT_RUN} lets it go elsewhere where it must not run twice,
- * and only then may its caller be told that it never will.
+ * and only then may its caller be answered that it never will.
  */
 public enum Verdict {
     /** Proven: nothing of it has run, and nothing will. */
--- a/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
@@ -24,7 +24,7 @@
  */
 final class BalancerSettings {
 
-    /** How long an upstream that has started may be slow, at most; beats tell how much of it is left. */
+    /** How long an upstream that has started may be slow, at most; heartbeats say how much of it is left. */
     static final double WARM_UP_MS = 3_000;
 
     private static final double LATE_VALUE = 0.3;
@@ -34,7 +34,7 @@
     private static final double SLIM = 0.3;
     private static final int MAX_ATTEMPTS = 4;
     private static final int MAX_OPEN = 4_000;
-    /** The module's own purse never runs out: {@link RetryBudget} bounds what it sends, by services. */
+    /** The module's own retry budget never runs out: {@link RetryBudget} bounds what it sends, by services. */
     static final LatencyWeightedBalancer.Extras EXTRAS =
             new LatencyWeightedBalancer.Extras(MAX_ATTEMPTS, MAX_ATTEMPTS * MAX_OPEN, 0, 0.2);
 
--- a/src/main/java/sablehinge/dataplane/sidecar/HeartbeatPacket.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatPacket.java
@@ -12,7 +12,7 @@
  *
  * @param place of its name on the ring
  * @param incarnation drawn anew with each start of its process
- * @param number counts up in one life
+ * @param number counts up in one incarnation
  */
 record HeartbeatPacket(long place, int incarnation, int number) {
 
--- a/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
@@ -30,7 +30,7 @@
     /**
      * The heartbeat in a body. What may be missing: {@code berths} (1), {@code coldLeftMs} and {@code callCount} (0).
      *
-     * @param id of the life that it is of
+     * @param id of the incarnation that it is of
      * @param app the address of the upstream of the own machine, {@code ip:port}
      * @throws CallException 400 where it can't be read, 421 where it is of an upstream elsewhere
      */
--- a/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -16,7 +16,7 @@
 
 /**
  * What balancers say to the balancer beside an upstream. It looks at no configuration: the one that drew the upstream
- * names its life, and how long the request may wait here. Each answer of our own has the verdict.
+ * names its incarnation, and how long the request may wait here. Each answer of our own has the verdict.
  */
 final class InboundFront implements FrontDialect {
 
--- a/src/main/java/sablehinge/dataplane/sidecar/ListeningSockets.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/ListeningSockets.java
@@ -9,8 +9,8 @@
 
 /**
  * The sockets on which a sidecar listens before anything else is loaded: whoever calls waits in the backlog for
- * moments. Clients would else be told that nobody is here, and use their few tries up; the upstream's heartbeat would
- * be refused, and the gate before it opens with the first one that is heard.
+ * moments. Clients would else be refused, and use up their few attempts; the upstream's heartbeat would be refused, and
+ * the gate before it opens with the first one that is heard.
  *
  * @param outbound for clients
  * @param control for the upstream beside
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshHeaders.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshHeaders.java
@@ -50,12 +50,12 @@
                 return Math.min(MAX_MS, value);
             }
         } catch (NumberFormatException e) {
-            // Told below, as any other text that is no time.
+            // Rejected below, as any other text that is no time.
         }
         throw new BadRequestException(name + " is no number of ms");
     }
 
-    /** A life of an upstream as a number. */
+    /** An upstream's incarnation as a number. */
     static long incarnation(String upstream) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < upstream.length(); i++) {
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
@@ -16,7 +16,7 @@
 /** What a balancer says to another one beside an upstream, and what that says to its upstream. */
 final class MeshUpstream implements UpstreamDialect {
 
-    /** Silence gives no ground to end an answer sooner than its deadline, nor does a pause in it. */
+    /** That nothing comes is no reason to end an answer sooner than its deadline, nor is a pause in it. */
     private static final long STALL_MS = 5_000;
 
     private static final double YOUNG_MS = 60_000;
@@ -36,7 +36,7 @@
         this(clock, true, () -> {});
     }
 
-    /** The dialect to the upstream of the own machine; {@code onRejected} hears of each refusal there. */
+    /** The dialect to the upstream of the own machine; {@code onRejected} is run for each refusal there. */
     MeshUpstream(Clock clock, Runnable onRejected) {
         this(clock, false, onRejected);
     }
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -32,13 +32,16 @@
     private static final double READ_LENIENCY = 1.5;
     /** The part of its aim that a request may wait for a slot: after that its answer would come late. */
     private static final double QUEUE_TIME_SHARE = 0.6;
-    /** How long a request waits at most for news that would let it in, in ms. */
+    /** How long a request waits at most for a configuration that would admit it, ms. */
     private static final double MAX_HOLD_MS = 400;
     /** The part of its aim for which it may wait so: one that is refused later earns nothing by that. */
     private static final double HELD_OF_AIM = 0.2;
     /** The same of its client's time, where its aim is not known: aims are a seventh of that or more. */
     private static final double HELD_OF_TIME = HELD_OF_AIM / 7;
-    /** Advice to who was refused for want of news, in ms: at least this, at most this part of its time. */
+    /**
+     * {@code Retry-After} of a request that was refused for want of a configuration, ms: at least this, at most this
+     * share of its time.
+     */
     private static final double RETRY_AFTER_MS = 300;
 
     private static final double LATEST_RETURN = 0.3;
@@ -58,10 +61,10 @@
     /** Asks whether the configuration at hand is the newest. */
     interface Confirmation {
 
-        /** Has it asked, unless that is under way. */
+        /** Requests a confirmed update, unless that is under way. */
         void ask();
 
-        /** When it was last asked with a confirmed answer, in ms; the configuration is no older. */
+        /** When the latest confirmed update was requested, ms; the configuration is no older. */
         double confirmedAt();
     }
 
@@ -190,8 +193,8 @@
     }
 
     /**
-     * Nothing has run, and it may be tried again once there is news: nobody knows when that will be, and what has taken
-     * long already is likely to take as long again.
+     * Nothing has run, and it may be tried again once there is an update: nobody knows when that will be, and what has
+     * taken long already is likely to take as long again.
      */
     private BadRequestException withoutConfiguration(double time, double now) {
         double comeBack = Math.max(RETRY_AFTER_MS, now - firstCameAt);
--- a/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
@@ -39,16 +39,16 @@
 import sablehinge.mesh.watch.Update;
 
 /**
- * Sends beats to those that the ring names as watchers of this balancer, and watches over those that name it. Beats are
- * datagrams to the first of the inner ports, as many ticks apart as make {@link Monitor#HEARTBEAT_MS}. The loop of its
- * balancer owns it.
+ * Sends heartbeats to those that the ring names as watchers of this balancer, and monitors those that name it.
+ * Heartbeats are datagrams to the first of the inner ports, as many ticks apart as make {@link Monitor#HEARTBEAT_MS}.
+ * The loop of its balancer owns it.
  */
 final class PeerMonitor {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerMonitor.class);
     /** How long a suspect's machine has to take a connection or refuse it. */
     private static final int CONNECT_TIMEOUT_MS = 200;
-    /** Beats that can't be read are told of by the first and then each so many. */
+    /** Of heartbeats that can't be read, the first is logged and then each so many. */
     private static final long EACH_MALFORMED = 1_000;
 
     private final EventLoop loop;
@@ -58,7 +58,7 @@
     private final Monitor watch = new Monitor();
     private final Bootstrap reaching;
     private final Map<String, Registration> known = new HashMap<>();
-    /** Of whom the present keeper of the roll knows. */
+    /** The nodes in the present leader's registry. */
     private final Set<String> registered = new HashSet<>();
 
     private final long place;
@@ -70,7 +70,7 @@
     private int number;
     private long malformed;
 
-    /** Beats of a balancer; {@code news} is run when whom it accuses has changed. */
+    /** A monitor; {@code update} is run when the peers that it suspects have changed. */
     PeerMonitor(EventLoop loop, Clock clock, LocalSettings settings, Runnable update) {
         this.loop = loop;
         this.clock = clock;
@@ -84,7 +84,7 @@
                 .handler(new ChannelInboundHandlerAdapter());
     }
 
-    /** Hears beats from now on. */
+    /** Receives heartbeats from now on. */
     void listen() throws ConfigException, InterruptedException {
         ChannelFuture bound = new Bootstrap()
                 .group(loop)
@@ -99,18 +99,18 @@
         channel = bound.channel();
     }
 
-    /** What beats are sent and heard on; handlers may be put before its others. */
+    /** The channel of heartbeats, both ways; handlers may be added before its others. */
     Channel channel() {
         return channel;
     }
 
-    /** Beats and hears no more. */
+    /** Sends and receives heartbeats no more. */
     void close() {
         channel.close();
         channel = null;
     }
 
-    /** The keeper of the roll has told of some, or of all that it knows of. */
+    /** An update of the leader has come, with some or all balancers of its registry. */
     void onUpdate(Update update) {
         if (update.full()) {
             registered.clear();
@@ -118,7 +118,7 @@
         update.registrations().forEach(registration -> registered.add(registration.node()));
     }
 
-    /** Who is on the roll now. */
+    /** The balancers of the registry now. */
     void registry(Collection<Registration> registry) {
         Map<String, String> zones = new HashMap<>();
         known.clear();
@@ -142,7 +142,7 @@
         return new InetSocketAddress(inbound.substring(0, colon), Integer.parseInt(inbound.substring(colon + 1)));
     }
 
-    /** Called often: beats when it is time, and looks for those that have not. */
+    /** Called often: sends heartbeats when they are due, and looks for peers whose own are missing. */
     void tick() {
         double now = clock.now();
         // A tick may come a little early: half a tick before its time is time enough.
@@ -162,7 +162,7 @@
         return watch.suspicions();
     }
 
-    /** Whom this balancer hears and the keeper of the roll does not know of: new, or cut off from it. */
+    /** Peers that this balancer hears and that are not in the leader's registry: new, or cut off from it. */
     List<Registration> vouched() {
         List<Registration> vouched = new ArrayList<>();
         for (String node : watch.heardPeers()) {
@@ -173,7 +173,7 @@
         return vouched;
     }
 
-    /** Finds out what is left of one that has fallen silent: a machine answers even where no process does. */
+    /** Probes a peer that sends nothing any more: a machine answers even where no process does. */
     private void reach(String node) {
         ChannelFuture connect = reaching.connect(at(node));
         // Where no channel can be made, Netty calls back on another thread than the loop.
@@ -204,7 +204,7 @@
                 : SuspicionCause.SILENT;
     }
 
-    /** Takes beats in. */
+    /** Handles heartbeats. */
     private final class HeartbeatHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
         @Override
--- a/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
@@ -12,18 +12,18 @@
 /** This balancer's even parts of the tenants' quotas, and what it takes from the pools beside them. */
 final class Quotas {
 
-    /** How long an answer from the pool is waited for, and how long an empty one is not asked again, in ms. */
+    /** How long an answer from the pool is waited for, and how long an empty pool is not requested again, ms. */
     private static final double POOL_TIMEOUT_MS = 60;
 
     private static final double EMPTY_MS = 100;
     private static final double FIRST = 0.5;
-    /** Claims fade over this time, in ms; tokens are asked for a part of it ahead, and some are kept. */
+    /** Claims fade over this time, in ms; tokens are requested a share of it ahead, and some are kept. */
     private static final double FADE_MS = 1_000;
 
     private static final double AHEAD = 0.1;
     private static final int MAX_AT_ONCE = 20;
     private static final double KEPT = 0.5;
-    /** Balancers that are reckoned with until a complete roster has told how many there are. */
+    /** Balancers that are assumed until a complete roster shows how many there are. */
     private static final int ASSUMED_BALANCERS = 16;
     /**
      * For so long after another leader has begun, in ms, no fewer are reckoned with than before it: who is cut off from
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Among how many balancers the even part is divided; to be told before the tenants that come with the same news, as
-     * the first tokens are a part of the even part. A leader that has just begun has heard of few; until its roster is
-     * complete, and for {@link #HELD_MS} at least, no fewer are reckoned with than the last complete one before it
+     * Among how many balancers the even part is divided; to be set before the tenants that come with the same update,
+     * as the first tokens are a part of the even part. A leader that has just begun has heard of few; until its roster
+     * is complete, and for {@link #HELD_MS} at least, no fewer are reckoned with than the last complete one before it
      * held: all of them may still hold their parts.
      *
      * @param size balancers on the roster
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Claims a request's token; one that was asked for is claimed again a little later. */
+    /** Claims a request's token; one that was requested is claimed again a little later. */
     Claim claim(double now, Configuration.Tenant tenant) {
         TenantMeter one = metered.get(tenant.name());
         if (one != null) {
--- a/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
@@ -69,7 +69,7 @@
         }
     }
 
-    /** The upstream beside has turned away what had arrived there. */
+    /** The local upstream has rejected what had arrived there. */
     void rejected() {
         shares.arrived(depot);
     }
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -48,7 +48,7 @@
 /**
  * The balancer of a machine with an upstream. Outbound it takes the requests that begin on its machine, draws an
  * upstream for each and sends it to the balancer there; inbound it admits what others send to the upstream of its own
- * machine. All that it knows can be asked for again. One thread owns all of it.
+ * machine. All that it knows can be requested again. One thread owns all of it.
  */
 public final class Sidecar {
 
@@ -62,23 +62,23 @@
     private static final int MAX_HEARTBEAT_BYTES = 64 * 1024;
     /** After SIGTERM: how long clients may not have heard yet, and what is kept of the grace to end. */
     private static final double READINESS_NOTICE_MS = 2_300;
-    /** Of that, the last part, in which the other balancers are told to draw this upstream no more. */
+    /** Of that, the last part, in which the other balancers are notified to select this upstream no more. */
     private static final double DRAIN_NOTICE_MS = 500;
 
     private static final double SHUTDOWN_RESERVE_MS = 600;
     private static final long DRAIN_CHECK_MS = 20;
-    /** Balancers that are reckoned with for further tries until the roll is complete. */
+    /** Balancers that are assumed for the retry budget until the registry is complete. */
     private static final int ASSUMED_BALANCERS = 16;
 
     private static final Registry NO_REGISTRY = new Registry() {
         @Override
         public void fetch() {
-            // The roll comes by itself.
+            // The registry comes by itself.
         }
 
         @Override
         public void watch(boolean on) {
-            // The roll comes by itself.
+            // The registry comes by itself.
         }
     };
 
@@ -99,7 +99,7 @@
     private final List<String> zones;
     private final Map<String, Integer> kinds = BalancerSettings.kinds();
     private final Map<String, Registration> registry = new LinkedHashMap<>();
-    /** When upstreams are warm, as first told, by their lives. */
+    /** When upstreams have warmed up, as first registered, by their incarnations. */
     private final Map<String, Double> startedAt = new HashMap<>();
 
     private final Map<Integer, Version> versions = new HashMap<>();
@@ -185,7 +185,7 @@
         return start(settings, ListeningSockets.open(settings));
     }
 
-    /** Starts a balancer; it asks for news and says that it is ready once it has them. */
+    /** Starts a balancer; it requests an update and reports that it is ready once it has it. */
     public static Sidecar start(LocalSettings settings, ListeningSockets listening)
             throws ConfigException, InterruptedException {
         EventLoop loop = ClosingEventLoops.single("sidecar");
--- a/src/main/java/sablehinge/dataplane/sidecar/UpstreamCalls.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/UpstreamCalls.java
@@ -12,7 +12,7 @@
 
     private UpstreamCalls() {}
 
-    /** That a beat was heard. */
+    /** The acknowledgement of a heartbeat. */
     record Acknowledgement() {}
 
     /** An upstream has left. */
--- a/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
@@ -22,8 +22,8 @@
 import sablehinge.mesh.watch.WatchRequest;
 
 /**
- * Asks the core for news, one machine of it at a time: whoever does not lead names who does. An ask that is not
- * answered in time, or a connection that breaks, leads to the next machine that is known.
+ * Watches the core for updates, one machine of it at a time: one that does not lead names the leader. A request that is
+ * not answered in time, or a connection that breaks, leads to the next machine that is known.
  */
 final class WatchClient implements Connection.Handler {
 
@@ -45,13 +45,13 @@
     private int next;
     private boolean closed;
 
-    /** What is asked, and who hears the answer. */
+    /** What is requested, and the listener to the answers. */
     interface Listener {
 
         WatchRequest request(int number);
 
         /**
-         * News have come; {@code requestedAt} is when their ask left.
+         * An update has come; {@code requestedAt} is when its request left, ms.
          *
          * @throws IOException where their configuration can't be read; nothing of them is taken then
          */
@@ -99,21 +99,21 @@
         }
     }
 
-    /** Asks at once, in place of what was asked before. */
+    /** Requests an update at once, in place of the request before. */
     void requestNow() {
         if (link != null && link.isUp()) {
             request();
         }
     }
 
-    /** Asks for a part of a pool; where nobody can be asked there is no answer. */
+    /** Requests tokens of a pool; without a connection to the core there is no answer. */
     void tokens(Tokens wanted) {
         if (link != null) {
             link.send(new Frame(Frame.Kind.TOKENS, wanted.bytes()));
         }
     }
 
-    /** Claims shares of further tries; where nobody can be asked there is no answer. */
+    /** Claims shares of the retry budget; without a connection to the core there is no answer. */
     void shares(Frame claim) {
         if (link != null) {
             link.send(claim);
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
@@ -44,7 +44,7 @@
 import sablehinge.policy.LoadBalancer.Rules;
 import sablehinge.policy.LoadBalancer.State;
 
-/** Reads an operator file whole: either it is right in every part, or all that is wrong with it is told at once. */
+/** Reads an operator file complete: either it is right in every part, or all that is wrong with it is told at once. */
 public final class OperatorFile {
 
     /** Longest file that is read, in bytes: some ten thousand servers. */
@@ -118,7 +118,7 @@
      */
     public record CheckedReplay(ReplayPart replay, List<ClassPart> classes, List<Problem> problems) {}
 
-    /** Reads what a file says of logs; one that says nothing else needn't be a whole operator file. */
+    /** Reads what a file says of logs; one that says nothing else needn't be a complete operator file. */
     public static CheckedReplay readReplay(Path path) {
         byte[] bytes;
         try {
--- a/src/main/java/sablehinge/gateway/config/operator/Section.java
+++ b/src/main/java/sablehinge/gateway/config/operator/Section.java
@@ -17,9 +17,9 @@
 import sablehinge.gateway.settings.Addresses;
 
 /**
- * Reads one table of an operator file. Each key is asked for once, with its type, range and default; what is amiss is
+ * Reads one table of an operator file. Each key is requested once, with its type, range and default; what is amiss is
  * noted with its line and the default goes on in its place, so that one reading finds every error. Once all has been
- * asked for, {@link #end} notes the keys that nobody knows.
+ * requested, {@link #end} notes the keys that nobody knows.
  */
 public final class Section {
 
@@ -130,7 +130,7 @@
         return value == null ? fallback : value;
     }
 
-    /** A whole number within a range. */
+    /** A complete number within a range. */
     public int integer(String key, int fallback, int least, int most) {
         Long value = typed(key, Long.class, "a whole number");
         if (value == null) {
@@ -321,7 +321,7 @@
         return read;
     }
 
-    /** Notes the keys that nobody has asked for. */
+    /** Notes the keys that nobody has requested. */
     public void end() {
         if (table == null) {
             return;
--- a/src/main/java/sablehinge/gateway/config/versions/Disk.java
+++ b/src/main/java/sablehinge/gateway/config/versions/Disk.java
@@ -11,7 +11,7 @@
 
     byte[] read(String name) throws IOException;
 
-    /** Writes a whole file, anew if there is one. It need not survive a crash before {@link #sync}. */
+    /** Writes a complete file, anew if there is one. It need not survive a crash before {@link #sync}. */
     void write(String name, byte[] bytes) throws IOException;
 
     void sync(String name) throws IOException;
--- a/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
+++ b/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
@@ -16,7 +16,7 @@
 
 /**
  * Versions of the configuration on disk. Each one's content is a file of its own that is never changed; one small file
- * says which is confirmed and which is on trial, and is replaced whole by write, sync, rename and sync of the
+ * says which is confirmed and which is on trial, and is replaced complete by write, sync, rename and sync of the
  * directory. A crash at any point leaves that file as it was or as it was to be.
  */
 public final class VersionStore implements AutoCloseable {
@@ -113,13 +113,13 @@
         return version;
     }
 
-    /** Puts down that a version is on trial; 0 for none. */
+    /** Writes that a version is on trial; 0 for none. */
     public void mark(int version) throws IOException {
         save(confirmed, version);
         trial = version;
     }
 
-    /** Puts down that a version is the one to serve. */
+    /** Writes that a version is the one to serve. */
     public void confirm(int version) throws IOException {
         save(version, 0);
         confirmed = version;
--- a/src/main/java/sablehinge/gateway/discovery/Discovery.java
+++ b/src/main/java/sablehinge/gateway/discovery/Discovery.java
@@ -42,7 +42,7 @@
     private static final JsonMapper JSON = new JsonMapper();
     private static final int MAX_LIST = 4 * 1024 * 1024;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** How long a watch may wait for news: each new call costs discovery work. */
+    /** How long a watch may wait for an update: each new call costs discovery work. */
     public static final int WATCH_MS = 20_000;
     /** How long after that an answer may still be under way; what was not told by then counts as told. */
     private static final int LATE_MS = 1_500;
@@ -73,7 +73,7 @@
      * Discovery at an address, on the given loop.
      *
      * @param known the version of the list that the listener has already
-     * @param watchMillis how long a watch waits for news, in ms
+     * @param watchMillis how long a watch waits for an update, in ms
      */
     public Discovery(
             EventLoop loop,
@@ -122,7 +122,7 @@
 
     /**
      * Goes over to another discovery. The call that is out there ends quietly, as nothing has failed, and the new one
-     * is asked for its whole list at once: its versions need not go on from the old one's.
+     * is requested its complete list at once: its versions need not go on from the old one's.
      */
     public void moveTo(InetSocketAddress other) {
         if (other.equals(address)) {
@@ -173,7 +173,7 @@
         if (call.channel != null) {
             call.channel.close();
         }
-        // Changes are no answer to a call for the whole list.
+        // Changes are no answer to a call for the complete list.
         tell(roster != null && roster.full() ? roster : null);
     }
 
--- a/src/main/java/sablehinge/gateway/discovery/Maintenance.java
+++ b/src/main/java/sablehinge/gateway/discovery/Maintenance.java
@@ -52,7 +52,7 @@
         return new Roster(changed.version(), changed.full(), shown);
     }
 
-    /** The whole list as it is to be passed on. */
+    /** The complete list as it is to be passed on. */
     public Roster complete() {
         return new Roster(
                 version, true, listed.values().stream().map(this::shown).toList());
--- a/src/main/java/sablehinge/gateway/node/Recording.java
+++ b/src/main/java/sablehinge/gateway/node/Recording.java
@@ -133,7 +133,7 @@
         return status;
     }
 
-    /** Ends with the dumps that were asked for. */
+    /** Ends with the dumps that were requested. */
     void end() throws InterruptedException {
         watchdog.end();
     }
--- a/src/main/java/sablehinge/gateway/node/ServerSource.java
+++ b/src/main/java/sablehinge/gateway/node/ServerSource.java
@@ -13,7 +13,7 @@
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 
-/** Where the servers of a version come from, and the whole list as it is now. */
+/** Where the servers of a version come from, and the complete list as it is now. */
 final class ServerSource implements Registry {
 
     private final Map<Long, Member> members = new LinkedHashMap<>();
@@ -66,12 +66,12 @@
         }
     }
 
-    /** Whether a whole list has come. */
+    /** Whether a complete list has come. */
     boolean isKnown() {
         return known;
     }
 
-    /** The whole list. */
+    /** The complete list. */
     Roster roster() {
         return new Roster(version, true, List.copyOf(members.values()));
     }
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -50,7 +50,7 @@
     private static final double LISTENER_GRACE_MS = 2_000;
     /** Versions that may have requests at work at once. */
     static final int MAX_ALIVE = 8;
-    /** Names of zones and machine types over the life of the process. */
+    /** Names of zones and machine types over the incarnation of the process. */
     private static final int MAX_NAMES = 10_000;
 
     /** A version that was read: what it says, and what it stands on once it is applied. */
--- a/src/main/java/sablehinge/gateway/recorder/DumpFolder.java
+++ b/src/main/java/sablehinge/gateway/recorder/DumpFolder.java
@@ -13,8 +13,8 @@
 import java.util.List;
 
 /**
- * The directory where dumps are kept: each is there whole or not at all, and the oldest go so that there are never more
- * than so many.
+ * The directory where dumps are kept: each is there complete or not at all, and the oldest go so that there are never
+ * more than so many.
  */
 public final class DumpFolder {
 
@@ -67,7 +67,7 @@
                 if (name.endsWith(SUFFIX)) {
                     dumps.add(file);
                 } else if (name.endsWith(PART)) {
-                    // Of a process that died in the middle; the own one is whole by now.
+                    // Of a process that died in the middle; the own one is complete by now.
                     Files.deleteIfExists(file);
                 }
             }
--- a/src/main/java/sablehinge/gateway/recorder/Watchdog.java
+++ b/src/main/java/sablehinge/gateway/recorder/Watchdog.java
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Ends, with what was asked for before. */
+    /** Ends, with what was requested before. */
     public void end() throws InterruptedException {
         ends = true;
         thread.join(TimeUnit.SECONDS.toMillis(2));
--- a/src/main/java/sablehinge/gateway/rollout/OutcomeShares.java
+++ b/src/main/java/sablehinge/gateway/rollout/OutcomeShares.java
@@ -12,7 +12,7 @@
         FAILED
     }
 
-    /** The longest span that can be asked for, in seconds. */
+    /** The longest span that can be requested, in seconds. */
     public static final int SECONDS = 60;
 
     private static final double MS = 1_000;
--- a/src/main/java/sablehinge/gateway/settings/SettingsParser.java
+++ b/src/main/java/sablehinge/gateway/settings/SettingsParser.java
@@ -255,7 +255,7 @@
     }
 
     private <T> List<T> items(String key, Function<String, T> item) {
-        // A site without tenants leaves the whole list out.
+        // A site without tenants leaves the complete list out.
         int count = values.containsKey(key + ".count") ? integer(key + ".count") : 0;
         if (count < 0 || count > MAX_ITEMS) {
             throw invalid(key + ".count");
--- a/src/main/java/sablehinge/mesh/api/CheckException.java
+++ b/src/main/java/sablehinge/mesh/api/CheckException.java
@@ -9,7 +9,7 @@
 
     /** What is wrong, for callers that tell cases apart. */
     public enum Code {
-        /** No JSON, or not one whole value: cut short, followed by more, nested too deep, a key twice. */
+        /** No JSON, or not one complete value: cut short, followed by more, nested too deep, a key twice. */
         NOT_JSON,
         /** A field is missing, of another type, or out of the range that its type has here. */
         SCHEMA,
--- a/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
@@ -16,12 +16,12 @@
 import sablehinge.mesh.routing.Configuration;
 
 /**
- * Decides whether a configuration that an operator sent can be taken: first that its bytes are one whole JSON value,
+ * Decides whether a configuration that an operator sent can be taken: first that its bytes are one complete JSON value,
  * then its form by a schema, then what holds between its parts. Any thread may call.
  */
 public final class ConfigurationCheck {
 
-    /** How many problems are told at most. */
+    /** How many problems are reported at most. */
     public static final int MAX_PROBLEMS = 20;
 
     /** Lists and objects within each other; a configuration has 8. */
--- a/src/main/java/sablehinge/mesh/api/ConfigurationReader.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationReader.java
@@ -130,7 +130,7 @@
         return new Configuration.Tenant(name, keys, priority, perSecond, burst);
     }
 
-    /** The station may stand behind its routes. */
+    /** The field {@code station} may come after the gate's routes. */
     private static void gate(JsonParser in, List<Configuration.Route> routes) throws IOException {
         String[] host = {""};
         List<Configuration.Route> own = new ArrayList<>();
@@ -260,7 +260,7 @@
         }
     }
 
-    /** Where a route leads; a single service has the whole share. */
+    /** Where a route leads; a single service has a share of 1. */
     private static final class Dispatch {
 
         private List<Configuration.Share> split = List.of();
--- a/src/main/java/sablehinge/mesh/api/HttpOperation.java
+++ b/src/main/java/sablehinge/mesh/api/HttpOperation.java
@@ -1,10 +1,10 @@
 package sablehinge.mesh.api;
 
 /**
- * An operation whose method and path are told once, where it is made.
+ * An operation with a fixed method and path.
  *
- * @param <Q> what is asked
- * @param <A> what is answered
+ * @param <Q> the request
+ * @param <A> the response
  */
 public abstract class HttpOperation<Q, A> implements Operation<Q, A> {
 
--- a/src/main/java/sablehinge/mesh/api/Operation.java
+++ b/src/main/java/sablehinge/mesh/api/Operation.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 
 /**
- * One call that upstreams, operators or the platform make: what is asked and what is answered are a pair of types, and
- * a {@link ApiServer} carries all of them alike.
+ * One call that upstreams, operators or the platform make: request and response are a pair of types, and an
+ * {@link ApiServer} serves all of them alike.
  *
- * @param <Q> what is asked
- * @param <A> what is answered
+ * @param <Q> the request
+ * @param <A> the response
  */
 public interface Operation<Q, A> {
 
@@ -20,7 +20,7 @@
     /** Reads a call; throws {@link CallException} where it can't be read. */
     Q read(ApiRequest request);
 
-    /** Carries it out; the answer may come later, once, on the thread of the door. */
+    /** Executes it; the response may come later, once, on the thread of the server. */
     void execute(Q call, Consumer<A> answer);
 
     /** Words the answer. */
--- a/src/main/java/sablehinge/mesh/api/Query.java
+++ b/src/main/java/sablehinge/mesh/api/Query.java
@@ -5,7 +5,7 @@
 /**
  * An operation that asks by its path alone.
  *
- * @param <A> what is answered
+ * @param <A> the response
  */
 public abstract class Query<A> extends HttpOperation<Query.EmptyRequest, A> {
 
--- a/src/main/java/sablehinge/mesh/api/SchemaCheck.java
+++ b/src/main/java/sablehinge/mesh/api/SchemaCheck.java
@@ -16,7 +16,7 @@
 import sablehinge.mesh.api.CheckException.Code;
 import sablehinge.mesh.api.CheckException.Problem;
 
-/** What the schema says about a tree, in this project's words. The schema is loaded when first asked. */
+/** What the schema says about a tree, as this project's problems. The schema is loaded when it is first used. */
 final class SchemaCheck {
 
     private static final String RESOURCE = "/sablehinge/mesh/api/configuration.schema.json";
--- a/src/main/java/sablehinge/mesh/failuredetection/HashRing.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HashRing.java
@@ -45,7 +45,7 @@
         for (int i = 0; i < node.length(); i++) {
             hash = (hash ^ node.charAt(i)) * FNV_PRIME;
         }
-        // Names that differ in their last letter only would stand side by side.
+        // Names that differ in their last character only would be neighbours.
         hash = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
         hash = (hash ^ hash >>> 33) * 0xc4ceb9fe1a85ec53L;
         return hash ^ hash >>> 33;
--- a/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
@@ -10,17 +10,18 @@
 import java.util.Set;
 
 /**
- * Joins what watchers accuse others of with what the one who keeps the roll hears itself, and rules who is off. It
- * takes both: who is heard by the keeper, or by half of its watchers that the keeper hears, is not off, so one that is
- * cut off accuses nobody. Where more than half of all are silent and no watcher hears them, the fault is likelier with
- * those who look: nothing new is ruled then. Nor is ever more than half of a service's ready upstreams taken away. Who
- * is off is so until the keeper hears it again, or none of its watchers accuses it. Times are in ms of a steady clock.
+ * Joins the suspicions of watchers with what the leader hears itself, and decides who is unavailable. It takes both: a
+ * balancer that the leader hears, or half of its watchers that the leader hears, is available, so one that is
+ * partitioned ejects nobody. Where more than half of all send nothing and no watcher hears them, the fault is likelier
+ * with those who look: nothing new is ruled then. Nor is ever more than half of a service's ready upstreams taken away.
+ * Who is unavailable is so until the leader hears it again, or none of its watchers suspects it. Times are in ms of a
+ * steady clock.
  */
 public final class HealthView {
 
     /**
-     * Silence after which the keeper doesn't hear one: each asks it again when it was answered, which is after 400 ms
-     * at the latest.
+     * After so long without a request the leader does not hear a balancer: each sends the next when one is answered,
+     * which is after 400 ms at the latest.
      */
     static final double PEER_TIMEOUT_MS = 900;
 
@@ -34,7 +35,7 @@
     private record PeerReport(double at, List<Suspicion> suspicions) {}
 
     /**
-     * One on the roll whose upstream is known.
+     * A balancer in the registry whose upstream is known.
      *
      * @param ready whether it says itself that it takes new requests
      */
@@ -44,18 +45,18 @@
      * What is known of one has changed.
      *
      * @param suspecting of its watchers in touch, those who don't hear it
-     * @param watchers of it that the keeper hears
+     * @param watchers of it that the leader hears
      */
     public record HealthChange(String node, Health before, Health health, int suspecting, int watchers) {}
 
-    /** Forgets all: another term of the keeper has begun, and all have time to be heard by it. */
+    /** Forgets all: another leader's term has begun, and all balancers have time to be heard by it. */
     public void begin(double now) {
         begunAt = now;
         reports.clear();
         healthByNode.clear();
     }
 
-    /** The keeper hears one, and whom it accuses now. */
+    /** The leader hears a balancer, with the peers that it suspects now. */
     public void heard(double now, String node, List<Suspicion> suspicions) {
         reports.put(node, new PeerReport(now, List.copyOf(suspicions)));
     }
@@ -65,7 +66,7 @@
         return healthByNode.getOrDefault(node, Health.WELL);
     }
 
-    /** Rules on all that are on the roll now; returns what has changed. */
+    /** Evaluates all balancers of the registry; returns what has changed. */
     public List<HealthChange> evaluate(double now, Collection<Subject> subjects) {
         Map<String, String> present = new HashMap<>();
         subjects.forEach(subject -> present.put(subject.node(), subject.zone()));
@@ -127,7 +128,7 @@
         if (heard) {
             health = suspecting == 0 ? Health.WELL : Health.CUT_FROM_SOME;
         } else if (before.isUnavailable() && (watchers == 0 || suspecting > 0)) {
-            // A watcher that is new to it has not had the time to accuse it, and is no sign of life.
+            // A watcher that is new to it has not had the time to suspect it, and is no evidence that it is up.
             health = before;
         } else if (watchers == 0) {
             health = Health.UNSEEN;
--- a/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
@@ -7,24 +7,24 @@
 import java.util.Map;
 
 /**
- * What one watcher makes of the beats that it hears. It suspects who misses about three of them, wants to know what
- * answers at its address then, and accuses it once that is known; a beat takes all back at once. Times are in ms of a
- * steady clock.
+ * What one watcher makes of the heartbeats that it receives. It suspects a peer that misses about three of them, health
+ * checks what answers at its address then, and reports the suspicion once that is known; a heartbeat takes all back at
+ * once. Times are in ms of a steady clock.
  */
 public final class Monitor {
 
-    /** Between two beats of one. */
+    /** Between two heartbeats of a peer, ms. */
     public static final double HEARTBEAT_MS = 300;
-    /** Silence after which one is suspected: three beats, and some of the way. */
+    /** A peer is suspected after so long without a heartbeat, ms: three of them, and some of the way. */
     public static final double SUSPECT_MS = 900;
-    /** An own tick that is so late tells that this process stood still: it can accuse nobody of silence. */
+    /** An own tick that is so late, ms, shows that this process stood still: it can suspect nobody. */
     static final double LATE_MS = 400;
     /** One that has just come under watch may take so much longer to speak: it may not know of it yet. */
     static final double GRACE_MS = 1_500;
     /** Most balancers watched over: all the ring can ask for, with some from rings a moment older. */
     public static final int MAX_REPORTED = 4 * HashRing.REACH;
 
-    /** Each suspicion that proved wrong adds this part of the silence allowed, up to so many. */
+    /** Each suspicion that proved wrong adds this share of the timeout, up to so many times. */
     private static final double FLAP_PART = 0.5;
 
     private static final int MAX_FLAPS = 2;
@@ -64,10 +64,10 @@
     }
 
     /**
-     * A beat has come. One that was overtaken by a later one of the same life is no sign of life.
+     * A heartbeat has come. One that was overtaken by a later one of the same incarnation does not count.
      *
-     * @param incarnation of the process that beats
-     * @param number of the beat, which counts up in one life
+     * @param incarnation of the process that sent it
+     * @param number of the heartbeat, which counts up in one incarnation
      * @return whether an accusation is taken back by it
      */
     public boolean heard(double now, String node, int incarnation, int number) {
@@ -96,7 +96,7 @@
         tickedAt = now;
         watched.forEach((node, one) -> {
             if (late) {
-                // Its beats may wait unread: all are heard anew first.
+                // Their heartbeats may wait unread: all start anew.
                 one.heardAt = Math.max(one.heardAt, now);
                 one.suspected = false;
                 one.evidence = null;
--- a/src/main/java/sablehinge/mesh/failuredetection/SuspicionCause.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/SuspicionCause.java
@@ -1,6 +1,6 @@
 package sablehinge.mesh.failuredetection;
 
-/** What a watcher has found where it hears no beats; the order is their number on the wire. */
+/** What a watcher has found at a peer that sends no heartbeats; the order is their number on the wire. */
 public enum SuspicionCause {
     /** Nothing answers at its address: no power there, or a cut between. */
     SILENT,
--- a/src/main/java/sablehinge/mesh/quota/Pool.java
+++ b/src/main/java/sablehinge/mesh/quota/Pool.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** The pools of all tenants' quotas, with the one who holds the duty. */
+/** The leader's pools of all tenants' quotas. */
 public final class Pool {
 
-    /** Others are asked again for what they can do without after so many ms, and no answer counts later. */
+    /** Unused tokens are reclaimed from other balancers again after so many ms, and no answer counts later. */
     private static final double PULL_MS = 100;
 
     private final Map<String, Bucket> buckets = new HashMap<>();
     private final Map<String, Double> pulledAt = new HashMap<>();
 
-    /** Takes the duty over: whoever had it may have given all out, so every pool begins empty. */
+    /** Begins as leader: the one before may have given all out, so every pool begins empty. */
     public void begin() {
         buckets.clear();
         pulledAt.clear();
@@ -51,7 +51,7 @@
         return bucket == null ? 0 : bucket.take(now, count);
     }
 
-    /** Whether balancers are to be asked now for what they can do without of a tenant's quota. */
+    /** Whether unused tokens of a tenant's quota are to be reclaimed from balancers now. */
     public boolean pulls(double now, String tenant) {
         Double last = pulledAt.get(tenant);
         if (!buckets.containsKey(tenant) || last != null && now - last < PULL_MS) {
@@ -61,7 +61,7 @@
         return true;
     }
 
-    /** A balancer does without so many tokens; they count only soon after it was asked. */
+    /** A balancer returns so many tokens; they count only soon after they were reclaimed. */
     public void regain(double now, String tenant, int count) {
         Double last = pulledAt.get(tenant);
         if (last != null && now - last < PULL_MS) {
--- a/src/main/java/sablehinge/mesh/quota/Quota.java
+++ b/src/main/java/sablehinge/mesh/quota/Quota.java
@@ -2,8 +2,8 @@
 
 /**
  * How a tenant's quota is divided. One part is divided evenly and held without asking, so that a balancer that is cut
- * off goes on with it; the rest is a pool with one keeper, from which whoever has run out takes what it needs at once.
- * Where the pool is dry, its keeper asks all for what they can do without. Tokens only move, so nothing is ever out
+ * off goes on with it; the rest is a pool on the leader, from which a balancer that has run out takes what it needs at
+ * once. Where the pool is dry, the leader reclaims unused tokens from all. Tokens only move, so nothing is ever out
  * twice.
  *
  * @param perSecond requests a second over all balancers
--- a/src/main/java/sablehinge/mesh/retrybudget/Claim.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/Claim.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a balancer tells the holder of the pools, and what it wants. Counts only grow, so that one which is lost,
+ * What a balancer reports to the leader's retry budget, and what it wants. Counts only grow, so that one which is lost,
  * doubled or late does no harm.
  *
  * @param incarnation of the balancer's process
  * @param number counts its claims up
- * @param term of the holder whose share it has; 0 for none
+ * @param term of the leader whose share it has; 0 for none
  * @param service beside it, whose runs make the calls that it counts
  * @param lines one for each service of which there is something to tell
  */
@@ -25,7 +25,7 @@
     /**
      * Of one service.
      *
-     * @param requests of clients for it, that came here in this life
+     * @param requests of clients for it, that came here in this incarnation
      * @param calls of the upstream beside for it, likewise
      * @param spent of the share, since the term at hand first gave one
      * @param share up to which it may be spent from now on: what is above has been given back
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
@@ -10,20 +10,20 @@
 import java.util.Set;
 
 /**
- * Keeps the pools of further tries, one for each service, while it holds the duty: it earns by the requests that
- * balancers tell of, and gives out shares that follow what they want.
+ * Allocates the retry budget on the leader, from one pool for each service: a pool earns by the requests that balancers
+ * tell of, and gives out shares that follow what they want.
  *
- * <p>A pool begins empty with each holder, and a request is counted once, by whom it is told. So it does not matter
- * what a holder before gave out: that was paid by other requests. What is in hand and out together is bounded; a share
- * is out until its balancer tells that it was spent or gives it back, or until its end, when it counts as spent. A run
- * that is repeated makes its calls again, which count as repeats there: a token of a service is only given with as much
- * of the pools that its runs call as they do on the mean.
+ * <p>A pool begins empty with each leader, and a request is counted once, by the leader that it is reported to. So it
+ * does not matter what a leader before gave out: that was paid by other requests. What is in hand and out together is
+ * bounded; a share is out until its balancer tells that it was spent or gives it back, or until its end, when it counts
+ * as spent. A run that is repeated makes its calls again, which count as repeats there: a token of a service is only
+ * given with as much of the pools that its runs call as they do on the mean.
  */
 public final class RetryBudgetAllocator {
 
     /** How long a share lasts here from when it was given, in ms; its owner counts less from earlier on. */
     static final double GRANT_LIFETIME_MS = 1_000;
-    /** How long a silent balancer's counts are kept, in ms. */
+    /** How long the counts of a balancer that sends nothing are kept, ms. */
     private static final double OWNER_EXPIRY_MS = 5_000;
 
     private static final int MAX_OWNERS = 4_096;
@@ -58,7 +58,7 @@
         int number;
         double heardAt;
         double end;
-        /** Of the term and life at hand: its spending counts from there. */
+        /** Of the present term and incarnation: its spending counts from there. */
         final Map<String, ServiceGrant> parts = new HashMap<>();
     }
 
@@ -87,12 +87,12 @@
         }
     }
 
-    /** A holder that has no duty yet. */
+    /** An allocator whose node does not lead yet. */
     public RetryBudgetAllocator(RetryBudgetRule rule) {
         this.rule = rule;
     }
 
-    /** Takes the duty over as the holder of a term. */
+    /** Begins as the leader of a term. */
     public void begin(long asLeaderOf) {
         term = asLeaderOf;
         pools.clear();
@@ -170,7 +170,10 @@
         return new Grant(claim.number(), term, given);
     }
 
-    /** Requests are counted from the second claim of a life on: those before may have been told elsewhere. */
+    /**
+     * Requests are counted from the second claim of an incarnation on: those before may have been reported to another
+     * leader.
+     */
     private void count(ServiceGrant part, String caller, Claim.Line line) {
         Pool pool = pools.get(line.service());
         if (part.known) {
@@ -193,7 +196,7 @@
 
     private void settle(ServiceGrant part, int spent, int share) {
         Pool pool = pools.get(part.service);
-        // Beyond its share: arrivals that nobody was asked for, such as what an upstream turned away.
+        // Beyond its share: arrivals that were not claimed, such as what an upstream rejected.
         pool.level = Math.max(-rule.bound(), pool.level - Math.max(0, spent - Math.max(part.share, part.spent)));
         int open = part.open();
         int kept = Math.max(0, Math.min(share, part.share) - spent);
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetRule.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetRule.java
@@ -5,7 +5,7 @@
  *
  * <p>Within some window the arrivals beyond the first may be {@code ratio} times the requests of that window, of the
  * one before or of the one half before, whichever holds the most, and {@code slack}. Of the slack, a part is reserved,
- * as whole tokens that each belong to one balancer; one is what the pool may have out and in hand together; one drips
+ * as integer tokens that each belong to one balancer; one is what the pool may have out and in hand together; one drips
  * into the pool; the rest stays unused. Each request brings the pool half of the ratio: however demand lies, what came
  * in the window and in the half before it is at most twice what the fullest of the three windows holds, so an arrival
  * may lag half a window behind the request that paid it.
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
@@ -10,11 +10,11 @@
 
 /**
  * What one balancer may send beyond the first try of each request, by services: its share of the pool, which follows
- * what it needs and has an end, and the tokens that are reserved for it, which do without a holder.
+ * what it needs and has an end, and the tokens that are reserved for it, which need no leader.
  */
 public final class RetryBudgetShares {
 
-    /** How long a share lasts, in ms from when it was asked for: less than with the holder. */
+    /** How long a share lasts, in ms from when it was requested: less than at the leader. */
     static final double GRANT_LIFETIME_MS = 900;
     /** Least time between two claims, where something is wanted and where there is only something to tell. */
     private static final double URGENT_MS = 15;
@@ -44,7 +44,7 @@
     private double requestedAt = Double.NEGATIVE_INFINITY;
     private long term;
     private double end = Double.NEGATIVE_INFINITY;
-    /** When a holder last answered. */
+    /** When a leader last answered. */
     private double touchedAt = Double.NEGATIVE_INFINITY;
 
     private static final class ServiceShare {
@@ -54,7 +54,7 @@
         int share;
         /** Of both there may be many, one after the other: spending counts from 0 in each. */
         int epoch;
-        /** What was last told of requests and calls, and of spending. */
+        /** What was last reported of requests and calls, and of spending. */
         int reportedRequests;
 
         int reportedSpent;
@@ -102,7 +102,7 @@
      * No shares yet. The reserved tokens are there at once: what a process before may have used of them is covered by
      * what of the rule's slack is not given out.
      *
-     * @param incarnation names this process's life among all others
+     * @param incarnation names this process among all others
      * @param localService the service of the upstream on this machine
      */
     public RetryBudgetShares(RetryBudgetRule rule, long incarnation, String localService) {
@@ -146,7 +146,7 @@
      * those that are reserved; a spare one does neither.
      *
      * @param spare whether one that is out may yet do: then some must be left
-     * @param then is told once, perhaps before this returns: of what gives the token back, or of null
+     * @param then called once, perhaps before this returns, with what gives the token back, or with null
      */
     public void take(double now, String service, boolean spare, Consumer<Runnable> then) {
         ServiceShare part = parts.get(service);
@@ -199,7 +199,7 @@
         }
     }
 
-    /** What is to be told and asked now; null where that can wait. What is not needed is given back. */
+    /** The claim to send now; null where that can wait. What is not needed is given back. */
     public Claim claim(double now) {
         if (now >= end && term != 0) {
             term = 0;
@@ -233,7 +233,7 @@
         return new Claim(incarnation, ++number, term, localService, lines);
     }
 
-    /** A holder has answered; what answers another claim than the last is left alone. */
+    /** A leader has answered; an answer to another claim than the last is ignored. */
     public void granted(double now, Grant grant) {
         if (grant.number() != number || number == answered || now >= requestedAt + GRANT_LIFETIME_MS) {
             return;
--- a/src/main/java/sablehinge/mesh/routing/Configuration.java
+++ b/src/main/java/sablehinge/mesh/routing/Configuration.java
@@ -24,7 +24,7 @@
      *
      * @param headerBytes of a request's head
      * @param bodyBytes of its body
-     * @param headerMs in which a head that has begun must be whole
+     * @param headerMs in which a head that has begun must be complete
      * @param idleMs that a connection may rest between requests
      */
     public record Limits(int headerBytes, long bodyBytes, double headerMs, double idleMs) {}
@@ -57,10 +57,10 @@
      *
      * @param host in lower case
      * @param prefix of the path, with a slash at both ends
-     * @param targetMs within which an answer earns its full worth
+     * @param targetMs within which an answer has its full value
      * @param priority 0 is highest
      * @param open whether it wants no key
-     * @param split over services; one with its whole share where there is no split
+     * @param split over services; a single one with a share of 1 where there is no split
      * @param timeoutMs for which a try may be held
      * @param attempts upstreams that one try may go to
      */
--- a/src/main/java/sablehinge/mesh/routing/RoutingTable.java
+++ b/src/main/java/sablehinge/mesh/routing/RoutingTable.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 
 /**
- * One configuration, made ready for asking. It never changes and may be asked by any thread.
+ * One configuration, indexed for lookups. Immutable, for any thread.
  *
  * <p>It trusts that the configuration has been checked. What a check would have refused does no harm here: of two
  * routes at one place, and of two owners of one name or key, the first one holds. Written without lambdas and streams,
--- a/src/main/java/sablehinge/mesh/watch/Update.java
+++ b/src/main/java/sablehinge/mesh/watch/Update.java
@@ -14,10 +14,10 @@
  * @param confirmed whether nothing newer had been acknowledged when the ask came
  * @param edition of the configuration in force; 0 for none
  * @param body that configuration as {@link PackedConfiguration} packs it; empty where the asker has it
- * @param term of who keeps the roll
- * @param stamp of the roll
+ * @param term of the leader that keeps the registry
+ * @param stamp of the registry
  * @param full whether the registrations are all there are, rather than those that changed
- * @param complete whether who is not on the roll is gone
+ * @param complete whether a balancer that is not in the registry is gone
  * @param size balancers among which quotas are divided
  * @param registrations that changed since the stamp of the ask
  * @param core where the members of the core take records
--- a/src/main/java/sablehinge/policy/ClassRecord.java
+++ b/src/main/java/sablehinge/policy/ClassRecord.java
@@ -19,7 +19,7 @@
     double refused;
     /** The first class of the same placement: the two below are kept there for all of them. */
     ClassRecord leader;
-    /** Share of the work asked for that is refused at once, and when it was last moved. */
+    /** Share of the work requested that is refused at once, and when it was last moved. */
     double pressure;
 
     double feltAt;
--- a/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
+++ b/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
@@ -88,12 +88,12 @@
     /** Least and, with as much again at random, most wait before the registry is asked again, of askEvery. */
     private static final double ASK_AGAIN = 0.1;
 
-    /** Calls in a row that a listed server turned away or did not let connect: the list may be old. */
+    /** Calls in a row that a listed server rejected or did not let connect: the list may be old. */
     private static final int DOUBTS = 3;
     /** Least time without news after which that is asked about, of askEvery; it doubles while none comes. */
     private static final double DOUBT_AFTER = 0.3;
 
-    /** A first-tier call that takes more of its aim than this, and its worth when late, tells of overload. */
+    /** A first-tier call that takes more of its aim than this, and its value when late, tells of overload. */
     private static final double STRAINED = 0.5;
     /** Change of the share of work refused in a second of signs of overload, and in one of the opposite. */
     private static final double PRESSURE_UP = 0.9;
@@ -345,7 +345,7 @@
         }
     }
 
-    /** A class's part of the work asked for; hints tell it best, else served latencies. */
+    /** A class's part of the work requested; hints tell it best, else served latencies. */
     private double work(ClassRecord c) {
         return (c.share + SEEN_LEAST) * (c.hint.value() > 0 ? c.hint.value() : c.latency.value());
     }
@@ -467,7 +467,7 @@
     /**
      * Every request earns the cold servers open to it a part of a call: their warmth's share of the traffic times what
      * the rule allows, less a margin. Shares need no history and add up over siblings that do alike. Counting requests,
-     * not sends, lets a fleet that is cold as a whole begin; the half that is taken as warm at least keeps it from
+     * not sends, lets a fleet that is cold as a complete begin; the half that is taken as warm at least keeps it from
      * being pushed over.
      */
     private void earnWarmUpBudget(Call call, double now) {
@@ -606,7 +606,7 @@
      * A watch may be dead without a sign, its registry restarted or cut off, and what is listed as ready be long gone
      * or draining. That shows in servers that take nothing: then the watch is begun anew, which brings what was missed.
      * Guards against any silent loss of news; a server that crashed unnoticed looks the same, so the questions grow
-     * rare while no news comes, lest a whole fleet's flood the registry.
+     * rare while no news comes, lest a complete fleet's flood the registry.
      */
     private void doubtList(Server server, Result result, double now) {
         if (result == Result.FULL || result == Result.CONNECT_FAILED) {
--- a/src/main/java/sablehinge/policy/LoadBalancer.java
+++ b/src/main/java/sablehinge/policy/LoadBalancer.java
@@ -6,7 +6,7 @@
  * The decisions of one load balancer instance: events go in, actions come out.
  *
  * <p>An instance has no clock, thread or socket of its own. Its host calls one event method at a time, with the time of
- * the event, and carries out what is asked of {@link Actions} during that call. All times are ms; the clock never goes
+ * the event, and executes what is asked of {@link Actions} during that call. All times are ms; the clock never goes
  * back and has no special zero. Same events, settings and seed give the same actions.
  */
 public interface LoadBalancer {
@@ -16,7 +16,7 @@
 
     /**
      * News of the upstreams. {@link Change#DELTA} brings changed entries only, {@link Change#FULL} and
-     * {@link Change#CACHED} the whole list, {@link Change#FAILED} none: a call to the registry failed.
+     * {@link Change#CACHED} the complete list, {@link Change#FAILED} none: a call to the registry failed.
      */
     void upstreamsChanged(double now, Change change, List<Upstream> upstreams);
 
@@ -37,7 +37,7 @@
     /** How an attempt ended; one such event for every {@link Actions#send}. */
     void attemptFinished(double now, Outcome outcome);
 
-    /** An answer that is streamed, or not whole at once, has begun: the time-out of its attempt is over. */
+    /** An answer that is streamed, or not complete at once, has begun: the time-out of its attempt is over. */
     void streamStarted(double now, long requestId, int attempt, double elapsed);
 
     /** The client has left; nothing more is owed. Outcomes of running attempts still follow. */
@@ -46,7 +46,7 @@
     /** A timer set by {@link Actions#setTimer} is due. */
     void timer(double now, long token);
 
-    /** The result of a probe; {@code report} is null where none came. */
+    /** The result of a health check; {@code report} is null where none came. */
     default void healthCheckResult(double now, long upstream, Result result, double elapsed, double[] report) {}
 
     /** A message from another instance of the same tier. */
@@ -73,7 +73,7 @@
         /** Closes this instance's idle connections to an upstream. */
         void closeIdle(long upstream);
 
-        /** Asks the registry once for the whole list. */
+        /** Asks the registry once for the complete list. */
         void fetch();
 
         /** Subscribes to the registry's changes, or ends the subscription. */
@@ -147,7 +147,7 @@
             boolean write,
             int attempts) {}
 
-    /** How an attempt or a probe ended. */
+    /** How an attempt or a health check ended. */
     enum Result {
         OK,
         ERROR,
@@ -212,10 +212,10 @@
     /**
      * A class of requests.
      *
-     * @param aim answered within this it earns its full worth
+     * @param aim answered within this it earns its full value
      * @param aimStretch the aim grows by this many times the request's own work
      * @param deadline how long a client waits over all its tries
-     * @param lateValue the share of the worth left after the aim
+     * @param lateValue the share of the value left after the aim
      * @param memory how long repeats are dropped, from the first attempt that may have run
      * @param streamed whether answers are streams
      * @param inOrder whether requests of one key, over all such classes, take turns in order of arrival
@@ -290,7 +290,7 @@
      *
      * @param tail worth counts in full only while at most the share {@code tailMiss} misses its aim; what is refused
      *     inside the aim is no miss
-     * @param nines tenfold steps by which the unserved worth lies below the whole, full at {@code topNines}
+     * @param nines tenfold steps by which the unserved worth lies below the complete, full at {@code topNines}
      */
     record Goal(
             double exact,
--- a/src/main/java/sablehinge/policy/Server.java
+++ b/src/main/java/sablehinge/policy/Server.java
@@ -39,7 +39,7 @@
     double warmUpBudget;
     /** Until when it is taken to have a full table of connections. */
     double crowdedUntil = Double.NEGATIVE_INFINITY;
-    /** Calls that it turned away or did not let connect since it last served one. */
+    /** Calls that it rejected or did not let connect since it last served one. */
     int doubts;
     /** Scratch for one draw. */
     double weight;
--- a/src/main/java/sablehinge/tools/audit/Audit.java
+++ b/src/main/java/sablehinge/tools/audit/Audit.java
@@ -190,7 +190,7 @@
         return List.copyOf(shown);
     }
 
-    /** Requests that one party saw and another, whose record ought to be whole, did not. */
+    /** Requests that one party saw and another, whose record ought to be complete, did not. */
     public long unexplained() {
         return judge.unexplained();
     }
--- a/src/main/java/sablehinge/tools/audit/judge/Evidence.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Evidence.java
@@ -8,17 +8,17 @@
 
     /** How a caller's try ended. */
     enum End {
-        /** With a whole answer. */
+        /** With a complete answer. */
         ANSWERED,
         /** Its connection ended before anything of an answer had come. */
         BROKEN,
-        /** Its connection ended amid an answer: the caller can tell that it is not whole. */
+        /** Its connection ended amid an answer: the caller can tell that it is not complete. */
         PARTIAL,
         /** Nobody answered, and the caller's time was up. */
         SILENT,
         /** The caller went away of its own accord before its time was up. */
         LEFT,
-        /** It was never written whole to a connection that was accepted. */
+        /** It was never written complete to a connection that was accepted. */
         UNREACHABLE
     }
 
--- a/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
+++ b/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
@@ -140,7 +140,7 @@
         return requests;
     }
 
-    /** Requests of which one party has a trace and another, whose record ought to be whole, has none. */
+    /** Requests of which one party has a trace and another, whose record ought to be complete, has none. */
     public long unexplained() {
         return unexplained;
     }
@@ -281,7 +281,7 @@
             for (Ran before : attempts.subList(0, i)) {
                 // A request whose last byte was never written can't run, which who wrote it knows at once;
                 // that
-                // one was turned away is known once it was.
+                // one was rejected is known once it was.
                 boolean possible =
                         before.how().mayHaveRun() || before.how() == How.TURNED_AWAY && before.at() > ran.begun();
                 if (possible
--- a/src/main/java/sablehinge/tools/replay/LogEntry.java
+++ b/src/main/java/sablehinge/tools/replay/LogEntry.java
@@ -8,7 +8,7 @@
  * @param time when the request came, or when it ended where {@link LogFormat#timeIsEnd}, in ms since 1970; NaN where
  *     the log has none
  * @param duration how long the request took, in ms; NaN where the log doesn't tell
- * @param target path and query as they were asked for
+ * @param target path and query as they were requested
  * @param status 0 where there was no answer
  * @param bytes of the answer
  * @param requestBytes of the request; -1 where the log doesn't tell
--- a/src/main/java/sablehinge/tools/replay/Logs.java
+++ b/src/main/java/sablehinge/tools/replay/Logs.java
@@ -14,7 +14,7 @@
 import sablehinge.tools.replay.folding.RetryFolder;
 
 /**
- * Several logs as one: the requests that were asked for, in the order of time, with logged retries folded. What is held
+ * Several logs as one: the requests that were requested, in the order of time, with logged retries folded. What is held
  * is bounded, whatever the logs' size.
  */
 public final class Logs implements Closeable {
@@ -115,7 +115,7 @@
         }
     }
 
-    /** The next request that was asked for; null after the last. */
+    /** The next request that was requested; null after the last. */
     public Demand next() throws IOException {
         while (!heads.isEmpty()) {
             Head head = heads.poll();
--- a/src/main/java/sablehinge/tools/replay/folding/RetryFolder.java
+++ b/src/main/java/sablehinge/tools/replay/folding/RetryFolder.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Tells logged retries from new demand, so that a replay sends what was asked for and not what an incident made of it.
+ * Tells logged retries from new demand, so that a replay sends what was requested and not what an incident made of it.
  * Tries come in the order in which they began; each is a first try, or belongs under one that came before.
  *
  * <p>Where a caller names its request (an idempotency key, a request id), the name decides: the same name within a
--- a/src/main/java/sablehinge/tools/replay/statistics/RateMeter.java
+++ b/src/main/java/sablehinge/tools/replay/statistics/RateMeter.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * Events over time, in slices that grow as the time does, so that a second and a year both fit. The slices are whole
+ * Events over time, in slices that grow as the time does, so that a second and a year both fit. The slices are complete
  * multiples of their width since 1970.
  */
 public final class RateMeter {
--- a/src/main/java/sablehinge/tools/standin/Server.java
+++ b/src/main/java/sablehinge/tools/standin/Server.java
@@ -312,7 +312,7 @@
         return EvidenceStamps.now() - begun.getAsDouble();
     }
 
-    /** Lets the station's time pass, and sees to what has come of it. */
+    /** Lets the server model's time pass, and sees to what has come of it. */
     private void pass() {
         double now = EvidenceStamps.now();
         model.slow(faults.slower(place.tier, place.number, elapsed()));
--- a/src/main/java/sablehinge/tools/standin/mesh/HeartbeatSender.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/HeartbeatSender.java
@@ -21,7 +21,7 @@
     private long count;
     private volatile boolean ended;
 
-    /** Begins to beat. */
+    /** Begins to heartbeat. */
     public HeartbeatSender(
             StandInUpstream upstream, InetSocketAddress control, String zone, long everyMs, TrafficLog trafficLog) {
         this.upstream = upstream;
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
@@ -17,7 +17,7 @@
     public static final int UNLOAD_MS = 2_000;
     /** After an acknowledgement, how long an older configuration may be in force. */
     public static final int EDITION_MS = 2_500;
-    /** Between two beats of an upstream. */
+    /** Between two heartbeats of an upstream. */
     public static final int HEARTBEAT_MS = 500;
     /** The zone of all machines. */
     public static final String ZONE = "valley";
--- a/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
@@ -130,7 +130,7 @@
         for (int i = 0; i < sidecars.size(); i++) {
             ready(i);
         }
-        // The roll comes with the beats: every balancer has heard of every upstream after two of them.
+        // The roll comes with the heartbeats: every balancer has heard of every upstream after two of them.
         TimeUnit.MILLISECONDS.sleep(2 * MeshPlan.HEARTBEAT_MS);
     }
 
--- a/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * An upstream by PROTOCOL: it works on so many requests at once, turns away what is not meant for it, stamps its
- * answers, tells the balancer beside it that it lives, and writes down what it runs.
+ * An upstream by PROTOCOL: it works on so many requests at once, rejects what is not meant for it, stamps its answers,
+ * tells the balancer beside it that it lives, and writes down what it runs.
  */
 public final class StandInUpstream implements AutoCloseable {
 
@@ -39,7 +39,7 @@
     /**
      * What an upstream is like.
      *
-     * @param id of its life
+     * @param id of its incarnation
      * @param depot its service
      * @param berths how many requests it works on at once
      * @param workMs the longest that one takes
--- a/src/main/java/sablehinge/tools/standin/model/Faults.java
+++ b/src/main/java/sablehinge/tools/standin/model/Faults.java
@@ -15,7 +15,7 @@
         SLOW,
         /** A share of the requests ends with 500. */
         ERROR,
-        /** A share is reset once it is whole, and has not run. */
+        /** A share is reset once it is complete, and has not run. */
         RESET_BEFORE,
         /** A share is reset after it has run. */
         RESET_AFTER,
@@ -36,14 +36,14 @@
         /** The list of servers is not answered. */
         SILENT_LIST;
 
-        /** Whether it strikes requests by chance rather than the whole server. */
+        /** Whether it strikes requests by chance rather than the complete server. */
         public boolean byChance() {
             return this == ERROR || this == RESET_BEFORE || this == RESET_AFTER || this == HALF || this == SPOIL;
         }
     }
 
     /**
-     * A fault as it was asked for. Times in ms from the run's start.
+     * A fault as it was requested. Times in ms from the run's start.
      *
      * @param tier its place; -1 for all
      * @param servers how many are struck, drawn by seed
--- a/src/main/java/sablehinge/tools/standin/model/ServerModel.java
+++ b/src/main/java/sablehinge/tools/standin/model/ServerModel.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * What a server does with work: so many requests share its cores evenly, some wait, the rest are turned away. One that
- * has just started is cold and can do a part of it, which rises evenly; sent too much in that time it falls over.
+ * What a server does with work: so many requests share its cores evenly, some wait, the rest are rejected. One that has
+ * just started is cold and can do a part of it, which rises evenly; sent too much in that time it falls over.
  */
 public final class ServerModel {
 
@@ -116,7 +116,7 @@
     }
 
     /**
-     * A request has come; whether it was taken in. All work that is sent counts for a fall, also what is turned away.
+     * A request has come; whether it was taken in. All work that is sent counts for a fall, also what is rejected.
      *
      * @param work what it needs up to its first wait for the tier behind
      * @param knows whether who sends it knows that this server is cold
@@ -156,7 +156,7 @@
             all += part.work;
             known += part.informed;
         }
-        // What it can do over the whole window, also where that began before the server did.
+        // What it can do over the complete window, also where that began before the server did.
         if (all > terms.fallMultiple() * terms.cores() * terms.speed() * warmth(now) * terms.fallAfter()) {
             fell = now;
             informed = known / all;
