--- a/src/main/java/sablehinge/common/settings/ConfigException.java
+++ b/src/main/java/sablehinge/common/settings/ConfigException.java
@@ -5,6 +5,7 @@
 
     private static final long serialVersionUID = 1;
 
+    /** A configuration that can't be taken, with what is wrong and where. */
     public ConfigException(String message) {
         super(message);
     }
--- /dev/null
+++ b/src/main/java/sablehinge/gateway/config/package-info.java
@@ -0,0 +1,2 @@
+/** The platform's configuration file of its balancer. */
+package sablehinge.gateway.config;
--- /dev/null
+++ b/src/main/java/sablehinge/gateway/config/versions/package-info.java
@@ -0,0 +1,2 @@
+/** Versions of the operator file on disk; a write is complete or has not happened. */
+package sablehinge.gateway.config.versions;
--- /dev/null
+++ b/src/main/java/sablehinge/gateway/discovery/package-info.java
@@ -0,0 +1,2 @@
+/** The platform's discovery: list, watch, and upstreams that operators took out. */
+package sablehinge.gateway.discovery;
--- a/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
+++ b/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
@@ -321,6 +321,7 @@
 
     // ---- What operators see -------------------------------------------------------------------------
 
+    /** What stage the change is in. */
     public Phase phase() {
         return phase;
     }
--- a/src/main/java/sablehinge/gateway/settings/MalformedInputException.java
+++ b/src/main/java/sablehinge/gateway/settings/MalformedInputException.java
@@ -5,6 +5,7 @@
 
     private static final long serialVersionUID = 1L;
 
+    /** Input that can't be taken, with what is wrong and where. */
     public MalformedInputException(String message) {
         super(message);
     }
--- a/src/main/java/sablehinge/gateway/settings/SettingsParser.java
+++ b/src/main/java/sablehinge/gateway/settings/SettingsParser.java
@@ -44,6 +44,11 @@
         }
     }
 
+    /**
+     * Parses the settings of the decision module.
+     *
+     * @throws MalformedInputException if the text is no settings; the message names the field
+     */
     public static Settings parse(byte[] text) {
         try {
             String decoded = StandardCharsets.UTF_8
--- /dev/null
+++ b/src/main/java/sablehinge/tools/replay/timeline/package-info.java
@@ -0,0 +1,2 @@
+/** Puts entries of a log that are out of order, or without a time, on one line of time. It decides only. */
+package sablehinge.tools.replay.timeline;
--- /dev/null
+++ b/src/main/java/sablehinge/tools/standin/package-info.java
@@ -0,0 +1,2 @@
+/** Stand-ins for servers, discovery and callers by the platform's PROTOCOL. */
+package sablehinge.tools.standin;
--- a/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
@@ -146,14 +146,14 @@
                 .answers(request ->
                         Mesh.ok(request.id(), "", lines("Connection: Sablehinge-Postmark, Sablehinge-Try-Id")))) {
             Wire.Message answer = mesh.client()
-                    .ask(
-                            Mesh.get(
-                                    "/s/x",
-                                    "t-1",
-                                    lines(
-                                            "Sablehinge-Key: k-1",
-                                            "Connection: sablehinge-caller, Sablehinge-Sender,Sablehinge-Patience, "
-                                                    + "Sablehinge-Try-Id, Sablehinge-Time-Left, Sablehinge-Deliver-To, Sablehinge-Rank")));
+                    .ask(Mesh.get(
+                            "/s/x",
+                            "t-1",
+                            lines(
+                                    "Sablehinge-Key: k-1",
+                                    "Connection: sablehinge-caller, Sablehinge-Sender,Sablehinge-Patience, "
+                                            + "Sablehinge-Try-Id, Sablehinge-Time-Left, "
+                                            + "Sablehinge-Deliver-To, Sablehinge-Rank")));
             assertEquals(200, answer.status());
             assertEquals("3e1b.t-1", answer.one("Sablehinge-Postmark"));
             Wire.Message request = mesh.arrived.get(0);
--- a/src/test/java/sablehinge/policy/ProjectTest.java
+++ b/src/test/java/sablehinge/policy/ProjectTest.java
@@ -23,7 +23,7 @@
      * The deploy file names every file of the decisions; only the interface that hosts implement against is left out.
      */
     @Test
-    void whenAFileDecides_thenTheDeployFileNamesIt() throws IOException {
+    void theDeployFileNamesEveryFileThatDecides() throws IOException {
         String policy = value(Files.readString(Path.of("deploy/balancer.toml")), "policy");
         Set<String> missing = new TreeSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(POLICY, "*.java")) {
