--- a/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
@@ -61,7 +61,8 @@
                     VOTER_CHANGES,
                     "void appendNext(",
                     "due.get().applied(state.log.members())",
-                    "java.util.stream.Stream.concat(due.get().applied(state.log.members()).stream(), learners.stream().map(MembershipPlanner.Replica::member)).distinct().toList()"),
+                    "java.util.stream.Stream.concat(due.get().applied(state.log.members()).stream(), "
+                            + "learners.stream().map(MembershipPlanner.Replica::member)).distinct().toList()"),
             new Mutant(
                     "the core does not grow",
                     PLANNER,
