--- a/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
@@ -30,7 +30,7 @@
                     "members stay when their entry is rolled back",
                     LOG,
                     "void truncate(long from)",
-                    "lists.tailMap(from, true).clear();",
+                    "memberLists.tailMap(from, true).clear();",
                     ""),
             new Mutant(
                     "a list that is appended does not count",
@@ -42,7 +42,7 @@
                     "a snapshot has members that came later",
                     LOG,
                     "void compact(",
-                    "lists.floorEntry(index).getValue()",
+                    "memberLists.floorEntry(index).getValue()",
                     "members()"),
             new Mutant(
                     "half of an even core is a majority",
@@ -67,7 +67,7 @@
                     "the core does not grow",
                     PLANNER,
                     "private Optional<VoterChange> due(",
-                    "voters.size() < wanted && ready.size() >= 2",
+                    "voters.size() < targetVoters && ready.size() >= 2",
                     "voters.size() < 0"),
             new Mutant(
                     "a voter that lost its disk is not replaced",
@@ -85,7 +85,7 @@
             new Mutant(
                     "who does not answer is let in",
                     PLANNER,
-                    "private boolean isCarried(",
+                    "private boolean hasMajorityAfter(",
                     "sound >= list.size() / 2 + 1",
                     "sound >= 0"));
 
--- a/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
@@ -27,7 +27,7 @@
                     LOG,
                     "void install(Snapshot snapshot)",
                     "rebase(snapshot, follows",
-                    "rebase(isBare() ? snapshot : new Snapshot(snapshot.index(), "
+                    "rebase(isEmpty() ? snapshot : new Snapshot(snapshot.index(), "
                             + "snapshot.term(), base.members(), snapshot.state()), follows"),
             new Mutant(
                     "entries that differ stay behind a snapshot",
@@ -39,7 +39,7 @@
                     "members of entries that a snapshot drops stay",
                     LOG,
                     "void install(Snapshot snapshot)",
-                    "lists.clear();",
+                    "memberLists.clear();",
                     ""),
             new Mutant(
                     "the disk keeps entries that a snapshot drops",
@@ -51,8 +51,8 @@
                     "an old snapshot takes the place of a newer state",
                     FOLLOWER,
                     "void handleInstallSnapshotRequest(",
-                    "request.chunk().index() > state.commitIndex || state.log.isBare()",
-                    "request.chunk().index() > 0 || state.log.isBare()"),
+                    "request.chunk().index() > state.commitIndex || state.log.isEmpty()",
+                    "request.chunk().index() > 0 || state.log.isEmpty()"),
             new Mutant(
                     "entries in a snapshot are written behind it",
                     QUEUE,
@@ -116,7 +116,7 @@
             new Mutant(
                     "entries are sent behind one that is not kept",
                     LOG,
-                    "boolean reaches(",
+                    "boolean canReadFrom(",
                     "recent.holds(index - 1)",
                     "recent.holds(index)"),
             new Mutant(
--- a/src/main/java/sablehinge/common/rpc/Connection.java
+++ b/src/main/java/sablehinge/common/rpc/Connection.java
@@ -64,7 +64,7 @@
         default void opened(Link link) {}
 
         /** A record has come. */
-        void came(Link link, Frame frame);
+        void onFrame(Link link, Frame frame);
 
         /** The connection is over, or never came up; called once. */
         default void closed(Link link) {}
@@ -229,7 +229,7 @@
             if (KINDS[kind] == Frame.Kind.PING) {
                 send(new Frame(Frame.Kind.PONG, new byte[0]));
             } else if (KINDS[kind] != Frame.Kind.PONG) {
-                handler.came(this, new Frame(KINDS[kind], body));
+                handler.onFrame(this, new Frame(KINDS[kind], body));
             }
         }
 
--- a/src/main/java/sablehinge/controlplane/node/CallContext.java
+++ b/src/main/java/sablehinge/controlplane/node/CallContext.java
@@ -5,7 +5,7 @@
 import sablehinge.controlplane.raft.RaftStatus;
 import sablehinge.controlplane.state.ConfigurationState;
 
-/** What settles operators' calls; all but {@link #check} is called on the thread of the API server. */
+/** What settles operators' calls; all but {@link #runOffLoop} is called on the thread of the API server. */
 interface CallContext {
 
     /** A steady clock, ms. */
@@ -34,9 +34,9 @@
         return changes().configurations();
     }
 
-    /** Does work that takes long on a thread beside, and {@link #settle} comes back from there. */
-    void check(Runnable work);
+    /** Does work that takes long on a thread beside, and {@link #runOnLoop} comes back from there. */
+    void runOffLoop(Runnable work);
 
     /** Comes back to the thread of the API server. */
-    void settle(Runnable work);
+    void runOnLoop(Runnable work);
 }
--- a/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
@@ -44,7 +44,7 @@
         OLD,
         /** It is based on a version that is not there yet: it may be taken later. */
         AHEAD,
-        /** Whether it is in force, or will be, can't be told. */
+        /** Whether it is in force, or will be, is unknown. */
         UNCLEAR
     }
 
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -173,9 +173,9 @@
     }
 
     private List<Operation<?, ?>> operations() {
-        CallContext authority = new NodeCallContext();
+        CallContext context = new NodeCallContext();
         return OperatorApi.all(
-                authority,
+                context,
                 new ControlStatus(
                         settings.node(),
                         settings.zone(),
@@ -183,7 +183,7 @@
                         dataPlane.registry(),
                         dataPlane.watchServer(),
                         dataPlane.pool(),
-                        authority));
+                        context));
     }
 
     private static void await(io.netty.channel.ChannelFuture bound, String at)
@@ -273,7 +273,7 @@
     private final class FrameHandler implements Connection.Handler {
 
         @Override
-        public void came(Connection.Link link, Frame frame) {
+        public void onFrame(Connection.Link link, Frame frame) {
             try {
                 switch (frame.kind()) {
                     case HELLO -> link.attach(PeerConnections.hello(frame));
@@ -359,7 +359,7 @@
                     .log("the core's standing");
             changes.onStatusChanged(next);
             dataPlane.onStatusChanged(next);
-            peers.members(next.members());
+            peers.retainOnly(next.members());
         }
 
         @Override
@@ -421,7 +421,7 @@
         }
 
         @Override
-        public Member named(boolean isCorrupt) {
+        public Member memberForEmptyDisk(boolean isCorrupt) {
             return identity.memberForEmptyDisk(isCorrupt);
         }
 
@@ -474,12 +474,12 @@
         }
 
         @Override
-        public void check(Runnable work) {
+        public void runOffLoop(Runnable work) {
             checks.execute(work);
         }
 
         @Override
-        public void settle(Runnable work) {
+        public void runOnLoop(Runnable work) {
             loop.execute(work);
         }
 
--- a/src/main/java/sablehinge/controlplane/node/ControlStatus.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -29,7 +29,7 @@
     private final Registry registry;
     private final WatchServer<?> queue;
     private final Pool pool;
-    private final CallContext authority;
+    private final CallContext context;
 
     /** {@code control} is where operators call this machine. */
     ControlStatus(
@@ -39,35 +39,35 @@
             Registry registry,
             WatchServer<?> queue,
             Pool pool,
-            CallContext authority) {
+            CallContext context) {
         this.node = node;
         this.zone = zone;
         this.control = control;
         this.registry = registry;
         this.queue = queue;
         this.pool = pool;
-        this.authority = authority;
+        this.context = context;
     }
 
     MeshStatus status() {
         return new MeshStatus(
                 node,
                 zone,
-                id(authority.self()),
+                id(context.self()),
                 control,
-                authority.raftStatus().role().name().toLowerCase(Locale.ROOT),
-                authority.raftStatus().term(),
+                context.raftStatus().role().name().toLowerCase(Locale.ROOT),
+                context.raftStatus().term(),
                 leader(),
-                authority.metrics().commit(),
-                authority.configurations().edition(),
+                context.metrics().commit(),
+                context.configurations().edition(),
                 members(),
-                authority.gate().allows(authority.now(), ControlRequest.MESH_STATUS_PLANE) ? plane() : null);
+                context.gate().allows(context.now(), ControlRequest.MESH_STATUS_PLANE) ? plane() : null);
     }
 
     /** Where operators call the leader; null where none is known. */
     private String leader() {
-        QuorumGate.Refusal elsewhere = authority.gate().refusal(authority.now());
-        Member leader = elsewhere.leads() ? authority.self() : elsewhere.leader();
+        QuorumGate.Refusal elsewhere = context.gate().refusal(context.now());
+        Member leader = elsewhere.leads() ? context.self() : elsewhere.leader();
         return leader == null ? null : leader.control();
     }
 
@@ -76,9 +76,9 @@
     }
 
     private List<Machine> members() {
-        RaftMetrics metrics = authority.metrics();
+        RaftMetrics metrics = context.metrics();
         List<Machine> members = new ArrayList<>();
-        for (Member member : authority.raftStatus().members()) {
+        for (Member member : context.raftStatus().members()) {
             Double sinceMs = metrics.sinceLastMessageMs().get(member.id());
             members.add(new Machine(id(member), member.control(), sinceMs == null ? null : Math.round(sinceMs)));
         }
@@ -86,7 +86,7 @@
     }
 
     private MeshStatus.Plane plane() {
-        double now = authority.now();
+        double now = context.now();
         Map<String, MeshStatus.Service> services = new TreeMap<>();
         int known = 0;
         int ready = 0;
@@ -113,7 +113,7 @@
     }
 
     MeshNodes nodes() {
-        double now = authority.now();
+        double now = context.now();
         List<MeshNodes.Balancer> balancers = new ArrayList<>();
         for (Registry.Entry line : registry.lines(now)) {
             Registration registration = line.registration();
@@ -129,7 +129,7 @@
         }
         return new MeshNodes(
                 control,
-                authority.raftStatus().term(),
+                context.raftStatus().term(),
                 registry.isComplete(now),
                 cut(balancers),
                 more(balancers.size()),
@@ -145,7 +145,7 @@
     }
 
     MeshSingletonRoles singletonRoles() {
-        double now = authority.now();
+        double now = context.now();
         List<MeshSingletonRoles.Pool> pools = new ArrayList<>();
         for (Pool.Line line : pool.lines(now)) {
             pools.add(new MeshSingletonRoles.Pool(
@@ -154,8 +154,8 @@
         return new MeshSingletonRoles(
                 node,
                 control,
-                authority.raftStatus().term(),
-                Math.round(authority.metrics().leaseMs()),
+                context.raftStatus().term(),
+                Math.round(context.metrics().leaseMs()),
                 registry.stamp(),
                 registry.isComplete(now),
                 queue.subscribers().size(),
@@ -165,15 +165,14 @@
 
     Editions editions() {
         List<Editions.Taken> taken = new ArrayList<>();
-        authority
-                .configurations()
+        context.configurations()
                 .read((edition, basedOn, at, length, digest) -> taken.add(new Editions.Taken(
                         edition,
                         basedOn < 0 ? null : basedOn,
                         length,
                         digest.hex(),
                         at < 0 ? null : Instant.ofEpochMilli(at).toString())));
-        return new Editions(authority.configurations().edition(), taken);
+        return new Editions(context.configurations().edition(), taken);
     }
 
     private static <T> List<T> cut(List<T> lines) {
--- a/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
+++ b/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
@@ -108,7 +108,7 @@
 
     /** A connection has ended. */
     void closed(Connection.Link link) {
-        watchServer.gone(link);
+        watchServer.removeSubscriber(link);
     }
 
     private void watch(Connection.Link link, WatchRequest request) {
@@ -178,7 +178,7 @@
         if (!gate.allows(now, ControlRequest.WATCH)) {
             return;
         }
-        for (WatchServer.Delivery<Connection.Link> delivery : watchServer.due(now)) {
+        for (WatchServer.Delivery<Connection.Link> delivery : watchServer.dueDeliveries(now)) {
             delivery.to().send(new Frame(Frame.Kind.UPDATE, delivery.update().bytes()));
         }
         for (HealthView.HealthChange change : watchServer.healthChanges()) {
@@ -198,9 +198,9 @@
         boolean newTerm = raftStatus.term() != next.term();
         raftStatus = next;
         if (leads() && (!led || newTerm)) {
-            watchServer.begin(clock.now(), next.term());
-            pools.begin();
-            retryBudgetCoordinator.begin(next.term());
+            watchServer.startTerm(clock.now(), next.term());
+            pools.startTerm();
+            retryBudgetCoordinator.startTerm(next.term());
             adopt();
         } else if (led && !leads()) {
             QuorumGate.Refusal refusal = gate.refusal(clock.now());
--- a/src/main/java/sablehinge/controlplane/node/DiskWriter.java
+++ b/src/main/java/sablehinge/controlplane/node/DiskWriter.java
@@ -25,10 +25,10 @@
         double now();
 
         /** Calls back after some ms. */
-        void later(double ms, Runnable work);
+        void later(double ms, Runnable writePending);
 
         /** Who this machine is to be, as the disk holds nobody; called once. */
-        Member named(boolean isCorrupt);
+        Member memberForEmptyDisk(boolean isCorrupt);
 
         /**
          * Whether a member that the disk does not hold yet is one of those that found the core. Its name goes to the
@@ -58,7 +58,7 @@
     /** Whether the disk is to get the name with the next change. */
     private boolean foundingPending;
 
-    private boolean pausing;
+    private boolean waitingForRetry;
     private boolean closed;
     /** The store's version with all changes that were reported. */
     private long version;
@@ -73,13 +73,13 @@
 
     /** Opens the store, now or when the disk lets it. */
     void open() {
-        work();
+        writePending();
     }
 
     /** Writes a change, now or when the disk takes it. */
     void write(WriteBatch change) {
         waiting.addLast(change);
-        work();
+        writePending();
     }
 
     /** Writes nothing any more. */
@@ -96,8 +96,8 @@
         return busySince;
     }
 
-    private void work() {
-        if (pausing || closed) {
+    private void writePending() {
+        if (waitingForRetry || closed) {
             return;
         }
         try {
@@ -152,7 +152,7 @@
         PersistedState stored = opened.load();
         if (stored == null) {
             if (self == null) {
-                self = callbacks.named(opened.isCorrupt());
+                self = callbacks.memberForEmptyDisk(opened.isCorrupt());
             }
             foundingPending = callbacks.isFounder(self);
             if (!foundingPending) {
@@ -205,10 +205,10 @@
                     .addKeyValue("waiting", waiting.size())
                     .log("the disk refuses, and is tried again: {}", e.getMessage());
         }
-        pausing = true;
+        waitingForRetry = true;
         callbacks.later(backoff.pause(), () -> {
-            pausing = false;
-            work();
+            waitingForRetry = false;
+            writePending();
         });
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/OperatorApi.java
+++ b/src/main/java/sablehinge/controlplane/node/OperatorApi.java
@@ -11,14 +11,14 @@
     private OperatorApi() {}
 
     /** All calls, settled by an authority, with what this machine sees. */
-    static List<Operation<?, ?>> all(CallContext authority, ControlStatus status) {
+    static List<Operation<?, ?>> all(CallContext context, ControlStatus status) {
         return List.of(
-                new ReplaceOperation(authority),
-                ReadOperation.plain(authority, ControlRequest.CONFIG_READ, () -> newest(authority.configurations())),
-                ReadOperation.ofRecord(authority, ControlRequest.CONFIG_HISTORY, status::editions),
-                ReadOperation.ofRecord(authority, ControlRequest.MESH_STATUS, status::status),
-                ReadOperation.ofRecord(authority, ControlRequest.MESH_NODES, status::nodes),
-                ReadOperation.ofRecord(authority, ControlRequest.MESH_SINGLETON_ROLES, status::singletonRoles));
+                new ReplaceOperation(context),
+                ReadOperation.plain(context, ControlRequest.CONFIG_READ, () -> newest(context.configurations())),
+                ReadOperation.ofRecord(context, ControlRequest.CONFIG_HISTORY, status::editions),
+                ReadOperation.ofRecord(context, ControlRequest.MESH_STATUS, status::status),
+                ReadOperation.ofRecord(context, ControlRequest.MESH_NODES, status::nodes),
+                ReadOperation.ofRecord(context, ControlRequest.MESH_SINGLETON_ROLES, status::singletonRoles));
     }
 
     private static ApiResponse newest(ConfigurationState configurations) {
--- a/src/main/java/sablehinge/controlplane/node/PeerConnections.java
+++ b/src/main/java/sablehinge/controlplane/node/PeerConnections.java
@@ -21,7 +21,7 @@
  */
 final class PeerConnections {
 
-    private static final int MAX = 128;
+    private static final int MAX_PEERS = 128;
     private static final long RETRY_NANOS = 100_000_000;
     private final Connection connection;
     private final Member self;
@@ -33,7 +33,7 @@
         private Connection.Link link;
         private long triedAt;
         /** What waits for the connection: the newest only. */
-        private Frame first;
+        private Frame pendingFrame;
 
         Peer(Frame hello) {
             this.hello = hello;
@@ -42,14 +42,14 @@
         @Override
         public void opened(Connection.Link opened) {
             opened.send(hello);
-            if (first != null) {
-                opened.send(first);
-                first = null;
+            if (pendingFrame != null) {
+                opened.send(pendingFrame);
+                pendingFrame = null;
             }
         }
 
         @Override
-        public void came(Connection.Link from, Frame frame) {
+        public void onFrame(Connection.Link from, Frame frame) {
             // The other end speaks on its own connection.
         }
 
@@ -72,7 +72,7 @@
             messageHandler.accept(self, message);
             return;
         }
-        if (peers.size() > MAX) {
+        if (peers.size() > MAX_PEERS) {
             peers.values().removeIf(peer -> peer.link == null);
         }
         Peer peer = peers.computeIfAbsent(to.address(), at -> new Peer(hello()));
@@ -81,7 +81,7 @@
             peer.link.send(frame);
             return;
         }
-        peer.first = frame;
+        peer.pendingFrame = frame;
         long now = System.nanoTime();
         if (peer.link == null && now - peer.triedAt > RETRY_NANOS) {
             peer.triedAt = now;
@@ -90,10 +90,11 @@
     }
 
     /** Who is in the core now: connections to others end. */
-    void members(List<Member> members) {
+    void retainOnly(List<Member> retainOnly) {
         peers.entrySet().removeIf(peer -> {
-            boolean gone = members.stream().noneMatch(member -> member.address().equals(peer.getKey()))
-                    && peer.getValue().link == null;
+            boolean gone =
+                    retainOnly.stream().noneMatch(member -> member.address().equals(peer.getKey()))
+                            && peer.getValue().link == null;
             return gone;
         });
     }
--- a/src/main/java/sablehinge/controlplane/node/QuotaPools.java
+++ b/src/main/java/sablehinge/controlplane/node/QuotaPools.java
@@ -58,7 +58,7 @@
         return pool;
     }
 
-    void begin() {
+    void startTerm() {
         pool.begin();
         waiting.clear();
         totalWaiting = 0;
--- a/src/main/java/sablehinge/controlplane/node/ReadOperation.java
+++ b/src/main/java/sablehinge/controlplane/node/ReadOperation.java
@@ -8,7 +8,7 @@
 /** An operator asks, and nothing changes by it. */
 final class ReadOperation extends Query<CallOutcome> {
 
-    private final CallContext authority;
+    private final CallContext context;
     private final ControlRequest request;
     private final AnswerSource source;
 
@@ -17,41 +17,40 @@
         void to(Consumer<CallOutcome> answer);
     }
 
-    private ReadOperation(CallContext authority, ControlRequest request, AnswerSource source) {
+    private ReadOperation(CallContext context, ControlRequest request, AnswerSource source) {
         super(request.path());
-        this.authority = authority;
+        this.context = context;
         this.request = request;
         this.source = source;
     }
 
     /** A question that a reply answers which is there. */
-    static ReadOperation plain(CallContext authority, ControlRequest request, Supplier<ApiResponse> reply) {
-        return new ReadOperation(authority, request, answer -> answer.accept(new CallOutcome(reply.get())));
+    static ReadOperation plain(CallContext context, ControlRequest request, Supplier<ApiResponse> reply) {
+        return new ReadOperation(context, request, answer -> answer.accept(new CallOutcome(reply.get())));
     }
 
     /** A question that a record answers: it is taken on the API server's thread, and put in words beside. */
-    static ReadOperation ofRecord(CallContext authority, ControlRequest request, Supplier<Record> source) {
-        return new ReadOperation(authority, request, answer -> {
+    static ReadOperation ofRecord(CallContext context, ControlRequest request, Supplier<Record> source) {
+        return new ReadOperation(context, request, answer -> {
             Record record = source.get();
-            authority.check(() -> {
-                CallOutcome settled;
+            context.runOffLoop(() -> {
+                CallOutcome outcome;
                 try {
-                    settled = new CallOutcome(ApiResponse.of(200, record));
+                    outcome = new CallOutcome(ApiResponse.of(200, record));
                 } catch (RuntimeException e) {
-                    settled = CallOutcome.error(500, "BROKEN", String.valueOf(e.getMessage()));
+                    outcome = CallOutcome.error(500, "BROKEN", String.valueOf(e.getMessage()));
                 }
-                CallOutcome last = settled;
-                authority.settle(() -> answer.accept(last));
+                CallOutcome last = outcome;
+                context.runOnLoop(() -> answer.accept(last));
             });
         });
     }
 
     @Override
     protected void answer(Consumer<CallOutcome> answer) {
-        authority
-                .gate()
+        context.gate()
                 .require(
-                        authority.now(),
+                        context.now(),
                         request,
                         () -> source.to(answer),
                         refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
--- a/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
+++ b/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
@@ -14,11 +14,11 @@
 /** An operator sends a configuration. */
 final class ReplaceOperation extends HttpOperation<ReplaceOperation.ReplaceRequest, CallOutcome> {
 
-    private final CallContext authority;
+    private final CallContext context;
 
-    ReplaceOperation(CallContext authority) {
+    ReplaceOperation(CallContext context) {
         super("POST", ControlRequest.CONFIG_REPLACE.path());
-        this.authority = authority;
+        this.context = context;
     }
 
     /** A configuration is to take the place of another. */
@@ -36,14 +36,13 @@
 
     @Override
     public void execute(ReplaceRequest call, Consumer<CallOutcome> answer) {
-        authority
-                .gate()
+        context.gate()
                 .require(
-                        authority.now(),
+                        context.now(),
                         ControlRequest.CONFIG_REPLACE,
                         () -> {
-                            long term = authority.raftStatus().term();
-                            authority.check(() -> check(call, term, answer));
+                            long term = context.raftStatus().term();
+                            context.runOffLoop(() -> check(call, term, answer));
                         },
                         refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
@@ -55,7 +54,7 @@
             Configuration checked = ConfigurationCheck.check(call.body());
             ChangeCoordinator.Order order =
                     new ChangeCoordinator.Order(call.basedOn(), checked.edition(), BodyDigest.of(call.body()));
-            authority.settle(() -> submit(order, call.body(), term, answer));
+            context.runOnLoop(() -> submit(order, call.body(), term, answer));
             return;
         } catch (CheckException e) {
             refused = new CallOutcome(ApiResponse.error(
@@ -63,34 +62,32 @@
         } catch (RuntimeException e) {
             refused = CallOutcome.error(500, "BROKEN", String.valueOf(e.getMessage()));
         }
-        CallOutcome settled = refused;
-        authority.settle(() -> answer.accept(settled));
+        CallOutcome outcome = refused;
+        context.runOnLoop(() -> answer.accept(outcome));
     }
 
     private void submit(ChangeCoordinator.Order order, byte[] body, long term, Consumer<CallOutcome> answer) {
-        if (authority.raftStatus().term() != term) {
+        if (context.raftStatus().term() != term) {
             // A copy that was sent elsewhere meanwhile may have been answered there.
             answer.accept(CallOutcome.error(503, "NO_MAJORITY", "the core's leader has changed"));
             return;
         }
-        authority
-                .gate()
+        context.gate()
                 .require(
-                        authority.now(),
+                        context.now(),
                         ControlRequest.CONFIG_REPLACE,
-                        () -> authority
-                                .changes()
+                        () -> context.changes()
                                 .submit(
-                                        authority.now(),
+                                        context.now(),
                                         order,
                                         body,
-                                        authority.timeOfDay(),
+                                        context.timeOfDay(),
                                         verdict -> answer.accept(reply(order, verdict))),
                         refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
 
     private CallOutcome reply(ChangeCoordinator.Order order, ChangeCoordinator.Verdict verdict) {
-        long current = authority.configurations().edition();
+        long current = context.configurations().edition();
         return switch (verdict) {
             // An order that is repeated late was taken, and another edition may be in force by now.
             case TAKEN ->
--- a/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
@@ -21,7 +21,7 @@
                 new RetryBudgetRule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()));
     }
 
-    void begin(long term) {
+    void startTerm(long term) {
         allocator.begin(term);
     }
 
--- a/src/main/java/sablehinge/controlplane/node/WatchServer.java
+++ b/src/main/java/sablehinge/controlplane/node/WatchServer.java
@@ -72,7 +72,7 @@
     }
 
     /** Begins to answer as the leader of a term; the configuration is what is committed. */
-    public void begin(double now, long asLeaderOf) {
+    public void startTerm(double now, long asLeaderOf) {
         term = asLeaderOf;
         subscribers.clear();
         registry.reset(now);
@@ -110,7 +110,7 @@
     }
 
     /** An asker has gone. */
-    public void gone(K subscriber) {
+    public void removeSubscriber(K subscriber) {
         subscribers.remove(subscriber);
     }
 
@@ -120,24 +120,24 @@
     }
 
     /** The answers that are due. */
-    public List<Delivery<K>> due(double now) {
+    public List<Delivery<K>> dueDeliveries(double now) {
         if (now - evaluatedAt >= EVALUATION_INTERVAL_MS) {
             evaluatedAt = now;
             evaluate(now);
         }
         registry.expire(now);
         Snapshot round = new Snapshot(now);
-        List<Delivery<K>> due = new ArrayList<>();
+        List<Delivery<K>> dueDeliveries = new ArrayList<>();
         for (Map.Entry<K, Subscriber> entry : subscribers.entrySet()) {
             Subscriber subscriber = entry.getValue();
             if (subscriber.pending) {
                 Update update = update(round, subscriber);
                 if (update != null) {
-                    due.add(new Delivery<>(entry.getKey(), update));
+                    dueDeliveries.add(new Delivery<>(entry.getKey(), update));
                 }
             }
         }
-        return due;
+        return dueDeliveries;
     }
 
     /** What answers of one moment share: with many askers it is found once for all of them. */
--- a/src/main/java/sablehinge/controlplane/raft/CandidateState.java
+++ b/src/main/java/sablehinge/controlplane/raft/CandidateState.java
@@ -40,7 +40,7 @@
      * voters of that list, and its own vote counts for nothing.
      */
     boolean isElectable() {
-        return state.isVoter() || state.log.held(state.self.id(), state.commitIndex);
+        return state.isVoter() || state.log.wasVoterAt(state.self.id(), state.commitIndex);
     }
 
     /** Requests pre-votes, and starts the election at once where there is no other voter. */
@@ -93,7 +93,7 @@
     }
 
     void handleVoteRequest(double now, Member from, Message.VoteRequest request) {
-        boolean known = state.log.holds(from.id());
+        boolean known = state.log.isVoter(from.id());
         boolean led = state.isLeader() || now - state.leaderHeardAt < state.config.minElectionTimeoutMs();
         // A replica that hears from a leader votes for nobody, except for a successor that the leader itself chose:
         // else a
@@ -134,7 +134,7 @@
     }
 
     void handleVoteResponse(double now, Member from, Message.VoteResponse response) {
-        if (!state.log.holds(from.id()) || state.isLeader()) {
+        if (!state.log.isVoter(from.id()) || state.isLeader()) {
             return;
         }
         if (!response.granted()) {
--- a/src/main/java/sablehinge/controlplane/raft/Departure.java
+++ b/src/main/java/sablehinge/controlplane/raft/Departure.java
@@ -49,7 +49,7 @@
     void tick(double now) {
         if (state.isLeader()) {
             leaveAsLeader(now);
-        } else if (state.log.isBare()) {
+        } else if (state.log.isEmpty()) {
             release();
         } else if (state.leader != null && now >= nextAnnouncementAt) {
             nextAnnouncementAt = now + ANNOUNCE_INTERVAL_MS;
@@ -97,8 +97,8 @@
             // It may be the one that was to take over.
             leader.transfer.retryNow(now);
         }
-        boolean replaceable =
-                state.log.holds(leaving.id()) && (leader.hasLearner(now) || now - leader.electedAt() <= ALL_JOINED_MS);
+        boolean replaceable = state.log.isVoter(leaving.id())
+                && (leader.hasLearner(now) || now - leader.electedAt() <= ALL_JOINED_MS);
         if (state.log.membersIndex() <= state.commitIndex && !replaceable && isHeldWithout(now, leaving.id())) {
             state.actions.send(leaving, new Message.LeaveResponse(state.term));
         }
@@ -112,7 +112,7 @@
 
     /**
      * Whether a majority of the voters that stay without one has everything that is committed. Where those that stay
-     * are no majority the core is being stopped as a complete, and nobody has to wait for it.
+     * are no majority the core is being stopped as a whole, and nobody has to wait for it.
      */
     private boolean isHeldWithout(double now, long id) {
         int staying = 0;
--- a/src/main/java/sablehinge/controlplane/raft/FollowerState.java
+++ b/src/main/java/sablehinge/controlplane/raft/FollowerState.java
@@ -82,7 +82,7 @@
         if (!acceptLeader(now, from, request.term(), request.round())) {
             return;
         }
-        if (state.log.isBare()) {
+        if (state.log.isEmpty()) {
             state.actions.send(from, response(false, -1));
             return;
         }
@@ -147,10 +147,10 @@
             return;
         }
         if (state.queue.isFull()) {
-            state.actions.send(from, response(false, state.log.isBare() ? -1 : verifiedIndex));
+            state.actions.send(from, response(false, state.log.isEmpty() ? -1 : verifiedIndex));
             return;
         }
-        boolean wanted = request.chunk().index() > state.commitIndex || state.log.isBare();
+        boolean wanted = request.chunk().index() > state.commitIndex || state.log.isEmpty();
         Snapshot snapshot = wanted ? snapshotReceiver.receive(request) : null;
         if (wanted && snapshot == null) {
             state.actions.send(
--- a/src/main/java/sablehinge/controlplane/raft/LeaderState.java
+++ b/src/main/java/sablehinge/controlplane/raft/LeaderState.java
@@ -89,7 +89,7 @@
             return;
         }
         peers.values()
-                .removeIf(peer -> !state.log.holds(peer.member.id())
+                .removeIf(peer -> !state.log.isVoter(peer.member.id())
                         && now - Math.max(peer.lastResponseAt, peer.joinRequestedAt) > PEER_EXPIRY_MS);
         barriers.expire(now);
         if (now >= nextHeartbeatAt) {
@@ -191,7 +191,7 @@
             return null;
         }
         if (responseTerm > state.term) {
-            if (state.log.holds(from.id())) {
+            if (state.log.isVoter(from.id())) {
                 quorum.becomeFollower(now, responseTerm, null);
             } else {
                 // A learner can follow only a later term than its own: so it gets one, from the same leader.
@@ -247,7 +247,7 @@
 
     /** Whether a peer is no voter and has lately requested to become one. */
     boolean isLearner(double now, ReplicaProgress peer) {
-        return !state.log.holds(peer.member.id())
+        return !state.log.isVoter(peer.member.id())
                 && now - peer.joinRequestedAt <= ReplicaState.LEADER_LOST_MS
                 && !peer.isLeaving(now, state.config);
     }
--- a/src/main/java/sablehinge/controlplane/raft/LeadershipTransfer.java
+++ b/src/main/java/sablehinge/controlplane/raft/LeadershipTransfer.java
@@ -45,7 +45,7 @@
     ReplicaProgress successor(double now, long minMatchIndex) {
         ReplicaProgress best = null;
         for (ReplicaProgress peer : leader.peers.values()) {
-            if (state.log.holds(peer.member.id())
+            if (state.log.isVoter(peer.member.id())
                     && peer.isAlive(now, state.config)
                     && !peer.isLeaving(now, state.config)
                     && peer.matchIndex >= minMatchIndex
--- a/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
+++ b/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
@@ -8,9 +8,9 @@
  * Decides which voter comes or goes next. A leader asks it whenever the last change of the voters is committed, so that
  * voters change one at a time and any two successive majorities share a member.
  *
- * <p>A core of {@code wanted} voters, an odd number, bears the losses that the deployment states. One below it grows,
- * one above it shrinks, and a voter that is lost or leaves goes only when a learner whose disk has everything committed
- * is ready to take its place. Between two steps the core never bears fewer losses than before the first:
+ * <p>A core of {@code targetVoters} voters, an odd number, bears the losses that the deployment states. One below it
+ * grows, one above it shrinks, and a voter that is lost or leaves goes only when a learner whose disk has everything
+ * committed is ready to take its place. Between two steps the core never bears fewer losses than before the first:
  *
  * <ul>
  *   <li>An odd core takes a voter that makes it even only if all its voters answer and the learner that makes it odd
@@ -37,7 +37,7 @@
      */
     record Replica(Member member, double sinceLastMessageMs, boolean caughtUp, boolean leaving) {}
 
-    private final int wanted;
+    private final int targetVoters;
     private final double freshMs;
     private final double sinceLastMessageMs;
 
@@ -48,7 +48,7 @@
      * @param timing when a member counts as alive, and when as lost
      */
     MembershipPlanner(int losses, RaftConfig timing) {
-        wanted = Math.max(MIN_VOTERS, 2 * losses + 1);
+        targetVoters = Math.max(MIN_VOTERS, 2 * losses + 1);
         freshMs = timing.peerAliveMs();
         sinceLastMessageMs = timing.voterLostMs();
     }
@@ -60,13 +60,13 @@
      * @param learners who asks to become a voter and is fed, the one that has waited longest first
      */
     Optional<VoterChange> next(List<Replica> voters, List<Replica> learners) {
-        List<Replica> ready = learners.stream().filter(this::isSound).toList();
-        return due(voters, ready).filter(change -> isCarried(change, voters, ready));
+        List<Replica> ready = learners.stream().filter(this::isReady).toList();
+        return due(voters, ready).filter(change -> hasMajorityAfter(change, voters, ready));
     }
 
     private Optional<VoterChange> due(List<Replica> voters, List<Replica> ready) {
         Optional<Replica> departing = departing(voters, ready);
-        if (voters.size() > wanted) {
+        if (voters.size() > targetVoters) {
             return departing.map(MembershipPlanner::remove);
         }
         if (ready.isEmpty()) {
@@ -76,14 +76,14 @@
         if (voters.size() % 2 == 0) {
             return Optional.of(add);
         }
-        boolean allSound = voters.stream().allMatch(this::isSound);
-        if (voters.size() < wanted && ready.size() >= 2 && allSound) {
+        boolean allSound = voters.stream().allMatch(this::isReady);
+        if (voters.size() < targetVoters && ready.size() >= 2 && allSound) {
             return Optional.of(add);
         }
         if (departing.isEmpty() || voters.size() < MIN_VOTERS) {
             return Optional.empty();
         }
-        if (voters.size() == wanted && allSound) {
+        if (voters.size() == targetVoters && allSound) {
             return Optional.of(add);
         }
         return departing.map(MembershipPlanner::remove);
@@ -125,17 +125,17 @@
         return replica.sinceLastMessageMs() <= freshMs;
     }
 
-    private boolean isSound(Replica replica) {
+    private boolean isReady(Replica replica) {
         return isFresh(replica) && replica.caughtUp();
     }
 
     /** Whether a majority of the voters after a step answers and has everything that is committed. */
-    private boolean isCarried(VoterChange change, List<Replica> voters, List<Replica> ready) {
+    private boolean hasMajorityAfter(VoterChange change, List<Replica> voters, List<Replica> ready) {
         List<Replica> next = new ArrayList<>(voters);
         next.addAll(ready);
         List<Member> list = change.applied(voters.stream().map(Replica::member).toList());
         long sound = next.stream()
-                .filter(one -> list.contains(one.member()) && isSound(one))
+                .filter(one -> list.contains(one.member()) && isReady(one))
                 .count();
         return sound >= list.size() / 2 + 1;
     }
--- a/src/main/java/sablehinge/controlplane/raft/RaftLog.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftLog.java
@@ -16,10 +16,10 @@
     /** Entries before the snapshot's end; only ever sent to others. */
     private final RecentEntries recent = new RecentEntries();
     /** Lists by the index of the entry that they came with; a list holds as soon as it is appended. */
-    private final TreeMap<Long, List<Member>> lists = new TreeMap<>(Map.of(0L, List.of()));
+    private final TreeMap<Long, List<Member>> memberLists = new TreeMap<>(Map.of(0L, List.of()));
 
     /** Whether not even the first list is known, so that only a snapshot can follow. */
-    boolean isBare() {
+    boolean isEmpty() {
         return base == NOTHING;
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** Whether entries from an index on, and the term of the one before it, are here. */
-    boolean reaches(long index) {
+    boolean canReadFrom(long index) {
         return index > base.index() || recent.holds(index - 1);
     }
 
@@ -70,33 +70,33 @@
         }
         entries.add(entry);
         if (entry.kind() == Entry.Kind.MEMBERS) {
-            lists.put(entry.index(), List.copyOf(MemberListCodec.read(entry.data())));
+            memberLists.put(entry.index(), List.copyOf(MemberListCodec.read(entry.data())));
         }
     }
 
     /** Forgets all entries from an index on, and the lists that came with them. */
     void truncate(long from) {
         entries.subList((int) (from - base.index() - 1), entries.size()).clear();
-        lists.tailMap(from, true).clear();
+        memberLists.tailMap(from, true).clear();
     }
 
     /** The latest list, committed or not. */
     List<Member> members() {
-        return lists.lastEntry().getValue();
+        return memberLists.lastEntry().getValue();
     }
 
     /** The index of the entry that the latest list came with. */
     long membersIndex() {
-        return lists.lastKey();
+        return memberLists.lastKey();
     }
 
-    boolean holds(long id) {
+    boolean isVoter(long id) {
         return contains(members(), id);
     }
 
     /** Whether a member is in the list that holds at an index, from the snapshot's on. */
-    boolean held(long id, long index) {
-        Map.Entry<Long, List<Member>> list = lists.floorEntry(index);
+    boolean wasVoterAt(long id, long index) {
+        Map.Entry<Long, List<Member>> list = memberLists.floorEntry(index);
         return list != null && contains(list.getValue(), id);
     }
 
@@ -112,7 +112,7 @@
     /** Replaces all entries up to an index by a state. */
     void compact(long index, byte[] state) {
         Snapshot snapshot =
-                new Snapshot(index, termAt(index), lists.floorEntry(index).getValue(), state);
+                new Snapshot(index, termAt(index), memberLists.floorEntry(index).getValue(), state);
         rebase(snapshot, (int) (index - base.index()));
     }
 
@@ -120,7 +120,7 @@
     void install(Snapshot snapshot) {
         boolean follows = holdsEntry(snapshot.index(), snapshot.term());
         if (!follows) {
-            lists.clear();
+            memberLists.clear();
             recent.clear();
             entries.clear();
         }
@@ -137,7 +137,7 @@
         List<Entry> gone = entries.subList(0, dropped);
         recent.add(gone, snapshot.state().length);
         gone.clear();
-        lists.headMap(snapshot.index(), true).clear();
-        lists.put(snapshot.index(), snapshot.members());
+        memberLists.headMap(snapshot.index(), true).clear();
+        memberLists.put(snapshot.index(), snapshot.members());
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/ReplicaState.java
+++ b/src/main/java/sablehinge/controlplane/raft/ReplicaState.java
@@ -57,7 +57,7 @@
 
     /** Whether this replica is in the latest list of voters of its log, committed or not. */
     boolean isVoter() {
-        return log.holds(self.id());
+        return log.isVoter(self.id());
     }
 
     boolean isSelf(Member member) {
--- a/src/main/java/sablehinge/controlplane/raft/Replicator.java
+++ b/src/main/java/sablehinge/controlplane/raft/Replicator.java
@@ -24,7 +24,7 @@
 
     /** Sends what a peer is to have next, or a heartbeat. */
     void send(double now, ReplicaProgress peer, boolean withEntries) {
-        if (peer.snapshot == null && (peer.empty || !state.log.reaches(peer.nextIndex))) {
+        if (peer.snapshot == null && (peer.empty || !state.log.canReadFrom(peer.nextIndex))) {
             beginSnapshot(peer);
         }
         if (peer.snapshot != null) {
@@ -134,7 +134,7 @@
         peer.matchIndex = Math.max(peer.matchIndex, response.matchIndex());
         peer.window.received(now, response.hint(), response.round());
         boolean needsMore = peer.snapshot != null && response.hint() < peer.snapshot.index();
-        if (needsMore && !state.log.reaches(response.hint() + 1)) {
+        if (needsMore && !state.log.canReadFrom(response.hint() + 1)) {
             resendLostChunk(now, peer, response);
             return;
         }
@@ -144,7 +144,7 @@
         }
         peer.probing = false;
         peer.nextIndex = Math.min(Math.max(peer.nextIndex, response.hint() + 1), state.log.lastIndex() + 1);
-        if (!state.log.reaches(peer.nextIndex)) {
+        if (!state.log.canReadFrom(peer.nextIndex)) {
             // The log was compacted again while the snapshot was under way.
             send(now, peer, false);
         }
--- a/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
+++ b/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
@@ -73,7 +73,7 @@
             return deadline;
         }
 
-        /** Its worth within the operator's bound. */
+        /** Its value within the operator's bound. */
         public double value() {
             return value;
         }
@@ -112,7 +112,7 @@
             return attempts;
         }
 
-        /** What the attempt carries, written at the given time; null if too little time is left for that. */
+        /** The budget of the attempt, written at the given time; null if too little time is left for that. */
         public Budget budget(double now) {
             double left = call.deadline - now - terms.wire();
             return left <= 0 ? null : new Budget(id, attempts, Math.min(Budget.MAX_MS, left), call.value, call.path);
@@ -152,10 +152,10 @@
      *
      * @param now in ms of a clock that never goes back
      * @param found its header
-     * @param entry whether it is a client's, which carries no budget and is not trusted with one
+     * @param entry whether it is a client's, which has no budget and is not trusted with one
      * @param remaining time in ms that its caller says it waits
      * @param waited for how long it may have lain here before it was read: a pause of this process makes no time
-     * @param value of its class, for a call that carries none
+     * @param value of its class, for a call that has none
      */
     public Admission arrive(
             double now, HeaderText.Found<Budget> found, boolean entry, double remaining, double waited, double value) {
@@ -191,7 +191,7 @@
             deadline = Math.min(deadline, budget.deadline);
         }
         if (carried != null) {
-            // Of a call that carries none no other can draw on its budget.
+            // Of a call that has none no other can draw on its budget.
             attemptBudgets.put(budget.grant, budget);
         }
         if (deadline <= now) {
@@ -289,8 +289,8 @@
     /**
      * The call has its answer.
      *
-     * @param again whether the failure, if it is one, may be tried again at all. It is worth that at the tier above if
-     *     it was tried once here: where it was tried again, that one tier has done it for all
+     * @param again whether the failure, if it is one, may be tried again at all. It is so at the tier above if it was
+     *     tried once here: where it was tried again, that one tier has done it for all
      * @return what goes back with it
      */
     public Report close(Call call, boolean again) {
--- a/src/main/java/sablehinge/dataplane/budget/Budget.java
+++ b/src/main/java/sablehinge/dataplane/budget/Budget.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What a call carries down a chain of tiers.
+ * The attempt budget of a call down a chain of tiers.
  *
  * @param grant names what all calls made for one attempt of the tier above draw on together
  * @param attempts how many attempts at the last tier may be made for it, 0 to {@value #MAX_ATTEMPTS}
--- a/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
+++ b/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
@@ -5,8 +5,8 @@
  *
  * @param attempts the most attempts at the last tier for one client's request, whatever a caller says
  * @param remaining the most time in ms, likewise
- * @param value the most worth, likewise
- * @param unknown attempts for a call that carries no readable budget where one is expected
+ * @param value the most value, likewise
+ * @param unknown attempts for a call that has no readable budget where one is expected
  * @param calls the most calls that one server makes for one request; first attempts of these come before retries
  * @param need attempts at the last tier that one attempt here takes without any retry at the most: 1 at the last tier,
  *     elsewhere the product of the calls of the tiers below
--- a/src/main/java/sablehinge/dataplane/budget/HeaderText.java
+++ b/src/main/java/sablehinge/dataplane/budget/HeaderText.java
@@ -43,7 +43,7 @@
     public String write(Budget budget) {
         List<String> path = new ArrayList<>();
         budget.path().forEach(hop -> path.add(hex(hop).substring(HEX - 12)));
-        // Rounded down: nothing on the way makes time or worth.
+        // Rounded down: nothing on the way adds time or value.
         return sign("v=1;g=" + hex(budget.grant()) + ";n=" + budget.attempts() + ";t="
                 + decimal(budget.remaining()) + ";w=" + decimal(budget.value()) + ";p="
                 + String.join(".", path));
--- a/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
+++ b/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
@@ -5,13 +5,13 @@
 import java.util.SplittableRandom;
 
 /**
- * What a lower tier gives up first when it has more than it can do: the least worth per unit of work, over all its
+ * What a lower tier gives up first when it has more than it can do: the least value per unit of work, over all its
  * callers, by the value that was carried down. A part of everything is let in all the same, so that the cheap class
  * does not starve, and a caller that claims more than its share is scaled down to that.
  */
 public final class LoadShedder {
 
-    /** Calls over which worth per work is ranked. */
+    /** Calls over which value per work is ranked. */
     private static final int RANKED = 256;
 
     private static final int MAX_CALLERS = 1_000;
@@ -25,7 +25,7 @@
      * What an operator states.
      *
      * @param floor share of each kind of call that is let in under any pressure, 0 to 1
-     * @param share the most of all worth that one caller's calls count for, above 0 to 1
+     * @param share the most of all value that one caller's calls count for, above 0 to 1
      */
     public record Settings(double floor, double share) {
 
@@ -104,7 +104,7 @@
             equal += density[i] == counted ? work[i] : 0;
         }
         double given = pressure * complete;
-        // All that is worth less goes first; of its equals the part that is still wanting.
+        // All that has less value goes first; of its equals the part that is still wanting.
         return below >= given || equal > 0 && below + equal > given && random.nextDouble() >= (given - below) / equal;
     }
 
--- a/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
+++ b/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
@@ -12,7 +12,7 @@
 
     private static final double STEP = 0.05;
     private static final int FIRST = 20;
-    /** It halves in so many ms without news. */
+    /** It halves in so many ms without a sample. */
     private static final double HALVING_MS = 2_000;
 
     private double value;
--- a/src/main/java/sablehinge/dataplane/budget/Report.java
+++ b/src/main/java/sablehinge/dataplane/budget/Report.java
@@ -5,6 +5,6 @@
  *
  * @param grant what it is about
  * @param spent attempts at the last tier that were made on it so far, 0 and more
- * @param again whether a failure is worth another try at the tier above
+ * @param again whether a failure may be retried at the tier above
  */
 public record Report(long grant, int spent, boolean again) {}
--- a/src/main/java/sablehinge/dataplane/proxy/Answer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Answer.java
@@ -4,7 +4,7 @@
 import sablehinge.dataplane.budget.Report;
 
 /**
- * The one final answer to a request; a front puts it into the words of its protocol.
+ * The one final answer to a request; a front renders it in its protocol.
  *
  * @param payload what the server answered where it served, otherwise {@link Payload#NONE}; lent for the call in which
  *     it is handed over
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -211,7 +211,7 @@
                             MAX_HEARTBEAT_BYTES)
                     .adopt(listening.control());
             sidecar.watchers.listen();
-            sidecar.opens(
+            sidecar.listenOrFail(
                     new ApiServer(loop, List.of(new Readiness(sidecar::isReady)), MAX_HEARTBEAT_BYTES), at.ready());
         } catch (IOException e) {
             throw new ConfigException(e.getMessage());
@@ -224,7 +224,7 @@
         return sidecar;
     }
 
-    private void opens(ApiServer apiServer, String at) throws IOException, InterruptedException {
+    private void listenOrFail(ApiServer apiServer, String at) throws IOException, InterruptedException {
         io.netty.channel.ChannelFuture bound =
                 apiServer.listen(ListeningSockets.address(at)).await();
         if (!bound.isSuccess()) {
@@ -255,19 +255,19 @@
                     .log("an upstream is heard");
         }
         if (lifecycle.closesAt() < closed) {
-            leaves(heartbeat.id(), lifecycle.closesAt() - now);
+            startDrain(heartbeat.id(), lifecycle.closesAt() - now);
         }
     }
 
     private void handleSignOff(UpstreamCalls.SignOff call) {
         if (lifecycle.handleSignOff(clock.now(), call.id())) {
-            leaves(call.id(), 0);
+            startDrain(call.id(), 0);
             watchClient.requestNow();
         }
     }
 
     /** Those that wait at the gate when it closes are refused then, and not by the next tick. */
-    private void leaves(String id, double closesInMs) {
+    private void startDrain(String id, double closesInMs) {
         Log.info(LOG, "upstream-leaves").addKeyValue("id", id).log("the upstream leaves");
         loop.schedule(() -> lifecycle.tick(clock.now()), (long) Math.max(0, closesInMs) + 1, TimeUnit.MILLISECONDS);
     }
@@ -329,7 +329,7 @@
                 confirmedAt = Math.max(confirmedAt, requestedAt);
                 wantsConfirmation = false;
             }
-            enter(now, update);
+            applyRegistry(now, update);
         }
 
         @Override
@@ -370,7 +370,7 @@
                 .log("a configuration is in force here");
     }
 
-    private void enter(double now, Update update) {
+    private void applyRegistry(double now, Update update) {
         if (update.term() < registryTerm) {
             return;
         }
--- a/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void came(Connection.Link from, Frame frame) {
+    public void onFrame(Connection.Link from, Frame frame) {
         if (from != link) {
             return;
         }
--- a/src/main/java/sablehinge/gateway/config/operator/Section.java
+++ b/src/main/java/sablehinge/gateway/config/operator/Section.java
@@ -130,7 +130,7 @@
         return value == null ? fallback : value;
     }
 
-    /** A complete number within a range. */
+    /** An integer within a range. */
     public int integer(String key, int fallback, int least, int most) {
         Long value = typed(key, Long.class, "a whole number");
         if (value == null) {
--- a/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
@@ -14,8 +14,8 @@
  * balancer that the leader hears, or half of its watchers that the leader hears, is available, so one that is
  * partitioned ejects nobody. Where more than half of all send nothing and no watcher hears them, the fault is likelier
  * with those who look: nothing new is ruled then. Nor is ever more than half of a service's ready upstreams taken away.
- * Who is unavailable is so until the leader hears it again, or none of its watchers suspects it. Times are in ms of a
- * steady clock.
+ * One that is unavailable is so until the leader hears it again, or none of its watchers suspects it. Times are in ms
+ * of a steady clock.
  */
 public final class HealthView {
 
@@ -90,10 +90,10 @@
         }
         suppressWhenMany(subjects, healthChanges);
         List<HealthChange> changed = new ArrayList<>();
-        healthChanges.values().forEach(ruling -> {
-            if (ruling.health() != ruling.before()) {
-                healthByNode.put(ruling.node(), ruling.health());
-                changed.add(ruling);
+        healthChanges.values().forEach(change -> {
+            if (change.health() != change.before()) {
+                healthByNode.put(change.node(), change.health());
+                changed.add(change);
             }
         });
         reports.keySet().removeIf(node -> now - reports.get(node).at() > PEER_TIMEOUT_MS && !present.containsKey(node));
@@ -159,31 +159,31 @@
         Map<String, Integer> ready = new HashMap<>();
         Map<String, Integer> taken = new HashMap<>();
         for (Subject subject : subjects) {
-            HealthChange ruling = healthChanges.get(subject.node());
-            if (ruling.health().isUnavailable() || ruling.health() == Health.UNSEEN) {
+            HealthChange change = healthChanges.get(subject.node());
+            if (change.health().isUnavailable() || change.health() == Health.UNSEEN) {
                 timedOut++;
             }
             if (subject.ready()) {
                 ready.merge(subject.service(), 1, Integer::sum);
-                if (ruling.health().isUnavailable() && ruling.before().isUnavailable()) {
+                if (change.health().isUnavailable() && change.before().isUnavailable()) {
                     taken.merge(subject.service(), 1, Integer::sum);
                 }
             }
         }
         boolean many = 2 * timedOut > subjects.size();
         for (Subject subject : subjects) {
-            HealthChange ruling = healthChanges.get(subject.node());
-            if (ruling.health().isUnavailable() && !ruling.before().isUnavailable()) {
+            HealthChange change = healthChanges.get(subject.node());
+            if (change.health().isUnavailable() && !change.before().isUnavailable()) {
                 int left = ready.getOrDefault(subject.service(), 0) / 2 - taken.getOrDefault(subject.service(), 0);
                 if (many || subject.ready() && left <= 0) {
                     healthChanges.put(
                             subject.node(),
                             new HealthChange(
                                     subject.node(),
-                                    ruling.before(),
+                                    change.before(),
                                     Health.UNSEEN,
-                                    ruling.suspecting(),
-                                    ruling.watchers()));
+                                    change.suspecting(),
+                                    change.watchers()));
                 } else if (subject.ready()) {
                     taken.merge(subject.service(), 1, Integer::sum);
                 }
--- a/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
+++ b/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
@@ -24,13 +24,13 @@
  */
 public final class LatencyWeightedBalancer implements LoadBalancer {
 
-    /** Ms in which evidence fades to 1/e: shorter than most troubles, so a sick server is retried. */
+    /** Ms in which evidence fades to 1/e: shorter than most faults, so an unhealthy server is retried. */
     private static final double EVIDENCE_FADE = 8_000;
     /** Ms between refreshes of a server's faded evidence; far below the fade, it only saves CPU. */
     private static final double FADE_STEP = 200;
     /** Samples that the mean of a server's machine type weighs in its base, as most bases rest on few. */
     private static final double BASE_POOL = 2;
-    /** Calls that its machine type's record weighs in s: a type in trouble shows in all its servers. */
+    /** Calls that its machine type's record weighs in s: a faulty type shows in all its servers. */
     private static final double SUCCESS_POOL = 2;
     /** Calls that a server's record over all classes weighs in s for one: it may fail one class or all. */
     private static final double CLASS_POOL = 1;
@@ -40,7 +40,7 @@
     private static final double FLEET_GAIN = 0.02;
     /** Expected latency before any was seen, as a share of the class's aim. */
     private static final double FIRST_GUESS = 0.2;
-    /** Ms below which latencies are not told apart; keeps every l above zero. */
+    /** Latencies closer than this, ms, are equal; keeps every l above zero. */
     private static final double MIN_LATENCY = 0.01;
     /** Share of an expected latency that goes with the hinted work; the rest is waiting that all share. */
     private static final double HINT_SHARE = 0.5;
@@ -52,7 +52,7 @@
     private static final double CROSSING = 400;
     /** Power with which a crowd at a server offsets the price of crossing: little at half the aim. */
     private static final double CROWD_POWER = 4;
-    /** Share of calls lost at a server that is worth a crossing, about what a crossing costs of a call. */
+    /** Share of calls lost at a server that justifies a crossing, about what a crossing costs of a call. */
     private static final double ZONE_EXIT_RATIO = 0.4;
     /** Bound of the factor for that: its few calls must still show when it is well again. */
     private static final double MAX_LEAVING = 16;
@@ -66,7 +66,7 @@
     private static final double CONNECTION = 200;
     /** Growth of a server's l with the pressure of a class bound there, for those that may go elsewhere. */
     private static final double RELIEF = 40;
-    /** Share of calls slower than the delay after which a second copy or attempt is worth its work. */
+    /** Share of calls slower than the delay after which a hedged request or a retry pays. */
     private static final double SLOW_SHARE = 0.05;
     /** Step of the quantile estimate behind that delay, relative to its value. */
     private static final double SLOW_STEP = 0.05;
@@ -79,7 +79,7 @@
     private static final double GIVE_UP = 2;
     /** Least share of the expected latency that must be left for a send to make sense. */
     private static final double TOO_LATE = 0.25;
-    /** Share of the allowed multiple of a cold server's capacity that its send budget uses. */
+    /** Share of the allowed multiple of a warming server's capacity that its send budget uses. */
     private static final double WARM_UP_MARGIN = 0.3;
     /** Ms after which a request that finds no server to go to looks again; well below any aim. */
     private static final double LOOK_AGAIN = 20;
@@ -90,7 +90,7 @@
 
     /** Calls in a row that a listed server rejected or did not let connect: the list may be old. */
     private static final int DOUBTS = 3;
-    /** Least time without news after which that is asked about, of askEvery; it doubles while none comes. */
+    /** Least time without an update after which one is requested, of askEvery; it doubles while none comes. */
     private static final double DOUBT_AFTER = 0.3;
 
     /** A first-tier call that takes more of its aim than this, and its value when late, tells of overload. */
@@ -131,7 +131,7 @@
     private Server.Kind[] kinds;
     private double extraCalls;
     private double warmUpUntil = Double.NEGATIVE_INFINITY;
-    /** When the registry was last heard of or asked, and how long its silence is trusted. */
+    /** When the registry last answered or was requested, and for how long that is trusted. */
     private double heardAt;
 
     private double trust;
@@ -230,7 +230,7 @@
         if (request.cost() > 0) {
             call.record.hint.add(request.cost());
         }
-        // Where a late answer is worth nothing, the work for it is better spent on others.
+        // Where a late answer has no value, the work for it is better spent on others.
         double stretched = call.type.aim() + call.type.aimStretch() * request.cost();
         double aim = now + Math.min(call.type.deadline(), stretched);
         call.usefulEnd = call.type.lateValue() > 0 ? request.deadline() : Math.min(request.deadline(), aim);
@@ -313,7 +313,7 @@
 
     /**
      * How much of each class to refuse so that the pressure's share of their work goes, at least loss: the cheapest
-     * worth per work first, but no class more than pays: the worst one counts by itself too. Classes of one placement
+     * value per work first, but no class more than pays: the worst one counts by itself too. Classes of one placement
      * share their pressure: what is bound to crowded servers is shed alone.
      */
     private void planShedding(ClassRecord leader) {
@@ -389,9 +389,9 @@
         double l = server.base(BASE_POOL) * call.record.latency.value();
         double success = server.success(call.record.index, SUCCESS_POOL, CLASS_POOL);
         l += call.type.aim() * (1 / Math.max(SUCCESS_FLOOR, success) - 1);
-        // Where to leave a zone is dear, a sick server at home would else keep the calls that it loses: it
+        // Where to leave a zone is dear, an unhealthy server at home would else keep the calls that it loses: it
         // fails them at once, so none are in flight there, while those that serve seem busy. A failure or
-        // two, which may befall any server, is not yet worth a crossing.
+        // two, which may befall any server, does not yet justify a crossing.
         Settings terms = call.view.settings;
         double crossing = CROSSING * Math.sqrt(terms.prices().crossZone()) + call.type.crossing();
         l *= 1 + crossing * Math.min(MAX_LEAVING, Math.pow((1 - success) / ZONE_EXIT_RATIO, CROWD_POWER));
@@ -423,8 +423,8 @@
      * when they were sent tell at what rate the server works. The price of crossing keeps calls at home even where they
      * queue until they are late, while other zones stand idle and clients are refused. That shows here as soon as the
      * calls gather, before any comes back late, and is over as soon as they are gone, whatever made the server slow: a
-     * burst, a pause, a sick core. Does harm where one call is worth less than a crossing, or where a server got faster
-     * and its record tells of a jam.
+     * burst, a pause, an unhealthy core. Does harm where one call has less value than a crossing costs, or where a
+     * server got faster and its record tells of a jam.
      */
     private static double crowding(Server server, Call call) {
         double each = server.base(BASE_POOL) * expected(call) / (1 + Math.max(ROOM, server.crowd(BASE_POOL)));
@@ -454,7 +454,7 @@
 
     // ---- Rule 4: servers that have just started ----------------------------------------------------
 
-    /** The share of its capacity that a server can be trusted to have: an even ramp over the warm-up. */
+    /** The share of its capacity that a server can be trusted to have: a linear slow start over the warm-up. */
     private double warmth(Server server, double now) {
         double age = now - server.listed.startedAt();
         if (server.listed.startedAt() == 0 || age >= settings.rules().warmUp()) {
@@ -465,10 +465,10 @@
     }
 
     /**
-     * Every request earns the cold servers open to it a part of a call: their warmth's share of the traffic times what
-     * the rule allows, less a margin. Shares need no history and add up over siblings that do alike. Counting requests,
-     * not sends, lets a fleet that is cold as a complete begin; the half that is taken as warm at least keeps it from
-     * being pushed over.
+     * Every request earns the warming servers open to it a part of a call: their warmth's share of the traffic times
+     * what the rule allows, less a margin. Shares need no history and add up over siblings that do alike. Counting
+     * requests, not sends, lets a fleet that warms up as a whole begin; the half that is taken as warm at least keeps
+     * it from being pushed over.
      */
     private void earnWarmUpBudget(Call call, double now) {
         if (now >= warmUpUntil) {
@@ -567,7 +567,7 @@
         }
         learn(attempt, outcome, now);
         boolean inGoodTime = outcome.elapsed() < strainedAfter(call);
-        // What breaks at once tells of a sick server: to refuse others would not help.
+        // What breaks at once is a sign of an unhealthy server: to refuse others would not help.
         boolean unhealthy = inGoodTime
                 && (outcome.result() == Result.ERROR
                         || outcome.result() == Result.RESET
@@ -576,7 +576,7 @@
             feelPressure(call.record.leader, outcome.result() == Result.OK && inGoodTime, now);
         }
         if (outcome.result() == Result.OK && attempt.number > 0) {
-            // It served where another did not: sick servers, not a jam, and worth as many again.
+            // It served where another did not: unhealthy servers, not overload, so as many again are due.
             extraCalls = Math.min(extras.saved, extraCalls + extras.redraw);
         }
         freeConnection(attempt.server, outcome.result(), now);
@@ -605,8 +605,8 @@
     /**
      * A watch may be dead without a sign, its registry restarted or cut off, and what is listed as ready be long gone
      * or draining. That shows in servers that take nothing: then the watch is begun anew, which brings what was missed.
-     * Guards against any silent loss of news; a server that crashed unnoticed looks the same, so the questions grow
-     * rare while no news comes, lest a complete fleet's flood the registry.
+     * Guards against any unnoticed loss of updates; a server that crashed unnoticed looks the same, so the requests
+     * grow rare while no update comes, lest those of a whole fleet flood the registry.
      */
     private void doubtList(Server server, Result result, double now) {
         if (result == Result.FULL || result == Result.CONNECT_FAILED) {
@@ -792,7 +792,7 @@
             if (upstream.state() == State.REMOVED) {
                 listed.remove(upstream.id());
             } else if (known == null || known.listed.startedAt() != upstream.startedAt()) {
-                // A restart is a new server: cold, with a clean record.
+                // A restart is a new server: warming up, with a clean record.
                 Server.Kind kind = kinds[Math.min(upstream.kind(), kinds.length - 1)];
                 servers.put(upstream.id(), new Server(upstream, kind, places, now, random.nextDouble()));
                 if (upstream.startedAt() != 0) {
--- a/src/main/java/sablehinge/policy/LoadBalancer.java
+++ b/src/main/java/sablehinge/policy/LoadBalancer.java
@@ -6,16 +6,16 @@
  * The decisions of one load balancer instance: events go in, actions come out.
  *
  * <p>An instance has no clock, thread or socket of its own. Its host calls one event method at a time, with the time of
- * the event, and executes what is asked of {@link Actions} during that call. All times are ms; the clock never goes
+ * the event, and executes what is requested by {@link Actions} during that call. All times are ms; the clock never goes
  * back and has no special zero. Same events, settings and seed give the same actions.
  */
 public interface LoadBalancer {
 
-    /** Begins the instance's life; the first call, followed by a {@link Change#CACHED} list. */
+    /** Begins; the first call, followed by a {@link Change#CACHED} list. */
     void start(double now, Settings settings, long seed);
 
     /**
-     * News of the upstreams. {@link Change#DELTA} brings changed entries only, {@link Change#FULL} and
+     * An update of the upstreams. {@link Change#DELTA} brings changed entries only, {@link Change#FULL} and
      * {@link Change#CACHED} the complete list, {@link Change#FAILED} none: a call to the registry failed.
      */
     void upstreamsChanged(double now, Change change, List<Upstream> upstreams);
@@ -92,7 +92,7 @@
         int ALL_PEERS = -1;
     }
 
-    /** The kinds of news about upstreams. */
+    /** The kinds of updates about upstreams. */
     enum Change {
         DELTA,
         FULL,
@@ -288,9 +288,9 @@
     /**
      * The weights of the parts of the result; a part that a site leaves out weighs 0.
      *
-     * @param tail worth counts in full only while at most the share {@code tailMiss} misses its aim; what is refused
+     * @param tail value counts in full only while at most the share {@code tailMiss} misses its aim; what is refused
      *     inside the aim is no miss
-     * @param nines tenfold steps by which the unserved worth lies below the complete, full at {@code topNines}
+     * @param nines tenfold steps by which the unserved value lies below the total, full at {@code topNines}
      */
     record Goal(
             double exact,
@@ -314,7 +314,7 @@
             double registry) {}
 
     /**
-     * What an instance is told at its start.
+     * The settings of an instance.
      *
      * @param position this instance's number among its siblings
      * @param siblings how many instances its tier has
@@ -322,8 +322,8 @@
      * @param subscribe whether the registry tells only those who ask
      * @param passesDeadline whether calls between tiers carry the time their caller has left
      * @param warmKeys whether an upstream that served a key lately serves it cheaper
-     * @param valueByWork whether worth counts per unit of work rather than per request
-     * @param overShareValue what a request beyond its tenant's share is worth, of its class's worth
+     * @param valueByWork whether value counts per unit of work rather than per request
+     * @param overShareValue the value of a request beyond its tenant's share, of its class's value
      */
     record Settings(
             int position,
--- a/src/main/java/sablehinge/policy/Server.java
+++ b/src/main/java/sablehinge/policy/Server.java
@@ -35,7 +35,7 @@
     double[] triesOf;
     /** Whether it belongs to the subset of the fleet that this instance prefers. */
     boolean preferred;
-    /** Sends that it has earned while cold. */
+    /** Sends that it has earned while warming up. */
     double warmUpBudget;
     /** Until when it is taken to have a full table of connections. */
     double crowdedUntil = Double.NEGATIVE_INFINITY;
--- a/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
@@ -57,7 +57,7 @@
                 }
 
                 @Override
-                public void came(Connection.Link link, Frame frame) {
+                public void onFrame(Connection.Link link, Frame frame) {
                     notes.notes.add("handled " + frame.kind());
                 }
             });
--- a/src/test/java/sablehinge/common/rpc/ConnectionTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionTest.java
@@ -31,7 +31,7 @@
                 new Connection(channel.eventLoop(), PING_MS, DEAD_MS, Connection.Observer.NONE, () -> nanos);
         Connection.Handler handler = new Connection.Handler() {
             @Override
-            public void came(Connection.Link link, Frame frame) {
+            public void onFrame(Connection.Link link, Frame frame) {
                 came.add(frame);
             }
 
--- a/src/test/java/sablehinge/controlplane/node/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -419,12 +419,12 @@
         }
 
         @Override
-        public void check(Runnable work) {
+        public void runOffLoop(Runnable work) {
             arrives(random.nextDouble() * 4, work);
         }
 
         @Override
-        public void settle(Runnable work) {
+        public void runOnLoop(Runnable work) {
             arrives(0, work);
         }
     }
--- a/src/test/java/sablehinge/controlplane/node/ControlNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlNodeTest.java
@@ -455,7 +455,7 @@
             }
 
             @Override
-            public void came(Connection.Link link, Frame frame) {
+            public void onFrame(Connection.Link link, Frame frame) {
                 answers.add(frame);
             }
         };
--- a/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
+++ b/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
@@ -42,15 +42,15 @@
     }
 
     @Override
-    public void later(double ms, Runnable work) {
+    public void later(double ms, Runnable writePending) {
         assertNull(wakes, "it waits already");
         pauses++;
         wakesAt = now + ms;
-        wakes = work;
+        wakes = writePending;
     }
 
     @Override
-    public Member named(boolean isCorrupt) {
+    public Member memberForEmptyDisk(boolean isCorrupt) {
         return RaftStoreCrashTest.SELF;
     }
 
--- a/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
@@ -115,22 +115,22 @@
         }
 
         @Override
-        public void check(Runnable work) {
+        public void runOffLoop(Runnable work) {
             duringCheck.run();
             work.run();
         }
 
         @Override
-        public void settle(Runnable work) {
+        public void runOnLoop(Runnable work) {
             work.run();
         }
     }
 
     private ApiResponse call(String path, HttpHeaders headers, String body) {
-        CallContext authority = new Scripted();
+        CallContext context = new Scripted();
         ControlStatus status = new ControlStatus(
-                "core-1", "z-a", ONE.control(), registry, new WatchServer<String>(registry), pool, authority);
-        for (Operation<?, ?> one : OperatorApi.all(authority, status)) {
+                "core-1", "z-a", ONE.control(), registry, new WatchServer<String>(registry), pool, context);
+        for (Operation<?, ?> one : OperatorApi.all(context, status)) {
             if (one.path().equals("/sablehinge/" + path)) {
                 return carry(one, new ApiRequest("", headers, body.getBytes(StandardCharsets.UTF_8)));
             }
--- a/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
+++ b/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
@@ -25,7 +25,7 @@
     private final WatchServer<String> watchServer = new WatchServer<>(registry);
 
     WatchServerTest() {
-        watchServer.begin(0, TERM);
+        watchServer.startTerm(0, TERM);
         watchServer.configurationChanged(4, BODY, List.of("127.0.0.1:7000"));
     }
 
@@ -61,17 +61,17 @@
     }
 
     private Update only(double now) {
-        List<WatchServer.Delivery<String>> due = watchServer.due(now);
-        assertEquals(1, due.size());
-        return due.get(0).update();
+        List<WatchServer.Delivery<String>> dueDeliveries = watchServer.dueDeliveries(now);
+        assertEquals(1, dueDeliveries.size());
+        return dueDeliveries.get(0).update();
     }
 
     private void none(double now) {
-        assertEquals(List.of(), watchServer.due(now));
+        assertEquals(List.of(), watchServer.dueDeliveries(now));
     }
 
     /** One that knows all there is. */
-    private void settled(String node) {
+    private void outcome(String node) {
         asks(0, node, 1, 0, 0, false);
         Update first = only(0);
         assertEquals(4, first.edition());
@@ -83,12 +83,12 @@
 
     @Test
     void whoKnowsNothingIsToldAllAtOnce() {
-        settled("a");
+        outcome("a");
     }
 
     @Test
     void anAskWithoutNewsIsHeldForAWhileAndAnsweredOnce() {
-        settled("a");
+        outcome("a");
         none(0);
         none(399);
         Update update = only(400);
@@ -101,7 +101,7 @@
 
     @Test
     void aNewEditionIsToldAtOnceToWhoIsHeld() {
-        settled("a");
+        outcome("a");
         none(10);
         watchServer.configurationChanged(6, new byte[] {9}, List.of());
         Update update = only(11);
@@ -112,7 +112,7 @@
     /** Who can't read them as fast as they come would do nothing else. */
     @Test
     void ofManyEditionsInSuccessionOneIsToldEachSecondAndTheLastOneIsToldInTheEnd() {
-        settled("a");
+        outcome("a");
         long known = 4;
         double lastTold = 0;
         int told = 0;
@@ -121,7 +121,7 @@
             if (now <= 9_000) {
                 watchServer.configurationChanged(4 + (long) (now / 10), BODY, List.of());
             }
-            for (WatchServer.Delivery<String> answer : watchServer.due(now)) {
+            for (WatchServer.Delivery<String> answer : watchServer.dueDeliveries(now)) {
                 if (answer.update().body().length > 0) {
                     assertTrue(now - lastTold <= 1_000 && now <= 10_000, "told at " + now);
                     known = answer.update().edition();
@@ -137,7 +137,7 @@
 
     @Test
     void whoWantsToBeSureIsToldTheNewestHoweverManyItWasToldBefore() {
-        settled("a");
+        outcome("a");
         long known = 4;
         for (int i = 0; i < 50; i++) {
             watchServer.configurationChanged(5 + i, BODY, List.of());
@@ -149,7 +149,7 @@
         asks(80, "a", 90, known, registry.stamp(), false);
         watchServer.configurationChanged(100, BODY, List.of());
         none(90);
-        watchServer.due(500);
+        watchServer.dueDeliveries(500);
         asks(500, "a", 91, known, registry.stamp(), false);
         none(510);
         asks(1_070, "a", 92, known, registry.stamp(), false);
@@ -158,10 +158,10 @@
 
     @Test
     void whoHasComeIsToldAtOnceToWhoIsHeldAndNothingElse() {
-        settled("a");
+        outcome("a");
         none(10);
         asks(20, "b", 1, 4, registry.stamp(), false);
-        Update update = watchServer.due(20).stream()
+        Update update = watchServer.dueDeliveries(20).stream()
                 .filter(told -> told.to().equals("a"))
                 .findFirst()
                 .orElseThrow()
@@ -172,7 +172,7 @@
 
     @Test
     void aConfirmationWaitsForItsBarrierHoweverLongThatTakesAndWhateverElseIsNew() {
-        settled("a");
+        outcome("a");
         asks(10, "a", 3, 4, registry.stamp(), true);
         none(10);
         none(5_000 - 1);
@@ -188,7 +188,7 @@
 
     @Test
     void theConfirmationOfOneAskIsNotThatOfTheNext() {
-        settled("a");
+        outcome("a");
         asks(10, "a", 3, 4, registry.stamp(), true);
         watchServer.confirmed("a", 3);
         assertTrue(only(10).confirmed());
@@ -198,7 +198,7 @@
 
     @Test
     void theWholeRollIsToldOnceMoreWhenItIsComplete() {
-        settled("a");
+        outcome("a");
         assertFalse(only(400).complete());
         asks(2_400, "a", 3, 4, registry.stamp(), false);
         none(2_499);
@@ -212,7 +212,7 @@
     }
 
     private Update told(double now, String node) {
-        return watchServer.due(now).stream()
+        return watchServer.dueDeliveries(now).stream()
                 .filter(told -> told.to().equals(node))
                 .findFirst()
                 .orElseThrow()
@@ -221,7 +221,7 @@
 
     @Test
     void whoIsAccusedAndSilentIsToldAsNotReadyAndAsItWasOnceItAsks() {
-        settled("a");
+        outcome("a");
         asks(0, "b", 1, 4, registry.stamp(), false);
         asks(1_000, "a", 3, 4, registry.stamp(), false, List.of(new Suspicion("b", SuspicionCause.RESET)), List.of());
         Registration off = told(1_000, "a").registrations().get(0);
@@ -236,12 +236,12 @@
     @Test
     void whoIsCutFromTheCoreStaysHoweverLongAndAnotherLeaderHearsOfItFromThoseWhoHearIt() {
         asks(0, "b", 1, 4, 0, false);
-        watchServer.begin(10, TERM);
-        settled("a");
+        watchServer.startTerm(10, TERM);
+        outcome("a");
         for (int now = 100; now < 15_000; now += 500) {
             List<Registration> unknown = registry.size() < 2 ? List.of(registration("b")) : List.of();
             asks(now, "a", now, 4, registry.stamp(), false, List.of(), unknown);
-            watchServer.due(now);
+            watchServer.dueDeliveries(now);
         }
         assertEquals(List.of(registration("a"), registration("b")), registry.since(0));
         assertEquals(
@@ -253,8 +253,8 @@
 
     @Test
     void whoHasLeftIsToldNothing() {
-        settled("a");
-        watchServer.gone("a");
+        outcome("a");
+        watchServer.removeSubscriber("a");
         watchServer.configurationChanged(6, BODY, List.of());
         none(1_000);
         assertEquals(0, watchServer.subscribers().size());
@@ -262,9 +262,9 @@
 
     @Test
     void anotherLeaderTellsTheWholeRollAnew() {
-        settled("a");
+        outcome("a");
         long known = registry.stamp();
-        watchServer.begin(100, TERM + 1);
+        watchServer.startTerm(100, TERM + 1);
         none(1_000);
         asks(1_000, "a", 3, 4, known, false);
         Update update = only(1_000);
--- a/src/test/java/sablehinge/dataplane/sidecar/HollowSidecarTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/HollowSidecarTest.java
@@ -81,7 +81,7 @@
             new Connection(loop, 300, 60_000)
                     .listen(new InetSocketAddress(CORE, SECOND), new Connection.Handler() {
                         @Override
-                        public void came(Connection.Link link, Frame frame) {
+                        public void onFrame(Connection.Link link, Frame frame) {
                             if (frame.kind() == Frame.Kind.ASK) {
                                 asks.incrementAndGet();
                                 asked.countDown();
--- a/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
@@ -40,7 +40,7 @@
     StubCore(String ip, int port) throws Exception {
         address = ip + ":" + port;
         loop.submit(() -> {
-                    watchServer.begin(clock.now(), TERM);
+                    watchServer.startTerm(clock.now(), TERM);
                     watchServer.configurationChanged(0, new byte[0], List.of(address));
                 })
                 .sync();
@@ -59,7 +59,7 @@
     }
 
     private void answer() {
-        for (WatchServer.Delivery<Connection.Link> told : watchServer.due(clock.now())) {
+        for (WatchServer.Delivery<Connection.Link> told : watchServer.dueDeliveries(clock.now())) {
             told.to().send(new Frame(Frame.Kind.UPDATE, told.update().bytes()));
         }
     }
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void came(Connection.Link link, Frame frame) {
+    public void onFrame(Connection.Link link, Frame frame) {
         if (frame.kind() != Frame.Kind.ASK) {
             return;
         }
@@ -96,7 +96,7 @@
 
     @Override
     public void closed(Connection.Link link) {
-        watchServer.gone(link);
+        watchServer.removeSubscriber(link);
     }
 
     /** A configuration is in force. */
