--- a/bench/src/sablehinge/bench/ConfigBench.java
+++ b/bench/src/sablehinge/bench/ConfigBench.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import sablehinge.rig.OperatorStage;
-import sablehinge.rig.StandIn.Plan;
-import sablehinge.rig.StandIn.Seen;
+import sablehinge.testing.OperatorStage;
+import sablehinge.testing.StandIn.Plan;
+import sablehinge.testing.StandIn.Seen;
 
 /**
  * Changes under load. The packed program runs in a process of its own between callers at 1,700 requests a second and
--- a/bench/src/sablehinge/bench/RecorderBench.java
+++ b/bench/src/sablehinge/bench/RecorderBench.java
@@ -25,9 +25,9 @@
 import sablehinge.dataplane.proxy.TraceEvent;
 import sablehinge.gateway.recorder.FlightRecorder;
 import sablehinge.gateway.recorder.Ring;
-import sablehinge.rig.Logs;
-import sablehinge.rig.OperatorStage;
-import sablehinge.rig.StandIn;
+import sablehinge.testing.Logs;
+import sablehinge.testing.OperatorStage;
+import sablehinge.testing.StandIn;
 import sablehinge.torture.StallBench;
 
 /**
--- a/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
+++ b/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
@@ -69,7 +69,7 @@
         } else if (step.n() > 0) {
             machine.disk.self = name;
         } else {
-            cluster.graves.put(name.id(), new Disk());
+            cluster.lostDisks.put(name.id(), new Disk());
         }
         return true;
     }
--- a/bench/src/sablehinge/controlplane/raft/EveryOrder.java
+++ b/bench/src/sablehinge/controlplane/raft/EveryOrder.java
@@ -132,7 +132,7 @@
                 .add(cluster.cuts)
                 .add(cluster.committed)
                 .add(cluster.leaders)
-                .add(cluster.graves)
+                .add(cluster.lostDisks)
                 .add(cluster.made)
                 .add(cluster.claims)
                 .add(cluster.carried());
--- a/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
+++ b/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
@@ -420,7 +420,7 @@
         for (Member member : list) {
             RaftStatus its = machines.get(member.address()).raftStatus;
             int place = places.get(member.address());
-            boolean lost = graves.containsKey(member.id()) || leaving[place] == byPlace.get(place).life;
+            boolean lost = lostDisks.containsKey(member.id()) || leaving[place] == byPlace.get(place).life;
             // Whoever has just won counts all as heard, also those that know nothing of its term.
             boolean silent = its == null
                     || its.term() != leader.raftStatus.term()
--- a/bench/src/sablehinge/held/HeldBench.java
+++ b/bench/src/sablehinge/held/HeldBench.java
@@ -33,7 +33,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import sablehinge.held.Flow.End;
-import sablehinge.rig.Logs;
+import sablehinge.testing.Logs;
 
 /**
  * Run by {@code bench/run held [PLAYS [SECONDS [RATE [TRICKLE]]]]}: long answers, slow callers and small pieces through
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Function;
-import sablehinge.rig.Logs;
+import sablehinge.testing.Logs;
 import sablehinge.torture.ExchangePlay.Event;
 
 /**
@@ -216,8 +216,8 @@
                     "what must not run twice is begun before its turn",
                     FRONT,
                     "public boolean isRepeatable(",
-                    "found != null && found.route().kind()" + " == Configuration.Kind.SAFE",
-                    "found != null"),
+                    "match != null && match.route().kind()" + " == Configuration.Kind.SAFE",
+                    "match != null"),
             new Mutant(
                     "the caller is not named",
                     FRONT,
--- a/bench/src/sablehinge/torture/Rig.java
+++ b/bench/src/sablehinge/torture/Rig.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.DoubleAdder;
-import sablehinge.rig.Logs;
+import sablehinge.testing.Logs;
 
 /** Plays one seed after another; the entry that a class loader with mutants in it calls too. */
 public final class Rig {
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -49,10 +49,10 @@
     private final String caller;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
-    private final Confirmation confirming;
+    private final Confirmation confirmation;
     private final SplittableRandom random;
     private FrontTerms terms = FIRST;
-    private RoutingTable plan;
+    private RoutingTable routingTable;
     private Version version;
     private Map<String, Integer> classes = new HashMap<>();
     /** When the first request came, before which nobody has waited; NaN before that. */
@@ -69,17 +69,17 @@
     }
 
     /** A front; {@code caller} is the service whose requests begin here. */
-    OutboundFront(String caller, Quotas quotas, RetryBudget retryBudget, Confirmation confirming, long seed) {
+    OutboundFront(String caller, Quotas quotas, RetryBudget retryBudget, Confirmation confirmation, long seed) {
         this.caller = caller;
         this.quotas = quotas;
         this.retryBudget = retryBudget;
-        this.confirming = confirming;
+        this.confirmation = confirmation;
         random = new SplittableRandom(seed);
     }
 
     /** Reads requests by another configuration from now on. */
     void adopt(RoutingTable next, Version as, Map<String, Integer> places) {
-        plan = next;
+        routingTable = next;
         version = as;
         classes = places;
         Configuration.Limits limits = next.configuration().limits();
@@ -96,8 +96,8 @@
     }
 
     /** The configuration by which requests are read; null before the first. */
-    RoutingTable plan() {
-        return plan;
+    RoutingTable routingTable() {
+        return routingTable;
     }
 
     @Override
@@ -107,9 +107,10 @@
 
     @Override
     public boolean isRepeatable(HttpRequest request) {
-        RoutingTable.RouteMatch found =
-                plan == null ? null : plan.find(request.headers().get("Host"), request.uri());
-        return found != null && found.route().kind() == Configuration.Kind.SAFE;
+        RoutingTable.RouteMatch match = routingTable == null
+                ? null
+                : routingTable.find(request.headers().get("Host"), request.uri());
+        return match != null && match.route().kind() == Configuration.Kind.SAFE;
     }
 
     @Override
@@ -119,20 +120,20 @@
         if (Double.isNaN(firstCameAt)) {
             firstCameAt = cameAt;
         }
-        if (plan == null) {
+        if (routingTable == null) {
             throw withoutConfiguration(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs()), now);
         }
         if (MeshHeaders.single(headers, MeshHeaders.TRY) == null) {
             throw new BadRequestException(MeshHeaders.TRY + " is missing");
         }
-        RoutingTable.RouteMatch found = plan.find(MeshHeaders.single(headers, "Host"), request.uri());
-        if (found == null) {
+        RoutingTable.RouteMatch match = routingTable.find(MeshHeaders.single(headers, "Host"), request.uri());
+        if (match == null) {
             throw BadRequestException.rejected(HttpResponseStatus.NOT_FOUND, "no route")
                     .heldFor(held(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs())));
         }
-        Configuration.Route route = found.route();
-        Configuration.Tenant tenant = plan.tenant(MeshHeaders.single(headers, MeshHeaders.KEY));
-        if (plan.wantsKeys() && !route.open() && tenant == null) {
+        Configuration.Route route = match.route();
+        Configuration.Tenant tenant = routingTable.tenant(MeshHeaders.single(headers, MeshHeaders.KEY));
+        if (routingTable.wantsKeys() && !route.open() && tenant == null) {
             throw BadRequestException.rejected(HttpResponseStatus.UNAUTHORIZED, "unknown key")
                     .heldFor(held(route));
         }
@@ -144,8 +145,8 @@
         if (tenant != null) {
             claim(tenant, route, left, now);
         }
-        String service = plan.choose(route, random.nextDouble());
-        retryBudget.came(service, tenant == null && plan.wantsKeys());
+        String service = routingTable.choose(route, random.nextDouble());
+        retryBudget.came(service, tenant == null && routingTable.wantsKeys());
         int rank = tenant != null && tenant.priority() >= 0 ? tenant.priority() : route.priority();
         headers.remove(MeshHeaders.KEY)
                 .remove(MeshHeaders.SENDER)
@@ -214,12 +215,12 @@
         int status = why.status().code();
         boolean unknown =
                 status == HttpResponseStatus.UNAUTHORIZED.code() || status == HttpResponseStatus.NOT_FOUND.code();
-        if (unknown && confirming.confirmedAt() >= cameAt) {
+        if (unknown && confirmation.confirmedAt() >= cameAt) {
             return why;
         }
         if (mayWait && now - cameAt < why.maxWaitMs()) {
             if (unknown) {
-                confirming.ask();
+                confirmation.ask();
             }
             return null;
         }
--- a/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
@@ -55,7 +55,7 @@
     private final Clock clock;
     private final LocalSettings settings;
     private final Runnable update;
-    private final Monitor watch = new Monitor();
+    private final Monitor monitor = new Monitor();
     private final Bootstrap reaching;
     private final Map<String, Registration> known = new HashMap<>();
     /** The nodes in the present leader's registry. */
@@ -133,7 +133,7 @@
         hashRing.watchers(settings.node())
                 .forEach(watcher ->
                         heartbeatTargets.add(new InetSocketAddress(at(watcher).getAddress(), settings.innerFirst())));
-        watch.over(clock.now(), hashRing.watched(settings.node()));
+        monitor.over(clock.now(), hashRing.watched(settings.node()));
     }
 
     private InetSocketAddress at(String node) {
@@ -154,18 +154,18 @@
             }
             channel.flush();
         }
-        watch.tick(now).forEach(this::reach);
+        monitor.tick(now).forEach(this::reach);
     }
 
     /** Whom this balancer accuses now. */
     List<Suspicion> suspicions() {
-        return watch.suspicions();
+        return monitor.suspicions();
     }
 
     /** Peers that this balancer hears and that are not in the leader's registry: new, or cut off from it. */
     List<Registration> vouched() {
         List<Registration> vouched = new ArrayList<>();
-        for (String node : watch.heardPeers()) {
+        for (String node : monitor.heardPeers()) {
             if (!registered.contains(node)) {
                 vouched.add(known.get(node));
             }
@@ -185,7 +185,7 @@
             connect.channel().close();
         }
         SuspicionCause evidence = evidence(connect.cause());
-        if (watch.found(clock.now(), node, evidence)) {
+        if (monitor.found(clock.now(), node, evidence)) {
             Log.info(LOG, "accuses")
                     .addKeyValue("peer", node)
                     .addKeyValue("evidence", evidence)
@@ -215,7 +215,7 @@
             try {
                 HeartbeatPacket pulse = HeartbeatPacket.read(bytes);
                 String node = hashRing.at(pulse.place());
-                if (node != null && watch.heard(clock.now(), node, pulse.incarnation(), pulse.number())) {
+                if (node != null && monitor.heard(clock.now(), node, pulse.incarnation(), pulse.number())) {
                     Log.info(LOG, "hears-again").addKeyValue("peer", node).log("a balancer is heard again");
                     update.run();
                 }
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -89,13 +89,13 @@
     private final RequestProxy outbound;
     private final RequestProxy inbound;
     private AdmissionController admission;
-    private final Frontend outFront;
-    private final Frontend inFront;
-    private final OutboundFront routes;
+    private final Frontend outboundFrontend;
+    private final Frontend inboundFrontend;
+    private final OutboundFront outboundRoutes;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
     private final WatchClient watchClient;
-    private final PeerMonitor watchers;
+    private final PeerMonitor peerMonitor;
     private final List<String> zones;
     private final Map<String, Integer> kinds = BalancerSettings.kinds();
     private final Map<String, Registration> registry = new LinkedHashMap<>();
@@ -135,7 +135,7 @@
         });
         lifecycle = new UpstreamLifecycle(
                 admission, MeshHeaders::incarnation, settings.bounds().unloadMs(), settings.heartbeatMs());
-        routes = new OutboundFront(
+        outboundRoutes = new OutboundFront(
                 settings.depot(),
                 quotas,
                 retryBudget,
@@ -154,8 +154,8 @@
                     }
                 },
                 System.nanoTime());
-        outFront = new Frontend(loop, sockets, memory, outbound, routes);
-        inFront = new Frontend(loop, sockets, memory, inbound, new InboundFront(inbound));
+        outboundFrontend = new Frontend(loop, sockets, memory, outbound, outboundRoutes);
+        inboundFrontend = new Frontend(loop, sockets, memory, inbound, new InboundFront(inbound));
         UpstreamClient peers = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
         UpstreamClient app =
                 new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, retryBudget::rejected));
@@ -177,7 +177,7 @@
                 new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS),
                 contacts(settings),
                 new WatchListener());
-        watchers = new PeerMonitor(loop, clock, settings, watchClient::requestNow);
+        peerMonitor = new PeerMonitor(loop, clock, settings, watchClient::requestNow);
     }
 
     /** Starts a balancer where nobody listens yet. */
@@ -198,11 +198,11 @@
         LocalSettings.ListenOn at = settings.listenOn();
         try {
             loop.submit(() -> {
-                        sidecar.outFront.adopt(listening.outbound());
+                        sidecar.outboundFrontend.adopt(listening.outbound());
                         sidecar.watchClient.start();
                     })
                     .sync();
-            sidecar.inFront.bind(ListeningSockets.address(at.inbound()), false);
+            sidecar.inboundFrontend.bind(ListeningSockets.address(at.inbound()), false);
             new ApiServer(
                             loop,
                             List.of(
@@ -210,7 +210,7 @@
                                     UpstreamCalls.signOffs(sidecar::handleSignOff)),
                             MAX_HEARTBEAT_BYTES)
                     .adopt(listening.control());
-            sidecar.watchers.listen();
+            sidecar.peerMonitor.listen();
             sidecar.listenOrFail(
                     new ApiServer(loop, List.of(new Readiness(sidecar::isReady)), MAX_HEARTBEAT_BYTES), at.ready());
         } catch (IOException e) {
@@ -274,7 +274,7 @@
 
     private void tick() {
         retryBudget.tick();
-        watchers.tick();
+        peerMonitor.tick();
         if (lifecycle.tick(clock.now())) {
             watchClient.requestNow();
         }
@@ -314,8 +314,8 @@
                     registryTerm,
                     registryStamp,
                     wantsConfirmation,
-                    watchers.suspicions(),
-                    watchers.vouched());
+                    peerMonitor.suspicions(),
+                    peerMonitor.vouched());
         }
 
         @Override
@@ -359,7 +359,7 @@
                 kinds,
                 places,
                 BalancerSettings.Place.of(settings.node(), zones.indexOf(settings.zone()), zones.size()));
-        routes.adopt(new RoutingTable(configuration), version, places);
+        outboundRoutes.adopt(new RoutingTable(configuration), version, places);
         quotas.adopt(now, configuration.tenants());
         retryBudget.adopt(configuration);
         outbound.adopt(version, roster(now));
@@ -379,7 +379,7 @@
             changed |= registry.size() != update.registrations().size();
             registry.clear();
         }
-        watchers.onUpdate(update);
+        peerMonitor.onUpdate(update);
         registryTerm = update.term();
         registryStamp = update.stamp();
         for (Registration registration : update.registrations()) {
@@ -388,7 +388,7 @@
         retryBudget.divide(registry.values(), update.complete() ? 1 : ASSUMED_BALANCERS);
         if (changed) {
             outbound.onRosterChanged(Change.FULL, roster(now));
-            watchers.registry(registry.values());
+            peerMonitor.registry(registry.values());
         }
     }
 
@@ -460,14 +460,14 @@
         // Whoever comes from here on finds no one, rather than someone who has no time left to answer: where
         // few balancers of a zone are in, clients keep coming to one that says it is not ready.
         loop.submit(() -> {
-                    outFront.handOver();
-                    inFront.handOver();
+                    outboundFrontend.handOver();
+                    inboundFrontend.handOver();
                 })
                 .sync();
         double end = begun + settings.bounds().graceS() * 1_000 - SHUTDOWN_RESERVE_MS;
         boolean done = false;
         while (!done && clock.now() < end) {
-            done = loop.submit(() -> outFront.endDrain() & inFront.endDrain())
+            done = loop.submit(() -> outboundFrontend.endDrain() & inboundFrontend.endDrain())
                     .sync()
                     .getNow();
             TimeUnit.MILLISECONDS.sleep(DRAIN_CHECK_MS);
--- a/src/test/java/sablehinge/cli/DrainTest.java
+++ b/src/test/java/sablehinge/cli/DrainTest.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.rig.Listener;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Listener;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Stage;
 
 /** The program as a process: its command line, and how it ends. */
 @Timeout(120)
--- a/src/test/java/sablehinge/cli/HandOverTest.java
+++ b/src/test/java/sablehinge/cli/HandOverTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Stage;
 
 /** A new version beside the running one: two processes, one address. */
 @Timeout(120)
--- a/src/test/java/sablehinge/cli/KilledTest.java
+++ b/src/test/java/sablehinge/cli/KilledTest.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.rig.OperatorStage;
-import sablehinge.rig.Peer;
+import sablehinge.testing.OperatorStage;
+import sablehinge.testing.Peer;
 
 /** The operators' verbs against a balancer in a process of its own, which is killed in the middle of a change. */
 @Timeout(120)
--- a/src/test/java/sablehinge/cli/RecorderVerbsTest.java
+++ b/src/test/java/sablehinge/cli/RecorderVerbsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.rig.OperatorStage;
-import sablehinge.rig.Stage;
+import sablehinge.testing.OperatorStage;
+import sablehinge.testing.Stage;
 
 /** Dumps as operators ask for them and look at them. */
 @Timeout(60)
--- a/src/test/java/sablehinge/cli/ReplayVerbsTest.java
+++ b/src/test/java/sablehinge/cli/ReplayVerbsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.rig.StandIn;
+import sablehinge.testing.StandIn;
 
 /** The replay's verbs as operators type them. */
 @Timeout(180)
--- a/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -189,7 +189,7 @@
                 store(change);
             }
             if (disk.self == null) {
-                graves.put(self.id(), disk);
+                lostDisks.put(self.id(), disk);
                 unwritten.add(self.id());
                 disk = new Disk();
             }
@@ -205,7 +205,7 @@
         void wipe() {
             unsynced.clear();
             kill(true);
-            graves.put(self.id(), disk);
+            lostDisks.put(self.id(), disk);
             disk = new Disk();
         }
 
@@ -407,7 +407,7 @@
     long changes;
     final Set<String> cuts = new HashSet<>();
     final Map<String, Machine> machines = new LinkedHashMap<>();
-    final Map<Long, Disk> graves = new HashMap<>();
+    final Map<Long, Disk> lostDisks = new HashMap<>();
     /** Members whose process ended before anything of them was on a disk. */
     final Set<Long> unwritten = new HashSet<>();
 
@@ -502,7 +502,7 @@
     final int disksWith(Entry entry, List<Member> members) {
         int found = 0;
         for (Member member : members) {
-            Disk its = graves.get(member.id());
+            Disk its = lostDisks.get(member.id());
             for (Machine machine : machines.values()) {
                 if (machine.self != null && machine.self.id() == member.id() && its == null) {
                     its = machine.disk;
@@ -670,7 +670,7 @@
         int lost = 0;
         for (Member member : list) {
             Machine machine = machines.get(member.address());
-            if (machine == null || machine.self.id() != member.id() || graves.containsKey(member.id())) {
+            if (machine == null || machine.self.id() != member.id() || lostDisks.containsKey(member.id())) {
                 lost++;
             }
         }
--- a/src/test/java/sablehinge/dataplane/http1/CrowdTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/CrowdTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import sablehinge.policy.LatencyWeightedBalancer;
-import sablehinge.rig.Listener;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Script;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Listener;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Script;
+import sablehinge.testing.Stage;
 
 /** The module's weights over sockets: where calls go while a server lets them gather. */
 @Timeout(120)
--- a/src/test/java/sablehinge/dataplane/http1/FrontendTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/FrontendTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Script;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Script;
+import sablehinge.testing.Stage;
 
 /** What callers see: every request has one answer, whatever they or the module get wrong. */
 @Timeout(60)
--- a/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import sablehinge.policy.LoadBalancer.Result;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Script;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Script;
+import sablehinge.testing.Stage;
 
 /** Bodies and answers that are longer than what is kept: they pass through as they come, once. */
 @Timeout(60)
--- a/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.Result;
-import sablehinge.rig.Backlog;
-import sablehinge.rig.Listener;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Script;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Backlog;
+import sablehinge.testing.Listener;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Script;
+import sablehinge.testing.Stage;
 
 /** How attempts go out, and how each way in which they end is told to the module. */
 @Timeout(60)
--- a/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
@@ -32,7 +32,7 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 import sablehinge.policy.LoadBalancer.WeightKind;
-import sablehinge.rig.Logs;
+import sablehinge.testing.Logs;
 
 /** Core in virtual time, between a transport and callers that do anything at random. */
 class RequestProxyTest {
--- a/src/test/java/sablehinge/dataplane/sidecar/WrittenTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/AttemptWrittenTest.java
@@ -29,12 +29,12 @@
 import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
-import sablehinge.rig.Listener;
-import sablehinge.rig.Peer;
+import sablehinge.testing.Listener;
+import sablehinge.testing.Peer;
 
 /** When an attempt counts as sent whole: from the moment in which the system has taken its last byte. */
 @Timeout(60)
-class WrittenTest {
+class AttemptWrittenTest {
 
     /** So deeply nested, Netty tells listeners only in a later turn of the loop. */
     private static final int NESTED = 8;
@@ -107,7 +107,7 @@
             loop.submit(() -> send(client, "t-1", first)).get();
             Peer peer = upstream.accept();
             peer.read();
-            peer.write(Mesh.ok("t-1", "first"));
+            peer.write(SidecarFixture.ok("t-1", "first"));
             assertEquals(Result.OK, first.get(20, TimeUnit.SECONDS));
             Ended second = new Ended();
             boolean[] mayHaveRun = new boolean[1];
--- a/src/test/java/sablehinge/dataplane/sidecar/BalancerSettingsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/BalancerSettingsTest.java
@@ -66,7 +66,7 @@
     private static Version version(BalancerSettings.Place place) {
         return BalancerSettings.version(
                 1,
-                ConfigurationReader.read(Mesh.configuration(4, "", "").getBytes(StandardCharsets.UTF_8)),
+                ConfigurationReader.read(SidecarFixture.configuration(4, "", "").getBytes(StandardCharsets.UTF_8)),
                 BalancerSettings.kinds(),
                 new HashMap<>(),
                 place);
--- a/src/test/java/sablehinge/dataplane/sidecar/HollowSidecarTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/HollowSidecarTest.java
@@ -27,7 +27,7 @@
 @Timeout(30)
 class HollowSidecarTest {
 
-    /** Of this process alone, as those of {@link Mesh}. */
+    /** Of this process alone, as those of {@link SidecarFixture}. */
     private static final long PROCESS = ProcessHandle.current().pid();
 
     private static final String NET = "127." + (1 + PROCESS % 250) + "." + (1 + PROCESS / 250 % 250) + ".";
@@ -56,16 +56,18 @@
             Asks asks = new Asks();
             HollowSidecar hollow = HollowSidecar.start(settings(FIRST), loop, "i-1", asks, HollowSidecarTest::read);
             core.tells(new Registration("other", "z-1", NET + "93:7703", "s", "i-2", true, 4, 0));
-            core.holds(Mesh.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":1,\"burst\":1}", ""), 4);
+            core.holds(
+                    SidecarFixture.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":1,\"burst\":1}", ""),
+                    4);
             hollow.await(view -> view.edition() == 4 && view.roster().size() == 2);
-            Mesh.await("it knows all", () -> !Double.isNaN(hollow.awaitedAt()));
+            SidecarFixture.await("it knows all", () -> !Double.isNaN(hollow.awaitedAt()));
             core.awaitKnown("i-1");
             assertEquals(IP + ":7703", core.told().inbound());
             hollow.replaceUpstream("i-9");
             core.awaitKnown("i-9");
             assertEquals(0, asks.tokens.get());
             hollow.demand(1_000);
-            Mesh.await("it claims", () -> asks.tokens.get() > 0 && hollow.asked() > 0);
+            SidecarFixture.await("it claims", () -> asks.tokens.get() > 0 && hollow.asked() > 0);
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         }
--- a/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
@@ -22,9 +22,9 @@
 import sablehinge.mesh.failuredetection.Suspicion;
 import sablehinge.mesh.failuredetection.SuspicionCause;
 import sablehinge.mesh.watch.Registration;
-import sablehinge.rig.Backlog;
-import sablehinge.rig.Listener;
-import sablehinge.rig.Peer;
+import sablehinge.testing.Backlog;
+import sablehinge.testing.Listener;
+import sablehinge.testing.Peer;
 
 /** Beats on the wire, what a balancer tells of those it does not hear, and what it does when told. */
 @Timeout(60)
@@ -39,25 +39,25 @@
         return HeartbeatPacket.read(Arrays.copyOf(packet.getData(), packet.getLength()));
     }
 
-    private static void send(DatagramSocket socket, Mesh mesh, byte[] bytes) throws IOException {
-        socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getByName(host(mesh)), Mesh.INNER));
+    private static void send(DatagramSocket socket, SidecarFixture mesh, byte[] bytes) throws IOException {
+        socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getByName(host(mesh)), SidecarFixture.INNER));
     }
 
-    private static String host(Mesh mesh) {
+    private static String host(SidecarFixture mesh) {
         return mesh.at.inbound().substring(0, mesh.at.inbound().indexOf(':'));
     }
 
     @Test
     void aBalancerBeatsToItsWatchersAndAccusesWhomItDoesNotHearUntilItDoes() throws Exception {
-        try (Mesh mesh = Mesh.served()) {
+        try (SidecarFixture mesh = SidecarFixture.served()) {
             String own = host(mesh);
             int last = own.lastIndexOf('.') + 1;
             String peer = own.substring(0, last) + (254 - Integer.parseInt(own.substring(last)));
-            try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(peer, Mesh.INNER));
+            try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(peer, SidecarFixture.INNER));
                     Backlog unresponsive = new Backlog()) {
                 mesh.core.tells(registration(peer + ":7001", "i-2", true));
-                mesh.core.tells(
-                        new Registration("s-3", "monza-b", unresponsive.address(), Mesh.SERVICE, "i-3", true, 4, 0));
+                mesh.core.tells(new Registration(
+                        "s-3", "monza-b", unresponsive.address(), SidecarFixture.SERVICE, "i-3", true, 4, 0));
                 HeartbeatPacket first = read(socket);
                 assertEquals(HashRing.place("s-1"), first.place());
                 HeartbeatPacket second = read(socket);
@@ -66,15 +66,15 @@
                 send(socket, mesh, heartbeat.bytes());
                 send(socket, mesh, new HeartbeatPacket(HashRing.place("s-3"), 6, 1).bytes());
                 send(socket, mesh, new byte[3]);
-                Mesh.await("they are accused", () -> accused(mesh).equals(Set.of(OTHER, "s-3")));
+                SidecarFixture.await("they are accused", () -> accused(mesh).equals(Set.of(OTHER, "s-3")));
                 send(socket, mesh, heartbeat.bytes());
                 send(socket, mesh, new HeartbeatPacket(heartbeat.place(), 5, 2).bytes());
-                Mesh.await("it is heard again", () -> accused(mesh).equals(Set.of("s-3")));
+                SidecarFixture.await("it is heard again", () -> accused(mesh).equals(Set.of("s-3")));
             }
         }
     }
 
-    private static Set<String> accused(Mesh mesh) {
+    private static Set<String> accused(SidecarFixture mesh) {
         return mesh.core.suspicions().stream().map(Suspicion::node).collect(Collectors.toSet());
     }
 
@@ -109,16 +109,16 @@
     void whatWaitsForAConnectionGoesElsewhereOnceItsUpstreamIsToldOff() throws Exception {
         long took = Long.MAX_VALUE;
         for (int i = 0; i < 20 && took >= 900; i++) {
-            try (Mesh mesh = new Mesh();
+            try (SidecarFixture mesh = new SidecarFixture();
                     Backlog full = new Backlog()) {
-                mesh.core.holds(Mesh.configuration(4, "", ""), 4);
+                mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
                 mesh.core.tells(registration(full.address(), "i-2", true));
                 mesh.core.awaitKnown("");
-                Wire client = mesh.client();
+                PlainConnection client = mesh.client();
                 long begun = System.nanoTime();
-                client.write(Mesh.post("/u/x", "t-1", "1"));
+                client.write(SidecarFixture.post("/u/x", "t-1", "1"));
                 // Its request is read, and waits, once what came after it is.
-                Mesh.await("it is ready", () -> {
+                SidecarFixture.await("it is ready", () -> {
                     try {
                         return mesh.ready() == 200;
                     } catch (IOException e) {
@@ -126,9 +126,9 @@
                     }
                 });
                 Listener other = mesh.other("i-3");
-                mesh.answers(other, request -> Mesh.ok(request.id(), "there"));
+                mesh.answers(other, request -> SidecarFixture.ok(request.id(), "there"));
                 mesh.core.tells(registration(full.address(), "i-2", false));
-                Wire.Message answer = client.read();
+                PlainConnection.Message answer = client.read();
                 took = (System.nanoTime() - begun) / 1_000_000;
                 assertEquals("there", answer.body());
             }
@@ -137,6 +137,6 @@
     }
 
     private static Registration registration(String at, String incarnation, boolean ready) {
-        return new Registration(OTHER, "monza-a", at, Mesh.SERVICE, incarnation, ready, 4, 0);
+        return new Registration(OTHER, "monza-a", at, SidecarFixture.SERVICE, incarnation, ready, 4, 0);
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/Wire.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PlainConnection.java
@@ -11,7 +11,7 @@
 import java.util.List;
 
 /** One end of a plain HTTP/1.1 connection that reads both framings. */
-final class Wire implements AutoCloseable {
+final class PlainConnection implements AutoCloseable {
 
     private static final int PATIENCE_MS = 20_000;
     final Socket socket;
@@ -49,23 +49,23 @@
         }
     }
 
-    Wire(Socket socket) throws IOException {
+    PlainConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(PATIENCE_MS);
         socket.setTcpNoDelay(true);
         in = socket.getInputStream();
     }
 
-    static Wire to(String address) throws IOException {
+    static PlainConnection to(String address) throws IOException {
         int colon = address.lastIndexOf(':');
         Socket socket = new Socket();
         socket.connect(
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
                 PATIENCE_MS);
-        return new Wire(socket);
+        return new PlainConnection(socket);
     }
 
-    Wire write(String text) throws IOException {
+    PlainConnection write(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
@@ -33,20 +33,21 @@
     @Test
     void aProcessThatBeginsHasHalfOfItsPartOfTheBurst() throws Exception {
         int balancers = 10;
-        try (Mesh mesh = new Mesh(false).answers(request -> Mesh.ok(request.id(), ""))) {
+        try (SidecarFixture mesh = new SidecarFixture(false).answers(request -> SidecarFixture.ok(request.id(), ""))) {
             for (int i = 2; i <= balancers; i++) {
                 mesh.core.tells(new Registration("s-" + i, "monza-a", "127.0.0.1:" + i, "other", "o-" + i, true, 4, 0));
             }
             mesh.core.holds(
-                    Mesh.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":0.01," + "\"burst\":400}", ""),
+                    SidecarFixture.configuration(
+                            4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":0.01," + "\"burst\":400}", ""),
                     4);
             mesh.heartbeat("i-1", "ready");
-            Mesh.await("it asks", () -> mesh.core.confirmationsAsked() > 0);
+            SidecarFixture.await("it asks", () -> mesh.core.confirmationsAsked() > 0);
             mesh.core.confirms(true);
             mesh.core.awaitKnown("i-1");
-            Wire client = mesh.client();
+            PlainConnection client = mesh.client();
             int served = 0;
-            while (client.ask(Mesh.get("/s/x", "t-" + served, "Sablehinge-Key: k\r\n"))
+            while (client.ask(SidecarFixture.get("/s/x", "t-" + served, "Sablehinge-Key: k\r\n"))
                             .status()
                     == 200) {
                 served++;
--- a/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
@@ -23,8 +23,8 @@
             {"name":"hule930","passes":["k-1","k-2"],"priority":0,"perS":0,"burst":0},
             {"name":"few","passes":["k-few"],"perS":0.01,"burst":10}""";
 
-    private static String echo(Wire.Message request) {
-        return Mesh.ok(request.id(), request.body());
+    private static String echo(PlainConnection.Message request) {
+        return SidecarFixture.ok(request.id(), request.body());
     }
 
     private static String lines(String... lines) {
@@ -42,9 +42,10 @@
         "POST,/u/x,1300000"
     })
     void methodPathQueryAndBodyArriveUnchanged(String method, String path, int length) throws Exception {
-        try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
+        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
             String body = "0123456789".repeat(length / 10 + 1).substring(0, length);
-            Wire.Message answer = mesh.client().ask(Mesh.post(path, "t-1", body).replaceFirst("POST", method));
+            PlainConnection.Message answer =
+                    mesh.client().ask(SidecarFixture.post(path, "t-1", body).replaceFirst("POST", method));
             assertEquals(200, answer.status());
             assertEquals(body, answer.body());
             assertEquals("t-1", answer.id());
@@ -58,39 +59,41 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 40_000, 1_700_000})
     void anUploadInChunksArrivesWhole(int length) throws Exception {
-        try (Mesh mesh = Mesh.served()
-                .answers(request -> Mesh.ok(request.id(), "" + request.body().length()))) {
-            Wire client = mesh.client();
-            client.write(Mesh.get("/u/up", "t-1", lines("Transfer-Encoding: chunked"))
+        try (SidecarFixture mesh = SidecarFixture.served()
+                .answers(request ->
+                        SidecarFixture.ok(request.id(), "" + request.body().length()))) {
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.get("/u/up", "t-1", lines("Transfer-Encoding: chunked"))
                     .replaceFirst("GET", "POST"));
             String half = "ab".repeat(length / 4);
             String chunk = Integer.toHexString(half.length()) + "\r\n" + half + "\r\n";
             client.write(chunk + chunk + "0\r\n\r\n");
             assertEquals("" + 2 * half.length(), client.read().body());
             assertEquals(half + half, mesh.arrived.get(0).body());
-            assertEquals(200, client.ask(Mesh.get("/s/x", "t-2")).status());
+            assertEquals(200, client.ask(SidecarFixture.get("/s/x", "t-2")).status());
         }
     }
 
     @Test
     void anUploadThatIsCutOffArrivesNowhereAsAWholeOne() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
+        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
             for (int length : new int[] {1_000, 1_700_000}) {
-                Wire client = mesh.client();
-                client.write(Mesh.get("/u/up", "t-" + length, lines("Transfer-Encoding: chunked"))
+                PlainConnection client = mesh.client();
+                client.write(SidecarFixture.get("/u/up", "t-" + length, lines("Transfer-Encoding: chunked"))
                         .replaceFirst("GET", "POST"));
                 client.write(Integer.toHexString(length) + "\r\n" + "a".repeat(length) + "\r\n");
                 client.close();
             }
-            assertEquals(200, mesh.client().ask(Mesh.get("/s/x", "t-2")).status());
+            assertEquals(
+                    200, mesh.client().ask(SidecarFixture.get("/s/x", "t-2")).status());
             assertEquals(List.of("t-2"), mesh.arrivedIds());
         }
     }
 
     @Test
     void whatConcernsOneConnectionIsDroppedAndAllElsePasses() throws Exception {
-        try (Mesh mesh = Mesh.served()
-                .answers(request -> Mesh.ok(
+        try (SidecarFixture mesh = SidecarFixture.served()
+                .answers(request -> SidecarFixture.ok(
                         request.id(),
                         "",
                         lines(
@@ -100,8 +103,8 @@
                                 "X-Near: 1",
                                 "Keep-Alive: timeout=5",
                                 "Sablehinge-Verdict: not-run")))) {
-            Wire.Message answer = mesh.client()
-                    .ask(Mesh.get(
+            PlainConnection.Message answer = mesh.client()
+                    .ask(SidecarFixture.get(
                             "/s/x",
                             "t-1",
                             lines(
@@ -116,7 +119,7 @@
                                     "Cookie: c=d",
                                     "Sablehinge-Patience: 1",
                                     "Sablehinge-Rank: 0")));
-            Wire.Message request = mesh.arrived.get(0);
+            PlainConnection.Message request = mesh.arrived.get(0);
             assertEquals(List.of("a", "b"), request.all("X-Far"));
             assertEquals("identity", request.one("Accept-Encoding"));
             assertEquals("c=d", request.one("Cookie"));
@@ -142,11 +145,11 @@
     /** RULES, UNASKED: what is set for an upstream can't be taken out by naming it a connection's own. */
     @Test
     void noHeaderOfTheProtocolIsAConnectionsOwn() throws Exception {
-        try (Mesh mesh = Mesh.served(TENANTS)
-                .answers(request ->
-                        Mesh.ok(request.id(), "", lines("Connection: Sablehinge-Postmark, Sablehinge-Try-Id")))) {
-            Wire.Message answer = mesh.client()
-                    .ask(Mesh.get(
+        try (SidecarFixture mesh = SidecarFixture.served(TENANTS)
+                .answers(request -> SidecarFixture.ok(
+                        request.id(), "", lines("Connection: Sablehinge-Postmark, Sablehinge-Try-Id")))) {
+            PlainConnection.Message answer = mesh.client()
+                    .ask(SidecarFixture.get(
                             "/s/x",
                             "t-1",
                             lines(
@@ -156,8 +159,8 @@
                                             + "Sablehinge-Deliver-To, Sablehinge-Rank")));
             assertEquals(200, answer.status());
             assertEquals("3e1b.t-1", answer.one("Sablehinge-Postmark"));
-            Wire.Message request = mesh.arrived.get(0);
-            assertEquals(Mesh.CALLER, request.one("Sablehinge-Caller"));
+            PlainConnection.Message request = mesh.arrived.get(0);
+            assertEquals(SidecarFixture.CALLER, request.one("Sablehinge-Caller"));
             assertEquals("hule930", request.one("Sablehinge-Sender"));
             assertEquals("t-1", request.id());
             assertEquals("i-1", request.one("Sablehinge-Deliver-To"));
@@ -166,7 +169,7 @@
 
     @Test
     void theKeyStaysHereAndWhoSentWhatIsSetWhateverWasSent() throws Exception {
-        try (Mesh mesh = Mesh.served(TENANTS).answers(RequestsTest::echo)) {
+        try (SidecarFixture mesh = SidecarFixture.served(TENANTS).answers(RequestsTest::echo)) {
             String forged = lines(
                     "Sablehinge-Sender: other",
                     "Sablehinge-Caller: other",
@@ -175,19 +178,21 @@
             assertEquals(
                     200,
                     mesh.client()
-                            .ask(Mesh.get("/s/x", "t-1", forged, lines("Sablehinge-Key: k-2")))
+                            .ask(SidecarFixture.get("/s/x", "t-1", forged, lines("Sablehinge-Key: k-2")))
                             .status());
-            assertEquals(200, mesh.client().ask(Mesh.get("/o/x", "t-2", forged)).status());
+            assertEquals(
+                    200,
+                    mesh.client().ask(SidecarFixture.get("/o/x", "t-2", forged)).status());
             assertEquals(
                     200,
                     mesh.client()
-                            .ask(Mesh.get("/o/x", "t-3", lines("Sablehinge-Key: wrong")))
+                            .ask(SidecarFixture.get("/o/x", "t-3", lines("Sablehinge-Key: wrong")))
                             .status());
-            Wire.Message known = mesh.arrived.get(0);
+            PlainConnection.Message known = mesh.arrived.get(0);
             assertEquals("hule930", known.one("Sablehinge-Sender"));
             assertEquals("i-1", known.one("Sablehinge-Deliver-To"));
-            for (Wire.Message request : mesh.arrived) {
-                assertEquals(Mesh.CALLER, request.one("Sablehinge-Caller"));
+            for (PlainConnection.Message request : mesh.arrived) {
+                assertEquals(SidecarFixture.CALLER, request.one("Sablehinge-Caller"));
                 assertEquals(List.of(), request.all("Sablehinge-Key"));
             }
             assertEquals(List.of(), mesh.arrived.get(1).all("Sablehinge-Sender"));
@@ -197,22 +202,24 @@
 
     @Test
     void anUnknownKeyNoneAndTwoAreTurnedAway() throws Exception {
-        try (Mesh mesh = Mesh.served(TENANTS).answers(RequestsTest::echo)) {
+        try (SidecarFixture mesh = SidecarFixture.served(TENANTS).answers(RequestsTest::echo)) {
             assertEquals(
                     401,
                     mesh.client()
-                            .ask(Mesh.get("/s/x", "t-1", lines("Sablehinge-Key: wrong")))
+                            .ask(SidecarFixture.get("/s/x", "t-1", lines("Sablehinge-Key: wrong")))
                             .status());
-            assertEquals(401, mesh.client().ask(Mesh.get("/s/x", "t-2")).status());
+            assertEquals(
+                    401, mesh.client().ask(SidecarFixture.get("/s/x", "t-2")).status());
             assertEquals(
                     400,
                     mesh.client()
-                            .ask(Mesh.get("/s/x", "t-3", lines("Sablehinge-Key: k-1", "Sablehinge-Key: k-few")))
+                            .ask(SidecarFixture.get(
+                                    "/s/x", "t-3", lines("Sablehinge-Key: k-1", "Sablehinge-Key: k-few")))
                             .status());
             assertEquals(
                     400,
                     mesh.client()
-                            .ask(Mesh.get("/s/x", "t-4", lines("Sablehinge-Key: k-1"))
+                            .ask(SidecarFixture.get("/s/x", "t-4", lines("Sablehinge-Key: k-1"))
                                     .replaceAll("Sablehinge-Try-Id: t-4\r\n", ""))
                             .status());
             assertEquals(List.of(), mesh.arrivedIds());
@@ -221,13 +228,14 @@
 
     @Test
     void whatIsBeyondATenantsQuotaGetsA429ThatSaysWhenAndOthersGoOn() throws Exception {
-        try (Mesh mesh = Mesh.served(TENANTS).answers(RequestsTest::echo)) {
-            Wire client = mesh.client();
+        try (SidecarFixture mesh = SidecarFixture.served(TENANTS).answers(RequestsTest::echo)) {
+            PlainConnection client = mesh.client();
             int served = 0;
-            Wire.Message answer = client.ask(Mesh.get("/s/x", "t-0", lines("Sablehinge-Key: k-few")));
+            PlainConnection.Message answer =
+                    client.ask(SidecarFixture.get("/s/x", "t-0", lines("Sablehinge-Key: k-few")));
             while (answer.status() == 200 && served < 30) {
                 served++;
-                answer = client.ask(Mesh.get("/s/x", "t-" + served, lines("Sablehinge-Key: k-few")));
+                answer = client.ask(SidecarFixture.get("/s/x", "t-" + served, lines("Sablehinge-Key: k-few")));
             }
             assertEquals(429, answer.status());
             assertTrue(served > 0 && served <= 10, served + " served");
@@ -236,17 +244,17 @@
             assertEquals(served, mesh.arrived.size());
             assertEquals(
                     200,
-                    client.ask(Mesh.get("/s/x", "u-1", lines("Sablehinge-Key: k-1")))
+                    client.ask(SidecarFixture.get("/s/x", "u-1", lines("Sablehinge-Key: k-1")))
                             .status());
-            assertEquals(200, client.ask(Mesh.get("/o/x", "u-2")).status());
+            assertEquals(200, client.ask(SidecarFixture.get("/o/x", "u-2")).status());
         }
     }
 
     @Test
     void theTimeLeftIsNeverMoreThanTheClientSaidNorThanTheRoutesTimeOut() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
-            mesh.client().ask(Mesh.get("/s/x", "t-1"));
-            mesh.client().ask(Mesh.get("/s/x", "t-2").replace("Left: 12000", "Left: 90000"));
+        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
+            mesh.client().ask(SidecarFixture.get("/s/x", "t-1"));
+            mesh.client().ask(SidecarFixture.get("/s/x", "t-2").replace("Left: 12000", "Left: 90000"));
             for (int i = 0; i < 2; i++) {
                 int left = Integer.parseInt(mesh.arrived.get(i).one("Sablehinge-Time-Left"));
                 assertTrue(left > 0 && left <= (i == 0 ? 12_000 : 15_000), "left " + left);
@@ -277,16 +285,16 @@
                 ""
             })
     void whatIsNoWholeSuccessOfTheUpstreamIsNoneForTheClientAndNoPromise(String answer) throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> answer)) {
-            Wire client = mesh.client();
-            client.write(Mesh.post("/u/x", "t-1", "body"));
-            Mesh.await("it has arrived", () -> mesh.arrived.size() == 1);
+        try (SidecarFixture mesh = SidecarFixture.served().answers(request -> answer)) {
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.post("/u/x", "t-1", "body"));
+            SidecarFixture.await("it has arrived", () -> mesh.arrived.size() == 1);
             mesh.app.close();
             if (answer.isEmpty() || !answer.endsWith("\r\n\r\n")) {
                 // What is not whole stays so until the connection ends.
                 mesh.closeUpstreams();
             }
-            Wire.Message told = client.read();
+            PlainConnection.Message told = client.read();
             assertEquals(502, told.status());
             assertEquals("t-1", told.id());
             assertEquals("", told.body());
@@ -297,10 +305,10 @@
     @ParameterizedTest
     @ValueSource(ints = {500, 504, 404, 409, 400})
     void anUpstreamsOwnFailureReturnsAsItIs(int status) throws Exception {
-        try (Mesh mesh = Mesh.served()
+        try (SidecarFixture mesh = SidecarFixture.served()
                 .answers(request -> "HTTP/1.1 " + status + " Own\r\nX-Own: 1\r\n"
                         + "Sablehinge-Try-Id: t-1\r\nContent-Length: 3\r\n\r\nwhy")) {
-            Wire.Message told = mesh.client().ask(Mesh.post("/u/x", "t-1", "body"));
+            PlainConnection.Message told = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "body"));
             assertEquals(status, told.status());
             assertEquals("why", told.body());
             assertEquals("1", told.one("X-Own"));
@@ -312,10 +320,10 @@
     @ParameterizedTest
     @CsvSource({"503 Run,502,0", "429 Run,502,0", "408 Run,502,0", "500 Oh,500,1", "404 Gone,404,1"})
     void aFailureKeepsItsStampOnlyWithItsStatus(String given, int status, int stamps) throws Exception {
-        try (Mesh mesh = Mesh.served()
+        try (SidecarFixture mesh = SidecarFixture.served()
                 .answers(request -> "HTTP/1.1 " + given + "\r\nSablehinge-Try-Id: " + request.id()
                         + "\r\nSablehinge-Postmark: 3e1b.x\r\nContent-Length: 0\r\n\r\n")) {
-            Wire.Message answer = mesh.client().ask(Mesh.post("/u/x", "t-1", "b"));
+            PlainConnection.Message answer = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "b"));
             assertEquals(status, answer.status());
             assertEquals(stamps, answer.all("Sablehinge-Postmark").size());
         }
@@ -324,11 +332,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"503 Full", "429 Many", "400 Bad", "421 Other"})
     void whatTheUpstreamSaysIsNotRunIsAPromiseForTheClient(String status) throws Exception {
-        try (Mesh mesh = Mesh.served()
+        try (SidecarFixture mesh = SidecarFixture.served()
                 .answers(request -> "HTTP/1.1 " + status + "\r\n"
                         + (status.startsWith("421") ? "" : "Sablehinge-Not-Run: 1\r\n")
                         + "Sablehinge-Try-Id: t-1\r\nContent-Length: 0\r\n\r\n")) {
-            Wire.Message told = mesh.client().ask(Mesh.post("/u/x", "t-1", "body"));
+            PlainConnection.Message told = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "body"));
             assertEquals(503, told.status());
             assertEquals("t-1", told.id());
             assertFalse(mesh.arrived.isEmpty());
@@ -337,17 +345,19 @@
 
     @Test
     void aSurplusAnswerInThePlaceOfTheNextGoesToNobody() throws Exception {
-        try (Mesh mesh = Mesh.served()) {
-            Wire client = mesh.client();
-            client.write(Mesh.post("/u/1", "t-1", "a"));
-            Wire upstream = mesh.upstream();
+        try (SidecarFixture mesh = SidecarFixture.served()) {
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.post("/u/1", "t-1", "a"));
+            PlainConnection upstream = mesh.upstream();
             upstream.read();
-            upstream.write(Mesh.ok("t-1", "first"));
+            upstream.write(SidecarFixture.ok("t-1", "first"));
             assertEquals("first", client.read().body());
-            client.write(Mesh.post("/u/2", "t-2", "b"));
+            client.write(SidecarFixture.post("/u/2", "t-2", "b"));
             assertEquals("t-2", upstream.read().id());
-            upstream.write(Mesh.ok("t-1", "surplus") + Mesh.ok("t-0", "older") + Mesh.ok("t-2", "second"));
-            Wire.Message answer = client.read();
+            upstream.write(SidecarFixture.ok("t-1", "surplus")
+                    + SidecarFixture.ok("t-0", "older")
+                    + SidecarFixture.ok("t-2", "second"));
+            PlainConnection.Message answer = client.read();
             assertEquals(200, answer.status());
             assertEquals("t-2", answer.id());
             assertEquals("second", answer.body());
@@ -357,23 +367,23 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whereOnlyTheSurplusAnswerComesTheClientIsToldNoneOfIt(boolean large) throws Exception {
-        try (Mesh mesh = Mesh.served()) {
-            Wire client = mesh.client();
-            client.write(Mesh.post("/u/1", "t-1", "a"));
-            Wire upstream = mesh.upstream();
+        try (SidecarFixture mesh = SidecarFixture.served()) {
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.post("/u/1", "t-1", "a"));
+            PlainConnection upstream = mesh.upstream();
             upstream.read();
-            upstream.write(Mesh.ok("t-1", "first"));
+            upstream.write(SidecarFixture.ok("t-1", "first"));
             client.read();
-            client.write(Mesh.post("/u/2", "t-2", "b"));
+            client.write(SidecarFixture.post("/u/2", "t-2", "b"));
             upstream.read();
             try {
-                upstream.write(Mesh.ok("t-1", "s".repeat(large ? 200_000 : 7)));
+                upstream.write(SidecarFixture.ok("t-1", "s".repeat(large ? 200_000 : 7)));
             } catch (SocketException e) {
                 // The balancer may give the connection up while the rest is on its way, as it should.
                 assertTrue(large, e::toString);
             }
             upstream.close();
-            Wire.Message answer = client.read();
+            PlainConnection.Message answer = client.read();
             assertEquals(502, answer.status());
             assertEquals("t-2", answer.id());
             assertEquals(0, mesh.app.waiting());
@@ -382,13 +392,13 @@
 
     @Test
     void aSafeRequestInWhosePlaceASurplusAnswerCameIsTriedAgain() throws Exception {
-        try (Mesh mesh = Mesh.served()) {
+        try (SidecarFixture mesh = SidecarFixture.served()) {
             mesh.answers(request -> mesh.arrived.size() > 2
-                    ? Mesh.ok(request.id(), "right")
-                    : Mesh.ok("t-1", "first", "Connection: close\r\n"));
-            Wire client = mesh.client();
-            assertEquals("first", client.ask(Mesh.get("/s/1", "t-1")).body());
-            Wire.Message answer = client.ask(Mesh.get("/s/2", "t-2"));
+                    ? SidecarFixture.ok(request.id(), "right")
+                    : SidecarFixture.ok("t-1", "first", "Connection: close\r\n"));
+            PlainConnection client = mesh.client();
+            assertEquals("first", client.ask(SidecarFixture.get("/s/1", "t-1")).body());
+            PlainConnection.Message answer = client.ask(SidecarFixture.get("/s/2", "t-2"));
             assertEquals(200, answer.status());
             assertEquals("right", answer.body());
             assertEquals(List.of("t-1", "t-2", "t-2"), mesh.arrivedIds().subList(0, 3));
@@ -397,35 +407,35 @@
 
     @Test
     void whatComesBehindAWholeAnswerIsNotTakenForTheNext() throws Exception {
-        try (Mesh mesh = Mesh.served()) {
-            Wire client = mesh.client();
-            client.write(Mesh.post("/u/1", "t-1", "a"));
-            Wire upstream = mesh.upstream();
+        try (SidecarFixture mesh = SidecarFixture.served()) {
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.post("/u/1", "t-1", "a"));
+            PlainConnection upstream = mesh.upstream();
             upstream.read();
-            upstream.write(Mesh.ok("t-1", "first") + "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-2\r\n");
+            upstream.write(SidecarFixture.ok("t-1", "first") + "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-2\r\n");
             assertEquals("first", client.read().body());
-            client.write(Mesh.post("/u/2", "t-2", "b"));
-            Wire second = mesh.upstream();
+            client.write(SidecarFixture.post("/u/2", "t-2", "b"));
+            PlainConnection second = mesh.upstream();
             second.read();
-            second.write(Mesh.ok("t-2", "second"));
+            second.write(SidecarFixture.ok("t-2", "second"));
             assertEquals("second", client.read().body());
         }
     }
 
     @Test
     void aLongAnswerPassesWholeAndOneThatBreaksOffDoesNotLookWhole() throws Exception {
-        try (Mesh mesh = Mesh.served()) {
+        try (SidecarFixture mesh = SidecarFixture.served()) {
             String body = "0123456789".repeat(30_000);
             for (boolean complete : new boolean[] {true, false}) {
-                Wire client = mesh.client();
-                client.write(Mesh.post("/u/1", "t-1", "a"));
-                Wire upstream = mesh.upstream();
+                PlainConnection client = mesh.client();
+                client.write(SidecarFixture.post("/u/1", "t-1", "a"));
+                PlainConnection upstream = mesh.upstream();
                 upstream.read();
                 String chunk = Integer.toHexString(body.length()) + "\r\n" + body + "\r\n";
                 upstream.write("HTTP/1.1 200 OK\r\nSablehinge-Try-Id: t-1\r\nSablehinge-Postmark: p\r\n"
                         + "Transfer-Encoding: chunked\r\n\r\n" + chunk + (complete ? "0\r\n\r\n" : ""));
                 upstream.close();
-                Wire.Message answer;
+                PlainConnection.Message answer;
                 try {
                     answer = client.read();
                 } catch (java.io.IOException e) {
@@ -444,12 +454,12 @@
 
     @Test
     void requestsThatWereSentAheadAreAnsweredInTheirOrder() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
-            Wire client = mesh.client();
-            client.write(Mesh.post("/s/x", "t-1", "1")
-                    + Mesh.post("/s/x", "t-2", "2")
-                    + Mesh.get("/none/x", "t-3")
-                    + Mesh.post("/s/x", "t-4", "4"));
+        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.post("/s/x", "t-1", "1")
+                    + SidecarFixture.post("/s/x", "t-2", "2")
+                    + SidecarFixture.get("/none/x", "t-3")
+                    + SidecarFixture.post("/s/x", "t-4", "4"));
             assertEquals("t-1", client.read().id());
             assertEquals("2", client.read().body());
             assertEquals(404, client.read().status());
@@ -460,14 +470,17 @@
     @ParameterizedTest
     @ValueSource(strings = {"Connection: close\r\n", "Sablehinge-Time-Left: never\r\n"})
     void whatWasSentBehindARequestWhoseAnswerClosesIsNeverRun(String header) throws Exception {
-        try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
-            Wire client = mesh.client();
-            client.write(
-                    Mesh.post("/u/x", "t-1", "1", header) + Mesh.post("/u/x", "t-2", "2") + Mesh.get("/s/x", "t-3"));
-            Wire.Message answer = client.read();
+        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.post("/u/x", "t-1", "1", header)
+                    + SidecarFixture.post("/u/x", "t-2", "2")
+                    + SidecarFixture.get("/s/x", "t-3"));
+            PlainConnection.Message answer = client.read();
             assertEquals("close", answer.one("Connection"));
             assertNull(client.read());
-            assertEquals(200, mesh.client().ask(Mesh.post("/u/x", "t-2", "2")).status());
+            assertEquals(
+                    200,
+                    mesh.client().ask(SidecarFixture.post("/u/x", "t-2", "2")).status());
             assertEquals(1, mesh.arrivedIds().stream().filter("t-2"::equals).count());
             assertFalse(mesh.arrivedIds().contains("t-3"));
         }
@@ -475,10 +488,11 @@
 
     @Test
     void anUpstreamThatClosesItsConnectionDoesNotCloseTheClients() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> Mesh.ok(request.id(), "", "Connection: close\r\n"))) {
-            Wire client = mesh.client();
-            client.write(Mesh.post("/u/x", "t-1", "1") + Mesh.post("/u/x", "t-2", "2"));
-            Wire.Message answer = client.read();
+        try (SidecarFixture mesh = SidecarFixture.served()
+                .answers(request -> SidecarFixture.ok(request.id(), "", "Connection: close\r\n"))) {
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.post("/u/x", "t-1", "1") + SidecarFixture.post("/u/x", "t-2", "2"));
+            PlainConnection.Message answer = client.read();
             assertNull(answer.one("Connection"));
             assertEquals("t-2", client.read().id());
         }
@@ -488,11 +502,11 @@
 
     @Test
     void whatReachesNoOtherBalancerIsPromisedNotToHaveRun() throws Exception {
-        try (Mesh mesh = new Mesh()) {
-            mesh.core.holds(Mesh.configuration(4, "", ""), 4);
+        try (SidecarFixture mesh = new SidecarFixture()) {
+            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
             mesh.other("i-8").close();
             mesh.core.awaitKnown("");
-            Wire.Message answer = mesh.client().ask(Mesh.post("/u/x", "t-1", "1"));
+            PlainConnection.Message answer = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "1"));
             assertEquals(503, answer.status());
             assertEquals("t-1", answer.id());
         }
@@ -500,12 +514,12 @@
 
     @Test
     void whatBreaksBeforeItsFirstByteMayGoElsewhereAndIsNeverInDoubt() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(RequestsTest::echo)) {
+        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
             mesh.other("i-8").close();
             mesh.core.awaitKnown("i-1");
             int served = 0;
             for (int i = 0; i < 20; i++) {
-                Wire.Message answer = mesh.client().ask(Mesh.post("/u/x", "t-" + i, "1"));
+                PlainConnection.Message answer = mesh.client().ask(SidecarFixture.post("/u/x", "t-" + i, "1"));
                 assertTrue(answer.status() == 200 || answer.status() == 503, answer.first());
                 served += answer.status() == 200 ? 1 : 0;
             }
@@ -517,16 +531,16 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whatBreaksAfterItWasSentIsInDoubtAndRunsOnceAtMost(boolean abruptly) throws Exception {
-        try (Mesh mesh = new Mesh()) {
-            mesh.core.holds(Mesh.configuration(4, "", ""), 4);
-            sablehinge.rig.Listener one = mesh.other("i-8");
-            sablehinge.rig.Listener two = mesh.other("i-9");
+        try (SidecarFixture mesh = new SidecarFixture()) {
+            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
+            sablehinge.testing.Listener one = mesh.other("i-8");
+            sablehinge.testing.Listener two = mesh.other("i-9");
             mesh.core.awaitKnown("");
-            Wire client = mesh.client();
-            client.write(Mesh.post("/u/x", "t-1", "1"));
-            Mesh.await("one has it", () -> one.waiting() + two.waiting() > 0);
-            Wire balancer = new Wire((one.waiting() > 0 ? one : two).accept().socket);
-            Wire.Message sent = balancer.read();
+            PlainConnection client = mesh.client();
+            client.write(SidecarFixture.post("/u/x", "t-1", "1"));
+            SidecarFixture.await("one has it", () -> one.waiting() + two.waiting() > 0);
+            PlainConnection balancer = new PlainConnection((one.waiting() > 0 ? one : two).accept().socket);
+            PlainConnection.Message sent = balancer.read();
             assertEquals("t-1", sent.id());
             assertNotNull(sent.one("Sablehinge-Patience"));
             if (abruptly) {
@@ -542,9 +556,9 @@
     @ParameterizedTest
     @CsvSource({"not-run,503", "may-have-run,502", "ran,502", ",502"})
     void onlyAnotherBalancersProofIsAPromise(String verdict, int expected) throws Exception {
-        try (Mesh mesh = new Mesh()) {
-            mesh.core.holds(Mesh.configuration(4, "", ""), 4);
-            sablehinge.rig.Listener other = mesh.other("i-8");
+        try (SidecarFixture mesh = new SidecarFixture()) {
+            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
+            sablehinge.testing.Listener other = mesh.other("i-8");
             mesh.answers(
                     other,
                     request -> "HTTP/1.1 503 No\r\nSablehinge-Try-Id: t-1\r\n"
@@ -552,20 +566,21 @@
                             + (verdict == null ? "" : "Sablehinge-Verdict: " + verdict + "\r\n") + "\r\n");
             mesh.core.awaitKnown("");
             assertEquals(
-                    expected, mesh.client().ask(Mesh.post("/u/x", "t-1", "1")).status());
+                    expected,
+                    mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "1")).status());
             assertTrue(expected == 503 || mesh.arrived.size() == 1);
         }
     }
 
     @Test
     void aConnectionThatWasClosedWhileItRestedCarriesNothing() throws Exception {
-        try (Mesh mesh = Mesh.served()) {
-            Wire client = mesh.client();
+        try (SidecarFixture mesh = SidecarFixture.served()) {
+            PlainConnection client = mesh.client();
             for (int i = 0; i < 3; i++) {
-                client.write(Mesh.post("/u/x", "t-" + i, "1"));
-                Wire upstream = mesh.upstream();
+                client.write(SidecarFixture.post("/u/x", "t-" + i, "1"));
+                PlainConnection upstream = mesh.upstream();
                 upstream.read();
-                upstream.write(Mesh.ok("t-" + i, "" + i));
+                upstream.write(SidecarFixture.ok("t-" + i, "" + i));
                 assertEquals("" + i, client.read().body());
                 upstream.close();
             }
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -60,18 +60,19 @@
         private Answer.Kind last;
 
         World(int attempts) {
-            Configuration configuration = ConfigurationReader.read(Mesh.configuration(4, "", "")
+            Configuration configuration = ConfigurationReader.read(SidecarFixture.configuration(4, "", "")
                     .replaceAll("\"attempts\":[0-9]+", "\"attempts\":" + attempts)
                     .getBytes(StandardCharsets.UTF_8));
             routes = configuration.routes();
             version = BalancerSettings.version(
                     1, configuration, BalancerSettings.kinds(), places, new BalancerSettings.Place(0, 0, 1));
             holder.begin(1);
-            holder.adopt(now, List.of(Mesh.SERVICE));
+            holder.adopt(now, List.of(SidecarFixture.SERVICE));
             retryBudget.adopt(configuration);
             List<Registration> registry = new ArrayList<>();
             for (int i = 0; i < BALANCERS; i++) {
-                registry.add(new Registration("s-" + i, "monza-a", "127.0.0.1:1", Mesh.SERVICE, "i-" + i, true, 4, 0));
+                registry.add(new Registration(
+                        "s-" + i, "monza-a", "127.0.0.1:1", SidecarFixture.SERVICE, "i-" + i, true, 4, 0));
             }
             retryBudget.divide(registry, 1);
             core.bound(retryBudget);
@@ -104,12 +105,12 @@
 
         /** A request of the first route, which is safe; its attempts end as the consumer says. */
         void request() {
-            retryBudget.came(Mesh.SERVICE, false);
+            retryBudget.came(SidecarFixture.SERVICE, false);
             Consumer<Answer> hears = answer -> last = answer.kind();
             core.request(
                     version,
                     new Arrival(
-                                    places.get(BalancerSettings.name(routes.get(0), Mesh.SERVICE)),
+                                    places.get(BalancerSettings.name(routes.get(0), SidecarFixture.SERVICE)),
                                     0,
                                     0,
                                     now + 2_000,
@@ -171,7 +172,7 @@
                 20_000,
                 List.of(),
                 null,
-                Mesh.CALLER,
+                SidecarFixture.CALLER,
                 Map.of("monza-a", "monza"),
                 null,
                 null,
--- a/src/test/java/sablehinge/dataplane/sidecar/Mesh.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/SidecarFixture.java
@@ -12,11 +12,11 @@
 import java.util.function.Function;
 import sablehinge.common.settings.LocalSettings;
 import sablehinge.mesh.watch.Registration;
-import sablehinge.rig.Listener;
-import sablehinge.rig.Peer;
+import sablehinge.testing.Listener;
+import sablehinge.testing.Peer;
 
 /** A balancer on loopback addresses of its own, with a core, an upstream and clients that the test plays. */
-final class Mesh implements AutoCloseable {
+final class SidecarFixture implements AutoCloseable {
 
     static final String SERVICE = "huvo11a";
     static final String CALLER = "wuno96b";
@@ -29,22 +29,22 @@
     final Listener app = new Listener();
     final Sidecar sidecar;
     final LocalSettings.ListenOn at;
-    final List<Wire.Message> arrived = new CopyOnWriteArrayList<>();
+    final List<PlainConnection.Message> arrived = new CopyOnWriteArrayList<>();
     private final List<Socket> served = new CopyOnWriteArrayList<>();
-    private final List<Wire> open = new ArrayList<>();
+    private final List<PlainConnection> open = new ArrayList<>();
     private final List<Listener> listeners = new ArrayList<>();
 
-    Mesh() throws Exception {
+    SidecarFixture() throws Exception {
         this(true);
     }
 
     /** One whose core confirms that what it holds is the newest, or does not yet. */
-    Mesh(boolean confirms) throws Exception {
+    SidecarFixture(boolean confirms) throws Exception {
         this(confirms, mesh -> {});
     }
 
     /** Likewise; {@code early} is done when the process listens, before it has loaded anything else. */
-    Mesh(boolean confirms, Work early) throws Exception {
+    SidecarFixture(boolean confirms, Work early) throws Exception {
         long process = ProcessHandle.current().pid();
         String net = "127." + (1 + process % 250) + "." + (1 + process / 250 % 250) + ".";
         int number = 2 * MADE.incrementAndGet();
@@ -83,15 +83,15 @@
     }
 
     /** One whose upstream is there, and whose configuration has these tenants. */
-    static Mesh served(String senders) throws Exception {
-        Mesh mesh = new Mesh();
+    static SidecarFixture served(String senders) throws Exception {
+        SidecarFixture mesh = new SidecarFixture();
         mesh.core.holds(configuration(4, senders, ""), 4);
         mesh.heartbeat("i-1", "ready");
         mesh.core.awaitKnown("i-1");
         return mesh;
     }
 
-    static Mesh served() throws Exception {
+    static SidecarFixture served() throws Exception {
         return served("");
     }
 
@@ -148,24 +148,24 @@
     }
 
     /** The upstream answers each request by this from now on; no answer ends its connection. */
-    Mesh answers(Function<Wire.Message, String> by) {
+    SidecarFixture answers(Function<PlainConnection.Message, String> by) {
         answers(app, by);
         return this;
     }
 
     /** Likewise, who listens elsewhere. */
-    void answers(Listener listener, Function<Wire.Message, String> by) {
+    void answers(Listener listener, Function<PlainConnection.Message, String> by) {
         daemon(() -> {
             while (true) {
                 Socket socket = listener.accept().socket;
                 served.add(socket);
-                daemon(() -> serve(new Wire(socket), by));
+                daemon(() -> serve(new PlainConnection(socket), by));
             }
         });
     }
 
-    private void serve(Wire wire, Function<Wire.Message, String> by) throws IOException {
-        for (Wire.Message request = wire.read(); request != null; request = wire.read()) {
+    private void serve(PlainConnection wire, Function<PlainConnection.Message, String> by) throws IOException {
+        for (PlainConnection.Message request = wire.read(); request != null; request = wire.read()) {
             arrived.add(request);
             String answer = by.apply(request);
             if (answer == null) {
@@ -178,7 +178,7 @@
 
     /** What a test does with a mesh. */
     interface Work {
-        void on(Mesh mesh) throws Exception;
+        void on(SidecarFixture mesh) throws Exception;
     }
 
     private interface Job {
@@ -198,9 +198,9 @@
     }
 
     /** The upstream's side of its next connection. */
-    Wire upstream() throws Exception {
+    PlainConnection upstream() throws Exception {
         Peer peer = app.accept();
-        return keep(new Wire(peer.socket));
+        return keep(new PlainConnection(peer.socket));
     }
 
     /** Ends all connections that the upstream has, in order. */
@@ -210,19 +210,19 @@
         }
     }
 
-    private Wire keep(Wire wire) {
+    private PlainConnection keep(PlainConnection wire) {
         open.add(wire);
         return wire;
     }
 
     /** A new connection of a client. */
-    Wire client() throws IOException {
-        return keep(Wire.to(at.outbound()));
+    PlainConnection client() throws IOException {
+        return keep(PlainConnection.to(at.outbound()));
     }
 
     /** A new connection of another balancer. */
-    Wire balancer() throws IOException {
-        return keep(Wire.to(at.inbound()));
+    PlainConnection balancer() throws IOException {
+        return keep(PlainConnection.to(at.inbound()));
     }
 
     /** What another balancer would say for a life of the upstream. */
@@ -242,14 +242,14 @@
         core.tells(new Registration("s-" + incarnation, "monza-a", inbound, SERVICE, incarnation, true, 8, 0));
     }
 
-    Wire.Message call(String to, String method, String path, String body) throws IOException {
-        try (Wire wire = Wire.to(to)) {
+    PlainConnection.Message call(String to, String method, String path, String body) throws IOException {
+        try (PlainConnection wire = PlainConnection.to(to)) {
             return wire.ask(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
         }
     }
 
-    Wire.Message heartbeat(String id, String state) throws IOException {
+    PlainConnection.Message heartbeat(String id, String state) throws IOException {
         return call(at.control(), "POST", "/sablehinge/Servers.Heartbeat/" + id, beatBody(state));
     }
 
@@ -261,9 +261,9 @@
     }
 
     /** Calls the balancer as its upstream, and does not wait for the answer. */
-    Wire beginsToBeat(String id, String state) throws IOException {
+    PlainConnection beginsToBeat(String id, String state) throws IOException {
         String body = beatBody(state);
-        return keep(Wire.to(at.control()))
+        return keep(PlainConnection.to(at.control()))
                 .write("POST /sablehinge/Servers.Heartbeat/" + id + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
                         + body.length() + "\r\n\r\n" + body);
     }
@@ -273,12 +273,12 @@
     }
 
     List<String> arrivedIds() {
-        return arrived.stream().map(Wire.Message::id).toList();
+        return arrived.stream().map(PlainConnection.Message::id).toList();
     }
 
     @Override
     public void close() throws IOException {
-        for (Wire wire : open) {
+        for (PlainConnection wire : open) {
             wire.close();
         }
         app.close();
--- a/src/test/java/sablehinge/dataplane/sidecar/StopTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/SidecarShutdownTest.java
@@ -15,7 +15,7 @@
 
 /** A balancer that is stopped while its clients go on coming. */
 @Timeout(60)
-class StopTest {
+class SidecarShutdownTest {
 
     private static final int CLIENTS = 6;
     private static final long WORK_NANOS = 60_000_000;
@@ -30,10 +30,10 @@
      */
     @Test
     void whatIsTakenIsAnsweredThoughClientsNeverStopToCome() throws Exception {
-        try (Mesh mesh = Mesh.served()) {
+        try (SidecarFixture mesh = SidecarFixture.served()) {
             mesh.answers(request -> {
                 LockSupport.parkNanos(WORK_NANOS);
-                return Mesh.ok(request.id(), "x");
+                return SidecarFixture.ok(request.id(), "x");
             });
             Set<String> answered = ConcurrentHashMap.newKeySet();
             List<Thread> clients = new ArrayList<>();
@@ -44,7 +44,7 @@
                 client.start();
                 clients.add(client);
             }
-            Mesh.await("clients are served", () -> answered.size() > CLIENTS);
+            SidecarFixture.await("clients are served", () -> answered.size() > CLIENTS);
             long from = System.nanoTime();
             mesh.sidecar.drain();
             double took = (System.nanoTime() - from) / 1e6;
@@ -67,14 +67,14 @@
      * Sends one request after the other, each on a connection of its own that is made before the answer to the one
      * before has come, until nobody takes one: so the balancer is never without a client.
      */
-    private static void come(Mesh mesh, int number, Set<String> answered) {
+    private static void come(SidecarFixture mesh, int number, Set<String> answered) {
         try {
-            Wire next = Wire.to(mesh.at.outbound());
+            PlainConnection next = PlainConnection.to(mesh.at.outbound());
             for (int i = 0; ; i++) {
-                try (Wire wire = next) {
+                try (PlainConnection wire = next) {
                     String id = "t-" + number + "-" + i;
                     send(wire, id);
-                    next = Wire.to(mesh.at.outbound());
+                    next = PlainConnection.to(mesh.at.outbound());
                     take(wire, id, answered);
                 }
             }
@@ -83,15 +83,15 @@
         }
     }
 
-    private static void send(Wire wire, String id) {
+    private static void send(PlainConnection wire, String id) {
         try {
-            wire.write(Mesh.get("/s/x", id));
+            wire.write(SidecarFixture.get("/s/x", id));
         } catch (IOException e) {
             // Closed before it was read.
         }
     }
 
-    private static void take(Wire wire, String id, Set<String> answered) {
+    private static void take(PlainConnection wire, String id, Set<String> answered) {
         try {
             if (wire.read() != null) {
                 answered.add(id);
--- a/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
@@ -157,7 +157,7 @@
 
     /** Waits until whoever asks knows all that is held, and that its upstream is there as told. */
     void awaitKnown(String upstream) {
-        Mesh.await(
+        SidecarFixture.await(
                 "the news are known",
                 () -> request(() -> last != null
                         && last.edition() == edition
--- a/src/test/java/sablehinge/dataplane/sidecar/UpstreamDrainTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/UpstreamDrainTest.java
@@ -19,16 +19,16 @@
     /** Health answers may be false: only a heartbeat tells whether the upstream leaves. */
     @Test
     void aBalancerThatHasBegunAsksNoHealthPathAndWaitsForAHeartbeat() throws Exception {
-        try (Mesh mesh = new Mesh()) {
+        try (SidecarFixture mesh = new SidecarFixture()) {
             mesh.answers(request -> request.first().contains("/health")
                     ? "HTTP/1.1 200 OK\r\nSablehinge-Answered-By: i-1\r\nContent-Length: 0\r\n\r\n"
-                    : Mesh.ok(request.id(), "x"));
-            mesh.core.holds(Mesh.configuration(4, "", ""), 4);
+                    : SidecarFixture.ok(request.id(), "x"));
+            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
             mesh.core.awaitKnown("");
-            Wire peer = mesh.balancer();
-            assertEquals(REFUSED, peer.ask(Mesh.meant("t-1", "i-1")).status());
+            PlainConnection peer = mesh.balancer();
+            assertEquals(REFUSED, peer.ask(SidecarFixture.meant("t-1", "i-1")).status());
             mesh.heartbeat("i-1", "ready");
-            assertEquals(200, peer.ask(Mesh.meant("t-2", "i-1")).status());
+            assertEquals(200, peer.ask(SidecarFixture.meant("t-2", "i-1")).status());
             assertEquals(List.of("t-2"), mesh.arrivedIds());
         }
     }
@@ -36,9 +36,11 @@
     /** The process before may have acknowledged that it leaves any time ago. */
     @Test
     void anUpstreamThatIsFirstHeardToUnloadGetsNothing() throws Exception {
-        try (Mesh mesh = new Mesh().answers(request -> Mesh.ok(request.id(), "x"))) {
+        try (SidecarFixture mesh = new SidecarFixture().answers(request -> SidecarFixture.ok(request.id(), "x"))) {
             assertEquals(200, mesh.heartbeat("i-1", "unloading").status());
-            assertEquals(REFUSED, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
+            assertEquals(
+                    REFUSED,
+                    mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
             assertEquals(List.of(), mesh.arrivedIds());
         }
     }
@@ -46,7 +48,7 @@
     /** An acknowledgement by a balancer that is not beside the upstream would bind nobody. */
     @Test
     void anUpstreamElsewhereIsNotAcknowledged() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(request -> Mesh.ok(request.id(), "x"))) {
+        try (SidecarFixture mesh = SidecarFixture.served().answers(request -> SidecarFixture.ok(request.id(), "x"))) {
             assertEquals(
                     MISDIRECTED,
                     mesh.call(
@@ -57,31 +59,36 @@
                     {"depot":"huvo11a","address":"127.9.9.9:80","zone":"monza-a","edition":"v1","berths":4,
                      "state":"unloading","coldLeftMs":0,"callCount":9}""")
                             .status());
-            assertEquals(200, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
+            assertEquals(
+                    200, mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
         }
     }
 
     /** A late heartbeat must not bring it back. */
     @Test
     void aLifeThatSignedOffBeforeItWasHeardStaysGone() throws Exception {
-        try (Mesh mesh = new Mesh().answers(request -> Mesh.ok(request.id(), "x"))) {
+        try (SidecarFixture mesh = new SidecarFixture().answers(request -> SidecarFixture.ok(request.id(), "x"))) {
             assertEquals(
                     200,
                     mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-1", "")
                             .status());
             assertEquals(200, mesh.heartbeat("i-1", "ready").status());
-            assertEquals(REFUSED, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
+            assertEquals(
+                    REFUSED,
+                    mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
         }
     }
 
     /** The sockets are there long before the rest: a heartbeat that comes meanwhile opens the gate. */
     @Test
     void aHeartbeatOfWhileTheProcessLoadsIsHeard() throws Exception {
-        Wire[] upstream = new Wire[1];
-        try (Mesh mesh = new Mesh(true, early -> upstream[0] = early.beginsToBeat("i-1", "ready"))) {
-            mesh.answers(request -> Mesh.ok(request.id(), "x"));
+        PlainConnection[] upstream = new PlainConnection[1];
+        try (SidecarFixture mesh =
+                new SidecarFixture(true, early -> upstream[0] = early.beginsToBeat("i-1", "ready"))) {
+            mesh.answers(request -> SidecarFixture.ok(request.id(), "x"));
             assertEquals(200, upstream[0].read().status());
-            assertEquals(200, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
+            assertEquals(
+                    200, mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
         }
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/NewsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/WatchClientTest.java
@@ -16,7 +16,7 @@
 
 /** What a real balancer makes of the core's news and of its upstream's beats. */
 @Timeout(60)
-class NewsTest {
+class WatchClientTest {
 
     /** For how long a request of 12 s with an unknown route or key waits for news, at least. */
     private static final long WAITS_MS = 340;
@@ -24,46 +24,51 @@
     private static final String TENANT = "{\"name\":\"hule930\",\"passes\":[\"%s\"]}";
     private static final String KEY = "Sablehinge-Key: k-2\r\n";
 
-    private static String echo(Wire.Message request) {
-        return Mesh.ok(request.id(), request.body());
+    private static String echo(PlainConnection.Message request) {
+        return SidecarFixture.ok(request.id(), request.body());
     }
 
     @Test
     void aBalancerWithoutAConfigurationIsNotReadyAndPromisesThatNothingRuns() throws Exception {
-        try (Mesh mesh = new Mesh().answers(NewsTest::echo)) {
+        try (SidecarFixture mesh = new SidecarFixture().answers(WatchClientTest::echo)) {
             assertEquals(503, mesh.ready());
-            Wire.Message answer = mesh.client().ask(Mesh.get("/s/x", "t-1"));
+            PlainConnection.Message answer = mesh.client().ask(SidecarFixture.get("/s/x", "t-1"));
             assertEquals(503, answer.status());
             assertNotNull(answer.one("Retry-After"));
-            mesh.core.holds(Mesh.configuration(4, "", ""), 4);
+            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
             mesh.heartbeat("i-1", "ready");
             mesh.core.awaitKnown("i-1");
             assertEquals(200, mesh.ready());
-            assertEquals(200, mesh.client().ask(Mesh.get("/s/x", "t-2")).status());
+            assertEquals(
+                    200, mesh.client().ask(SidecarFixture.get("/s/x", "t-2")).status());
         }
     }
 
     @Test
     void aConfigurationThatIsTornOnItsWayIsNotTakenAndIsAskedForAgain() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(NewsTest::echo)) {
-            byte[] torn = StubCore.packed(Mesh.configuration(9, "", "").replace("\"/s/\"", "\"/moved/\""));
+        try (SidecarFixture mesh = SidecarFixture.served().answers(WatchClientTest::echo)) {
+            byte[] torn =
+                    StubCore.packed(SidecarFixture.configuration(9, "", "").replace("\"/s/\"", "\"/moved/\""));
             torn[torn.length - 1]++;
             int connections = mesh.core.connections();
             mesh.core.holdsAsItTravels(torn, 9);
-            Mesh.await("it asks on a new connection", () -> mesh.core.connections() > connections);
-            assertEquals(200, mesh.client().ask(Mesh.get("/s/x", "t-1")).status());
+            SidecarFixture.await("it asks on a new connection", () -> mesh.core.connections() > connections);
+            assertEquals(
+                    200, mesh.client().ask(SidecarFixture.get("/s/x", "t-1")).status());
             torn[torn.length - 1]--;
             mesh.core.holdsAsItTravels(torn, 9);
             mesh.core.awaitKnown("i-1");
-            assertEquals(200, mesh.client().ask(Mesh.get("/moved/x", "t-2")).status());
+            assertEquals(
+                    200,
+                    mesh.client().ask(SidecarFixture.get("/moved/x", "t-2")).status());
         }
     }
 
     @Test
     void whatIsNotConfirmedToBeTheNewestMakesNobodyReady() throws Exception {
-        try (Mesh mesh = new Mesh(false)) {
-            mesh.core.holds(Mesh.configuration(4, "", ""), 4);
-            Mesh.await("it asks", () -> mesh.core.confirmationsAsked() > 0);
+        try (SidecarFixture mesh = new SidecarFixture(false)) {
+            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
+            SidecarFixture.await("it asks", () -> mesh.core.confirmationsAsked() > 0);
             assertEquals(503, mesh.ready());
             mesh.core.confirms(true);
             mesh.core.awaitKnown("");
@@ -72,9 +77,9 @@
     }
 
     /** Each time with another route or key; one that took longer than the balancer waits tells nothing. */
-    private static void waitsForNews(Mesh mesh, IntFunction<String> configuration, IntFunction<String> request)
-            throws Exception {
-        Wire.Message answer = null;
+    private static void waitsForNews(
+            SidecarFixture mesh, IntFunction<String> configuration, IntFunction<String> request) throws Exception {
+        PlainConnection.Message answer = null;
         long took = WAITS_MS;
         for (int i = 9; (answer == null || answer.status() != 200) && took >= WAITS_MS && i < 30; i++) {
             mesh.core.holdsUntilAsked(configuration.apply(i), i);
@@ -87,25 +92,27 @@
 
     @Test
     void aRouteThatIsNewerThanTheBalancersVersionIsWaitedFor() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(NewsTest::echo)) {
+        try (SidecarFixture mesh = SidecarFixture.served().answers(WatchClientTest::echo)) {
             waitsForNews(
                     mesh,
-                    i -> Mesh.configuration(i, "", "," + Mesh.route("r-new", "safe", "/n" + i + "/", false)),
-                    i -> Mesh.get("/n" + i + "/x", "t-" + i));
+                    i -> SidecarFixture.configuration(
+                            i, "", "," + SidecarFixture.route("r-new", "safe", "/n" + i + "/", false)),
+                    i -> SidecarFixture.get("/n" + i + "/x", "t-" + i));
         }
     }
 
     @Test
     void aKeyThatIsNewerThanTheBalancersVersionIsWaitedFor() throws Exception {
-        try (Mesh mesh = Mesh.served(TENANT.formatted("k-1")).answers(NewsTest::echo)) {
+        try (SidecarFixture mesh =
+                SidecarFixture.served(TENANT.formatted("k-1")).answers(WatchClientTest::echo)) {
             waitsForNews(
                     mesh,
-                    i -> Mesh.configuration(i, TENANT.formatted("k-" + i), ""),
-                    i -> Mesh.get("/s/x", "t-" + i, "Sablehinge-Key: k-" + i + "\r\n"));
+                    i -> SidecarFixture.configuration(i, TENANT.formatted("k-" + i), ""),
+                    i -> SidecarFixture.get("/s/x", "t-" + i, "Sablehinge-Key: k-" + i + "\r\n"));
             assertEquals(
                     401,
                     mesh.client()
-                            .ask(Mesh.get("/s/x", "t-2", KEY.replace("k-2", "k-1")))
+                            .ask(SidecarFixture.get("/s/x", "t-2", KEY.replace("k-2", "k-1")))
                             .status());
         }
     }
@@ -113,9 +120,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"/none/x", "/s/x"})
     void whatIsConfirmedToBeUnknownIsTurnedAwayAndOfNobodyAsked(String path) throws Exception {
-        try (Mesh mesh = Mesh.served(TENANT.formatted("k-1")).answers(NewsTest::echo)) {
+        try (SidecarFixture mesh =
+                SidecarFixture.served(TENANT.formatted("k-1")).answers(WatchClientTest::echo)) {
             int asked = mesh.core.confirmationsAsked();
-            Wire.Message answer = mesh.client().ask(Mesh.get(path, "t-1", KEY));
+            PlainConnection.Message answer = mesh.client().ask(SidecarFixture.get(path, "t-1", KEY));
             assertEquals(path.equals("/s/x") ? 401 : 404, answer.status());
             assertTrue(mesh.core.confirmationsAsked() > asked);
             assertEquals(List.of(), mesh.arrivedIds());
@@ -126,10 +134,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"/none/x", "/s/x"})
     void whereNobodyConfirmsItWhatIsUnknownIsRefusedOnceItsPatienceIsOver(String path) throws Exception {
-        try (Mesh mesh = Mesh.served(TENANT.formatted("k-1"))) {
+        try (SidecarFixture mesh = SidecarFixture.served(TENANT.formatted("k-1"))) {
             mesh.core.confirms(false);
             long begun = System.nanoTime();
-            Wire.Message answer = mesh.client().ask(Mesh.get(path, "t-1", KEY));
+            PlainConnection.Message answer = mesh.client().ask(SidecarFixture.get(path, "t-1", KEY));
             assertEquals(503, answer.status());
             assertTrue(Double.parseDouble(answer.one("Retry-After")) > 0);
             assertTrue(System.nanoTime() - begun >= WAITS_MS * 1_000_000);
@@ -139,13 +147,13 @@
 
     @Test
     void aVersionThatDropsARouteIsInForceForTheNextRequest() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(NewsTest::echo)) {
-            Wire client = mesh.client();
-            assertEquals(200, client.ask(Mesh.get("/s/x", "t-1")).status());
-            mesh.core.holds(Mesh.configuration(9, "", "").replace("\"/s/\"", "\"/moved/\""), 9);
+        try (SidecarFixture mesh = SidecarFixture.served().answers(WatchClientTest::echo)) {
+            PlainConnection client = mesh.client();
+            assertEquals(200, client.ask(SidecarFixture.get("/s/x", "t-1")).status());
+            mesh.core.holds(SidecarFixture.configuration(9, "", "").replace("\"/s/\"", "\"/moved/\""), 9);
             mesh.core.awaitKnown("i-1");
-            assertEquals(404, client.ask(Mesh.get("/s/x", "t-2")).status());
-            assertEquals(200, client.ask(Mesh.get("/moved/x", "t-3")).status());
+            assertEquals(404, client.ask(SidecarFixture.get("/s/x", "t-2")).status());
+            assertEquals(200, client.ask(SidecarFixture.get("/moved/x", "t-3")).status());
         }
     }
 
@@ -153,12 +161,12 @@
 
     @Test
     void aBeatIsAcknowledgedShortlyAndToldToTheCore() throws Exception {
-        try (Mesh mesh = Mesh.served()) {
-            Wire.Message answer = mesh.heartbeat("i-1", "ready");
+        try (SidecarFixture mesh = SidecarFixture.served()) {
+            PlainConnection.Message answer = mesh.heartbeat("i-1", "ready");
             assertEquals(200, answer.status());
             assertTrue(answer.body().length() <= 4_096);
             assertEquals("application/json", answer.one("Content-Type"));
-            assertEquals(Mesh.SERVICE, mesh.core.told().service());
+            assertEquals(SidecarFixture.SERVICE, mesh.core.told().service());
             assertEquals(4, mesh.core.told().berths());
             assertTrue(mesh.core.told().ready());
             assertEquals(400, mesh.heartbeat("i-1", "asleep").status());
@@ -172,48 +180,50 @@
     @Test
     void afterItsLeaveWasAcknowledgedAnUpstreamIsSentNothingLaterThanItsTime() throws Exception {
         AtomicLong latest = new AtomicLong();
-        try (Mesh mesh = Mesh.served().answers(request -> {
+        try (SidecarFixture mesh = SidecarFixture.served().answers(request -> {
             latest.set(System.nanoTime());
             return echo(request);
         })) {
-            Wire balancer = mesh.balancer();
-            assertEquals(200, balancer.ask(Mesh.meant("t-0", "i-1")).status());
+            PlainConnection balancer = mesh.balancer();
+            assertEquals(200, balancer.ask(SidecarFixture.meant("t-0", "i-1")).status());
             assertEquals(200, mesh.heartbeat("i-1", "unloading").status());
             long acknowledged = System.nanoTime();
             int sent = 0;
-            Wire.Message answer = balancer.ask(Mesh.meant("t-1", "i-1"));
+            PlainConnection.Message answer = balancer.ask(SidecarFixture.meant("t-1", "i-1"));
             while (answer.status() == 200) {
                 sent++;
-                answer = balancer.ask(Mesh.meant("t-" + sent, "i-1"));
+                answer = balancer.ask(SidecarFixture.meant("t-" + sent, "i-1"));
             }
             assertEquals(503, answer.status());
             assertEquals("not-run", answer.one("Sablehinge-Verdict"));
             int before = mesh.arrived.size();
             mesh.heartbeat("i-1", "unloading");
             mesh.heartbeat("i-1", "ready");
-            assertEquals("not-run", balancer.ask(Mesh.meant("u-1", "i-1")).one("Sablehinge-Verdict"));
+            assertEquals(
+                    "not-run", balancer.ask(SidecarFixture.meant("u-1", "i-1")).one("Sablehinge-Verdict"));
             assertEquals(before, mesh.arrived.size());
             long later = (latest.get() - acknowledged) / 1_000_000;
-            assertTrue(later < Mesh.UNLOAD_MS, "the last one came " + later + " ms later");
+            assertTrue(later < SidecarFixture.UNLOAD_MS, "the last one came " + later + " ms later");
             assertFalse(mesh.core.told().ready());
             assertEquals(200, mesh.heartbeat("i-2", "ready").status());
-            assertEquals(200, balancer.ask(Mesh.meant("u-2", "i-2")).status());
+            assertEquals(200, balancer.ask(SidecarFixture.meant("u-2", "i-2")).status());
         }
     }
 
     @Test
     void whoSignsOffIsSentNothingMore() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(NewsTest::echo)) {
+        try (SidecarFixture mesh = SidecarFixture.served().answers(WatchClientTest::echo)) {
             assertEquals(
                     200,
                     mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-0", "{}")
                             .status());
-            assertEquals(200, mesh.balancer().ask(Mesh.meant("t-1", "i-1")).status());
+            assertEquals(
+                    200, mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
             assertEquals(
                     200,
                     mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-1", "{}")
                             .status());
-            Wire.Message answer = mesh.balancer().ask(Mesh.meant("t-2", "i-1"));
+            PlainConnection.Message answer = mesh.balancer().ask(SidecarFixture.meant("t-2", "i-1"));
             assertEquals(503, answer.status());
             assertEquals("not-run", answer.one("Sablehinge-Verdict"));
             assertEquals(List.of("t-1"), mesh.arrivedIds());
@@ -222,11 +232,11 @@
 
     @Test
     void whatIsMeantForAnotherLifeOrForNobodyDoesNotReachTheUpstream() throws Exception {
-        try (Mesh mesh = Mesh.served().answers(NewsTest::echo)) {
-            Wire.Message answer = mesh.balancer().ask(Mesh.meant("t-1", "i-0"));
+        try (SidecarFixture mesh = SidecarFixture.served().answers(WatchClientTest::echo)) {
+            PlainConnection.Message answer = mesh.balancer().ask(SidecarFixture.meant("t-1", "i-0"));
             assertEquals(503, answer.status());
             assertEquals("not-run", answer.one("Sablehinge-Verdict"));
-            answer = mesh.balancer().ask(Mesh.get("/u/x", "t-2"));
+            answer = mesh.balancer().ask(SidecarFixture.get("/u/x", "t-2"));
             assertEquals(400, answer.status());
             assertEquals("not-run", answer.one("Sablehinge-Verdict"));
             assertEquals(List.of(), mesh.arrivedIds());
@@ -235,11 +245,13 @@
 
     @Test
     void theUpstreamsOwnVerdictIsNotBelieved() throws Exception {
-        try (Mesh mesh = Mesh.served()
+        try (SidecarFixture mesh = SidecarFixture.served()
                 .answers(request -> "HTTP/1.1 500 Own\r\nSablehinge-Try-Id: t-1\r\n"
                         + "Sablehinge-Verdict: not-run\r\nContent-Length: 0\r\n\r\n")) {
-            assertEquals("ran", mesh.balancer().ask(Mesh.meant("t-1", "i-1")).one("Sablehinge-Verdict"));
-            Wire.Message answer = mesh.client().ask(Mesh.post("/u/x", "t-1", "1"));
+            assertEquals(
+                    "ran",
+                    mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).one("Sablehinge-Verdict"));
+            PlainConnection.Message answer = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "1"));
             assertEquals(500, answer.status());
             assertNull(answer.one("Sablehinge-Verdict"));
         }
--- a/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
@@ -17,10 +17,10 @@
 import sablehinge.gateway.config.PlatformConfig;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.Change;
-import sablehinge.rig.Listener;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Script;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Listener;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Script;
+import sablehinge.testing.Stage;
 
 /** The list and the watch, and what becomes of answers that are of no use. */
 @Timeout(60)
--- a/src/test/java/sablehinge/gateway/node/BudgetsTest.java
+++ b/src/test/java/sablehinge/gateway/node/BudgetsTest.java
@@ -23,8 +23,8 @@
 import sablehinge.dataplane.budget.Budget;
 import sablehinge.dataplane.budget.HeaderText;
 import sablehinge.dataplane.budget.Keys;
-import sablehinge.rig.Listener;
-import sablehinge.rig.Peer;
+import sablehinge.testing.Listener;
+import sablehinge.testing.Peer;
 
 /** Budgets over sockets: balancers between tiers of servers that pass on what they are handed. */
 @Timeout(120)
--- a/src/test/java/sablehinge/gateway/node/OperationTest.java
+++ b/src/test/java/sablehinge/gateway/node/OperationTest.java
@@ -16,9 +16,9 @@
 import sablehinge.gateway.config.PlatformConfig;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.State;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Script;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Script;
+import sablehinge.testing.Stage;
 
 /** Daily operation over sockets: operators' calls, and settings that change while a balancer serves. */
 @Timeout(120)
--- a/src/test/java/sablehinge/gateway/node/OperatorNodeTest.java
+++ b/src/test/java/sablehinge/gateway/node/OperatorNodeTest.java
@@ -17,12 +17,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.rig.Listener;
-import sablehinge.rig.OperatorStage;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Stage;
-import sablehinge.rig.StandIn;
-import sablehinge.rig.StandIn.Plan;
+import sablehinge.testing.Listener;
+import sablehinge.testing.OperatorStage;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Stage;
+import sablehinge.testing.StandIn;
+import sablehinge.testing.StandIn.Plan;
 
 /** Changes of the configuration over loopback sockets, with what goes wrong in their middle. */
 @Timeout(120)
--- a/src/test/java/sablehinge/gateway/node/RecordingTest.java
+++ b/src/test/java/sablehinge/gateway/node/RecordingTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Timeout;
 import sablehinge.gateway.recorder.Dump;
 import sablehinge.gateway.recorder.Timeline;
-import sablehinge.rig.Logs;
-import sablehinge.rig.OperatorStage;
-import sablehinge.rig.Peer;
-import sablehinge.rig.Stage;
+import sablehinge.testing.Logs;
+import sablehinge.testing.OperatorStage;
+import sablehinge.testing.Peer;
+import sablehinge.testing.Stage;
 
 /** The flight recorder in a balancer on sockets. */
 @Timeout(60)
--- a/src/test/java/sablehinge/rig/Backlog.java
+++ b/src/test/java/sablehinge/testing/Backlog.java
@@ -1,4 +1,4 @@
-package sablehinge.rig;
+package sablehinge.testing;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/sablehinge/rig/Logs.java
+++ b/src/test/java/sablehinge/testing/Logs.java
@@ -1,4 +1,4 @@
-package sablehinge.rig;
+package sablehinge.testing;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
--- a/src/test/java/sablehinge/rig/OperatorStage.java
+++ b/src/test/java/sablehinge/testing/OperatorStage.java
@@ -1,4 +1,4 @@
-package sablehinge.rig;
+package sablehinge.testing;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
--- a/src/test/java/sablehinge/rig/Relay.java
+++ b/src/test/java/sablehinge/testing/Relay.java
@@ -1,4 +1,4 @@
-package sablehinge.rig;
+package sablehinge.testing;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/test/java/sablehinge/rig/Saboteur.java
+++ b/src/test/java/sablehinge/testing/Saboteur.java
@@ -1,4 +1,4 @@
-package sablehinge.rig;
+package sablehinge.testing;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/sablehinge/tools/standin/FleetTest.java
+++ b/src/test/java/sablehinge/tools/standin/FleetTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.rig.Peer;
+import sablehinge.testing.Peer;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.How;
 import sablehinge.tools.audit.judge.Evidence.ListSent;
