--- a/src/main/java/sablehinge/cli/ConfigCommand.java
+++ b/src/main/java/sablehinge/cli/ConfigCommand.java
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Puts a file down as a version. */
+    /** Writes a file as a version. */
     @Command(
             name = "stage",
             mixinStandardHelpOptions = true,
--- a/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
@@ -604,7 +604,7 @@
     private void setHeaders(HttpResponse response, Answer answer) {
         context.dialect.dress(response, answer, version, current);
         boolean wantsMore = current != null && HttpUtil.isKeepAlive(current);
-        // What has come complete already was taken, and is still answered here.
+        // What has come completely already was taken, and is still answered here.
         closing |= !wantsMore || context.draining && pipelined.isEmpty() && !decoder.receiving;
         if (closing) {
             response.headers().set("Connection", "close");
--- a/src/main/java/sablehinge/dataplane/http1/FrontTerms.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontTerms.java
@@ -9,7 +9,7 @@
  * @param bytesPerMs a body has a ms more for each so many bytes
  * @param firstRequestTimeoutMs that a connection may stay without its first request
  * @param idleMs that it may rest between two
- * @param keptBytes a body of up to so many is kept complete, so that it can be sent again,
+ * @param keptBytes a body of up to so many is kept completely, so that it can be sent again,
  * @param keptInAll as long as so many bytes fit
  * @param concurrent whether requests sent ahead of their turn are begun at once, where they may be repeated
  */
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -287,7 +287,7 @@
         return context.dialect.resendable(request);
     }
 
-    /** The connection is of no more use: what was not written complete can't have run. */
+    /** The connection is of no more use: what was not written completely can't have run. */
     private void broke(Event event) {
         if (!ended && !Double.isNaN(idleMs) && context.clock.now() - startedAt < Freshness.AT_ONCE_MS) {
             context.freshness.broke(idleMs);
--- a/src/main/java/sablehinge/dataplane/proxy/Exchange.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Exchange.java
@@ -81,7 +81,7 @@
         return true;
     }
 
-    /** Whether an attempt of it was sent complete, or has had a part of an answer, and so may have run. */
+    /** Whether an attempt of it was sent completely, or has had a part of an answer, and so may have run. */
     public boolean mayHaveRun() {
         return attempts.stream().anyMatch(attempt -> attempt != null && attempt.mayHaveRun());
     }
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -210,7 +210,7 @@
     /** What a staging came to: a number, or problems of the file, or a refusal. */
     record Staged(int version, List<Problem> problems, String refusal) {}
 
-    /** Checks content and puts it down as a version over a base; a base of 0 is the confirmed one. */
+    /** Checks content and writes it as a version over a base; a base of 0 is the confirmed one. */
     void stage(byte[] content, int base, Consumer<Staged> end) {
         int over = base == 0 ? decider.confirmed() : base;
         OperatorConfig running = current().config;
--- a/src/main/java/sablehinge/tools/audit/judge/Evidence.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Evidence.java
@@ -18,7 +18,7 @@
         SILENT,
         /** The caller went away of its own accord before its time was up. */
         LEFT,
-        /** It was never written complete to a connection that was accepted. */
+        /** It was never written completely to a connection that was accepted. */
         UNREACHABLE
     }
 
--- a/src/main/java/sablehinge/tools/replay/HarEntries.java
+++ b/src/main/java/sablehinge/tools/replay/HarEntries.java
@@ -124,7 +124,7 @@
                 case "time" -> fields.duration = number(Double.NaN);
                 case "request" -> message(fields, true);
                 case "response" -> message(fields, false);
-                // Proxies that record complete crowds note who asked.
+                // Proxies that record many clients note which one sent a request.
                 case "_clientAddress", "_clientIPAddress" -> fields.caller = text();
                 default -> parser.skipChildren();
             }
--- a/src/main/java/sablehinge/tools/replay/OrderedLog.java
+++ b/src/main/java/sablehinge/tools/replay/OrderedLog.java
@@ -11,7 +11,7 @@
 /** One log, its requests in the order in which they began. */
 final class OrderedLog implements Closeable {
 
-    /** Times by which it is seen whether a log has complete seconds only. */
+    /** Times by which it is seen whether a log has full seconds only. */
     private static final int SAMPLE = 200;
 
     private static final int MAX_BODY = 1 << 16;
--- a/src/main/java/sablehinge/tools/replay/schedule/ReplaySchedule.java
+++ b/src/main/java/sablehinge/tools/replay/schedule/ReplaySchedule.java
@@ -51,7 +51,7 @@
     private double last;
     private long order;
 
-    /** A pace that nothing has been sent by. */
+    /** A schedule by which nothing has been sent yet. */
     public ReplaySchedule(Terms terms, Sink<T> sink) {
         this.terms = terms;
         this.sink = sink;
@@ -77,7 +77,7 @@
         double[] owes = owed.computeIfAbsent(owed.size() < MAX_CLASSES ? serviceClass : "", name ->
                 new double[] {terms.rateScale() < 1 ? random.nextDouble() : 0});
         owes[0] += terms.rateScale();
-        // A sum of tenths may lie a little under a complete.
+        // A sum of tenths may lie a little under an integer.
         int copies = (int) Math.floor(owes[0] + 1e-9);
         owes[0] -= copies;
         for (int copy = 0; copy < copies; copy++) {
--- a/src/main/java/sablehinge/tools/replay/timeline/Timeline.java
+++ b/src/main/java/sablehinge/tools/replay/timeline/Timeline.java
@@ -9,8 +9,8 @@
 /**
  * Puts logged events on one line of time. They come in the order of the log and leave in the order of time, however
  * long the log is: an event waits until all that may still come before it has come, or until too many wait. A time that
- * is missing lies between its neighbours; a clock that is set back is taken to go on; times in complete seconds are
- * spread over their second by seed, in the log's order, so that they are no burst.
+ * is missing lies between its neighbours; a clock that is set back is taken to go on; times in full seconds are spread
+ * over their second by seed, in the log's order, so that they are no burst.
  *
  * @param <T> what an event carries
  */
@@ -33,7 +33,7 @@
      *
      * @param window ms by which an event may come too late and still find its place
      * @param mostHeld events that wait at most
-     * @param secondSteps whether times are complete seconds
+     * @param secondSteps whether times have no fractions of a second
      * @param seed of the spread within a second
      */
     public record Terms(double window, int mostHeld, boolean secondSteps, long seed) {}
--- a/src/main/java/sablehinge/tools/standin/mesh/Message.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/Message.java
@@ -11,7 +11,7 @@
 import java.util.zip.CRC32;
 
 /**
- * An HTTP/1.1 message that has been read complete.
+ * An HTTP/1.1 message that has been read completely.
  *
  * @param start its first line
  * @param headers by their names in small letters
--- a/src/main/java/sablehinge/tools/standin/mesh/TrafficCounts.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/TrafficCounts.java
@@ -24,7 +24,7 @@
 
     private TrafficCounts() {}
 
-    /** The sums of a ledger. */
+    /** The sums of a traffic log. */
     public static TrafficCounts of(TrafficLog trafficLog) {
         TrafficCounts counts = new TrafficCounts();
         Map<String, TrafficLog.Sent> sent = new HashMap<>();
--- a/src/main/java/sablehinge/tools/standin/model/Faults.java
+++ b/src/main/java/sablehinge/tools/standin/model/Faults.java
@@ -36,7 +36,7 @@
         /** The list of servers is not answered. */
         SILENT_LIST;
 
-        /** Whether it strikes requests by chance rather than the complete server. */
+        /** Whether it strikes requests by chance rather than the server as such. */
         public boolean byChance() {
             return this == ERROR || this == RESET_BEFORE || this == RESET_AFTER || this == HALF || this == SPOIL;
         }
--- a/src/main/java/sablehinge/tools/standin/model/ServerModel.java
+++ b/src/main/java/sablehinge/tools/standin/model/ServerModel.java
@@ -82,7 +82,7 @@
     private double fell = Double.NaN;
     private double informed;
 
-    /** A station; {@code startedAt} is NaN for one that is warm. */
+    /** A model; {@code startedAt} is NaN for one that is warm. */
     public ServerModel(Terms terms, double now, double startedAt) {
         this.terms = terms;
         this.startedAt = startedAt;
