--- a/src/test/java/sablehinge/architecture/DocumentationTest.java
+++ b/src/test/java/sablehinge/architecture/DocumentationTest.java
@@ -39,6 +39,9 @@
     private static final Pattern CLASS =
             Pattern.compile("(?<![\\w/.-])((?:[a-z][a-z0-9]*\\.)*)([A-Z][a-z0-9]+(?:[A-Z][a-z0-9]*)+)(?![\\w/-])");
 
+    /** A member of a class, such as {@code RaftNode.hasLease}. */
+    private static final Pattern MEMBER = Pattern.compile("(?<![\\w/-])([A-Z]\\w+)\\.([a-z]\\w+)");
+
     private static final Pattern TYPE = Pattern.compile("\\b(?:class|record|interface|enum) (\\w+)");
     private static final List<Path> SOURCES =
             List.of(Path.of("src/main/java"), Path.of("src/test/java"), Path.of("bench/src"));
@@ -109,4 +112,39 @@
         }
         assertEquals(Set.of(), missing);
     }
+
+    /** A name may be cut short by dots: the beginning has to be there. */
+    @Test
+    void everyMemberThatAPageNamesIsInItsClass() throws IOException {
+        Map<String, StringBuilder> sources = new HashMap<>();
+        for (Path source : SOURCES) {
+            for (Path file : files(source, ".java")) {
+                String text = Files.readString(file);
+                Matcher type = TYPE.matcher(text);
+                Set<String> here = new HashSet<>();
+                while (type.find()) {
+                    here.add(type.group(1));
+                }
+                here.forEach(name -> sources.computeIfAbsent(name, key -> new StringBuilder())
+                        .append(text));
+            }
+        }
+        Set<String> missing = new TreeSet<>();
+        for (Path page : pages()) {
+            Matcher code = CODE.matcher(Files.readString(page));
+            while (code.find()) {
+                Matcher member = MEMBER.matcher(code.group(1));
+                while (member.find()) {
+                    StringBuilder text = sources.get(member.group(1));
+                    if (text != null
+                            && !Pattern.compile("\\b" + member.group(2))
+                                    .matcher(text)
+                                    .find()) {
+                        missing.add(page + ": " + member.group());
+                    }
+                }
+            }
+        }
+        assertEquals(Set.of(), missing);
+    }
 }
