--- a/src/main/java/sablehinge/cli/ConfigCommand.java
+++ b/src/main/java/sablehinge/cli/ConfigCommand.java
@@ -89,7 +89,7 @@
                 OperatorFile.Checked checked = OperatorFile.read(place.operator);
                 Path folder = place.operator.toAbsolutePath().getParent();
                 if (checked.config() == null) {
-                    // The running balancer may have a better one; its usual place is worth a try.
+                    // The running balancer may have a better one; its usual place is tried first.
                     admin = folder.resolve("sablehinge-state/admin.sock").toString();
                 } else if (checked.config().admin().listen() == null) {
                     admin = folder.resolve(checked.config().node().state())
--- a/src/main/java/sablehinge/cli/LocalBalancers.java
+++ b/src/main/java/sablehinge/cli/LocalBalancers.java
@@ -39,7 +39,9 @@
 import sablehinge.tools.standin.scenario.Scenario.ClassPart;
 import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
-/** Balancers of this build in this process, each with an event loop of its own, told what the platform would tell. */
+/**
+ * Balancers of this build in this process, each with an event loop of its own; they get what the platform would send.
+ */
 public final class LocalBalancers implements Balancers {
 
     private static final Map<Answer.Kind, String> KINDS = new EnumMap<>(Answer.Kind.class);
@@ -56,7 +58,7 @@
     private final Function<LoadBalancer.Actions, LoadBalancer> module;
     private final Consumer<Evidence> record;
 
-    /** Those with the usual module; {@code record} hears what they say of their answers. */
+    /** Those with the usual module; {@code record} is called with the outcome of each answer. */
     public LocalBalancers(Consumer<Evidence> record) {
         this(record, LatencyWeightedBalancer::new);
     }
@@ -65,7 +67,7 @@
     public LocalBalancers(Consumer<Evidence> record, Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.record = record;
         this.module = module;
-        // What befalls them is told by the fleet; that each of them serves would drown it.
+        // The fleet logs their faults; a line for each balancer that serves would drown those.
         Logging.quiet(Level.WARN);
     }
 
--- a/src/main/java/sablehinge/cli/Main.java
+++ b/src/main/java/sablehinge/cli/Main.java
@@ -64,7 +64,7 @@
         void run() throws InterruptedException;
     }
 
-    /** SIGTERM starts the hook, and the virtual machine lives on until the hook returns. */
+    /** SIGTERM starts the hook, and the virtual machine goes on until the hook returns. */
     static void drainAtShutdown(Draining draining) {
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
@@ -101,7 +101,7 @@
         }));
     }
 
-    /** By reflection, as javac has a warning for each use of this class that nothing can silence. */
+    /** By reflection, as javac has a warning for each use of this class that nothing can suppress. */
     static void onHangup(Runnable reaction) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
--- a/src/main/java/sablehinge/cli/RecorderCommand.java
+++ b/src/main/java/sablehinge/cli/RecorderCommand.java
@@ -67,7 +67,7 @@
             return json;
         }
 
-        /** A dump's time line; null, once that is told, where the file is none. */
+        /** A dump's time line; null, after the error has been printed, where the file is not a dump. */
         final Timeline read(Path file) {
             try {
                 return new Timeline(Dump.read(Files.readAllBytes(file)));
--- a/src/main/java/sablehinge/cli/ReplayRun.java
+++ b/src/main/java/sablehinge/cli/ReplayRun.java
@@ -156,7 +156,7 @@
     private int play(Logs logs, Load.Options options, Recorder recorder) throws IOException, InterruptedException {
         Load load = new Load(options, recorder == null ? evidence -> {} : recorder::note);
         CountDownLatch written = new CountDownLatch(1);
-        // Ctrl-C: the virtual machine lives on until this has returned, and so until the report is there.
+        // Ctrl-C: the virtual machine goes on until this has returned, and so until the report is there.
         Thread interrupted = new Thread(
                 () -> {
                     load.stop();
@@ -333,7 +333,7 @@
                 return address;
             }
         } catch (IllegalArgumentException e) {
-            // Told below.
+            // Reported below.
         }
         throw misuse(
                 "--target: '" + text + "' is no numeric address with a port, expected one such as" + " 127.0.0.1:8080");
--- a/src/main/java/sablehinge/cli/SettingsWatch.java
+++ b/src/main/java/sablehinge/cli/SettingsWatch.java
@@ -8,7 +8,7 @@
 
 /**
  * Notices that the settings file has changed where no signal tells it, and that one which was half written at the
- * signal is whole. A process that is cut off from all machines that it knows has no other news of them.
+ * signal is whole. A process that is cut off from all machines that it knows has no other way to learn of them.
  */
 final class SettingsWatch {
 
--- a/src/main/java/sablehinge/cli/mesh/MeshCommands.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshCommands.java
@@ -68,7 +68,7 @@
         return builder.build();
     }
 
-    /** Who says nothing, or asks for help in the way of other programs, is told what there is. */
+    /** Without arguments, or with the help options of other programs, the help is printed. */
     private static String[] usual(String[] args) {
         List<String> words = new ArrayList<>(List.of(args));
         if (words.isEmpty() || words.removeAll(List.of("--help", "-h"))) {
--- a/src/main/java/sablehinge/cli/mesh/operator/CommandException.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CommandException.java
@@ -7,7 +7,7 @@
 
     /** How a verb ends that does not do what it was called for. */
     public enum Exit {
-        /** The core said no, with a code. */
+        /** The core refused, with a code. */
         REFUSED(1),
         /** The command line or a file is of no use; nothing was sent. */
         BAD_INPUT(2),
--- a/src/main/java/sablehinge/cli/mesh/operator/CommandOutcome.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CommandOutcome.java
@@ -7,12 +7,12 @@
  *
  * @param answer the clear one; null where there was none
  * @param by who gave it; null where there was none
- * @param maybe whether the core may have carried the call out although it said nothing clear
- * @param tries what each address that was called said last
+ * @param maybe whether the core may have carried the call out although its answer was not clear
+ * @param tries the last answer or error of each address that was called
  */
 record CommandOutcome(HttpCaller.Answer answer, String by, boolean maybe, List<String> tries) {
 
-    /** What the core said no with; the call was answered, and not with a 2xx. */
+    /** The error that the core refused with; the call was answered, and not with a 2xx. */
     CommandException refusal() {
         CoreAnswer response = CoreAnswer.of(answer);
         return new CommandException(
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreCaller.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreCaller.java
@@ -10,7 +10,7 @@
 
 /**
  * Calls whichever machine of the core gives a clear answer (PROTOCOL, "The operator"): it follows 307 twice, goes on to
- * the next address after a failure, a 5xx, 408, 429 or silence, with a pause that grows, and always sends the very same
+ * the next address after a failure, a 5xx, 408, 429 or timeout, with a pause that grows, and always sends the very same
  * call. It ends within the bound that it was given.
  */
 final class CoreCaller {
@@ -21,9 +21,9 @@
 
     private static final long FIRST_PAUSE_MS = 50;
     private static final long MAX_PAUSE_MS = 1_000;
-    /** Of silence, after which the next address is called. */
+    /** Without a byte received, after which the next address is called. */
     private static final long RESPONSE_TIMEOUT_MS = 1_000;
-    /** Bytes of a body for which silence may last a ms longer. */
+    /** Bytes of a body for each of which the timeout is a ms longer. */
     private static final int BYTES_PER_MS = 2_000;
 
     private final List<String> core;
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreSurvey.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreSurvey.java
@@ -31,7 +31,7 @@
         MeshStatus.Plane plane,
         List<Line> machines) {
 
-    /** Addresses that are asked at most. */
+    /** Addresses that are queried at most. */
     private static final int MAX_REQUESTED = 64;
 
     /**
--- a/src/main/java/sablehinge/cli/mesh/operator/Differences.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Differences.java
@@ -8,7 +8,7 @@
 import sablehinge.mesh.routing.Configuration;
 
 /**
- * What a configuration changes, by names alone: what tenants' keys are is not told.
+ * What a configuration changes, by names alone: tenants' keys are never shown.
  *
  * @param limits whether any of them changes
  */
--- a/src/main/java/sablehinge/common/mapping/Glob.java
+++ b/src/main/java/sablehinge/common/mapping/Glob.java
@@ -10,7 +10,7 @@
         this.pattern = pattern;
     }
 
-    /** Whether the text as a whole is of this form. Takes at most the product of the two lengths in steps. */
+    /** Whether the complete text matches. Takes at most the product of the two lengths in steps. */
     public boolean matches(String text) {
         int at = 0;
         int in = 0;
--- a/src/main/java/sablehinge/common/settings/LocalSettings.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettings.java
@@ -124,10 +124,10 @@
                     + e.getClass().getSimpleName());
         }
         try {
-            return LatencySteps.settings(Toml.read(bytes));
+            return LocalSettingsReader.settings(Toml.read(bytes));
         } catch (IOException e) {
             throw new ConfigException(path + ": TOML was expected: " + Toml.why(e));
-        } catch (SettingsTable.Off e) {
+        } catch (SettingsTable.InvalidKeyException e) {
             throw new ConfigException(path + ": " + LocalSchema.words(bytes, e.getMessage()));
         }
     }
--- a/src/main/java/sablehinge/common/settings/LatencySteps.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettingsReader.java
@@ -1,9 +1,12 @@
 package sablehinge.common.settings;
 
-/** The plain way from a file's tables to settings; what the schema has no default for, it needs. */
-final class LatencySteps {
+/**
+ * Reads {@link LocalSettings} from the tables of a settings file. A key that is missing and has no default, or that has
+ * another type, fails with {@link SettingsTable.InvalidKeyException}.
+ */
+final class LocalSettingsReader {
 
-    private LatencySteps() {}
+    private LocalSettingsReader() {}
 
     static LocalSettings settings(SettingsTable root) {
         int[] ports = root.ports("innerPorts");
@@ -36,7 +39,7 @@
         return switch (root.name("role")) {
             case "sidecar" -> LocalSettings.Role.SIDECAR;
             case "control" -> LocalSettings.Role.CONTROL;
-            default -> throw root.off("role");
+            default -> throw root.invalid("role");
         };
     }
 
--- a/src/main/java/sablehinge/common/settings/SettingsTable.java
+++ b/src/main/java/sablehinge/common/settings/SettingsTable.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** A table of a settings file, read by key; what is missing or of another type is off. */
+/** A table of a settings file, read by key. A key that is missing, of another type or out of range is invalid. */
 final class SettingsTable {
 
-    private static final double MAX = 1e300;
+    private static final double MAX_NUMBER = 1e300;
 
     private static final int MAX_PORT = 65_535;
 
     private static final int PORT_DIGITS = 5;
 
-    /** A key is not as it must be; the message names it with its tables. */
-    static final class Off extends RuntimeException {
+    /** A key is missing, or its value is of another type or out of range; the message names the key with its tables. */
+    static final class InvalidKeyException extends RuntimeException {
 
         private static final long serialVersionUID = 1;
 
-        Off(String key) {
+        InvalidKeyException(String key) {
             super(key, null, false, false);
         }
     }
@@ -34,14 +34,14 @@
         this.fields = fields;
     }
 
-    Off off(String key) {
-        return new Off(path + key);
+    InvalidKeyException invalid(String key) {
+        return new InvalidKeyException(path + key);
     }
 
     private Object need(String key) {
         Object value = fields.get(key);
         if (value == null) {
-            throw off(key);
+            throw invalid(key);
         }
         return value;
     }
@@ -50,7 +50,7 @@
         if (need(key) instanceof Map<?, ?> map) {
             return new SettingsTable(path + key + ".", map);
         }
-        throw off(key);
+        throw invalid(key);
     }
 
     /** An empty one where there is none. */
@@ -62,14 +62,14 @@
         if (value instanceof String text) {
             return text;
         }
-        throw off(key);
+        throw invalid(key);
     }
 
     /** A text that is not empty. */
     String name(String key) {
         String text = text(key, need(key));
         if (text.isEmpty()) {
-            throw off(key);
+            throw invalid(key);
         }
         return text;
     }
@@ -86,12 +86,12 @@
         for (int i = colon + 1; i < text.length() && digits <= PORT_DIGITS; i++) {
             char digit = text.charAt(i);
             if (digit < '0' || digit > '9' || port == 0 && digit == '0') {
-                throw off(key);
+                throw invalid(key);
             }
             port = 10 * port + digit - '0';
         }
         if (colon < 1 || port < 1 || port > MAX_PORT) {
-            throw off(key);
+            throw invalid(key);
         }
         return text;
     }
@@ -105,7 +105,7 @@
         if (need(key) instanceof Boolean flag) {
             return flag;
         }
-        throw off(key);
+        throw invalid(key);
     }
 
     boolean flag(String key, boolean otherwise) {
@@ -116,12 +116,12 @@
         if (value instanceof Double number && number >= least && number <= most) {
             return number;
         }
-        throw off(key);
+        throw invalid(key);
     }
 
     /** 0 or more. */
     double figure(String key) {
-        return number(key, need(key), 0, MAX);
+        return number(key, need(key), 0, MAX_NUMBER);
     }
 
     double figure(String key, double otherwise) {
@@ -131,7 +131,7 @@
     private int integer(String key, Object value, int least, int most) {
         double number = number(key, value, least, most);
         if (number != Math.rint(number)) {
-            throw off(key);
+            throw invalid(key);
         }
         return (int) number;
     }
@@ -145,7 +145,7 @@
         if (need(key) instanceof List<?> list) {
             return list;
         }
-        throw off(key);
+        throw invalid(key);
     }
 
     List<String> texts(String key) {
@@ -168,7 +168,7 @@
     int[] ports(String key) {
         List<?> ports = list(key);
         if (ports.size() != 2) {
-            throw off(key);
+            throw invalid(key);
         }
         return new int[] {integer(key, ports.get(0), 1, MAX_PORT), integer(key, ports.get(1), 1, MAX_PORT)};
     }
--- a/src/main/java/sablehinge/controlplane/node/ChunkFooter.java
+++ b/src/main/java/sablehinge/controlplane/node/ChunkFooter.java
@@ -6,7 +6,7 @@
 import org.h2.mvstore.DataUtils;
 
 /**
- * The last 128 bytes of a chunk, which is what MVStore writes for one commit. MVStore puts the chunk's number, length
+ * The last 128 bytes of a chunk, which is what MVStore writes for one commit. MVStore writes the chunk's number, length
  * and version there with a checksum of these alone; a sealed one has a checksum of all its bytes, too. MVStore passes
  * over the field that it doesn't know.
  *
@@ -41,7 +41,7 @@
         return (int) crc.getValue();
     }
 
-    /** Puts the checksum into the end of a chunk, which is all that remains of the buffer. */
+    /** Writes the checksum into the end of a chunk, which is all that remains of the buffer. */
     static void set(ByteBuffer chunk) {
         int start = chunk.limit() - LENGTH;
         byte[] footer = new byte[LENGTH];
--- a/src/main/java/sablehinge/controlplane/raft/CandidateState.java
+++ b/src/main/java/sablehinge/controlplane/raft/CandidateState.java
@@ -95,7 +95,8 @@
     void handleVoteRequest(double now, Member from, Message.VoteRequest request) {
         boolean known = state.log.isVoter(from.id());
         boolean led = state.isLeader() || now - state.leaderHeardAt < state.config.minElectionTimeoutMs();
-        // A replica that hears from a leader votes for nobody, except for a successor that the leader itself chose:
+        // A replica that is in contact with a leader votes for nobody, except for a successor that the leader itself
+        // chose:
         // else a
         // lease might outlast the leadership.
         boolean refused = led && !(request.leadershipTransfer() && known);
--- a/src/main/java/sablehinge/controlplane/raft/Departure.java
+++ b/src/main/java/sablehinge/controlplane/raft/Departure.java
@@ -112,7 +112,7 @@
 
     /**
      * Whether a majority of the voters that stay without one has everything that is committed. Where those that stay
-     * are no majority the core is being stopped as a whole, and nobody has to wait for it.
+     * are no majority all of the core is being stopped, and nobody has to wait for it.
      */
     private boolean isHeldWithout(double now, long id) {
         int staying = 0;
--- a/src/main/java/sablehinge/controlplane/raft/LeadershipTransfer.java
+++ b/src/main/java/sablehinge/controlplane/raft/LeadershipTransfer.java
@@ -1,9 +1,9 @@
 package sablehinge.controlplane.raft;
 
 /**
- * Hands leadership to a peer: where the own disk stalls, and where this process is about to end. The peer is told by
- * {@link Message.TimeoutNowRequest} to start an election at once (Ongaro's thesis, 3.10); it need not succeed, and the
- * transfer is tried again later.
+ * Hands leadership to a peer: where the own disk stalls, and where this process is about to end. The peer is notified
+ * by {@link Message.TimeoutNowRequest} to start an election at once (Ongaro's thesis, 3.10); it need not succeed, and
+ * the transfer is tried again later.
  */
 final class LeadershipTransfer {
 
--- a/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
+++ b/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
@@ -29,7 +29,7 @@
         value *= 1 + STEP * (elapsed > value ? QUANTILE : QUANTILE - 1);
     }
 
-    /** The time in ms under which a call is not worth sending; 0 while too little is known. */
+    /** The time in ms under which a call is not sent; 0 while too little is known. */
     public double value(double now) {
         return seen < FIRST ? 0 : value * Math.pow(0.5, Math.max(0, now - at) / HALVING_MS);
     }
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -45,7 +45,7 @@
 
     private final DoublePredicate evict = this::evictIdle;
     private ScheduledFuture<?> sweeps;
-    /** While its callers are asked to leave: when it accepts no more, ms, and what then follows. */
+    /** While it drains: when it accepts no more, ms, and what then follows. */
     private double closesAt = Double.POSITIVE_INFINITY;
 
     private Runnable afterwards;
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -203,7 +203,7 @@
 
     /**
      * How far it has come by now. The write itself is looked at, as its listeners may be notified a turn later: Netty
-     * puts them off once they are nested deeply, and a reset could come first.
+     * postpones them once they are nested deeply, and a reset could come first.
      */
     private AttemptState currentState() {
         if (lastWrite != null && lastWrite.isSuccess()) {
--- a/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
@@ -162,7 +162,10 @@
         return monitor.suspicions();
     }
 
-    /** Peers that this balancer hears and that are not in the leader's registry: new, or cut off from it. */
+    /**
+     * Peers that this balancer receives heartbeats from and that are not in the leader's registry: new, or cut off from
+     * it.
+     */
     List<Registration> vouched() {
         List<Registration> vouched = new ArrayList<>();
         for (String node : monitor.heardPeers()) {
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
@@ -109,7 +109,7 @@
     /**
      * Budgets over a chain of tiers, at this hop.
      *
-     * @param service what this balancer's servers are together, by which loops are told
+     * @param service what this balancer's servers are together, by which loops are detected
      * @param entry whether clients of outside call here
      * @param shed by what terms work is given up by its value here; null for none
      * @param keys the files of the secrets by their names, relative to the operator file; the first one signs
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
@@ -44,7 +44,7 @@
 import sablehinge.policy.LoadBalancer.Rules;
 import sablehinge.policy.LoadBalancer.State;
 
-/** Reads an operator file as a whole: either it is right in every part, or all its problems are reported at once. */
+/** Reads a complete operator file: either it is right in every part, or all its problems are reported at once. */
 public final class OperatorFile {
 
     /** Longest file that is read, in bytes: some ten thousand servers. */
--- a/src/main/java/sablehinge/gateway/config/operator/Section.java
+++ b/src/main/java/sablehinge/gateway/config/operator/Section.java
@@ -17,8 +17,8 @@
 import sablehinge.gateway.settings.Addresses;
 
 /**
- * Reads one table of an operator file. Each key is requested once, with its type, range and default; what is amiss is
- * noted with its line and the default goes on in its place, so that one reading finds every error. Once all has been
+ * Reads one table of an operator file. Each key is read once, with its type, range and default; what is amiss is noted
+ * with its line and the default goes on in its place, so that one reading finds every error. Once all has been
  * requested, {@link #end} notes the keys that nobody knows.
  */
 public final class Section {
--- a/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
+++ b/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
@@ -16,7 +16,7 @@
 
 /**
  * Versions of the configuration on disk. Each one's content is a file of its own that is never changed; one small file
- * says which is confirmed and which is on trial, and is replaced as a whole by write, sync, rename and sync of the
+ * says which is confirmed and which is on trial, and is replaced atomically by write, sync, rename and sync of the
  * directory. A crash at any point leaves that file as it was or as it was to be.
  */
 public final class VersionStore implements AutoCloseable {
--- a/src/main/java/sablehinge/gateway/discovery/Discovery.java
+++ b/src/main/java/sablehinge/gateway/discovery/Discovery.java
@@ -44,15 +44,15 @@
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     /** How long a watch may wait for an update: each new call costs discovery work. */
     public static final int WATCH_MS = 20_000;
-    /** How long after that an answer may still be under way; what was not told by then counts as told. */
+    /** How long after that an answer may still be under way; what was not received by then counts as received. */
     private static final int LATE_MS = 1_500;
-    /** The version of a list from a discovery that has told nothing yet. */
+    /** The version of a list from a discovery that has sent nothing yet. */
     private static final long UNTOLD = -1;
 
-    /** What the list is told to. */
+    /** Who is notified of the list. */
     public interface Listener {
 
-        /** News; the roster is null if the call failed. */
+        /** An update; the roster is null if the call failed. */
         void onRosterChanged(Change change, Roster roster);
     }
 
@@ -106,7 +106,7 @@
 
     /**
      * Begins the watch, or ends it. One that is out ends quietly, and the new one goes over a connection of its own:
-     * nothing but the want of an answer tells a dead connection from one with no news.
+     * nothing but a missing answer tells a dead connection from one without updates.
      */
     @Override
     public void watch(boolean on) {
--- a/src/main/java/sablehinge/gateway/discovery/Maintenance.java
+++ b/src/main/java/sablehinge/gateway/discovery/Maintenance.java
@@ -81,7 +81,7 @@
         return out.putIfAbsent(id, now) == null ? change(id) : nothing();
     }
 
-    /** Puts an upstream back; one that is not out stays as it is. Returns what is to be passed on. */
+    /** Returns an upstream to service; one that is not out stays as it is. Returns what is to be passed on. */
     public Roster restore(long id, double now) {
         Double from = out.remove(id);
         if (from == null) {
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -54,7 +54,7 @@
     private static final double MAX_DRAIN_MS = 3_000;
 
     private static final double DRAIN_SLACK_MS = 550;
-    /** The time that is kept of it to answer what has come, once callers are asked to leave. */
+    /** The time that is kept of it to answer what has come, once it drains. */
     private static final double LAST_ANSWERS_MS = 1_650;
 
     /** How often it looks at what another process of this balancer has changed. */
@@ -168,7 +168,7 @@
             shared.ready();
             loop.scheduleAtFixedRate(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
         }
-        // Last: whoever hears yes may end the other process.
+        // Last: whoever receives the confirmation may end the other process.
         calls = new CallServer(loop, memory, this::call);
         calls.bind(config.operator());
     }
@@ -190,7 +190,7 @@
         if (!maintenance.knows(RosterParser.number(words[1]))) {
             return "fail no upstream has that id";
         }
-        // Noted first: what the other process never hears of must not be answered with yes.
+        // Noted first: what never reaches the other process must not be confirmed.
         if (shared != null) {
             shared.out(words[1], suspends);
         }
@@ -214,7 +214,7 @@
         }
     }
 
-    /** Takes over what another process of this balancer was told, and makes room for it. */
+    /** Takes over the state of another process of this balancer, and makes room for it. */
     private void look() {
         try {
             Set<String> noted = shared.out();
@@ -258,8 +258,8 @@
     /**
      * Stops as SIGTERM wants it. Callers go on using the connections that they have, and may have nowhere else to go
      * while another balancer restarts too, so they are served as before for as long as there is time to answer what has
-     * come. Then they are asked to leave. Where another process of this balancer serves already, new callers are left
-     * to it, and answers ask the others to leave from the first on. Returns when the process may end.
+     * come. Then their connections are closed in order. Where another process of this balancer serves already, new
+     * callers are left to it, and answers ask the others to leave from the first on. Returns when the process may end.
      */
     public void drain() throws InterruptedException {
         double longest = core.version().settings().classes().stream()
--- a/src/main/java/sablehinge/gateway/node/Recording.java
+++ b/src/main/java/sablehinge/gateway/node/Recording.java
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Makes a dump as an operator asks for it; {@code done} hears of it on the loop. */
+    /** Makes a dump as an operator requests it; {@code done} is called with the result on the loop. */
     void dump(BiConsumer<Path, String> done) {
         watchdog.dump((path, why) -> loop.execute(() -> done.accept(path, why)));
     }
--- a/src/main/java/sablehinge/gateway/node/ServerSource.java
+++ b/src/main/java/sablehinge/gateway/node/ServerSource.java
@@ -36,7 +36,7 @@
         return source;
     }
 
-    /** Servers that a discovery tells of; {@code maker} makes it, given what hears of them. */
+    /** Servers that a discovery tells of; {@code maker} makes it, given the listener to them. */
     static ServerSource discovered(Function<Discovery.Listener, Discovery> maker, BiConsumer<Change, Roster> listener) {
         ServerSource source = new ServerSource(listener);
         source.discovery = maker.apply(source::onRosterChanged);
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -38,9 +38,9 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /**
- * Carries changes of the configuration out: what {@link ChangeDecider} asks for, on the sockets, in core and on the
- * disk. All of it runs on the loop but for files and parsing, which have a thread of their own, one task after another;
- * the loop never waits for it.
+ * Executes changes of the configuration: what {@link ChangeDecider} asks for, on the sockets, in core and on the disk.
+ * All of it runs on the loop but for files and parsing, which have a thread of their own, one task after another; the
+ * loop never waits for it.
  */
 final class Versions implements ChangeDecider.Actions, Observer {
 
@@ -86,7 +86,7 @@
     /** Since when fewer servers are ready than the version on trial asks for; NaN while enough are. */
     private double bare = Double.NaN;
 
-    /** Begins with a version that counts as confirmed; the store hears of that once it serves. */
+    /** Begins with a version that counts as confirmed; the store is notified of that once it serves. */
     Versions(OperatorNode node, VersionStore store, ExecutorService files, int number, OperatorConfig first) {
         this.node = node;
         this.store = store;
--- a/src/main/java/sablehinge/gateway/node/package-info.java
+++ b/src/main/java/sablehinge/gateway/node/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The platform's balancer as a process: puts front, proxy, transport and discovery together on one loop; drain, reload,
+ * The platform's balancer as a process: combines front, proxy, transport and discovery on one loop; drain, reload,
  * versions.
  */
 package sablehinge.gateway.node;
--- a/src/main/java/sablehinge/gateway/recorder/Dump.java
+++ b/src/main/java/sablehinge/gateway/recorder/Dump.java
@@ -23,7 +23,7 @@
  * @param atMicros the same moment in the time of the events
  * @param reason in a word, such as the kind of an alarm
  * @param detail what was seen, in words
- * @param stack the loop's thread, a frame a line; empty where nobody asked
+ * @param stack the loop's thread, a frame a line; empty where it was not requested
  * @param lost events that the ring no longer had
  * @param events oldest first
  */
--- a/src/main/java/sablehinge/gateway/recorder/FlightRecorder.java
+++ b/src/main/java/sablehinge/gateway/recorder/FlightRecorder.java
@@ -5,9 +5,9 @@
 import sablehinge.dataplane.proxy.Tracer;
 
 /**
- * Keeps what it is told of in a {@link Ring}. An event of core and one of a connection that belong together follow each
- * other in one call, so that neither needs to know of the other: which connection a request came on and which one
- * carries an attempt is filled in here.
+ * Keeps the events that it receives in a {@link Ring}. An event of core and one of a connection that belong together
+ * follow each other in one call, so that neither needs to know of the other: which connection a request came on and
+ * which one carries an attempt is filled in here.
  */
 public final class FlightRecorder implements Tracer {
 
--- a/src/main/java/sablehinge/gateway/recorder/Watch.java
+++ b/src/main/java/sablehinge/gateway/recorder/Watch.java
@@ -11,7 +11,7 @@
 
 /**
  * Holds what a process does against what it promises, at each tick. It keeps no clock and does nothing but look, save
- * that a body that stands still is nudged: only so can it be told whether its ends are ready.
+ * that a body that stands still is nudged: only so can it be seen whether its ends are ready.
  */
 public final class Watch {
 
--- a/src/main/java/sablehinge/gateway/recorder/Watchdog.java
+++ b/src/main/java/sablehinge/gateway/recorder/Watchdog.java
@@ -24,7 +24,7 @@
     private static final int IN_SHORT = 12;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** A dump that is to be made; {@code done} hears its place or, as a text, why there is none. */
+    /** A dump that is to be made; {@code done} is called with its place or, as a text, why there is none. */
     private record Wanted(String reason, String detail, BiConsumer<Path, String> done) {}
 
     private final Ring ring;
@@ -51,7 +51,7 @@
      *
      * @param nanos the clock of the ring
      * @param turn for how many ms a tick may stay out before the loop counts as hung
-     * @param folder null for none: a dump is then told to the log in short
+     * @param folder null for none: a dump is then summarized in the log
      * @param log takes a line
      */
     public Watchdog(Ring ring, String node, LongSupplier nanos, double turn, DumpFolder folder, Consumer<String> log) {
@@ -71,12 +71,12 @@
         thread.start();
     }
 
-    /** The loop lives. */
+    /** The loop has run; called on it. */
     public void tick() {
         lastTick = nanos.getAsLong();
     }
 
-    /** Something is wrong: it is told to the log, and dumped unless that was done within the last minute. */
+    /** Something is wrong: it is logged, and dumped unless that was done within the last minute. */
     public void alarm(Alarm alarm) {
         String detail = (alarm.connection() == 0 ? "" : "connection " + alarm.connection() + ": ")
                 + (alarm.exchange() == 0 ? "" : "request " + alarm.exchange() + ": ")
--- a/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
+++ b/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
@@ -35,7 +35,7 @@
         CONFIRMING
     }
 
-    /** What the decider asks for; it hears the ends of the first three by events. */
+    /** What the decider requests; the ends of the first three come back as events. */
     public interface Actions {
 
         /** Writes down that a version is on trial; ends with {@link #marked}. */
@@ -110,7 +110,7 @@
 
     // ---- What operators ask for ---------------------------------------------------------------------
 
-    /** Whether one more version may be staged over a base; asked before it gets its number. */
+    /** Whether one more version may be staged over a base; called before it gets its number. */
     public Reply mayStage(int base) {
         if (base != confirmed) {
             return Reply.no("it is based on version " + base + ", but version " + confirmed + " is current");
--- a/src/main/java/sablehinge/gateway/rollout/ErrorRateGuard.java
+++ b/src/main/java/sablehinge/gateway/rollout/ErrorRateGuard.java
@@ -8,7 +8,7 @@
  * the lower end of the Wilson score interval (E. B. Wilson, JASA 22, 1927) must lie over the bound, over at least a
  * stated count, at several checks in a row that each saw new answers.
  *
- * <p>Does harm where trouble of another cause begins with a change: it is then undone for nothing, which is the cheaper
+ * <p>Does harm where a fault of another cause begins with a change: it is then undone for nothing, which is the cheaper
  * error.
  */
 public final class ErrorRateGuard {
--- a/src/main/java/sablehinge/mesh/failuredetection/Health.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Health.java
@@ -6,15 +6,15 @@
     WELL,
     /** The leader doesn't hear it, and most of its watchers do: it serves on. */
     CUT_FROM_CORE,
-    /** The leader hears from it, and a watcher does not: it serves on. */
+    /** The leader receives its heartbeats, and a watcher does not: it serves on. */
     CUT_FROM_SOME,
     /** The leader doesn't hear it, and no watcher is in touch who could tell more: nothing is concluded. */
     UNSEEN,
-    /** Nobody hears from it, and its machine accepts connections. */
+    /** Nobody receives its heartbeats, and its machine accepts connections. */
     FROZEN,
-    /** Nobody hears from it, and its machine refuses connections. */
+    /** Nobody receives its heartbeats, and its machine refuses connections. */
     DEAD,
-    /** Nobody hears from it, and nothing answers there. */
+    /** Nobody receives its heartbeats, and nothing answers there. */
     LOST;
 
     /** Whether nothing new is to be sent there. */
--- a/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
@@ -10,18 +10,20 @@
 import java.util.Set;
 
 /**
- * Joins the suspicions of watchers with what the leader hears itself, and decides who is unavailable. It takes both: a
- * balancer that the leader hears, or half of its watchers that the leader hears, is available, so one that is
- * partitioned ejects nobody. Where more than half of all send nothing and no watcher hears them, the fault is likelier
- * with those who look: nothing new is ruled then. Nor is ever more than half of a service's ready upstreams taken away.
- * One that is unavailable is so until the leader hears it again, or none of its watchers suspects it. Times are in ms
- * of a steady clock.
+ * Joins the suspicions of watchers with the heartbeats that the leader receives itself, and decides which balancers are
+ * unavailable.
+ *
+ * <p>It takes both: a balancer is available if the leader is in contact with it, or with half of its watchers, so one
+ * that is partitioned ejects nobody. Where more than half of all balancers send nothing and no watcher receives their
+ * heartbeats, the fault is likelier with the observers: nothing new is decided then. Nor is ever more than half of a
+ * service's ready upstreams ejected. One that is unavailable stays so until the leader is in contact with it again, or
+ * none of its watchers suspects it. Times are in ms of a steady clock.
  */
 public final class HealthView {
 
     /**
-     * After so long without a request the leader does not hear a balancer: each sends the next when one is answered,
-     * which is after 400 ms at the latest.
+     * After so long without a request the leader has no contact with a balancer: each sends the next when one is
+     * answered, which is after 400 ms at the latest.
      */
     static final double PEER_TIMEOUT_MS = 900;
 
@@ -45,7 +47,7 @@
      * What is known of one has changed.
      *
      * @param suspecting of its watchers in touch, those who don't hear it
-     * @param watchers of it that the leader hears
+     * @param watchers of it that the leader is in contact with
      */
     public record HealthChange(String node, Health before, Health health, int suspecting, int watchers) {}
 
@@ -56,7 +58,7 @@
         healthByNode.clear();
     }
 
-    /** The leader hears a balancer, with the peers that it suspects now. */
+    /** The leader has received a heartbeat of a balancer, with the peers that it suspects now. */
     public void heard(double now, String node, List<Suspicion> suspicions) {
         reports.put(node, new PeerReport(now, List.copyOf(suspicions)));
     }
--- a/src/main/java/sablehinge/mesh/failuredetection/Suspicion.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Suspicion.java
@@ -1,7 +1,7 @@
 package sablehinge.mesh.failuredetection;
 
 /**
- * What a watcher reports of a peer that it no longer hears.
+ * What a watcher reports of a peer whose heartbeats no longer come.
  *
  * @param node whom it doesn't hear
  * @param evidence what it found there
--- a/src/main/java/sablehinge/mesh/watch/WatchRequest.java
+++ b/src/main/java/sablehinge/mesh/watch/WatchRequest.java
@@ -19,7 +19,7 @@
  * @param stamp of that registry
  * @param confirm whether the answer has to be confirmed: nothing newer was acknowledged before the request
  * @param suspicions peers that it monitors and does not hear; {@link Monitor#MAX_REPORTED} at most
- * @param vouched peers that it hears and the registry does not have; as many at most
+ * @param vouched peers whose heartbeats it receives and that the registry does not have; as many at most
  */
 public record WatchRequest(
         int number,
--- a/src/main/java/sablehinge/policy/Call.java
+++ b/src/main/java/sablehinge/policy/Call.java
@@ -41,7 +41,7 @@
     ArrayDeque<Call> line;
     /** Until when an attempt that was given up may still be running. */
     double restsUntil = Double.NEGATIVE_INFINITY;
-    /** When an answer is no longer worth its cost. */
+    /** When an answer no longer earns its cost. */
     double usefulEnd;
 
     final int most;
--- a/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
+++ b/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
@@ -77,7 +77,7 @@
     private static final double MAX_SLOW_RATIO = 10;
     /** Without second copies an attempt that may be repeated is given up after this many such delays. */
     private static final double GIVE_UP = 2;
-    /** Least share of the expected latency that must be left for a send to make sense. */
+    /** Least share of the expected latency that must be left for a send. */
     private static final double TOO_LATE = 0.25;
     /** Share of the allowed multiple of a warming server's capacity that its send budget uses. */
     private static final double WARM_UP_MARGIN = 0.3;
@@ -85,7 +85,7 @@
     private static final double LOOK_AGAIN = 20;
     /** Share of its time for which a request is held that finds no server: the rest is its client's. */
     private static final double HOLD_SHARE = 0.45;
-    /** Least and, with as much again at random, most wait before the registry is asked again, of askEvery. */
+    /** Least and, with as much again at random, most wait before the registry is requested again, of askEvery. */
     private static final double ASK_AGAIN = 0.1;
 
     /** Calls in a row that a listed server rejected or did not let connect: the list may be old. */
--- a/src/main/java/sablehinge/tools/audit/judge/AuditRules.java
+++ b/src/main/java/sablehinge/tools/audit/judge/AuditRules.java
@@ -7,7 +7,7 @@
  *
  * @param classes by name
  * @param answerGrace after the caller's time is up, by when an answer must have come
- * @param drainGrace after a balancer was told that a server drains or is gone, until when it may send
+ * @param drainGrace after a balancer was notified that a server drains or is gone, until when it may send
  * @param slack for the stamps of two parties on a busy machine
  * @param hold for how long after its last trace a request may leave another
  * @param callersComplete whether every caller's record is there
--- a/src/main/java/sablehinge/tools/audit/judge/Evidence.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Evidence.java
@@ -34,7 +34,7 @@
         SERVED,
         /** Answered with a failure; some of it may have run. */
         ERROR,
-        /** Turned away with proof that it never ran. */
+        /** Rejected with proof that it never ran. */
         TURNED_AWAY,
         /** The request's last byte never came: it can't have run. */
         CUT,
@@ -101,13 +101,13 @@
             How how)
             implements Evidence {}
 
-    /** A balancer was told of a server's state: up, draining or removed. */
+    /** A balancer was notified of a server's state: up, draining or removed. */
     record ListSent(double at, String balancer, String server, String state) implements Evidence {}
 
     /** A cold server was pushed over; {@code informed} is the share of its work from balancers that knew it cold. */
     record Fell(double at, String server, double informed) implements Evidence {}
 
-    /** A party ended: a balancer was killed, or asked to end, so that what it had may be lost. */
+    /** A party ended: a balancer was killed, or requested to end, so that what it had may be lost. */
     record Ended(double at, String party) implements Evidence {}
 
     /** What a balancer says of a request, to explain and not to judge. */
--- a/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
+++ b/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
@@ -40,7 +40,7 @@
     private final Consumer<Breach> breaches;
     private final int mostHeld;
     private final LinkedHashMap<String, Trace> traces = new LinkedHashMap<>();
-    /** For each balancer and server what it was told, in order. */
+    /** For each balancer and server what it was notified of, in order. */
     private final Map<String, Map<String, List<ListSent>>> received = new HashMap<>();
 
     private final Map<String, Double> ended = new HashMap<>();
--- a/src/main/java/sablehinge/tools/replay/Demand.java
+++ b/src/main/java/sablehinge/tools/replay/Demand.java
@@ -3,7 +3,7 @@
 import sablehinge.common.mapping.MappedRequest;
 
 /**
- * A request that was requested, once, however often it was tried.
+ * A request that a caller made, once, however often it was tried.
  *
  * @param time when, in ms since 1970
  * @param mapped what it is; null if no rule is for it
--- a/src/main/java/sablehinge/tools/replay/HaproxyFormat.java
+++ b/src/main/java/sablehinge/tools/replay/HaproxyFormat.java
@@ -12,9 +12,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads lines of HAProxy's HTTP log (HAProxy configuration manual, 8.2.3), with or without what syslog puts before. Its
- * times have no zone, so that has to be told; at a change of clocks an hour is there twice, of which the one nearer to
- * the line before is taken, and an hour is missing, whose times are taken to lie behind the gap.
+ * Reads lines of HAProxy's HTTP log (HAProxy configuration manual, 8.2.3), with or without what syslog writes before.
+ * Its times have no zone, so that has to be given; at a change of clocks an hour is there twice, of which the one
+ * nearer to the line before is taken, and an hour is missing, whose times are taken to lie behind the gap.
  */
 public final class HaproxyFormat implements LogFormat {
 
--- a/src/main/java/sablehinge/tools/replay/Logs.java
+++ b/src/main/java/sablehinge/tools/replay/Logs.java
@@ -14,8 +14,8 @@
 import sablehinge.tools.replay.folding.RetryFolder;
 
 /**
- * Several logs as one: the requests that were requested, in the order of time, with logged retries folded. What is held
- * is bounded, whatever the logs' size.
+ * Several logs as one: new requests in the order of time, with logged retries folded. What is held is bounded, whatever
+ * the logs' size.
  */
 public final class Logs implements Closeable {
 
@@ -24,7 +24,7 @@
 
     private static final int MIN_HELD = 500;
 
-    /** Hears of each logged try, in the order of time; for measuring the folding on logs whose truth is known. */
+    /** Called with each logged try, in the order of time; for measuring the folding on logs whose truth is known. */
     public interface Tries {
 
         /**
@@ -115,7 +115,7 @@
         }
     }
 
-    /** The next request that was requested; null after the last. */
+    /** The next new request; null after the last. */
     public Demand next() throws IOException {
         while (!heads.isEmpty()) {
             Head head = heads.poll();
@@ -140,7 +140,7 @@
         return null;
     }
 
-    /** Names who hears of each logged try. */
+    /** Sets the listener to each logged try. */
     public void listen(Tries listener) {
         this.listener = listener;
     }
--- a/src/main/java/sablehinge/tools/replay/folding/RetryFolder.java
+++ b/src/main/java/sablehinge/tools/replay/folding/RetryFolder.java
@@ -39,7 +39,7 @@
      * @param ended when it ended, in ms; equal to {@code begun} where the log doesn't tell
      * @param name its idempotency key or request id; null where it has none
      * @param sure whether another name is another request; an id that a proxy makes for each try is not sure
-     * @param caller who asked, with method and target as the log has them
+     * @param caller who sent it, with method and target as the log has them
      * @param status its answer; 0 for none
      */
     public record Try(
--- a/src/main/java/sablehinge/tools/replay/run/Keys.java
+++ b/src/main/java/sablehinge/tools/replay/run/Keys.java
@@ -2,7 +2,7 @@
 
 import java.util.HexFormat;
 
-/** Logged keys as the number that the protocol's cookie carries. */
+/** Logged keys as the number that the protocol's cookie contains. */
 public final class Keys {
 
     private Keys() {}
--- a/src/main/java/sablehinge/tools/replay/run/Load.java
+++ b/src/main/java/sablehinge/tools/replay/run/Load.java
@@ -43,7 +43,7 @@
      * What is sent, and where.
      *
      * @param targets balancers, used in turn
-     * @param classes what is known of classes; others are safe if they are first asked by GET, else unsafe
+     * @param classes what is known of classes; others are safe if they are first requested by GET, else unsafe
      * @param lanes event loops that send
      * @param connections open at a time at most, over all lanes
      * @param body bytes of bodies of which the log tells nothing
@@ -77,7 +77,7 @@
     private long feeding;
     private long ended;
 
-    /** A replay that sends nothing yet; {@code record} hears what its clients see, on their threads. */
+    /** A replay that sends nothing yet; {@code record} is called with what its clients see, on their threads. */
     public Load(Options options, Consumer<Evidence> record) throws InterruptedException {
         this.options = options;
         plans = new HashMap<>(options.classes());
--- a/src/main/java/sablehinge/tools/replay/run/ReplayWorker.java
+++ b/src/main/java/sablehinge/tools/replay/run/ReplayWorker.java
@@ -175,7 +175,7 @@
         return counts;
     }
 
-    /** Whether all that was added has come out; to be asked on the loop. */
+    /** Whether all that was added has come out; to be called on the loop. */
     boolean isDone() {
         // Who waited for a place when it was stopped adds its request after that, and it is never sent.
         return (stopped || ahead.isEmpty()) && outstanding == 0;
--- a/src/main/java/sablehinge/tools/replay/run/RequestCounts.java
+++ b/src/main/java/sablehinge/tools/replay/run/RequestCounts.java
@@ -28,7 +28,7 @@
         final Histogram latency = new Histogram(MAX, 3);
     }
 
-    /** A slice of time: what was asked in it, and what was answered. */
+    /** A slice of time: what was requested in it, and what was answered. */
     static final class Slice {
         long requested;
         final long[] outcomes = new long[Outcome.values().length];
--- a/src/main/java/sablehinge/tools/replay/timeline/Timeline.java
+++ b/src/main/java/sablehinge/tools/replay/timeline/Timeline.java
@@ -7,12 +7,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Puts logged events on one line of time. They come in the order of the log and leave in the order of time, however
+ * Sorts logged events into one line of time. They come in the order of the log and leave in the order of time, however
  * long the log is: an event waits until all that may still come before it has come, or until too many wait. A time that
  * is missing lies between its neighbours; a clock that is set back is taken to go on; times in full seconds are spread
  * over their second by seed, in the log's order, so that they are no burst.
  *
- * @param <T> what an event carries
+ * @param <T> the payload of an event
  */
 public final class Timeline<T> {
 
--- a/src/main/java/sablehinge/tools/standin/Caller.java
+++ b/src/main/java/sablehinge/tools/standin/Caller.java
@@ -109,7 +109,7 @@
             }
         }
 
-        /** Whoever asked has gone: so does this. */
+        /** Whoever sent the request has gone: so does this. */
         void cancel() {
             if (!over) {
                 over = true;
@@ -131,7 +131,7 @@
         this.record = record;
     }
 
-    /** Makes a call; {@code end} hears once whether it was served. */
+    /** Makes a call; {@code end} is called once with whether it was served. */
     Call call(
             String txn,
             boolean get,
--- a/src/main/java/sablehinge/tools/standin/Directory.java
+++ b/src/main/java/sablehinge/tools/standin/Directory.java
@@ -38,7 +38,7 @@
 
 /**
  * The list of servers of a tier, and watches on it, by PROTOCOL. Each balancer asks at an address of its own, and is
- * told addresses of its own, so that servers can tell who sends. One event loop owns it.
+ * given addresses of its own, so that servers can tell who sends. One event loop owns it.
  */
 final class Directory {
 
@@ -53,7 +53,7 @@
         InetSocketAddress of(String server, String balancer);
     }
 
-    /** An answer that is owed: to a watch, or to anybody while the list is silent. */
+    /** An answer that is pending: to a watch, or to anybody while the list answers nothing. */
     private record Owed(String balancer, ChannelHandlerContext ctx, long index, double until) {}
 
     private final EventLoop loop;
@@ -65,7 +65,7 @@
 
     private final List<Owed> owed = new ArrayList<>();
     private final List<Channel> listeners = new ArrayList<>();
-    /** What each balancer was last told of each server. */
+    /** The state of each server that each balancer was last sent. */
     private final Map<String, Map<String, String>> received = new HashMap<>();
     /** Balancers that know of the last start of a server, as BALANCER SERVER; read by the servers' loops. */
     private final Set<String> knowsStart = ConcurrentHashMap.newKeySet();
@@ -136,7 +136,7 @@
         tellAll();
     }
 
-    /** Whether a balancer was told that a server has started, as it last did; on any thread. */
+    /** Whether a balancer was notified that a server has started, as it last did; on any thread. */
     boolean knowsStart(String balancer, String server) {
         return knowsStart.contains(balancer + ' ' + server);
     }
@@ -174,7 +174,7 @@
         if (!one.ctx.channel().isActive()) {
             return;
         }
-        // A balancer that has no list yet, or one of another directory, is told all.
+        // A balancer that has no list yet, or one of another directory, gets the full list.
         boolean full = one.index < 0 || one.index > changes.size();
         Map<String, Entry> wanted = new TreeMap<>();
         if (full) {
@@ -204,7 +204,7 @@
         write(one.ctx, HttpResponseStatus.OK, json.toString(), () -> wrote(one.balancer, full, wanted));
     }
 
-    /** It has been written out: from now on the balancer counts as told. */
+    /** It has been written out: from now on the balancer counts as notified. */
     private void wrote(String balancer, boolean full, Map<String, Entry> wanted) {
         double now = EvidenceStamps.now();
         Map<String, String> before = received.computeIfAbsent(balancer, name -> new HashMap<>());
--- a/src/main/java/sablehinge/tools/standin/Fleet.java
+++ b/src/main/java/sablehinge/tools/standin/Fleet.java
@@ -75,8 +75,8 @@
      * A fleet that has not started.
      *
      * @param threads event loops of the servers
-     * @param record hears what servers and lists saw, on their threads
-     * @param story hears in words what befalls the fleet
+     * @param record called with what servers and lists saw, on their threads
+     * @param story called with a line of text for each fault of the fleet
      */
     public Fleet(
             Scenario scenario, Balancers balancers, int threads, Consumer<Evidence> record, Consumer<String> story) {
--- a/src/main/java/sablehinge/tools/standin/Server.java
+++ b/src/main/java/sablehinge/tools/standin/Server.java
@@ -212,9 +212,9 @@
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
-    // ---- Life --------------------------------------------------------------------------------------
+    // ---- Start and end --------------------------------------------------------------------------------------
 
-    /** Begins to serve, warm or cold; on the loop. */
+    /** Begins to serve, warmed up or not; on the loop. */
     void start(boolean warmingUp, Caller calls) {
         model = new ServerModel(terms, EvidenceStamps.now(), warmingUp ? EvidenceStamps.now() : Double.NaN);
         caller = calls;
--- a/src/main/java/sablehinge/tools/standin/mesh/HeartbeatSender.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/HeartbeatSender.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Tells a balancer that the upstream beside it lives, and in the end that it leaves. */
+/** Sends heartbeats of an upstream to the balancer beside it, and in the end that it leaves. */
 public final class HeartbeatSender implements AutoCloseable {
 
     private static final int TIMEOUT_MS = 1_000;
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
@@ -13,7 +13,7 @@
  */
 public record MeshPlan(String prefix, int controlNodes, List<String> services) {
 
-    /** How long an upstream serves on once it has said that it leaves. */
+    /** How long an upstream serves on once it has announced that it leaves. */
     public static final int UNLOAD_MS = 2_000;
     /** After an acknowledgement, how long an older configuration may be in force. */
     public static final int EDITION_MS = 2_500;
@@ -59,7 +59,7 @@
         services = List.copyOf(services);
     }
 
-    /** Where a machine of the core hears operators, by its place. */
+    /** Where a machine of the core listens for operators, by its place. */
     public String coreControl(int place) {
         return at(CORE + place, CONTROL);
     }
@@ -69,12 +69,12 @@
         return at(SIDECARS + place, OUTBOUND);
     }
 
-    /** Where a machine is asked whether it is ready. */
+    /** Where a machine answers readiness checks. */
     public String ready(int place) {
         return at(SIDECARS + place, READY);
     }
 
-    /** Where a machine hears its upstream. */
+    /** Where a machine listens for its upstream. */
     public String control(int place) {
         return at(SIDECARS + place, CONTROL);
     }
--- a/src/main/java/sablehinge/tools/standin/mesh/Operator.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/Operator.java
@@ -120,7 +120,7 @@
                     }
                 }
             } catch (IOException e) {
-                // The next one is asked.
+                // The next one is called.
             }
             next++;
             TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
--- a/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
@@ -130,7 +130,7 @@
         for (int i = 0; i < sidecars.size(); i++) {
             ready(i);
         }
-        // The roll comes with the heartbeats: every balancer has heard of every upstream after two of them.
+        // The registry fills with the heartbeats: every balancer has heard of every upstream after two of them.
         TimeUnit.MILLISECONDS.sleep(2 * MeshPlan.HEARTBEAT_MS);
     }
 
@@ -161,7 +161,7 @@
         upstreams.clear();
     }
 
-    /** Starts an upstream on each machine, in a new life. */
+    /** Starts an upstream on each machine, as a new incarnation. */
     public void upstreamsCome() {
         for (int i = 0; i < sidecars.size(); i++) {
             StandInUpstream upstream = new StandInUpstream(
--- a/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
@@ -17,7 +17,7 @@
 
 /**
  * An upstream by PROTOCOL: it works on so many requests at once, rejects what is not meant for it, stamps its answers,
- * tells the balancer beside it that it lives, and writes down what it runs.
+ * sends heartbeats to the balancer beside it, and records what it runs.
  */
 public final class StandInUpstream implements AutoCloseable {
 
--- a/src/main/java/sablehinge/tools/standin/mesh/TrafficLog.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/TrafficLog.java
@@ -30,7 +30,7 @@
      *
      * @param status 0 where the connection ended without an answer
      * @param id that the answer names, or null
-     * @param stamp that it carries, or null
+     * @param stamp in it, or null
      */
     public record Answered(String of, int status, String id, String stamp, long sum, double at) {}
 
--- a/src/main/java/sablehinge/tools/standin/model/Faults.java
+++ b/src/main/java/sablehinge/tools/standin/model/Faults.java
@@ -29,7 +29,7 @@
         HANG,
         /** It says nothing more, on old connections and new ones, and the list does not know. */
         VANISH,
-        /** It dies and comes back cold after the fault's time. */
+        /** It dies and comes back without warm-up after the fault's time. */
         RESTART,
         /** It is listed as draining, and is gone at the end of the fault's time. */
         DRAIN,
--- a/src/main/java/sablehinge/tools/standin/model/ServerModel.java
+++ b/src/main/java/sablehinge/tools/standin/model/ServerModel.java
@@ -252,7 +252,7 @@
             }
             for (Job job : finished) {
                 done.add(job.id);
-                // It keeps its slot until it is told to go on or to leave.
+                // It keeps its slot until it is let go on or removed.
                 running.remove(job.id);
                 job.holds = true;
             }
--- a/src/main/java/sablehinge/tools/standin/scenario/Scenario.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/Scenario.java
@@ -64,6 +64,6 @@
             double warmUpFrom,
             double warmUpFor) {}
 
-    /** The figures of the rules that balancers are told. */
+    /** The figures of the rules that balancers get. */
     public record RulesPart(double drainGrace, double fallMultiple, double fallAfter) {}
 }
--- a/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
@@ -23,7 +23,7 @@
 import sablehinge.tools.standin.scenario.Scenario.RulesPart;
 import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
-/** Reads a scenario as a whole: either it is right in every part, or all its problems are reported at once. */
+/** Reads a complete scenario: either it is right in every part, or all its problems are reported at once. */
 public final class ScenarioFile {
 
     private static final double HOUR = 3.6e6;
--- a/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
+++ b/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
@@ -250,9 +250,9 @@
         }
         String found;
         try {
-            LatencySteps.settings(Toml.read(text));
+            LocalSettingsReader.settings(Toml.read(text));
             found = "fine";
-        } catch (SettingsTable.Off e) {
+        } catch (SettingsTable.InvalidKeyException e) {
             found = "off";
         }
         assertEquals(expected, found, table + "." + key + " = " + value);
