--- a/src/main/java/sablehinge/policy/Call.java
+++ b/src/main/java/sablehinge/policy/Call.java
@@ -38,7 +38,7 @@
     final double arrivedAt;
     final List<Attempt> attempts = new ArrayList<>(2);
     /** The unfinished requests of its key in order of arrival, itself among them; null if it is free. */
-    ArrayDeque<Call> line;
+    ArrayDeque<Call> queue;
     /** Until when an attempt that was given up may still be running. */
     double restsUntil = Double.NEGATIVE_INFINITY;
     /** When an answer no longer earns its cost. */
--- a/src/main/java/sablehinge/policy/ClassRecord.java
+++ b/src/main/java/sablehinge/policy/ClassRecord.java
@@ -5,6 +5,14 @@
 /** What was seen of a class of requests over all servers. */
 final class ClassRecord {
 
+    /** Weight of a sample in the averages over all servers (class latency, machine type, cost hints). */
+    static final double GAIN = 0.02;
+
+    /** Expected latency before any was seen, as a share of the class's aim. */
+    private static final double FIRST_GUESS = 0.2;
+    /** {@link #slowRatio} at first. */
+    private static final double FIRST_SLOW_RATIO = 3;
+
     /** Its place in the servers' records; a class keeps it from one version of the settings to the next. */
     final int index;
 
@@ -26,12 +34,12 @@
     /** How many times the expected latency only the slowest calls take. */
     double slowRatio;
 
-    ClassRecord(int index, LoadBalancer.ServiceClass type, double firstLatency, double firstRatio, double gain) {
+    ClassRecord(int index, LoadBalancer.ServiceClass type) {
         this.index = index;
         this.type = type;
-        latency = new Mean(firstLatency, gain);
-        hint = new Mean(0, gain);
-        slowRatio = firstRatio;
+        latency = new Mean(FIRST_GUESS * type.aim(), GAIN);
+        hint = new Mean(0, GAIN);
+        slowRatio = FIRST_SLOW_RATIO;
     }
 
     /** The class in another version: what was seen of it stays. */
--- a/src/main/java/sablehinge/policy/Server.java
+++ b/src/main/java/sablehinge/policy/Server.java
@@ -6,14 +6,25 @@
 /** What was seen of one server by this instance: sums of evidence that fade, no decisions. */
 final class Server {
 
+    /** Ms in which evidence fades to 1/e: shorter than most faults, so an unhealthy server is retried. */
+    private static final double EVIDENCE_FADE = 8_000;
+    /** Ms between refreshes of a server's faded evidence; far below the fade, it only saves CPU. */
+    private static final double FADE_STEP = 200;
+    /** Samples that the mean of a server's machine type weighs in its base, as most bases rest on few. */
+    private static final double BASE_POOL = 2;
+    /** Calls that its machine type's record weighs in s: a faulty type shows in all its servers. */
+    private static final double SUCCESS_POOL = 2;
+    /** Calls that a server's record over all classes weighs in s for one: it may fail one class or all. */
+    private static final double CLASS_POOL = 1;
+
     /** What was seen of a machine type: mean relative latency and share of calls served. */
     static final class Kind {
         final Mean latency;
         final Mean served;
 
-        Kind(double gain) {
-            latency = new Mean(1, gain);
-            served = new Mean(1, gain);
+        Kind() {
+            latency = new Mean(1, ClassRecord.GAIN);
+            served = new Mean(1, ClassRecord.GAIN);
         }
     }
 
@@ -40,7 +51,7 @@
     /** Until when it is taken to have a full table of connections. */
     double crowdedUntil = Double.NEGATIVE_INFINITY;
     /** Calls that it rejected or did not let connect since it last served one. */
-    int doubts;
+    int rejections;
     /** Scratch for one draw. */
     double weight;
 
@@ -55,12 +66,12 @@
         fadedAt = now;
     }
 
-    /** Lets all evidence fade with the given time constant, at most once a step. */
-    void fade(double now, double constant, double step) {
-        if (now - fadedAt < step) {
+    /** Lets all evidence fade, at most once in {@link #FADE_STEP}. */
+    void fade(double now) {
+        if (now - fadedAt < FADE_STEP) {
             return;
         }
-        double kept = Math.exp((fadedAt - now) / constant);
+        double kept = Math.exp((fadedAt - now) / EVIDENCE_FADE);
         latencySum *= kept;
         latencyCount *= kept;
         crowdSum *= kept;
@@ -91,19 +102,19 @@
         }
     }
 
-    /** Latency relative to the mean of all servers, pooled with {@code pool} samples of its machine type. */
-    double base(double pool) {
-        return (latencySum + pool * kind.latency.value()) / (latencyCount + pool);
+    /** Latency relative to the mean of all servers, pooled with samples of its machine type. */
+    double base() {
+        return (latencySum + BASE_POOL * kind.latency.value()) / (latencyCount + BASE_POOL);
     }
 
-    /** Mean of own calls in flight ahead of those served, pooled with {@code pool} that found none. */
-    double crowd(double pool) {
-        return crowdSum / (latencyCount + pool);
+    /** Mean of own calls in flight ahead of those served, pooled with some that found none. */
+    double crowd() {
+        return crowdSum / (latencyCount + BASE_POOL);
     }
 
     /** A class's share of calls served, pooled with that of all classes, and that with its machine type's. */
-    double success(int serviceClass, double kindPool, double classPool) {
-        double all = (served + kindPool * kind.served.value()) / (tries + kindPool);
-        return (servedOf[serviceClass] + classPool * all) / (triesOf[serviceClass] + classPool);
+    double success(int serviceClass) {
+        double all = (served + SUCCESS_POOL * kind.served.value()) / (tries + SUCCESS_POOL);
+        return (servedOf[serviceClass] + CLASS_POOL * all) / (triesOf[serviceClass] + CLASS_POOL);
     }
 }
