--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -33,7 +33,7 @@
     private static final List<List<Event>> BEGINNINGS =
             List.of(List.of(Event.CALL), List.of(Event.CALL, Event.ANSWER), List.of(Event.UPLOAD_HALF));
 
-    private static final String MODULE = "policy/LatencyWeightedBalancer";
+    private static final String ATTEMPT_RULES = "policy/AttemptRules";
     private static final String FRONT = "dataplane/sidecar/OutboundFront";
     /** What each order before an outbound balancer begins with. */
     private static final List<List<OutboundPlay.Event>> OUTBOUND_BEGINNINGS = List.of(
@@ -178,14 +178,14 @@
                     "headers.set(MeshHeaders.DELIVER, \"i-0\");"),
             new Mutant(
                     "the module refuses what may have run",
-                    MODULE,
-                    "private void answerUnserved(",
+                    ATTEMPT_RULES,
+                    "static boolean mayRefuse(",
                     "|| call.firstMaybeRun() == null",
                     "|| call.id > 0"),
             new Mutant(
                     "the module sends again what may have run",
-                    MODULE,
-                    "private boolean mayGoTo(",
+                    ATTEMPT_RULES,
+                    "static boolean mayGoTo(",
                     "if (first == null || ",
                     "if (call.id > 0 || "),
             new Mutant(
