--- a/bench/src/sablehinge/bench/BudgetsBench.java
+++ b/bench/src/sablehinge/bench/BudgetsBench.java
@@ -321,8 +321,8 @@
             }
             worths[0] += value;
             clients.execute(() -> {
-                double asked = now();
-                if (chain.ask(type) == 200 && now() - asked <= DEADLINE_MS) {
+                double requested = now();
+                if (chain.ask(type) == 200 && now() - requested <= DEADLINE_MS) {
                     synchronized (worths) {
                         worths[1] += value;
                     }
--- a/bench/src/sablehinge/bench/Callers.java
+++ b/bench/src/sablehinge/bench/Callers.java
@@ -122,12 +122,12 @@
     }
 
     /** Sends nothing more, waits until all are answered or the time is up, and tells of all. */
-    List<One> stop(long patienceMillis) throws InterruptedException {
+    List<One> stop(long timeoutMillis) throws InterruptedException {
         loop.submit(() -> {
                     stopped = true;
                 })
                 .sync();
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMillis);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (System.nanoTime() < end
                 && loop.submit(() -> all.stream().anyMatch(one -> one.status == 0))
                         .sync()
--- a/bench/src/sablehinge/bench/ReplayBench.java
+++ b/bench/src/sablehinge/bench/ReplayBench.java
@@ -86,7 +86,7 @@
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         try {
-            BufferedReader said =
+            BufferedReader output =
                     new BufferedReader(new InputStreamReader(servers.getInputStream(), StandardCharsets.UTF_8));
             List<String> command = new ArrayList<>(List.of(
                     java,
@@ -110,9 +110,9 @@
                     "--out",
                     folder.resolve("clients").toString()));
             for (int i = 0; i < BALANCERS; i++) {
-                String line = said.readLine();
+                String line = output.readLine();
                 while (line != null && !line.startsWith("entry ")) {
-                    line = said.readLine();
+                    line = output.readLine();
                 }
                 if (line == null) {
                     throw new IOException("the stand-ins did not start");
--- a/bench/src/sablehinge/bench/ReplayRehearsal.java
+++ b/bench/src/sablehinge/bench/ReplayRehearsal.java
@@ -18,9 +18,6 @@
 import sablehinge.tools.audit.Audit;
 import sablehinge.tools.audit.AuditRulesFile;
 import sablehinge.tools.audit.Recorder;
-import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
-import sablehinge.tools.audit.judge.AuditRules.Effect;
-import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Evidence.How;
 import sablehinge.tools.audit.judge.Evidence.Ran;
 import sablehinge.tools.audit.judge.Evidence.Tried;
@@ -33,6 +30,7 @@
 import sablehinge.tools.replay.run.LoadResult;
 import sablehinge.tools.replay.schedule.ReplayClient;
 import sablehinge.tools.replay.schedule.ReplaySchedule;
+import sablehinge.tools.standin.AuditTerms;
 import sablehinge.tools.standin.Fleet;
 import sablehinge.tools.standin.scenario.Scenario;
 import sablehinge.tools.standin.scenario.ScenarioFile;
@@ -168,14 +166,7 @@
                 .forEach(part -> plans.put(
                         part.name(),
                         new ClassPlan(
-                                new ClassTerms(
-                                        switch (part.effect()) {
-                                            case IDEMPOTENT -> Effect.SAFE;
-                                            case DEDUPLICATED -> Effect.KEYED;
-                                            case AT_MOST_ONCE -> Effect.UNSAFE;
-                                        },
-                                        Group.valueOf(part.group().name()),
-                                        part.window()),
+                                AuditTerms.of(part.effect(), part.group(), part.window()),
                                 part.aim(),
                                 part.deadline())));
         try (Logs logs = Logs.open(List.of(log.toString()), InputStream.nullInputStream(), options())) {
@@ -200,8 +191,8 @@
     }
 
     /** The largest relative error of what was received. */
-    private static double error(Map<String, Long> asked, Map<String, Long> received) {
-        return asked.entrySet().stream()
+    private static double error(Map<String, Long> requested, Map<String, Long> received) {
+        return requested.entrySet().stream()
                 .mapToDouble(
                         e -> Math.abs(received.getOrDefault(e.getKey(), 0L) - e.getValue()) / (double) e.getValue())
                 .max()
--- a/bench/src/sablehinge/controlplane/raft/Calm.java
+++ b/bench/src/sablehinge/controlplane/raft/Calm.java
@@ -13,7 +13,7 @@
     static final String LIVENESS = "liveness: ";
 
     /** Between two looks, ms; time passes for all. */
-    private static final int PACE = 50;
+    private static final int STEP_MS = 50;
     /** Within how long the core must be whole, ms. */
     private static final int BOUND = 20_000;
     /** Messages and writes between two looks; what is left waits for the next. */
@@ -30,14 +30,14 @@
      * is to bear.
      */
     void await() {
-        cluster.mendAll();
+        cluster.healAll();
         double end = cluster.now + (cluster.isBeyond() ? BOUND / 10 : BOUND);
         long before = -1;
         String missing = "";
         while (cluster.now < end) {
             startAll();
             flow();
-            cluster.take(Step.pass(PACE));
+            cluster.take(Step.pass(STEP_MS));
             flow();
             missing = missing();
             if (!missing.isEmpty()) {
--- a/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
+++ b/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
@@ -23,7 +23,7 @@
 
     /** What a machine had applied when it last looked at its clock, the oldest look first, in one life. */
     private static final class Looks {
-        private long life = -1;
+        private long incarnation = -1;
         private long term;
         private double last;
         private final long[] applied = new long[LOOKS];
@@ -38,8 +38,8 @@
         }
         Looks its = looks.computeIfAbsent(machine.address, address -> new Looks());
         double now = machine.clock();
-        if (its.life != machine.life || its.term != machine.raftStatus.term()) {
-            its.life = machine.life;
+        if (its.incarnation != machine.incarnation || its.term != machine.raftStatus.term()) {
+            its.incarnation = machine.incarnation;
             its.term = machine.raftStatus.term();
             Arrays.fill(its.applied, 0);
             its.last = now;
@@ -53,7 +53,10 @@
     /** A leader has appended a list. */
     void check(SimulatedCluster cluster, Machine leader, List<Member> list) {
         Looks its = looks.get(leader.address);
-        if (its == null || its.life != leader.life || its.term != leader.raftStatus.term() || its.applied[0] == 0) {
+        if (its == null
+                || its.incarnation != leader.incarnation
+                || its.term != leader.raftStatus.term()
+                || its.applied[0] == 0) {
             return;
         }
         Entry entry = cluster.committed.get((int) its.applied[0] - 1);
--- a/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
+++ b/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
@@ -56,7 +56,7 @@
         }
         Member name =
                 first ? machine.self : Member.later(cluster.dice(machine), machine.address, machine.self.control());
-        machine.life++;
+        machine.incarnation++;
         machine.self = name;
         names.put(machine.address, name);
     }
--- a/bench/src/sablehinge/controlplane/raft/EveryOrder.java
+++ b/bench/src/sablehinge/controlplane/raft/EveryOrder.java
@@ -35,7 +35,7 @@
     private static final int HEARTBEAT = 110;
     private static final int ELECTION = 600;
     private static final int CALM_ROUNDS = 60;
-    private static final int CALM_PACE = 30;
+    private static final int CALM_STEP_MS = 30;
     private static final int CALM_MOVES = 200;
     /** Faults and waits in an order, at most. */
     private static final int FAULTS = 2;
@@ -44,22 +44,22 @@
 
     private final From from;
     private final int depth;
-    private final Tally tally;
+    private final ScheduleTotals totals;
     private final Map<Long, Integer> seen = new HashMap<>();
     private List<Step> steps = new ArrayList<>();
     private SteppedCluster cluster;
 
-    EveryOrder(From from, int depth, Tally tally) {
+    EveryOrder(From from, int depth, ScheduleTotals totals) {
         this.from = from;
         this.depth = depth;
-        this.tally = tally;
+        this.totals = totals;
     }
 
     /** Plays the orders from all states, each of so many steps; those that break something. */
-    static List<Script> all(int depth, Tally tally) {
+    static List<Script> all(int depth, ScheduleTotals totals) {
         return Arrays.stream(From.values())
                 .parallel()
-                .map(from -> new EveryOrder(from, depth, tally).breaking())
+                .map(from -> new EveryOrder(from, depth, totals).breaking())
                 .filter(Objects::nonNull)
                 .toList();
     }
@@ -73,7 +73,7 @@
             } catch (AssertionError e) {
                 return new Script(SteppedCluster.PLAIN, steps);
             } finally {
-                tally.add(cluster);
+                totals.add(cluster);
             }
         } while (!path.isEmpty());
         return null;
@@ -230,7 +230,7 @@
             take(Step.of(Step.Kind.WIPE, lost));
             take(Step.of(Step.Kind.START, lost));
             for (int i = 0; i < CALM_ROUNDS && cluster.changes == 0; i++) {
-                take(Step.pass(CALM_PACE));
+                take(Step.pass(CALM_STEP_MS));
                 if (cluster.changes == 0) {
                     flow();
                 }
@@ -266,7 +266,7 @@
     private int elected(int last) {
         long before = cluster.leaders.size();
         for (int i = 0; i < CALM_ROUNDS && cluster.leaders.size() == before; i++) {
-            take(Step.pass(CALM_PACE));
+            take(Step.pass(CALM_STEP_MS));
             flow(before + 1);
         }
         int next = place(cluster.leader());
@@ -280,7 +280,7 @@
     private int led() {
         long before = cluster.leaders.size();
         for (int i = 0; i < CALM_ROUNDS; i++) {
-            take(Step.pass(CALM_PACE));
+            take(Step.pass(CALM_STEP_MS));
             flow();
             Machine leader = cluster.leader();
             if (cluster.leaders.size() > before
@@ -355,7 +355,7 @@
         }
         long before = cluster.committed.size();
         for (int i = 0; i < CALM_ROUNDS && cluster.committed.size() < before + 2; i++) {
-            take(Step.pass(CALM_PACE));
+            take(Step.pass(CALM_STEP_MS));
             flow();
             for (int a = 0; a < cluster.size(); a++) {
                 if (cluster.machine(a).leads()) {
--- a/bench/src/sablehinge/controlplane/raft/HandOver.java
+++ b/bench/src/sablehinge/controlplane/raft/HandOver.java
@@ -23,17 +23,17 @@
             return;
         }
         int turn = player.random.nextInt(2);
-        int heir = others[turn];
+        int successor = others[turn];
         int voter = others[1 - turn];
         player.take(Step.pass(HEARTBEAT));
         player.deliver(leader, voter);
         player.take(Step.of(Step.Kind.LEAVE, leader));
-        exchange(leader, heir);
-        exchange(heir, voter);
+        exchange(leader, successor);
+        exchange(successor, voter);
         while (player.deliver(voter, leader)) {
             continue;
         }
-        exchange(heir, voter);
+        exchange(successor, voter);
     }
 
     /** All that the first has for the second arrives, and the answers; both write what they have to. */
--- a/bench/src/sablehinge/controlplane/raft/Hunt.java
+++ b/bench/src/sablehinge/controlplane/raft/Hunt.java
@@ -18,21 +18,21 @@
     private Hunt() {}
 
     /** Plays schedules by chance from a seed on; of the first that broke something, at most {@code shown}. */
-    static List<Script> byChance(long first, int most, int shown, Tally tally) {
-        return byChance(number -> first + number, most, shown, tally);
+    static List<Script> byChance(long first, int most, int shown, ScheduleTotals totals) {
+        return byChance(number -> first + number, most, shown, totals);
     }
 
     /** Plays those that turn on something. */
-    static List<Script> byChance(Focus focus, int most, int shown, Tally tally) {
-        return byChance(focus::seed, most, shown, tally);
+    static List<Script> byChance(Focus focus, int most, int shown, ScheduleTotals totals) {
+        return byChance(focus::seed, most, shown, totals);
     }
 
-    private static List<Script> byChance(LongUnaryOperator seeds, int most, int shown, Tally tally) {
+    private static List<Script> byChance(LongUnaryOperator seeds, int most, int shown, ScheduleTotals totals) {
         for (long from = 0; from < most; from += BATCH) {
             List<Script> broken = LongStream.range(from, Math.min(most, from + BATCH))
                     .parallel()
                     .map(seeds)
-                    .mapToObj(seed -> RandomScheduler.breaking(seed, tally))
+                    .mapToObj(seed -> RandomScheduler.breaking(seed, totals))
                     .filter(Objects::nonNull)
                     .toList();
             if (!broken.isEmpty()) {
@@ -51,11 +51,11 @@
      * @return the shortened script, what it breaks, its steps, and how it was found; null if nothing broke
      */
     public static String[] hunt(String focus, int most, int depth) {
-        Tally tally = new Tally();
-        List<Script> broken = byChance(Focus.valueOf(focus), most, WEIGHED, tally);
+        ScheduleTotals totals = new ScheduleTotals();
+        List<Script> broken = byChance(Focus.valueOf(focus), most, WEIGHED, totals);
         boolean byChance = !broken.isEmpty();
         if (broken.isEmpty() && depth > 0) {
-            broken = EveryOrder.all(depth, tally);
+            broken = EveryOrder.all(depth, totals);
         }
         if (broken.isEmpty()) {
             return null;
--- a/bench/src/sablehinge/controlplane/raft/LeaderLoss.java
+++ b/bench/src/sablehinge/controlplane/raft/LeaderLoss.java
@@ -65,7 +65,7 @@
         Machine struck = leader();
         strike(kind, struck);
         double mendedAt = now + (isDown(kind) ? DOWN_MS : STRUCK_MS);
-        after(mendedAt - now, () -> mend(kind, struck));
+        after(mendedAt - now, () -> heal(kind, struck));
         double unled = untilCommitted(struck);
         run(Math.max(0, mendedAt - now));
         while (!isAtFullStrength()) {
@@ -107,7 +107,7 @@
         }
     }
 
-    private void mend(Kind kind, Machine struck) {
+    private void heal(Kind kind, Machine struck) {
         switch (kind) {
             case KILL, POWER -> struck.start();
             case FREEZE -> {
@@ -142,16 +142,16 @@
     /** The process has begun: it has its ticks, but for those of while it stands still. */
     @Override
     void booted(Machine machine) {
-        tick(machine, machine.life);
+        tick(machine, machine.incarnation);
     }
 
-    private void tick(Machine machine, long life) {
+    private void tick(Machine machine, long incarnation) {
         after(TICK_MS, () -> {
-            if (machine.life == life) {
+            if (machine.incarnation == incarnation) {
                 if (!frozen.contains(machine)) {
                     machine.raft.tick(machine.clock());
                 }
-                tick(machine, life);
+                tick(machine, incarnation);
             }
         });
     }
--- a/bench/src/sablehinge/controlplane/raft/LostChange.java
+++ b/bench/src/sablehinge/controlplane/raft/LostChange.java
@@ -9,7 +9,7 @@
  */
 final class LostChange {
 
-    private static final int PACE = 50;
+    private static final int STEP_MS = 50;
     private static final int SHORT = 20;
     /** Rounds within which a newcomer has all that is committed. */
     private static final int SETTLES = 10;
@@ -33,7 +33,7 @@
         player.elect();
         player.take(Step.of(Step.Kind.NEWCOMER, cluster.size()));
         for (int i = 0; i < SETTLES; i++) {
-            player.take(Step.pass(PACE));
+            player.take(Step.pass(STEP_MS));
             player.flow();
         }
         int first = player.leader();
@@ -61,8 +61,8 @@
     /** The leader has commands and a change in memory, the follower has them too; whether it came to that. */
     private boolean appendChange(int first, int behind, int away, int commands) {
         Machine leader = cluster.machine(first);
-        double nearlySilent = cluster.timing.voterLostMs() - BEFORE;
-        for (int i = 0; i < WAITS && leader.leads() && sinceLastMessageMs(leader, away) < nearlySilent; i++) {
+        double nearlyUnresponsive = cluster.timing.voterLostMs() - BEFORE;
+        for (int i = 0; i < WAITS && leader.leads() && sinceLastMessageMs(leader, away) < nearlyUnresponsive; i++) {
             player.take(Step.pass(SHORT));
             player.flow();
         }
--- a/bench/src/sablehinge/controlplane/raft/Player.java
+++ b/bench/src/sablehinge/controlplane/raft/Player.java
@@ -9,7 +9,7 @@
 /** Takes steps in the cluster of a seed and keeps them, so that what breaks is a script. */
 final class Player {
 
-    private static final int PACE = 30;
+    private static final int STEP_MS = 30;
     private static final int ROUNDS = 80;
     private static final int MAX_MOVES = 200;
     /** Stands for no machine's disk. */
@@ -80,7 +80,7 @@
     void elect() {
         long before = cluster.leaders.size();
         for (int i = 0; i < ROUNDS && !isLedSince(before); i++) {
-            take(Step.pass(PACE));
+            take(Step.pass(STEP_MS));
             flow();
         }
     }
--- a/bench/src/sablehinge/controlplane/raft/QuorumBench.java
+++ b/bench/src/sablehinge/controlplane/raft/QuorumBench.java
@@ -66,17 +66,17 @@
             System.exit(2);
             return;
         }
-        System.out.print(script.told());
+        System.out.print(script.describe());
         System.exit(script.breach() == null ? 0 : 1);
     }
 
     private static boolean measure(int most, int depth, List<Fault> faults, int threads) throws Exception {
         long begun = System.nanoTime();
-        Tally byChance = new Tally();
+        ScheduleTotals byChance = new ScheduleTotals();
         List<Script> broken = new ArrayList<>(Hunt.byChance(1, most, SHOWN, byChance));
         double chanceTook = seconds(begun);
         long orderBegun = System.nanoTime();
-        Tally inOrder = new Tally();
+        ScheduleTotals inOrder = new ScheduleTotals();
         if (depth > 0) {
             broken.addAll(EveryOrder.all(depth, inOrder));
         }
@@ -91,7 +91,7 @@
         for (Script script : broken) {
             System.out.printf(
                     "%nBROKEN, cut down from %d steps:%n%s",
-                    script.steps().size(), script.shortened().told());
+                    script.steps().size(), script.shortened().describe());
         }
         int found = hunt(faults, Math.min(most, MAX_HUNTED), Math.min(depth, HUNTED_DEPTH));
         ObjectNode json = JsonMapper.builder().build().createObjectNode();
@@ -137,17 +137,17 @@
         return found;
     }
 
-    private static void print(String name, Tally tally, double seconds) {
+    private static void print(String name, ScheduleTotals totals, double seconds) {
         System.out.printf(
                 Locale.ROOT,
                 "%-10s %10d %12d %10d %12d %10d %10d %8.1f%n",
                 name,
-                tally.schedules.sum(),
-                tally.steps.sum(),
-                tally.timing.sum(),
-                tally.committed.sum(),
-                tally.acknowledged.sum(),
-                tally.changes.sum(),
+                totals.schedules.sum(),
+                totals.steps.sum(),
+                totals.timing.sum(),
+                totals.committed.sum(),
+                totals.acknowledged.sum(),
+                totals.changes.sum(),
                 seconds);
     }
 
--- a/bench/src/sablehinge/controlplane/raft/RandomScheduler.java
+++ b/bench/src/sablehinge/controlplane/raft/RandomScheduler.java
@@ -49,7 +49,7 @@
     }
 
     /** Plays the schedule of a seed; its script up to what breaks, or null. */
-    static Script breaking(long seed, Tally tally) {
+    static Script breaking(long seed, ScheduleTotals totals) {
         RandomScheduler scheduler = new RandomScheduler(seed);
         try {
             scheduler.go();
@@ -57,7 +57,7 @@
         } catch (AssertionError e) {
             return scheduler.player.script();
         } finally {
-            tally.add(scheduler.cluster);
+            totals.add(scheduler.cluster);
         }
     }
 
@@ -107,7 +107,7 @@
     }
 
     private void spell(boolean calm) {
-        int pace = PACES[draw(PACES.length)];
+        int stepMs = PACES[draw(PACES.length)];
         double lagging = calm ? 0 : draw(3) * 0.15;
         double hanging = calm ? 0 : draw(3) * 0.15;
         frozen = calm || chance(0.8) ? -1 : player.leader();
@@ -126,7 +126,7 @@
             rounds *= 3;
         }
         for (int i = rounds; i > 0; i--) {
-            round(pace);
+            round(stepMs);
         }
         if (chance(0.7)) {
             cuts.forEach(cut -> take(new Step(Step.Kind.MEND, cut.a(), cut.b(), 0)));
@@ -152,25 +152,25 @@
         return cuts;
     }
 
-    private void round(int pace) {
+    private void round(int stepMs) {
         double what = player.random.nextDouble();
         if (what < focus.calls) {
             call(focus.call(player.random));
         } else if (what < focus.calls + focus.waits || !moveOne()) {
-            pass(pace);
+            pass(stepMs);
         }
     }
 
-    private void pass(int pace) {
+    private void pass(int stepMs) {
         if (frozen >= 0) {
-            take(new Step(Step.Kind.TICK, (frozen + 1) % cluster.size(), 0, pace));
+            take(new Step(Step.Kind.TICK, (frozen + 1) % cluster.size(), 0, stepMs));
             for (int i = 2; i < cluster.size(); i++) {
                 take(new Step(Step.Kind.TICK, (frozen + i) % cluster.size(), 0, 0));
             }
         } else if (chance(0.75)) {
-            take(Step.pass(pace));
+            take(Step.pass(stepMs));
         } else {
-            take(new Step(Step.Kind.TICK, draw(cluster.size()), 0, chance(0.2) ? LONG_WAIT : pace));
+            take(new Step(Step.Kind.TICK, draw(cluster.size()), 0, chance(0.2) ? LONG_WAIT : stepMs));
         }
     }
 
--- a/bench/src/sablehinge/controlplane/raft/Tally.java
+++ b/bench/src/sablehinge/controlplane/raft/ScheduleTotals.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** What the schedules came to: without work there is nothing to check. */
-final class Tally {
+final class ScheduleTotals {
 
     final LongAdder schedules = new LongAdder();
     final LongAdder steps = new LongAdder();
--- a/bench/src/sablehinge/controlplane/raft/Script.java
+++ b/bench/src/sablehinge/controlplane/raft/Script.java
@@ -141,7 +141,7 @@
     }
 
     /** The script with what each step moves and comes to, and what breaks at its end. */
-    String told() {
+    String describe() {
         SteppedCluster cluster = new SteppedCluster(seed);
         StringBuilder text = new StringBuilder(SEED)
                 .append(seed)
--- a/bench/src/sablehinge/controlplane/raft/SlowFollower.java
+++ b/bench/src/sablehinge/controlplane/raft/SlowFollower.java
@@ -6,7 +6,7 @@
  */
 final class SlowFollower {
 
-    private static final int PACE = 50;
+    private static final int STEP_MS = 50;
     private static final int SETTLES = 10;
     /** Rounds within which a silent voter would be replaced. */
     private static final int WAITS = 30;
@@ -24,7 +24,7 @@
         player.elect();
         player.take(Step.of(Step.Kind.NEWCOMER, player.cluster.size()));
         for (int i = 0; i < SETTLES; i++) {
-            player.take(Step.pass(PACE));
+            player.take(Step.pass(STEP_MS));
             player.flow();
         }
         int leader = player.leader();
@@ -41,7 +41,7 @@
         }
         player.ways(Step.Kind.CUT, away);
         for (int i = 0; i < WAITS; i++) {
-            player.take(Step.pass(PACE));
+            player.take(Step.pass(STEP_MS));
             player.flow(slow);
         }
         player.ways(Step.Kind.MEND, away);
--- a/bench/src/sablehinge/controlplane/raft/Step.java
+++ b/bench/src/sablehinge/controlplane/raft/Step.java
@@ -88,7 +88,7 @@
         return kind == Kind.PASS || kind == Kind.TICK;
     }
 
-    static char letter(int machine) {
+    static char machineName(int machine) {
         return (char) ('a' + machine);
     }
 
@@ -116,7 +116,7 @@
         int machine = word.charAt(0) - 'a';
         if (word.length() != 1 || machine < 0 || machine >= SteppedCluster.MAX) {
             throw new IllegalArgumentException(
-                    "no machine is called '" + word + "'; a to " + letter(SteppedCluster.MAX - 1) + " may be");
+                    "no machine is called '" + word + "'; a to " + machineName(SteppedCluster.MAX - 1) + " may be");
         }
         return machine;
     }
@@ -125,10 +125,10 @@
     public String toString() {
         StringBuilder text = new StringBuilder(kind.name().toLowerCase(Locale.ROOT));
         if (kind.machines > 0) {
-            text.append(' ').append(letter(a));
+            text.append(' ').append(machineName(a));
         }
         if (kind.machines > 1) {
-            text.append(' ').append(letter(b));
+            text.append(' ').append(machineName(b));
         }
         if (kind.numbered) {
             text.append(' ').append(n);
--- a/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
+++ b/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
@@ -40,13 +40,13 @@
     private static final int GROWING = 13;
 
     /** A message with who has sent it. */
-    record Letter(Member from, Message message) {}
+    record InFlight(Member from, Message message) {}
 
-    private record Captured(long life, long index, byte[] state) {}
+    private record Captured(long incarnation, long index, byte[] state) {}
 
     private final List<Machine> byPlace = new ArrayList<>();
     private final Map<String, Integer> places = new HashMap<>();
-    private final List<List<Letter>> links = new ArrayList<>();
+    private final List<List<InFlight>> links = new ArrayList<>();
     private final double[] rates = new double[MAX];
     /** The state that was put aside at a machine for a snapshot, in its life; by place. */
     private final Captured[] captured = new Captured[MAX];
@@ -128,7 +128,7 @@
         return byPlace.get(place);
     }
 
-    List<Letter> link(int from, int to) {
+    List<InFlight> link(int from, int to) {
         return links.get(from * MAX + to);
     }
 
@@ -149,7 +149,7 @@
 
     @Override
     long dice(Machine machine) {
-        return new Random(seed * 31 + places.get(machine.address) * 1009L + machine.life).nextLong();
+        return new Random(seed * 31 + places.get(machine.address) * 1009L + machine.incarnation).nextLong();
     }
 
     @Override
@@ -183,11 +183,11 @@
     void carry(Member from, String to, Message message) {
         Integer place = places.get(to);
         if (place != null) {
-            List<Letter> link = link(places.get(from.address()), place);
+            List<InFlight> link = link(places.get(from.address()), place);
             if (link.size() == MAX_ON_THE_WAY) {
                 link.remove(0);
             }
-            link.add(new Letter(from, message));
+            link.add(new InFlight(from, message));
         }
     }
 
@@ -280,11 +280,11 @@
                 return claims.vary(a, step.n());
             }
             case BARRIER -> a.barrier();
-            case CAPTURE -> captured[step.a()] = new Captured(a.life, a.applied, a.state());
+            case CAPTURE -> captured[step.a()] = new Captured(a.incarnation, a.applied, a.state());
             case LEAVE -> {
                 beyond |= lost() >= bearable();
                 a.raft.leave(a.clock());
-                leaving[step.a()] = a.life;
+                leaving[step.a()] = a.incarnation;
             }
             case FORGET -> KeptEntries.forget(a.raft);
             case COMPACT -> {
@@ -310,7 +310,7 @@
         if (machine.applied == 0) {
             return false;
         }
-        if (one != null && one.life == machine.life && one.index > 0) {
+        if (one != null && one.incarnation == machine.incarnation && one.index > 0) {
             machine.raft.compact(one.index, one.state);
         } else {
             machine.compact();
@@ -342,15 +342,15 @@
     }
 
     private boolean carried(Step step) {
-        List<Letter> link = link(step.a(), step.b());
+        List<InFlight> link = link(step.a(), step.b());
         if (step.n() >= link.size()) {
             return false;
         }
-        Letter letter = step.kind() == Step.Kind.DOUBLE ? link.get(step.n()) : link.remove(step.n());
-        moved = letter.message();
+        InFlight inFlight = step.kind() == Step.Kind.DOUBLE ? link.get(step.n()) : link.remove(step.n());
+        moved = inFlight.message();
         Machine to = byPlace.get(step.b());
         if (step.kind() != Step.Kind.DROP && to.up()) {
-            to.raft.handleMessage(to.clock(), letter.from(), letter.message());
+            to.raft.handleMessage(to.clock(), inFlight.from(), inFlight.message());
         }
         return true;
     }
@@ -364,7 +364,7 @@
     private boolean lose(Machine machine) {
         boolean may = machine.disk.self != null && knowSameList() && lost() < bearable();
         if (may) {
-            beyond |= lostOrSilent(machine) >= bearable();
+            beyond |= lostOrUnresponsive(machine) >= bearable();
             machine.wipe();
         }
         return may;
@@ -378,12 +378,12 @@
     /** Ends a process that was told to, if it still runs. */
     void endLeaving(int place) {
         Machine machine = byPlace.get(place);
-        if (machine.up() && leaving[place] == machine.life) {
+        if (machine.up() && leaving[place] == machine.incarnation) {
             machine.end(machine.unsynced.size());
         }
     }
 
-    void mendAll() {
+    void healAll() {
         cuts.clear();
     }
 
@@ -409,7 +409,7 @@
     }
 
     /** Other members whose disks are lost, or from whom the leader has not heard of late. */
-    private int lostOrSilent(Machine but) {
+    private int lostOrUnresponsive(Machine but) {
         Machine leader = leader();
         if (leader == null) {
             return list.size();
@@ -420,12 +420,12 @@
         for (Member member : list) {
             RaftStatus its = machines.get(member.address()).raftStatus;
             int place = places.get(member.address());
-            boolean lost = lostDisks.containsKey(member.id()) || leaving[place] == byPlace.get(place).life;
+            boolean lost = lostDisks.containsKey(member.id()) || leaving[place] == byPlace.get(place).incarnation;
             // Whoever has just won counts all as heard, also those that know nothing of its term.
-            boolean silent = its == null
+            boolean unresponsive = its == null
                     || its.term() != leader.raftStatus.term()
                     || sinceLastMessageMs.getOrDefault(member.id(), Double.MAX_VALUE) > SILENT;
-            count += member.id() != but.self.id() && (lost || silent) ? 1 : 0;
+            count += member.id() != but.self.id() && (lost || unresponsive) ? 1 : 0;
         }
         return count;
     }
@@ -434,7 +434,7 @@
     String line() {
         StringBuilder text = new StringBuilder();
         for (Machine machine : byPlace) {
-            text.append(text.isEmpty() ? "" : ", ").append(Step.letter(places.get(machine.address)));
+            text.append(text.isEmpty() ? "" : ", ").append(Step.machineName(places.get(machine.address)));
             if (machine.up()) {
                 text.append(' ')
                         .append(
--- a/bench/src/sablehinge/dataplane/sidecar/GateParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/GateParts.java
@@ -21,7 +21,7 @@
 public final class GateParts {
 
     /** The life to which the gate is open. */
-    public static final String LIFE = "i-1";
+    public static final String INCARNATION = "i-1";
 
     private static final int BERTHS = 2;
     private AdmissionController gate;
@@ -58,7 +58,7 @@
                         // The one upstream is known.
                     }
                 });
-        gate.open(clock.now(), MeshHeaders.incarnation(LIFE), BERTHS);
+        gate.open(clock.now(), MeshHeaders.incarnation(INCARNATION), BERTHS);
         front.open(at, done);
     }
 
--- a/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -64,7 +64,7 @@
     private double due;
     private long granted;
     private long refused;
-    private long asked;
+    private long requested;
     private Predicate<View> awaited;
     private volatile double awaitedAt = Double.NaN;
 
@@ -211,8 +211,8 @@
     }
 
     /** Requests that would have waited for the pool's answer. */
-    public long asked() {
-        return asked;
+    public long requested() {
+        return requested;
     }
 
     /** Ends it as a killed process ends: connections close, beats stop. */
@@ -237,7 +237,7 @@
             } else if (claim == Quotas.Claim.REFUSED) {
                 refused++;
             } else {
-                asked++;
+                requested++;
             }
             retryBudget.came(called.get(random.nextInt(called.size())), false);
         }
--- a/bench/src/sablehinge/fleet/AddedTime.java
+++ b/bench/src/sablehinge/fleet/AddedTime.java
@@ -14,7 +14,7 @@
     /** The JDK's client sets the host itself unless it is told not to; read once, before its first use. */
     private static final String RESTRICTED = "jdk.httpclient.allowRestrictedHeaders";
 
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
     /** Requests before those that are measured. */
     static final int WARM_UP = 300;
 
@@ -51,7 +51,7 @@
     private static double time(HttpClient client, String to, int number) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://" + to + FleetConfiguration.prefix(FleetConfiguration.OPEN) + number))
-                .timeout(PATIENCE)
+                .timeout(TIMEOUT)
                 .header("Host", FleetConfiguration.HOST)
                 .header("Sablehinge-Try-Id", String.format("%016x", number))
                 .header("Sablehinge-Time-Left", "2000")
--- a/bench/src/sablehinge/fleet/FleetOperator.java
+++ b/bench/src/sablehinge/fleet/FleetOperator.java
@@ -14,7 +14,7 @@
 /** Sends configurations to the control nodes and asks which of them leads. */
 final class FleetOperator {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final long AGAIN_MS = 20;
     private static final int OK = 200;
     /** Answers 4xx that don't say that the configuration is bad: late, stale, too many. */
@@ -74,7 +74,7 @@
     int send(long basedOn, byte[] body) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://" + control.get(next % control.size()) + "/sablehinge/Config.Replace"))
-                .timeout(PATIENCE)
+                .timeout(TIMEOUT)
                 .header("Content-Type", "application/json")
                 .header("Sablehinge-Based-On", Long.toString(basedOn))
                 .POST(HttpRequest.BodyPublishers.ofByteArray(body))
@@ -97,7 +97,7 @@
             try {
                 HttpRequest request = HttpRequest.newBuilder(
                                 URI.create("http://" + control.get(i) + "/sablehinge/Config.Read"))
-                        .timeout(PATIENCE)
+                        .timeout(TIMEOUT)
                         .GET()
                         .build();
                 if (direct.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() == OK) {
--- a/bench/src/sablehinge/fleet/FleetPlan.java
+++ b/bench/src/sablehinge/fleet/FleetPlan.java
@@ -31,7 +31,7 @@
     private static final int INBOUND = 7703;
     private static final int READY = 7704;
     private static final int APP = 7705;
-    private static final double BEAT_MS = 1_500;
+    private static final double HEARTBEAT_MS = 1_500;
     private static final int SEEDS = 3;
     /** What the operators' smaller site says. */
     private static final LocalSettings.Bounds BOUNDS = new LocalSettings.Bounds(
@@ -96,7 +96,7 @@
     }
 
     /** Where a sidecar process hears its upstream. */
-    String beats(int place) {
+    String heartbeats(int place) {
         return sidecarIp(place) + ":" + CONTROL;
     }
 
@@ -148,7 +148,7 @@
                 true,
                 false,
                 null,
-                BEAT_MS,
+                HEARTBEAT_MS,
                 List.of("base", "quota", "retry"),
                 ip + ":" + APP,
                 service(1 + place % (services - 1)),
@@ -191,7 +191,7 @@
                 INNER,
                 INNER_LAST,
                 seeds,
-                BEAT_MS);
+                HEARTBEAT_MS);
     }
 
     private String tail(int diskMb) {
@@ -216,6 +216,6 @@
         return head("sidecar-" + place, "sidecar", ip, place) + "app = \"" + app(place) + "\"\ndepot = \""
                 + service(0) + "\"\nfirstStart = true\ncounted = false\n" + tail(0)
                 + "[listenOn]\ninbound = \"" + ip + ":" + INBOUND + "\"\noutbound = \"" + outbound(place)
-                + "\"\nready = \"" + ip + ":" + READY + "\"\ncontrol = \"" + beats(place) + "\"\n";
+                + "\"\nready = \"" + ip + ":" + READY + "\"\ncontrol = \"" + heartbeats(place) + "\"\n";
     }
 }
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -345,7 +345,7 @@
     }
 
     private long requested() {
-        return hollow.all().stream().mapToLong(HollowSidecar::asked).sum();
+        return hollow.all().stream().mapToLong(HollowSidecar::requested).sum();
     }
 
     private void replacedUpstreams() throws InterruptedException {
@@ -358,10 +358,10 @@
         for (int i = 0; i < REPLACED; i++) {
             int place = i * (plan.hollow() - 1) / REPLACED;
             double at = TrafficLog.now();
-            String life = hollow.replaceUpstream(place);
+            String incarnation = hollow.replaceUpstream(place);
             String node = FleetPlan.node(place);
             hollow.await(view -> view.roster().get(node) != null
-                    && view.roster().get(node).upstream().equals(life));
+                    && view.roster().get(node).upstream().equals(incarnation));
             Times times = hollow.awaited(at, CHANGE_MS);
             p50[i] = times.p50();
             p99[i] = times.p99();
--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -40,7 +40,7 @@
     private final List<HollowSidecar> sidecars = new ArrayList<>();
     private final ConcurrentHashMap<Long, Configuration> parsed = new ConcurrentHashMap<>();
     private final AtomicLong latestNanos = new AtomicLong();
-    private int lives;
+    private int incarnations;
     /** Whether the regions are cut from each other now. */
     private volatile boolean cut;
 
@@ -77,7 +77,7 @@
             int region = plan.regionAt(new InetSocketAddress(settings.ip(), 0));
             Cut regions = new Cut(() -> cut, other -> plan.regionAt(other) != region);
             HollowSidecar sidecar =
-                    HollowSidecar.prepare(settings, loops.next(), life(i), observer(regions), this::read);
+                    HollowSidecar.prepare(settings, loops.next(), incarnation(i), observer(regions), this::read);
             regions.over(sidecar.datagrams());
             sidecars.add(sidecar);
         }
@@ -113,8 +113,8 @@
         sidecars.forEach(HollowSidecar::begin);
     }
 
-    private String life(int place) {
-        return "i-" + place + "-" + ++lives;
+    private String incarnation(int place) {
+        return "i-" + place + "-" + ++incarnations;
     }
 
     /** One parses a configuration for all of this process: only the newest is kept. */
@@ -159,9 +159,9 @@
 
     /** The upstream of one is replaced; returns the new one's id. */
     String replaceUpstream(int place) {
-        String life = life(place);
-        sidecars.get(place).replaceUpstream(life);
-        return life;
+        String incarnation = incarnation(place);
+        sidecars.get(place).replaceUpstream(incarnation);
+        return incarnation;
     }
 
     /** So many requests a second arrive at each. */
--- a/bench/src/sablehinge/fleet/Processes.java
+++ b/bench/src/sablehinge/fleet/Processes.java
@@ -31,7 +31,7 @@
             Pattern.compile("event=(\\S*failed\\S*)|OutOfMemoryError" + "|OutOfDirectMemoryError|Exception");
     private static final int BERTHS = 12;
     private static final int WORK_MS = 0;
-    private static final long BEAT_MS = 1_500;
+    private static final long HEARTBEAT_MS = 1_500;
 
     private final FleetPlan plan;
     private final Path folder;
@@ -122,7 +122,8 @@
                     new StandInUpstream.Terms(
                             "i-sidecar-" + i, FleetPlan.service(0), address(plan.app(i)), BERTHS, WORK_MS),
                     ledger);
-            upstreams.add(new HeartbeatSender(upstream, address(plan.beats(i)), FleetPlan.zone(i), BEAT_MS, ledger));
+            upstreams.add(new HeartbeatSender(
+                    upstream, address(plan.heartbeats(i)), FleetPlan.zone(i), HEARTBEAT_MS, ledger));
         }
     }
 
--- a/bench/src/sablehinge/held/Day.java
+++ b/bench/src/sablehinge/held/Day.java
@@ -104,20 +104,20 @@
                     && flow.received > 0
                     && flow.produced > flow.received
                     && (now - flow.receivedAt) / 1e6 > HELD_MS
-                    && flow.toldFor != flow.received) {
+                    && flow.notifiedFor != flow.received) {
                 flow.held++;
-                flow.toldFor = flow.received;
+                flow.notifiedFor = flow.received;
             }
         }
     }
 
     /** Sends nothing more; what became of all that was sent, once it has had its time. */
-    List<Flow> stop(double patienceMillis) throws InterruptedException {
+    List<Flow> stop(double timeoutMillis) throws InterruptedException {
         loop.submit(() -> {
                     stopped = true;
                 })
                 .sync();
-        long end = System.nanoTime() + (long) (patienceMillis * 1e6);
+        long end = System.nanoTime() + (long) (timeoutMillis * 1e6);
         while (System.nanoTime() < end
                 && loop.submit(() -> all.stream().anyMatch(flow -> flow.end == End.OPEN))
                         .sync()
--- a/bench/src/sablehinge/held/Flow.java
+++ b/bench/src/sablehinge/held/Flow.java
@@ -15,7 +15,7 @@
 
     final String id;
     final Kind kind;
-    final long asked = System.nanoTime();
+    final long requested = System.nanoTime();
     final double remainingMillis;
     /** Bytes of its answer, whoever gives it. */
     final int length;
@@ -30,7 +30,7 @@
     /** How often it stood still for over 2 s; by the sampler. */
     int held;
 
-    long toldFor = -1;
+    long notifiedFor = -1;
 
     Flow(String id, Kind kind, int length, double remainingMillis) {
         this.length = length;
@@ -40,6 +40,6 @@
     }
 
     double age(long now) {
-        return (now - asked) / 1e6;
+        return (now - requested) / 1e6;
     }
 }
--- a/bench/src/sablehinge/held/HeldBench.java
+++ b/bench/src/sablehinge/held/HeldBench.java
@@ -50,20 +50,20 @@
 
     private static final int[] NEIGHBOURS = {0, 1, 2};
     private static final String[] CORES = {"1", "0.5", "0.3"};
-    private static final double PATIENCE_MS = 15_000;
+    private static final double TIMEOUT_MS = 15_000;
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec (java .*) -jar (\\S+) serve\"$");
 
     private HeldBench() {}
 
     /** What a play came to. */
-    private record Played(int place, int asked, Map<End, Integer> ends, int atOnce, int held, List<String> dumps) {
+    private record Played(int place, int requested, Map<End, Integer> ends, int atOnce, int held, List<String> dumps) {
 
         double good() {
-            return (double) ends.getOrDefault(End.IN_TIME, 0) / asked;
+            return (double) ends.getOrDefault(End.IN_TIME, 0) / requested;
         }
 
         double share(End end) {
-            return (double) ends.getOrDefault(end, 0) / asked;
+            return (double) ends.getOrDefault(end, 0) / requested;
         }
     }
 
@@ -105,11 +105,11 @@
                     "%5d %5s %6d %8.3f %8.3f %8.3f %8.3f %8.3f %8.3f %5d %s%n",
                     played.place,
                     CORES[played.place % CORES.length],
-                    played.asked,
+                    played.requested,
                     played.good(),
                     played.share(End.LATE),
                     played.share(End.REFUSED),
-                    (double) played.atOnce / played.asked,
+                    (double) played.atOnce / played.requested,
                     played.share(End.FAILED),
                     played.share(End.BROKEN) + played.share(End.OPEN),
                     played.held,
@@ -154,12 +154,12 @@
         MultiThreadIoEventLoopGroup loops =
                 new MultiThreadIoEventLoopGroup(2, new DefaultThreadFactory("play", true), NioIoHandler.newFactory());
         List<Process> processes = new ArrayList<>();
-        try (ServerSocket silent = new ServerSocket(0, 64, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket unresponsive = new ServerSocket(0, 64, InetAddress.getLoopbackAddress())) {
             Map<String, Flow> flows = new ConcurrentHashMap<>();
             Upstreams upstreams = new Upstreams((EventLoop) loops.next(), SERVERS, flows, place);
             InetSocketAddress address = free();
             Path config = Files.writeString(
-                    folder.resolve("node.json"), config(address, silent, upstreams.addresses(), place));
+                    folder.resolve("node.json"), config(address, unresponsive, upstreams.addresses(), place));
             for (int i = 0; i < NEIGHBOURS[place % NEIGHBOURS.length]; i++) {
                 processes.add(
                         new ProcessBuilder("taskset", "-c", Integer.toString(core), "sh", "-c", "while :; do :; done")
@@ -169,7 +169,7 @@
             awaitHealth(address, processes.get(processes.size() - 1));
             Day day = new Day((EventLoop) loops.next(), address, rate, trickle, flows, 1_000L + place);
             TimeUnit.MILLISECONDS.sleep((long) (seconds * 1_000));
-            List<Flow> all = day.stop(PATIENCE_MS);
+            List<Flow> all = day.stop(TIMEOUT_MS);
             Map<End, Integer> ends = new EnumMap<>(End.class);
             all.forEach(flow -> ends.merge(flow.end, 1, Integer::sum));
             int atOnce = (int) all.stream()
--- a/bench/src/sablehinge/mesh/retrybudget/SharesBench.java
+++ b/bench/src/sablehinge/mesh/retrybudget/SharesBench.java
@@ -63,14 +63,14 @@
                 Math.max(0, excess), (double) inside / wanted, follow);
     }
 
-    private static Sum play(String name, int balancers, Consumer<SimulatedMesh> trouble) {
+    private static Sum play(String name, int balancers, Consumer<SimulatedMesh> fault) {
         SimulatedMesh world =
                 new SimulatedMesh(1, balancers, new RetryBudgetRule(0.2, 10_000, balancers > SMALL ? MANY : FEW));
         world.calls = CALLS;
         world.spread(SimulatedMesh.ATLAS, PER_S * balancers, FAILS);
         world.spread(SimulatedMesh.RELEVE, PER_S / 4 * balancers, FAILS);
         world.run(AT);
-        trouble.accept(world);
+        fault.accept(world);
         world.run(FOR);
         double follow = world.sidecars[0].follows(AT);
         world.sidecars[0].cut = false;
--- a/bench/src/sablehinge/policy/BeliefBench.java
+++ b/bench/src/sablehinge/policy/BeliefBench.java
@@ -27,13 +27,13 @@
         for (double rate : new double[] {5, 20, 100, 400}) {
             for (double[] body :
                     new double[][] {{0, 0}, {0.1, 1_000}, {0.1, 1_600}, {0.2, 1_600}, {0.3, 1_600}, {0.4, 1_600}}) {
-                for (int told = 0; told < 2; told++) {
+                for (int announced = 0; announced < 2; announced++) {
                     double[] sums = new double[3];
                     double most = 0;
                     int here = 0;
                     for (long seed = 1; seed <= seeds; seed++) {
                         Plant plant = new Plant(
-                                        new Plant.Plan(seed, rate, body[0], body[1], told == 1, 40, FROM, TO, END))
+                                        new Plant.Plan(seed, rate, body[0], body[1], announced == 1, 40, FROM, TO, END))
                                 .play();
                         sums[0] += plant.refusedShare(0, 3) / seeds;
                         sums[1] += plant.refusedShare(5, 10) / seeds;
@@ -43,14 +43,14 @@
                         here += last > 0.1 ? 1 : 0;
                         plays++;
                     }
-                    stuck[told] += here;
-                    worst[told] = Math.max(worst[told], most);
+                    stuck[announced] += here;
+                    worst[announced] = Math.max(worst[announced], most);
                     System.out.printf(
                             "%5.0f %10.2f %9.0f %-10s %9.3f %10.3f %10.3f %10.3f %5d/%d%n",
                             rate,
                             body[0],
                             body[1],
-                            told == 1 ? "beginning" : "end",
+                            announced == 1 ? "beginning" : "end",
                             sums[0],
                             sums[1],
                             sums[2],
--- a/bench/src/sablehinge/policy/Plant.java
+++ b/bench/src/sablehinge/policy/Plant.java
@@ -52,7 +52,7 @@
             double rate,
             double longShare,
             double longMost,
-            boolean told,
+            boolean announced,
             double slow,
             double from,
             double to,
@@ -64,7 +64,7 @@
             long request, int attempt, int server, double sentAt, boolean slowBody, boolean[] over, boolean[] begun) {}
 
     /** What became of the requests that came in each second. */
-    final int[] asked;
+    final int[] requested;
 
     final int[] refused;
     final int[] served;
@@ -86,7 +86,7 @@
         this.plan = plan;
         random = new SplittableRandom(plan.seed());
         int seconds = (int) Math.ceil(plan.end() / 1_000) + 1;
-        asked = new int[seconds];
+        requested = new int[seconds];
         refused = new int[seconds];
         served = new int[seconds];
         module = new LatencyWeightedBalancer(this);
@@ -145,7 +145,7 @@
     private void arrive(long id) {
         later(-Math.log(1 - random.nextDouble()) * 1_000 / plan.rate(), () -> arrive(id + 1));
         int second = (int) (now / 1_000);
-        asked[second]++;
+        requested[second]++;
         came.put(id, second);
         bodies.put(id, random.nextDouble() < plan.longShare());
         module.request(now, new Request(id, 0, 0, id, now + DEADLINE, 0, false, false, 0));
@@ -182,12 +182,12 @@
             busy[job.server()]--;
             double rest = job.slowBody() ? random.nextDouble() * plan.longMost() : 0;
             double head = now - job.sentAt();
-            if (plan.told() && rest > 0 && !job.over()[0]) {
+            if (plan.announced() && rest > 0 && !job.over()[0]) {
                 job.begun()[0] = true;
                 module.streamStarted(now, job.request(), job.attempt(), head);
                 later(DEADLINE - head, () -> finish(job, Result.TIMEOUT, now - job.sentAt()));
             }
-            later(rest, () -> finish(job, Result.OK, plan.told() ? head : now - job.sentAt()));
+            later(rest, () -> finish(job, Result.OK, plan.announced() ? head : now - job.sentAt()));
             Job next = queues.get(job.server()).poll();
             // A server doesn't begin what its caller has given up.
             while (next != null && next.over()[0]) {
@@ -270,7 +270,7 @@
         int all = 0;
         int no = 0;
         for (int i = from; i < to; i++) {
-            all += asked[i];
+            all += requested[i];
             no += refused[i];
         }
         return all == 0 ? 0 : (double) no / all;
--- a/bench/src/sablehinge/torture/Caller.java
+++ b/bench/src/sablehinge/torture/Caller.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import sablehinge.torture.World.Asked;
+import sablehinge.torture.World.TestRequest;
 
 /** A caller's end of a connection: sends what it has planned in any pieces, stops reading, leaves, by a seed. */
 final class Caller implements Net.End {
@@ -27,11 +27,11 @@
     private final Dice dice;
     final PipeChannel channel;
     final Habit habit;
-    private final ArrayDeque<Asked> planned = new ArrayDeque<>();
+    private final ArrayDeque<TestRequest> planned = new ArrayDeque<>();
     /** What was sent whole or in part and has no answer yet. */
-    final ArrayDeque<Asked> asked = new ArrayDeque<>();
+    final ArrayDeque<TestRequest> requested = new ArrayDeque<>();
 
-    private Asked sending;
+    private TestRequest sending;
     private byte[] head;
     private int headSent;
     private long chunkLeft;
@@ -41,7 +41,7 @@
     /** Whether it has left, and by when the balancer has. */
     boolean gone;
 
-    boolean told;
+    boolean notified;
     /** When it last had an answer whole, before which the next request is not looked at. */
     double quietSince;
     /** When the balancer last had read all that was sent. */
@@ -75,7 +75,7 @@
     }
 
     /** The request whose body it is sending. */
-    Asked sending() {
+    TestRequest sending() {
         return sending;
     }
 
@@ -89,7 +89,7 @@
             int budget = habit == Habit.SENDS_SLOWLY ? dice.size(1, 3_000) : dice.portion();
             while (budget > 0 && channel.in.space() > 0) {
                 if (sending == null) {
-                    if (planned.isEmpty() || habit != Habit.PIPELINES && !asked.isEmpty()) {
+                    if (planned.isEmpty() || habit != Habit.PIPELINES && !requested.isEmpty()) {
                         return;
                     }
                     begin(planned.poll());
@@ -113,9 +113,9 @@
         }
     }
 
-    private void begin(Asked next) {
+    private void begin(TestRequest next) {
         sending = next;
-        asked.add(next);
+        requested.add(next);
         head = next.head().getBytes(StandardCharsets.US_ASCII);
         headSent = 0;
         chunkLeft = 0;
@@ -221,8 +221,8 @@
     }
 
     private void ended() {
-        if (!told) {
-            told = true;
+        if (!notified) {
+            notified = true;
             boolean reset = channel.out.isBroken();
             if (!reset) {
                 reader.streamEnded();
@@ -256,7 +256,7 @@
 
         @Override
         public void head(HttpReader message) {
-            Asked first = asked.peek();
+            TestRequest first = requested.peek();
             if (message.status() >= 200) {
                 if (first == null) {
                     message.flaw = "an answer to nothing";
@@ -271,7 +271,7 @@
             if (message.status() < 200) {
                 return true;
             }
-            Asked first = asked.poll();
+            TestRequest first = requested.poll();
             quietSince = net.now();
             world.answered(Caller.this, first, message);
             boolean closes = "close".equals(message.headers.get("connection"));
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -321,14 +321,14 @@
                     }
                 }));
             }
-            Logs.Undo silence = Logs.level(Level.OFF);
+            Logs.Undo noContact = Logs.level(Level.OFF);
             try {
                 players.forEach(Thread::start);
                 for (Thread one : players) {
                     one.join();
                 }
             } finally {
-                silence.close();
+                noContact.close();
             }
             List<String> lines = new ArrayList<>(List.of(Long.toString(played.get())));
             lines.addAll(found);
@@ -364,7 +364,7 @@
     }
 
     /** Prints what a search of the real classes has found; the number of orders that broke something. */
-    private static int told(String hop, List<String> real, int depth) {
+    private static int report(String hop, List<String> real, int depth) {
         real.stream().skip(1).limit(MAX_SHOWN).forEach(System.out::println);
         System.out.printf(
                 Locale.ROOT,
@@ -401,9 +401,9 @@
         int mutantDepth = arguments.length > 1 ? Integer.parseInt(arguments[1]) : MUTANT_DEPTH;
         long begun = System.nanoTime();
         List<String> gate = search(depth, Integer.MAX_VALUE);
-        int violations = told("gate", gate, depth);
+        int violations = report("gate", gate, depth);
         List<String> outbound = searchOutbound(depth, Integer.MAX_VALUE);
-        violations += told("outbound", outbound, depth);
+        violations += report("outbound", outbound, depth);
         int mutants = MUTANTS.size() + OUTBOUND_MUTANTS.size();
         int found = found(MUTANTS, "search", mutantDepth) + found(OUTBOUND_MUTANTS, "searchOutbound", mutantDepth);
         ObjectNode json = JsonMapper.builder().build().createObjectNode();
--- a/bench/src/sablehinge/torture/ExchangePlay.java
+++ b/bench/src/sablehinge/torture/ExchangePlay.java
@@ -68,7 +68,7 @@
     private static final int HALF_BODY = 100_000;
     private static final int ROOM = 1 << 22;
     private static final int TIME_LEFT = 1_500;
-    private static final int PATIENCE = 300;
+    private static final int TIMEOUT = 300;
     private static final double WAIT_MS = 1_700;
     private static final double REST_MS = 12_000;
     private static final double STEP_MS = 500;
@@ -184,8 +184,8 @@
                         line.puts("HTTP/1.1 503 Full\r\nSablehinge-Not-Run: 1" + "\r\nContent-Length: 0\r\n\r\n"));
             case FAIL_AS_FULL -> working(line -> line.fails("503 Oh\r\nSablehinge-Postmark: f", false));
             case UNSTAMPED -> working(line -> line.serves(line.at, false, ""));
-            case ANSWER_EARLY -> live(line -> line.at != null && !line.isWhole && line.early());
-            case EARLY_HALF -> live(line -> line.at != null && !line.isWhole && line.earlyHalf());
+            case ANSWER_EARLY -> live(line -> line.at != null && !line.isComplete && line.early());
+            case EARLY_HALF -> live(line -> line.at != null && !line.isComplete && line.earlyHalf());
             case FORGET -> {
                 boolean idle = !forgets && lines.stream().anyMatch(line -> line.open() && line.at == null);
                 forgets |= idle;
@@ -210,7 +210,7 @@
     /** The oldest connection with a whole request at work, and no part of an answer to it sent. */
     private boolean working(Move move) {
         for (Line line : lines) {
-            if (line.open() && line.at != null && line.isWhole && line.rest == null) {
+            if (line.open() && line.at != null && line.isComplete && line.rest == null) {
                 return move.on(line);
             }
         }
@@ -276,8 +276,8 @@
             all.put(id, sent);
             waiting.add(sent);
             byte[] head = ("POST /u/x HTTP/1.1\r\nHost: h\r\nSablehinge-Try-Id: " + id
-                            + "\r\nSablehinge-Time-Left: " + TIME_LEFT + "\r\nSablehinge-Patience: " + PATIENCE
-                            + "\r\nSablehinge-Rank: 1\r\nSablehinge-Deliver-To: " + GateParts.LIFE
+                            + "\r\nSablehinge-Time-Left: " + TIME_LEFT + "\r\nSablehinge-Patience: " + TIMEOUT
+                            + "\r\nSablehinge-Rank: 1\r\nSablehinge-Deliver-To: " + GateParts.INCARNATION
                             + "\r\nContent-Length: " + length + "\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
             boolean complete = length <= HALF_BODY;
@@ -389,7 +389,7 @@
         private final PipeChannel channel;
         private final HttpReader reader = new HttpReader(false, this);
         private Sent at;
-        private boolean isWhole;
+        private boolean isComplete;
         private boolean beganEarly;
         private Sent before;
         private String rest;
@@ -411,7 +411,7 @@
                 return;
             }
             channel.taken();
-            if (at != null && !isWhole && !isBody(bytes)) {
+            if (at != null && !isComplete && !isBody(bytes)) {
                 net.violated("UNASKED: a request inside the body of " + at.id);
             }
             if (forgets && at == null) {
@@ -440,7 +440,7 @@
                 net.violated("a second request on a connection at work");
             }
             at = all.get(message.headers.get("sablehinge-try-id"));
-            isWhole = false;
+            isComplete = false;
             beganEarly = false;
         }
 
@@ -450,7 +450,7 @@
                 net.violated("UNASKED: a request that nobody sent so");
                 return false;
             }
-            isWhole = true;
+            isComplete = true;
             if (!beganEarly) {
                 runs();
             }
--- a/bench/src/sablehinge/torture/MutantLoader.java
+++ b/bench/src/sablehinge/torture/MutantLoader.java
@@ -35,7 +35,7 @@
         String text = mutant.applied(Files.readString(file));
         Map<String, byte[]> made = new HashMap<>();
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        StringBuilder said = new StringBuilder();
+        StringBuilder errors = new StringBuilder();
         try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
             JavaFileManager kept = new ForwardingJavaFileManager<>(files) {
                 @Override
@@ -65,13 +65,13 @@
             boolean done = compiler.getTask(
                             null,
                             kept,
-                            told -> said.append(told).append('\n'),
+                            notified -> errors.append(notified).append('\n'),
                             List.of("-classpath", System.getProperty("java.class.path"), "-proc:none", "-nowarn"),
                             null,
                             List.of(source))
                     .call();
             if (!done) {
-                throw new IllegalStateException("mutant '" + mutant.name() + "' is no Java:\n" + said);
+                throw new IllegalStateException("mutant '" + mutant.name() + "' is no Java:\n" + errors);
             }
         }
         return new MutantLoader(made);
--- a/bench/src/sablehinge/torture/OutboundPlay.java
+++ b/bench/src/sablehinge/torture/OutboundPlay.java
@@ -93,7 +93,7 @@
         private final String id;
         private final int length;
         private final boolean safe;
-        private double wholeAt;
+        private double completeAt;
         private int ran;
         /** At how many balancers it arrived that did not prove that it never ran. */
         private int reached;
@@ -107,7 +107,7 @@
             this.length = length;
             this.safe = safe;
             // Its time begins with its end.
-            wholeAt = length <= HALF_BODY ? now : Double.POSITIVE_INFINITY;
+            completeAt = length <= HALF_BODY ? now : Double.POSITIVE_INFINITY;
         }
 
         String body() {
@@ -278,7 +278,7 @@
     /** The oldest connection with a whole request and no part of an answer to it, of who goes on. */
     private boolean working(Move move) {
         for (Line line : lines) {
-            if (line.open() && !frozen[line.balancer] && line.at != null && line.isWhole && line.rest == null) {
+            if (line.open() && !frozen[line.balancer] && line.at != null && line.isComplete && line.rest == null) {
                 return move.on(line);
             }
         }
@@ -360,7 +360,7 @@
         boolean sendsRest() {
             Sent sent = half;
             half = null;
-            sent.wholeAt = net.now();
+            sent.completeAt = net.now();
             return write(channel, new byte[sent.length - HALF_BODY]);
         }
 
@@ -462,8 +462,8 @@
         if (status == 503 || status == 429 || status == 408 || status == 421) {
             promised(sent, Integer.toString(status));
         }
-        if (net.now() - sent.wholeAt > LATEST_MS) {
-            net.violated("HELD: " + sent.id + " is answered after " + (net.now() - sent.wholeAt) + " ms");
+        if (net.now() - sent.completeAt > LATEST_MS) {
+            net.violated("HELD: " + sent.id + " is answered after " + (net.now() - sent.completeAt) + " ms");
         }
     }
 
@@ -475,7 +475,7 @@
         private final int balancer;
         private final HttpReader reader = new HttpReader(false, this);
         private Sent at;
-        private boolean isWhole;
+        private boolean isComplete;
         private boolean runs;
         private Sent before;
         private String rest;
@@ -498,7 +498,7 @@
                 return;
             }
             channel.taken();
-            if (at != null && !isWhole && !isBody(bytes)) {
+            if (at != null && !isComplete && !isBody(bytes)) {
                 net.violated("UNASKED: a request inside the body of " + at.id);
             }
             reader.read(bytes);
@@ -510,7 +510,7 @@
         /** It stood still: what is whole in its buffers goes on to the upstream, given up or not. */
         void goesOn() {
             came();
-            if (!over && at != null && isWhole && !runs) {
+            if (!over && at != null && isComplete && !runs) {
                 runs();
             }
         }
@@ -531,7 +531,7 @@
                 net.violated("a second request on a connection at work");
             }
             at = all.get(message.headers.get("sablehinge-try-id"));
-            isWhole = false;
+            isComplete = false;
             runs = false;
             if (!OutboundParts.incarnation(balancer).equals(message.headers.get("sablehinge-deliver-to"))
                     || !OutboundParts.CALLER.equals(message.headers.get("sablehinge-caller"))) {
@@ -545,7 +545,7 @@
                 net.violated("UNASKED: a request that nobody sent so");
                 return false;
             }
-            isWhole = true;
+            isComplete = true;
             if (++at.reached > OutboundParts.ATTEMPTS) {
                 net.violated("a try goes to " + at.reached + " upstreams: " + at.id);
             }
@@ -574,7 +574,7 @@
 
         /** The outbound balancer has closed the connection, and the request here runs for all that. */
         boolean runsLate() {
-            return !over && channel.out.isEnded() && !frozen[balancer] && at != null && isWhole && !runs && runs();
+            return !over && channel.out.isEnded() && !frozen[balancer] && at != null && isComplete && !runs && runs();
         }
 
         boolean puts(String text) {
--- a/bench/src/sablehinge/torture/PipeChannel.java
+++ b/bench/src/sablehinge/torture/PipeChannel.java
@@ -208,9 +208,9 @@
                     return;
                 }
                 active = true;
-                boolean told = promise.trySuccess();
+                boolean completed = promise.trySuccess();
                 pipeline().fireChannelActive();
-                if (!told) {
+                if (!completed) {
                     close(voidPromise());
                 }
             });
--- a/bench/src/sablehinge/torture/Rig.java
+++ b/bench/src/sablehinge/torture/Rig.java
@@ -19,17 +19,17 @@
      * What the program says of peers that misbehave, some hundred times a second, is of no use here. Begun by who plays
      * and not by each of its threads, or the last would undo it to what another had found.
      */
-    private static Logs.Undo silence() {
+    private static Logs.Undo noContact() {
         return Logs.level(Level.OFF);
     }
 
     /** Plays a script; what was violated, empty for nothing. */
     static List<String> play(Script script) throws Exception {
-        Logs.Undo silence = silence();
+        Logs.Undo noContact = noContact();
         try {
             return new World(script).play();
         } finally {
-            silence.close();
+            noContact.close();
         }
     }
 
@@ -67,25 +67,25 @@
     }
 
     private static void await(List<Thread> players) throws InterruptedException {
-        Logs.Undo silence = silence();
+        Logs.Undo noContact = noContact();
         try {
             players.forEach(Thread::start);
             for (Thread player : players) {
                 player.join();
             }
         } finally {
-            silence.close();
+            noContact.close();
         }
     }
 
     /** How many writes to the system a script makes. For mutants. */
     public static long writes(String script) throws Exception {
         World world = new World(Script.parse(script));
-        Logs.Undo silence = silence();
+        Logs.Undo noContact = noContact();
         try {
             world.play();
         } finally {
-            silence.close();
+            noContact.close();
         }
         return world.net.writes;
     }
--- a/bench/src/sablehinge/torture/Upstream.java
+++ b/bench/src/sablehinge/torture/Upstream.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import sablehinge.torture.World.Asked;
 import sablehinge.torture.World.Made;
+import sablehinge.torture.World.TestRequest;
 
 /** An upstream of any number of connections, which answers, spoils, stalls and breaks by a seed. */
 final class Upstream implements Net.Listener {
@@ -32,17 +32,17 @@
     final long id;
     final InetSocketAddress address;
     /** How many in a hundred go wrong. */
-    private final int trouble;
+    private final int fault;
 
     private int connections;
     /** When the balancer was told that it takes nothing new. */
     double drainingSince = Double.NaN;
 
-    Upstream(World world, long id, int trouble) {
+    Upstream(World world, long id, int fault) {
         this.world = world;
         this.net = world.net;
         this.id = id;
-        this.trouble = trouble;
+        this.fault = fault;
         dice = new Dice(world.script.seed(), "upstream", id);
         address = new InetSocketAddress(java.net.InetAddress.getLoopbackAddress(), 10_000 + (int) id);
         net.listen(address, this);
@@ -50,7 +50,7 @@
 
     @Override
     public double answersAfter() {
-        return dice.nextInt(100) >= trouble
+        return dice.nextInt(100) >= fault
                 ? dice.nextDouble() * 2
                 : dice.chance(3) ? Double.NaN : dice.chance(2) ? -1 : 150 * dice.nextDouble();
     }
@@ -67,7 +67,7 @@
         private final Dice dice;
         private final HttpReader reader;
         /** The request that comes or is answered, and its answer. */
-        Asked at;
+        TestRequest at;
 
         private Made made;
         private Fate fate;
@@ -88,7 +88,7 @@
             dice = new Dice(world.script.seed(), "connection", id, connections++);
             channel.playedBy(this);
             slow = dice.chance(6);
-            stopsAfter = dice.nextInt(300) < trouble ? dice.size(1, 400_000) : Long.MAX_VALUE;
+            stopsAfter = dice.nextInt(300) < fault ? dice.size(1, 400_000) : Long.MAX_VALUE;
             reader = new HttpReader(false, new Requests());
         }
 
@@ -182,7 +182,7 @@
             if (over || at == null || made != null) {
                 return;
             }
-            fate = dice.nextInt(100) >= trouble ? Fate.GOOD : Fate.values()[dice.nextInt(Fate.values().length)];
+            fate = dice.nextInt(100) >= fault ? Fate.GOOD : Fate.values()[dice.nextInt(Fate.values().length)];
             if (fate == Fate.NEVER) {
                 return;
             }
@@ -317,7 +317,7 @@
             @Override
             public void head(HttpReader message) {
                 if (message.start.startsWith("GET /ping")) {
-                    at = new Asked(null, null, World.Kind.SAFE, new Body(0, 0), false, 1);
+                    at = new TestRequest(null, null, World.Kind.SAFE, new Body(0, 0), false, 1);
                     return;
                 }
                 at = world.all.get(message.headers.get("x-txn"));
@@ -326,7 +326,7 @@
                     return;
                 }
                 at.reached++;
-                if (dice.nextInt(100) < trouble && dice.chance(6)) {
+                if (dice.nextInt(100) < fault && dice.chance(6)) {
                     net.later(dice.nextDouble() * 5, Connection.this::answer);
                 }
             }
--- a/bench/src/sablehinge/torture/Watched.java
+++ b/bench/src/sablehinge/torture/Watched.java
@@ -109,7 +109,8 @@
         if (!out.isEmpty()) {
             world.net.violated("attempts without an outcome: " + out);
         }
-        int ran = world.all.values().stream().mapToInt(asked -> asked.ran).sum();
+        int ran =
+                world.all.values().stream().mapToInt(requested -> requested.ran).sum();
         if (ran > mayHaveRun) {
             world.net.violated(ran + " requests came whole to upstreams, of " + sent + " attempts "
                     + mayHaveRun
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -77,7 +77,7 @@
     }
 
     /** A request of a caller. */
-    static final class Asked {
+    static final class TestRequest {
         final String txn;
         final Kind kind;
         final Body body;
@@ -97,7 +97,7 @@
         /** The answers that were made for it, whole. */
         final List<Made> made = new ArrayList<>();
 
-        Asked(String txn, Caller caller, Kind kind, Body body, boolean chunked, double remaining) {
+        TestRequest(String txn, Caller caller, Kind kind, Body body, boolean chunked, double remaining) {
             this.caller = caller;
             this.kind = kind;
             this.body = body;
@@ -127,11 +127,11 @@
 
     /** An answer of an upstream. */
     static final class Made {
-        final Asked to;
+        final TestRequest to;
         final Body body;
         boolean chunked;
 
-        Made(Asked to, Body body, boolean chunked) {
+        Made(TestRequest to, Body body, boolean chunked) {
             this.to = to;
             this.body = body;
             this.chunked = chunked;
@@ -142,7 +142,7 @@
     private final Dice dice;
     final Net net;
     final Memory memory = new Memory();
-    final Map<String, Asked> all = new HashMap<>();
+    final Map<String, TestRequest> all = new HashMap<>();
     final List<Caller> callers = new ArrayList<>();
     final Set<Upstream.Connection> served = new LinkedHashSet<>();
     private final List<Upstream> upstreams = new ArrayList<>();
@@ -190,9 +190,9 @@
         UpstreamClient transport = new UpstreamClient(net.loop, clock, sockets, memory);
         front = new Frontend(net.loop, sockets, memory, core);
         int drawn = dice.chance(3) ? 0 : dice.nextInt(60);
-        int trouble = script.has(Event.TROUBLE) ? drawn : 0;
+        int fault = script.has(Event.TROUBLE) ? drawn : 0;
         for (int i = 1; i <= 1 + dice.nextInt(3); i++) {
-            upstreams.add(new Upstream(this, i, trouble));
+            upstreams.add(new Upstream(this, i, fault));
         }
         core.start(version(1), seed, roster(true), transport, new Registry() {
             @Override
@@ -296,36 +296,36 @@
         };
     }
 
-    Asked ask(Caller caller, Dice chances, String name) {
+    TestRequest ask(Caller caller, Dice chances, String name) {
         Kind kind = Kind.values()[chances.nextInt(3)];
         boolean pipelined = caller.habit == Caller.Habit.PIPELINES;
         int length = kind == Kind.SAFE ? 0 : pipelined ? chances.size(1, 3_000) : length(chances);
-        Asked asked = new Asked(
+        TestRequest requested = new TestRequest(
                 name,
                 caller,
                 kind,
                 new Body(chances.nextInt(), length),
                 kind != Kind.SAFE && chances.chance(2) && caller.habit != Caller.Habit.OLD,
                 200 + chances.nextInt((int) DEADLINE - 200));
-        all.put(asked.txn, asked);
-        return asked;
+        all.put(requested.txn, requested);
+        return requested;
     }
 
     /** A caller has an answer that looks whole. */
-    void answered(Caller caller, Asked asked, HttpReader answer) {
+    void answered(Caller caller, TestRequest requested, HttpReader answer) {
         answers++;
         int status = answer.status();
         if (status == 200) {
-            for (Made made : asked.made) {
+            for (Made made : requested.made) {
                 if (made.body.length == answer.length && made.body.sum() == answer.sum.getValue()) {
                     return;
                 }
             }
-            net.violated(asked.txn + " is served with " + answer.length + " bytes that were not made for it whole");
+            net.violated(requested.txn + " is served with " + answer.length + " bytes that were not made for it whole");
         } else if (status < 500 && status != 408) {
-            net.violated(asked.txn + " is sound and is answered with " + status);
+            net.violated(requested.txn + " is sound and is answered with " + status);
         } else if (status == 500) {
-            net.violated(asked.txn + " met an error of the program");
+            net.violated(requested.txn + " met an error of the program");
         }
     }
 
@@ -443,38 +443,38 @@
             }
         }
         for (Upstream.Connection from : served) {
-            Asked asked = from.at;
-            if (asked == null || asked.caller == null) {
+            TestRequest requested = from.at;
+            if (requested == null || requested.caller == null) {
                 continue;
             }
-            PipeChannel to = asked.caller.channel;
-            boolean passes = to.isOpen() && from.channel.isOpen() && asked.caller.asked.peek() == asked;
+            PipeChannel to = requested.caller.channel;
+            boolean passes = to.isOpen() && from.channel.isOpen() && requested.caller.requested.peek() == requested;
             if (passes
                     && from.isAnswering()
                     && from.channel.in.held() > 0
                     && !from.channel.isReading()
                     && to.unwritten() == 0
                     && to.out.space() > 0) {
-                net.violated("an answer is held back: " + asked.txn + ", " + from.channel.in + " waits, " + to.out);
+                net.violated("an answer is held back: " + requested.txn + ", " + from.channel.in + " waits, " + to.out);
             }
             if (passes
                     && from.isReceiving()
-                    && asked.caller.sending() == asked
+                    && requested.caller.sending() == requested
                     && to.in.held() > 0
                     && !to.isReading()
                     && from.channel.unwritten() == 0
                     && from.channel.out.space() > 0
-                    && asked.reached == 1) {
-                net.violated("a request is held back: " + asked.txn + ", " + to.in + " waits, " + from.channel.out);
+                    && requested.reached == 1) {
+                net.violated("a request is held back: " + requested.txn + ", " + to.in + " waits, " + from.channel.out);
             }
         }
     }
 
     private void answersAreInTime() {
         for (Caller caller : callers) {
-            Asked only = caller.asked.peek();
+            TestRequest only = caller.requested.peek();
             if (only == null
-                    || caller.asked.size() > 1
+                    || caller.requested.size() > 1
                     || caller.gone
                     || !caller.channel.isOpen()
                     || Double.isNaN(only.sentAt)
--- a/src/main/java/sablehinge/cli/DemoCommand.java
+++ b/src/main/java/sablehinge/cli/DemoCommand.java
@@ -19,9 +19,6 @@
 import sablehinge.tools.audit.Audit;
 import sablehinge.tools.audit.AuditRulesFile;
 import sablehinge.tools.audit.Recorder;
-import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
-import sablehinge.tools.audit.judge.AuditRules.Effect;
-import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.replay.LogOptions;
 import sablehinge.tools.replay.Logs;
 import sablehinge.tools.replay.SampleDay;
@@ -31,6 +28,7 @@
 import sablehinge.tools.replay.run.ReportPage;
 import sablehinge.tools.replay.schedule.ReplayClient;
 import sablehinge.tools.replay.schedule.ReplaySchedule;
+import sablehinge.tools.standin.AuditTerms;
 import sablehinge.tools.standin.Fleet;
 import sablehinge.tools.standin.scenario.Scenario;
 import sablehinge.tools.standin.scenario.Scenario.ClassPart;
@@ -131,18 +129,10 @@
     static Map<String, ClassPlan> plans(Scenario scenario) {
         Map<String, ClassPlan> plans = new HashMap<>();
         for (ClassPart part : scenario.classes()) {
-            Effect effect =
-                    switch (part.effect()) {
-                        case IDEMPOTENT -> Effect.SAFE;
-                        case DEDUPLICATED -> Effect.KEYED;
-                        case AT_MOST_ONCE -> Effect.UNSAFE;
-                    };
             plans.put(
                     part.name(),
                     new ClassPlan(
-                            new ClassTerms(effect, Group.valueOf(part.group().name()), part.window()),
-                            part.aim(),
-                            part.deadline()));
+                            AuditTerms.of(part.effect(), part.group(), part.window()), part.aim(), part.deadline()));
         }
         return plans;
     }
--- a/src/main/java/sablehinge/cli/ReplayRun.java
+++ b/src/main/java/sablehinge/cli/ReplayRun.java
@@ -22,7 +22,6 @@
 import sablehinge.tools.audit.Recorder;
 import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
 import sablehinge.tools.audit.judge.AuditRules.Effect;
-import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.replay.Logs;
 import sablehinge.tools.replay.run.ClassPlan;
 import sablehinge.tools.replay.run.Load;
@@ -30,6 +29,7 @@
 import sablehinge.tools.replay.run.ReportPage;
 import sablehinge.tools.replay.schedule.ReplayClient;
 import sablehinge.tools.replay.schedule.ReplaySchedule;
+import sablehinge.tools.standin.AuditTerms;
 
 /** Sends the load of logs once more. */
 @Command(
@@ -271,18 +271,10 @@
     private Map<String, ClassPlan> plans() {
         Map<String, ClassPlan> plans = new HashMap<>();
         for (ClassPart part : classes()) {
-            Effect effect =
-                    switch (part.effect()) {
-                        case IDEMPOTENT -> Effect.SAFE;
-                        case DEDUPLICATED -> Effect.KEYED;
-                        case AT_MOST_ONCE -> Effect.UNSAFE;
-                    };
             plans.put(
                     part.name(),
                     new ClassPlan(
-                            new ClassTerms(effect, Group.valueOf(part.group().name()), part.window()),
-                            part.aim(),
-                            part.deadline()));
+                            AuditTerms.of(part.effect(), part.group(), part.window()), part.aim(), part.deadline()));
         }
         effects.forEach((name, text) -> {
             ClassPlan known = plans.get(name);
--- a/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -9,6 +9,7 @@
 import sablehinge.dataplane.http1.CheckedRequest;
 import sablehinge.dataplane.http1.FrontDialect;
 import sablehinge.dataplane.http1.FrontTerms;
+import sablehinge.dataplane.http1.Payloads;
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Arrival;
 import sablehinge.dataplane.proxy.RequestProxy;
@@ -78,14 +79,14 @@
     @Override
     public void dress(HttpResponse response, Answer answer, Version version, HttpRequest request) {
         MeshResponses.dress(response, answer, request);
-        boolean refused = answer == null || answer.kind() == Answer.Kind.REFUSED;
-        response.headers()
-                .set(
-                        MeshHeaders.VERDICT,
-                        refused
-                                ? MeshHeaders.PROVEN
-                                : sablehinge.dataplane.http1.Payloads.head(answer.payload()) != null
-                                        ? MeshHeaders.RAN
-                                        : MeshHeaders.DOUBT);
+        response.headers().set(MeshHeaders.VERDICT, verdict(answer));
+    }
+
+    /** Whether the request has run, as far as it is known. */
+    private static String verdict(Answer answer) {
+        if (answer == null || answer.kind() == Answer.Kind.REFUSED) {
+            return MeshHeaders.PROVEN;
+        }
+        return Payloads.head(answer.payload()) != null ? MeshHeaders.RAN : MeshHeaders.DOUBT;
     }
 }
--- a/src/main/java/sablehinge/tools/standin/Fleet.java
+++ b/src/main/java/sablehinge/tools/standin/Fleet.java
@@ -23,8 +23,6 @@
 import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.AuditRules;
 import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
-import sablehinge.tools.audit.judge.AuditRules.Effect;
-import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Ended;
 import sablehinge.tools.standin.Balancers.Running;
@@ -293,15 +291,7 @@
         Map<String, ClassTerms> classes = new HashMap<>();
         double longest = 0;
         for (ClassPart part : scenario.classes()) {
-            Effect effect =
-                    switch (part.effect()) {
-                        case IDEMPOTENT -> Effect.SAFE;
-                        case DEDUPLICATED -> Effect.KEYED;
-                        case AT_MOST_ONCE -> Effect.UNSAFE;
-                    };
-            classes.put(
-                    part.name(),
-                    new ClassTerms(effect, Group.valueOf(part.group().name()), part.window()));
+            classes.put(part.name(), AuditTerms.of(part.effect(), part.group(), part.window()));
             longest = Math.max(longest, part.deadline() + part.window());
         }
         return new AuditRules(
--- a/src/test/java/sablehinge/cli/DaemonStartTest.java
+++ b/src/test/java/sablehinge/cli/DaemonStartTest.java
@@ -75,8 +75,8 @@
         return builder.start();
     }
 
-    private static String line(BufferedReader said, String wanted) throws IOException {
-        for (String line = said.readLine(); line != null; line = said.readLine()) {
+    private static String line(BufferedReader output, String wanted) throws IOException {
+        for (String line = output.readLine(); line != null; line = output.readLine()) {
             if (line.contains(wanted)) {
                 return line;
             }
@@ -97,13 +97,13 @@
     void aHangUpReadsTheSettingsAgainAndEndsNothing() throws Exception {
         String text = SETTINGS.formatted(folder.resolve("data"));
         Process process = start("control", text);
-        try (BufferedReader said = process.errorReader()) {
-            assertTrue(line(said, "event=starts").contains("node=core-1"));
+        try (BufferedReader output = process.errorReader()) {
+            assertTrue(line(output, "event=starts").contains("node=core-1"));
             hangUp(process);
-            line(said, "event=settings ");
+            line(output, "event=settings ");
             Files.writeString(folder.resolve("local.toml"), text.replace("innerPorts", "outerPorts"));
             hangUp(process);
-            assertTrue(line(said, "event=settings-malformed").contains("innerPorts"));
+            assertTrue(line(output, "event=settings-malformed").contains("innerPorts"));
             assertTrue(process.isAlive());
         } finally {
             process.destroyForcibly().waitFor();
@@ -120,11 +120,11 @@
         };
         for (String[] one : spoilt) {
             Process process = start("control", text.replace(one[0], one[1]));
-            String said = new String(process.getErrorStream().readAllBytes());
+            String output = new String(process.getErrorStream().readAllBytes());
             assertTrue(process.waitFor(30, TimeUnit.SECONDS));
             assertEquals(1, process.exitValue());
-            assertEquals(1, said.lines().count(), said);
-            assertTrue(said.contains("local.toml") && said.contains(one[2]), said);
+            assertEquals(1, output.lines().count(), output);
+            assertTrue(output.contains("local.toml") && output.contains(one[2]), output);
         }
     }
 }
--- a/src/test/java/sablehinge/cli/DrainTest.java
+++ b/src/test/java/sablehinge/cli/DrainTest.java
@@ -44,10 +44,10 @@
 
     private static void endsWithOneLine(Ending one) throws Exception {
         try (BufferedReader error = one.process.errorReader()) {
-            List<String> said = error.lines().filter(line -> !line.isBlank()).toList();
-            assertEquals(1, said.size(), said::toString);
+            List<String> output = error.lines().filter(line -> !line.isBlank()).toList();
+            assertEquals(1, output.size(), output::toString);
         }
-        assertTrue(one.process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(one.process.waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(one.status, one.process.exitValue());
     }
 
@@ -191,7 +191,7 @@
             assertTrue(idle.ended());
             upstream.write(Stage.ok("taken"));
             assertEquals("taken", taken.read().body());
-            assertTrue(process.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(process.waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } finally {
             if (process != null) {
                 process.destroyForcibly();
--- a/src/test/java/sablehinge/cli/HandOverTest.java
+++ b/src/test/java/sablehinge/cli/HandOverTest.java
@@ -54,7 +54,7 @@
         }
     }
 
-    private static Peer.Message asked(Peer caller, Peer upstream, String id) throws IOException {
+    private static Peer.Message exchange(Peer caller, Peer upstream, String id) throws IOException {
         caller.write(Stage.get(id, "10"));
         upstream.read();
         upstream.write(Stage.ok(id));
@@ -91,7 +91,7 @@
             assertEquals("busy", answer.body());
             assertEquals("close", answer.header("Connection"));
             resting.close();
-            assertTrue(old.waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(old.waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
 
             // Whoever comes now comes to the new one, which knows who is out.
             Peer caller = Peer.to(address);
@@ -103,7 +103,7 @@
             assertEquals("r0", answer.body());
             assertFalse("close".equals(answer.header("Connection")));
             for (int i = 1; i < 20; i++) {
-                assertEquals(200, asked(caller, other, "r" + i).status());
+                assertEquals(200, exchange(caller, other, "r" + i).status());
             }
             assertEquals(0, stage.upstreams.get(0).waiting());
             assertEquals("ok", Stage.call(second, "RESTORE s-00000000"));
--- a/src/test/java/sablehinge/cli/KilledTest.java
+++ b/src/test/java/sablehinge/cli/KilledTest.java
@@ -24,9 +24,9 @@
     private static String out;
 
     private static int run(String... arguments) {
-        StringWriter said = new StringWriter();
-        int status = Commands.run(arguments, new PrintWriter(said), new PrintWriter(said));
-        out = said.toString();
+        StringWriter output = new StringWriter();
+        int status = Commands.run(arguments, new PrintWriter(output), new PrintWriter(output));
+        out = output.toString();
         return status;
     }
 
@@ -41,9 +41,9 @@
                         file.toString())
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        BufferedReader said = process.errorReader();
+        BufferedReader output = process.errorReader();
         StringBuilder lines = new StringBuilder();
-        for (String line = said.readLine(); line != null; line = said.readLine()) {
+        for (String line = output.readLine(); line != null; line = output.readLine()) {
             lines.append(line).append('\n');
             if (line.contains("serves as")) {
                 out = lines.toString();
@@ -66,7 +66,7 @@
             assertEquals(0, run("config", "diff", place[0], place[1]), out);
             assertTrue(out.contains("+id = \"s1\""), out);
             assertEquals(0, run("config", "apply", place[0], place[1], "--confirm-within", "60s"), out);
-            process.destroyForcibly().waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            process.destroyForcibly().waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals(1, run("config", "status", place[0], place[1]));
             assertTrue(out.contains("no balancer answers at"), out);
 
@@ -82,7 +82,7 @@
             assertEquals(0, run("config", "stage", place[0], place[1], next.toString()), out);
             assertEquals(0, run("config", "apply", place[0], place[1]), out);
             assertEquals(0, run("config", "confirm", place[0], place[1]), out);
-            process.destroyForcibly().waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            process.destroyForcibly().waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
 
             process = start(stage.file);
             assertTrue(out.contains("the operator file is not version 3, which serves"), out);
@@ -90,7 +90,7 @@
             assertTrue(out.contains("confirmed  version 3"), out);
         } finally {
             if (process != null) {
-                process.destroyForcibly().waitFor(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+                process.destroyForcibly().waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/src/test/java/sablehinge/cli/RecorderVerbsTest.java
+++ b/src/test/java/sablehinge/cli/RecorderVerbsTest.java
@@ -24,10 +24,10 @@
     private String err;
 
     private int run(String... arguments) {
-        StringWriter said = new StringWriter();
+        StringWriter output = new StringWriter();
         StringWriter wrong = new StringWriter();
-        int status = Commands.run(arguments, new PrintWriter(said), new PrintWriter(wrong));
-        out = said.toString();
+        int status = Commands.run(arguments, new PrintWriter(output), new PrintWriter(wrong));
+        out = output.toString();
         err = wrong.toString();
         return status;
     }
--- a/src/test/java/sablehinge/cli/ReplayVerbsTest.java
+++ b/src/test/java/sablehinge/cli/ReplayVerbsTest.java
@@ -35,10 +35,10 @@
     private String err;
 
     private int run(String... arguments) {
-        StringWriter said = new StringWriter();
+        StringWriter output = new StringWriter();
         StringWriter wrong = new StringWriter();
-        int status = Commands.run(arguments, new PrintWriter(said), new PrintWriter(wrong));
-        out = said.toString();
+        int status = Commands.run(arguments, new PrintWriter(output), new PrintWriter(wrong));
+        out = output.toString();
         err = wrong.toString();
         return status;
     }
@@ -84,11 +84,11 @@
         assertTrue(err.contains(rules + ":3: replay.rule[1].class: is missing"), err);
         assertTrue(err.contains(rules + ":5: replay.rule[1].key: nothing is called {z}"), err);
         assertTrue(err.contains(rules + ":7: replay.fields.tiem: unknown key, did you mean time?"), err);
-        String whole = Files.writeString(
+        String complete = Files.writeString(
                         folder.resolve("whole.toml"),
                         Files.readString(Path.of("deploy/operator.toml")) + "\n[[replay.rule]]\nclass = \"tiles\"\n")
                 .toString();
-        assertEquals(2, run("replay", "inspect", log(1, 1), "--rules", whole));
+        assertEquals(2, run("replay", "inspect", log(1, 1), "--rules", complete));
         assertTrue(err.contains("replay.rule[1].class: no class \"tiles\", did you mean tile?"), err);
     }
 
--- a/src/test/java/sablehinge/cli/mesh/operator/VerbsTest.java
+++ b/src/test/java/sablehinge/cli/mesh/operator/VerbsTest.java
@@ -47,7 +47,7 @@
     @TempDir
     Path folder;
 
-    private static final Object SILENCE = new Object();
+    private static final Object NO_CONTACT = new Object();
     private static final Object DOWN = new Object();
 
     @BeforeEach
@@ -78,7 +78,7 @@
         requests.add(request);
         Deque<Object> turns = script.get(address);
         Object turn = turns.size() > 1 ? turns.poll() : turns.peek();
-        if (turn == SILENCE) {
+        if (turn == NO_CONTACT) {
             now += withinMs;
             throw new IOException("silent");
         }
@@ -154,7 +154,7 @@
 
     @Test
     void withoutAClearAnswerTheVerySameCallGoesElsewhereUntilThereIsOne() {
-        answers("a:1", SILENCE);
+        answers("a:1", NO_CONTACT);
         answers("b:1", error(503, "NO_MAJORITY"));
         answers("c:1", error(429, "BUSY"), answer(200, "{}"));
         assertEquals(0, run("config", "put", "--based-on", "5", next()));
@@ -168,7 +168,7 @@
 
     @Test
     void silenceEndsInTimeAndIsNotTakenForARefusal() {
-        answers("b:1", SILENCE);
+        answers("b:1", NO_CONTACT);
         assertEquals(3, run("config", "put", "-w", "5000", "-b", "5", next()));
         assertTrue(now <= 5_000, "ended at " + now);
         says("edition 7 may have been taken or not");
@@ -183,7 +183,7 @@
 
     @Test
     void aRefusalEndsTheCallAtOnceWithItsCodeAndPlace() {
-        answers("a:1", SILENCE);
+        answers("a:1", NO_CONTACT);
         answers("b:1", error(412, "STALE"));
         assertEquals(1, run("config", "put", "--json", "-b", "5", next()));
         assertEquals(List.of("a:1", "b:1"), called);
@@ -287,7 +287,7 @@
     @Test
     void aMinorityIsToldAndIsNoError() {
         answers("a:1", status("0", "follower", 3));
-        answers("c:1", SILENCE);
+        answers("c:1", NO_CONTACT);
         assertEquals(0, run("status"));
         says("NO MAJORITY: 1 of 3 members answer; nothing can be changed or confirmed before 2 do\n"
                 + "leader    none");
--- a/src/test/java/sablehinge/controlplane/node/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -149,7 +149,7 @@
         boolean frozen;
         double thawedAt;
         int installs;
-        private long life;
+        private long incarnation;
         private int sinceCompacted;
         private final ArrayDeque<Runnable> buffers = new ArrayDeque<>();
         private final List<WriteBatch> unsynced = new ArrayList<>();
@@ -173,7 +173,7 @@
         }
 
         private void boot() {
-            life++;
+            incarnation++;
             buffers.clear();
             unsynced.clear();
             frozen = false;
@@ -207,7 +207,7 @@
             int kept = random.nextInt(unsynced.size() + 1);
             unsynced.subList(0, kept).forEach(this::write);
             raft = null;
-            life++;
+            incarnation++;
             buffers.clear();
         }
 
@@ -219,8 +219,8 @@
         void thaw() {
             frozen = false;
             thawedAt = now;
-            long mine = life;
-            while (!buffers.isEmpty() && mine == life) {
+            long mine = incarnation;
+            while (!buffers.isEmpty() && mine == incarnation) {
                 buffers.poll().run();
             }
             tickAfter(0);
@@ -228,9 +228,9 @@
 
         /** Something reaches the process in a while, if it still lives then. */
         private void arrives(double ms, Runnable what) {
-            long mine = life;
+            long mine = incarnation;
             after(ms, () -> {
-                if (mine == life && up()) {
+                if (mine == incarnation && up()) {
                     if (frozen) {
                         buffers.add(what);
                     } else {
@@ -245,9 +245,9 @@
         }
 
         private void tickAfter(double ms) {
-            long mine = life;
+            long mine = incarnation;
             after(ms, () -> {
-                if (mine == life && up() && !frozen) {
+                if (mine == incarnation && up() && !frozen) {
                     raft.tick(now);
                     changes.expire(now);
                     gate.expire(now);
@@ -273,8 +273,8 @@
             });
         }
 
-        private <Q, A> void carry(Operation<Q, A> operation, ApiRequest asked, Consumer<ApiResponse> answer) {
-            operation.execute(operation.read(asked), told -> answer.accept(operation.write(told)));
+        private <Q, A> void carry(Operation<Q, A> operation, ApiRequest requested, Consumer<ApiResponse> answer) {
+            operation.execute(operation.read(requested), response -> answer.accept(operation.write(response)));
         }
 
         // What the agreement asks for.
--- a/src/test/java/sablehinge/controlplane/node/ControlNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlNodeTest.java
@@ -46,7 +46,7 @@
 @Timeout(240)
 class ControlNodeTest {
 
-    private static final long PATIENCE_NANOS = 30_000_000_000L;
+    private static final long TIMEOUT_NANOS = 30_000_000_000L;
     private static final AtomicInteger MADE = new AtomicInteger();
     private static final HttpClient HTTP = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
@@ -158,7 +158,7 @@
 
     /** Calls members one after the other as operators do, until one gives a clear answer. */
     private HttpResponse<String> called(int first, Call call) throws Exception {
-        long end = System.nanoTime() + PATIENCE_NANOS;
+        long end = System.nanoTime() + TIMEOUT_NANOS;
         int member = first;
         while (System.nanoTime() < end) {
             try {
@@ -191,23 +191,23 @@
 
     /** Who leads, once all members that run agree on that. */
     private int leader() throws Exception {
-        long end = System.nanoTime() + PATIENCE_NANOS;
+        long end = System.nanoTime() + TIMEOUT_NANOS;
         while (System.nanoTime() < end) {
             int leader = -1;
-            int told = 0;
+            int outcome = 0;
             int running = 0;
             for (int i = 0; i < members.length; i++) {
                 if (members[i] != null) {
                     running++;
                     HttpResponse<String> answer = readAt(i);
                     if (answer.statusCode() == 307) {
-                        told++;
+                        outcome++;
                     } else if (answer.statusCode() < 500) {
                         leader = i;
                     }
                 }
             }
-            if (leader >= 0 && told == running - 1) {
+            if (leader >= 0 && outcome == running - 1) {
                 return leader;
             }
             LockSupport.parkNanos(20_000_000);
@@ -298,7 +298,7 @@
     void aLeaderThatIsStoppedHandsOverBeforeItEnds() throws Exception {
         assertEquals(200, replaced(0, configuration(7, "huvo11a")));
         int leader = leader();
-        long end = System.nanoTime() + PATIENCE_NANOS;
+        long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!members[leader].leave()) {
             assertTrue(System.nanoTime() < end, "nobody takes over");
         }
@@ -397,13 +397,13 @@
                     true,
                     List.of(),
                     List.of());
-            Frame elsewhere = asked(loop, (leader + 1) % 3, request);
+            Frame elsewhere = exchange(loop, (leader + 1) % 3, request);
             assertEquals(Frame.Kind.REDIRECT, elsewhere.kind());
             String host = seeds.get(leader).substring(0, seeds.get(leader).indexOf(':'));
             assertEquals(host + ":7100", new String(elsewhere.body(), StandardCharsets.UTF_8));
-            Frame told = asked(loop, leader, request);
-            assertEquals(Frame.Kind.UPDATE, told.kind());
-            Update update = Update.read(told.body());
+            Frame outcome = exchange(loop, leader, request);
+            assertEquals(Frame.Kind.UPDATE, outcome.kind());
+            Update update = Update.read(outcome.body());
             assertEquals(3, update.number());
             assertTrue(update.confirmed());
             assertEquals(7, update.edition());
@@ -426,7 +426,7 @@
         int leader = leader();
         EventLoop loop = ClosingEventLoops.single("test");
         try {
-            Frame elsewhere = asked(
+            Frame elsewhere = exchange(
                     loop,
                     leader,
                     new WatchRequest(
@@ -446,7 +446,7 @@
     }
 
     /** The first record that a member answers to an ask. */
-    private Frame asked(EventLoop loop, int member, WatchRequest request) throws InterruptedException {
+    private Frame exchange(EventLoop loop, int member, WatchRequest request) throws InterruptedException {
         LinkedBlockingQueue<Frame> answers = new LinkedBlockingQueue<>();
         Connection.Handler handler = new Connection.Handler() {
             @Override
--- a/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
@@ -38,7 +38,7 @@
     private final ConfigurationState configurations = new ConfigurationState();
     private final Registry registry = new Registry(2_500, 12_000);
     private final Pool pool = new Pool();
-    private final Map<Long, Double> silent = new HashMap<>();
+    private final Map<Long, Double> unresponsive = new HashMap<>();
     private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.LEADER, 7, ONE, List.of(ONE, TWO));
     private boolean sure = true;
     private Runnable duringCheck = () -> {};
@@ -96,7 +96,7 @@
 
         @Override
         public RaftMetrics metrics() {
-            return new RaftMetrics(42, 250.4, silent);
+            return new RaftMetrics(42, 250.4, unresponsive);
         }
 
         @Override
@@ -138,13 +138,13 @@
         throw new AssertionError("no operation at " + path);
     }
 
-    private static <Q, A> ApiResponse carry(Operation<Q, A> operation, ApiRequest asked) {
+    private static <Q, A> ApiResponse carry(Operation<Q, A> operation, ApiRequest requested) {
         ApiResponse[] reply = new ApiResponse[1];
-        operation.execute(operation.read(asked), answer -> reply[0] = operation.write(answer));
+        operation.execute(operation.read(requested), answer -> reply[0] = operation.write(answer));
         return reply[0];
     }
 
-    private <T> T told(String path, Class<T> type) throws IOException {
+    private <T> T fetch(String path, Class<T> type) throws IOException {
         ApiResponse reply = call(path, new DefaultHttpHeaders(), "");
         assertEquals(200, reply.status());
         return new ObjectMapper().readValue(reply.body(), type);
@@ -157,7 +157,7 @@
     @Test
     void whoFollowsNobodySaysSoOfItselfAndSendsNobodyElsewhere() throws IOException {
         raftStatus = new RaftStatus(RaftStatus.Role.CANDIDATE, 8, null, List.of(ONE, TWO));
-        MeshStatus status = told("Mesh.Status", MeshStatus.class);
+        MeshStatus status = fetch("Mesh.Status", MeshStatus.class);
         assertEquals("candidate", status.role());
         assertEquals(42, status.commit());
         assertNull(status.leader());
@@ -177,20 +177,20 @@
     @Test
     void theLeaderTellsWhoIsReadyWhoDrainsAndWhoIsGone() throws IOException {
         registry.reset(0);
-        silent.put(TWO.id(), 180.2);
+        unresponsive.put(TWO.id(), 180.2);
         tells(0, "n-gone", "i-4", true);
         tells(9_000, "n-ready", "i-1", true);
         tells(9_500, "n-drains", "i-2", false);
         tells(9_990, "n-empty", "", false);
         now = 12_100;
-        MeshNodes nodes = told("Mesh.Nodes", MeshNodes.class);
+        MeshNodes nodes = fetch("Mesh.Nodes", MeshNodes.class);
         assertEquals(
                 List.of("n-drains draining 2600", "n-empty empty 2110", "n-gone gone 12100", "n-ready ready 3100"),
                 nodes.balancers().stream()
                         .map(one -> one.node() + " " + one.state() + " " + one.silentMs())
                         .toList());
         assertEquals(180, nodes.members().get(1).silentMs());
-        MeshStatus.Plane plane = told("Mesh.Status", MeshStatus.class).plane();
+        MeshStatus.Plane plane = fetch("Mesh.Status", MeshStatus.class).plane();
         assertEquals(3, plane.known());
         assertEquals(1, plane.ready());
         assertEquals(List.of(new MeshStatus.Service("basalt", 3, 1, 12)), plane.services());
@@ -200,7 +200,7 @@
     void thePoolsAreToldWithWhatIsLeftOfThem() throws IOException {
         pool.adopt(0, Map.of("t", new Quota(10, 100)));
         assertEquals(15, pool.take(5_000, "t", 15));
-        MeshSingletonRoles singletonRoles = told("Mesh.Duties", MeshSingletonRoles.class);
+        MeshSingletonRoles singletonRoles = fetch("Mesh.Duties", MeshSingletonRoles.class);
         assertEquals(250, singletonRoles.leaseMs());
         // 4 a second of 10 are the pool's: 20 come within 5 s, and 20 within the other 5 s.
         assertEquals(List.of(new MeshSingletonRoles.Pool("t", 4, 40, 25)), singletonRoles.pools());
@@ -218,7 +218,7 @@
                                 1,
                                 "ca978112ca1bbdcafac231b39a23dc4d" + "a786eff8147c4e72b9807785afee48bb",
                                 "2023-11-14T22:13:20Z"))),
-                told("Config.History", Editions.class));
+                fetch("Config.History", Editions.class));
         sure = false;
         assertEquals(503, call("Config.History", new DefaultHttpHeaders(), "").status());
     }
--- a/src/test/java/sablehinge/controlplane/node/OperatorModel.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorModel.java
@@ -19,7 +19,7 @@
  */
 final class OperatorModel {
 
-    private static final double SILENCE_MS = 1_000;
+    private static final double NO_CONTACT_MS = 1_000;
     private static final double PAUSE_MS = 30;
     private static final int MAX_UNDER_WAY = 8;
     /** No answer takes longer, in ms, but of a machine that stood still. */
@@ -143,12 +143,12 @@
         cluster.after(
                 cluster.random.nextDouble() * 2,
                 () -> call(order, to, reply -> {
-                    if (!over[0] && !lost && cluster.now() - sentAt < SILENCE_MS) {
+                    if (!over[0] && !lost && cluster.now() - sentAt < NO_CONTACT_MS) {
                         over[0] = true;
                         answered(order, reply, redirects);
                     }
                 }));
-        cluster.after(SILENCE_MS, () -> {
+        cluster.after(NO_CONTACT_MS, () -> {
             if (!over[0]) {
                 over[0] = true;
                 again(order);
--- a/src/test/java/sablehinge/controlplane/node/QuorumContactTest.java
+++ b/src/test/java/sablehinge/controlplane/node/QuorumContactTest.java
@@ -32,10 +32,10 @@
     }
 
     private ApiResponse called(ControlCluster.Machine at, ControlRequest request, long basedOn, String body) {
-        ApiResponse[] told = new ApiResponse[1];
-        at.call(request, basedOn, body, reply -> told[0] = reply);
+        ApiResponse[] result = new ApiResponse[1];
+        at.call(request, basedOn, body, reply -> result[0] = reply);
         cluster.run(950);
-        return told[0];
+        return result[0];
     }
 
     private int replaced(ControlCluster.Machine at, long basedOn, long edition) {
@@ -136,7 +136,7 @@
         ApiResponse[] late = new ApiResponse[1];
         cluster.cutOff(follower, true, true);
         cluster.run(5);
-        follower.call(ControlRequest.CONFIG_READ, 0, "", told -> late[0] = told);
+        follower.call(ControlRequest.CONFIG_READ, 0, "", result -> late[0] = result);
         cluster.run(FROZEN_MS);
         assertNull(follower.gate.refusal(cluster.now()).leader());
         follower.thaw();
--- a/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
+++ b/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
@@ -114,8 +114,8 @@
     void ofManyEditionsInSuccessionOneIsToldEachSecondAndTheLastOneIsToldInTheEnd() {
         outcome("a");
         long known = 4;
-        double lastTold = 0;
-        int told = 0;
+        double lastNotified = 0;
+        int answered = 0;
         int number = 3;
         for (double now = 10; now <= 11_000; now += 10) {
             if (now <= 9_000) {
@@ -123,16 +123,16 @@
             }
             for (WatchServer.Delivery<String> answer : watchServer.dueDeliveries(now)) {
                 if (answer.update().body().length > 0) {
-                    assertTrue(now - lastTold <= 1_000 && now <= 10_000, "told at " + now);
+                    assertTrue(now - lastNotified <= 1_000 && now <= 10_000, "told at " + now);
                     known = answer.update().edition();
-                    lastTold = now;
-                    told++;
+                    lastNotified = now;
+                    answered++;
                 }
                 asks(now, "a", number++, known, registry.stamp(), false);
             }
         }
         assertEquals(904, known);
-        assertTrue(told <= 11, "told " + told);
+        assertTrue(answered <= 11, "told " + answered);
     }
 
     @Test
@@ -162,7 +162,7 @@
         none(10);
         asks(20, "b", 1, 4, registry.stamp(), false);
         Update update = watchServer.dueDeliveries(20).stream()
-                .filter(told -> told.to().equals("a"))
+                .filter(answered -> answered.to().equals("a"))
                 .findFirst()
                 .orElseThrow()
                 .update();
@@ -211,9 +211,9 @@
         assertFalse(only(2_900).full());
     }
 
-    private Update told(double now, String node) {
+    private Update answered(double now, String node) {
         return watchServer.dueDeliveries(now).stream()
-                .filter(told -> told.to().equals(node))
+                .filter(answered -> answered.to().equals(node))
                 .findFirst()
                 .orElseThrow()
                 .update();
@@ -224,13 +224,13 @@
         outcome("a");
         asks(0, "b", 1, 4, registry.stamp(), false);
         asks(1_000, "a", 3, 4, registry.stamp(), false, List.of(new Suspicion("b", SuspicionCause.RESET)), List.of());
-        Registration off = told(1_000, "a").registrations().get(0);
+        Registration off = answered(1_000, "a").registrations().get(0);
         assertEquals("i-b", off.upstream());
         assertFalse(off.ready());
         assertEquals(Health.DEAD, watchServer.healthChanges().get(0).health());
         asks(1_010, "a", 4, 4, registry.stamp(), false);
         asks(1_020, "b", 2, 4, registry.stamp(), false);
-        assertEquals(List.of(registration("b")), told(1_020, "a").registrations());
+        assertEquals(List.of(registration("b")), answered(1_020, "a").registrations());
     }
 
     @Test
--- a/src/test/java/sablehinge/controlplane/raft/CatchUpRandomTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpRandomTest.java
@@ -45,12 +45,12 @@
         double end = cluster.now + STORM;
         while (cluster.now < end) {
             cluster.storm(random.nextDouble() * 1500, 8);
-            trouble(cluster, all.get(random.nextInt(all.size())), away, random);
+            fault(cluster, all.get(random.nextInt(all.size())), away, random);
         }
         calm(cluster, away, speed);
     }
 
-    private static void trouble(SlowLinkCluster cluster, Machine hit, Machine away, Random random) {
+    private static void fault(SlowLinkCluster cluster, Machine hit, Machine away, Random random) {
         double length = 50 + random.nextDouble() * 1500;
         switch (random.nextInt(5)) {
             case 0 -> hit.stall(length);
--- a/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
@@ -35,12 +35,12 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine slow = follower(cluster);
         cluster.slow(slow, SLOW);
-        long asked = cluster.votesAsked;
+        long requested = cluster.votesRequested;
         cluster.storm(STORM, ORDERS);
         assertTrue(cluster.committed.size() > 100, cluster.committed.size() + " entries");
         assertEquals(0, cluster.broken, "connections broke as too much waited");
         assertTrue(cluster.longestWait < 1000, cluster.longestWait + " ms a message waited for others");
-        assertEquals(0, cluster.votesAsked - asked, "questions for votes");
+        assertEquals(0, cluster.votesRequested - requested, "questions for votes");
         double took = cluster.catchUp(slow, 3000);
         System.out.printf("slow link: longest wait %.0f ms, caught up after %.0f ms%n", cluster.longestWait, took);
     }
@@ -106,12 +106,12 @@
         cluster.slow(away, SLOW);
         cluster.largest = 0;
         cluster.longestWait = 0;
-        long asked = cluster.votesAsked;
+        long requested = cluster.votesRequested;
         away.start();
         cluster.catchUp(away, 30_000);
         assertTrue(cluster.largest < 1_100_000, "a message of " + cluster.largest + " bytes");
         assertTrue(cluster.longestWait < 1000, cluster.longestWait + " ms a message waited for others");
-        assertEquals(asked, cluster.votesAsked, "questions for votes");
+        assertEquals(requested, cluster.votesRequested, "questions for votes");
     }
 
     @Test
--- a/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
@@ -27,7 +27,7 @@
         return new Replica(member(name), 0, true, false);
     }
 
-    private static Replica silent(String name, double ms) {
+    private static Replica unresponsive(String name, double ms) {
         return new Replica(member(name), ms, true, false);
     }
 
@@ -74,38 +74,39 @@
         assertAdds("e", five.next(list("a", "b", "c", "d"), list("e")));
         assertNone(five.next(list("a", "b", "c"), list("d")));
         assertNone(five.next(list("a", "b", "c"), with(list("d"), behind("e"))));
-        assertNone(five.next(list("a", "b", "c"), with(list("d"), silent("e", STALE))));
+        assertNone(five.next(list("a", "b", "c"), with(list("d"), unresponsive("e", STALE))));
     }
 
     /** With a fourth voter three must answer: were one silent, the loss of the newcomer would end it. */
     @Test
     void threeDoNotBecomeFourWhileOneOfThemDoesNotAnswer() {
-        assertNone(five.next(with(list("a", "b"), silent("c", STALE)), list("d", "e")));
+        assertNone(five.next(with(list("a", "b"), unresponsive("c", STALE)), list("d", "e")));
         assertNone(five.next(with(list("a", "b"), behind("c")), list("d", "e")));
-        assertRemoves("c", five.next(with(list("a", "b"), silent("c", LOST)), list("d", "e")));
+        assertRemoves("c", five.next(with(list("a", "b"), unresponsive("c", LOST)), list("d", "e")));
     }
 
     @Test
     void aLearnerComesOnlyWithEverythingOnItsDisk() {
         assertNone(three.next(list("a", "b"), List.of(behind("d"))));
         assertAdds("d", three.next(list("a", "b"), List.of(behind("e"), well("d"))));
-        assertNone(three.next(with(list("a", "b"), silent("c", LOST)), List.of(behind("d"))));
+        assertNone(three.next(with(list("a", "b"), unresponsive("c", LOST)), List.of(behind("d"))));
     }
 
     @Test
     void aVoterThatIsLostGoesWhenALearnerIsReadyAndNotBefore() {
-        assertNone(three.next(with(list("a", "b"), silent("c", LOST)), List.of()));
-        assertNone(three.next(with(list("a", "b"), silent("c", LOST - 2)), list("d")));
-        assertRemoves("c", three.next(with(list("a", "b"), silent("c", LOST)), list("d")));
+        assertNone(three.next(with(list("a", "b"), unresponsive("c", LOST)), List.of()));
+        assertNone(three.next(with(list("a", "b"), unresponsive("c", LOST - 2)), list("d")));
+        assertRemoves("c", three.next(with(list("a", "b"), unresponsive("c", LOST)), list("d")));
         assertAdds("d", three.next(list("a", "b"), list("d")));
     }
 
     @Test
     void theFormerLifeOfAWipedVoterGoesAtOnceAndBeforeAnother() {
-        Replica formerLife = new Replica(Member.later(7, "d:1", "cd"), STALE, true, false);
-        assertRemoves(formerLife, three.next(with(list("a", "b"), formerLife), list("d")));
+        Replica formerIncarnation = new Replica(Member.later(7, "d:1", "cd"), STALE, true, false);
+        assertRemoves(formerIncarnation, three.next(with(list("a", "b"), formerIncarnation), list("d")));
         assertRemoves(
-                formerLife, five.next(with(list("a", "b"), silent("c", 2 * LOST), formerLife, well("e")), list("d")));
+                formerIncarnation,
+                five.next(with(list("a", "b"), unresponsive("c", 2 * LOST), formerIncarnation, well("e")), list("d")));
     }
 
     private static void assertRemoves(Replica voter, Optional<VoterChange> change) {
@@ -114,7 +115,7 @@
 
     @Test
     void twoOfFiveAreReplacedOneAfterTheOther() {
-        List<Replica> lost = List.of(silent("d", LOST), silent("e", LOST + 1));
+        List<Replica> lost = List.of(unresponsive("d", LOST), unresponsive("e", LOST + 1));
         List<Replica> voters = with(list("a", "b", "c"), lost.get(0), lost.get(1));
         assertRemoves("e", five.next(voters, list("f", "g")));
         assertAdds("f", five.next(with(list("a", "b", "c"), lost.get(0)), list("f", "g")));
@@ -132,21 +133,22 @@
     /** A fourth voter beside a silent one would leave no loss to be borne. */
     @Test
     void whoLeavesGoesFirstWhileAnotherIsSilent() {
-        assertRemoves("c", five.next(with(list("a", "b", "d"), leaving("c"), silent("e", STALE)), list("f")));
+        assertRemoves("c", five.next(with(list("a", "b", "d"), leaving("c"), unresponsive("e", STALE)), list("f")));
     }
 
     @Test
     void aCoreAboveItsSizeShrinksByWhoIsLost() {
-        assertRemoves("c", three.next(with(list("a", "b"), silent("c", LOST), well("d")), List.of()));
+        assertRemoves("c", three.next(with(list("a", "b"), unresponsive("c", LOST), well("d")), List.of()));
         assertNone(three.next(list("a", "b", "c", "d"), list("e")));
     }
 
     @Test
     void nothingChangesWithoutASoundMajorityAfterIt() {
-        assertNone(three.next(List.of(well("a"), silent("b", STALE), silent("c", LOST)), list("d")));
-        assertNone(three.next(List.of(well("a"), behind("b"), silent("c", LOST)), list("d")));
-        assertNone(
-                five.next(with(list("a", "b"), silent("c", STALE), silent("d", LOST), silent("e", LOST)), list("f")));
+        assertNone(three.next(List.of(well("a"), unresponsive("b", STALE), unresponsive("c", LOST)), list("d")));
+        assertNone(three.next(List.of(well("a"), behind("b"), unresponsive("c", LOST)), list("d")));
+        assertNone(five.next(
+                with(list("a", "b"), unresponsive("c", STALE), unresponsive("d", LOST), unresponsive("e", LOST)),
+                list("f")));
     }
 
     /**
@@ -184,8 +186,8 @@
             replicas.add(
                     switch (left % KINDS) {
                         case 0 -> well(name);
-                        case 1 -> silent(name, STALE);
-                        case 2 -> silent(name, LOST);
+                        case 1 -> unresponsive(name, STALE);
+                        case 2 -> unresponsive(name, LOST);
                         case 3 -> behind(name);
                         default -> leaving(name);
                     });
@@ -200,15 +202,15 @@
         List<Replica> all = with(voters, learners.toArray(Replica[]::new));
         int margin = margin(all, after);
         int was = margin(all, before);
-        String told = all + " " + change;
-        assertTrue(margin >= 0, told);
+        String description = all + " " + change;
+        assertTrue(margin >= 0, description);
         boolean goes = voters.stream().anyMatch(one -> one.member().equals(change.member()) && sound(one));
         // Who leaves of itself is lost soon, whether it is still counted or not.
-        assertTrue(margin >= was || goes && margin >= was - 1, told);
-        assertTrue(change.kind() == VoterChange.Kind.REMOVE || sound(replica(all, change.member())), told);
+        assertTrue(margin >= was || goes && margin >= was - 1, description);
+        assertTrue(change.kind() == VoterChange.Kind.REMOVE || sound(replica(all, change.member())), description);
         assertTrue(
                 before.size() == 1 || after.size() % 2 == 1 || change.kind() == VoterChange.Kind.REMOVE || margin >= 1,
-                told);
+                description);
     }
 
     private static Replica replica(List<Replica> all, Member member) {
--- a/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
@@ -110,12 +110,12 @@
 
     @Test
     void nothingBreaksAndThereIsWork() {
-        Tally tally = new Tally();
-        assertEquals(List.of(), Hunt.byChance(1, 400, 1, tally));
-        assertEquals(List.of(), EveryOrder.all(1, tally));
-        assertTrue(tally.schedules.sum() > 600, tally.schedules + " schedules");
-        assertTrue(tally.acknowledged.sum() > 1000, tally.acknowledged + " promises");
-        assertTrue(tally.changes.sum() > 30, tally.changes + " changes of members");
+        ScheduleTotals totals = new ScheduleTotals();
+        assertEquals(List.of(), Hunt.byChance(1, 400, 1, totals));
+        assertEquals(List.of(), EveryOrder.all(1, totals));
+        assertTrue(totals.schedules.sum() > 600, totals.schedules + " schedules");
+        assertTrue(totals.acknowledged.sum() > 1000, totals.acknowledged + " promises");
+        assertTrue(totals.changes.sum() > 30, totals.changes + " changes of members");
     }
 
     @ParameterizedTest
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -17,7 +17,7 @@
 
     private static final int SEEDS = 20;
     /** By when the core must be as strong as stated once all its machines run, ms; deployments say 4 s. */
-    private static final double WHOLE_WITHIN = 2500;
+    private static final double COMPLETE_WITHIN = 2500;
 
     private interface Play {
         void on(SimulatedCluster cluster);
@@ -77,7 +77,7 @@
             cluster.run(300 * (seed % 2));
             cluster.add("10.0.0.4:1").outside();
             double took = awaitVoters(cluster, 5, 5000);
-            assertTrue(took < WHOLE_WITHIN, took + " ms with seed " + seed);
+            assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + seed);
             assertEquals(2, cluster.changes);
         }
     }
@@ -95,7 +95,7 @@
             cluster.commitOne(4000);
             all.get(first).outside();
             all.get(second).start();
-            awaitVoters(cluster, 5, WHOLE_WITHIN);
+            awaitVoters(cluster, 5, COMPLETE_WITHIN);
         });
     }
 
@@ -111,7 +111,7 @@
             cluster.run(200);
             assertEquals(cluster.committed.size(), learner.applied, "it is fed");
             cluster.add("10.0.0.4:1").outside();
-            awaitVoters(cluster, 5, WHOLE_WITHIN);
+            awaitVoters(cluster, 5, COMPLETE_WITHIN);
         }
     }
 
@@ -142,7 +142,7 @@
                 cluster.run(1000);
                 hit.forEach(Machine::outside);
                 double took = awaitVoters(cluster, voters(stated), 5000);
-                assertTrue(took < WHOLE_WITHIN, took + " ms with seed " + cluster.seed);
+                assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + cluster.seed);
                 cluster.others(hit.toArray(Machine[]::new)).subList(0, stated).forEach(Machine::powerLoss);
                 cluster.commitOne(4000);
             });
@@ -172,7 +172,7 @@
                 cluster.run(700);
                 hit.outside();
                 double took = awaitVoters(cluster, voters(stated), 5000);
-                assertTrue(took < WHOLE_WITHIN, took + " ms with seed " + cluster.seed);
+                assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + cluster.seed);
                 cluster.commitOne(200);
             });
         }
--- a/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -74,7 +74,7 @@
         Disk disk = new Disk();
         RaftNode raft;
         RaftStatus raftStatus;
-        long life;
+        long incarnation;
         long applied;
         long chain;
         ConfigurationState configurations;
@@ -111,7 +111,7 @@
         }
 
         private void boot() {
-            life++;
+            incarnation++;
             applied = 0;
             chain = 0;
             configurations = new ConfigurationState();
@@ -184,7 +184,7 @@
         void end(int kept) {
             raft = null;
             raftStatus = null;
-            life++;
+            incarnation++;
             for (WriteBatch change : unsynced.subList(0, kept)) {
                 store(change);
             }
@@ -210,7 +210,7 @@
         }
 
         private void tick(long mine) {
-            if (life == mine) {
+            if (incarnation == mine) {
                 raft.tick(clock());
                 after(TICK, () -> tick(mine));
             }
@@ -243,9 +243,9 @@
         private void waitForDisk(WriteBatch change) {
             double starts = Math.max(Math.max(now, diskFreeAt), stalledUntil);
             diskFreeAt = starts + 1 + random.nextDouble() * 0.5;
-            long mine = life;
+            long mine = incarnation;
             after(diskFreeAt - now, () -> {
-                if (life != mine || unsynced.isEmpty() || unsynced.get(0).number() > change.number()) {
+                if (incarnation != mine || unsynced.isEmpty() || unsynced.get(0).number() > change.number()) {
                     return;
                 }
                 if (now < stalledUntil) {
@@ -264,7 +264,7 @@
         }
 
         private void synced(long mine, WriteBatch change) {
-            if (life != mine) {
+            if (incarnation != mine) {
                 return;
             }
             if (now < stalledUntil) {
@@ -518,7 +518,7 @@
 
     /** A machine's process has begun, and is to have its ticks. */
     void booted(Machine machine) {
-        long mine = machine.life;
+        long mine = machine.incarnation;
         after(random.nextDouble() * TICK, () -> machine.tick(mine));
     }
 
@@ -572,12 +572,12 @@
 
     /** Who does what only one may do does it alone, however many think that they lead. */
     final void checkLease() {
-        Machine holder = null;
+        Machine allocator = null;
         for (Machine machine : machines.values()) {
             if (machine.up() && machine.leads() && machine.raft.hasLease(machine.clock())) {
-                Machine other = holder;
+                Machine other = allocator;
                 check(other == null, machine, () -> "a lease beside that of " + other.address);
-                holder = machine;
+                allocator = machine;
             }
         }
     }
--- a/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
@@ -21,7 +21,7 @@
     private static final class Link {
         double bytesPerMs = FAST;
         double freeAt;
-        int life;
+        int incarnation;
         long messages;
     }
 
@@ -34,7 +34,7 @@
     /** Messages of snapshots that were sent. */
     long snapshotMessages;
     /** Questions for votes that were sent. */
-    long votesAsked;
+    long votesRequested;
     /** Connections that broke as too much waited. */
     long broken;
     /** The largest message, bytes. */
@@ -62,7 +62,7 @@
     void carry(Member from, String to, Message message) {
         long size = RaftMessageCodec.write(message).length;
         largest = Math.max(largest, size);
-        votesAsked += message instanceof Message.VoteRequest ? 1 : 0;
+        votesRequested += message instanceof Message.VoteRequest ? 1 : 0;
         if (message instanceof Message.InstallSnapshotRequest) {
             snapshotBytes += size;
             snapshotMessages++;
@@ -75,15 +75,15 @@
         longestWait = Math.max(longestWait, begins - now);
         if ((begins - now) * link.bytesPerMs > MAX_WAITING) {
             broken++;
-            link.life++;
+            link.incarnation++;
             link.freeAt = now;
             return;
         }
         link.freeAt = begins + size / link.bytesPerMs;
-        int life = link.life;
+        int incarnation = link.incarnation;
         after(link.freeAt - now + LATENCY, () -> {
             Machine machine = machines.get(to);
-            if (link.life == life && machine != null && machine.up()) {
+            if (link.incarnation == incarnation && machine != null && machine.up()) {
                 machine.raft.handleMessage(machine.clock(), from, message);
             }
         });
--- a/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
@@ -198,9 +198,9 @@
             }
             if (!onTheWay.isEmpty() && random.nextBoolean()) {
                 Message.InstallSnapshotRequest chunk = onTheWay.remove(random.nextInt(onTheWay.size()));
-                Snapshot whole = receiver.receive(chunk);
-                if (whole != null) {
-                    return whole;
+                Snapshot complete = receiver.receive(chunk);
+                if (complete != null) {
+                    return complete;
                 }
                 if (random.nextInt(4) > 0) {
                     sender.received(now, chunk.chunk().index(), receiver.receivedBytes(chunk));
--- a/src/test/java/sablehinge/controlplane/state/RegistryTest.java
+++ b/src/test/java/sablehinge/controlplane/state/RegistryTest.java
@@ -21,7 +21,7 @@
         return new Registration(node, "monza-a", "127.0.0.1:80", "huvo11a", upstream, ready, 4, warmUpMs);
     }
 
-    private static List<String> lives(List<Registration> registrations) {
+    private static List<String> incarnations(List<Registration> registrations) {
         return registrations.stream().map(Registration::upstream).toList();
     }
 
@@ -32,9 +32,9 @@
         assertTrue(registry.register(0, registration("c", "i-3", true, 0)));
         assertEquals(3, registry.stamp());
         assertTrue(registry.register(1, registration("a", "i-1", false, 0)));
-        assertEquals(List.of("i-3", "i-1"), lives(registry.since(2)));
+        assertEquals(List.of("i-3", "i-1"), incarnations(registry.since(2)));
         assertEquals(List.of(), registry.since(registry.stamp()));
-        assertEquals(List.of("i-2", "i-3", "i-1"), lives(registry.since(0)));
+        assertEquals(List.of("i-2", "i-3", "i-1"), incarnations(registry.since(0)));
     }
 
     /** RULES, QUOTA: counted across all machines, whether in touch or not. */
@@ -114,7 +114,7 @@
         registry.processPaused(20_700, 20_000);
         assertFalse(registry.expire(20_900));
         assertTrue(registry.expire(21_050));
-        assertEquals(List.of("i-2", ""), lives(registry.since(0)));
+        assertEquals(List.of("i-2", ""), incarnations(registry.since(0)));
     }
 
     @Test
--- a/src/test/java/sablehinge/dataplane/admission/AdmissionControllerTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/AdmissionControllerTest.java
@@ -15,7 +15,7 @@
 /** What the gate beside an upstream decides; the time is the test's. */
 class AdmissionControllerTest {
 
-    private static final long LIFE = 7;
+    private static final long INCARNATION = 7;
     private static final double DEADLINE = 10_000;
     private final List<String> done = new ArrayList<>();
     private final AdmissionController admission = new AdmissionController(new Recorded());
@@ -87,7 +87,7 @@
     }
 
     private void asks(double now, long id) {
-        asks(now, id, 0, LIFE, DEADLINE, 500);
+        asks(now, id, 0, INCARNATION, DEADLINE, 500);
     }
 
     private void ends(double now, long id, Result result) {
@@ -103,7 +103,7 @@
 
     @Test
     void asManyGoInAsThereAreSlotsAndTheNextWaitsForOne() {
-        admission.open(0, LIFE, 2);
+        admission.open(0, INCARNATION, 2);
         asks(0, 1);
         asks(0, 2);
         asks(0, 3);
@@ -116,12 +116,12 @@
 
     @Test
     void theHighestRankGoesFirstAndOfOneRankWhatHasTheLeastTimeLeft() {
-        admission.open(0, LIFE, 2);
+        admission.open(0, INCARNATION, 2);
         asks(0, 1);
         asks(0, 2);
-        asks(0, 3, 2, LIFE, 1_000, 500);
-        asks(0, 4, 1, LIFE, 9_000, 500);
-        asks(0, 5, 1, LIFE, 8_000, 500);
+        asks(0, 3, 2, INCARNATION, 1_000, 500);
+        asks(0, 4, 1, INCARNATION, 9_000, 500);
+        asks(0, 5, 1, INCARNATION, 8_000, 500);
         done.clear();
         ends(10, 1, Result.OK);
         ends(11, 2, Result.OK);
@@ -131,9 +131,9 @@
 
     @Test
     void oneWaitsForAsLongAsItWasGivenAndNoLonger() {
-        admission.open(0, LIFE, 1);
+        admission.open(0, INCARNATION, 1);
         asks(0, 1);
-        asks(5, 2, 0, LIFE, DEADLINE, 300);
+        asks(5, 2, 0, INCARNATION, DEADLINE, 300);
         expect("send 1", "timer 2 305");
         admission.timer(305, 2);
         expect("refuse 2 later");
@@ -143,9 +143,9 @@
 
     @Test
     void whatMayNotWaitIsRefusedAtOnceAndSoIsWhatFindsAllPlacesTaken() {
-        admission.open(0, LIFE, 1);
+        admission.open(0, INCARNATION, 1);
         asks(0, 1);
-        asks(0, 2, 0, LIFE, DEADLINE, 0);
+        asks(0, 2, 0, INCARNATION, DEADLINE, 0);
         expect("send 1", "refuse 2 later");
         for (int id = 3; id <= 5; id++) {
             asks(0, id);
@@ -157,25 +157,25 @@
 
     @Test
     void anotherLifeIsRefusedAtItsArrivalAndWhereItWaited() {
-        admission.open(0, LIFE, 1);
-        asks(0, 1, 0, LIFE + 1, DEADLINE, 500);
+        admission.open(0, INCARNATION, 1);
+        asks(0, 1, 0, INCARNATION + 1, DEADLINE, 500);
         expect("refuse 1");
         asks(0, 2);
         asks(0, 3);
         done.clear();
-        admission.open(10, LIFE + 1, 1);
+        admission.open(10, INCARNATION + 1, 1);
         ends(11, 2, Result.RESET);
         expect("fail 2", "refuse 3");
     }
 
     @Test
     void anUpstreamThatLeavesTakesWhatComesUntilItsTimeAndNothingFromThenOn() {
-        admission.open(0, LIFE, 1);
-        admission.closes(0, LIFE, 100);
+        admission.open(0, INCARNATION, 1);
+        admission.closes(0, INCARNATION, 100);
         asks(99, 1);
         asks(99, 2);
         expect("send 1", "timer 2 599");
-        admission.closes(100, LIFE, 100);
+        admission.closes(100, INCARNATION, 100);
         expect("refuse 2");
         asks(100, 3);
         expect("refuse 3");
@@ -185,10 +185,10 @@
 
     @Test
     void whatWaitedWhenItsTimeCameIsNotSentEvenIfNobodyWokeTheGate() {
-        admission.open(0, LIFE, 1);
+        admission.open(0, INCARNATION, 1);
         asks(0, 1);
         asks(0, 2);
-        admission.closes(50, LIFE, 100);
+        admission.closes(50, INCARNATION, 100);
         done.clear();
         ends(101, 1, Result.OK);
         expect("refuse 2");
@@ -196,24 +196,24 @@
 
     @Test
     void aLateBeatOfTheSameLifeDoesNotOpenTheGateAgainButTheNextLifeDoes() {
-        admission.open(0, LIFE, 1);
-        admission.closes(0, LIFE, 0);
-        admission.open(10, LIFE, 1);
+        admission.open(0, INCARNATION, 1);
+        admission.closes(0, INCARNATION, 0);
+        admission.open(10, INCARNATION, 1);
         asks(10, 1);
         expect("refuse 1");
-        admission.open(20, LIFE + 1, 1);
-        asks(20, 2, 0, LIFE + 1, DEADLINE, 500);
+        admission.open(20, INCARNATION + 1, 1);
+        asks(20, 2, 0, INCARNATION + 1, DEADLINE, 500);
         expect("send 2");
-        admission.closes(30, LIFE, 30);
+        admission.closes(30, INCARNATION, 30);
         ends(31, 2, Result.OK);
-        asks(32, 3, 0, LIFE + 1, DEADLINE, 500);
+        asks(32, 3, 0, INCARNATION + 1, DEADLINE, 500);
         expect("send 3");
     }
 
     @ParameterizedTest
     @EnumSource(Result.class)
     void onlyWhatIsProvenNotToHaveRunIsRefused(Result result) {
-        admission.open(0, LIFE, 1);
+        admission.open(0, INCARNATION, 1);
         asks(0, 1);
         done.clear();
         ends(10, 1, result);
@@ -227,7 +227,7 @@
 
     @Test
     void whoeverLeavesWhileItWaitsIsForgottenAndWhoLeavesAtWorkKeepsItsSlotUntilItsEnd() {
-        admission.open(0, LIFE, 1);
+        admission.open(0, INCARNATION, 1);
         asks(0, 1);
         asks(0, 2);
         asks(0, 3);
--- a/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
@@ -19,10 +19,10 @@
 class UpstreamLifecycleTest {
 
     private static final double UNLOAD_MS = 2_400;
-    private static final double BEAT_MS = 1_500;
+    private static final double HEARTBEAT_MS = 1_500;
     private static final int BERTHS = 1_000;
     private static final String SERVICE = "huvo11a";
-    private static final String LIFE = "i-1";
+    private static final String INCARNATION = "i-1";
     private static final String NEXT = "i-2";
     /** Between two events; together with a start they fit into {@code unloadMs}, alone they may not. */
     private static final double[] GAPS = {150, 1_100, 2_600};
@@ -32,9 +32,9 @@
 
     /** What may happen to the balancer beside an upstream. */
     private enum Event {
-        READY_BEAT,
-        UNLOADING_BEAT,
-        LATE_READY_BEAT,
+        READY_HEARTBEAT,
+        UNLOADING_HEARTBEAT,
+        LATE_READY_HEARTBEAT,
         KILL,
         START,
         HEALTH_ANSWER,
@@ -56,7 +56,7 @@
 
         void start() {
             gate = new AdmissionController(this);
-            lifecycle = new UpstreamLifecycle(gate, Machine::number, UNLOAD_MS, BEAT_MS);
+            lifecycle = new UpstreamLifecycle(gate, Machine::number, UNLOAD_MS, HEARTBEAT_MS);
         }
 
         void kill() {
@@ -65,16 +65,16 @@
         }
 
         static long number(String id) {
-            return id.equals(LIFE) ? 1 : 2;
+            return id.equals(INCARNATION) ? 1 : 2;
         }
 
         boolean runs() {
             return lifecycle != null;
         }
 
-        void beats(boolean unloading, long count) {
+        void heartbeats(boolean unloading, long count) {
             if (runs()) {
-                lifecycle.handleHeartbeat(now, new Heartbeat(LIFE, SERVICE, unloading, BERTHS, 0, count));
+                lifecycle.handleHeartbeat(now, new Heartbeat(INCARNATION, SERVICE, unloading, BERTHS, 0, count));
                 if (unloading) {
                     leavesAt = Math.min(leavesAt, now);
                 }
@@ -83,20 +83,20 @@
 
         void befalls(Event event) {
             switch (event) {
-                case READY_BEAT -> {
+                case READY_HEARTBEAT -> {
                     // The upstream itself never takes back that it leaves.
                     if (!leaves) {
-                        beats(false, ++callCount);
+                        heartbeats(false, ++callCount);
                     }
                 }
-                case UNLOADING_BEAT -> {
+                case UNLOADING_HEARTBEAT -> {
                     leaves = true;
-                    beats(true, ++callCount);
+                    heartbeats(true, ++callCount);
                 }
-                case LATE_READY_BEAT -> {
+                case LATE_READY_HEARTBEAT -> {
                     // One that has been under way through an end of the process died with it.
                     if (leavesAt == Double.POSITIVE_INFINITY || runs() && lifecycle.present() != null) {
-                        beats(false, 3);
+                        heartbeats(false, 3);
                     }
                 }
                 case KILL -> kill();
@@ -108,7 +108,7 @@
                 case SIGN_OFF -> {
                     leaves = true;
                     if (runs()) {
-                        lifecycle.handleSignOff(now, LIFE);
+                        lifecycle.handleSignOff(now, INCARNATION);
                         leavesAt = Math.min(leavesAt, now);
                     }
                 }
@@ -125,7 +125,8 @@
                 now += TRIED_EVERY_MS;
                 if (runs()) {
                     lifecycle.tick(now);
-                    gate.request(now, new Request(++requests, 0, 0, number(LIFE), now + 10_000, 100, false, true, 0));
+                    gate.request(
+                            now, new Request(++requests, 0, 0, number(INCARNATION), now + 10_000, 100, false, true, 0));
                 }
             }
         }
@@ -197,20 +198,20 @@
             for (int order = 0; order < Math.pow(events.length, STEPS); order++) {
                 Machine machine = new Machine();
                 machine.start();
-                machine.befalls(Event.READY_BEAT);
+                machine.befalls(Event.READY_HEARTBEAT);
                 machine.passes(gap);
-                StringBuilder told = new StringBuilder();
+                StringBuilder description = new StringBuilder();
                 for (int step = 0, rest = order; step < STEPS; step++, rest /= events.length) {
                     Event event = events[rest % events.length];
                     machine.befalls(event);
                     machine.passes(gap);
-                    told.append(event).append(' ');
+                    description.append(event).append(' ');
                 }
                 machine.passes(2 * UNLOAD_MS);
                 plays++;
                 drained += machine.leavesAt < Double.POSITIVE_INFINITY ? 1 : 0;
                 if (machine.latest > machine.leavesAt + UNLOAD_MS) {
-                    broken.add(gap + " ms: " + told + "sent " + (machine.latest - machine.leavesAt)
+                    broken.add(gap + " ms: " + description + "sent " + (machine.latest - machine.leavesAt)
                             + " ms after it was acknowledged");
                 }
             }
@@ -224,14 +225,14 @@
     void aHeartbeatOpensTheGateOfAProcessThatHasBegunAnew() {
         Machine machine = new Machine();
         machine.start();
-        machine.befalls(Event.READY_BEAT);
+        machine.befalls(Event.READY_HEARTBEAT);
         machine.befalls(Event.KILL);
         machine.passes(500);
         machine.befalls(Event.START);
         double before = machine.latest;
         machine.passes(500);
         assertEquals(before, machine.latest);
-        machine.befalls(Event.READY_BEAT);
+        machine.befalls(Event.READY_HEARTBEAT);
         machine.passes(100);
         assertEquals(machine.now, machine.latest);
     }
@@ -241,9 +242,9 @@
     void anUnloadingUpstreamServesOnForAPart() {
         Machine machine = new Machine();
         machine.start();
-        machine.befalls(Event.READY_BEAT);
+        machine.befalls(Event.READY_HEARTBEAT);
         machine.passes(10 * UNLOAD_MS);
-        machine.befalls(Event.UNLOADING_BEAT);
+        machine.befalls(Event.UNLOADING_HEARTBEAT);
         double at = machine.now;
         machine.passes(2 * UNLOAD_MS);
         assertTrue(
@@ -257,17 +258,17 @@
 
     private static UpstreamLifecycle lifecycle() {
         Machine machine = new Machine();
-        return new UpstreamLifecycle(new AdmissionController(machine), Machine::number, UNLOAD_MS, BEAT_MS);
+        return new UpstreamLifecycle(new AdmissionController(machine), Machine::number, UNLOAD_MS, HEARTBEAT_MS);
     }
 
     @Test
     void aLateHeartbeatChangesNothing() {
         UpstreamLifecycle lifecycle = lifecycle();
-        assertTrue(lifecycle.handleHeartbeat(0, heartbeat(LIFE, 5)));
-        assertFalse(lifecycle.handleHeartbeat(1, new Heartbeat(LIFE, SERVICE, false, 9, 0, 4)));
+        assertTrue(lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5)));
+        assertFalse(lifecycle.handleHeartbeat(1, new Heartbeat(INCARNATION, SERVICE, false, 9, 0, 4)));
         assertEquals(4, lifecycle.present().berths());
         // Nor does it say that the upstream lives still.
-        lifecycle.handleHeartbeat(5_000, heartbeat(LIFE, 4));
+        lifecycle.handleHeartbeat(5_000, heartbeat(INCARNATION, 4));
         assertTrue(lifecycle.tick(5_400));
         assertNull(lifecycle.present());
     }
@@ -276,18 +277,18 @@
     @Test
     void aHeartbeatThatComesTwiceIsTheSame() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.handleHeartbeat(0, heartbeat(LIFE, 5));
-        assertFalse(lifecycle.handleHeartbeat(5_000, heartbeat(LIFE, 5)));
+        lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5));
+        assertFalse(lifecycle.handleHeartbeat(5_000, heartbeat(INCARNATION, 5)));
         assertFalse(lifecycle.tick(5_400));
-        assertEquals(LIFE, lifecycle.present().id());
+        assertEquals(INCARNATION, lifecycle.present().id());
     }
 
     @Test
     void aLaterHeartbeatResizesItAndItsColdTimeStays() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.handleHeartbeat(0, new Heartbeat(LIFE, SERVICE, false, 4, 3_000, 1));
-        assertTrue(lifecycle.handleHeartbeat(1, new Heartbeat(LIFE, SERVICE, false, 6, 2_000, 2)));
-        assertFalse(lifecycle.handleHeartbeat(2, new Heartbeat(LIFE, SERVICE, false, 6, 1_000, 3)));
+        lifecycle.handleHeartbeat(0, new Heartbeat(INCARNATION, SERVICE, false, 4, 3_000, 1));
+        assertTrue(lifecycle.handleHeartbeat(1, new Heartbeat(INCARNATION, SERVICE, false, 6, 2_000, 2)));
+        assertFalse(lifecycle.handleHeartbeat(2, new Heartbeat(INCARNATION, SERVICE, false, 6, 1_000, 3)));
         assertEquals(6, lifecycle.present().berths());
         assertEquals(3_000, lifecycle.present().warmUpMs());
     }
@@ -295,9 +296,9 @@
     @Test
     void thatItUnloadsIsNotTakenBackButByTheNextLife() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.handleHeartbeat(0, heartbeat(LIFE, 1));
-        lifecycle.handleHeartbeat(1, new Heartbeat(LIFE, SERVICE, true, 4, 0, 2));
-        lifecycle.handleHeartbeat(2, heartbeat(LIFE, 3));
+        lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 1));
+        lifecycle.handleHeartbeat(1, new Heartbeat(INCARNATION, SERVICE, true, 4, 0, 2));
+        lifecycle.handleHeartbeat(2, heartbeat(INCARNATION, 3));
         assertFalse(lifecycle.isReady());
         lifecycle.handleHeartbeat(3, heartbeat(NEXT, 1));
         assertTrue(lifecycle.isReady());
@@ -306,20 +307,20 @@
     @Test
     void aLateHeartbeatThatSaysUnloadingIsAcknowledgedAndSoHolds() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.handleHeartbeat(0, heartbeat(LIFE, 5));
-        assertTrue(lifecycle.handleHeartbeat(5_000, new Heartbeat(LIFE, SERVICE, true, 4, 0, 4)));
+        lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5));
+        assertTrue(lifecycle.handleHeartbeat(5_000, new Heartbeat(INCARNATION, SERVICE, true, 4, 0, 4)));
         assertFalse(lifecycle.isReady());
     }
 
     @Test
     void aLateHeartbeatOfAnEarlierLifeDoesNotBringItBack() {
         UpstreamLifecycle lifecycle = lifecycle();
-        lifecycle.handleHeartbeat(0, heartbeat(LIFE, 5));
+        lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5));
         lifecycle.handleHeartbeat(1, heartbeat(NEXT, 1));
-        assertFalse(lifecycle.handleHeartbeat(2, heartbeat(LIFE, 5)));
+        assertFalse(lifecycle.handleHeartbeat(2, heartbeat(INCARNATION, 5)));
         assertEquals(NEXT, lifecycle.present().id());
         // A process that has just begun may hear a late one first: the live one goes on calling.
-        lifecycle.handleHeartbeat(3, heartbeat(LIFE, 6));
+        lifecycle.handleHeartbeat(3, heartbeat(INCARNATION, 6));
         assertTrue(lifecycle.handleHeartbeat(4, heartbeat(NEXT, 2)));
         assertEquals(NEXT, lifecycle.present().id());
     }
@@ -327,8 +328,8 @@
     @Test
     void aLifeThatHasSignedOffNeverComesBack() {
         UpstreamLifecycle lifecycle = lifecycle();
-        assertFalse(lifecycle.handleSignOff(0, LIFE));
-        assertFalse(lifecycle.handleHeartbeat(1, heartbeat(LIFE, 50)));
+        assertFalse(lifecycle.handleSignOff(0, INCARNATION));
+        assertFalse(lifecycle.handleHeartbeat(1, heartbeat(INCARNATION, 50)));
         assertNull(lifecycle.present());
     }
 }
--- a/src/test/java/sablehinge/dataplane/budget/Chain.java
+++ b/src/test/java/sablehinge/dataplane/budget/Chain.java
@@ -30,7 +30,7 @@
             int requests) {}
 
     /** What became of a client's request, and what it cost. */
-    static final class Asked {
+    static final class TestRequest {
         final int number;
         final double value;
         final boolean unsafe;
@@ -41,7 +41,7 @@
         int answers;
         boolean stripped;
 
-        Asked(int number, double value, boolean unsafe) {
+        TestRequest(int number, double value, boolean unsafe) {
             this.number = number;
             this.value = value;
             this.unsafe = unsafe;
@@ -60,7 +60,7 @@
     /** One call from a server, or from a client, to the tier that a balancer stands before. */
     private final class Call {
         final Balancer balancer;
-        final Asked asked;
+        final TestRequest requested;
         final double deadline;
         final AttemptBudgets.Call budget;
         final Ending end;
@@ -68,16 +68,16 @@
         int runs;
         boolean over;
 
-        Call(Balancer balancer, Asked asked, double deadline, AttemptBudgets.Call budget, Ending end) {
+        Call(Balancer balancer, TestRequest requested, double deadline, AttemptBudgets.Call budget, Ending end) {
             this.balancer = balancer;
-            this.asked = asked;
+            this.requested = requested;
             this.deadline = deadline;
             this.budget = budget;
             this.end = end;
         }
 
         void send() {
-            boolean resendable = !asked.unsafe;
+            boolean resendable = !requested.unsafe;
             AttemptBudgets.Grant grant = null;
             Budget attemptBudget = null;
             if (plan.budgets()) {
@@ -96,7 +96,7 @@
             }
             attempts++;
             if (balancer.tier == plan.tiers() - 1) {
-                asked.leaves++;
+                requested.leaves++;
             }
             Server server = tiers.get(balancer.tier)
                     .get(random.nextInt(tiers.get(balancer.tier).size()));
@@ -135,7 +135,7 @@
             }
             if (back.served()) {
                 close(back);
-            } else if (asked.unsafe && back.ran() || attempts >= MAX_ATTEMPTS || now >= deadline) {
+            } else if (requested.unsafe && back.ran() || attempts >= MAX_ATTEMPTS || now >= deadline) {
                 close(new Back(false, runs > 0, null));
             } else {
                 send();
@@ -144,12 +144,12 @@
 
         private void close(Back back) {
             over = true;
-            if (asked.unsafe && runs > 1) {
+            if (requested.unsafe && runs > 1) {
                 unsafeTwice++;
             }
             Report report = budget == null
                     ? null
-                    : balancer.attemptBudgets.close(budget, !back.served() && !(asked.unsafe && back.ran()));
+                    : balancer.attemptBudgets.close(budget, !back.served() && !(requested.unsafe && back.ran()));
             end.done(new Back(back.served(), back.ran(), report));
         }
     }
@@ -182,13 +182,13 @@
                     seed);
         }
 
-        void call(Asked asked, HeaderText.Found<Budget> found, double remaining, Ending end) {
+        void call(TestRequest requested, HeaderText.Found<Budget> found, double remaining, Ending end) {
             if (!plan.budgets()) {
-                new Call(this, asked, now + remaining, null, end).send();
+                new Call(this, requested, now + remaining, null, end).send();
                 return;
             }
             AttemptBudgets.Admission admission =
-                    attemptBudgets.arrive(now, found, tier == 0, remaining, 0, asked.value);
+                    attemptBudgets.arrive(now, found, tier == 0, remaining, 0, requested.value);
             if (admission.call() == null) {
                 end.done(new Back(false, false, null));
                 return;
@@ -198,7 +198,7 @@
                 end.done(new Back(false, false, attemptBudgets.close(admission.call(), false)));
                 return;
             }
-            new Call(this, asked, admission.call().deadline(), admission.call(), end).send();
+            new Call(this, requested, admission.call().deadline(), admission.call(), end).send();
         }
     }
 
@@ -242,7 +242,7 @@
                             ? new HeaderText.Found<>(HeaderText.Kind.MISSING, null)
                             : new HeaderText.Found<>(HeaderText.Kind.READ, budget);
                     if (random.nextDouble() < plan.strips()) {
-                        call.asked.stripped = true;
+                        call.requested.stripped = true;
                         found = new HeaderText.Found<>(HeaderText.Kind.MISSING, null);
                     }
                     further(call, found, calls, null, end);
@@ -256,7 +256,7 @@
                 finish(call, true, last, end);
                 return;
             }
-            next.call(call.asked, found, call.deadline - now, back -> {
+            next.call(call.requested, found, call.deadline - now, back -> {
                 Report report = back.report() == null ? last : back.report();
                 if (back.served()) {
                     further(call, found, calls - 1, report, end);
@@ -279,7 +279,7 @@
     }
 
     final Plan plan;
-    final List<Asked> asked = new ArrayList<>();
+    final List<TestRequest> requested = new ArrayList<>();
     int deadSent;
     int unsafeTwice;
     int shed;
@@ -325,8 +325,8 @@
         slowUntil = 2 * complete / 3;
         for (int i = 0; i < plan.requests(); i++) {
             at += -Math.log(1 - random.nextDouble()) * gap;
-            Asked one = new Asked(i, random.nextInt(4) == 0 ? 8 : 1, random.nextInt(3) == 0);
-            asked.add(one);
+            TestRequest one = new TestRequest(i, random.nextInt(4) == 0 ? 8 : 1, random.nextInt(3) == 0);
+            requested.add(one);
             double arrives = at;
             at(arrives, () -> {
                 one.arrivedAt = now;
@@ -345,17 +345,17 @@
     }
 
     int mostLeaves() {
-        return asked.stream().mapToInt(one -> one.leaves).max().orElse(0);
+        return requested.stream().mapToInt(one -> one.leaves).max().orElse(0);
     }
 
     double meanLeaves() {
-        return asked.stream().mapToInt(one -> one.leaves).average().orElse(0);
+        return requested.stream().mapToInt(one -> one.leaves).average().orElse(0);
     }
 
     /** Worth served in time, of all that was asked for. */
     double kept() {
-        double all = asked.stream().mapToDouble(one -> one.value).sum();
-        return asked.stream()
+        double all = requested.stream().mapToDouble(one -> one.value).sum();
+        return requested.stream()
                         .filter(one -> one.served && one.answeredAt <= one.arrivedAt + 250)
                         .mapToDouble(one -> one.value)
                         .sum()
--- a/src/test/java/sablehinge/dataplane/budget/ChainTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/ChainTest.java
@@ -34,8 +34,8 @@
             assertTrue(chain.mostLeaves() <= Chain.BOUND, () -> chain.mostLeaves() + " attempts: " + what);
             assertEquals(0, chain.unsafeTwice, what);
             assertEquals(0, chain.deadSent, what);
-            assertTrue(chain.asked.stream().allMatch(one -> one.answers == 1), what);
-            requests += chain.asked.size();
+            assertTrue(chain.requested.stream().allMatch(one -> one.answers == 1), what);
+            requests += chain.requested.size();
         }
         assertEquals(100_000, requests);
     }
@@ -48,7 +48,7 @@
             int tiers = chain.plan.tiers();
             // At each hop a stripped call has one attempt, and an attempt makes so many calls.
             double stated = Chain.BOUND * Math.pow(chain.plan.calls(), tiers - 1);
-            for (Chain.Asked one : chain.asked) {
+            for (Chain.TestRequest one : chain.requested) {
                 assertTrue(one.leaves <= (one.stripped ? stated : Chain.BOUND), chain.plan.toString());
             }
             assertEquals(0, chain.unsafeTwice + chain.deadSent, chain.plan.toString());
--- a/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
@@ -122,7 +122,7 @@
         }
 
         /** A request and what became of it. */
-        private final class Asked implements Caller, Payload {
+        private final class TestRequest implements Caller, Payload {
             final Version version;
             Exchange exchange;
             int answers;
@@ -134,7 +134,7 @@
 
             boolean ended;
 
-            Asked(Version version) {
+            TestRequest(Version version) {
                 this.version = version;
             }
 
@@ -158,7 +158,7 @@
         final PriorityQueue<Alarm> alarms =
                 new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
         final List<Out> out = new ArrayList<>();
-        final List<Asked> asked = new ArrayList<>();
+        final List<TestRequest> requested = new ArrayList<>();
         final Map<Integer, Integer> forgotten = new HashMap<>();
         final RequestProxy core;
         double now = 1_000;
@@ -262,7 +262,7 @@
                 double until,
                 AttemptBudgets.Grant grant,
                 Progress progress) {
-            Asked own = (Asked) request;
+            TestRequest own = (TestRequest) request;
             assertEquals(own.version, version, "an attempt under another version");
             assertEquals(0, own.released, "an attempt with what was given back");
             own.sends++;
@@ -298,7 +298,7 @@
 
         /** The rest of a request comes, if it was still coming; whoever has left sends no rest. */
         void end(int place) {
-            Asked one = place < asked.size() ? asked.get(place) : null;
+            TestRequest one = place < requested.size() ? requested.get(place) : null;
             if (one != null && one.comes && !one.gone) {
                 one.ended = true;
                 core.ended(one.exchange);
@@ -306,8 +306,8 @@
         }
 
         void ask() {
-            Asked one = new Asked(core.version());
-            asked.add(one);
+            TestRequest one = new TestRequest(core.version());
+            requested.add(one);
             one.comes = random.nextInt(4) == 0;
             Arrival arrival = new Arrival(0, 0, 0, now + 1_000, 0, false, true);
             one.exchange = one.comes
@@ -345,8 +345,8 @@
                     world.core.release(old);
                 }
                 case 1 -> {
-                    if (!world.asked.isEmpty()) {
-                        var one = world.asked.get(world.random.nextInt(world.asked.size()));
+                    if (!world.requested.isEmpty()) {
+                        var one = world.requested.get(world.random.nextInt(world.requested.size()));
                         one.gone |= one.exchange.isOpen();
                         world.core.clientGone(one.exchange);
                     }
@@ -359,16 +359,16 @@
                                 .finish(ends[world.random.nextInt(ends.length)]);
                     }
                 }
-                case 5 -> world.end(world.random.nextInt(world.asked.size() + 1));
+                case 5 -> world.end(world.random.nextInt(world.requested.size() + 1));
                 default -> world.ask();
             }
             world.advance(world.random.nextInt(60));
         }
-        for (int i = 0; i < world.asked.size(); i++) {
+        for (int i = 0; i < world.requested.size(); i++) {
             world.end(i);
         }
         world.advance(5_000);
-        for (var one : world.asked) {
+        for (var one : world.requested) {
             assertEquals(one.gone ? 0 : 1, one.answers, what);
             assertEquals(1, one.released, what);
         }
@@ -386,10 +386,10 @@
             world.ask();
         }
         world.core.giveUpAll();
-        world.asked.forEach(one -> assertEquals(1, one.answers));
+        world.requested.forEach(one -> assertEquals(1, one.answers));
         assertEquals(0, world.out.size(), "attempts go on for what is answered");
         world.advance(2_000);
-        world.asked.forEach(one -> assertEquals(1, one.answers + one.released - 1));
+        world.requested.forEach(one -> assertEquals(1, one.answers + one.released - 1));
     }
 
     /** The time of a request counts from its end, for the module, for the attempt and for the answer. */
@@ -418,7 +418,7 @@
                         }));
         Version only = version(1, world.random);
         core.start(only, 9, roster(new SplittableRandom(8)), world, world);
-        World.Asked one = world.new Asked(only);
+        World.TestRequest one = world.new TestRequest(only);
         one.comes = true;
         Exchange exchange = core.requestComing(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
         assertEquals(Result.NOT_SENT, outcomes.remove(0).result());
@@ -458,7 +458,7 @@
         Version only = version(1, world.random);
         core.start(only, 3, roster(new SplittableRandom(8)), world, world);
         for (boolean leaves : new boolean[] {true, false}) {
-            World.Asked one = world.new Asked(only);
+            World.TestRequest one = world.new TestRequest(only);
             Exchange exchange = core.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
             for (World.Out out : List.copyOf(world.out)) {
                 out.progress.begun();
@@ -495,7 +495,7 @@
         Version only = version(1, world.random);
         core.start(only, 5, roster(new SplittableRandom(8)), world, world);
         for (Result result : new Result[] {Result.OK, Result.RESET}) {
-            World.Asked one = world.new Asked(only);
+            World.TestRequest one = world.new TestRequest(only);
             core.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
             world.advance(30);
             world.out.get(0).progress.begun();
@@ -528,7 +528,7 @@
                         }));
         Version only = version(1, world.random);
         core.start(only, 6, roster(new SplittableRandom(8)), world, world);
-        World.Asked one = world.new Asked(only);
+        World.TestRequest one = world.new TestRequest(only);
         core.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
         assertEquals(1, one.sends);
         assertEquals(1, one.answers);
@@ -553,7 +553,7 @@
                         }));
         Version only = version(1, world.random);
         core.start(only, 7, roster(new SplittableRandom(8)), world, world);
-        World.Asked one = world.new Asked(only);
+        World.TestRequest one = world.new TestRequest(only);
         core.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
         core.giveUpAll();
         assertEquals(1, one.answers);
@@ -592,9 +592,9 @@
         assertEquals(3, world.out.size());
         assertEquals(
                 List.of(0, 0, 0, 1, 1),
-                world.asked.stream().map(one -> one.answers).toList());
+                world.requested.stream().map(one -> one.answers).toList());
         assertEquals(
                 List.of(0, 0, 0, 1, 1),
-                world.asked.stream().map(one -> one.released).toList());
+                world.requested.stream().map(one -> one.released).toList());
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/HollowSidecarTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/HollowSidecarTest.java
@@ -62,12 +62,12 @@
             hollow.await(view -> view.edition() == 4 && view.roster().size() == 2);
             SidecarFixture.await("it knows all", () -> !Double.isNaN(hollow.awaitedAt()));
             core.awaitKnown("i-1");
-            assertEquals(IP + ":7703", core.told().inbound());
+            assertEquals(IP + ":7703", core.lastRegistration().inbound());
             hollow.replaceUpstream("i-9");
             core.awaitKnown("i-9");
             assertEquals(0, asks.tokens.get());
             hollow.demand(1_000);
-            SidecarFixture.await("it claims", () -> asks.tokens.get() > 0 && hollow.asked() > 0);
+            SidecarFixture.await("it claims", () -> asks.tokens.get() > 0 && hollow.requested() > 0);
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         }
@@ -76,7 +76,7 @@
     @Test
     void onceClosedItHasNoConnectionAndMakesNone() throws Exception {
         EventLoop loop = ClosingEventLoops.single("test");
-        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch requested = new CountDownLatch(1);
         CountDownLatch gone = new CountDownLatch(1);
         AtomicInteger asks = new AtomicInteger();
         try {
@@ -86,7 +86,7 @@
                         public void onFrame(Connection.Link link, Frame frame) {
                             if (frame.kind() == Frame.Kind.ASK) {
                                 asks.incrementAndGet();
-                                asked.countDown();
+                                requested.countDown();
                             }
                         }
 
@@ -98,7 +98,7 @@
                     .sync();
             HollowSidecar hollow = HollowSidecar.start(
                     settings(SECOND), loop, "i-1", Connection.Observer.NONE, HollowSidecarTest::read);
-            asked.await();
+            requested.await();
             hollow.close();
             gone.await();
             // A connection that is lost, and not closed, is made again 60 ms later by this very loop.
--- a/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
@@ -33,7 +33,7 @@
     private static final String OTHER = "s-2";
 
     private static HeartbeatPacket read(DatagramSocket socket) throws IOException {
-        socket.setSoTimeout(Peer.PATIENCE_MS);
+        socket.setSoTimeout(Peer.TIMEOUT_MS);
         DatagramPacket packet = new DatagramPacket(new byte[64], 64);
         socket.receive(packet);
         return HeartbeatPacket.read(Arrays.copyOf(packet.getData(), packet.getLength()));
--- a/src/test/java/sablehinge/dataplane/sidecar/PlainConnection.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PlainConnection.java
@@ -13,7 +13,7 @@
 /** One end of a plain HTTP/1.1 connection that reads both framings. */
 final class PlainConnection implements AutoCloseable {
 
-    private static final int PATIENCE_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
     final Socket socket;
     private final InputStream in;
 
@@ -51,7 +51,7 @@
 
     PlainConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = socket.getInputStream();
     }
@@ -61,7 +61,7 @@
         Socket socket = new Socket();
         socket.connect(
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
-                PATIENCE_MS);
+                TIMEOUT_MS);
         return new PlainConnection(socket);
     }
 
--- a/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
@@ -42,7 +42,7 @@
                             4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":0.01," + "\"burst\":400}", ""),
                     4);
             mesh.heartbeat("i-1", "ready");
-            SidecarFixture.await("it asks", () -> mesh.core.confirmationsAsked() > 0);
+            SidecarFixture.await("it asks", () -> mesh.core.confirmationsRequested() > 0);
             mesh.core.confirms(true);
             mesh.core.awaitKnown("i-1");
             PlainConnection client = mesh.client();
--- a/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
@@ -294,10 +294,10 @@
                 // What is not whole stays so until the connection ends.
                 mesh.closeUpstreams();
             }
-            PlainConnection.Message told = client.read();
-            assertEquals(502, told.status());
-            assertEquals("t-1", told.id());
-            assertEquals("", told.body());
+            PlainConnection.Message response = client.read();
+            assertEquals(502, response.status());
+            assertEquals("t-1", response.id());
+            assertEquals("", response.body());
             assertEquals(1, mesh.arrived.size());
         }
     }
@@ -308,10 +308,10 @@
         try (SidecarFixture mesh = SidecarFixture.served()
                 .answers(request -> "HTTP/1.1 " + status + " Own\r\nX-Own: 1\r\n"
                         + "Sablehinge-Try-Id: t-1\r\nContent-Length: 3\r\n\r\nwhy")) {
-            PlainConnection.Message told = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "body"));
-            assertEquals(status, told.status());
-            assertEquals("why", told.body());
-            assertEquals("1", told.one("X-Own"));
+            PlainConnection.Message response = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "body"));
+            assertEquals(status, response.status());
+            assertEquals("why", response.body());
+            assertEquals("1", response.one("X-Own"));
             assertEquals(1, mesh.arrived.size());
         }
     }
@@ -336,9 +336,9 @@
                 .answers(request -> "HTTP/1.1 " + status + "\r\n"
                         + (status.startsWith("421") ? "" : "Sablehinge-Not-Run: 1\r\n")
                         + "Sablehinge-Try-Id: t-1\r\nContent-Length: 0\r\n\r\n")) {
-            PlainConnection.Message told = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "body"));
-            assertEquals(503, told.status());
-            assertEquals("t-1", told.id());
+            PlainConnection.Message response = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "body"));
+            assertEquals(503, response.status());
+            assertEquals("t-1", response.id());
             assertFalse(mesh.arrived.isEmpty());
         }
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -45,7 +45,8 @@
     /** Answers each attempt at once, as it is told to. */
     private static final class World implements Transport, Registry {
         private double now = 1;
-        private final RetryBudgetAllocator holder = new RetryBudgetAllocator(new RetryBudgetRule(RATIO, 10_000, SLACK));
+        private final RetryBudgetAllocator allocator =
+                new RetryBudgetAllocator(new RetryBudgetRule(RATIO, 10_000, SLACK));
         private boolean reachable = true;
         private final RetryBudget retryBudget = new RetryBudget(() -> now, settings(), this::claimed);
         private final RequestProxy core = new RequestProxy(
@@ -66,8 +67,8 @@
             routes = configuration.routes();
             version = BalancerSettings.version(
                     1, configuration, BalancerSettings.kinds(), places, new BalancerSettings.Place(0, 0, 1));
-            holder.begin(1);
-            holder.adopt(now, List.of(SidecarFixture.SERVICE));
+            allocator.begin(1);
+            allocator.adopt(now, List.of(SidecarFixture.SERVICE));
             retryBudget.adopt(configuration);
             List<Registration> registry = new ArrayList<>();
             for (int i = 0; i < BALANCERS; i++) {
@@ -96,7 +97,7 @@
             try {
                 if (reachable) {
                     retryBudget.granted(RetryBudgetCodec.grant(
-                            RetryBudgetCodec.bytes(holder.claimed(now, RetryBudgetCodec.claim(frame.body())))));
+                            RetryBudgetCodec.bytes(allocator.claimed(now, RetryBudgetCodec.claim(frame.body())))));
                 }
             } catch (IOException e) {
                 throw new AssertionError(e);
--- a/src/test/java/sablehinge/dataplane/sidecar/SidecarFixture.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/SidecarFixture.java
@@ -22,7 +22,7 @@
     static final String CALLER = "wuno96b";
     static final int UNLOAD_MS = 2_400;
     static final int INNER = 7_100;
-    private static final long PATIENCE_NANOS = 20_000_000_000L;
+    private static final long TIMEOUT_NANOS = 20_000_000_000L;
     private static final AtomicInteger MADE = new AtomicInteger();
 
     final StubCore core;
@@ -96,7 +96,7 @@
     }
 
     static void await(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + PATIENCE_NANOS;
+        long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("in vain: " + what);
@@ -250,10 +250,10 @@
     }
 
     PlainConnection.Message heartbeat(String id, String state) throws IOException {
-        return call(at.control(), "POST", "/sablehinge/Servers.Heartbeat/" + id, beatBody(state));
+        return call(at.control(), "POST", "/sablehinge/Servers.Heartbeat/" + id, heartbeatBody(state));
     }
 
-    private String beatBody(String state) {
+    private String heartbeatBody(String state) {
         return """
                 {"depot":"huvo11a","address":"%s","zone":"monza-a","edition":"v1","berths":4,"state":"%s",
                  "coldLeftMs":0,"callCount":4}"""
@@ -261,8 +261,8 @@
     }
 
     /** Calls the balancer as its upstream, and does not wait for the answer. */
-    PlainConnection beginsToBeat(String id, String state) throws IOException {
-        String body = beatBody(state);
+    PlainConnection startsHeartbeats(String id, String state) throws IOException {
+        String body = heartbeatBody(state);
         return keep(PlainConnection.to(at.control()))
                 .write("POST /sablehinge/Servers.Heartbeat/" + id + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
                         + body.length() + "\r\n\r\n" + body);
--- a/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
@@ -33,7 +33,7 @@
     private WatchRequest last;
     private Connection.Link lastFrom;
     private boolean confirms = true;
-    private int confirmationsAsked;
+    private int confirmationsRequested;
     private long readyAt;
     private int connections;
 
@@ -59,8 +59,8 @@
     }
 
     private void answer() {
-        for (WatchServer.Delivery<Connection.Link> told : watchServer.dueDeliveries(clock.now())) {
-            told.to().send(new Frame(Frame.Kind.UPDATE, told.update().bytes()));
+        for (WatchServer.Delivery<Connection.Link> delivery : watchServer.dueDeliveries(clock.now())) {
+            delivery.to().send(new Frame(Frame.Kind.UPDATE, delivery.update().bytes()));
         }
     }
 
@@ -82,7 +82,7 @@
         lastFrom = link;
         readyAt = last.registration().ready() ? System.nanoTime() : readyAt;
         watchServer.handleRequest(clock.now(), link, last);
-        confirmationsAsked += last.confirm() ? 1 : 0;
+        confirmationsRequested += last.confirm() ? 1 : 0;
         if (last.confirm() && nextEdition > 0) {
             edition = nextEdition;
             nextEdition = 0;
@@ -125,7 +125,7 @@
     }
 
     /** A configuration is in force that nobody hears of before somebody asks whether theirs is the newest. */
-    void holdsUntilAsked(String configuration, long next) {
+    void holdsUntilRequested(String configuration, long next) {
         request(() -> {
             nextEdition = next;
             nextBody = packed(configuration);
@@ -151,8 +151,8 @@
     }
 
     /** How often it was asked whether what it holds is the newest. */
-    int confirmationsAsked() {
-        return request(() -> confirmationsAsked);
+    int confirmationsRequested() {
+        return request(() -> confirmationsRequested);
     }
 
     /** Waits until whoever asks knows all that is held, and that its upstream is there as told. */
@@ -172,7 +172,7 @@
     }
 
     /** What it was told last of who asks. */
-    Registration told() {
+    Registration lastRegistration() {
         return request(() -> last == null ? null : last.registration());
     }
 
--- a/src/test/java/sablehinge/dataplane/sidecar/UpstreamDrainTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/UpstreamDrainTest.java
@@ -84,7 +84,7 @@
     void aHeartbeatOfWhileTheProcessLoadsIsHeard() throws Exception {
         PlainConnection[] upstream = new PlainConnection[1];
         try (SidecarFixture mesh =
-                new SidecarFixture(true, early -> upstream[0] = early.beginsToBeat("i-1", "ready"))) {
+                new SidecarFixture(true, early -> upstream[0] = early.startsHeartbeats("i-1", "ready"))) {
             mesh.answers(request -> SidecarFixture.ok(request.id(), "x"));
             assertEquals(200, upstream[0].read().status());
             assertEquals(
--- a/src/test/java/sablehinge/dataplane/sidecar/WatchClientTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/WatchClientTest.java
@@ -68,7 +68,7 @@
     void whatIsNotConfirmedToBeTheNewestMakesNobodyReady() throws Exception {
         try (SidecarFixture mesh = new SidecarFixture(false)) {
             mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
-            SidecarFixture.await("it asks", () -> mesh.core.confirmationsAsked() > 0);
+            SidecarFixture.await("it asks", () -> mesh.core.confirmationsRequested() > 0);
             assertEquals(503, mesh.ready());
             mesh.core.confirms(true);
             mesh.core.awaitKnown("");
@@ -77,12 +77,12 @@
     }
 
     /** Each time with another route or key; one that took longer than the balancer waits tells nothing. */
-    private static void waitsForNews(
+    private static void waitsForUpdate(
             SidecarFixture mesh, IntFunction<String> configuration, IntFunction<String> request) throws Exception {
         PlainConnection.Message answer = null;
         long took = WAITS_MS;
         for (int i = 9; (answer == null || answer.status() != 200) && took >= WAITS_MS && i < 30; i++) {
-            mesh.core.holdsUntilAsked(configuration.apply(i), i);
+            mesh.core.holdsUntilRequested(configuration.apply(i), i);
             long begun = System.nanoTime();
             answer = mesh.client().ask(request.apply(i));
             took = (System.nanoTime() - begun) / 1_000_000;
@@ -93,7 +93,7 @@
     @Test
     void aRouteThatIsNewerThanTheBalancersVersionIsWaitedFor() throws Exception {
         try (SidecarFixture mesh = SidecarFixture.served().answers(WatchClientTest::echo)) {
-            waitsForNews(
+            waitsForUpdate(
                     mesh,
                     i -> SidecarFixture.configuration(
                             i, "", "," + SidecarFixture.route("r-new", "safe", "/n" + i + "/", false)),
@@ -105,7 +105,7 @@
     void aKeyThatIsNewerThanTheBalancersVersionIsWaitedFor() throws Exception {
         try (SidecarFixture mesh =
                 SidecarFixture.served(TENANT.formatted("k-1")).answers(WatchClientTest::echo)) {
-            waitsForNews(
+            waitsForUpdate(
                     mesh,
                     i -> SidecarFixture.configuration(i, TENANT.formatted("k-" + i), ""),
                     i -> SidecarFixture.get("/s/x", "t-" + i, "Sablehinge-Key: k-" + i + "\r\n"));
@@ -122,10 +122,10 @@
     void whatIsConfirmedToBeUnknownIsTurnedAwayAndOfNobodyAsked(String path) throws Exception {
         try (SidecarFixture mesh =
                 SidecarFixture.served(TENANT.formatted("k-1")).answers(WatchClientTest::echo)) {
-            int asked = mesh.core.confirmationsAsked();
+            int requested = mesh.core.confirmationsRequested();
             PlainConnection.Message answer = mesh.client().ask(SidecarFixture.get(path, "t-1", KEY));
             assertEquals(path.equals("/s/x") ? 401 : 404, answer.status());
-            assertTrue(mesh.core.confirmationsAsked() > asked);
+            assertTrue(mesh.core.confirmationsRequested() > requested);
             assertEquals(List.of(), mesh.arrivedIds());
         }
     }
@@ -166,9 +166,9 @@
             assertEquals(200, answer.status());
             assertTrue(answer.body().length() <= 4_096);
             assertEquals("application/json", answer.one("Content-Type"));
-            assertEquals(SidecarFixture.SERVICE, mesh.core.told().service());
-            assertEquals(4, mesh.core.told().berths());
-            assertTrue(mesh.core.told().ready());
+            assertEquals(SidecarFixture.SERVICE, mesh.core.lastRegistration().service());
+            assertEquals(4, mesh.core.lastRegistration().berths());
+            assertTrue(mesh.core.lastRegistration().ready());
             assertEquals(400, mesh.heartbeat("i-1", "asleep").status());
             assertEquals(
                     400,
@@ -204,7 +204,7 @@
             assertEquals(before, mesh.arrived.size());
             long later = (latest.get() - acknowledged) / 1_000_000;
             assertTrue(later < SidecarFixture.UNLOAD_MS, "the last one came " + later + " ms later");
-            assertFalse(mesh.core.told().ready());
+            assertFalse(mesh.core.lastRegistration().ready());
             assertEquals(200, mesh.heartbeat("i-2", "ready").status());
             assertEquals(200, balancer.ask(SidecarFixture.meant("u-2", "i-2")).status());
         }
--- a/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
@@ -71,10 +71,10 @@
             two.askEvery = 0;
             two.maxAttempts = 3;
             two.start(LatencyWeightedBalancer::new);
-            Peer silent = two.discovery.accept();
+            Peer unresponsive = two.discovery.accept();
             assertEquals(
                     "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
-                    silent.read().first());
+                    unresponsive.read().first());
             Peer caller = two.caller();
             caller.write(Stage.get("d1", "5"));
             assertEquals(503, caller.read().status());
@@ -83,7 +83,7 @@
             assertEquals(
                     "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
                     watch.read().first());
-            assertTrue(silent.ended());
+            assertTrue(unresponsive.ended());
             watch.write(Stage.ok(Stage.roster(
                     42,
                     false,
@@ -159,7 +159,7 @@
         Path file = Files.createTempFile("node", ".json");
         try (stage) {
             Files.writeString(file, stage.config());
-            LinkedBlockingQueue<Change> told = new LinkedBlockingQueue<>();
+            LinkedBlockingQueue<Change> received = new LinkedBlockingQueue<>();
             PlatformConfig config = PlatformConfig.read(file.toString());
             Discovery discovery = new Discovery(
                     loop,
@@ -167,7 +167,7 @@
                     config.known().version(),
                     new RosterParser(config.zones(), config.kinds(), false),
                     ByteBufAllocator.DEFAULT,
-                    (change, roster) -> told.add(change),
+                    (change, roster) -> received.add(change),
                     100);
             loop.execute(() -> discovery.watch(true));
             Peer watch = stage.discovery.accept();
@@ -175,7 +175,7 @@
                     "GET /catalog/members?index=41&wait=100 HTTP/1.1",
                     watch.read().first());
             assertTrue(watch.ended());
-            assertEquals(Change.FAILED, Script.next(told));
+            assertEquals(Change.FAILED, Script.next(received));
         } finally {
             Files.delete(file);
             loop.parent().shutdownGracefully();
--- a/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
@@ -129,7 +129,7 @@
             now++;
             Upstream known = discovery.get(event.id());
             double started = known == null ? 0 : known.startedAt();
-            Roster told =
+            Roster update =
                     switch (event.kind()) {
                         case UP -> maintenance.take(list(false, member(event.id(), State.READY, started)));
                         case DRAINING -> maintenance.take(list(false, member(event.id(), State.DRAINING, started)));
@@ -170,10 +170,10 @@
                 }
                 default -> {}
             }
-            if (told.full()) {
+            if (update.full()) {
                 passed.clear();
             }
-            told.members().forEach(member -> {
+            update.members().forEach(member -> {
                 passed.put(member.upstream().id(), member.upstream());
                 passed.values().removeIf(one -> one.state() == State.REMOVED);
             });
--- a/src/test/java/sablehinge/gateway/node/OperatorNodeTest.java
+++ b/src/test/java/sablehinge/gateway/node/OperatorNodeTest.java
@@ -286,14 +286,14 @@
                 stage.ask(Stage.get("g" + i, "5"));
             }
             stage.apply(stage.stage(stage.text("127.0.0.1:0", "[change]\nleast-count = 20\n", 1)));
-            int asked = 0;
+            int requested = 0;
             try (Peer caller = stage.caller()) {
                 while (stage.status().path("change").path("phase").asText().equals("trial")) {
                     for (int i = 0; i < 10; i++) {
-                        caller.write(Stage.spend("b" + asked++, ""));
+                        caller.write(Stage.spend("b" + requested++, ""));
                         assertNotEquals(null, caller.read());
                     }
-                    assertTrue(asked < 10_000, "never undone");
+                    assertTrue(requested < 10_000, "never undone");
                 }
             }
             JsonNode past = stage.status().path("past").get(0);
@@ -452,14 +452,14 @@
     @Test
     void aVersionOfAnotherDiscoveryWaitsForItsFirstList() throws Exception {
         try (OperatorStage stage = new OperatorStage(2);
-                Listener silent = new Listener()) {
+                Listener unresponsive = new Listener()) {
             stage.start(stage.text(0));
-            String bySilent = "discovery = \"" + silent.address() + "\"\n"
+            String byUnresponsive = "discovery = \"" + unresponsive.address() + "\"\n"
                     + stage.text("127.0.0.1:0", "[change]\nready-within = \"400ms\"\n");
-            assertEquals(0, silent.waiting());
+            assertEquals(0, unresponsive.waiting());
             assertEquals(
                     "version 2 is undone: no list of servers came within 400 ms",
-                    reason(stage.apply(stage.stage(bySilent))));
+                    reason(stage.apply(stage.stage(byUnresponsive))));
             assertEquals("1", version(stage.ask(Stage.get("a", "5"))));
         }
     }
--- a/src/test/java/sablehinge/gateway/node/RecordingTest.java
+++ b/src/test/java/sablehinge/gateway/node/RecordingTest.java
@@ -25,9 +25,9 @@
 
     private static final String SECTION = "[recorder]\ndirectory = \"flight\"\n";
 
-    private static Dump dumped(JsonNode reported) throws Exception {
-        assertEquals(200, reported.path("status").asInt(), reported.toString());
-        return Dump.read(Files.readAllBytes(Path.of(reported.path("path").asText())));
+    private static Dump dumped(JsonNode answer) throws Exception {
+        assertEquals(200, answer.path("status").asInt(), answer.toString());
+        return Dump.read(Files.readAllBytes(Path.of(answer.path("path").asText())));
     }
 
     @Test
@@ -81,16 +81,16 @@
     /** A dump by itself, with the place where the loop hangs. */
     @Test
     void aLoopThatHangsIsDumpedWhileItDoes() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+        CountDownLatch dumpDone = new CountDownLatch(1);
         Logs.Undo listening = Logs.heard(line -> {
             if (line.startsWith("recorder: HUNG")) {
-                told.countDown();
+                dumpDone.countDown();
             }
         });
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text("127.0.0.1:0", SECTION, 0));
-            stage.node.onLoop(() -> told.await(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, told.getCount(), "nobody noticed");
+            stage.node.onLoop(() -> dumpDone.await(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertEquals(0, dumpDone.getCount(), "nobody noticed");
             try (Stream<Path> files = Files.list(stage.folder.resolve("flight"))) {
                 Dump dump = Dump.read(Files.readAllBytes(files.findFirst().orElseThrow()));
                 assertEquals("HUNG", dump.reason());
@@ -105,10 +105,9 @@
     void withoutOneThereIsNothingToDump() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
-            JsonNode reported = stage.admin("POST", "/recorder/dump", "");
-            assertEquals(409, reported.path("status").asInt());
-            assertEquals(
-                    "this balancer has no [recorder]", reported.path("error").asText());
+            JsonNode answer = stage.admin("POST", "/recorder/dump", "");
+            assertEquals(409, answer.path("status").asInt());
+            assertEquals("this balancer has no [recorder]", answer.path("error").asText());
             assertEquals(
                     "recorder can't change while the process runs",
                     stage.admin("POST", "/config/stage", stage.text("127.0.0.1:0", SECTION, 0))
--- a/src/test/java/sablehinge/gateway/recorder/RingTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/RingTest.java
@@ -16,7 +16,7 @@
         ring.write(number, (int) number, (int) (number % 7), 3 * number, -number);
     }
 
-    private static void isWhole(long[] words, int at, long number) {
+    private static void isComplete(long[] words, int at, long number) {
         assertEquals(number, words[at]);
         assertEquals(number << 32 | number % 7, words[at + 1]);
         assertEquals(3 * number, words[at + 2]);
@@ -35,7 +35,7 @@
         int kept = Math.min(count, ring.capacity() - (count >= ring.capacity() ? 1 : 0));
         assertEquals(kept * Ring.WORDS, words.length);
         for (int i = 0; i < kept; i++) {
-            isWhole(words, i * Ring.WORDS, count - kept + i);
+            isComplete(words, i * Ring.WORDS, count - kept + i);
         }
         assertEquals(count, ring.written());
     }
@@ -58,7 +58,7 @@
         while (writer.isAlive()) {
             long[] words = ring.copy();
             for (int at = 0; at < words.length; at += Ring.WORDS) {
-                isWhole(words, at, words[0] + at / Ring.WORDS);
+                isComplete(words, at, words[0] + at / Ring.WORDS);
             }
         }
         writer.join();
--- a/src/test/java/sablehinge/gateway/recorder/WatchTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchTest.java
@@ -243,8 +243,8 @@
         stuck.unread = kind == Kind.UNREAD ? 1_000 : 0;
         stuck.unwritten = 1_000;
         stuck.unflushed = kind == Kind.UNWRITTEN ? 1_000 : 0;
-        List<String> reported = watch(2_000);
-        assertEquals(1, reported.size(), "seed " + seed + reported + kind);
-        assertTrue(reported.get(0).endsWith(" " + kind), "seed " + seed + reported);
+        List<String> findings = watch(2_000);
+        assertEquals(1, findings.size(), "seed " + seed + findings + kind);
+        assertTrue(findings.get(0).endsWith(" " + kind), "seed " + seed + findings);
     }
 }
