--- a/src/test/java/sablehinge/gateway/recorder/WatchdogTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchdogTest.java
@@ -73,9 +73,9 @@
         watchdog.alarm(new Alarm(Kind.UNREAD, 7, 0, "first"));
         assertTrue(logged().contains("UNREAD: connection 7: first; see "));
         watchdog.alarm(new Alarm(Kind.LEAK, 0, 0, "second"));
-        LinkedBlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        watchdog.dump((path, why) -> asked.add(path + " " + why));
-        assertTrue(asked.poll(20, TimeUnit.SECONDS).contains("asked.flight null"));
+        LinkedBlockingQueue<String> requested = new LinkedBlockingQueue<>();
+        watchdog.dump((path, why) -> requested.add(path + " " + why));
+        assertTrue(requested.poll(20, TimeUnit.SECONDS).contains("asked.flight null"));
         for (int i = 0; i < 305; i++) {
             // Less than a hung loop's time, so that nothing else is told.
             pass(200);
@@ -125,9 +125,9 @@
         String line = logged();
         assertTrue(line.startsWith("recorder: LEFT_OVER: bytes kept 5; "), line);
         assertFalse(line.contains("see "), line);
-        LinkedBlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        none.dump((path, why) -> asked.add(why));
-        assertEquals("the recorder has no directory", asked.poll(20, TimeUnit.SECONDS));
+        LinkedBlockingQueue<String> requested = new LinkedBlockingQueue<>();
+        none.dump((path, why) -> requested.add(why));
+        assertEquals("the recorder has no directory", requested.poll(20, TimeUnit.SECONDS));
         none.end();
         Watchdog full = watchdog(Files.writeString(folder.resolve("a file"), "x"));
         full.alarm(new Alarm(Kind.LEAK, 0, 0, "9 B"));
--- a/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
@@ -24,40 +24,40 @@
 
     /** Keeps what is asked for. */
     private static final class Log implements ChangeDecider.Actions {
-        final List<String> asked = new ArrayList<>();
+        final List<String> requested = new ArrayList<>();
 
         @Override
         public void mark(int version) {
-            asked.add("mark " + version);
+            requested.add("mark " + version);
         }
 
         @Override
         public void prepare(int version) {
-            asked.add("prepare " + version);
+            requested.add("prepare " + version);
         }
 
         @Override
         public void writeConfirmed(int version) {
-            asked.add("write " + version);
+            requested.add("write " + version);
         }
 
         @Override
         public void begin(int version) {
-            asked.add("begin " + version);
+            requested.add("begin " + version);
         }
 
         @Override
         public void undo(int version, int to, String reason) {
-            asked.add("undo " + version + " to " + to + ": " + reason);
+            requested.add("undo " + version + " to " + to + ": " + reason);
         }
 
         @Override
         public void keep(int version, int before) {
-            asked.add("keep " + version + " over " + before);
+            requested.add("keep " + version + " over " + before);
         }
 
         String last() {
-            return asked.get(asked.size() - 1);
+            return requested.get(requested.size() - 1);
         }
     }
 
@@ -90,7 +90,7 @@
         onTrial(2, TERMS);
         assertTrue(decider.confirm(now, 0).done());
         decider.written(now, 2, null);
-        assertEquals(List.of("mark 2", "prepare 2", "begin 2", "write 2", "keep 2 over 1"), log.asked);
+        assertEquals(List.of("mark 2", "prepare 2", "begin 2", "write 2", "keep 2 over 1"), log.requested);
         assertEquals(2, decider.confirmed());
         assertEquals(Phase.NONE, decider.phase());
     }
--- a/src/test/java/sablehinge/mesh/api/SpoiltPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/api/SpoiltPropertyTest.java
@@ -40,11 +40,11 @@
             @ForAll @IntRange(max = 1_500) int from,
             @ForAll @IntRange(max = 12) int length,
             @ForAll @IntRange(max = 14) int bit,
-            @ForAll boolean whole) {
+            @ForAll boolean complete) {
         String example = ConfigurationCheckTest.EXAMPLE;
         int start = Math.min(from, example.length());
         int end = Math.min(start + length, example.length());
-        if (whole) {
+        if (complete) {
             start = example.indexOf(':', start) + 1;
             end = Math.max(start, example.indexOf(',', start));
         }
--- a/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
@@ -24,7 +24,7 @@
 class HealthViewTest {
 
     private static final int COUNT = 12;
-    private static final double SILENCE = 1_000;
+    private static final double NO_CONTACT = 1_000;
     private final HealthView healthView = new HealthView();
     private final List<Subject> subjects = new ArrayList<>();
     private final HashRing hashRing;
@@ -50,7 +50,7 @@
     }
 
     private List<HealthChange> later(Set<String> timedOut, Map<String, List<Suspicion>> suspicions) {
-        now += SILENCE;
+        now += NO_CONTACT;
         asks(timedOut, suspicions);
         return healthView.evaluate(now, subjects);
     }
@@ -102,11 +102,11 @@
         now += 1;
         healthView.heard(now, watchers.get(0), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
         healthView.heard(now, watchers.get(1), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
-        now += SILENCE;
+        now += NO_CONTACT;
         asks(Set.of("n1", watchers.get(0), watchers.get(1)), Map.of());
         healthView.evaluate(now, subjects);
         assertEquals(Health.CUT_FROM_CORE, healthView.health("n1"));
-        now += SILENCE;
+        now += NO_CONTACT;
         asks(Set.of("n1", watchers.get(0), watchers.get(1), watchers.get(2)), Map.of());
         healthView.evaluate(now, subjects);
         assertEquals(Health.UNSEEN, healthView.health("n1"));
--- a/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
@@ -17,11 +17,11 @@
 
     MonitorTest() {
         watch.over(0, List.of("a", "b"));
-        beat("a", 1);
-        beat("b", 1);
+        heartbeat("a", 1);
+        heartbeat("b", 1);
     }
 
-    private boolean beat(String node, int number) {
+    private boolean heartbeat(String node, int number) {
         return watch.heard(now, node, 7, number);
     }
 
@@ -38,7 +38,7 @@
     @Test
     void whoMissesThreeBeatsIsSuspectedOnceAndAccusedOnceItIsKnownWhatAnswersThere() {
         until(600);
-        beat("b", 2);
+        heartbeat("b", 2);
         assertEquals(List.of(), until(900));
         assertEquals(List.of("a"), until(1_000));
         assertEquals(List.of(), until(1_400));
@@ -51,20 +51,20 @@
 
     @Test
     void aBeatTakesAnAccusationBackAtOnceUnlessALaterOneHadOvertakenIt() {
-        beat("a", 9);
+        heartbeat("a", 9);
         until(1_000);
         watch.found(now, "a", SuspicionCause.SILENT);
-        assertFalse(beat("a", 8));
-        assertFalse(beat("a", 9));
+        assertFalse(heartbeat("a", 8));
+        assertFalse(heartbeat("a", 9));
         assertEquals(1, watch.suspicions().size());
-        assertTrue(beat("a", 10));
+        assertTrue(heartbeat("a", 10));
         assertEquals(List.of(), watch.suspicions());
         assertFalse(watch.found(now, "a", SuspicionCause.SILENT));
     }
 
     @Test
     void aProcessThatHasStartedAgainCountsItsBeatsAnew() {
-        beat("a", 900);
+        heartbeat("a", 900);
         until(1_000);
         watch.found(now, "a", SuspicionCause.RESET);
         assertTrue(watch.heard(now, "a", 8, 1));
@@ -100,20 +100,20 @@
         assertEquals(List.of(), watch.heardPeers());
         assertEquals(List.of("c"), until(now + Monitor.GRACE_MS + Monitor.SUSPECT_MS + TICK));
         assertTrue(watch.found(now, "c", SuspicionCause.RESET));
-        beat("d", 1);
+        heartbeat("d", 1);
         assertEquals(List.of("d"), watch.heardPeers());
     }
 
     @Test
     void whoWasSuspectedInVainHasMoreTimeUntilItHasLongBeenCalm() {
         until(1_000);
-        beat("a", 2);
-        beat("b", 2);
+        heartbeat("a", 2);
+        heartbeat("b", 2);
         assertEquals(List.of(), until(now + 1.5 * Monitor.SUSPECT_MS - TICK));
         assertEquals(List.of("a", "b"), until(now + 2 * TICK));
         for (int i = 3; i < 110; i++) {
-            beat("a", i);
-            beat("b", i);
+            heartbeat("a", i);
+            heartbeat("b", i);
             until(now + Monitor.HEARTBEAT_MS);
         }
         assertEquals(List.of("a", "b"), until(now + Monitor.SUSPECT_MS));
--- a/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesPropertyTest.java
@@ -61,7 +61,7 @@
             case 0 -> one.cut = random.nextInt(3) == 0;
             case 1 -> world.leaderless(random.nextInt(1_500));
             case 2 -> world.leads();
-            case 3 -> one.born();
+            case 3 -> one.startedAt();
             case 4 -> {
                 one.demand.put(service, part * random.nextDouble() * 400);
                 one.failing.put(service, 1.0);
--- a/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
@@ -14,13 +14,13 @@
     private static final String A = "atlas";
     private static final String B = "releve";
 
-    private final RetryBudgetAllocator holder = new RetryBudgetAllocator(RULE);
+    private final RetryBudgetAllocator allocator = new RetryBudgetAllocator(RULE);
     private int claims;
     private int heard;
 
     RetryBudgetSharesTest() {
-        holder.begin(1);
-        holder.adopt(0, List.of(A, B));
+        allocator.begin(1);
+        allocator.adopt(0, List.of(A, B));
     }
 
     private Claim claim(long incarnation, long term, String localService, Claim.Line... lines) {
@@ -28,7 +28,8 @@
     }
 
     private int share(double now, long incarnation, int requests, int spent, int share, int wanted) {
-        return holder.claimed(now, claim(incarnation, 1, B, new Claim.Line(A, requests, 0, spent, share, wanted)))
+        return allocator
+                .claimed(now, claim(incarnation, 1, B, new Claim.Line(A, requests, 0, spent, share, wanted)))
                 .lines()
                 .get(0)
                 .share();
@@ -40,7 +41,7 @@
         assertEquals(4, share(0, 1, 1_080, 0, 0, 100), "half of the eight earned, the rest for others");
         assertEquals(4, share(0, 1, 1_000, 0, 4, 0), "a count never goes back");
         assertEquals(6, share(0, 1, 1_080, 0, 4, 100));
-        assertNull(holder.claimed(0, new Claim(1, claims, 1, B, List.of())), "doubled");
+        assertNull(allocator.claimed(0, new Claim(1, claims, 1, B, List.of())), "doubled");
     }
 
     @Test
@@ -59,12 +60,13 @@
     void whoTakesTheDutyOverGivesOutOnlyWhatIsEarnedSince() {
         share(0, 1, 0, 0, 0, 0);
         share(0, 1, 10_000, 0, 0, 100);
-        holder.begin(2);
-        holder.adopt(100, List.of(A, B));
+        allocator.begin(2);
+        allocator.adopt(100, List.of(A, B));
         assertEquals(0, share(100, 1, 20_000, 5, 12, 100));
         assertEquals(
                 5,
-                holder.claimed(100, claim(1, 2, B, new Claim.Line(A, 20_100, 0, 0, 0, 100)))
+                allocator
+                        .claimed(100, claim(1, 2, B, new Claim.Line(A, 20_100, 0, 0, 0, 100)))
                         .lines()
                         .get(0)
                         .share(),
@@ -73,8 +75,8 @@
 
     @Test
     void aTryIsGivenWithTheCallsThatItsRunWillMake() {
-        holder.claimed(0, claim(1, 1, A, new Claim.Line(A, 0, 0, 0, 0, 0), new Claim.Line(B, 0, 0, 0, 0, 0)));
-        Grant grant = holder.claimed(
+        allocator.claimed(0, claim(1, 1, A, new Claim.Line(A, 0, 0, 0, 0, 0), new Claim.Line(B, 0, 0, 0, 0, 0)));
+        Grant grant = allocator.claimed(
                 0, claim(1, 1, A, new Claim.Line(A, 500, 0, 0, 0, 100), new Claim.Line(B, 60, 500, 0, 0, 0)));
         assertEquals(2, grant.lines().get(0).share(), "half of the six of releve, for its calls");
     }
@@ -114,7 +116,7 @@
     void furtherTriesOfEachOfSixtySixServicesHaveAShare() {
         List<String> services =
                 IntStream.range(0, 66).mapToObj(i -> "service-" + i).toList();
-        holder.adopt(0, services);
+        allocator.adopt(0, services);
         RetryBudgetShares shares = new RetryBudgetShares(RULE, 7, services.get(0));
         shares.adopt(services);
         shares.place(0, 100);
@@ -122,7 +124,7 @@
         services.forEach(service -> taken(shares, 0, service, false));
         Claim claim = shares.claim(0);
         assertEquals(66, claim.lines().size());
-        assertEquals(66, holder.claimed(0, claim).lines().size());
+        assertEquals(66, allocator.claimed(0, claim).lines().size());
     }
 
     @Test
--- a/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
@@ -48,8 +48,8 @@
     int denied;
     int deniedInside;
     int trips;
-    private RetryBudgetAllocator holder;
-    private double holderRate = 1;
+    private RetryBudgetAllocator allocator;
+    private double allocatorRate = 1;
     private long term;
     private double leaderless;
     private long serial;
@@ -123,10 +123,10 @@
         Balancer(int place, String beside) {
             this.place = place;
             this.beside = beside;
-            born();
+            startedAt();
         }
 
-        void born() {
+        void startedAt() {
             shares = new RetryBudgetShares(rule, random.nextLong(), beside);
             shares.adopt(List.of(ATLAS, RELEVE));
             shares.place(place, sidecars.length);
@@ -214,7 +214,7 @@
                 trips++;
                 carry(
                         () -> {
-                            Grant grant = holder == null ? null : holder.claimed(now * holderRate, claim);
+                            Grant grant = allocator == null ? null : allocator.claimed(now * allocatorRate, claim);
                             if (grant != null) {
                                 carry(() -> shares.granted(clock(), grant), cut);
                             }
@@ -236,15 +236,15 @@
 
     /** Another holds the duty from now on; before, there may be nobody for a while. */
     void leads() {
-        holder = new RetryBudgetAllocator(rule);
-        holderRate = 0.99 + random.nextDouble() * 0.02;
-        holder.begin(++term);
-        holder.adopt(now * holderRate, List.of(ATLAS, RELEVE));
+        allocator = new RetryBudgetAllocator(rule);
+        allocatorRate = 0.99 + random.nextDouble() * 0.02;
+        allocator.begin(++term);
+        allocator.adopt(now * allocatorRate, List.of(ATLAS, RELEVE));
     }
 
     /** The holder is gone, and another comes after so many ms. */
     void leaderless(double ms) {
-        holder = null;
+        allocator = null;
         leaderless = now + ms;
     }
 
@@ -260,7 +260,7 @@
         double end = now + ms;
         while (now < end) {
             now += STEP;
-            if (holder == null && now >= leaderless) {
+            if (allocator == null && now >= leaderless) {
                 leads();
             }
             while (!due.isEmpty() && due.peek().at <= now) {
--- a/src/test/java/sablehinge/policy/ModuleTest.java
+++ b/src/test/java/sablehinge/policy/ModuleTest.java
@@ -282,7 +282,7 @@
     void aColdServersShareStaysUnderItsBudgetWithoutAnyHistory() {
         int siblings = 60;
         int servers = 10;
-        int toCold = 0;
+        int toWarmingUp = 0;
         for (int s = 0; s < siblings; s++) {
             Bench bench = new Bench(Sites.plain().siblings(siblings).build(), s);
             Sites.Server[] list = new Sites.Server[servers];
@@ -293,12 +293,12 @@
             bench.list(Change.CACHED, list);
             for (int i = 0; i < 40; i++) {
                 bench.request(i, 0);
-                toCold += bench.lastSend().upstream() == 1 ? 1 : 0;
+                toWarmingUp += bench.lastSend().upstream() == 1 ? 1 : 0;
                 bench.finish(bench.lastSend(), Result.OK);
             }
         }
         // A warm server takes 240 of the 2400 calls; a cold one can do 0.2 of that and falls at 3 times it.
-        assertTrue(toCold > 0 && toCold < 0.2 * 3 * 240, "sent to the cold server: " + toCold);
+        assertTrue(toWarmingUp > 0 && toWarmingUp < 0.2 * 3 * 240, "sent to the cold server: " + toWarmingUp);
     }
 
     @Test
@@ -332,32 +332,32 @@
         }
         list[0].startedAt(NOW);
         bench.list(Change.CACHED, list);
-        int toCold = 0;
+        int toWarmingUp = 0;
         for (int i = 0; i < 10_000; i++) {
             bench.request(i, 0);
-            toCold += bench.lastSend().upstream() == 1 ? 1 : 0;
+            toWarmingUp += bench.lastSend().upstream() == 1 ? 1 : 0;
             bench.finishAfter(bench.lastSend(), Result.OK, 100);
         }
         // Its ramp alone would give it 0.2 of 9.2 shares (217 calls), its earnings alone about 160; it waits
         // for a whole call to be earned and then for the draw: about 100.
-        assertTrue(toCold > 70 && toCold < 130, "sent to the cold server: " + toCold);
+        assertTrue(toWarmingUp > 70 && toWarmingUp < 130, "sent to the cold server: " + toWarmingUp);
     }
 
     @Test
     void aColdServerIsNotFloodedWhenAllOthersFail() {
         Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
         bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2), Sites.server(3), Sites.server(4));
-        int toCold = 0;
+        int toWarmingUp = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
             while (bench.isOpen(i)) {
-                boolean cold = bench.lastSend().upstream() == 1;
-                toCold += cold ? 1 : 0;
-                bench.finish(bench.lastSend(), cold ? Result.OK : Result.ERROR);
+                boolean warmingUp = bench.lastSend().upstream() == 1;
+                toWarmingUp += warmingUp ? 1 : 0;
+                bench.finish(bench.lastSend(), warmingUp ? Result.OK : Result.ERROR);
             }
         }
         // 1100 calls over 3.2 warm servers' worth; it can do 0.2 of one share and falls at 3 times that.
-        assertTrue(toCold < 0.2 * 3 * 1_100 / 3.2, "sent to the cold server: " + toCold);
+        assertTrue(toWarmingUp < 0.2 * 3 * 1_100 / 3.2, "sent to the cold server: " + toWarmingUp);
     }
 
     @Test
@@ -365,13 +365,13 @@
         Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
         bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
         bench.list(Change.DELTA, Sites.server(1).startedAt(NOW));
-        int toCold = 0;
+        int toWarmingUp = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
-            toCold += bench.lastSend().upstream() == 1 ? 1 : 0;
+            toWarmingUp += bench.lastSend().upstream() == 1 ? 1 : 0;
             bench.finishAfter(bench.lastSend(), Result.OK, 100);
         }
-        assertTrue(toCold < 170, "sent to the restarted server: " + toCold);
+        assertTrue(toWarmingUp < 170, "sent to the restarted server: " + toWarmingUp);
     }
 
     @Test
@@ -450,8 +450,8 @@
                 bench.finishAfter(bench.lastSend(), Result.OK, 900);
             }
         }
-        int refusedInTrouble = bench.refused.size();
-        assertTrue(refusedInTrouble > 20, refusedInTrouble + " refused");
+        int refusedUnderOverload = bench.refused.size();
+        assertTrue(refusedUnderOverload > 20, refusedUnderOverload + " refused");
         for (int i = 200; i < 1_000; i++) {
             bench.request(i, 0);
             bench.advance(20);
@@ -460,10 +460,10 @@
             }
             if (i == 600) {
                 // Eight seconds on.
-                refusedInTrouble = bench.refused.size();
+                refusedUnderOverload = bench.refused.size();
             }
         }
-        assertEquals(refusedInTrouble, bench.refused.size());
+        assertEquals(refusedUnderOverload, bench.refused.size());
     }
 
     @Test
--- a/src/test/java/sablehinge/policy/RandomEventsTest.java
+++ b/src/test/java/sablehinge/policy/RandomEventsTest.java
@@ -225,7 +225,7 @@
         }
 
         /** Rule 4: one call at once and then what is earned. */
-        private void checkColdBudget(Bench.Sent sent, String where) {
+        private void checkWarmUpBudget(Bench.Sent sent, String where) {
             int server = (int) sent.upstream() - 1;
             if (started[server] != 0 && sent.at() - started[server] < 10_000) {
                 sentTo[server]++;
@@ -276,7 +276,7 @@
             for (; seen < bench.sends.size(); seen++) {
                 Bench.Sent sent = bench.sends.get(seen);
                 checkSend(sent, where + ": " + sent);
-                checkColdBudget(sent, where + ": " + sent);
+                checkWarmUpBudget(sent, where + ": " + sent);
                 byRequest
                         .computeIfAbsent(sent.request(), k -> new ArrayList<>())
                         .add(sent);
--- a/src/test/java/sablehinge/policy/VersionsTest.java
+++ b/src/test/java/sablehinge/policy/VersionsTest.java
@@ -140,10 +140,10 @@
         for (long id = 201; id <= 300; id++) {
             bench.request(id, 0);
         }
-        long toSick = bench.sends.subList(sent, bench.sends.size()).stream()
+        long toUnhealthy = bench.sends.subList(sent, bench.sends.size()).stream()
                 .filter(one -> one.upstream() == 1)
                 .count();
-        assertTrue(toSick < 20, toSick + " of 100 to a server known to fail");
+        assertTrue(toUnhealthy < 20, toUnhealthy + " of 100 to a server known to fail");
     }
 
     @Test
@@ -168,10 +168,10 @@
     /** A cold server's budget is one, whatever versions come and go while it warms up. */
     @Test
     void changesEarnAColdServerNothing() {
-        assertEquals(coldSends(false), coldSends(true), 3);
+        assertEquals(warmUpSends(false), warmUpSends(true), 3);
     }
 
-    private static long coldSends(boolean changing) {
+    private static long warmUpSends(boolean changing) {
         Settings base = Sites.plain().build();
         Bench bench = new Bench(base, 9);
         Sites.Server[] servers = {
--- a/src/test/java/sablehinge/testing/Backlog.java
+++ b/src/test/java/sablehinge/testing/Backlog.java
@@ -34,7 +34,7 @@
         for (SocketChannel channel : filling) {
             own.add(((InetSocketAddress) channel.getLocalAddress()).getPort());
         }
-        server.setSoTimeout(Peer.PATIENCE_MS);
+        server.setSoTimeout(Peer.TIMEOUT_MS);
         Peer next = new Peer(server.accept());
         while (own.contains(next.socket.getPort())) {
             next.close();
--- a/src/test/java/sablehinge/testing/Listener.java
+++ b/src/test/java/sablehinge/testing/Listener.java
@@ -52,7 +52,7 @@
 
     /** The next connection; fails the test if none comes. */
     public Peer accept() throws InterruptedException {
-        Peer peer = accepted.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        Peer peer = accepted.poll(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (peer == null) {
             throw new AssertionError("no connection came");
         }
@@ -73,7 +73,7 @@
         closing = true;
         server.close();
         try {
-            accepting.join(Peer.PATIENCE_MS);
+            accepting.join(Peer.TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/sablehinge/testing/OperatorStage.java
+++ b/src/test/java/sablehinge/testing/OperatorStage.java
@@ -131,7 +131,7 @@
 
     /** Waits until the status is as wanted. */
     public JsonNode until(Predicate<JsonNode> wanted) throws Exception {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.TIMEOUT_MS);
         JsonNode status = status();
         while (!wanted.test(status)) {
             if (System.nanoTime() > end) {
--- a/src/test/java/sablehinge/testing/Peer.java
+++ b/src/test/java/sablehinge/testing/Peer.java
@@ -25,14 +25,14 @@
         }
     }
 
-    public static final int PATIENCE_MS = 20_000;
+    public static final int TIMEOUT_MS = 20_000;
 
     public final Socket socket;
     private final InputStream in;
 
     public Peer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = socket.getInputStream();
     }
--- a/src/test/java/sablehinge/testing/Saboteur.java
+++ b/src/test/java/sablehinge/testing/Saboteur.java
@@ -36,7 +36,7 @@
     /** For each request that went out once more, the attempt that the module knows nothing of. */
     private final Map<Long, Integer> extra = new HashMap<>();
 
-    private final Map<Long, List<Long>> asked = new HashMap<>();
+    private final Map<Long, List<Long>> requested = new HashMap<>();
     private int count;
 
     public Saboteur(Deed deed, Actions actions) {
@@ -56,7 +56,7 @@
 
     @Override
     public void upstreamsChanged(double now, Change change, List<Upstream> list) {
-        List<Upstream> told = new ArrayList<>();
+        List<Upstream> listed = new ArrayList<>();
         for (Upstream one : list) {
             Upstream before = upstreams.put(one.id(), one);
             boolean off = one.state() != State.READY;
@@ -64,9 +64,9 @@
                 did();
                 continue;
             }
-            told.add(one);
+            listed.add(one);
         }
-        inner.upstreamsChanged(now, change, told);
+        inner.upstreamsChanged(now, change, listed);
     }
 
     @Override
@@ -84,7 +84,7 @@
             return;
         }
         int attempt = outcome.attempt() - (own != null && outcome.attempt() > own ? 1 : 0);
-        long upstream = deed == Deed.FLOODS ? asked.get(outcome.requestId()).get(attempt) : outcome.upstream();
+        long upstream = deed == Deed.FLOODS ? requested.get(outcome.requestId()).get(attempt) : outcome.upstream();
         inner.attemptFinished(
                 now,
                 new Outcome(
@@ -128,19 +128,19 @@
 
         @Override
         public void send(long requestId, long upstream, double timeout) {
-            asked.computeIfAbsent(requestId, id -> new ArrayList<>()).add(upstream);
-            long cold = upstream;
+            requested.computeIfAbsent(requestId, id -> new ArrayList<>()).add(upstream);
+            long warmingUp = upstream;
             if (deed == Deed.FLOODS) {
-                cold = upstreams.values().stream()
+                warmingUp = upstreams.values().stream()
                         .filter(u -> u.startedAt() > 0 && u.state() == State.READY)
                         .mapToLong(Upstream::id)
                         .findFirst()
                         .orElse(upstream);
-                if (cold != upstream) {
+                if (warmingUp != upstream) {
                     did();
                 }
             }
-            host.send(requestId, cold, timeout);
+            host.send(requestId, warmingUp, timeout);
             if (deed == Deed.RESENDS
                     && unsafe.contains(requestId)
                     && !extra.containsKey(requestId)
@@ -150,7 +150,7 @@
                         .findFirst()
                         .ifPresent(other -> {
                             did();
-                            extra.put(requestId, asked.get(requestId).size());
+                            extra.put(requestId, requested.get(requestId).size());
                             host.send(requestId, other, timeout);
                         });
             }
--- a/src/test/java/sablehinge/testing/Script.java
+++ b/src/test/java/sablehinge/testing/Script.java
@@ -41,7 +41,7 @@
     }
 
     public static <T> T next(LinkedBlockingQueue<T> queue) throws InterruptedException {
-        T item = queue.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        T item = queue.poll(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (item == null) {
             throw new AssertionError("nothing came");
         }
--- a/src/test/java/sablehinge/testing/StandIn.java
+++ b/src/test/java/sablehinge/testing/StandIn.java
@@ -76,7 +76,7 @@
     /** Waits until so many requests have come. */
     public void await(int count) throws InterruptedException {
         synchronized (held) {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.PATIENCE_MS);
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.TIMEOUT_MS);
             while (seen.size() < count) {
                 if (System.nanoTime() > end) {
                     throw new AssertionError(seen.size() + " of " + count + " requests came");
--- a/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
+++ b/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
@@ -217,10 +217,10 @@
         assertEquals(List.of(), drained(2_101, new ListSent(50, "b1", "s2", "draining")), "of another one");
     }
 
-    private List<Rule> drained(double begun, ListSent... news) {
+    private List<Rule> drained(double begun, ListSent... update) {
         breaches.clear();
         RuleChecker fresh = new RuleChecker(TERMS, breaches::add);
-        List.of(news).forEach(fresh::take);
+        List.of(update).forEach(fresh::take);
         fresh.take(ran(1, begun, begun + 5, How.SERVED));
         // What is told after the send says nothing of it.
         fresh.take(new ListSent(begun + 6, "b1", "s1", "up"));
--- a/src/test/java/sablehinge/tools/standin/FleetTest.java
+++ b/src/test/java/sablehinge/tools/standin/FleetTest.java
@@ -95,7 +95,7 @@
     private void begun(String kind) throws InterruptedException {
         String line = "";
         while (!line.contains(kind + " begins")) {
-            line = story.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            line = story.poll(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     private Ran ran(String txn) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.TIMEOUT_MS);
         while (System.nanoTime() < end) {
             for (Evidence one : record) {
                 if (one instanceof Ran ran && ran.txn().equals(txn)) {
