--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -264,7 +264,7 @@
                     "what was sent behind the last answer is begun",
                     "dataplane/http1/CallerConnection",
                     "private void advance()",
-                    "while (current == null && !closing && ",
+                    "while (current == null && !responses.isClosing() && ",
                     "while (current == null && "));
 
     private ExchangeBench() {}
--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -14,6 +14,8 @@
 
     private static final Pattern TOKEN = Pattern.compile("\\w+|[^\\w\\s]");
     private static final String CALLER = "dataplane/http1/CallerConnection";
+    private static final String RECEIVER = "dataplane/http1/RequestReceiver";
+    private static final String RESPONSES = "dataplane/http1/ResponseWriter";
     private static final String ASSEMBLER = "dataplane/http1/RequestAssembler";
     private static final String ATTEMPT = "dataplane/http1/UpstreamAttempt";
     private static final String CONNECTION = "dataplane/http1/UpstreamConnection";
@@ -23,19 +25,19 @@
     static final List<Mutant> ALL = List.of(
             new Mutant(
                     "a writer that can go on is not read for",
-                    CALLER,
-                    "public void channelWritabilityChanged",
+                    RESPONSES,
+                    "void onWritabilityChanged()",
                     "responseRelay.setWritable(channel.isWritable());",
                     ""),
             new Mutant(
                     "a part that can't be written is dropped in silence",
-                    CALLER,
+                    RESPONSES,
                     "private void onWritten(",
                     "if (!written.isSuccess() && channel.isOpen()) {",
                     "if (written == null) {"),
             new Mutant(
                     "the sending ends under an answer that passes",
-                    CALLER,
+                    RESPONSES,
                     "private void writeLast(",
                     "if (isLingering() && written.isSuccess()) {",
                     "if (closing && unwrittenAnswers == 0 && written.isSuccess()) {"),
@@ -43,7 +45,7 @@
                     "a request that lost a part goes on",
                     CALLER,
                     "public void exceptionCaught(",
-                    "closing = true; breakRequestRelay(); dropIncoming();",
+                    "responses.close(); receiver.breakRequestRelay(); receiver.drop();",
                     ""),
             new Mutant(
                     "a message is not released",
@@ -55,42 +57,28 @@
                     "bytes kept are never given back",
                     CALLER,
                     "private void finish()",
-                    "assembler.releaseReservation();",
+                    "receiver.releaseReservation();",
                     ""),
             new Mutant(
-                    "an answer is read on after its caller left",
-                    CALLER,
-                    "public void channelInactive",
-                    "rest.abandon();",
-                    ""),
+                    "an answer is read on after its caller left", RESPONSES, "void abandon()", "rest.abandon();", ""),
             new Mutant(
                     "a body that waits is not read again",
-                    CALLER,
+                    RECEIVER,
                     "public void read(boolean on)",
                     "channel.config().setAutoRead(on);",
                     "channel.config().setAutoRead(false);"),
             new Mutant(
                     "what nobody wants is not read to its end",
-                    CALLER,
+                    RECEIVER,
                     "public void giveUp()",
                     "channel.config().setAutoRead(true);",
                     ""),
-            new Mutant(
-                    "parts of a body are not flushed",
-                    CALLER,
-                    "public void channelReadComplete",
-                    "requestRelay.flush();",
-                    ""),
-            new Mutant("the end of a body is not told", CALLER, "private void forward(", "complete.end();", ""),
-            new Mutant(
-                    "a body that breaks off is not told",
-                    CALLER,
-                    "private void breakRequestRelay()",
-                    "half.broke();",
-                    ""),
+            new Mutant("parts of a body are not flushed", RECEIVER, "void flush()", "requestRelay.flush();", ""),
+            new Mutant("the end of a body is not told", RECEIVER, "private void forward(", "complete.end();", ""),
+            new Mutant("a body that breaks off is not told", RECEIVER, "void breakRequestRelay()", "half.broke();", ""),
             new Mutant(
                     "an unframed answer that breaks looks whole",
-                    CALLER,
+                    RESPONSES,
                     "private void closeAsTruncated()",
                     "ChannelOption.SO_LINGER, 0",
                     "ChannelOption.SO_LINGER, -1"),
@@ -193,8 +181,8 @@
     static final List<Mutant> STALLS = List.of(
             new Mutant(
                     "LOST_WAKE_UP an answer",
-                    CALLER,
-                    "public void channelWritabilityChanged",
+                    RESPONSES,
+                    "void onWritabilityChanged()",
                     "responseRelay.setWritable(channel.isWritable());",
                     ""),
             new Mutant(
@@ -205,7 +193,7 @@
                     ""),
             new Mutant(
                     "UNWRITTEN the end of an answer",
-                    CALLER,
+                    RESPONSES,
                     "private void writeLast(",
                     "channel.writeAndFlush(last)",
                     "channel.write(last)"),
@@ -231,7 +219,7 @@
                     "LEFT_OVER never given back",
                     CALLER,
                     "private void finish()",
-                    "assembler.releaseReservation();",
+                    "receiver.releaseReservation();",
                     ""),
             new Mutant(
                     "LEAK a message that is not released",
--- a/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
@@ -5,22 +5,10 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.socket.DuplexChannel;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
@@ -37,46 +25,24 @@
 import sablehinge.dataplane.proxy.TraceEvent;
 import sablehinge.dataplane.proxy.Version;
 
-/** One caller's connection: one request at a time, those sent ahead wait for their turn. */
-final class CallerConnection extends ChannelInboundHandlerAdapter implements Caller, Relay.Source, Relay.Sink {
+/**
+ * One caller's connection: one request is at work at a time, those sent ahead wait for their turn. What comes in is the
+ * job of {@link RequestReceiver}, what goes out that of {@link ResponseWriter}; this class has the request at work
+ * between them. All of it runs on the connection's event loop.
+ */
+final class CallerConnection extends ChannelInboundHandlerAdapter implements Caller {
 
     private static final Logger LOG = LoggerFactory.getLogger(CallerConnection.class);
     /** How long a request that waits for a configuration is put off each time, ms. */
     private static final long DEFER_MS = 10;
-    /** How long a caller that was answered for the last time may go on sending, ms, and how much is read. */
-    private static final long LINGER_MS = 500;
-
-    private static final int LINGER_BYTES = 1024 * 1024;
-    /** An answer that its caller has not let in by then is given up, ms. */
-    private static final double WRITE_TIMEOUT_MS = 10_000;
 
     private final FrontendContext context;
     final Channel channel;
     private final int number;
-    /** Null until a watch wants to see it. */
-    private ChannelOutlet outlet;
-
     final CallerDecoder decoder;
+    private final RequestReceiver receiver;
+    private final ResponseWriter responses;
     private final PipelinedRequests pipelined = new PipelinedRequests();
-    private final RequestAssembler assembler;
-    /** What came that is no request: answered after what came before it, and nothing after it is. */
-    private BadRequestException malformed;
-    /** The body that is sent on while it comes; whether the rest of one is of no use. */
-    private Relay requestRelay;
-
-    private boolean discardingBody;
-    /** Whether a body broke off that was sent on, and its request may have run for all that. */
-    private boolean mayHaveRun;
-    /** Bytes that came since it last began to wait. */
-    long bytesReceived;
-    /** Bytes of the body that have been sent on, and since when it is not read. */
-    private long forwardedBytes;
-
-    private double pausedAt;
-    /** The answer that is passed on as it comes, and whether its end can be distinguished from a break. */
-    private Relay responseRelay;
-
-    private boolean endIsMarked;
     /** The request at work; the exchange is known once the node has it. */
     private HttpRequest current;
 
@@ -85,46 +51,92 @@
     private double receivedAt;
 
     private boolean deferred;
-    /** The answer that is being written. */
-    private Answer pendingAnswer;
-
     private String requestName;
     /** The version under which it came, once it is read. */
     private Version version;
     /** When it came, had its last answer, or began the request that is coming in. */
     double lastActivityAt;
-
+    /** Whether it has had an answer. */
     private boolean served;
-    private boolean advancing;
-    /** Answers that are not yet written out. */
-    private int unwrittenAnswers;
 
-    private boolean closing;
-    private int lingerBytes;
-    /** Whether the last sweep found it held up though it could go on; the next one wakes it. */
-    private boolean heldUpAtLastSweep;
+    private boolean advancing;
 
     CallerConnection(FrontendContext context, Channel channel) {
         this.context = context;
         this.channel = channel;
         number = context.sockets.next();
         decoder = new CallerDecoder(this, context.dialect.terms().headerBytes());
-        assembler = new RequestAssembler(context, number);
+        receiver = new RequestReceiver(this, context, channel);
+        responses = new ResponseWriter(this, context, channel);
         lastActivityAt = context.core.now();
     }
 
+    // ---- Its state, as its parts and the front see it ----------------------------------------------
+
+    /** Its number in the trace. */
+    int number() {
+        return number;
+    }
+
+    ResponseWriter responses() {
+        return responses;
+    }
+
+    /** The request at work; null if none is. */
+    HttpRequest current() {
+        return current;
+    }
+
+    /** The version under which the request at work came; null before it is read. */
+    Version version() {
+        return version;
+    }
+
+    boolean isAtWork() {
+        return current != null;
+    }
+
+    /** Whether a request is at work or waits for its turn. */
+    boolean hasRequests() {
+        return current != null || !pipelined.isEmpty();
+    }
+
+    /** Whether a request waits for its turn or is coming in. */
+    boolean hasMoreToRead() {
+        return !pipelined.isEmpty() || decoder.receiving;
+    }
+
     boolean isIdle() {
-        return current == null
-                && pipelined.isEmpty()
-                && malformed == null
+        return !hasRequests()
+                && receiver.malformed() == null
                 && !decoder.receiving
-                && unwrittenAnswers == 0
-                && !closing;
+                && !responses.hasUnwritten()
+                && !responses.isClosing();
     }
 
     /** Whether it has had its last answer. */
     boolean isLingering() {
-        return closing && unwrittenAnswers == 0 && responseRelay == null;
+        return responses.isLingering();
+    }
+
+    /** Something has come or gone now. */
+    void touch() {
+        lastActivityAt = context.core.now();
+    }
+
+    /** What its caller was not let do for so many ms is not counted as slowness. */
+    void excuse(double millis) {
+        lastActivityAt += millis;
+    }
+
+    void trace(TraceEvent event, long value) {
+        context.sockets.tracer().note(event, number, 0, value);
+    }
+
+    /** Shows a watch what passes through, and what is not written out. */
+    void passages(Consumer<Passage> each) {
+        responses.passages(each);
+        receiver.passages(each);
     }
 
     /** Closes it if it is idle: a request that lies unread in the kernel would be lost with it. */
@@ -138,104 +150,50 @@
         return !channel.isOpen();
     }
 
+    /** Ends what has taken too long by the given time, ms. */
     void sweep(double now) {
         double age = now - lastActivityAt;
-        if (closing || unwrittenAnswers > 0 || responseRelay != null) {
-            if (age > WRITE_TIMEOUT_MS) {
-                channel.close();
-            } else if (responseRelay != null && responseRelay.isPaused() && channel.isWritable()) {
-                wakeIfHeldUp();
-            } else {
-                heldUpAtLastSweep = false;
-            }
+        if (responses.isBusy()) {
+            responses.sweep(age);
         } else if (decoder.receiving) {
-            // One that is not read from now is not to blame.
-            if ((current == null || requestRelay != null)
-                    && channel.config().isAutoRead()
-                    && age
-                            > context.dialect.terms().requestMs()
-                                    + bytesReceived / context.dialect.terms().bytesPerMs()) {
-                tooSlow();
+            if (receiver.isTooSlow(age)) {
+                endSlowRequest();
             }
-        } else if (age
-                > (served
-                        ? context.dialect.terms().idleMs()
-                        : context.dialect.terms().firstRequestTimeoutMs())) {
+        } else if (age > idleTimeoutMs()) {
             closeIfIdle();
         }
     }
 
-    /**
-     * Whatever may have kept it from going on: what its caller can take is not held back. But the wake-up may be on its
-     * way in this very turn, so the first sweep that sees it waits for the next.
-     */
-    private void wakeIfHeldUp() {
-        if (heldUpAtLastSweep) {
-            context.wokenBodies++;
-            trace(TraceEvent.WOKEN, 0);
-            responseRelay.setWritable(true);
-        }
-        heldUpAtLastSweep = !heldUpAtLastSweep;
-    }
-
-    private void trace(TraceEvent event, long value) {
-        context.sockets.tracer().note(event, number, 0, value);
+    private double idleTimeoutMs() {
+        FrontTerms terms = context.dialect.terms();
+        return served ? terms.idleMs() : terms.firstRequestTimeoutMs();
     }
 
-    void passages(Consumer<Passage> each) {
-        if (responseRelay != null) {
-            each.accept(responseRelay);
-        } else if (unwrittenAnswers > 0) {
-            each.accept(outlet());
-        }
-        if (requestRelay != null && requestRelay.isTaken()) {
-            each.accept(requestRelay);
-        }
-    }
-
-    @Override
-    public ChannelOutlet outlet() {
-        if (outlet == null) {
-            outlet = new ChannelOutlet(channel, number, context.sockets);
-        }
-        return outlet;
-    }
-
-    @Override
-    public void readNow() {
-        context.sockets.readNow(channel);
-    }
-
-    private void tooSlow() {
-        if (discardingBody) {
+    private void endSlowRequest() {
+        if (receiver.isDiscarding()) {
             // Its answer has been given.
             channel.close();
             return;
         }
-        rejectRest(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "too slow"));
+        receiver.rejectRest(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "too slow"));
         advance();
     }
 
-    /** The rest of a body that is sent on won't come, or won't be read. */
-    private void breakRequestRelay() {
-        if (requestRelay != null) {
-            Relay half = requestRelay;
-            requestRelay = null;
-            mayHaveRun = exchange != null && exchange.mayHaveRun();
-            // Reported to the module before the attempt's outcome.
-            abandon();
-            half.broke();
-        }
-    }
+    // ---- What the channel reports ------------------------------------------------------------------
 
     /** The first byte of a message has come. */
     void onMessageStart() {
         if (served && current == null) {
-            lastActivityAt = context.core.now();
-            bytesReceived = 0;
+            touch();
+            receiver.resetCount();
         }
     }
 
+    /** Bytes have come. */
+    void onBytes(int bytes) {
+        receiver.count(bytes);
+    }
+
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         context.sockets.count(channel);
@@ -252,128 +210,74 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
             if (message instanceof ByteBuf bytes) {
-                lingerBytes += bytes.readableBytes();
-                if (lingerBytes > LINGER_BYTES) {
-                    // Whoever sends without end must not keep the loop busy.
-                    channel.config().setAutoRead(false);
-                }
-            } else if (!closing && malformed == null) {
-                handle(message);
+                receiver.discard(bytes);
+            } else if (!responses.isClosing() && receiver.malformed() == null) {
+                receiver.receive(message);
             }
         } catch (BadRequestException e) {
-            rejectRest(e);
+            receiver.rejectRest(e);
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void handle(Object message) throws BadRequestException {
-        if (discardingBody) {
-            if (message instanceof LastHttpContent || !(message instanceof HttpContent)) {
-                discardingBody = false;
-                lastActivityAt = context.core.now();
-            }
-            if (message instanceof HttpContent) {
-                return;
-            }
-        }
-        if (message instanceof HttpRequest begun) {
-            RequestCheck.head(begun, context.dialect.terms().bodyBytes());
-            assembler.begin(begun);
-            // One that waits behind another will send its body without a 100.
-            if (HttpUtil.is100ContinueExpected(begun) && current == null && pipelined.isEmpty()) {
-                channel.writeAndFlush(new DefaultFullHttpResponse(
-                                HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER))
-                        .addListener(this::onWritten);
-            }
-        }
-        if (message instanceof HttpContent content && assembler.isReceiving()) {
-            if (!content.decoderResult().isSuccess()) {
-                throw new BadRequestException("malformed HTTP");
-            }
-            if (requestRelay == null && !assembler.append(content.content())) {
-                startRequestRelay();
-            }
-            if (requestRelay != null) {
-                forward(content);
-            } else if (content instanceof LastHttpContent && assembler.isReceiving()) {
-                complete();
-            }
-            if (content instanceof LastHttpContent) {
-                discardingBody = false;
-            }
-        }
+    /** Begins what came only now: of a crowd sent at once, none is to be served. */
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+        receiver.flush();
+        advance();
+        ctx.fireChannelReadComplete();
     }
 
-    /** Begins the request before it is complete: its body goes on as it comes. */
-    private void startRequestRelay() throws BadRequestException {
-        if (current != null || !pipelined.isEmpty()) {
-            // Nobody who sends ahead needs to send so much.
-            throw RequestCheck.tooLarge();
-        }
-        HttpRequest begun = assembler.head();
-        Relay relay = new Relay(this);
-        requestRelay = relay;
-        current = begun;
-        forwardedBytes = assembler.handBodyTo(relay);
-        try {
-            begin(begun, true, new RelayedPayload(begun, HttpUtil.getContentLength(begun, -1L), relay));
-        } catch (BadRequestException e) {
-            requestRelay = null;
-            current = null;
-            relay.abandon();
-            throw e;
-        }
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+        responses.onWritabilityChanged();
+        ctx.fireChannelWritabilityChanged();
     }
 
-    private void forward(HttpContent content) throws BadRequestException {
-        forwardedBytes += content.content().readableBytes();
-        if (forwardedBytes > context.dialect.terms().bodyBytes()) {
-            throw RequestCheck.tooLarge();
-        }
-        requestRelay.add(content.content());
-        if (requestRelay != null && content instanceof LastHttpContent) {
-            Relay complete = requestRelay;
-            requestRelay = null;
-            assembler.clear();
-            complete.end();
-            if (exchange != null) {
-                context.core.ended(exchange);
-            }
-        }
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        context.connections.remove(this);
+        trace(TraceEvent.CALLER_CLOSED, 0);
+        context.resumeAccepting();
+        dropPipelined();
+        receiver.drop();
+        receiver.breakRequestRelay();
+        abandon();
+        responses.abandon();
+        receiver.releaseReservation();
+        ctx.fireChannelInactive();
     }
 
     @Override
-    public void read(boolean on) {
-        double now = context.core.now();
-        if (on && !channel.config().isAutoRead()) {
-            // What its caller was not let do is not counted as slowness.
-            lastActivityAt += now - pausedAt;
-        } else if (!on && channel.config().isAutoRead()) {
-            pausedAt = now;
-        }
-        if (on != channel.config().isAutoRead()) {
-            trace(on ? TraceEvent.RESUMED : TraceEvent.PAUSED, 0);
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        if (!(cause instanceof IOException)) {
+            Log.warn(LOG, "caller-failed")
+                    .addKeyValue("connection", number)
+                    .addKeyValue("cause", cause.toString())
+                    .log("a caller's connection failed: {}", cause.toString());
         }
-        channel.config().setAutoRead(on);
+        // The decoder goes on with what it holds: a request that has lost a part must not look complete.
+        responses.close();
+        receiver.breakRequestRelay();
+        receiver.drop();
+        ctx.close();
     }
 
-    /** The rest of the body is of no use: it is read and dropped, so that its caller gets the answer. */
-    @Override
-    public void giveUp() {
-        requestRelay = null;
-        discardingBody = true;
-        dropIncoming();
-        lastActivityAt = context.core.now();
-        bytesReceived = 0;
-        channel.config().setAutoRead(true);
-        if (exchange != null) {
-            context.core.ended(exchange);
+    /** What still comes is not looked at; false if that was so already. */
+    boolean stopDecoding() {
+        if (channel.pipeline().context(decoder) == null) {
+            return false;
         }
+        channel.pipeline().remove(decoder);
+        return true;
     }
 
-    private void complete() throws BadRequestException {
-        pipelined.add(assembler.complete(), context.core.now());
+    // ---- What its receiver reports -----------------------------------------------------------------
+
+    /** A complete request waits for its turn; taken over. */
+    void enqueue(FullHttpRequest request) throws BadRequestException {
+        pipelined.add(request, context.core.now());
         if (pipelined.isTooLong()) {
             // None of them is answered, the one at work neither: it could take all of its time.
             dropPipelined();
@@ -385,26 +289,40 @@
         }
     }
 
-    /** Begins what came only now: of a crowd sent at once, none is to be served. */
-    @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (requestRelay != null) {
-            requestRelay.flush();
+    /** Begins a request whose body is sent on while it comes. */
+    void beginRelayed(HttpRequest head, RelayedPayload payload) throws BadRequestException {
+        current = head;
+        try {
+            begin(head, true, payload);
+        } catch (BadRequestException e) {
+            current = null;
+            throw e;
         }
-        advance();
-        ctx.fireChannelReadComplete();
     }
 
-    /** Nothing after this is read; a body that was sent on meanwhile won't be complete. */
-    private void rejectRest(BadRequestException why) {
-        breakRequestRelay();
-        malformed = why;
-        dropIncoming();
-        if (current != null) {
-            channel.config().setAutoRead(false);
+    /** The body that was sent on while it came is complete, or nobody wants the rest. */
+    void onBodyOver() {
+        if (exchange != null) {
+            context.core.ended(exchange);
+        }
+    }
+
+    /** Whether the request at work may have run. */
+    boolean mayCurrentHaveRun() {
+        return exchange != null && exchange.mayHaveRun();
+    }
+
+    /** Nobody waits for the request at work any more. */
+    void abandon() {
+        Exchange left = exchange;
+        finish();
+        if (left != null) {
+            context.core.clientGone(left);
         }
     }
 
+    // ---- The requests' turns -----------------------------------------------------------------------
+
     /** Goes on to what is next, as long as nothing is at work. */
     private void advance() {
         if (advancing) {
@@ -412,28 +330,39 @@
         }
         advancing = true;
         try {
-            while (current == null && !closing && (malformed != null || !pipelined.isEmpty())) {
-                PipelinedRequests.Arrived next = pipelined.poll();
-                if (next == null) {
-                    reject(malformed);
-                    continue;
-                }
-                EarlyRequest begun = pipelined.pollBegun(next);
-                if (begun == null) {
-                    handle(next);
-                } else {
-                    takeTurn(begun);
-                }
+            while (current == null
+                    && !responses.isClosing()
+                    && (receiver.malformed() != null || !pipelined.isEmpty())) {
+                takeNext();
             }
             beginEarly();
         } finally {
             advancing = false;
         }
-        if (!pipelined.holdsTooManyBytes() && malformed == null && !closing && requestRelay == null) {
+        if (!pipelined.holdsTooManyBytes()
+                && receiver.malformed() == null
+                && !responses.isClosing()
+                && !receiver.isRelaying()) {
             channel.config().setAutoRead(true);
         }
     }
 
+    private void takeNext() {
+        PipelinedRequests.Arrived next = pipelined.poll();
+        if (next == null) {
+            reject(receiver.malformed());
+            return;
+        }
+        EarlyRequest begun = pipelined.pollBegun(next);
+        if (begun == null) {
+            current = next.request();
+            receivedAt = next.at();
+            begin(next.request());
+        } else {
+            takeTurn(begun);
+        }
+    }
+
     private void takeTurn(EarlyRequest begun) {
         current = begun.request;
         version = begun.version;
@@ -445,8 +374,8 @@
     private void beginEarly() {
         if (!context.dialect.terms().concurrent()
                 || current == null
-                || closing
-                || malformed != null
+                || responses.isClosing()
+                || receiver.malformed() != null
                 || pipelined.areAllBegun()) {
             return;
         }
@@ -476,15 +405,9 @@
         return true;
     }
 
-    private void handle(PipelinedRequests.Arrived arrived) {
-        current = arrived.request();
-        receivedAt = arrived.at();
-        begin(arrived.request());
-    }
-
     private void begin(FullHttpRequest request) {
         if (context.dialect.isHealth(request)) {
-            write(HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER, 0);
+            responses.write(HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER, 0, null);
             return;
         }
         try {
@@ -527,8 +450,9 @@
 
     /** Hands a request to core, complete or with its body still coming. */
     private void begin(HttpRequest request, boolean hasBody, Payload payload) throws BadRequestException {
-        CheckedRequest checked = context.dialect.read(
-                request, hasBody, requestRelay == null ? receivedAt : context.core.now(), context.core.now());
+        boolean coming = receiver.isRelaying();
+        CheckedRequest checked =
+                context.dialect.read(request, hasBody, coming ? context.core.now() : receivedAt, context.core.now());
         endDeferral();
         if (!checked.name().isEmpty()) {
             registerName(checked.name());
@@ -537,9 +461,9 @@
         ReferenceCountUtil.retain(request);
         trace(TraceEvent.REQUEST, 0);
         Arrival arrival = checked.arrival();
-        Exchange begun = requestRelay == null
-                ? context.core.request(version, arrival, payload, this)
-                : context.core.requestComing(version, arrival, payload, this);
+        Exchange begun = coming
+                ? context.core.requestComing(version, arrival, payload, this)
+                : context.core.request(version, arrival, payload, this);
         // The answer may have come already, and with it the next request.
         if (begun.isOpen()) {
             exchange = begun;
@@ -559,29 +483,32 @@
         context.byName.put(name, this);
     }
 
+    // ---- Answers -----------------------------------------------------------------------------------
+
     /** An error is the last answer: what else comes from there may be no better. */
     private void reject(BadRequestException why) {
-        if (why.isLast() || why == malformed) {
-            closing = true;
+        if (why.isLast() || why == receiver.malformed()) {
+            responses.close();
             dropPipelined();
         }
-        if (mayHaveRun) {
+        if (receiver.mayHaveRun()) {
             // Its status must not promise that nothing has run.
-            pendingAnswer = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
-            write(context.dialect.status(pendingAnswer), Unpooled.EMPTY_BUFFER, 0);
+            Answer failed = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
+            responses.write(context.dialect.status(failed), Unpooled.EMPTY_BUFFER, 0, failed);
             return;
         }
-        write(why.status(), Unpooled.copiedBuffer(why.getMessage() + "\n", StandardCharsets.UTF_8), why.retryAfter());
+        ByteBuf reason = Unpooled.copiedBuffer(why.getMessage() + "\n", StandardCharsets.UTF_8);
+        responses.write(why.status(), reason, why.retryAfter(), null);
     }
 
     @Override
     public void answer(Answer answer) {
         if (answer.payload() instanceof RelayedPayload passing) {
-            startResponseRelay(passing, answer);
+            responses.startRelay(passing, answer);
             return;
         }
-        pendingAnswer = answer;
-        write(context.dialect.status(answer), context.dialect.content(answer).retain(), answer.retryAfter());
+        responses.write(
+                context.dialect.status(answer), context.dialect.content(answer).retain(), answer.retryAfter(), answer);
     }
 
     @Override
@@ -589,125 +516,26 @@
         return requestName == null ? "" : requestName;
     }
 
-    /** Writes an answer and goes on to the next request; takes the content over. */
-    private void write(HttpResponseStatus status, ByteBuf content, double retryAfter) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
-        response.headers().set("Content-Length", content.readableBytes());
-        if (retryAfter > 0) {
-            response.headers().set("Retry-After", UpstreamClient.seconds(Math.ceil(retryAfter)));
-        }
-        setHeaders(response, pendingAnswer);
-        pendingAnswer = null;
-        writeLast(response);
-    }
-
-    private void setHeaders(HttpResponse response, Answer answer) {
-        context.dialect.dress(response, answer, version, current);
-        boolean wantsMore = current != null && HttpUtil.isKeepAlive(current);
-        // What has come completely already was taken, and is still answered here.
-        closing |= !wantsMore || context.draining && pipelined.isEmpty() && !decoder.receiving;
-        if (closing) {
-            response.headers().set("Connection", "close");
-        }
-    }
-
-    /** Begins an answer whose body passes through. */
-    private void startResponseRelay(RelayedPayload passing, Answer answer) {
-        HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, context.dialect.status(answer));
-        endIsMarked = true;
-        if (passing.length() >= 0) {
-            response.headers().set("Content-Length", passing.length());
-        } else if (current.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            endIsMarked = false;
-            closing = true;
-        } else {
-            response.headers().set("Transfer-Encoding", "chunked");
-        }
-        setHeaders(response, answer);
+    /** The head of an answer has been given whose body passes through. */
+    void onResponseStarted() {
         exchange = null;
-        lastActivityAt = context.core.now();
-        responseRelay = passing.body();
-        channel.write(response).addListener(this::onWritten);
-        responseRelay.attach(this);
+        touch();
     }
 
-    @Override
-    public void part(ByteBuf part) {
-        channel.write(new DefaultHttpContent(part)).addListener(written -> {
-            lastActivityAt = context.core.now();
-            onWritten(written);
-        });
-        if (!channel.isWritable()) {
-            channel.flush();
-        }
-        if (responseRelay != null) {
-            responseRelay.setWritable(channel.isWritable());
-        }
-    }
-
-    @Override
-    public void flush() {
-        channel.flush();
-    }
-
-    @Override
-    public void end() {
-        responseRelay = null;
-        writeLast(LastHttpContent.EMPTY_LAST_CONTENT);
-    }
-
-    /**
-     * A part has been written, or could not be: for want of memory to encode it, say. The connection stays open then,
-     * and its caller would wait for the rest of its answer, or take what follows for that.
-     */
-    private void onWritten(Future<? super Void> written) {
-        if (!written.isSuccess() && channel.isOpen()) {
-            closeAsTruncated();
-        }
-    }
-
-    /** The caller must be able to see that its answer is incomplete. */
-    @Override
-    public void broke() {
-        responseRelay = null;
-        closeAsTruncated();
-    }
-
-    private void closeAsTruncated() {
-        if (!endIsMarked) {
-            channel.config().setOption(ChannelOption.SO_LINGER, 0);
-        }
-        channel.close();
-    }
-
-    @Override
-    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        trace(channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, ChannelOutlet.unwritten(channel));
-        if (responseRelay != null) {
-            responseRelay.setWritable(channel.isWritable());
-        }
-        ctx.fireChannelWritabilityChanged();
-    }
-
-    private void writeLast(Object last) {
+    /** The last of an answer is about to be written. */
+    void onAnswered() {
         finish();
         served = true;
-        lastActivityAt = context.core.now();
-        bytesReceived = 0;
+        touch();
+        receiver.resetCount();
         // The longest idle come first.
         context.connections.remove(this);
         context.connections.add(this);
-        unwrittenAnswers++;
-        channel.writeAndFlush(last).addListener(written -> {
-            unwrittenAnswers--;
-            trace(TraceEvent.WRITTEN, written.isSuccess() ? 1 : 0);
-            onWritten(written);
-            // An answer ahead of it may be written out only now, while the last one passes through.
-            if (isLingering() && written.isSuccess()) {
-                linger();
-            }
-        });
-        if (closing) {
+    }
+
+    /** The last of an answer has been written: the next request has its turn. */
+    void goOn() {
+        if (responses.isClosing()) {
             dropPipelined();
         } else {
             advance();
@@ -727,77 +555,12 @@
             ReferenceCountUtil.release(current);
             current = null;
         }
-        assembler.releaseReservation();
+        receiver.releaseReservation();
         exchange = null;
         version = null;
     }
 
-    private void abandon() {
-        Exchange left = exchange;
-        finish();
-        if (left != null) {
-            context.core.clientGone(left);
-        }
-    }
-
-    private void dropIncoming() {
-        assembler.drop();
-        if (current == null) {
-            assembler.releaseReservation();
-        }
-    }
-
     private void dropPipelined() {
         pipelined.drop(context.core);
     }
-
-    /**
-     * Ends the sending, and closes once the caller has done so too or has had its time: to close on bytes that are
-     * still coming in would reset the connection and could take the answer with it.
-     */
-    private void linger() {
-        if (!channel.isActive()) {
-            return;
-        }
-        ((DuplexChannel) channel).shutdownOutput();
-        if (channel.pipeline().context(decoder) != null) {
-            // What still comes is not looked at.
-            channel.pipeline().remove(decoder);
-            channel.config().setAutoRead(true);
-            context.loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-        }
-    }
-
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-        context.connections.remove(this);
-        trace(TraceEvent.CALLER_CLOSED, 0);
-        context.resumeAccepting();
-        dropPipelined();
-        dropIncoming();
-        breakRequestRelay();
-        abandon();
-        if (responseRelay != null) {
-            Relay rest = responseRelay;
-            responseRelay = null;
-            rest.abandon();
-        }
-        assembler.releaseReservation();
-        ctx.fireChannelInactive();
-    }
-
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (!(cause instanceof IOException)) {
-            Log.warn(LOG, "caller-failed")
-                    .addKeyValue("connection", number)
-                    .addKeyValue("cause", cause.toString())
-                    .log("a caller's connection failed: {}", cause.toString());
-        }
-        // The decoder goes on with what it holds: a request that has lost a part must not look complete.
-        closing = true;
-        breakRequestRelay();
-        dropIncoming();
-        ctx.close();
-    }
 }
--- a/src/main/java/sablehinge/dataplane/http1/CallerDecoder.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerDecoder.java
@@ -23,7 +23,7 @@
             receiving = true;
             connection.onMessageStart();
         }
-        connection.bytesReceived += ((ByteBuf) bytes).readableBytes();
+        connection.onBytes(((ByteBuf) bytes).readableBytes());
         super.channelRead(ctx, bytes);
     }
 
