--- a/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
@@ -1,6 +1,5 @@
 package sablehinge.dataplane.proxy;
 
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -31,7 +30,8 @@
     private final Timers timers;
     private final LoadBalancer balancer;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
+    private final DecisionQueue decisions = new DecisionQueue(this::setDeferredTimers, this::onModuleFailure);
+    private final RequestAdmission admission = new RequestAdmission();
     private Transport transport;
     private Registry registry;
     private Version version;
@@ -43,12 +43,6 @@
     private final LiveVersions versions = new LiveVersions();
 
     private long lastId;
-    private boolean deciding;
-    /** The request that the module's present call is about, if it is about one. */
-    private Exchange subject;
-
-    /** Something to tell the module, and the request that it is about or null. */
-    private record Event(Exchange about, Runnable call) {}
 
     /** A core with the given module, which is handed its actions. */
     public RequestProxy(Clock clock, Timers timers, Function<LoadBalancer.Actions, LoadBalancer> module) {
@@ -65,9 +59,9 @@
         registry = source;
         transport.adopt(first);
         transport.update(known);
-        tell(null, () -> balancer.start(clock.now(), first.settings(), seed));
+        decisions.call(null, () -> balancer.start(clock.now(), first.settings(), seed));
         List<Upstream> upstreams = known.upstreams();
-        tell(null, () -> balancer.upstreamsChanged(clock.now(), Change.CACHED, upstreams));
+        decisions.call(null, () -> balancer.upstreamsChanged(clock.now(), Change.CACHED, upstreams));
     }
 
     /** The version under which a request arrives now. */
@@ -88,8 +82,8 @@
         List<Upstream> upstreams = servers.upstreams();
         transport.adopt(next);
         transport.update(servers);
-        tell(null, () -> balancer.adopt(clock.now(), next.settings()));
-        tell(null, () -> balancer.upstreamsChanged(clock.now(), Change.FULL, upstreams));
+        decisions.call(null, () -> balancer.adopt(clock.now(), next.settings()));
+        decisions.call(null, () -> balancer.upstreamsChanged(clock.now(), Change.FULL, upstreams));
     }
 
     /** Nothing goes back to a version: it is forgotten with the last request that arrived under it. */
@@ -101,7 +95,7 @@
     private void forgetIfUnused(int number) {
         Version unused = versions.removeIfUnused(number, version);
         if (unused != null) {
-            tell(null, () -> balancer.forget(clock.now(), unused.settings()));
+            decisions.call(null, () -> balancer.forget(clock.now(), unused.settings()));
         }
     }
 
@@ -146,6 +140,7 @@
     /** Switches budgets on for what arrives from now on. */
     public void budgets(ChainBudgets hop) {
         budgets = hop;
+        admission.budgets(hop);
         hop.start(timers, clock);
     }
 
@@ -161,37 +156,15 @@
 
     // ---- What happens ------------------------------------------------------------------------------
 
-    /**
-     * Tells the module of an event. An action may cause an event at once, such as a connection that is refused; it
-     * waits here until the module has returned from the call in which it acted.
-     */
-    private void tell(Exchange about, Runnable call) {
-        events.add(new Event(about, call));
-        if (deciding) {
-            return;
-        }
-        deciding = true;
-        try {
-            for (Event event = events.poll(); event != null; event = events.poll()) {
-                subject = event.about();
-                try {
-                    event.call().run();
-                } catch (Throwable e) {
-                    broken(event.about(), e);
-                }
-                // While an attempt waits for the rest of its request, so do the timers about it.
-                if (subject != null && !subject.waits.isEmpty() && subject.running == 0) {
-                    setWaiting(subject);
-                }
-            }
-        } finally {
-            subject = null;
-            deciding = false;
+    /** While an attempt waits for the rest of its request, so do the timers about it. */
+    private void setDeferredTimers(Exchange about) {
+        if (about != null && !about.waits.isEmpty() && about.running == 0) {
+            setWaiting(about);
         }
     }
 
     /** A call of the module broke off: what it was about fails, as nobody knows what has run. */
-    private void broken(Exchange about, Throwable cause) {
+    private void onModuleFailure(Exchange about, Throwable cause) {
         Log.error(LOG, "module-failed").setCause(cause).log("the decision module failed");
         if (about != null && about.isOpen()) {
             giveUp(about, Answer.Kind.BROKEN);
@@ -202,7 +175,7 @@
     private void giveUp(Exchange exchange, Answer.Kind kind) {
         answer(exchange, Answer.of(kind));
         exchange.attempts.forEach(RequestProxy::cancel);
-        tell(null, () -> balancer.clientGone(clock.now(), exchange.id));
+        decisions.call(null, () -> balancer.clientGone(clock.now(), exchange.id));
         settle(exchange);
     }
 
@@ -213,7 +186,7 @@
         if (roster != null) {
             transport.update(roster);
         }
-        tell(null, () -> balancer.upstreamsChanged(clock.now(), change, upstreams));
+        decisions.call(null, () -> balancer.upstreamsChanged(clock.now(), change, upstreams));
     }
 
     /**
@@ -270,32 +243,13 @@
     }
 
     private Exchange request(Version arrivedUnder, Arrival given, Payload payload, Caller caller, boolean coming) {
-        if (exchanges.size() >= arrivedUnder.settings().limits().maxOpen()) {
-            return refuseBeyond(arrivedUnder, given, payload, caller);
-        }
-        Arrival arrival = given;
-        AttemptBudgets.Call budget = null;
-        if (budgets != null && given.budget() != null) {
-            double value =
-                    arrivedUnder.settings().classes().get(given.serviceClass()).value();
-            AttemptBudgets.Admission admission = budgets.attemptBudgets.arrive(
-                    clock.now(),
-                    given.budget(),
-                    budgets.entry,
-                    given.deadline() - clock.now(),
-                    budgets.waited(clock.now()),
-                    value);
-            if (admission.call() != null && !budgets.admits(clock.now(), given, admission)) {
-                return shed(admission, arrivedUnder, given, payload, caller);
-            }
-            if (admission.call() == null) {
-                return turnAway(admission, arrivedUnder, given, payload, caller);
-            }
-            budget = admission.call();
-            arrival = given.until(Math.min(given.deadline(), budget.deadline()));
+        RequestAdmission.Decision decision = admission.decide(clock.now(), arrivedUnder, given, exchanges.size());
+        if (decision.refusal() != null) {
+            return refuse(decision.refusal(), arrivedUnder, given, payload, caller);
         }
+        Arrival arrival = decision.arrival();
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
-        exchange.budget = budget;
+        exchange.budget = decision.budget();
         exchanges.put(exchange.id, exchange);
         tracer.note(TraceEvent.ARRIVED, 0, exchange.id, exchange.serviceClass);
         versions.requestBegan(arrivedUnder.number());
@@ -305,47 +259,14 @@
         } else {
             watchOver(exchange);
         }
-        Arrival taken = arrival;
-        tell(exchange, () -> arrives(exchange, taken));
-        return exchange;
-    }
-
-    /** What has the least value is refused first, and another attempt elsewhere is no use: all are as busy. */
-    private Exchange shed(
-            AttemptBudgets.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
-        Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
-        LoadBalancer.Limits limits = arrivedUnder.settings().limits();
-        answer(
-                exchange,
-                new Answer(
-                        Answer.Kind.REFUSED,
-                        Payload.NONE,
-                        limits.retryAfter() ? limits.maxRetryAfter() : 0,
-                        budgets.attemptBudgets.close(admission.call(), false),
-                        List.of()));
-        payload.release();
+        decisions.call(exchange, () -> arrives(exchange, arrival));
         return exchange;
     }
 
-    /** What has no budget is answered at once: nothing of it has run here. */
-    private Exchange turnAway(
-            AttemptBudgets.Admission admission, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
+    /** Answers at once what is not taken in. */
+    private Exchange refuse(Answer refusal, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
-        boolean loop = admission.refusal() == AttemptBudgets.Refusal.LOOP;
-        if (loop) {
-            budgets.looped(admission.path());
-        }
-        LoadBalancer.Limits limits = arrivedUnder.settings().limits();
-        answer(
-                exchange,
-                new Answer(
-                        loop ? Answer.Kind.LOOP : Answer.Kind.REFUSED,
-                        Payload.NONE,
-                        admission.refusal() == AttemptBudgets.Refusal.FULL && limits.retryAfter()
-                                ? limits.maxRetryAfter()
-                                : 0,
-                        admission.report(),
-                        loop ? admission.path() : List.of()));
+        answer(exchange, refusal);
         payload.release();
         return exchange;
     }
@@ -366,17 +287,6 @@
         }
     }
 
-    /** So many are at work that the module isn't consulted: nothing has run, so a refusal is harmless. */
-    private Exchange refuseBeyond(Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
-        Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
-        LoadBalancer.Limits limits = arrivedUnder.settings().limits();
-        answer(
-                exchange,
-                new Answer(Answer.Kind.REFUSED, Payload.NONE, limits.retryAfter() ? limits.maxRetryAfter() : 0));
-        payload.release();
-        return exchange;
-    }
-
     /** The module has left a request without its answer; it must not stay so. */
     private void overdue(Exchange exchange) {
         if (exchange.isOpen()) {
@@ -391,7 +301,7 @@
     public void clientGone(Exchange exchange) {
         if (exchange.isOpen()) {
             exchange.close();
-            tell(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
+            decisions.call(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
             cancelBegun(exchange);
             settle(exchange);
         }
@@ -418,7 +328,7 @@
 
     /** The first byte of an answer has come, after a latency in ms. */
     void answerBegins(Exchange exchange, int number, double elapsedMs) {
-        tell(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number, elapsedMs));
+        decisions.call(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number, elapsedMs));
         cancelBegun(exchange);
     }
 
@@ -460,7 +370,7 @@
         }
         double from = Math.max(sent.at, exchange.endedAt);
         double until = end.result() == Result.OK && begunAt >= from ? begunAt : clock.now();
-        tell(
+        decisions.call(
                 exchange,
                 () -> balancer.attemptFinished(
                         clock.now(),
@@ -499,36 +409,19 @@
             return;
         }
         double now = clock.now();
-        int number = exchange.sends++;
-        SentAttempt sent = new SentAttempt(this, exchange, number, upstream, now);
+        SentAttempt sent = new SentAttempt(this, exchange, exchange.sends++, upstream, now);
         exchange.running++;
-        if (!exchange.isOpen()
-                || now >= exchange.deadline
-                || number >= exchange.version.settings().limits().maxAttempts()
-                || !exchange.request.canBeSent()
-                || exchange.coming && exchange.running > 1
-                || extras != null && exchange.isSpent()) {
-            exchange.attempts.add(null);
+        if (!maySend(sent, now)) {
             exchange.grants.add(null);
-            finished(sent, Double.NaN, AttemptResult.without(Result.NOT_SENT));
+            notSent(sent);
             return;
         }
         AttemptBudgets.Grant grant = null;
         if (exchange.budget != null) {
-            grant = budgets.attemptBudgets.take(
-                    exchange.budget,
-                    now,
-                    exchange.version
-                                    .settings()
-                                    .classes()
-                                    .get(exchange.serviceClass)
-                                    .repeat()
-                            != LoadBalancer.Repeat.AT_MOST_ONCE,
-                    budgets.least.value(now));
+            grant = takeGrant(exchange, now);
             exchange.grants.add(grant);
             if (grant == null) {
-                exchange.attempts.add(null);
-                finished(sent, Double.NaN, AttemptResult.without(Result.NOT_SENT));
+                notSent(sent);
                 return;
             }
         }
@@ -545,6 +438,33 @@
         exchange.attempts.add(sendNow(sent, until, grant));
     }
 
+    /** Whether an attempt that the module asks for may go out at all. */
+    private boolean maySend(SentAttempt sent, double now) {
+        Exchange exchange = sent.exchange;
+        return exchange.isOpen()
+                && now < exchange.deadline
+                && sent.number < exchange.version.settings().limits().maxAttempts()
+                && exchange.request.canBeSent()
+                && (!exchange.coming || exchange.running == 1)
+                && (extras == null || !exchange.isSpent());
+    }
+
+    private void notSent(SentAttempt sent) {
+        sent.exchange.attempts.add(null);
+        finished(sent, Double.NaN, AttemptResult.without(Result.NOT_SENT));
+    }
+
+    /** What an attempt may take of the request's budget; null if that is used up. */
+    private AttemptBudgets.Grant takeGrant(Exchange exchange, double now) {
+        return budgets.attemptBudgets.take(exchange.budget, now, mayRepeat(exchange), budgets.least.value(now));
+    }
+
+    /** Whether the class of a request lets it run more than once. */
+    private static boolean mayRepeat(Exchange exchange) {
+        return exchange.version.settings().classes().get(exchange.serviceClass).repeat()
+                != LoadBalancer.Repeat.AT_MOST_ONCE;
+    }
+
     @Override
     public void refuse(long requestId, double retryAfter) {
         answer(requestId, new Answer(Answer.Kind.REFUSED, Payload.NONE, retryAfter));
@@ -585,14 +505,7 @@
 
     /** A refusal promises that another try is harmless; a failure may be tried again where its class may. */
     private Report closed(Exchange exchange, Answer.Kind kind) {
-        boolean again = kind == Answer.Kind.REFUSED
-                || kind != Answer.Kind.SERVED
-                        && exchange.version
-                                        .settings()
-                                        .classes()
-                                        .get(exchange.serviceClass)
-                                        .repeat()
-                                != LoadBalancer.Repeat.AT_MOST_ONCE;
+        boolean again = kind == Answer.Kind.REFUSED || kind != Answer.Kind.SERVED && mayRepeat(exchange);
         return budgets.attemptBudgets.close(exchange.budget, again);
     }
 
@@ -618,7 +531,7 @@
                 version,
                 upstream,
                 sentAt + version.settings().limits().connectTimeout() * 2,
-                end -> tell(
+                end -> decisions.call(
                         null,
                         () -> balancer.healthCheckResult(
                                 clock.now(), upstream, end.result(), clock.now() - sentAt, end.report())));
@@ -641,6 +554,7 @@
 
     @Override
     public void setTimer(long token, double at) {
+        Exchange subject = decisions.subject();
         if (subject != null && subject.coming) {
             subject.waits.add(new Exchange.Wait(token, at - clock.now()));
         } else {
@@ -650,7 +564,7 @@
 
     /** The number and not the request itself, which the timer would keep in memory until it is due. */
     private void setTimer(long about, long token, double at) {
-        timers.at(at, () -> tell(exchanges.get(about), () -> balancer.timer(clock.now(), token)));
+        timers.at(at, () -> decisions.call(exchanges.get(about), () -> balancer.timer(clock.now(), token)));
     }
 
     /** Balancers of this deployment have no way to talk to each other. */
