--- a/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -3,7 +3,6 @@
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -49,15 +48,12 @@
     private final Quotas quotas;
     private final RetryBudget retryBudget;
     private final Function<Update, Configuration> reader;
-    private final Map<String, Registration> roster = new HashMap<>();
+    private final RegistryView registry = new RegistryView();
     private final SplittableRandom random;
     private final List<String> called = new ArrayList<>();
     private Configuration configuration;
     private String upstream;
     private long edition;
-    private long term;
-    private long stamp;
-    private boolean complete;
     private boolean wantsConfirmation = true;
     private boolean closed;
     private double perSecond;
@@ -69,7 +65,7 @@
     private volatile double awaitedAt = Double.NaN;
 
     /**
-     * What a sidecar knows at some moment; its roster must not be changed.
+     * What a sidecar knows at some moment; its roster is a view.
      *
      * @param edition of the configuration in force; 0 for none
      * @param term of the leader that sent the roster
@@ -120,15 +116,11 @@
         this.upstream = upstream;
         this.reader = reader;
         random = new SplittableRandom(settings.node().hashCode());
-        List<String> contacts = new ArrayList<>();
-        for (String seed : settings.seeds()) {
-            contacts.add(seed.substring(0, seed.lastIndexOf(':') + 1) + settings.innerFirst());
-        }
         news = new WatchClient(
                 loop,
                 clock,
                 new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS, observer),
-                contacts,
+                settings.innerSeeds(),
                 new Hears());
         watchers = new PeerMonitor(loop, clock, settings, news::requestNow);
         quotas = new Quotas(settings.bounds(), (tenant, count) -> news.tokens(new Tokens(tenant, count)));
@@ -256,28 +248,21 @@
         }
     }
 
-    private void enter(double now, Update update) {
-        if (update.term() < term) {
+    private void enter(Update update) {
+        RegistryView.Outcome outcome = registry.apply(update);
+        if (outcome == RegistryView.Outcome.STALE) {
             return;
         }
-        boolean changed = !update.registrations().isEmpty();
-        if (update.full() && update.complete()) {
-            changed |= roster.size() != update.registrations().size();
-            roster.clear();
-        }
         watchers.onUpdate(update);
-        term = update.term();
-        stamp = update.stamp();
-        complete = update.complete();
-        update.registrations().forEach(registration -> roster.put(registration.node(), registration));
-        retryBudget.divide(roster.values(), complete ? 1 : ASSUMED_BALANCERS);
-        if (changed) {
-            watchers.registry(roster.values());
+        retryBudget.divide(registry.registrations(), registry.isComplete() ? 1 : ASSUMED_BALANCERS);
+        if (outcome == RegistryView.Outcome.CHANGED) {
+            watchers.registry(registry.registrations());
         }
     }
 
     private void look() {
-        if (awaited != null && awaited.test(new View(edition, term, complete, roster))) {
+        if (awaited != null
+                && awaited.test(new View(edition, registry.term(), registry.isComplete(), registry.byNode()))) {
             awaited = null;
             awaitedAt = TrafficLog.now();
         }
@@ -297,7 +282,14 @@
                     BERTHS,
                     0);
             return new WatchRequest(
-                    number, self, edition, term, stamp, wantsConfirmation, watchers.suspicions(), watchers.vouched());
+                    number,
+                    self,
+                    edition,
+                    registry.term(),
+                    registry.stamp(),
+                    wantsConfirmation,
+                    watchers.suspicions(),
+                    watchers.vouched());
         }
 
         @Override
@@ -308,7 +300,7 @@
                 adopt(now, update);
             }
             wantsConfirmation &= !update.confirmed();
-            enter(now, update);
+            enter(update);
             look();
         }
 
--- a/src/main/java/sablehinge/common/settings/LocalSettings.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettings.java
@@ -104,6 +104,16 @@
         contracts = List.copyOf(contracts);
     }
 
+    /** Where the seeds take records of other processes: a seed's first inner port is the same on all machines. */
+    public List<String> innerSeeds() {
+        return seeds.stream().map(this::innerSeed).toList();
+    }
+
+    /** Where one seed takes records of other processes. */
+    public String innerSeed(String seed) {
+        return seed.substring(0, seed.lastIndexOf(':') + 1) + innerFirst;
+    }
+
     /** Whether a part of the rules is in force. */
     public boolean inForce(String contract) {
         return contracts.contains(contract);
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -18,7 +18,6 @@
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.common.logging.Log;
 import sablehinge.common.rpc.Connection;
-import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
 import sablehinge.controlplane.raft.Entry;
@@ -55,11 +54,6 @@
     static final long PING_INTERVAL_MS = 300;
 
     static final long CONNECTION_TIMEOUT_MS = 1_200;
-    /** The log is cut to a snapshot after so many entries. */
-    private static final int MAX_LOG_ENTRIES = 48;
-    /** Or after so many bytes of entries, which bounds the file and what a start reads. */
-    private static final long MAX_LOG_BYTES = 4 << 20;
-
     private static final int MAX_CONFIGURATION_BYTES = 15 * 1024 * 1024;
     /** What the process ends with where it can't go on as who it was. */
     private static final int HALT_EXIT_STATUS = 3;
@@ -81,13 +75,12 @@
             new FailStopExecutor(() -> Runtime.getRuntime().halt(HALT_EXIT_STATUS));
     private final ChangeCoordinator changes;
     private final DataPlaneService dataPlane;
+    private final StateMachine stateMachine;
     private Member self;
     /** Null, as is {@code self}, until the disk has been read. */
     private PeerConnections peers;
 
     private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
-    private int sinceSnapshot;
-    private long bytesSinceSnapshot;
     /** Opened once nothing that is committed hangs on this process. */
     private final CountDownLatch released = new CountDownLatch(1);
 
@@ -109,9 +102,14 @@
                 RaftConfig.defaults(),
                 settings.tolerateMachines(),
                 new SecureRandom().nextLong());
-        gate = new QuorumGate(new RaftContact(), loop::execute);
+        gate = new QuorumGate(new RaftContact(raft, () -> raftStatus), loop::execute);
         changes = new ChangeCoordinator(raft, configurations, loop::execute);
         dataPlane = new DataPlaneService(loop, clock, settings.bounds(), gate, configurations);
+        stateMachine = new StateMachine(
+                changes,
+                failStopExecutor,
+                dataPlane::configuration,
+                (index, state) -> loop.execute(() -> raft.compact(index, state)));
     }
 
     private static ExecutorService thread(String name) {
@@ -151,7 +149,7 @@
             await(
                     controlNode.connection.listen(
                             new InetSocketAddress(settings.ip(), settings.innerFirst()),
-                            controlNode.new FrameHandler()),
+                            new FrameHandler(controlNode.dataPlane, controlNode::onMessage)),
                     at);
             await(
                     new ApiServer(loop, controlNode.operations(), MAX_CONFIGURATION_BYTES)
@@ -226,7 +224,7 @@
     /** Takes over what may change while it runs: where other machines of the core may be. */
     public void reload(LocalSettings next) {
         loop.execute(() -> {
-            List<String> contacts = CoreIdentity.raftAddresses(next);
+            List<String> contacts = next.innerSeeds();
             raft.contacts(contacts);
             Log.info(LOG, "settings").addKeyValue("seeds", contacts.size()).log("the settings were read again");
         });
@@ -237,7 +235,7 @@
         self = me;
         peers = new PeerConnections(connection, self, this::onMessage);
         List<Member> founders = identity.founders();
-        List<String> contacts = CoreIdentity.raftAddresses(settings);
+        List<String> contacts = settings.innerSeeds();
         raft.contacts(contacts);
         if (stored != null) {
             // Even who has nothing but a name, and asks to be let in, may have given its vote.
@@ -269,40 +267,6 @@
         raft.handleMessage(clock.now(), from, message);
     }
 
-    /** Handles records of peers and of the data plane. */
-    private final class FrameHandler implements Connection.Handler {
-
-        @Override
-        public void onFrame(Connection.Link link, Frame frame) {
-            try {
-                switch (frame.kind()) {
-                    case HELLO -> link.attach(PeerConnections.hello(frame));
-                    case RAFT -> {
-                        if (link.attachment() instanceof Member from) {
-                            ControlNode.this.onMessage(from, RaftMessageCodec.read(frame.body()));
-                        }
-                    }
-                    default -> {
-                        if (!dataPlane.handleFrame(link, frame)) {
-                            link.close();
-                        }
-                    }
-                }
-            } catch (IOException | IllegalArgumentException e) {
-                Log.warn(LOG, "record-malformed")
-                        .addKeyValue("kind", frame.kind())
-                        .addKeyValue("cause", e.getMessage())
-                        .log("a record can't be read");
-                link.close();
-            }
-        }
-
-        @Override
-        public void closed(Connection.Link link) {
-            dataPlane.closed(link);
-        }
-    }
-
     /** Executes the actions of the Raft node. */
     private final class NodeRaftActions implements RaftActions {
 
@@ -318,33 +282,12 @@
 
         @Override
         public void apply(Entry entry) {
-            sinceSnapshot++;
-            bytesSinceSnapshot += entry.data().length;
-            if (entry.kind() == Entry.Kind.COMMAND) {
-                failStopExecutor.failStop("entry", () -> command(entry));
-            }
-            if (sinceSnapshot >= MAX_LOG_ENTRIES || bytesSinceSnapshot >= MAX_LOG_BYTES) {
-                sinceSnapshot = 0;
-                bytesSinceSnapshot = 0;
-                byte[] state = configurations.state();
-                loop.execute(() -> raft.compact(entry.index(), state));
-            }
-        }
-
-        private void command(Entry entry) {
-            if (changes.applied(entry) == ConfigurationState.Outcome.TAKEN) {
-                failStopExecutor.runTolerant("configuration", dataPlane::configuration);
-                Log.info(LOG, "configuration")
-                        .addKeyValue("edition", configurations.edition())
-                        .addKeyValue("index", entry.index())
-                        .log("a configuration is in force");
-            }
+            stateMachine.apply(entry);
         }
 
         @Override
         public void restore(Snapshot snapshot) {
-            failStopExecutor.failStop("snapshot", () -> configurations.restore(snapshot.state()));
-            failStopExecutor.runTolerant("configuration", dataPlane::configuration);
+            stateMachine.restore(snapshot);
         }
 
         @Override
@@ -378,35 +321,6 @@
         }
     }
 
-    /** What the gate knows of the core. */
-    private final class RaftContact implements QuorumGate.Contact {
-
-        @Override
-        public RaftStatus raftStatus() {
-            return raftStatus;
-        }
-
-        @Override
-        public double sinceMajorityMs(double now) {
-            return raft.sinceMajorityMs(now);
-        }
-
-        @Override
-        public double sinceLeaderMs(double now) {
-            return raft.sinceLeaderMs(now);
-        }
-
-        @Override
-        public boolean hasLease(double now) {
-            return raft.hasLease(now);
-        }
-
-        @Override
-        public void barrier(double now, long token) {
-            raft.barrier(now, token);
-        }
-    }
-
     /** What the disk's thread calls. */
     private final class NodeDiskCallbacks implements DiskWriter.Callbacks {
 
--- a/src/main/java/sablehinge/controlplane/node/CoreIdentity.java
+++ b/src/main/java/sablehinge/controlplane/node/CoreIdentity.java
@@ -35,20 +35,8 @@
     List<Member> founders() {
         List<Member> founders = new ArrayList<>();
         for (String seed : settings.seeds()) {
-            founders.add(Member.founder(raftAddress(settings, seed), seed));
+            founders.add(Member.founder(settings.innerSeed(seed), seed));
         }
         return founders;
     }
-
-    /** Where the seeds take records of their peers. */
-    static List<String> raftAddresses(LocalSettings settings) {
-        return settings.seeds().stream()
-                .map(seed -> raftAddress(settings, seed))
-                .toList();
-    }
-
-    /** A seed names its control address; its first inner port is the same on all machines. */
-    private static String raftAddress(LocalSettings settings, String seed) {
-        return seed.substring(0, seed.lastIndexOf(':') + 1) + settings.innerFirst();
-    }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -5,11 +5,9 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sablehinge.common.eventloop.Clock;
@@ -60,13 +58,6 @@
     private static final long CONNECTION_TIMEOUT_MS = 1_200;
     static final long TICK_MS = 100;
     private static final int MAX_HEARTBEAT_BYTES = 64 * 1024;
-    /** After SIGTERM: how long clients may not have heard yet, and what is kept of the grace to end. */
-    private static final double READINESS_NOTICE_MS = 2_300;
-    /** Of that, the last part, in which the other balancers are notified to select this upstream no more. */
-    private static final double DRAIN_NOTICE_MS = 500;
-
-    private static final double SHUTDOWN_RESERVE_MS = 600;
-    private static final long DRAIN_CHECK_MS = 20;
     /** Balancers that are assumed for the retry budget until the registry is complete. */
     private static final int ASSUMED_BALANCERS = 16;
 
@@ -98,15 +89,12 @@
     private final PeerMonitor peerMonitor;
     private final List<String> zones;
     private final Map<String, Integer> kinds = BalancerSettings.kinds();
-    private final Map<String, Registration> registry = new LinkedHashMap<>();
-    /** When upstreams have warmed up, as first registered, by their incarnations. */
-    private final Map<String, Double> startedAt = new HashMap<>();
+    private final RegistryView registry = new RegistryView();
+    private final RosterBuilder rosters;
 
     private final Map<Integer, Version> versions = new HashMap<>();
     private Version version;
     private long edition;
-    private long registryTerm;
-    private long registryStamp;
     private boolean wantsConfirmation = true;
     private double confirmedAt = Double.NEGATIVE_INFINITY;
     private boolean leaving;
@@ -121,6 +109,7 @@
         this.loop = loop;
         zones = new ArrayList<>(settings.zones().keySet());
         zones.sort(null);
+        rosters = new RosterBuilder(zones, kinds);
         PooledByteBufAllocator memory =
                 new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
         sockets = new Sockets(settings.limits().fds() - 200);
@@ -175,7 +164,7 @@
                 loop,
                 clock,
                 new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS),
-                contacts(settings),
+                settings.innerSeeds(),
                 new WatchListener());
         peerMonitor = new PeerMonitor(loop, clock, settings, watchClient::requestNow);
     }
@@ -311,8 +300,8 @@
                     number,
                     self(),
                     edition,
-                    registryTerm,
-                    registryStamp,
+                    registry.term(),
+                    registry.stamp(),
                     wantsConfirmation,
                     peerMonitor.suspicions(),
                     peerMonitor.vouched());
@@ -371,116 +360,82 @@
     }
 
     private void applyRegistry(double now, Update update) {
-        if (update.term() < registryTerm) {
+        RegistryView.Outcome outcome = registry.apply(update);
+        if (outcome == RegistryView.Outcome.STALE) {
             return;
         }
-        boolean changed = !update.registrations().isEmpty();
-        if (update.full() && update.complete()) {
-            changed |= registry.size() != update.registrations().size();
-            registry.clear();
-        }
         peerMonitor.onUpdate(update);
-        registryTerm = update.term();
-        registryStamp = update.stamp();
-        for (Registration registration : update.registrations()) {
-            registry.put(registration.node(), registration);
-        }
-        retryBudget.divide(registry.values(), update.complete() ? 1 : ASSUMED_BALANCERS);
-        if (changed) {
+        retryBudget.divide(registry.registrations(), registry.isComplete() ? 1 : ASSUMED_BALANCERS);
+        if (outcome == RegistryView.Outcome.CHANGED) {
             outbound.onRosterChanged(Change.FULL, roster(now));
-            peerMonitor.registry(registry.values());
+            peerMonitor.registry(registry.registrations());
         }
     }
 
     private Roster roster(double now) {
-        List<Member> members = new ArrayList<>();
-        for (Registration registration : registry.values()) {
-            Integer kind = kinds.get(registration.service());
-            if (!registration.upstream().isEmpty()
-                    && kind != null
-                    && kind < version.settings().kinds()) {
-                double began = startedAt.computeIfAbsent(
-                        registration.upstream(),
-                        id -> registration.warmUpMs() > 0
-                                ? now + registration.warmUpMs() - BalancerSettings.WARM_UP_MS
-                                : 0);
-                members.add(new Member(
-                        new Upstream(
-                                MeshHeaders.incarnation(registration.upstream()),
-                                Math.max(0, zones.indexOf(registration.zone())),
-                                kind,
-                                0,
-                                registration.ready() ? State.READY : State.DRAINING,
-                                1,
-                                began),
-                        ListeningSockets.address(registration.inbound()),
-                        registration.upstream()));
-            }
-        }
-        // A set: a list would be walked for each of them, of whom there may be hundreds.
-        startedAt.keySet().retainAll(members.stream().map(Member::name).collect(Collectors.toSet()));
-        return new Roster(registryStamp, true, members);
+        return rosters.build(now, registry, version.settings().kinds());
     }
 
     /** Takes over what may change while it runs: where the core may be. */
     public void reload(LocalSettings next) {
         loop.execute(() -> {
-            watchClient.seeds(contacts(next));
+            watchClient.seeds(next.innerSeeds());
             Log.info(LOG, "settings").addKeyValue("seeds", next.seeds().size()).log("the settings were read again");
         });
     }
 
-    private static List<String> contacts(LocalSettings settings) {
-        List<String> contacts = new ArrayList<>();
-        for (String seed : settings.seeds()) {
-            contacts.add(seed.substring(0, seed.lastIndexOf(':') + 1) + settings.innerFirst());
-        }
-        return contacts;
-    }
-
     // ---- The end -------------------------------------------------------------------------------------
 
     /** Tells all to go elsewhere, serves what still comes, and returns when nothing is left. */
     public void drain() throws InterruptedException {
-        double begun = clock.now();
-        loop.submit(() -> {
-                    leaving = true;
-                    Log.info(LOG, "drain").log("leaves");
-                })
-                .sync();
-        // Its upstream is well: it serves the others until the door is about to shut, since while balancers
-        // are stopped in turn each of them is out for longer than the next one waits.
-        TimeUnit.MILLISECONDS.sleep((long) (READINESS_NOTICE_MS - DRAIN_NOTICE_MS));
-        loop.submit(() -> {
-                    shuts = true;
-                    watchClient.requestNow();
-                })
-                .sync();
-        TimeUnit.MILLISECONDS.sleep((long) DRAIN_NOTICE_MS);
-        // Whoever comes from here on finds no one, rather than someone who has no time left to answer: where
-        // few balancers of a zone are in, clients keep coming to one that says it is not ready.
-        loop.submit(() -> {
-                    outboundFrontend.handOver();
-                    inboundFrontend.handOver();
-                })
-                .sync();
-        double end = begun + settings.bounds().graceS() * 1_000 - SHUTDOWN_RESERVE_MS;
-        boolean done = false;
-        while (!done && clock.now() < end) {
-            done = loop.submit(() -> outboundFrontend.endDrain() & inboundFrontend.endDrain())
+        GracefulShutdown.run(clock, settings.bounds().graceS(), new ShutdownStages());
+    }
+
+    /** Each stage runs on the event loop. */
+    private final class ShutdownStages implements GracefulShutdown.Stages {
+
+        @Override
+        public void reportNotReady() throws InterruptedException {
+            runOnLoop(() -> {
+                leaving = true;
+                Log.info(LOG, "drain").log("leaves");
+            });
+        }
+
+        @Override
+        public void withdrawUpstream() throws InterruptedException {
+            runOnLoop(() -> {
+                shuts = true;
+                watchClient.requestNow();
+            });
+        }
+
+        @Override
+        public void stopAccepting() throws InterruptedException {
+            runOnLoop(() -> {
+                outboundFrontend.handOver();
+                inboundFrontend.handOver();
+            });
+        }
+
+        @Override
+        public boolean isDrained() throws InterruptedException {
+            return loop.submit(() -> outboundFrontend.endDrain() & inboundFrontend.endDrain())
                     .sync()
                     .getNow();
-            TimeUnit.MILLISECONDS.sleep(DRAIN_CHECK_MS);
         }
-        if (!done) {
-            loop.submit(() -> {
-                        outbound.giveUpAll();
-                        inbound.giveUpAll();
-                    })
-                    .sync();
-            TimeUnit.MILLISECONDS.sleep(DRAIN_CHECK_MS);
+
+        @Override
+        public void giveUpAll() throws InterruptedException {
+            runOnLoop(() -> {
+                outbound.giveUpAll();
+                inbound.giveUpAll();
+            });
+        }
+
+        private void runOnLoop(Runnable stage) throws InterruptedException {
+            loop.submit(stage).sync();
         }
-        Log.info(LOG, "ends").addKeyValue("done", done).log("ends");
     }
 
     /** Ends at once, as a process that is killed does; for tests. */
