--- a/src/main/java/sablehinge/gateway/config/operator/Section.java
+++ b/src/main/java/sablehinge/gateway/config/operator/Section.java
@@ -27,6 +27,8 @@
     private static final Map<String, Double> UNITS = Map.of("ms", 1.0, "s", 1e3, "m", 6e4, "h", 3.6e6);
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
     private static final int QUOTED = 40;
+    /** The longest time that most keys take, ms. */
+    static final double HOUR_MS = 3.6e6;
 
     private final TomlTable table;
     private final String path;
