--- a/bench/src/sablehinge/torture/ExchangePlay.java
+++ b/bench/src/sablehinge/torture/ExchangePlay.java
@@ -1,17 +1,12 @@
 package sablehinge.torture;
 
-import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.concurrent.Future;
-import java.util.concurrent.TimeUnit;
-import java.util.zip.CRC32C;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
 import sablehinge.dataplane.http1.Sockets;
@@ -66,7 +61,6 @@
 
     private static final int LONG_BODY = 1_100_000;
     private static final int HALF_BODY = 100_000;
-    private static final int ROOM = 1 << 22;
     private static final int TIME_LEFT = 1_500;
     private static final int TIMEOUT = 300;
     private static final double WAIT_MS = 1_700;
@@ -75,23 +69,14 @@
     private static final InetSocketAddress UPSTREAM = new InetSocketAddress(InetAddress.getLoopbackAddress(), 10_001);
 
     /** A try of a caller and all that is known of it. */
-    private static final class Sent {
-        private final String id;
-        private final int length;
-        private int ran;
+    private static final class Sent extends PlayedRequest {
         /** The status of the complete answer that the upstream made for it; 0 for none. */
         private int made;
 
-        private boolean promised;
         private boolean refused;
 
         Sent(String id, int length) {
-            this.id = id;
-            this.length = length;
-        }
-
-        String body() {
-            return "made for " + id;
+            super(id, length);
         }
     }
 
@@ -105,11 +90,7 @@
 
     ExchangePlay() {
         Clock clock = net::now;
-        Timers timers = (time, call) -> {
-            Future<?> due = net.loop.schedule(
-                    call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6), TimeUnit.NANOSECONDS);
-            return () -> due.cancel(false);
-        };
+        Timers timers = net.timers();
         net.listen(UPSTREAM, new Net.Listener() {
             @Override
             public double answersAfter() {
@@ -160,10 +141,10 @@
 
     private boolean befalls(Event event) {
         return switch (event) {
-            case CALL -> caller.open() && !caller.uploads() && caller.sends(id(), 4);
-            case UPLOAD_HALF -> caller.open() && caller.waiting.isEmpty() && caller.sends(id(), LONG_BODY);
-            case UPLOAD_REST -> caller.open() && caller.uploads() && caller.sendsRest();
-            case CALLER_RESETS -> caller.open() && caller.resets();
+            case CALL -> caller.isOpen() && !caller.uploads() && caller.sends(id(), 4);
+            case UPLOAD_HALF -> caller.isOpen() && caller.waiting.isEmpty() && caller.sends(id(), LONG_BODY);
+            case UPLOAD_REST -> caller.isOpen() && caller.uploads() && caller.sendsRest();
+            case CALLER_RESETS -> caller.isOpen() && caller.end(true);
             case NEIGHBOUR_CALLS -> clients.size() < 4 && new Client().sends(id(), 4);
             case ANSWER -> working(line -> line.serves(line.at, true, ""));
             case ANSWER_AND_MORE ->
@@ -174,20 +155,20 @@
             case SURPLUS -> live(line -> line.surplus());
             case HALF_ANSWER -> working(Line::half);
             case REST_OF_ANSWER -> live(line -> line.rest != null && line.restComes());
-            case RESET -> live(line -> line.ends(true));
-            case CLOSE -> live(line -> line.ends(false));
+            case RESET -> live(line -> line.end(true));
+            case CLOSE -> live(line -> line.end(false));
             // In the middle of a body its bytes would be the body.
-            case NOISE -> live(line -> line.rest == null && line.puts("\u0001what is this?\r\n\r\n"));
+            case NOISE -> live(line -> line.rest == null && line.write("\u0001what is this?\r\n\r\n"));
             case REFUSE -> working(line -> line.fails("503 Full\r\nSablehinge-Not-Run: 1", true));
             case UNNAMED_REFUSAL ->
                 working(line ->
-                        line.puts("HTTP/1.1 503 Full\r\nSablehinge-Not-Run: 1" + "\r\nContent-Length: 0\r\n\r\n"));
+                        line.write("HTTP/1.1 503 Full\r\nSablehinge-Not-Run: 1" + "\r\nContent-Length: 0\r\n\r\n"));
             case FAIL_AS_FULL -> working(line -> line.fails("503 Oh\r\nSablehinge-Postmark: f", false));
             case UNSTAMPED -> working(line -> line.serves(line.at, false, ""));
             case ANSWER_EARLY -> live(line -> line.at != null && !line.isComplete && line.early());
             case EARLY_HALF -> live(line -> line.at != null && !line.isComplete && line.earlyHalf());
             case FORGET -> {
-                boolean idle = !forgets && lines.stream().anyMatch(line -> line.open() && line.at == null);
+                boolean idle = !forgets && lines.stream().anyMatch(line -> line.isOpen() && line.at == null);
                 forgets |= idle;
                 yield idle;
             }
@@ -210,7 +191,7 @@
     /** The oldest connection with a complete request at work, and no part of an answer to it sent. */
     private boolean working(Move move) {
         for (Line line : lines) {
-            if (line.open() && line.at != null && line.isComplete && line.rest == null) {
+            if (line.isOpen() && line.at != null && line.isComplete && line.rest == null) {
                 return move.on(line);
             }
         }
@@ -220,53 +201,24 @@
     /** The oldest connection that is open. */
     private boolean live(Move move) {
         for (Line line : lines) {
-            if (line.open()) {
+            if (line.isOpen()) {
                 return move.on(line);
             }
         }
         return false;
     }
 
-    private static boolean write(Net net, PipeChannel channel, byte[] bytes) {
-        int at = 0;
-        while (at < bytes.length) {
-            int count;
-            try {
-                count = channel.in.write(bytes, at, bytes.length - at);
-            } catch (IOException e) {
-                return true;
-            }
-            at += count;
-            channel.came();
-            net.settle();
-            if (count == 0) {
-                return true;
-            }
-        }
-        return true;
-    }
-
     // ---- Before the gate ---------------------------------------------------------------------------
 
     /** A connection to the front and what is sent on it. */
-    private final class Client implements Net.End, HttpReader.Heard {
-        private final PipeChannel channel;
-        private final HttpReader reader = new HttpReader(true, this);
-        private final ArrayDeque<Sent> waiting = new ArrayDeque<>();
-        private Sent half;
-        private boolean gone;
+    private final class Client extends PlayedCaller<Sent> {
 
         Client() {
-            channel = net.caller(ROOM, ROOM, new Dice(1, "client", clients.size()));
-            channel.playedBy(this);
+            super(net, clients.size());
             clients.add(this);
             net.settle();
         }
 
-        boolean open() {
-            return !gone && !channel.out.isEnded() && !channel.out.isBroken();
-        }
-
         boolean uploads() {
             return half != null;
         }
@@ -282,74 +234,19 @@
                     .getBytes(StandardCharsets.US_ASCII);
             boolean complete = length <= HALF_BODY;
             half = complete ? null : sent;
-            write(net, channel, head);
-            return write(net, channel, new byte[complete ? length : HALF_BODY]);
+            write(head);
+            return write(new byte[complete ? length : HALF_BODY]);
         }
 
         boolean sendsRest() {
             Sent sent = half;
             half = null;
-            return write(net, channel, new byte[sent.length - HALF_BODY]);
-        }
-
-        boolean resets() {
-            gone = true;
-            channel.in.breakOff(true);
-            channel.out.breakOff(true);
-            channel.came();
-            channel.taken();
-            return true;
-        }
-
-        @Override
-        public void came() {
-            if (gone) {
-                return;
-            }
-            byte[] bytes = channel.out.read(ROOM);
-            if (bytes.length > 0) {
-                channel.taken();
-                reader.read(bytes);
-                if (reader.flaw != null) {
-                    net.violated("a caller can't read its answer: " + reader.flaw);
-                }
-            }
-        }
-
-        @Override
-        public void taken() {
-            // It sends by events alone.
-        }
-
-        @Override
-        public void left() {
-            came();
-        }
-
-        @Override
-        public void head(HttpReader message) {
-            // It is judged once it is complete.
+            return write(new byte[sent.length - HALF_BODY]);
         }
 
         @Override
-        public boolean complete(HttpReader message) {
-            if (message.status() < 200) {
-                return true;
-            }
-            Sent sent = waiting.poll();
-            if (sent == null) {
-                net.violated("an answer where no request waits: " + message.start);
-                return false;
-            }
-            judge(sent, message);
-            return !"close".equals(message.headers.get("connection"));
-        }
-
-        /** Whoever waits has an answer in the end, or the end of its connection. */
-        void check() {
-            if (open() && half == null && !waiting.isEmpty()) {
-                net.violated(waiting.peek().id + " has no answer and an open connection");
-            }
+        void judge(Sent sent, HttpReader answer) {
+            ExchangePlay.this.judge(sent, answer);
         }
     }
 
@@ -362,16 +259,13 @@
             net.violated("MIXED: " + sent.id + " gets the answer to " + named);
         }
         if (status == 200) {
-            CRC32C sum = new CRC32C();
-            sum.update(sent.body().getBytes(StandardCharsets.US_ASCII));
-            if (sent.made != status || !("s." + sent.id).equals(stamp) || sum.getValue() != answer.sum.getValue()) {
+            if (sent.made != status || !sent.isAnsweredBy(answer)) {
                 net.violated("MIXED: " + sent.id + " is served with what was not made for it whole");
             }
         } else if (stamp != null && sent.made != status) {
             net.violated("MIXED: " + sent.id + " has the stamp of " + sent.made + " with " + status);
         }
-        boolean promises = status == 503 || status == 429 || status == 408 || status == 421;
-        if (promises || "not-run".equals(verdict)) {
+        if (PlayedRequest.isPromise(status) || "not-run".equals(verdict)) {
             sent.promised = true;
             if (sent.ran > 0 && !sent.refused) {
                 net.violated("REFUSED: " + sent.id + " has run and gets " + status + ", " + verdict);
@@ -385,53 +279,33 @@
     // ---- The upstream ------------------------------------------------------------------------------
 
     /** A connection of the upstream. */
-    private final class Line implements Net.End, HttpReader.Heard {
-        private final PipeChannel channel;
-        private final HttpReader reader = new HttpReader(false, this);
+    private final class Line extends PlayedConnection {
         private Sent at;
         private boolean isComplete;
         private boolean beganEarly;
         private Sent before;
         private String rest;
-        private boolean over;
 
         Line(PipeChannel channel) {
-            this.channel = channel;
+            super(net, channel, false);
             channel.playedBy(this);
         }
 
-        boolean open() {
-            return !over && !channel.out.isEnded() && !channel.out.isBroken();
-        }
-
         @Override
-        public void came() {
-            byte[] bytes = over ? new byte[0] : channel.out.read(ROOM);
-            if (bytes.length == 0) {
-                return;
-            }
-            channel.taken();
+        boolean accepts(byte[] bytes) {
             if (at != null && !isComplete && !isBody(bytes)) {
                 net.violated("UNASKED: a request inside the body of " + at.id);
             }
             if (forgets && at == null) {
-                ends(true);
-                return;
-            }
-            reader.read(bytes);
-            if (reader.flaw != null) {
-                net.violated("UNASKED: an upstream can't read its request: " + reader.flaw);
+                end(true);
+                return false;
             }
+            return true;
         }
 
         @Override
-        public void taken() {
-            // It answers by events alone.
-        }
-
-        @Override
-        public void left() {
-            came();
+        void onFlaw(String flaw) {
+            net.violated("UNASKED: an upstream can't read its request: " + flaw);
         }
 
         @Override
@@ -457,16 +331,6 @@
             return true;
         }
 
-        /** All bodies are of zeros. */
-        private boolean isBody(byte[] bytes) {
-            for (byte one : bytes) {
-                if (one != 0) {
-                    return false;
-                }
-            }
-            return true;
-        }
-
         private void runs() {
             if (++at.ran > 1) {
                 net.violated("TWICE: " + at.id);
@@ -482,10 +346,6 @@
                     + to.body().length() + "\r\n\r\n" + to.body();
         }
 
-        boolean puts(String text) {
-            return write(net, channel, text.getBytes(StandardCharsets.ISO_8859_1));
-        }
-
         private void answered(int status) {
             at.made = status;
             before = at;
@@ -495,23 +355,23 @@
 
         boolean serves(Sent to, boolean stamped, String more) {
             answered(stamped ? 200 : 0);
-            return puts(answer(to, stamped) + more);
+            return write(answer(to, stamped) + more);
         }
 
         boolean half() {
             String text = answer(at, true);
             rest = text.substring(text.length() - 4);
-            return puts(text.substring(0, text.length() - 4));
+            return write(text.substring(0, text.length() - 4));
         }
 
         boolean restComes() {
             String text = rest;
             answered(200);
-            return puts(text);
+            return write(text);
         }
 
         boolean surplus() {
-            return before != null && before != at && rest == null && puts(answer(before, true));
+            return before != null && before != at && rest == null && write(answer(before, true));
         }
 
         boolean fails(String status, boolean notRun) {
@@ -521,7 +381,7 @@
                 to.ran--;
             }
             answered(503);
-            return puts("HTTP/1.1 " + status + "\r\nSablehinge-Try-Id: " + to.id + "\r\nContent-Length: 0\r\n\r\n");
+            return write("HTTP/1.1 " + status + "\r\nSablehinge-Try-Id: " + to.id + "\r\nContent-Length: 0\r\n\r\n");
         }
 
         boolean early() {
@@ -533,7 +393,7 @@
             Sent to = at;
             before = to;
             // What it says is that it has begun without the rest.
-            return puts(answer(to, true));
+            return write(answer(to, true));
         }
 
         boolean earlyHalf() {
@@ -542,20 +402,7 @@
             }
             beganEarly = true;
             runs();
-            return puts("HTTP/1.1 200 OK\r\nSablehinge-Try-Id: " + at.id + "\r\n");
-        }
-
-        boolean ends(boolean resets) {
-            over = true;
-            if (resets) {
-                channel.in.breakOff(true);
-            } else {
-                channel.in.end();
-            }
-            channel.out.breakOff(true);
-            channel.came();
-            channel.taken();
-            return true;
+            return write("HTTP/1.1 200 OK\r\nSablehinge-Try-Id: " + at.id + "\r\n");
         }
     }
 }
--- a/bench/src/sablehinge/torture/Net.java
+++ b/bench/src/sablehinge/torture/Net.java
@@ -6,6 +6,7 @@
 import io.netty.channel.ManualIoEventLoop;
 import io.netty.channel.ServerChannel;
 import io.netty.channel.local.LocalIoHandler;
+import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.MockTicker;
 import io.netty.util.concurrent.Ticker;
 import java.net.ConnectException;
@@ -16,6 +17,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import sablehinge.common.eventloop.Timers;
 import sablehinge.dataplane.http1.SocketKind;
 
 /** A network in virtual time on one event loop, which the rig turns by hand. */
@@ -47,6 +49,8 @@
     /** Turns of the loop at one moment, after which something feeds itself. */
     private static final int MAX_TURNS = 20_000;
 
+    private static final double NANOS_PER_MS = 1e6;
+
     final MockTicker ticker = Ticker.newMockTicker();
     final ManualIoEventLoop loop =
             new ManualIoEventLoop(null, Thread.currentThread(), LocalIoHandler.newFactory(), ticker);
@@ -76,6 +80,15 @@
         return ticker.nanoTime() / 1e6;
     }
 
+    /** Timers in its time. */
+    Timers timers() {
+        return (time, call) -> {
+            long delayNanos = (long) Math.ceil(Math.max(0, time - now()) * NANOS_PER_MS);
+            Future<?> due = loop.schedule(call, delayNanos, TimeUnit.NANOSECONDS);
+            return () -> due.cancel(false);
+        };
+    }
+
     /** Runs what is due until nothing is. */
     void settle() {
         int turns = 0;
--- a/bench/src/sablehinge/torture/OutboundPlay.java
+++ b/bench/src/sablehinge/torture/OutboundPlay.java
@@ -1,19 +1,14 @@
 package sablehinge.torture;
 
-import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.concurrent.Future;
-import java.util.concurrent.TimeUnit;
-import java.util.zip.CRC32C;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
 import sablehinge.dataplane.http1.Sockets;
@@ -77,7 +72,6 @@
     private static final int LONG_BODY = 1_100_000;
     private static final int HALF_BODY = 100_000;
     private static final int SHORT_BODY = 4;
-    private static final int ROOM = 1 << 22;
     private static final int TIME_LEFT = 2_000;
     private static final double WAIT_MS = 1_700;
     private static final double REST_MS = 12_000;
@@ -89,30 +83,20 @@
     private static final int FIRST_PORT = 10_001;
 
     /** A try of a caller and all that is known of it. */
-    private static final class Sent {
-        private final String id;
-        private final int length;
+    private static final class Sent extends PlayedRequest {
         private final boolean safe;
         private double completeAt;
-        private int ran;
         /** At how many balancers it arrived that did not prove that it never ran. */
         private int reached;
         /** The statuses of the complete answers that upstreams made for it. */
         private final Set<Integer> made = new TreeSet<>();
 
-        private boolean promised;
-
         Sent(String id, int length, boolean safe, double now) {
-            this.id = id;
-            this.length = length;
+            super(id, length);
             this.safe = safe;
             // Its time begins with its end.
             completeAt = length <= HALF_BODY ? now : Double.POSITIVE_INFINITY;
         }
-
-        String body() {
-            return "made for " + id;
-        }
     }
 
     private final Net net = new Net(1, new Memory());
@@ -125,11 +109,7 @@
 
     OutboundPlay() {
         Clock clock = net::now;
-        Timers timers = (time, call) -> {
-            Future<?> due = net.loop.schedule(
-                    call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6), TimeUnit.NANOSECONDS);
-            return () -> due.cancel(false);
-        };
+        Timers timers = net.timers();
         List<InetSocketAddress> balancers = new ArrayList<>();
         for (int i = 0; i < BALANCERS; i++) {
             int balancer = i;
@@ -199,8 +179,8 @@
             case CALL_LAST -> caller.mayCall() && caller.sends(id(), SHORT_BODY, false, true);
             case UPLOAD_HALF ->
                 caller.mayCall() && caller.waiting.isEmpty() && caller.sends(id(), LONG_BODY, false, false);
-            case UPLOAD_REST -> caller.open() && caller.half != null && caller.sendsRest();
-            case CALLER_RESETS -> caller.open() && caller.resets();
+            case UPLOAD_REST -> caller.isOpen() && caller.half != null && caller.sendsRest();
+            case CALLER_RESETS -> caller.isOpen() && caller.end(true);
             case CALLS_AGAIN -> clients.size() < 3 && new Client().sends(id(), SHORT_BODY, false, false);
             case RUN -> working(line -> !line.runs && line.runs());
             case ANSWER -> working(line -> line.serves(""));
@@ -211,16 +191,16 @@
                         "HTTP/1.1 503 No\r\nSablehinge-Verdict: " + "not-run\r\nContent-Length: 0\r\n\r\n"));
             case SURPLUS -> live(Line::surplus);
             case NOT_RUN -> working(line -> !line.runs && line.refuses());
-            case NOT_RUN_AND_RESET -> working(line -> !line.runs && line.refuses() && line.ends(true));
+            case NOT_RUN_AND_RESET -> working(line -> !line.runs && line.refuses() && line.end(true));
             case UNNAMED_NOT_RUN ->
                 working(line ->
-                        line.puts("HTTP/1.1 503 No\r\nSablehinge-Verdict: " + "not-run\r\nContent-Length: 0\r\n\r\n"));
+                        line.write("HTTP/1.1 503 No\r\nSablehinge-Verdict: " + "not-run\r\nContent-Length: 0\r\n\r\n"));
             case FAIL -> working(line -> line.fails(500, "ran"));
             case FAIL_AS_FULL -> working(line -> line.fails(503, "ran"));
             case DOUBT -> working(line -> line.fails(502, "may-have-run"));
-            case NOISE -> live(line -> line.rest == null && line.puts("\u0001what is this?\r\n\r\n"));
-            case RESET -> live(line -> line.ends(true));
-            case CLOSE -> live(line -> line.ends(false));
+            case NOISE -> live(line -> line.rest == null && line.write("\u0001what is this?\r\n\r\n"));
+            case RESET -> live(line -> line.end(true));
+            case CLOSE -> live(line -> line.end(false));
             case KILL -> live(this::kills);
             case FREEZE ->
                 live(line -> {
@@ -278,7 +258,7 @@
     /** The oldest connection with a complete request and no part of an answer to it, of who goes on. */
     private boolean working(Move move) {
         for (Line line : lines) {
-            if (line.open() && !frozen[line.balancer] && line.at != null && line.isComplete && line.rest == null) {
+            if (line.isOpen() && !frozen[line.balancer] && line.at != null && line.isComplete && line.rest == null) {
                 return move.on(line);
             }
         }
@@ -288,56 +268,28 @@
     /** The oldest connection that is open, of who goes on. */
     private boolean live(Move move) {
         for (Line line : lines) {
-            if (line.open() && !frozen[line.balancer]) {
+            if (line.isOpen() && !frozen[line.balancer]) {
                 return move.on(line);
             }
         }
         return false;
     }
 
-    private boolean write(PipeChannel channel, byte[] bytes) {
-        int at = 0;
-        while (at < bytes.length) {
-            int count;
-            try {
-                count = channel.in.write(bytes, at, bytes.length - at);
-            } catch (IOException e) {
-                return true;
-            }
-            at += count;
-            channel.came();
-            net.settle();
-            if (count == 0) {
-                return true;
-            }
-        }
-        return true;
-    }
-
     // ---- Callers -----------------------------------------------------------------------------------
 
     /** A connection to the front and what is sent on it. */
-    private final class Client implements Net.End, HttpReader.Heard {
-        private final PipeChannel channel;
-        private final HttpReader reader = new HttpReader(true, this);
-        private final ArrayDeque<Sent> waiting = new ArrayDeque<>();
-        private Sent half;
+    private final class Client extends PlayedCaller<Sent> {
+
         private boolean last;
-        private boolean gone;
 
         Client() {
-            channel = net.caller(ROOM, ROOM, new Dice(1, "client", clients.size()));
-            channel.playedBy(this);
+            super(net, clients.size());
             clients.add(this);
             net.settle();
         }
 
-        boolean open() {
-            return !gone && !channel.out.isEnded() && !channel.out.isBroken();
-        }
-
         boolean mayCall() {
-            return open() && half == null && waiting.size() < 3;
+            return isOpen() && half == null && waiting.size() < 3;
         }
 
         boolean sends(String id, int length, boolean safe, boolean asksLast) {
@@ -354,80 +306,26 @@
             byte[] start = head.getBytes(StandardCharsets.US_ASCII);
             byte[] bytes = new byte[start.length + (complete ? length : HALF_BODY)];
             System.arraycopy(start, 0, bytes, 0, start.length);
-            return write(channel, bytes);
+            return write(bytes);
         }
 
         boolean sendsRest() {
             Sent sent = half;
             half = null;
             sent.completeAt = net.now();
-            return write(channel, new byte[sent.length - HALF_BODY]);
-        }
-
-        boolean resets() {
-            gone = true;
-            channel.in.breakOff(true);
-            channel.out.breakOff(true);
-            channel.came();
-            channel.taken();
-            return true;
-        }
-
-        @Override
-        public void came() {
-            if (gone) {
-                return;
-            }
-            byte[] bytes = channel.out.read(ROOM);
-            if (bytes.length > 0) {
-                channel.taken();
-                reader.read(bytes);
-                if (reader.flaw != null) {
-                    net.violated("MIXED: a caller can't read its answer: " + reader.flaw);
-                }
-            }
-        }
-
-        @Override
-        public void taken() {
-            // It sends by events alone.
-        }
-
-        @Override
-        public void left() {
-            came();
+            return write(new byte[sent.length - HALF_BODY]);
         }
 
         @Override
-        public void head(HttpReader message) {
-            // It is judged once it is complete.
+        void judge(Sent sent, HttpReader answer) {
+            OutboundPlay.this.judge(sent, answer);
         }
 
+        /** What was sent behind it counts as not read, and is sent again. */
         @Override
-        public boolean complete(HttpReader message) {
-            if (message.status() < 200) {
-                return true;
-            }
-            Sent sent = waiting.poll();
-            if (sent == null) {
-                net.violated("MIXED: an answer where no request waits: " + message.start);
-                return false;
-            }
-            judge(sent, message);
-            if (!"close".equals(message.headers.get("connection"))) {
-                return true;
-            }
-            // What was sent behind it counts as not read, and is sent again.
+        void onLastAnswer() {
             waiting.forEach(behind -> promised(behind, "closed before it"));
             waiting.clear();
-            return false;
-        }
-
-        /** Whoever waits has an answer in the end, or the end of its connection. */
-        void check() {
-            if (open() && half == null && !waiting.isEmpty()) {
-                net.violated(waiting.peek().id + " has no answer and an open connection");
-            }
         }
     }
 
@@ -449,17 +347,13 @@
             net.violated("MIXED: " + sent.id + " is told a verdict");
         }
         if (status == 200) {
-            CRC32C sum = new CRC32C();
-            sum.update(sent.body().getBytes(StandardCharsets.US_ASCII));
-            if (!sent.made.contains(status)
-                    || !("s." + sent.id).equals(stamp)
-                    || sum.getValue() != answer.sum.getValue()) {
+            if (!sent.made.contains(status) || !sent.isAnsweredBy(answer)) {
                 net.violated("MIXED: " + sent.id + " is served with what was not made for it whole");
             }
         } else if (stamp != null && !sent.made.contains(status)) {
             net.violated("MIXED: " + sent.id + " has the stamp of another answer with " + status);
         }
-        if (status == 503 || status == 429 || status == 408 || status == 421) {
+        if (PlayedRequest.isPromise(status)) {
             promised(sent, Integer.toString(status));
         }
         if (net.now() - sent.completeAt > LATEST_MS) {
@@ -470,61 +364,46 @@
     // ---- Inbound balancers ---------------------------------------------------------------------------
 
     /** A connection of an inbound balancer. */
-    private final class Line implements Net.End, HttpReader.Heard {
-        private final PipeChannel channel;
+    private final class Line extends PlayedConnection {
         private final int balancer;
-        private final HttpReader reader = new HttpReader(false, this);
         private Sent at;
         private boolean isComplete;
         private boolean runs;
         private Sent before;
         private String rest;
-        private boolean over;
 
         Line(PipeChannel channel, int balancer) {
-            this.channel = channel;
+            super(net, channel, false);
             this.balancer = balancer;
             channel.playedBy(this);
         }
 
-        boolean open() {
-            return !over && !channel.out.isEnded() && !channel.out.isBroken();
+        @Override
+        boolean isFrozen() {
+            return frozen[balancer];
         }
 
         @Override
-        public void came() {
-            byte[] bytes = over || frozen[balancer] ? new byte[0] : channel.out.read(ROOM);
-            if (bytes.length == 0) {
-                return;
-            }
-            channel.taken();
+        boolean accepts(byte[] bytes) {
             if (at != null && !isComplete && !isBody(bytes)) {
                 net.violated("UNASKED: a request inside the body of " + at.id);
             }
-            reader.read(bytes);
-            if (reader.flaw != null) {
-                net.violated("UNASKED: a balancer can't read its request: " + reader.flaw);
-            }
+            return true;
+        }
+
+        @Override
+        void onFlaw(String flaw) {
+            net.violated("UNASKED: a balancer can't read its request: " + flaw);
         }
 
         /** It stood still: what is complete in its buffers goes on to the upstream, given up or not. */
         void goesOn() {
             came();
-            if (!over && at != null && isComplete && !runs) {
+            if (!hasEnded() && at != null && isComplete && !runs) {
                 runs();
             }
         }
 
-        @Override
-        public void taken() {
-            // It answers by events alone.
-        }
-
-        @Override
-        public void left() {
-            came();
-        }
-
         @Override
         public void head(HttpReader message) {
             if (at != null) {
@@ -552,15 +431,6 @@
             return true;
         }
 
-        private boolean isBody(byte[] bytes) {
-            for (byte one : bytes) {
-                if (one != 0) {
-                    return false;
-                }
-            }
-            return true;
-        }
-
         boolean runs() {
             runs = true;
             if (++at.ran > 1 && !at.safe) {
@@ -574,11 +444,13 @@
 
         /** The outbound balancer has closed the connection, and the request here runs for all that. */
         boolean runsLate() {
-            return !over && channel.out.isEnded() && !frozen[balancer] && at != null && isComplete && !runs && runs();
-        }
-
-        boolean puts(String text) {
-            return write(channel, text.getBytes(StandardCharsets.ISO_8859_1));
+            return !hasEnded()
+                    && channel.out.isEnded()
+                    && !frozen[balancer]
+                    && at != null
+                    && isComplete
+                    && !runs
+                    && runs();
         }
 
         private String answer(Sent to) {
@@ -603,31 +475,31 @@
             begins();
             Sent to = at;
             answered(200);
-            return puts(answer(to) + more);
+            return write(answer(to) + more);
         }
 
         boolean half() {
             begins();
             String text = answer(at);
             rest = text.substring(text.length() - 4);
-            return puts(text.substring(0, text.length() - 4));
+            return write(text.substring(0, text.length() - 4));
         }
 
         boolean restComes() {
             String text = rest;
             answered(200);
-            return puts(text);
+            return write(text);
         }
 
         boolean surplus() {
-            return before != null && before != at && rest == null && puts(answer(before));
+            return before != null && before != at && rest == null && write(answer(before));
         }
 
         boolean refuses() {
             Sent to = at;
             to.reached--;
             answered(0);
-            return puts("HTTP/1.1 503 No\r\nSablehinge-Try-Id: " + to.id
+            return write("HTTP/1.1 503 No\r\nSablehinge-Try-Id: " + to.id
                     + "\r\nSablehinge-Verdict: not-run\r\nContent-Length: 0\r\n\r\n");
         }
 
@@ -635,27 +507,14 @@
             begins();
             Sent to = at;
             answered(status);
-            return puts("HTTP/1.1 " + status + " No\r\nSablehinge-Try-Id: " + to.id
+            return write("HTTP/1.1 " + status + " No\r\nSablehinge-Try-Id: " + to.id
                     + ("ran".equals(verdict) ? "\r\nSablehinge-Postmark: f." + to.id : "")
                     + "\r\nSablehinge-Verdict: " + verdict + "\r\nContent-Length: 0\r\n\r\n");
         }
 
-        boolean ends(boolean resets) {
-            over = true;
-            if (resets) {
-                channel.in.breakOff(true);
-            } else {
-                channel.in.end();
-            }
-            channel.out.breakOff(true);
-            channel.came();
-            channel.taken();
-            return true;
-        }
-
         void dies() {
-            if (!over) {
-                ends(true);
+            if (!hasEnded()) {
+                end(true);
             }
         }
     }
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -8,7 +8,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.eventloop.Timers;
@@ -167,11 +166,7 @@
         largest = dice.chance(60) ? 32 << 20 : dice.chance(4) ? 1 << 21 : 300_000;
         begunAt = net.now();
         Clock clock = net::now;
-        Timers timers = (time, call) -> {
-            Future<?> future = net.loop.schedule(
-                    call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6), TimeUnit.NANOSECONDS);
-            return () -> future.cancel(false);
-        };
+        Timers timers = net.timers();
         // A third of the plays have few descriptors.
         int few = 64 + 5 + dice.nextInt(12);
         sockets = new Sockets(dice.chance(3) && script.has(Event.FEW_DESCRIPTORS) ? few : 1_024, net);
--- a/src/test/java/sablehinge/controlplane/node/StateMachineTest.java
+++ b/src/test/java/sablehinge/controlplane/node/StateMachineTest.java
@@ -24,7 +24,7 @@
             (index, state) -> events.add("snapshot at " + index));
 
     @Test
-    void whenAConfigurationIsCommitted_thenItIsInForceAndTold() {
+    void whenAConfigurationIsCommittedThenItIsInForceAndTold() {
         machine.apply(command(1, 0, 5));
 
         assertEquals(5, configurations.edition());
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whenAConfigurationIsBasedOnAnOlderOne_thenNothingChanges() {
+    void whenAConfigurationIsBasedOnAnOlderOneThenNothingChanges() {
         machine.apply(command(1, 0, 5));
         events.clear();
 
@@ -43,14 +43,14 @@
     }
 
     @Test
-    void whenAnEntryCannotBeApplied_thenTheProcessEnds() {
+    void whenAnEntryCannotBeAppliedThenTheProcessEnds() {
         machine.apply(new Entry(1, 1, Entry.Kind.COMMAND, new byte[] {99}));
 
         assertEquals(List.of("halt"), events);
     }
 
     @Test
-    void whenEnoughEntriesHaveCome_thenASnapshotIsAskedForAtTheLastOfThem() {
+    void whenEnoughEntriesHaveComeThenASnapshotIsAskedForAtTheLastOfThem() {
         for (int index = 1; index <= 2 * MAX_LOG_ENTRIES; index++) {
             machine.apply(new Entry(index, 1, Entry.Kind.NOOP, new byte[0]));
         }
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void whenEntriesHaveEnoughBytes_thenASnapshotIsAskedForSooner() {
+    void whenEntriesHaveEnoughBytesThenASnapshotIsAskedForSooner() {
         machine.apply(new Entry(1, 1, Entry.Kind.MEMBERS, new byte[MAX_LOG_BYTES - 1]));
         machine.apply(new Entry(2, 1, Entry.Kind.MEMBERS, new byte[1]));
 
--- a/src/test/java/sablehinge/dataplane/proxy/DecisionQueueTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/DecisionQueueTest.java
@@ -15,7 +15,7 @@
             new DecisionQueue(about -> done.add("after"), (about, cause) -> done.add("failed " + cause.getMessage()));
 
     @Test
-    void whenACallCausesAnother_thenThatWaitsForItsEnd() {
+    void whenACallCausesAnotherThenThatWaitsForItsEnd() {
         queue.call(null, () -> {
             queue.call(null, () -> done.add("second"));
             done.add("first");
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whenACallFails_thenTheNextIsMadeForAllThat() {
+    void whenACallFailsThenTheNextIsMadeForAllThat() {
         queue.call(null, () -> {
             queue.call(null, () -> done.add("second"));
             throw new IllegalStateException("first");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void whenACallHasEnded_thenItIsAboutNoRequestAnyMore() {
+    void whenACallHasEndedThenItIsAboutNoRequestAnyMore() {
         Exchange about = new Exchange(
                 1, null, new Arrival(0, 0, 0, 1_000, 0, false, false), Payload.NONE, 0, answer -> done.add("answered"));
         List<Exchange> subjects = new ArrayList<>();
--- a/src/test/java/sablehinge/dataplane/sidecar/RegistryViewTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RegistryViewTest.java
@@ -17,7 +17,7 @@
     private final RegistryView registry = new RegistryView();
 
     @Test
-    void whenAnUpdateIsOfAnEarlierTerm_thenNothingOfItIsTaken() {
+    void whenAnUpdateIsOfAnEarlierTermThenNothingOfItIsTaken() {
         registry.apply(update(2, 7, true, true, "a"));
 
         assertEquals(Outcome.STALE, registry.apply(update(1, 9, true, true, "b")));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void whenALeaderHasHeardOfAll_thenWhoIsNotInItsListIsGone() {
+    void whenALeaderHasHeardOfAllThenWhoIsNotInItsListIsGone() {
         registry.apply(update(1, 1, true, true, "a", "b"));
 
         assertEquals(Outcome.CHANGED, registry.apply(update(1, 2, true, true, "b")));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void whenALeaderHasNotHeardOfAll_thenNobodyIsGone() {
+    void whenALeaderHasNotHeardOfAllThenNobodyIsGone() {
         registry.apply(update(1, 1, true, true, "a", "b"));
 
         registry.apply(update(2, 1, true, false, "b"));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void whenNothingHasChanged_thenItSaysSo() {
+    void whenNothingHasChangedThenItSaysSo() {
         registry.apply(update(1, 1, true, true, "a"));
 
         assertEquals(Outcome.UNCHANGED, registry.apply(update(1, 1, false, true)));
--- a/src/test/java/sablehinge/torture/HeldRequestsTest.java
+++ b/src/test/java/sablehinge/torture/HeldRequestsTest.java
@@ -8,8 +8,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.Future;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import sablehinge.common.eventloop.Clock;
@@ -80,11 +78,7 @@
 
     private OutboundParts parts() {
         Clock clock = net::now;
-        Timers timers = (time, call) -> {
-            Future<?> due = net.loop.schedule(
-                    call, (long) Math.ceil(Math.max(0, time - clock.now()) * 1e6), TimeUnit.NANOSECONDS);
-            return () -> due.cancel(false);
-        };
+        Timers timers = net.timers();
         net.listen(BALANCER, new Net.Listener() {
             @Override
             public double answersAfter() {
