--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -139,8 +139,8 @@
                     "a body that nobody takes waits for ever",
                     ATTEMPT,
                     "private void checkBodyProgress()",
-                    "context.clock.now() - lastProgressAt > context.dialect.terms().stuckMs()",
-                    "context.clock.now() < 0"),
+                    "now - lastProgressAt >= stallTimeoutMs",
+                    "now < 0"),
             new Mutant(
                     "a connection is parked twice",
                     CONNECTION,
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -61,6 +61,8 @@
     private double startedAt;
 
     private double idleMs = Double.NaN;
+    /** For how long the upstream may take nothing of a body, ms. */
+    private double stallTimeoutMs;
 
     /** {@code end} is called once; the response is not to be kept. */
     UpstreamAttempt(
@@ -171,7 +173,8 @@
             channel.write(copy).addListener(this::onPartWritten);
             if (!ended) {
                 lastProgressAt = now;
-                context.loop.schedule(this::checkBodyProgress, BODY_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                stallTimeoutMs = Math.min(context.dialect.terms().stuckMs(), progress.requestTimeMs());
+                scheduleProgressCheck(now);
                 passing.body().attach(this);
             }
             return;
@@ -231,23 +234,34 @@
 
     /**
      * While a body comes its request has no deadline, and its caller is not read while the upstream takes nothing:
-     * without this, one that never reads again would hold both for good.
+     * without this, one that never reads again would hold both for good. What waits so waits for no longer than a
+     * request that has come completely.
      */
     private void checkBodyProgress() {
         if (ended || isComplete()) {
             return;
         }
-        if (!channel.isWritable()
-                && context.clock.now() - lastProgressAt
-                        > context.dialect.terms().stuckMs()) {
+        double now = context.clock.now();
+        if (!channel.isWritable() && now - lastProgressAt >= stallTimeoutMs) {
             broke(Event.WRITE_FAILED);
         } else {
-            context.loop.schedule(this::checkBodyProgress, BODY_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            scheduleProgressCheck(now);
         }
     }
 
+    /** Looks again when the time without progress would be up, or a while later where that is so while it can write. */
+    private void scheduleProgressCheck(double now) {
+        double left = lastProgressAt + stallTimeoutMs - now;
+        double delayMs = left > 0 ? Math.min(left, BODY_CHECK_INTERVAL_MS) : BODY_CHECK_INTERVAL_MS;
+        context.loop.schedule(this::checkBodyProgress, context.nanosUntil(now + delayMs), TimeUnit.NANOSECONDS);
+    }
+
     @Override
     public void part(ByteBuf part) {
+        if (channel.isWritable()) {
+            // The upstream has taken what came before: what its caller was slow in sending is not its fault.
+            lastProgressAt = context.clock.now();
+        }
         channel.write(new DefaultHttpContent(part)).addListener(this::onPartWritten);
         if (!channel.isWritable()) {
             channel.flush();
--- a/src/main/java/sablehinge/dataplane/proxy/SentAttempt.java
+++ b/src/main/java/sablehinge/dataplane/proxy/SentAttempt.java
@@ -32,6 +32,11 @@
         return exchange.deadline;
     }
 
+    @Override
+    public double requestTimeMs() {
+        return exchange.remaining;
+    }
+
     @Override
     public void ended(AttemptResult result) {
         core.attemptEnded(this, begunAt, result);
--- a/src/main/java/sablehinge/dataplane/proxy/Transport.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Transport.java
@@ -21,6 +21,14 @@
          */
         double begun();
 
+        /**
+         * How long the request has from when it has come completely, in ms; an upstream that takes nothing of a body
+         * for as long is given up.
+         */
+        default double requestTimeMs() {
+            return Double.POSITIVE_INFINITY;
+        }
+
         /** It has ended, once. */
         void ended(AttemptResult result);
     }
