--- a/bench/src/sablehinge/bench/BudgetsBench.java
+++ b/bench/src/sablehinge/bench/BudgetsBench.java
@@ -147,9 +147,9 @@
         }
     }
 
-    private record Said(int status, String spent) {}
+    private record TierAnswer(int status, String spent) {}
 
-    private static Said call(
+    private static TierAnswer call(
             Chain chain,
             String caller,
             InetSocketAddress to,
@@ -195,7 +195,7 @@
                 end,
                 status,
                 status == 200 ? Echo.SAME : Echo.UNKNOWN));
-        return new Said(status, answer == null ? null : answer.header("Sablehinge-Spent"));
+        return new TierAnswer(status, answer == null ? null : answer.header("Sablehinge-Spent"));
     }
 
     /** A server with some slots, which calls the next tier while it holds one. */
@@ -254,7 +254,7 @@
                         TimeUnit.MICROSECONDS.sleep((long) (WORK_MS[tier] * 1_000));
                         if (next != null) {
                             double left = Double.parseDouble(request.header("X-Remaining")) * 1_000 - (now() - taken);
-                            Said below = call(
+                            TierAnswer below = call(
                                     chain,
                                     place,
                                     next,
--- a/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -43,7 +43,7 @@
     private final LocalSettings settings;
     private final EventLoop loop;
     private final Clock clock = Clock.system();
-    private final WatchClient news;
+    private final WatchClient watchClient;
     private final PeerMonitor watchers;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
@@ -116,21 +116,21 @@
         this.upstream = upstream;
         this.reader = reader;
         random = new SplittableRandom(settings.node().hashCode());
-        news = new WatchClient(
+        watchClient = new WatchClient(
                 loop,
                 clock,
                 new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS, observer),
                 settings.innerSeeds(),
-                new Hears());
-        watchers = new PeerMonitor(loop, clock, settings, news::requestNow);
-        quotas = new Quotas(settings.bounds(), (tenant, count) -> news.tokens(new Tokens(tenant, count)));
-        retryBudget = new RetryBudget(clock, settings, news::shares);
+                new WatchListener());
+        watchers = new PeerMonitor(loop, clock, settings, watchClient::requestNow);
+        quotas = new Quotas(settings.bounds(), (tenant, count) -> watchClient.tokens(new Tokens(tenant, count)));
+        retryBudget = new RetryBudget(clock, settings, watchClient::shares);
     }
 
     /** Takes part from now on. */
     public void begin() {
         loop.execute(() -> {
-            news.start();
+            watchClient.start();
             every(Sidecar.TICK_MS, () -> {
                 retryBudget.tick();
                 watchers.tick();
@@ -188,7 +188,7 @@
     public void replaceUpstream(String id) {
         loop.execute(() -> {
             upstream = id;
-            news.requestNow();
+            watchClient.requestNow();
         });
     }
 
@@ -211,7 +211,7 @@
     public void close() {
         loop.execute(() -> {
             closed = true;
-            news.close();
+            watchClient.close();
             watchers.close();
         });
     }
@@ -268,7 +268,7 @@
         }
     }
 
-    private final class Hears implements WatchClient.Listener {
+    private final class WatchListener implements WatchClient.Listener {
 
         @Override
         public WatchRequest request(int number) {
--- a/bench/src/sablehinge/fleet/Processes.java
+++ b/bench/src/sablehinge/fleet/Processes.java
@@ -116,14 +116,14 @@
             control.get(i).start(controlCommand(i));
         }
         sidecars.forEach(daemon -> daemon.start(commands.get("sidecar")));
-        TrafficLog ledger = new TrafficLog();
+        TrafficLog trafficLog = new TrafficLog();
         for (int i = 0; i < sidecars.size(); i++) {
             StandInUpstream upstream = new StandInUpstream(
                     new StandInUpstream.Terms(
                             "i-sidecar-" + i, FleetPlan.service(0), address(plan.app(i)), BERTHS, WORK_MS),
-                    ledger);
+                    trafficLog);
             upstreams.add(new HeartbeatSender(
-                    upstream, address(plan.heartbeats(i)), FleetPlan.zone(i), HEARTBEAT_MS, ledger));
+                    upstream, address(plan.heartbeats(i)), FleetPlan.zone(i), HEARTBEAT_MS, trafficLog));
         }
     }
 
--- a/bench/src/sablehinge/fleet/RegionCutBench.java
+++ b/bench/src/sablehinge/fleet/RegionCutBench.java
@@ -193,11 +193,11 @@
     }
 
     private void heal(long edition) throws IOException, InterruptedException {
-        Predicate<HollowSidecar.View> whole = view -> knowsAll(view) && view.edition() >= edition;
+        Predicate<HollowSidecar.View> complete = view -> knowsAll(view) && view.edition() >= edition;
         double at = TrafficLog.now();
         processes.cut(false);
         hollow.cut(false);
-        hollow.await(whole);
+        hollow.await(complete);
         progress("joined again");
         double sent = TrafficLog.now();
         boolean acknowledged = operator.replace(edition, configuration.body(edition + 2), HEALED_MS);
--- a/src/test/java/sablehinge/dataplane/admission/AdmissionControllerTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/AdmissionControllerTest.java
@@ -82,8 +82,8 @@
         done.clear();
     }
 
-    private void asks(double now, long id, int rank, long incarnation, double deadline, double patience) {
-        admission.request(now, new Request(id, 0, rank, incarnation, deadline, patience, false, true, 0));
+    private void asks(double now, long id, int rank, long incarnation, double deadline, double timeoutMs) {
+        admission.request(now, new Request(id, 0, rank, incarnation, deadline, timeoutMs, false, true, 0));
     }
 
     private void asks(double now, long id) {
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -107,7 +107,7 @@
         /** A request of the first route, which is safe; its attempts end as the consumer says. */
         void request() {
             retryBudget.came(SidecarFixture.SERVICE, false);
-            Consumer<Answer> hears = answer -> last = answer.kind();
+            Consumer<Answer> caller = answer -> last = answer.kind();
             core.request(
                     version,
                     new Arrival(
@@ -120,7 +120,7 @@
                                     false)
                             .within(routes.get(0).attempts()),
                     Payload.NONE,
-                    hears::accept);
+                    caller::accept);
         }
 
         @Override
--- a/src/test/java/sablehinge/gateway/recorder/DumpTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/DumpTest.java
@@ -75,9 +75,9 @@
             assertTrue(assertThrows(IOException.class, () -> Dump.read(cut))
                     .getMessage()
                     .startsWith("at offset "));
-            byte[] turned = complete.clone();
-            turned[i] ^= (byte) (1 << random.nextInt(8));
-            assertTrue(assertThrows(IOException.class, () -> Dump.read(turned))
+            byte[] flipped = complete.clone();
+            flipped[i] ^= (byte) (1 << random.nextInt(8));
+            assertTrue(assertThrows(IOException.class, () -> Dump.read(flipped))
                     .getMessage()
                     .contains("expected"));
         }
--- a/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
@@ -166,13 +166,13 @@
 
         private void again(String service, int tries) {
             boolean spare = random.nextInt(4) == 0;
-            double asked = now;
+            double requestedAt = now;
             if (!spare) {
-                wanted.add(asked);
+                wanted.add(requestedAt);
             }
             shares.take(clock(), service, spare, token -> {
                 if (!spare && token != null) {
-                    met.add(asked);
+                    met.add(requestedAt);
                 }
                 taken(service, tries, spare, token);
             });
@@ -328,11 +328,11 @@
 
     /** What the rule allows in the window that begins at a time (RULES, BUDGET). */
     private double limit(String service, double from) {
-        Times asked = requests.getOrDefault(service, new Times());
+        Times times = requests.getOrDefault(service, new Times());
         double window = rule.windowMs();
         int most = 0;
         for (double begin : new double[] {from, from - window / 2, from - window}) {
-            most = Math.max(most, asked.within(begin, begin + window));
+            most = Math.max(most, times.within(begin, begin + window));
         }
         return rule.ratio() * most + rule.slack();
     }
--- a/src/test/java/sablehinge/tools/replay/statistics/TallyTest.java
+++ b/src/test/java/sablehinge/tools/replay/statistics/TopValuesTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class TallyTest {
+class TopValuesTest {
 
     @Test
     void fewNamesAreCountedExactlyAndListedByCountThenName() {
