--- a/bench/src/sablehinge/bench/BudgetsBench.java
+++ b/bench/src/sablehinge/bench/BudgetsBench.java
@@ -22,21 +22,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import sablehinge.gateway.node.OperatorNode;
-import sablehinge.judge.Breach;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Echo;
-import sablehinge.judge.Evidence.End;
-import sablehinge.judge.Evidence.How;
-import sablehinge.judge.Evidence.Ran;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Judge;
-import sablehinge.judge.Terms;
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Logs;
 import sablehinge.rig.Peer;
+import sablehinge.tools.audit.judge.Breach;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Echo;
+import sablehinge.tools.audit.judge.Evidence.End;
+import sablehinge.tools.audit.judge.Evidence.How;
+import sablehinge.tools.audit.judge.Evidence.Ran;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Judge;
+import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
 
 /**
  * Run by {@code bench/run budgets}: real balancers between three tiers of servers on loopback, all in one process, with
--- a/bench/src/sablehinge/bench/InspectBench.java
+++ b/bench/src/sablehinge/bench/InspectBench.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import sablehinge.replay.SampleDay;
+import sablehinge.tools.replay.SampleDay;
 
 /** Reads a large made-up log in a small heap, beside {@code wc -l} and a bare regular expression. */
 public final class InspectBench {
--- a/bench/src/sablehinge/bench/ReplayBench.java
+++ b/bench/src/sablehinge/bench/ReplayBench.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import sablehinge.replay.SampleDay;
+import sablehinge.tools.replay.SampleDay;
 
 /**
  * Replays a made-up hour against stand-ins behind balancers, with the packed program: the generator in one process,
--- a/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -20,7 +20,7 @@
 import sablehinge.mesh.watch.Tokens;
 import sablehinge.mesh.watch.Update;
 import sablehinge.mesh.watch.WatchRequest;
-import sablehinge.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.Ledger;
 
 /**
  * The control side of a sidecar without its data plane: it asks the control nodes for news, takes part in the ring of
--- a/bench/src/sablehinge/fleet/AddedTime.java
+++ b/bench/src/sablehinge/fleet/AddedTime.java
@@ -6,7 +6,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.time.Duration;
-import sablehinge.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.Ledger;
 
 /** What two real sidecars, outbound and inbound, add to a request, without any load. */
 final class AddedTime {
--- a/bench/src/sablehinge/fleet/FleetBench.java
+++ b/bench/src/sablehinge/fleet/FleetBench.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.logging.LogManager;
-import sablehinge.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.Ledger;
 
 /**
  * What each role costs by the size of the fleet: hollow sidecars of this process with the project's own client code,
--- a/bench/src/sablehinge/fleet/FleetOperator.java
+++ b/bench/src/sablehinge/fleet/FleetOperator.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import sablehinge.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.Ledger;
 
 /** Sends configurations to the control nodes and asks which of them leads. */
 final class FleetOperator {
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -15,7 +15,7 @@
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.dataplane.sidecar.HollowSidecar;
-import sablehinge.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.Ledger;
 
 /**
  * A fleet of one size through its phases: start, changes, load, replaced upstreams, calm, requests through real
--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -24,7 +24,7 @@
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.PackedConfiguration;
 import sablehinge.mesh.watch.Update;
-import sablehinge.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.Ledger;
 
 /** Hundreds of hollow sidecars on a few threads of this process. */
 final class HollowFleet implements AutoCloseable {
--- a/bench/src/sablehinge/fleet/Processes.java
+++ b/bench/src/sablehinge/fleet/Processes.java
@@ -16,10 +16,10 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import sablehinge.controlplane.node.CutControlNode;
-import sablehinge.standin.mesh.Beating;
-import sablehinge.standin.mesh.Daemon;
-import sablehinge.standin.mesh.Ledger;
-import sablehinge.standin.mesh.StandInUpstream;
+import sablehinge.tools.standin.mesh.Beating;
+import sablehinge.tools.standin.mesh.Daemon;
+import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.StandInUpstream;
 
 /** The real processes of a fleet: control nodes, and a few sidecars with a stand-in upstream each. */
 final class Processes implements AutoCloseable {
--- a/bench/src/sablehinge/fleet/RegionCutBench.java
+++ b/bench/src/sablehinge/fleet/RegionCutBench.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.dataplane.sidecar.HollowSidecar;
-import sablehinge.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.Ledger;
 
 /**
  * Six control nodes and hollow sidecars in two regions that are cut from each other for a while: what is still
--- a/bench/src/sablehinge/standin/mesh/RecoveryBench.java
+++ b/bench/src/sablehinge/tools/standin/mesh/RecoveryBench.java
@@ -1,4 +1,4 @@
-package sablehinge.standin.mesh;
+package sablehinge.tools.standin.mesh;
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/sablehinge/cli/AuditCommand.java
+++ b/src/main/java/sablehinge/cli/AuditCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sablehinge.audit.Audit;
+import sablehinge.tools.audit.Audit;
 
 /** Judges a run. */
 @Command(
--- a/src/main/java/sablehinge/cli/LocalBalancers.java
+++ b/src/main/java/sablehinge/cli/LocalBalancers.java
@@ -10,11 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.slf4j.event.Level;
-import sablehinge.audit.Stamps;
 import sablehinge.common.logging.Logging;
-import sablehinge.config.scenario.Scenario;
-import sablehinge.config.scenario.Scenario.ClassPart;
-import sablehinge.config.scenario.Scenario.TierPart;
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Observer;
 import sablehinge.dataplane.proxy.Roster;
@@ -23,8 +19,6 @@
 import sablehinge.gateway.config.PlatformConfig;
 import sablehinge.gateway.discovery.RosterParser;
 import sablehinge.gateway.node.Node;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Noted;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Goal;
@@ -37,7 +31,13 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 import sablehinge.policy.LoadBalancer.WeightKind;
-import sablehinge.standin.Balancers;
+import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Noted;
+import sablehinge.tools.standin.Balancers;
+import sablehinge.tools.standin.scenario.Scenario;
+import sablehinge.tools.standin.scenario.Scenario.ClassPart;
+import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
 /** Balancers of this build in this process, each with an event loop of its own, told what the platform would tell. */
 public final class LocalBalancers implements Balancers {
--- a/src/main/java/sablehinge/cli/ReplayCommand.java
+++ b/src/main/java/sablehinge/cli/ReplayCommand.java
@@ -20,9 +20,9 @@
 import sablehinge.gateway.config.operator.OperatorConfig.ClassPart;
 import sablehinge.gateway.config.operator.OperatorConfig.ReplayPart;
 import sablehinge.gateway.config.operator.OperatorFile;
-import sablehinge.replay.Inspection;
-import sablehinge.replay.LogOptions;
-import sablehinge.replay.Logs;
+import sablehinge.tools.replay.Inspection;
+import sablehinge.tools.replay.LogOptions;
+import sablehinge.tools.replay.Logs;
 
 /** Real days as load. */
 @Command(
--- a/src/main/java/sablehinge/cli/ReplayRun.java
+++ b/src/main/java/sablehinge/cli/ReplayRun.java
@@ -15,21 +15,21 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sablehinge.audit.Recorder;
-import sablehinge.audit.TermsFile;
 import sablehinge.cli.ReplayCommand.LogVerb;
 import sablehinge.gateway.config.operator.OperatorConfig.ClassPart;
 import sablehinge.gateway.settings.Addresses;
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
-import sablehinge.pace.Client;
-import sablehinge.pace.Pace;
-import sablehinge.replay.Logs;
-import sablehinge.replay.run.ClassPlan;
-import sablehinge.replay.run.Load;
-import sablehinge.replay.run.LoadResult;
-import sablehinge.replay.run.ReportPage;
+import sablehinge.tools.audit.Recorder;
+import sablehinge.tools.audit.TermsFile;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.replay.Logs;
+import sablehinge.tools.replay.run.ClassPlan;
+import sablehinge.tools.replay.run.Load;
+import sablehinge.tools.replay.run.LoadResult;
+import sablehinge.tools.replay.run.ReportPage;
+import sablehinge.tools.replay.schedule.Client;
+import sablehinge.tools.replay.schedule.Pace;
 
 /** Sends the load of logs once more. */
 @Command(
--- a/src/main/java/sablehinge/cli/StandInCommand.java
+++ b/src/main/java/sablehinge/cli/StandInCommand.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sablehinge.audit.Recorder;
-import sablehinge.audit.TermsFile;
-import sablehinge.config.scenario.ScenarioFile;
-import sablehinge.judge.Terms;
-import sablehinge.standin.Fleet;
+import sablehinge.tools.audit.Recorder;
+import sablehinge.tools.audit.TermsFile;
+import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.standin.Fleet;
+import sablehinge.tools.standin.scenario.ScenarioFile;
 
 /** Plays servers. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/Children.java
+++ b/src/main/java/sablehinge/cli/mesh/Children.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sablehinge.standin.mesh.MeshException;
-import sablehinge.standin.mesh.SmallMesh;
+import sablehinge.tools.standin.mesh.MeshException;
+import sablehinge.tools.standin.mesh.SmallMesh;
 
 /** Daemons from the program that runs, with the class archives that lie beside it, if any. */
 final class Children implements SmallMesh.Commands {
--- a/src/main/java/sablehinge/cli/mesh/DemoVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/DemoVerb.java
@@ -8,11 +8,11 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import sablehinge.cli.mesh.operator.MeshCommand;
-import sablehinge.standin.mesh.Ledger;
-import sablehinge.standin.mesh.MeshJudge;
-import sablehinge.standin.mesh.MeshPlan;
-import sablehinge.standin.mesh.SmallMesh;
-import sablehinge.standin.mesh.Tally;
+import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.MeshJudge;
+import sablehinge.tools.standin.mesh.MeshPlan;
+import sablehinge.tools.standin.mesh.SmallMesh;
+import sablehinge.tools.standin.mesh.Tally;
 
 /** Shows a mesh at work and judges what was seen. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/SettingsVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/SettingsVerb.java
@@ -8,10 +8,10 @@
 import java.nio.file.Path;
 import java.util.List;
 import sablehinge.cli.mesh.operator.MeshCommand;
-import sablehinge.standin.mesh.Ledger;
-import sablehinge.standin.mesh.MeshPlan;
-import sablehinge.standin.mesh.MeshVersion;
-import sablehinge.standin.mesh.SmallMesh;
+import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.MeshPlan;
+import sablehinge.tools.standin.mesh.MeshVersion;
+import sablehinge.tools.standin.mesh.SmallMesh;
 
 /** Writes the files of a small mesh that is run by hand. */
 @Command(
--- a/src/main/java/sablehinge/cli/mesh/UpstreamVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/UpstreamVerb.java
@@ -6,10 +6,10 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
 import sablehinge.cli.mesh.operator.MeshCommand;
-import sablehinge.standin.mesh.Beating;
-import sablehinge.standin.mesh.Ledger;
-import sablehinge.standin.mesh.MeshPlan;
-import sablehinge.standin.mesh.StandInUpstream;
+import sablehinge.tools.standin.mesh.Beating;
+import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.MeshPlan;
+import sablehinge.tools.standin.mesh.StandInUpstream;
 
 /** Runs one stand-in upstream until it is ended; at SIGTERM it leaves in order. */
 @Command(
--- a/src/main/java/sablehinge/audit/Audit.java
+++ b/src/main/java/sablehinge/tools/audit/Audit.java
@@ -1,4 +1,4 @@
-package sablehinge.audit;
+package sablehinge.tools.audit;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -23,11 +23,11 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import java.util.zip.GZIPInputStream;
-import sablehinge.judge.Breach;
-import sablehinge.judge.Breach.Rule;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Judge;
-import sablehinge.judge.Terms;
+import sablehinge.tools.audit.judge.Breach;
+import sablehinge.tools.audit.judge.Breach.Rule;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Judge;
+import sablehinge.tools.audit.judge.Terms;
 
 /** Joins what the parties of a run saw, and judges the four rules by it. */
 public final class Audit {
--- a/src/main/java/sablehinge/audit/EvidenceLines.java
+++ b/src/main/java/sablehinge/tools/audit/EvidenceLines.java
@@ -1,4 +1,4 @@
-package sablehinge.audit;
+package sablehinge.tools.audit;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -9,17 +9,17 @@
 import java.io.IOException;
 import java.io.Writer;
 import java.util.Locale;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Echo;
-import sablehinge.judge.Evidence.End;
-import sablehinge.judge.Evidence.Ended;
-import sablehinge.judge.Evidence.Fell;
-import sablehinge.judge.Evidence.How;
-import sablehinge.judge.Evidence.Noted;
-import sablehinge.judge.Evidence.Ran;
-import sablehinge.judge.Evidence.Told;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Echo;
+import sablehinge.tools.audit.judge.Evidence.End;
+import sablehinge.tools.audit.judge.Evidence.Ended;
+import sablehinge.tools.audit.judge.Evidence.Fell;
+import sablehinge.tools.audit.judge.Evidence.How;
+import sablehinge.tools.audit.judge.Evidence.Noted;
+import sablehinge.tools.audit.judge.Evidence.Ran;
+import sablehinge.tools.audit.judge.Evidence.Told;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.Unasked;
 
 /** Evidence as lines of JSON, one for each. Times are ms since 1970; what never happened is left out. */
 final class EvidenceLines {
--- a/src/main/java/sablehinge/audit/Recorder.java
+++ b/src/main/java/sablehinge/tools/audit/Recorder.java
@@ -1,4 +1,4 @@
-package sablehinge.audit;
+package sablehinge.tools.audit;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.zip.GZIPOutputStream;
-import sablehinge.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence;
 
 /**
  * Writes down what parties saw, packed, on a thread of its own: who records never waits for the disk. What comes faster
--- a/src/main/java/sablehinge/audit/Stamps.java
+++ b/src/main/java/sablehinge/tools/audit/Stamps.java
@@ -1,4 +1,4 @@
-package sablehinge.audit;
+package sablehinge.tools.audit;
 
 /** Turns the monotonic clock into time since 1970, by one reading of both: steps of the system's clock don't show. */
 public final class Stamps {
--- a/src/main/java/sablehinge/audit/TermsFile.java
+++ b/src/main/java/sablehinge/tools/audit/TermsFile.java
@@ -1,4 +1,4 @@
-package sablehinge.audit;
+package sablehinge.tools.audit;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
@@ -9,10 +9,10 @@
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
-import sablehinge.judge.Terms;
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
+import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
 
 /** What a run was judged by, beside what its parties saw: {@code terms.json}. */
 public final class TermsFile {
--- a/src/main/java/sablehinge/judge/Evidence.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Evidence.java
@@ -1,4 +1,4 @@
-package sablehinge.judge;
+package sablehinge.tools.audit.judge;
 
 /** What one party saw. Times are ms since 1970 on one machine's clock; NaN where something never happened. */
 public sealed interface Evidence {
--- a/src/main/java/sablehinge/judge/Judge.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Judge.java
@@ -1,4 +1,4 @@
-package sablehinge.judge;
+package sablehinge.tools.audit.judge;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,20 +9,20 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
-import sablehinge.judge.Breach.Rule;
-import sablehinge.judge.Evidence.Echo;
-import sablehinge.judge.Evidence.End;
-import sablehinge.judge.Evidence.Ended;
-import sablehinge.judge.Evidence.Fell;
-import sablehinge.judge.Evidence.How;
-import sablehinge.judge.Evidence.Noted;
-import sablehinge.judge.Evidence.Ran;
-import sablehinge.judge.Evidence.Told;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Evidence.Unasked;
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
+import sablehinge.tools.audit.judge.Breach.Rule;
+import sablehinge.tools.audit.judge.Evidence.Echo;
+import sablehinge.tools.audit.judge.Evidence.End;
+import sablehinge.tools.audit.judge.Evidence.Ended;
+import sablehinge.tools.audit.judge.Evidence.Fell;
+import sablehinge.tools.audit.judge.Evidence.How;
+import sablehinge.tools.audit.judge.Evidence.Noted;
+import sablehinge.tools.audit.judge.Evidence.Ran;
+import sablehinge.tools.audit.judge.Evidence.Told;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
 
 /**
  * Judges the four rules by what callers and servers saw. Evidence comes about in the order of time; what was seen of a
--- a/src/main/java/sablehinge/judge/Terms.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Terms.java
@@ -1,4 +1,4 @@
-package sablehinge.judge;
+package sablehinge.tools.audit.judge;
 
 import java.util.Map;
 
--- a/src/main/java/sablehinge/replay/Formats.java
+++ b/src/main/java/sablehinge/tools/replay/Formats.java
@@ -1,8 +1,8 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import java.io.IOException;
 import java.util.List;
-import sablehinge.replay.LogFormat.UnreadableLineException;
+import sablehinge.tools.replay.LogFormat.UnreadableLineException;
 
 /** Finds out what a log is written in. */
 final class Formats {
--- a/src/main/java/sablehinge/replay/HarEntries.java
+++ b/src/main/java/sablehinge/tools/replay/HarEntries.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/sablehinge/replay/Inputs.java
+++ b/src/main/java/sablehinge/tools/replay/Inputs.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import io.airlift.compress.zstd.ZstdInputStream;
 import java.io.FilterInputStream;
--- a/src/main/java/sablehinge/replay/Inspection.java
+++ b/src/main/java/sablehinge/tools/replay/Inspection.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -8,9 +8,9 @@
 import java.util.Locale;
 import java.util.Map;
 import sablehinge.common.mapping.Mapped;
-import sablehinge.tally.Commonest;
-import sablehinge.tally.Distinct;
-import sablehinge.tally.Rates;
+import sablehinge.tools.replay.statistics.Commonest;
+import sablehinge.tools.replay.statistics.Distinct;
+import sablehinge.tools.replay.statistics.Rates;
 
 /** What is in logs, counted within bounds. */
 public final class Inspection {
--- a/src/main/java/sablehinge/replay/LineEntries.java
+++ b/src/main/java/sablehinge/tools/replay/LineEntries.java
@@ -1,8 +1,8 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import java.io.IOException;
 import java.io.InputStream;
-import sablehinge.replay.LogFormat.UnreadableLineException;
+import sablehinge.tools.replay.LogFormat.UnreadableLineException;
 
 /** The requests of a log that has a line for each. */
 final class LineEntries implements EntryReader {
--- a/src/main/java/sablehinge/replay/LineReader.java
+++ b/src/main/java/sablehinge/tools/replay/LineReader.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/sablehinge/replay/LogFormat.java
+++ b/src/main/java/sablehinge/tools/replay/LogFormat.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 /** How the lines of an access log are read. */
 public interface LogFormat {
--- a/src/main/java/sablehinge/replay/LogOptions.java
+++ b/src/main/java/sablehinge/tools/replay/LogOptions.java
@@ -1,10 +1,10 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 import java.util.Map;
 import sablehinge.common.mapping.Mapping;
-import sablehinge.fold.RetryFolder;
+import sablehinge.tools.replay.folding.RetryFolder;
 
 /**
  * How logs are read.
--- a/src/main/java/sablehinge/replay/Logs.java
+++ b/src/main/java/sablehinge/tools/replay/Logs.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Set;
-import sablehinge.fold.RetryFolder;
-import sablehinge.replay.OrderedLog.Held;
-import sablehinge.replay.OrderedLog.Placed;
+import sablehinge.tools.replay.OrderedLog.Held;
+import sablehinge.tools.replay.OrderedLog.Placed;
+import sablehinge.tools.replay.folding.RetryFolder;
 
 /**
  * Several logs as one: the requests that were asked for, in the order of time, with logged retries folded. What is held
--- a/src/main/java/sablehinge/replay/OrderedLog.java
+++ b/src/main/java/sablehinge/tools/replay/OrderedLog.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -6,7 +6,7 @@
 import sablehinge.common.mapping.Asked;
 import sablehinge.common.mapping.Mapped;
 import sablehinge.common.mapping.Mapping;
-import sablehinge.timeline.Timeline;
+import sablehinge.tools.replay.timeline.Timeline;
 
 /** One log, its requests in the order in which they began. */
 final class OrderedLog implements Closeable {
--- a/src/main/java/sablehinge/fold/RetryFolder.java
+++ b/src/main/java/sablehinge/tools/replay/folding/RetryFolder.java
@@ -1,4 +1,4 @@
-package sablehinge.fold;
+package sablehinge.tools.replay.folding;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
--- a/src/main/java/sablehinge/replay/run/ClassPlan.java
+++ b/src/main/java/sablehinge/tools/replay/run/ClassPlan.java
@@ -1,9 +1,9 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
-import sablehinge.pace.Client.Repeat;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.replay.schedule.Client.Repeat;
 
 /**
  * How requests of a class are sent. Times in ms.
--- a/src/main/java/sablehinge/replay/run/Lane.java
+++ b/src/main/java/sablehinge/tools/replay/run/Lane.java
@@ -1,4 +1,4 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -29,14 +29,14 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import sablehinge.audit.Stamps;
-import sablehinge.judge.Evidence.Echo;
-import sablehinge.judge.Evidence.End;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Evidence.Unasked;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.pace.Client;
-import sablehinge.replay.run.Tally.Outcome;
+import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.judge.Evidence.Echo;
+import sablehinge.tools.audit.judge.Evidence.End;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.replay.run.Tally.Outcome;
+import sablehinge.tools.replay.schedule.Client;
 
 /**
  * Sends requests when they are due, whatever becomes of those before: an answer's lateness never delays the next
--- a/src/main/java/sablehinge/replay/run/Load.java
+++ b/src/main/java/sablehinge/tools/replay/run/Load.java
@@ -1,4 +1,4 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -14,17 +14,17 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sablehinge.audit.Stamps;
 import sablehinge.common.eventloop.ClosingEventLoops;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Evidence.Unasked;
-import sablehinge.judge.Terms;
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.pace.Client;
-import sablehinge.pace.Pace;
-import sablehinge.replay.Demand;
+import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.replay.Demand;
+import sablehinge.tools.replay.schedule.Client;
+import sablehinge.tools.replay.schedule.Pace;
 
 /** A replay: reads requests, sends each when it is due, and counts what becomes of them. */
 public final class Load {
--- a/src/main/java/sablehinge/replay/run/LoadResult.java
+++ b/src/main/java/sablehinge/tools/replay/run/LoadResult.java
@@ -1,4 +1,4 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import sablehinge.replay.run.Tally.Outcome;
+import sablehinge.tools.replay.run.Tally.Outcome;
 
 /** What came of a replay, and whether its figures count. */
 public final class LoadResult {
--- a/src/main/java/sablehinge/replay/run/Planned.java
+++ b/src/main/java/sablehinge/tools/replay/run/Planned.java
@@ -1,4 +1,4 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
 /**
  * A request that is to be sent.
--- a/src/main/java/sablehinge/replay/run/ReportPage.java
+++ b/src/main/java/sablehinge/tools/replay/run/ReportPage.java
@@ -1,4 +1,4 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
 import java.time.Instant;
 import java.util.ArrayList;
@@ -6,8 +6,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import sablehinge.replay.run.Tally.Outcome;
-import sablehinge.replay.run.Tally.Slice;
+import sablehinge.tools.replay.run.Tally.Outcome;
+import sablehinge.tools.replay.run.Tally.Slice;
 
 /** A page with plots of a replay: one file that needs no other, no script and no network. */
 public final class ReportPage {
--- a/src/main/java/sablehinge/replay/run/Tally.java
+++ b/src/main/java/sablehinge/tools/replay/run/Tally.java
@@ -1,4 +1,4 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/sablehinge/replay/run/Warmup.java
+++ b/src/main/java/sablehinge/tools/replay/run/Warmup.java
@@ -1,4 +1,4 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -21,10 +21,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import sablehinge.common.eventloop.ClosingEventLoops;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Evidence.Unasked;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.pace.Client;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.replay.schedule.Client;
 
 /**
  * Lets the code that sends be compiled before it counts: a generator that has just started would send its first
--- a/src/main/java/sablehinge/pace/Pace.java
+++ b/src/main/java/sablehinge/tools/replay/schedule/Pace.java
@@ -1,4 +1,4 @@
-package sablehinge.pace;
+package sablehinge.tools.replay.schedule;
 
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/sablehinge/tally/Rates.java
+++ b/src/main/java/sablehinge/tools/replay/statistics/Rates.java
@@ -1,4 +1,4 @@
-package sablehinge.tally;
+package sablehinge.tools.replay.statistics;
 
 import java.util.Arrays;
 
--- a/src/main/java/sablehinge/timeline/Timeline.java
+++ b/src/main/java/sablehinge/tools/replay/timeline/Timeline.java
@@ -1,4 +1,4 @@
-package sablehinge.timeline;
+package sablehinge.tools.replay.timeline;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/sablehinge/standin/Balancers.java
+++ b/src/main/java/sablehinge/tools/standin/Balancers.java
@@ -1,8 +1,8 @@
-package sablehinge.standin;
+package sablehinge.tools.standin;
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import sablehinge.config.scenario.Scenario;
+import sablehinge.tools.standin.scenario.Scenario;
 
 /** Starts balancers between the tiers: real ones, which this package knows nothing of. */
 public interface Balancers {
--- a/src/main/java/sablehinge/standin/Caller.java
+++ b/src/main/java/sablehinge/tools/standin/Caller.java
@@ -1,4 +1,4 @@
-package sablehinge.standin;
+package sablehinge.tools.standin;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -24,12 +24,12 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sablehinge.audit.Stamps;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Echo;
-import sablehinge.judge.Evidence.End;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Evidence.Unasked;
+import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Echo;
+import sablehinge.tools.audit.judge.Evidence.End;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.Unasked;
 
 /**
  * A server's calls to the tier behind, through its own balancer. Nobody tries them again here: that is the balancer's
--- a/src/main/java/sablehinge/standin/Directory.java
+++ b/src/main/java/sablehinge/tools/standin/Directory.java
@@ -1,4 +1,4 @@
-package sablehinge.standin;
+package sablehinge.tools.standin;
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -32,9 +32,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sablehinge.audit.Stamps;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Told;
+import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Told;
 
 /**
  * The list of servers of a tier, and watches on it, by PROTOCOL. Each balancer asks at an address of its own, and is
--- a/src/main/java/sablehinge/standin/Fleet.java
+++ b/src/main/java/sablehinge/tools/standin/Fleet.java
@@ -1,4 +1,4 @@
-package sablehinge.standin;
+package sablehinge.tools.standin;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.DefaultThreadFactory;
@@ -18,24 +18,24 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import sablehinge.audit.Stamps;
 import sablehinge.common.eventloop.ClosingEventLoops;
-import sablehinge.config.scenario.Scenario;
-import sablehinge.config.scenario.Scenario.ClassPart;
-import sablehinge.config.scenario.Scenario.TierPart;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Ended;
-import sablehinge.judge.Terms;
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
 import sablehinge.policy.LoadBalancer.Repeat;
-import sablehinge.standin.Balancers.Running;
-import sablehinge.standin.Balancers.Spec;
-import sablehinge.standin.Directory.Entry;
-import sablehinge.station.Faults;
-import sablehinge.station.Faults.Kind;
-import sablehinge.station.Faults.Strike;
+import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Ended;
+import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.standin.Balancers.Running;
+import sablehinge.tools.standin.Balancers.Spec;
+import sablehinge.tools.standin.Directory.Entry;
+import sablehinge.tools.standin.model.Faults;
+import sablehinge.tools.standin.model.Faults.Kind;
+import sablehinge.tools.standin.model.Faults.Strike;
+import sablehinge.tools.standin.scenario.Scenario;
+import sablehinge.tools.standin.scenario.Scenario.ClassPart;
+import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
 /**
  * Tiers of stand-in servers with balancers before each, and what befalls them. Clients reach the first tier at the
--- a/src/main/java/sablehinge/standin/Server.java
+++ b/src/main/java/sablehinge/tools/standin/Server.java
@@ -1,4 +1,4 @@
-package sablehinge.standin;
+package sablehinge.tools.standin;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -40,18 +40,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import sablehinge.audit.Stamps;
-import sablehinge.config.scenario.Scenario;
-import sablehinge.config.scenario.Scenario.ClassPart;
-import sablehinge.config.scenario.Scenario.TierPart;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Fell;
-import sablehinge.judge.Evidence.How;
-import sablehinge.judge.Evidence.Ran;
 import sablehinge.policy.LoadBalancer.Repeat;
-import sablehinge.station.Faults;
-import sablehinge.station.Faults.Kind;
-import sablehinge.station.Station;
+import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Fell;
+import sablehinge.tools.audit.judge.Evidence.How;
+import sablehinge.tools.audit.judge.Evidence.Ran;
+import sablehinge.tools.standin.model.Faults;
+import sablehinge.tools.standin.model.Faults.Kind;
+import sablehinge.tools.standin.model.Station;
+import sablehinge.tools.standin.scenario.Scenario;
+import sablehinge.tools.standin.scenario.Scenario.ClassPart;
+import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
 /**
  * A stand-in for a server of a tier, by PROTOCOL. It listens at an address of its own for each balancer, so that what
--- a/src/main/java/sablehinge/standin/mesh/Beating.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/Beating.java
@@ -1,4 +1,4 @@
-package sablehinge.standin.mesh;
+package sablehinge.tools.standin.mesh;
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import java.io.IOException;
--- a/src/main/java/sablehinge/standin/mesh/MeshException.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshException.java
@@ -1,4 +1,4 @@
-package sablehinge.standin.mesh;
+package sablehinge.tools.standin.mesh;
 
 /** Something of a small mesh can't go on; the code says what, once and for all. */
 public final class MeshException extends RuntimeException {
--- a/src/main/java/sablehinge/standin/mesh/SmallMesh.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
@@ -1,4 +1,4 @@
-package sablehinge.standin.mesh;
+package sablehinge.tools.standin.mesh;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/sablehinge/standin/mesh/StandInUpstream.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
@@ -1,4 +1,4 @@
-package sablehinge.standin.mesh;
+package sablehinge.tools.standin.mesh;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/sablehinge/station/Faults.java
+++ b/src/main/java/sablehinge/tools/standin/model/Faults.java
@@ -1,4 +1,4 @@
-package sablehinge.station;
+package sablehinge.tools.standin.model;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/sablehinge/config/scenario/Scenario.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/Scenario.java
@@ -1,10 +1,10 @@
-package sablehinge.config.scenario;
+package sablehinge.tools.standin.scenario;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import sablehinge.policy.LoadBalancer.Group;
 import sablehinge.policy.LoadBalancer.Repeat;
-import sablehinge.station.Faults.Fault;
+import sablehinge.tools.standin.model.Faults.Fault;
 
 /**
  * Stand-in servers in tiers, with balancers before each, and what befalls them. Times are ms.
--- a/src/main/java/sablehinge/config/scenario/ScenarioFile.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
@@ -1,4 +1,4 @@
-package sablehinge.config.scenario;
+package sablehinge.tools.standin.scenario;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -12,16 +12,16 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlVersion;
-import sablehinge.config.scenario.Scenario.ClassPart;
-import sablehinge.config.scenario.Scenario.RulesPart;
-import sablehinge.config.scenario.Scenario.TierPart;
 import sablehinge.gateway.config.operator.OperatorFile;
 import sablehinge.gateway.config.operator.Problem;
 import sablehinge.gateway.config.operator.Section;
 import sablehinge.policy.LoadBalancer.Group;
 import sablehinge.policy.LoadBalancer.Repeat;
-import sablehinge.station.Faults.Fault;
-import sablehinge.station.Faults.Kind;
+import sablehinge.tools.standin.model.Faults.Fault;
+import sablehinge.tools.standin.model.Faults.Kind;
+import sablehinge.tools.standin.scenario.Scenario.ClassPart;
+import sablehinge.tools.standin.scenario.Scenario.RulesPart;
+import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
 /** Reads a scenario whole: either it is right in every part, or all that is wrong with it is told at once. */
 public final class ScenarioFile {
--- a/src/test/java/sablehinge/bench/ReplayRehearsalTest.java
+++ b/src/test/java/sablehinge/bench/ReplayRehearsalTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sablehinge.bench.ReplayRehearsal.Result;
-import sablehinge.replay.SampleDay;
+import sablehinge.tools.replay.SampleDay;
 
 /** The replay's measurement at a size that CI can play; see docs/design/replay.md for the whole. */
 class ReplayRehearsalTest {
--- a/src/test/java/sablehinge/rig/MeshRehearsal.java
+++ b/src/test/java/sablehinge/rig/MeshRehearsal.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import sablehinge.standin.mesh.SmallMesh;
+import sablehinge.tools.standin.mesh.SmallMesh;
 
 /**
  * Run by the build: has the packed daemons serve a small mesh for a moment, by the very commands of the deploy file, so
--- a/src/test/java/sablehinge/audit/RecordTest.java
+++ b/src/test/java/sablehinge/tools/audit/RecordTest.java
@@ -1,4 +1,4 @@
-package sablehinge.audit;
+package sablehinge.tools.audit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -18,21 +18,21 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.Echo;
-import sablehinge.judge.Evidence.End;
-import sablehinge.judge.Evidence.Ended;
-import sablehinge.judge.Evidence.Fell;
-import sablehinge.judge.Evidence.How;
-import sablehinge.judge.Evidence.Noted;
-import sablehinge.judge.Evidence.Ran;
-import sablehinge.judge.Evidence.Told;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Evidence.Unasked;
-import sablehinge.judge.Terms;
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.Echo;
+import sablehinge.tools.audit.judge.Evidence.End;
+import sablehinge.tools.audit.judge.Evidence.Ended;
+import sablehinge.tools.audit.judge.Evidence.Fell;
+import sablehinge.tools.audit.judge.Evidence.How;
+import sablehinge.tools.audit.judge.Evidence.Noted;
+import sablehinge.tools.audit.judge.Evidence.Ran;
+import sablehinge.tools.audit.judge.Evidence.Told;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
 
 class RecordTest {
 
--- a/src/test/java/sablehinge/replay/LogsTest.java
+++ b/src/test/java/sablehinge/tools/replay/LogsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/sablehinge/replay/NginxFormatTest.java
+++ b/src/test/java/sablehinge/tools/replay/NginxFormatTest.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import sablehinge.replay.LogFormat.UnreadableLineException;
+import sablehinge.tools.replay.LogFormat.UnreadableLineException;
 
 /** Lines of formats that are given as nginx gives them. */
 class NginxFormatTest {
--- a/src/test/java/sablehinge/replay/OtherFormatsTest.java
+++ b/src/test/java/sablehinge/tools/replay/OtherFormatsTest.java
@@ -1,4 +1,4 @@
-package sablehinge.replay;
+package sablehinge.tools.replay;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,7 +8,7 @@
 import java.time.ZoneOffset;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import sablehinge.replay.LogFormat.UnreadableLineException;
+import sablehinge.tools.replay.LogFormat.UnreadableLineException;
 
 /** HAProxy's HTTP log and lines of JSON. */
 class OtherFormatsTest {
--- a/src/test/java/sablehinge/fold/RetryFolderTest.java
+++ b/src/test/java/sablehinge/tools/replay/folding/RetryFolderTest.java
@@ -1,4 +1,4 @@
-package sablehinge.fold;
+package sablehinge.tools.replay.folding;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import sablehinge.fold.RetryFolder.Terms;
-import sablehinge.fold.RetryFolder.Try;
+import sablehinge.tools.replay.folding.RetryFolder.Terms;
+import sablehinge.tools.replay.folding.RetryFolder.Try;
 
 /** Which tries belong under which, by examples and on generated logs whose truth is known. */
 class RetryFolderTest {
--- a/src/test/java/sablehinge/replay/run/LoadTest.java
+++ b/src/test/java/sablehinge/tools/replay/run/LoadTest.java
@@ -1,4 +1,4 @@
-package sablehinge.replay.run;
+package sablehinge.tools.replay.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -22,19 +22,19 @@
 import org.junit.jupiter.api.Timeout;
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.common.mapping.Mapped;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.End;
-import sablehinge.judge.Evidence.Tried;
-import sablehinge.judge.Evidence.Unasked;
-import sablehinge.judge.Terms.ClassTerms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
-import sablehinge.pace.Client;
-import sablehinge.pace.Pace;
-import sablehinge.replay.Demand;
 import sablehinge.rig.Listener;
 import sablehinge.rig.Peer;
 import sablehinge.rig.StandIn;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.End;
+import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Terms.ClassTerms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.replay.Demand;
+import sablehinge.tools.replay.schedule.Client;
+import sablehinge.tools.replay.schedule.Pace;
 
 @Timeout(120)
 class LoadTest {
--- a/src/test/java/sablehinge/pace/PaceTest.java
+++ b/src/test/java/sablehinge/tools/replay/schedule/PaceTest.java
@@ -1,4 +1,4 @@
-package sablehinge.pace;
+package sablehinge.tools.replay.schedule;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,8 +13,8 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
-import sablehinge.pace.Client.Outcome;
-import sablehinge.pace.Client.Repeat;
+import sablehinge.tools.replay.schedule.Client.Outcome;
+import sablehinge.tools.replay.schedule.Client.Repeat;
 
 class PaceTest {
 
--- a/src/test/java/sablehinge/tally/TallyTest.java
+++ b/src/test/java/sablehinge/tools/replay/statistics/TallyTest.java
@@ -1,4 +1,4 @@
-package sablehinge.tally;
+package sablehinge.tools.replay.statistics;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/sablehinge/timeline/TimelineTest.java
+++ b/src/test/java/sablehinge/tools/replay/timeline/TimelineTest.java
@@ -1,4 +1,4 @@
-package sablehinge.timeline;
+package sablehinge.tools.replay.timeline;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import sablehinge.timeline.Timeline.Terms;
+import sablehinge.tools.replay.timeline.Timeline.Terms;
 
 /** Logged events in the order of time, by examples and at random. */
 class TimelineTest {
--- a/src/test/java/sablehinge/standin/FleetTest.java
+++ b/src/test/java/sablehinge/tools/standin/FleetTest.java
@@ -1,4 +1,4 @@
-package sablehinge.standin;
+package sablehinge.tools.standin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -24,12 +24,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sablehinge.config.scenario.ScenarioFile;
-import sablehinge.judge.Evidence;
-import sablehinge.judge.Evidence.How;
-import sablehinge.judge.Evidence.Ran;
-import sablehinge.judge.Evidence.Told;
 import sablehinge.rig.Peer;
+import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.How;
+import sablehinge.tools.audit.judge.Evidence.Ran;
+import sablehinge.tools.audit.judge.Evidence.Told;
+import sablehinge.tools.standin.scenario.ScenarioFile;
 
 /** Servers as they are met without a balancer between, each under one fault. */
 @Timeout(120)
--- a/src/test/java/sablehinge/standin/SaboteurTest.java
+++ b/src/test/java/sablehinge/tools/standin/SaboteurTest.java
@@ -1,4 +1,4 @@
-package sablehinge.standin;
+package sablehinge.tools.standin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,27 +14,27 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sablehinge.audit.Audit;
-import sablehinge.audit.Recorder;
-import sablehinge.audit.TermsFile;
 import sablehinge.cli.LocalBalancers;
 import sablehinge.common.mapping.Mapped;
-import sablehinge.config.scenario.Scenario;
-import sablehinge.config.scenario.Scenario.RulesPart;
-import sablehinge.config.scenario.ScenarioFile;
-import sablehinge.judge.Breach;
-import sablehinge.judge.Breach.Rule;
-import sablehinge.judge.Terms;
-import sablehinge.judge.Terms.Effect;
-import sablehinge.judge.Terms.Group;
-import sablehinge.pace.Client;
-import sablehinge.pace.Pace;
-import sablehinge.replay.Demand;
-import sablehinge.replay.run.ClassPlan;
-import sablehinge.replay.run.Load;
 import sablehinge.rig.Relay;
 import sablehinge.rig.Saboteur;
 import sablehinge.rig.Saboteur.Deed;
+import sablehinge.tools.audit.Audit;
+import sablehinge.tools.audit.Recorder;
+import sablehinge.tools.audit.TermsFile;
+import sablehinge.tools.audit.judge.Breach;
+import sablehinge.tools.audit.judge.Breach.Rule;
+import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.audit.judge.Terms.Effect;
+import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.replay.Demand;
+import sablehinge.tools.replay.run.ClassPlan;
+import sablehinge.tools.replay.run.Load;
+import sablehinge.tools.replay.schedule.Client;
+import sablehinge.tools.replay.schedule.Pace;
+import sablehinge.tools.standin.scenario.Scenario;
+import sablehinge.tools.standin.scenario.Scenario.RulesPart;
+import sablehinge.tools.standin.scenario.ScenarioFile;
 
 /** The test of the audit: whoever breaks a rule is caught and named, and who breaks none is not. */
 class SaboteurTest {
--- a/src/test/java/sablehinge/standin/mesh/PulseTest.java
+++ b/src/test/java/sablehinge/tools/standin/mesh/PulseTest.java
@@ -1,4 +1,4 @@
-package sablehinge.standin.mesh;
+package sablehinge.tools.standin.mesh;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/sablehinge/station/StationTest.java
+++ b/src/test/java/sablehinge/tools/standin/model/StationTest.java
@@ -1,4 +1,4 @@
-package sablehinge.station;
+package sablehinge.tools.standin.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import sablehinge.station.Faults.Fault;
-import sablehinge.station.Faults.Kind;
-import sablehinge.station.Faults.Strike;
+import sablehinge.tools.standin.model.Faults.Fault;
+import sablehinge.tools.standin.model.Faults.Kind;
+import sablehinge.tools.standin.model.Faults.Strike;
 
 class StationTest {
 
--- a/src/test/java/sablehinge/config/scenario/ScenarioFileTest.java
+++ b/src/test/java/sablehinge/tools/standin/scenario/ScenarioFileTest.java
@@ -1,4 +1,4 @@
-package sablehinge.config.scenario;
+package sablehinge.tools.standin.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sablehinge.station.Faults.Kind;
+import sablehinge.tools.standin.model.Faults.Kind;
 
 class ScenarioFileTest {
 
