--- a/bench/src/sablehinge/bench/BudgetsBench.java
+++ b/bench/src/sablehinge/bench/BudgetsBench.java
@@ -25,6 +25,10 @@
 import sablehinge.rig.Listener;
 import sablehinge.rig.Logs;
 import sablehinge.rig.Peer;
+import sablehinge.tools.audit.judge.AuditRules;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Breach;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Echo;
@@ -32,11 +36,7 @@
 import sablehinge.tools.audit.judge.Evidence.How;
 import sablehinge.tools.audit.judge.Evidence.Ran;
 import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Judge;
-import sablehinge.tools.audit.judge.Terms;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.audit.judge.RuleChecker;
 
 /**
  * Run by {@code bench/run budgets}: real balancers between three tiers of servers on loopback, all in one process, with
@@ -352,7 +352,7 @@
         classes.put("dear", new ClassTerms(Effect.SAFE, Group.ALL, 0));
         classes.put("spend", new ClassTerms(Effect.UNSAFE, Group.ALL, 0));
         List<Breach> found = new ArrayList<>();
-        Judge judge = new Judge(new Terms(classes, 140, 2_050, 100, 10_000, true, true), found::add);
+        RuleChecker judge = new RuleChecker(new AuditRules(classes, 140, 2_050, 100, 10_000, true, true), found::add);
         chain.evidence.stream().sorted(Comparator.comparingDouble(Evidence::at)).forEach(judge::take);
         judge.end();
         found.stream().limit(3).forEach(breach -> System.err.println(breach));
--- a/bench/src/sablehinge/bench/ReplayRehearsal.java
+++ b/bench/src/sablehinge/bench/ReplayRehearsal.java
@@ -16,14 +16,14 @@
 import sablehinge.cli.LocalBalancers;
 import sablehinge.common.mapping.Mapping;
 import sablehinge.tools.audit.Audit;
+import sablehinge.tools.audit.AuditRulesFile;
 import sablehinge.tools.audit.Recorder;
-import sablehinge.tools.audit.TermsFile;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Evidence.How;
 import sablehinge.tools.audit.judge.Evidence.Ran;
 import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
 import sablehinge.tools.replay.LogOptions;
 import sablehinge.tools.replay.Logs;
 import sablehinge.tools.replay.SampleDay;
@@ -31,8 +31,8 @@
 import sablehinge.tools.replay.run.Keys;
 import sablehinge.tools.replay.run.Load;
 import sablehinge.tools.replay.run.LoadResult;
-import sablehinge.tools.replay.schedule.Client;
-import sablehinge.tools.replay.schedule.Pace;
+import sablehinge.tools.replay.schedule.ReplayClient;
+import sablehinge.tools.replay.schedule.ReplaySchedule;
 import sablehinge.tools.standin.Fleet;
 import sablehinge.tools.standin.scenario.Scenario;
 import sablehinge.tools.standin.scenario.ScenarioFile;
@@ -110,7 +110,7 @@
             fleet.start();
             LoadResult load =
                     send(fleet, checked.scenario(), folder.resolve("day.log"), clients, compress, lanes, seed);
-            TermsFile.write(folder, fleet.terms());
+            AuditRulesFile.write(folder, fleet.terms());
             return load;
         } finally {
             if (servers.dropped() + clients.dropped() > 0) {
@@ -183,8 +183,8 @@
                     new Load.Options(
                             fleet.entries(),
                             plans,
-                            Client.Terms.usual(),
-                            new Pace.Terms(compress, 1, Double.NaN, Double.NaN, seed),
+                            ReplayClient.Terms.usual(),
+                            new ReplaySchedule.Terms(compress, 1, Double.NaN, Double.NaN, seed),
                             lanes,
                             4_000,
                             200,
--- a/bench/src/sablehinge/controlplane/raft/Calm.java
+++ b/bench/src/sablehinge/controlplane/raft/Calm.java
@@ -122,7 +122,7 @@
                 return machine.address + " knows other voters than the leader";
             }
             boolean listed = leader.standing.members().contains(machine.self);
-            if (listed == (machine.standing.role() == Standing.Role.OUTSIDER)) {
+            if (listed == (machine.standing.role() == RaftStatus.Role.OUTSIDER)) {
                 return machine.address + " takes itself for " + machine.standing.role();
             }
         }
--- a/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
+++ b/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
@@ -14,7 +14,7 @@
 final class CarriedChanges {
 
     /** A leader that looks at its clock after so long asks its peers something, ms. */
-    private static final double ASKS = Timing.usual().heartbeat();
+    private static final double ASKS = RaftConfig.usual().heartbeat();
     /**
      * A voter counts as caught up by the latest question or the one before, and both may be one look older than the
      * change.
--- a/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
@@ -67,7 +67,7 @@
             new Mutant(
                     "an answer counts for a later term",
                     NODE,
-                    "private Peer answered(",
+                    "private ReplicaProgress answered(",
                     "itsTerm < term",
                     "itsTerm < 0"),
             new Mutant(
@@ -80,8 +80,8 @@
                     "votes of an older term count",
                     NODE,
                     "private void vote(",
-                    "role == Standing.Role.CANDIDATE && vote.term() == term",
-                    "role == Standing.Role.CANDIDATE"),
+                    "role == RaftStatus.Role.CANDIDATE && vote.term() == term",
+                    "role == RaftStatus.Role.CANDIDATE"),
             new Mutant(
                     "who has handed over takes a lease again",
                     NODE,
--- a/bench/src/sablehinge/controlplane/raft/LeaderLoss.java
+++ b/bench/src/sablehinge/controlplane/raft/LeaderLoss.java
@@ -130,7 +130,7 @@
             if (!machine.up()
                     || machine.standing == null
                     || machine.applied < committed.size()
-                    || machine.standing.role() == Standing.Role.OUTSIDER
+                    || machine.standing.role() == RaftStatus.Role.OUTSIDER
                     || machine.standing.members().size() != size
                     || now < machine.stalledUntil) {
                 return false;
--- a/bench/src/sablehinge/controlplane/raft/LogFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/LogFaults.java
@@ -31,7 +31,7 @@
             new Mutant(
                     "entries are acknowledged before their sync",
                     NODE,
-                    "private Message.Appended appended(",
+                    "private Message.AppendResponse appended(",
                     "Math.min(queue.synced(), verified)",
                     "verified"),
             new Mutant(
--- a/bench/src/sablehinge/controlplane/raft/OrderFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/OrderFaults.java
@@ -80,7 +80,7 @@
                     "who does not lead takes orders",
                     NODE,
                     "public long propose(",
-                    "!running || role != Standing.Role.LEADER || log",
+                    "!running || role != RaftStatus.Role.LEADER || log",
                     "!running || log"));
 
     private OrderFaults() {}
--- a/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
@@ -84,7 +84,7 @@
             new Mutant(
                     "a lost chunk is never sent again",
                     SENDER,
-                    "Message.Install next(",
+                    "Message.InstallSnapshotRequest next(",
                     "sentAt = now;\n        sentRound = round;",
                     "sentAt = Double.MAX_VALUE;\n        sentRound = Long.MAX_VALUE;"),
             new Mutant(
--- a/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
+++ b/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
@@ -71,13 +71,13 @@
         for (int i = 0; i < MOST * MOST; i++) {
             links.add(new ArrayList<>());
         }
-        Timing usual = Timing.usual();
+        RaftConfig usual = RaftConfig.usual();
         boolean plain = seed == PLAIN;
         for (int i = 0; i < MOST; i++) {
             rates[i] = plain ? 1 + (i % 3 - 1) * PLAINLY_WRONG : 1 + (random.nextInt(3) - 1) * WRONG;
         }
         // Few entries a message and short patience bring about what a core meets seldom.
-        timing = new Timing(
+        timing = new RaftConfig(
                 usual.heartbeat(),
                 usual.electionLeast(),
                 plain ? usual.electionLeast() : usual.electionMost(),
@@ -158,14 +158,14 @@
     }
 
     @Override
-    void write(Machine machine, Change change) {
+    void write(Machine machine, WriteBatch change) {
         // So is what its disk does.
     }
 
     @Override
     void made(Machine machine, Entry entry) {
         if (entry.kind() == Entry.Kind.MEMBERS && machine.leads() && machine.standing.term() == entry.term()) {
-            carried.check(this, machine, Members.read(entry.data()));
+            carried.check(this, machine, MemberListCodec.read(entry.data()));
         }
     }
 
@@ -417,7 +417,7 @@
         Map<Long, Double> silentMs = leader.master.pulse(leader.clock()).silentMs();
         int count = 0;
         for (Member member : list) {
-            Standing its = machines.get(member.address()).standing;
+            RaftStatus its = machines.get(member.address()).standing;
             int place = places.get(member.address());
             boolean lost = graves.containsKey(member.id()) || leaving[place] == byPlace.get(place).life;
             // Whoever has just won counts all as heard, also those that know nothing of its term.
--- a/bench/src/sablehinge/dataplane/sidecar/GateParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/GateParts.java
@@ -43,7 +43,7 @@
         UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, () -> {}));
         Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
         core.start(
-                Terms.gate(),
+                BalancerSettings.gate(),
                 1,
                 new Roster(1, true, List.of(new Roster.Member(own, upstream))),
                 transport,
--- a/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -20,7 +20,7 @@
 import sablehinge.mesh.watch.Tokens;
 import sablehinge.mesh.watch.Update;
 import sablehinge.mesh.watch.WatchRequest;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /**
  * The control side of a sidecar without its data plane: it asks the control nodes for news, takes part in the ring of
@@ -44,8 +44,8 @@
     private final LocalSettings settings;
     private final EventLoop loop;
     private final Clock clock = Clock.system();
-    private final NewsClient news;
-    private final Watchers watchers;
+    private final WatchClient news;
+    private final PeerMonitor watchers;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
     private final Function<Update, Configuration> reader;
@@ -124,8 +124,8 @@
         for (String seed : settings.seeds()) {
             contacts.add(seed.substring(0, seed.lastIndexOf(':') + 1) + settings.innerFirst());
         }
-        news = new NewsClient(loop, clock, new Connection(loop, PING_MS, DEAD_MS, observer), contacts, new Hears());
-        watchers = new Watchers(loop, clock, settings, news::askNow);
+        news = new WatchClient(loop, clock, new Connection(loop, PING_MS, DEAD_MS, observer), contacts, new Hears());
+        watchers = new PeerMonitor(loop, clock, settings, news::askNow);
         quotas = new Quotas(settings.bounds(), (tenant, count) -> news.tokens(new Tokens(tenant, count)));
         retryBudget = new RetryBudget(clock, settings, news::shares);
     }
@@ -174,7 +174,7 @@
         });
     }
 
-    /** When the awaited condition was met, by {@link Ledger#now}; NaN until then. */
+    /** When the awaited condition was met, by {@link TrafficLog#now}; NaN until then. */
     public double awaitedAt() {
         return awaitedAt;
     }
@@ -274,11 +274,11 @@
     private void look() {
         if (awaited != null && awaited.test(new View(edition, term, complete, roster))) {
             awaited = null;
-            awaitedAt = Ledger.now();
+            awaitedAt = TrafficLog.now();
         }
     }
 
-    private final class Hears implements NewsClient.Teller {
+    private final class Hears implements WatchClient.Listener {
 
         @Override
         public WatchRequest request(int number) {
--- a/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
@@ -21,7 +21,7 @@
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.api.ConfigurationReader;
 import sablehinge.mesh.routing.Configuration;
-import sablehinge.mesh.routing.Plan;
+import sablehinge.mesh.routing.RoutingTable;
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
@@ -131,7 +131,7 @@
                 CALLER,
                 quotas,
                 new RetryBudget(clock, settings, claim -> {}),
-                new OutboundFront.Confirming() {
+                new OutboundFront.Confirmation() {
                     @Override
                     public void ask() {
                         // What is known is the newest.
@@ -143,11 +143,11 @@
                     }
                 },
                 1);
-        core = new Core(clock, timers, actions -> new LatencyWeightedBalancer(actions, Terms.EXTRAS));
+        core = new Core(clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
         Frontend front = new Frontend(loop, sockets, memory, core, routes);
         UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
         core.bound((version, serviceClass, beside, then) -> then.accept(() -> {}));
-        core.start(Terms.gate(), 1, new Roster(0, true, List.of()), transport, NO_REGISTRY);
+        core.start(BalancerSettings.gate(), 1, new Roster(0, true, List.of()), transport, NO_REGISTRY);
         front.open(at, done);
     }
 
@@ -155,9 +155,13 @@
     public void configure() {
         Configuration configuration = configuration();
         Map<String, Integer> places = new HashMap<>();
-        Version version = Terms.version(
-                core.version().number() + 1, configuration, Terms.kinds(), places, Terms.Place.of("s-1", 0, 1));
-        routes.adopt(new Plan(configuration), version, places);
+        Version version = BalancerSettings.version(
+                core.version().number() + 1,
+                configuration,
+                BalancerSettings.kinds(),
+                places,
+                BalancerSettings.Place.of("s-1", 0, 1));
+        routes.adopt(new RoutingTable(configuration), version, places);
         quotas.adopt(clock.now(), configuration.tenants());
         List<Roster.Member> members = new ArrayList<>();
         for (int i = 0; i < balancers.size(); i++) {
--- a/bench/src/sablehinge/fleet/AddedTime.java
+++ b/bench/src/sablehinge/fleet/AddedTime.java
@@ -6,7 +6,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.time.Duration;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /** What two real sidecars, outbound and inbound, add to a request, without any load. */
 final class AddedTime {
@@ -57,11 +57,11 @@
                 .header("Sablehinge-Time-Left", "2000")
                 .GET()
                 .build();
-        double begun = Ledger.now();
+        double begun = TrafficLog.now();
         try {
             int status =
                     client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
-            return status == OK ? Ledger.now() - begun : Double.NaN;
+            return status == OK ? TrafficLog.now() - begun : Double.NaN;
         } catch (IOException e) {
             return Double.NaN;
         }
--- a/bench/src/sablehinge/fleet/FleetBench.java
+++ b/bench/src/sablehinge/fleet/FleetBench.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.logging.LogManager;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /**
  * What each role costs by the size of the fleet: hollow sidecars of this process with the project's own client code,
@@ -47,7 +47,7 @@
         // Hundreds of sidecars would fill the screen with what each of them thinks of its neighbours.
         LogManager.getLogManager().reset();
         AddedTime.prepare();
-        double begun = Ledger.now();
+        double begun = TrafficLog.now();
         List<Measurement> all = new ArrayList<>();
         List<String> failures = new ArrayList<>();
         for (int size : sizes) {
@@ -70,7 +70,7 @@
                 .put("routes", routes)
                 .put("target", TARGET)
                 .put("failures", failures.toString())
-                .put("wall_s", Math.round((Ledger.now() - begun) / MS_PER_S));
+                .put("wall_s", Math.round((TrafficLog.now() - begun) / MS_PER_S));
         json.set("slopes", report.slopes(TARGET));
         System.out.println("written: " + folder.resolve("fleet.csv") + ", " + folder.resolve("fleet.html"));
         System.out.println(json);
@@ -84,7 +84,7 @@
         double perSidecar = TARGET_CALLS / TARGET;
         FleetConfiguration configuration =
                 new FleetConfiguration(services, routes, TENANTS, Math.ceil(perSidecar * size / TENANTS / DEMAND));
-        double begun = Ledger.now();
+        double begun = TrafficLog.now();
         System.out.printf(
                 Locale.ROOT,
                 "%d sidecars (%d hollow), %d control nodes, %d services%n",
@@ -96,7 +96,8 @@
                 plan,
                 configuration,
                 perSidecar,
-                what -> System.out.printf(Locale.ROOT, "  %5.1f s %s%n", (Ledger.now() - begun) / MS_PER_S, what))) {
+                what -> System.out.printf(
+                        Locale.ROOT, "  %5.1f s %s%n", (TrafficLog.now() - begun) / MS_PER_S, what))) {
             Thread end = new Thread(run::close, "end");
             Runtime.getRuntime().addShutdownHook(end);
             List<Measurement> measured = run.play();
--- a/bench/src/sablehinge/fleet/FleetOperator.java
+++ b/bench/src/sablehinge/fleet/FleetOperator.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /** Sends configurations to the control nodes and asks which of them leads. */
 final class FleetOperator {
@@ -54,8 +54,8 @@
      * @return whether that came within the time
      */
     boolean replace(long basedOn, byte[] body, long withinMs) throws InterruptedException {
-        double end = Ledger.now() + withinMs;
-        while (Ledger.now() < end) {
+        double end = TrafficLog.now() + withinMs;
+        while (TrafficLog.now() < end) {
             if (send(basedOn, body) == OK) {
                 return true;
             }
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -15,7 +15,7 @@
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.dataplane.sidecar.HollowSidecar;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /**
  * A fleet of one size through its phases: start, changes, load, replaced upstreams, calm, requests through real
@@ -106,7 +106,7 @@
 
     private void start() throws IOException, ConfigException, InterruptedException {
         hollow.prepare();
-        double begun = Ledger.now();
+        double begun = TrafficLog.now();
         processes.start();
         hollow.start();
         hollow.await(this::knowsAll);
@@ -117,7 +117,7 @@
         }
         progress.accept("first configuration acknowledged");
         edition = 1;
-        put("start", "fleet", "first_ack", "ms", Ledger.now() - begun);
+        put("start", "fleet", "first_ack", "ms", TrafficLog.now() - begun);
         put("start", "fleet", "configuration", "bytes", body.length);
         put("start", "fleet", "configuration_deflated", "bytes", deflated(body));
         Times known = hollow.awaited(begun, START_MS);
@@ -147,7 +147,7 @@
 
     private Look look() {
         return new Look(
-                Ledger.now(),
+                TrafficLog.now(),
                 processes.controlUsage(),
                 processes.sidecarUsage(),
                 hollow.traffic().counts());
@@ -276,14 +276,14 @@
             long next = edition + 1;
             byte[] body = configuration.body(next);
             hollow.await(view -> view.edition() >= next);
-            double sent = Ledger.now();
+            double sent = TrafficLog.now();
             double sentAt = System.currentTimeMillis();
             if (operator.replace(edition, body, CHANGE_MS)) {
                 edition = next;
             } else {
                 refused++;
             }
-            acked += (Ledger.now() - sent) / CHANGES;
+            acked += (TrafficLog.now() - sent) / CHANGES;
             Times times = hollow.awaited(sent, CHANGE_MS);
             p50[i] = times.p50();
             p99[i] = times.p99();
@@ -328,7 +328,7 @@
         Look before = look();
         TimeUnit.MILLISECONDS.sleep(LOAD_MS);
         rates("load", before);
-        double seconds = (Ledger.now() - before.at) / MS_PER_S;
+        double seconds = (TrafficLog.now() - before.at) / MS_PER_S;
         put("load", "fleet", "granted", "1/s", (granted() - granted) / seconds);
         put("load", "fleet", "refused", "1/s", (refused() - refused) / seconds);
         put("load", "fleet", "waited", "1/s", (asked() - asked) / seconds);
@@ -357,7 +357,7 @@
         int missing = 0;
         for (int i = 0; i < REPLACED; i++) {
             int place = i * (plan.hollow() - 1) / REPLACED;
-            double at = Ledger.now();
+            double at = TrafficLog.now();
             String life = hollow.replaceUpstream(place);
             String node = FleetPlan.node(place);
             hollow.await(view -> view.roster().get(node) != null
@@ -386,7 +386,7 @@
         });
         hollow.awaited(0, CHANGE_MS);
         long before = term[0];
-        double killed = Ledger.now();
+        double killed = TrafficLog.now();
         hollow.await(view -> view.term() > before && knowsAll(view));
         processes.killControl(leader);
         times("leader", "known_roster", hollow.awaited(killed, LEADER_MS));
@@ -400,9 +400,9 @@
     private void addedTime() throws InterruptedException {
         progress.accept("added time");
         Map<String, Double> threads = processes.threadsOfSidecars();
-        double begun = Ledger.now();
+        double begun = TrafficLog.now();
         AddedTime.Result result = AddedTime.measure(plan, REQUESTS);
-        put("serve", "sidecar", "seconds", "s", (Ledger.now() - begun) / MS_PER_S);
+        put("serve", "sidecar", "seconds", "s", (TrafficLog.now() - begun) / MS_PER_S);
         // Of all sidecars, for a request that passes two of them; what they do beside is in it.
         processes
                 .threadsOfSidecars()
@@ -435,10 +435,10 @@
         progress.accept("lost region");
         processes.killSidecars();
         lose("region", zone -> zone < FleetPlan.ZONES / 2);
-        double sent = Ledger.now();
+        double sent = TrafficLog.now();
         boolean taken = operator.replace(edition, configuration.body(edition + 1), UNDECIDED_MS);
         put("region", "fleet", "change_acknowledged", "1", taken ? 1 : 0);
-        put("region", "fleet", "change_answered", "ms", Ledger.now() - sent);
+        put("region", "fleet", "change_answered", "ms", TrafficLog.now() - sent);
     }
 
     private void lose(String phase, IntPredicate lost) throws InterruptedException {
@@ -448,7 +448,7 @@
                 zones.add(FleetPlan.zone(i));
             }
         }
-        double at = Ledger.now();
+        double at = TrafficLog.now();
         hollow.kill(sidecar -> zones.contains(sidecar.settings().zone()));
         for (int i = 0; i < plan.controlNodes(); i++) {
             if (lost.test(FleetPlan.controlZone(i))) {
--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -24,7 +24,7 @@
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.PackedConfiguration;
 import sablehinge.mesh.watch.Update;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /** Hundreds of hollow sidecars on a few threads of this process. */
 final class HollowFleet implements AutoCloseable {
@@ -149,8 +149,8 @@
 
     /** Waits until all have met the awaited condition, or for a time; returns how long each took. */
     Times awaited(double event, long withinMs) throws InterruptedException {
-        double end = Ledger.now() + withinMs;
-        while (Ledger.now() < end && sidecars.stream().anyMatch(sidecar -> Double.isNaN(sidecar.awaitedAt()))) {
+        double end = TrafficLog.now() + withinMs;
+        while (TrafficLog.now() < end && sidecars.stream().anyMatch(sidecar -> Double.isNaN(sidecar.awaitedAt()))) {
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
         }
         return Times.since(
--- a/bench/src/sablehinge/fleet/Processes.java
+++ b/bench/src/sablehinge/fleet/Processes.java
@@ -16,10 +16,10 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import sablehinge.controlplane.node.CutControlNode;
-import sablehinge.tools.standin.mesh.Beating;
 import sablehinge.tools.standin.mesh.Daemon;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.HeartbeatSender;
 import sablehinge.tools.standin.mesh.StandInUpstream;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /** The real processes of a fleet: control nodes, and a few sidecars with a stand-in upstream each. */
 final class Processes implements AutoCloseable {
@@ -38,7 +38,7 @@
     private final Map<String, List<String>> commands = new HashMap<>();
     private final List<Daemon> control = new ArrayList<>();
     private final List<Daemon> sidecars = new ArrayList<>();
-    private final List<Beating> upstreams = new ArrayList<>();
+    private final List<HeartbeatSender> upstreams = new ArrayList<>();
 
     /** A file that is there while the regions are cut from each other; null where they never are. */
     private Path cut;
@@ -116,13 +116,13 @@
             control.get(i).start(controlCommand(i));
         }
         sidecars.forEach(daemon -> daemon.start(commands.get("sidecar")));
-        Ledger ledger = new Ledger();
+        TrafficLog ledger = new TrafficLog();
         for (int i = 0; i < sidecars.size(); i++) {
             StandInUpstream upstream = new StandInUpstream(
                     new StandInUpstream.Terms(
                             "i-sidecar-" + i, FleetPlan.service(0), address(plan.app(i)), BERTHS, WORK_MS),
                     ledger);
-            upstreams.add(new Beating(upstream, address(plan.beats(i)), FleetPlan.zone(i), BEAT_MS, ledger));
+            upstreams.add(new HeartbeatSender(upstream, address(plan.beats(i)), FleetPlan.zone(i), BEAT_MS, ledger));
         }
     }
 
@@ -236,7 +236,7 @@
 
     @Override
     public void close() {
-        upstreams.forEach(Beating::close);
+        upstreams.forEach(HeartbeatSender::close);
         sidecars.forEach(Daemon::close);
         control.forEach(Daemon::close);
         try (Stream<Path> files = Files.walk(folder)) {
--- a/bench/src/sablehinge/fleet/RegionCutBench.java
+++ b/bench/src/sablehinge/fleet/RegionCutBench.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.dataplane.sidecar.HollowSidecar;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /**
  * Six control nodes and hollow sidecars in two regions that are cut from each other for a while: what is still
@@ -43,7 +43,7 @@
     private final HollowFleet hollow;
     private final FleetOperator operator;
     private final ObjectNode results = JsonNodeFactory.instance.objectNode();
-    private final double begun = Ledger.now();
+    private final double begun = TrafficLog.now();
 
     /** What an operator who is inside one region comes to while the cut lasts. */
     private static final class Order extends Thread {
@@ -63,12 +63,12 @@
 
         @Override
         public void run() {
-            double sent = Ledger.now();
+            double sent = TrafficLog.now();
             try {
                 firstStatus = operator.send(1, body);
-                firstMs = Ledger.now() - sent;
+                firstMs = TrafficLog.now() - sent;
                 acknowledged = operator.replace(1, body, withinMs);
-                acknowledgedMs = acknowledged ? Ledger.now() - sent : Double.NaN;
+                acknowledgedMs = acknowledged ? TrafficLog.now() - sent : Double.NaN;
             } catch (InterruptedException e) {
                 interrupt();
             }
@@ -104,7 +104,7 @@
     }
 
     private void progress(String what) {
-        System.out.printf(Locale.ROOT, "  %5.1f s %s%n", (Ledger.now() - begun) / MS_PER_S, what);
+        System.out.printf(Locale.ROOT, "  %5.1f s %s%n", (TrafficLog.now() - begun) / MS_PER_S, what);
     }
 
     private void start() throws IOException, ConfigException, InterruptedException {
@@ -116,8 +116,8 @@
             throw new IllegalStateException("the first configuration was not acknowledged");
         }
         int missing = hollow.awaited(0, START_MS).missing();
-        double end = Ledger.now() + START_MS;
-        while (processes.members() < VOTERS && Ledger.now() < end) {
+        double end = TrafficLog.now() + START_MS;
+        while (processes.members() < VOTERS && TrafficLog.now() < end) {
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
         }
         TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
@@ -161,7 +161,7 @@
     }
 
     private void cut(long cutMs) throws IOException, InterruptedException {
-        double at = Ledger.now();
+        double at = TrafficLog.now();
         processes.cut(true);
         hollow.cut(true);
         progress("cut");
@@ -179,7 +179,7 @@
         for (Order order : orders) {
             order.join();
         }
-        TimeUnit.MILLISECONDS.sleep(Math.max(0, (long) (at + cutMs - Ledger.now())));
+        TimeUnit.MILLISECONDS.sleep(Math.max(0, (long) (at + cutMs - TrafficLog.now())));
         for (int region = 0; region < REGIONS; region++) {
             tell("region_" + region, orders.get(region));
             Times others = Times.since(
@@ -194,14 +194,14 @@
 
     private void heal(long edition) throws IOException, InterruptedException {
         Predicate<HollowSidecar.View> whole = view -> knowsAll(view) && view.edition() >= edition;
-        double at = Ledger.now();
+        double at = TrafficLog.now();
         processes.cut(false);
         hollow.cut(false);
         hollow.await(whole);
         progress("joined again");
-        double sent = Ledger.now();
+        double sent = TrafficLog.now();
         boolean acknowledged = operator.replace(edition, configuration.body(edition + 2), HEALED_MS);
-        results.put("healed_change_acknowledged_ms", acknowledged ? Ledger.now() - sent : Double.NaN);
+        results.put("healed_change_acknowledged_ms", acknowledged ? TrafficLog.now() - sent : Double.NaN);
         put("whole_again", hollow.awaited(at, HEALED_MS));
         hollow.await(view -> view.edition() >= edition + 2);
         put("healed_change_in_force", hollow.awaited(sent, HEALED_MS));
--- a/bench/src/sablehinge/mesh/retrybudget/SharesBench.java
+++ b/bench/src/sablehinge/mesh/retrybudget/SharesBench.java
@@ -64,7 +64,8 @@
     }
 
     private static Sum play(String name, int balancers, Consumer<SimulatedMesh> trouble) {
-        SimulatedMesh world = new SimulatedMesh(1, balancers, new Rule(0.2, 10_000, balancers > SMALL ? MANY : FEW));
+        SimulatedMesh world =
+                new SimulatedMesh(1, balancers, new RetryBudgetRule(0.2, 10_000, balancers > SMALL ? MANY : FEW));
         world.calls = CALLS;
         world.spread(SimulatedMesh.ATLAS, PER_S * balancers, FAILS);
         world.spread(SimulatedMesh.RELEVE, PER_S / 4 * balancers, FAILS);
--- a/bench/src/sablehinge/tools/standin/mesh/Pulse.java
+++ b/bench/src/sablehinge/tools/standin/mesh/Pulse.java
@@ -42,13 +42,13 @@
 
     /** A request; NaN as long as it has no end. */
     private static final class One {
-        private final double sentAt = Ledger.now();
+        private final double sentAt = TrafficLog.now();
         private volatile double endedAt = Double.NaN;
         private volatile boolean served;
 
         private void end(boolean good) {
             served = good;
-            endedAt = Ledger.now();
+            endedAt = TrafficLog.now();
         }
     }
 
@@ -62,14 +62,14 @@
     }
 
     private void beat() {
-        double due = Ledger.now();
+        double due = TrafficLog.now();
         try {
             for (int i = 0; !Thread.interrupted(); i++) {
-                double wait = due - Ledger.now();
+                double wait = due - TrafficLog.now();
                 if (wait > 0) {
                     TimeUnit.NANOSECONDS.sleep((long) (wait * NANOS));
                 }
-                late = Math.max(late, Ledger.now() - due);
+                late = Math.max(late, TrafficLog.now() - due);
                 due += everyMs;
                 One one = new One();
                 synchronized (all) {
@@ -90,12 +90,12 @@
     private boolean call(int number) {
         MeshVersion.Route route = routes.get(number % routes.size());
         String id = String.format("%016x", ThreadLocalRandom.current().nextLong());
-        boolean safe = route.kind() == Ledger.Kind.SAFE;
+        boolean safe = route.kind() == TrafficLog.Kind.SAFE;
         try {
-            Message answer = Call.once(
+            Message answer = ClientCall.once(
                     to.get(number / routes.size() % to.size()),
                     PATIENCE_MS,
-                    safe ? "GET" : route.kind() == Ledger.Kind.UPLOAD ? "PUT" : "POST",
+                    safe ? "GET" : route.kind() == TrafficLog.Kind.UPLOAD ? "PUT" : "POST",
                     route.prefix() + number,
                     Map.of(
                             "Host",
@@ -136,7 +136,7 @@
      */
     double well(double from, double whileMs) {
         List<One> ended = new ArrayList<>();
-        double until = Ledger.now();
+        double until = TrafficLog.now();
         for (One one : sent()) {
             if (Double.isNaN(one.endedAt)) {
                 until = one.sentAt;
--- a/bench/src/sablehinge/tools/standin/mesh/RecoveryBench.java
+++ b/bench/src/sablehinge/tools/standin/mesh/RecoveryBench.java
@@ -111,7 +111,7 @@
     }
 
     private boolean run(int plays, int side) throws InterruptedException {
-        double begun = Ledger.now();
+        double begun = TrafficLog.now();
         ExecutorService seats = Executors.newFixedThreadPool(side);
         Map<Loss, List<CompletableFuture<Outcome>>> outcomes = new EnumMap<>(Loss.class);
         for (int i = 0; i < plays; i++) {
@@ -166,9 +166,9 @@
                 "%d plays, %d side by side, in %.0f s%n",
                 plays * Loss.values().length,
                 side,
-                (Ledger.now() - begun) / S);
+                (TrafficLog.now() - begun) / S);
         System.out.println(
-                json.put("lost", lost).put("failed", failed).put("wall_s", Math.round((Ledger.now() - begun) / S)));
+                json.put("lost", lost).put("failed", failed).put("wall_s", Math.round((TrafficLog.now() - begun) / S)));
         return lost == 0 && failed == 0;
     }
 
@@ -264,11 +264,11 @@
         mesh.start(mesh.version(1, 0, SmallMesh.BASALT));
         List<InetSocketAddress> outbound = new ArrayList<>();
         for (int i = 0; i < mesh.plan().services().size(); i++) {
-            outbound.add(Call.address(mesh.plan().outbound(i)));
+            outbound.add(ClientCall.address(mesh.plan().outbound(i)));
         }
         try (Pulse pulse =
                 new Pulse(outbound, mesh.version(1, 0, SmallMesh.BASALT).routes(), PER_SECOND)) {
-            double begun = Ledger.now();
+            double begun = TrafficLog.now();
             until("95% served before the strike", () -> !Double.isNaN(pulse.well(begun, CALM_MS)));
             int struck = Math.floorMod(
                     mesh.operator().leader() + number % UNLIKE, mesh.plan().controlNodes());
@@ -296,7 +296,7 @@
             mesh.wipe(struck);
         }
         TimeUnit.MILLISECONDS.sleep(DOWN_MS);
-        double back = Ledger.now();
+        double back = TrafficLog.now();
         if (loss.isOfPower()) {
             mesh.upstreamsCome();
         }
@@ -312,14 +312,14 @@
 
     private static void one(SmallMesh mesh, Loss loss, int struck, int number, Pulse pulse, Outcome outcome)
             throws InterruptedException {
-        double strike = Ledger.now();
+        double strike = TrafficLog.now();
         mesh.controlNode(struck).kill();
         CompletableFuture<Double> acked = CompletableFuture.supplyAsync(() -> {
             replace(mesh, 3);
-            return Ledger.now();
+            return TrafficLog.now();
         });
         TimeUnit.MILLISECONDS.sleep(DOWN_MS);
-        double back = Ledger.now();
+        double back = TrafficLog.now();
         int newcomer = struck;
         if (loss == Loss.REPLACE) {
             newcomer = mesh.another();
@@ -329,7 +329,7 @@
         mesh.restart(newcomer, 1);
         Daemon came = mesh.controlNode(newcomer);
         until("a member again", () -> isMember(came.said(), mesh.plan().controlNodes()));
-        outcome.times.put(Mark.MEMBER, Ledger.now() - back);
+        outcome.times.put(Mark.MEMBER, TrafficLog.now() - back);
         outcome.times.put(Mark.ACKED, acked.join() - strike);
         served(pulse, strike, outcome);
         outcome.share = pulse.share(strike);
@@ -361,9 +361,9 @@
     }
 
     private static void until(String what, BooleanSupplier holds) throws InterruptedException {
-        double end = Ledger.now() + WITHIN_MS;
+        double end = TrafficLog.now() + WITHIN_MS;
         while (!holds.getAsBoolean()) {
-            if (Ledger.now() > end) {
+            if (TrafficLog.now() > end) {
                 throw new MeshException(MeshException.Code.TIMEOUT, "not within " + WITHIN_MS + " ms: " + what, null);
             }
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -27,7 +27,7 @@
     private static final String STATE = "dataplane/proxy/AttemptState";
     private static final String CLIENT = "dataplane/http1/UpstreamClient";
     private static final String DIALECT = "dataplane/sidecar/MeshUpstream";
-    private static final String ANSWERS = "dataplane/sidecar/MeshAnswers";
+    private static final String ANSWERS = "dataplane/sidecar/MeshResponses";
 
     /** What each order begins with: a request at the upstream, one that was served, and an upload. */
     private static final List<List<Event>> BEGINNINGS =
--- a/src/main/java/sablehinge/cli/DemoCommand.java
+++ b/src/main/java/sablehinge/cli/DemoCommand.java
@@ -17,11 +17,11 @@
 import picocli.CommandLine.Option;
 import sablehinge.common.mapping.Mapping;
 import sablehinge.tools.audit.Audit;
+import sablehinge.tools.audit.AuditRulesFile;
 import sablehinge.tools.audit.Recorder;
-import sablehinge.tools.audit.TermsFile;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.replay.LogOptions;
 import sablehinge.tools.replay.Logs;
 import sablehinge.tools.replay.SampleDay;
@@ -29,8 +29,8 @@
 import sablehinge.tools.replay.run.Load;
 import sablehinge.tools.replay.run.LoadResult;
 import sablehinge.tools.replay.run.ReportPage;
-import sablehinge.tools.replay.schedule.Client;
-import sablehinge.tools.replay.schedule.Pace;
+import sablehinge.tools.replay.schedule.ReplayClient;
+import sablehinge.tools.replay.schedule.ReplaySchedule;
 import sablehinge.tools.standin.Fleet;
 import sablehinge.tools.standin.scenario.Scenario;
 import sablehinge.tools.standin.scenario.Scenario.ClassPart;
@@ -79,7 +79,7 @@
             try (Fleet fleet = new Fleet(scenario, new LocalBalancers(servers::note), 2, servers::note, this::tell)) {
                 fleet.start();
                 result = play(fleet, scenario, log, clients);
-                TermsFile.write(out, fleet.terms());
+                AuditRulesFile.write(out, fleet.terms());
             }
         }
         Files.writeString(out.resolve("report.json"), result.json().toPrettyString() + "\n");
@@ -102,8 +102,8 @@
                     new Load.Options(
                             fleet.entries(),
                             plans(scenario),
-                            Client.Terms.usual(),
-                            new Pace.Terms(COMPRESS, 1, Double.NaN, Double.NaN, scenario.seed()),
+                            ReplayClient.Terms.usual(),
+                            new ReplaySchedule.Terms(COMPRESS, 1, Double.NaN, Double.NaN, scenario.seed()),
                             1,
                             1_000,
                             200,
--- a/src/main/java/sablehinge/cli/LocalBalancers.java
+++ b/src/main/java/sablehinge/cli/LocalBalancers.java
@@ -31,7 +31,7 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 import sablehinge.policy.LoadBalancer.WeightKind;
-import sablehinge.tools.audit.Stamps;
+import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.Noted;
 import sablehinge.tools.standin.Balancers;
@@ -100,7 +100,7 @@
                 String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed) {
             // On the balancer's loop: a format would take longer than the decision.
             record.accept(new Noted(
-                    Stamps.now(),
+                    EvidenceStamps.now(),
                     name,
                     request,
                     KINDS.get(kind) + attempts + " attempts and " + Math.round(elapsed * 10) / 10.0 + " ms"));
--- a/src/main/java/sablehinge/cli/ReplayRun.java
+++ b/src/main/java/sablehinge/cli/ReplayRun.java
@@ -18,18 +18,18 @@
 import sablehinge.cli.ReplayCommand.LogVerb;
 import sablehinge.gateway.config.operator.OperatorConfig.ClassPart;
 import sablehinge.gateway.settings.Addresses;
+import sablehinge.tools.audit.AuditRulesFile;
 import sablehinge.tools.audit.Recorder;
-import sablehinge.tools.audit.TermsFile;
-import sablehinge.tools.audit.judge.Terms.ClassTerms;
-import sablehinge.tools.audit.judge.Terms.Effect;
-import sablehinge.tools.audit.judge.Terms.Group;
+import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
+import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.replay.Logs;
 import sablehinge.tools.replay.run.ClassPlan;
 import sablehinge.tools.replay.run.Load;
 import sablehinge.tools.replay.run.LoadResult;
 import sablehinge.tools.replay.run.ReportPage;
-import sablehinge.tools.replay.schedule.Client;
-import sablehinge.tools.replay.schedule.Pace;
+import sablehinge.tools.replay.schedule.ReplayClient;
+import sablehinge.tools.replay.schedule.ReplaySchedule;
 
 /** Sends the load of logs once more. */
 @Command(
@@ -86,13 +86,13 @@
     private Map<String, String> effects = new HashMap<>();
 
     @Option(names = "--retries", paramLabel = "N", description = "Further tries of a client. Default: 2.")
-    private int retries = Client.Terms.usual().retries();
+    private int retries = ReplayClient.Terms.usual().retries();
 
     @Option(
             names = "--honour",
             paramLabel = "SHARE",
             description = "Of clients that do as Retry-After says, 0 to 1. Default: 0.4.")
-    private double honour = Client.Terms.usual().honour();
+    private double honour = ReplayClient.Terms.usual().honour();
 
     @Option(
             names = "--body",
@@ -111,7 +111,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Pace.Terms pace = new Pace.Terms(
+        ReplaySchedule.Terms pace = new ReplaySchedule.Terms(
                 range("--compress", compress, 0.001, 10_000),
                 range("--rate-scale", rateScale, 0.0001, 1_000),
                 time("--from", from),
@@ -122,8 +122,8 @@
         range("--body", body, 0, 1 << 16);
         range("--connections", connections, 1, 60_000);
         range("--threads", threads, 1, 64);
-        Client.Terms usual = Client.Terms.usual();
-        Client.Terms clients = new Client.Terms(
+        ReplayClient.Terms usual = ReplayClient.Terms.usual();
+        ReplayClient.Terms clients = new ReplayClient.Terms(
                 retries, usual.leastShare(), usual.mostShare(), usual.backoff(), honour, usual.mostRetryAfter());
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (String target : targets) {
@@ -229,7 +229,7 @@
             Files.writeString(out.resolve("report.json"), json.toPrettyString() + "\n");
             Files.writeString(
                     out.resolve("report.html"), ReportPage.of(result, "Replay of " + String.join(", ", files())));
-            TermsFile.write(out, load.terms(false));
+            AuditRulesFile.write(out, load.terms(false));
             if (recorder.dropped() > 0) {
                 out().printf(
                                 Locale.ROOT,
--- a/src/main/java/sablehinge/cli/StandInCommand.java
+++ b/src/main/java/sablehinge/cli/StandInCommand.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import sablehinge.tools.audit.AuditRulesFile;
 import sablehinge.tools.audit.Recorder;
-import sablehinge.tools.audit.TermsFile;
-import sablehinge.tools.audit.judge.Terms;
+import sablehinge.tools.audit.judge.AuditRules;
 import sablehinge.tools.standin.Fleet;
 import sablehinge.tools.standin.scenario.ScenarioFile;
 
@@ -88,10 +88,10 @@
         }
     }
 
-    private void finish(Recorder recorder, Terms terms) throws IOException {
+    private void finish(Recorder recorder, AuditRules terms) throws IOException {
         if (recorder != null) {
             recorder.close();
-            TermsFile.write(out, terms);
+            AuditRulesFile.write(out, terms);
             if (recorder.dropped() > 0) {
                 tell(recorder.dropped() + " observations are not in the record");
             }
--- a/src/main/java/sablehinge/cli/mesh/Children.java
+++ b/src/main/java/sablehinge/cli/mesh/ChildProcesses.java
@@ -10,7 +10,7 @@
 import sablehinge.tools.standin.mesh.SmallMesh;
 
 /** Daemons from the program that runs, with the class archives that lie beside it, if any. */
-final class Children implements SmallMesh.Commands {
+final class ChildProcesses implements SmallMesh.Commands {
 
     private static final List<String> FLAGS = List.of(
             "-Xms24m",
@@ -50,7 +50,7 @@
             return Path.of(path);
         }
         try {
-            return Path.of(Children.class
+            return Path.of(ChildProcesses.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
--- a/src/main/java/sablehinge/cli/mesh/MeshCommands.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshCommands.java
@@ -12,18 +12,18 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import sablehinge.cli.mesh.operator.ConfigCheckVerb;
-import sablehinge.cli.mesh.operator.ConfigGetVerb;
-import sablehinge.cli.mesh.operator.ConfigHistoryVerb;
-import sablehinge.cli.mesh.operator.ConfigPutVerb;
-import sablehinge.cli.mesh.operator.DutiesVerb;
+import sablehinge.cli.mesh.operator.CommandException;
+import sablehinge.cli.mesh.operator.ConfigCheckCommand;
+import sablehinge.cli.mesh.operator.ConfigGetCommand;
+import sablehinge.cli.mesh.operator.ConfigHistoryCommand;
+import sablehinge.cli.mesh.operator.ConfigPutCommand;
 import sablehinge.cli.mesh.operator.MeshCommand;
-import sablehinge.cli.mesh.operator.NodesVerb;
-import sablehinge.cli.mesh.operator.OperatorVerb;
+import sablehinge.cli.mesh.operator.NodesCommand;
+import sablehinge.cli.mesh.operator.OperatorCommand;
 import sablehinge.cli.mesh.operator.Shell;
-import sablehinge.cli.mesh.operator.StatusVerb;
-import sablehinge.cli.mesh.operator.VerbException;
-import sablehinge.mesh.api.Nearest;
+import sablehinge.cli.mesh.operator.SingletonRolesCommand;
+import sablehinge.cli.mesh.operator.StatusCommand;
+import sablehinge.mesh.api.NearestName;
 
 /**
  * The verbs about a mesh: those of its operators, and {@code demo}, {@code settings} and {@code upstream} for one of
@@ -37,10 +37,10 @@
     @com.github.rvesse.airline.annotations.Command(
             name = "help",
             description = "Tells what the verbs do, or one of them")
-    public static final class HelpVerb extends Help<MeshCommand> implements MeshCommand {
+    public static final class HelpCommand extends Help<MeshCommand> implements MeshCommand {
 
         /** Made by the command line. */
-        public HelpVerb() {}
+        public HelpCommand() {}
 
         @Override
         public int execute() {
@@ -52,19 +52,19 @@
     private static Cli<MeshCommand> cli() {
         CliBuilder<MeshCommand> builder = Cli.builder("sablehinge mesh");
         builder.withDescription("Operates a mesh; or starts a small one on loopback, to be seen or run by " + "hand")
-                .withCommand(HelpVerb.class)
-                .withCommand(StatusVerb.class)
-                .withCommand(NodesVerb.class)
-                .withCommand(DutiesVerb.class)
-                .withCommand(DemoVerb.class)
-                .withCommand(SettingsVerb.class)
-                .withCommand(UpstreamVerb.class);
+                .withCommand(HelpCommand.class)
+                .withCommand(StatusCommand.class)
+                .withCommand(NodesCommand.class)
+                .withCommand(SingletonRolesCommand.class)
+                .withCommand(MeshDemoCommand.class)
+                .withCommand(MeshSettingsCommand.class)
+                .withCommand(MeshUpstreamCommand.class);
         builder.withGroup("config")
                 .withDescription("The configuration that the core agrees upon")
-                .withCommand(ConfigGetVerb.class)
-                .withCommand(ConfigPutVerb.class)
-                .withCommand(ConfigCheckVerb.class)
-                .withCommand(ConfigHistoryVerb.class);
+                .withCommand(ConfigGetCommand.class)
+                .withCommand(ConfigPutCommand.class)
+                .withCommand(ConfigCheckCommand.class)
+                .withCommand(ConfigHistoryCommand.class);
         return builder.build();
     }
 
@@ -103,7 +103,7 @@
                 .findFirst()
                 .orElse(null);
         if (verb == null) {
-            return "\"" + group + word + "\" is no verb; the nearest one is \"" + group + Nearest.of(word, names)
+            return "\"" + group + word + "\" is no verb; the nearest one is \"" + group + NearestName.of(word, names)
                     + "\"";
         }
         List<String> options = verb.getAllOptions().stream()
@@ -115,7 +115,7 @@
             String option = each.split("=", 2)[0];
             if (option.startsWith("-") && !options.contains(option)) {
                 return "\"" + option + "\" is no option of " + group + word + "; the nearest one is \""
-                        + Nearest.of(option, options) + "\"";
+                        + NearestName.of(option, options) + "\"";
             }
         }
         return otherwise;
@@ -132,19 +132,19 @@
             shell.err()
                     .println("sablehinge: " + Shell.plain(hint(cli.getMetadata(), words, e.getMessage()))
                             + "; see mesh help");
-            return VerbException.Exit.BAD_INPUT.status();
+            return CommandException.Exit.BAD_INPUT.status();
         }
         try {
-            if (verb instanceof OperatorVerb its) {
+            if (verb instanceof OperatorCommand its) {
                 its.in(shell);
             }
             return verb.execute();
-        } catch (VerbException e) {
+        } catch (CommandException e) {
             shell.err().println("sablehinge: " + Shell.plain(e.line()));
             return e.exit().status();
         } catch (Exception e) {
             shell.err().println("sablehinge: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
-            return VerbException.Exit.REFUSED.status();
+            return CommandException.Exit.REFUSED.status();
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/DemoVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshDemoCommand.java
@@ -8,11 +8,11 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import sablehinge.cli.mesh.operator.MeshCommand;
-import sablehinge.tools.standin.mesh.Ledger;
 import sablehinge.tools.standin.mesh.MeshJudge;
 import sablehinge.tools.standin.mesh.MeshPlan;
 import sablehinge.tools.standin.mesh.SmallMesh;
-import sablehinge.tools.standin.mesh.Tally;
+import sablehinge.tools.standin.mesh.TrafficCounts;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /** Shows a mesh at work and judges what was seen. */
 @Command(
@@ -24,7 +24,7 @@
 @ExitCodes(
         codes = {0, 1},
         descriptions = {"no rule was broken", "a rule was broken, or the mesh did not start"})
-public final class DemoVerb implements MeshCommand {
+public final class MeshDemoCommand implements MeshCommand {
 
     private static final long CALM_MS = 1_500;
     private static final long CONTACT_MS = 3_200;
@@ -49,12 +49,12 @@
     private String logs;
 
     /** Made by the command line. */
-    public DemoVerb() {}
+    public MeshDemoCommand() {}
 
     @Override
     public int execute() throws InterruptedException {
-        double begun = Ledger.now();
-        SmallMesh mesh = new SmallMesh(new Children());
+        double begun = TrafficLog.now();
+        SmallMesh mesh = new SmallMesh(new ChildProcesses());
         Thread end = new Thread(mesh::close, "end");
         Runtime.getRuntime().addShutdownHook(end);
         try (mesh) {
@@ -101,11 +101,11 @@
         if (!ended) {
             breaches.add("END: sidecar " + (LEAVES + 1) + " has not ended within " + END_MS + " ms");
         }
-        Tally tally = Tally.of(mesh.ledger());
+        TrafficCounts tally = TrafficCounts.of(mesh.ledger());
         System.out.println();
         tally.print(System.out);
         System.out.println();
-        if (tally.share() < Tally.ENOUGH) {
+        if (tally.share() < TrafficCounts.ENOUGH) {
             breaches.add(String.format(Locale.ROOT, "SERVED: only %.1f%% of the tries", 100 * tally.share()));
         }
         breaches.forEach(System.out::println);
@@ -114,7 +114,8 @@
     }
 
     private static void say(double begun, String format, Object... values) {
-        System.out.printf(Locale.ROOT, "%6.1f s  " + format + "%n", prepend((Ledger.now() - begun) / 1_000, values));
+        System.out.printf(
+                Locale.ROOT, "%6.1f s  " + format + "%n", prepend((TrafficLog.now() - begun) / 1_000, values));
     }
 
     private static Object[] prepend(double first, Object... values) {
--- a/src/main/java/sablehinge/cli/mesh/SettingsVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshSettingsCommand.java
@@ -8,17 +8,17 @@
 import java.nio.file.Path;
 import java.util.List;
 import sablehinge.cli.mesh.operator.MeshCommand;
-import sablehinge.tools.standin.mesh.Ledger;
 import sablehinge.tools.standin.mesh.MeshPlan;
 import sablehinge.tools.standin.mesh.MeshVersion;
 import sablehinge.tools.standin.mesh.SmallMesh;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /** Writes the files of a small mesh that is run by hand. */
 @Command(
         name = "settings",
         description = "Writes the settings files of three control nodes and two sidecars on "
                 + "loopback, and a first configuration, into a folder")
-public final class SettingsVerb implements MeshCommand {
+public final class MeshSettingsCommand implements MeshCommand {
 
     private static final int CONTROL_NODES = 3;
 
@@ -36,7 +36,7 @@
     private String addresses = "127.0.0";
 
     /** Made by the command line. */
-    public SettingsVerb() {}
+    public MeshSettingsCommand() {}
 
     @Override
     public int execute() throws IOException {
@@ -60,9 +60,9 @@
                                 1,
                                 0,
                                 List.of(
-                                        new MeshVersion.Route("/read/", Ledger.Kind.SAFE, plan.services()),
+                                        new MeshVersion.Route("/read/", TrafficLog.Kind.SAFE, plan.services()),
                                         new MeshVersion.Route(
-                                                "/write/", Ledger.Kind.UNSAFE, List.of(SmallMesh.BASALT))),
+                                                "/write/", TrafficLog.Kind.UNSAFE, List.of(SmallMesh.BASALT))),
                                 plan.services())
                         .body());
         System.out.println(
--- a/src/main/java/sablehinge/cli/mesh/UpstreamVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshUpstreamCommand.java
@@ -6,17 +6,17 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.CountDownLatch;
 import sablehinge.cli.mesh.operator.MeshCommand;
-import sablehinge.tools.standin.mesh.Beating;
-import sablehinge.tools.standin.mesh.Ledger;
+import sablehinge.tools.standin.mesh.HeartbeatSender;
 import sablehinge.tools.standin.mesh.MeshPlan;
 import sablehinge.tools.standin.mesh.StandInUpstream;
+import sablehinge.tools.standin.mesh.TrafficLog;
 
 /** Runs one stand-in upstream until it is ended; at SIGTERM it leaves in order. */
 @Command(
         name = "upstream",
         description = "Runs a stand-in upstream, which tells the sidecar beside it that "
                 + "it lives; at SIGTERM it unloads, signs off and ends")
-public final class UpstreamVerb implements MeshCommand {
+public final class MeshUpstreamCommand implements MeshCommand {
 
     @Required
     @Option(
@@ -52,15 +52,16 @@
     private int workMs = 20;
 
     /** Made by the command line. */
-    public UpstreamVerb() {}
+    public MeshUpstreamCommand() {}
 
     @Override
     public int execute() throws InterruptedException {
-        Ledger ledger = new Ledger();
+        TrafficLog ledger = new TrafficLog();
         String id = "i-" + Long.toHexString(System.nanoTime());
         StandInUpstream upstream =
                 new StandInUpstream(new StandInUpstream.Terms(id, depot, address(listen), berths, workMs), ledger);
-        Beating beating = new Beating(upstream, address(control), MeshPlan.ZONE, MeshPlan.BEAT_MS, ledger);
+        HeartbeatSender beating =
+                new HeartbeatSender(upstream, address(control), MeshPlan.ZONE, MeshPlan.BEAT_MS, ledger);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/src/main/java/sablehinge/cli/mesh/operator/VerbException.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CommandException.java
@@ -1,7 +1,7 @@
 package sablehinge.cli.mesh.operator;
 
 /** A verb that can't be carried out. */
-public final class VerbException extends RuntimeException {
+public final class CommandException extends RuntimeException {
 
     private static final long serialVersionUID = 1;
 
@@ -36,15 +36,15 @@
      * @param code tells cases apart
      * @param place the file, key or pointer that it is about; empty for none
      */
-    public VerbException(Exit exit, String code, String place, String message) {
+    public CommandException(Exit exit, String code, String place, String message) {
         super(message, null, false, false);
         this.exit = exit;
         this.code = code;
         this.place = place;
     }
 
-    static VerbException input(String code, String place, String message) {
-        return new VerbException(Exit.BAD_INPUT, code, place, message);
+    static CommandException input(String code, String place, String message) {
+        return new CommandException(Exit.BAD_INPUT, code, place, message);
     }
 
     /** How the verb ends. */
--- a/src/main/java/sablehinge/cli/mesh/operator/Outcome.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CommandOutcome.java
@@ -10,22 +10,22 @@
  * @param maybe whether the core may have carried the call out although it said nothing clear
  * @param tries what each address that was called said last
  */
-record Outcome(Wire.Answer answer, String by, boolean maybe, List<String> tries) {
+record CommandOutcome(HttpCaller.Answer answer, String by, boolean maybe, List<String> tries) {
 
     /** What the core said no with; the call was answered, and not with a 2xx. */
-    VerbException refusal() {
-        Said said = Said.of(answer);
-        return new VerbException(
-                VerbException.Exit.REFUSED,
+    CommandException refusal() {
+        CoreAnswer said = CoreAnswer.of(answer);
+        return new CommandException(
+                CommandException.Exit.REFUSED,
                 said.code(),
                 said.place(),
                 said.message() + " (" + answer.status() + " from " + by + ")");
     }
 
     /** Nobody gave a clear answer. */
-    VerbException unclear(String what) {
-        return new VerbException(
-                VerbException.Exit.UNCLEAR, "NO_CLEAR_ANSWER", "", what + "; " + String.join("; ", tries));
+    CommandException unclear(String what) {
+        return new CommandException(
+                CommandException.Exit.UNCLEAR, "NO_CLEAR_ANSWER", "", what + "; " + String.join("; ", tries));
     }
 
     boolean isClear() {
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigCheckVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigCheckCommand.java
@@ -13,14 +13,14 @@
         name = "check",
         description = "Checks a configuration as the core would, without calling it, and "
                 + "names all problems that it finds with their places")
-public final class ConfigCheckVerb extends OperatorVerb {
+public final class ConfigCheckCommand extends OperatorCommand {
 
     @Required
     @Arguments(title = "FILE", description = "The configuration")
     private String file;
 
     /** Made by the command line. */
-    public ConfigCheckVerb() {}
+    public ConfigCheckCommand() {}
 
     /** What was found. */
     private record Found(
@@ -48,7 +48,7 @@
             print(new Found(file, false, 0, 0, 0, 0, e.problems()), () -> e.problems()
                     .forEach(one ->
                             shell().say(file + ": " + one.place() + ": " + one.text() + " (" + one.code() + ")")));
-            return VerbException.Exit.BAD_INPUT.status();
+            return CommandException.Exit.BAD_INPUT.status();
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigGetVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigGetCommand.java
@@ -13,7 +13,7 @@
         name = "get",
         description = "Prints the configuration in force as it was sent, keys and all, or "
                 + "puts it into a file that only its owner may read")
-public final class ConfigGetVerb extends CoreVerb {
+public final class ConfigGetCommand extends CoreCommand {
 
     @Option(
             name = {"-o", "--out"},
@@ -22,14 +22,14 @@
     private String out;
 
     /** Made by the command line. */
-    public ConfigGetVerb() {}
+    public ConfigGetCommand() {}
 
     /** What was written. */
     private record Written(String file, long edition, int bytes) {}
 
     @Override
     int run() throws InterruptedException {
-        Outcome outcome = caller().call(Wire.Request.get("Config.Read"));
+        CommandOutcome outcome = caller().call(HttpCaller.Request.get("Config.Read"));
         if (!outcome.isClear()) {
             throw outcome.unclear("the core has not told its configuration");
         }
@@ -60,7 +60,7 @@
                 Files.deleteIfExists(part);
             }
         } catch (IOException e) {
-            throw VerbException.input("UNWRITABLE", out, "can't be written: " + e);
+            throw CommandException.input("UNWRITABLE", out, "can't be written: " + e);
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigHistoryVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigHistoryCommand.java
@@ -8,13 +8,13 @@
         name = "history",
         description = "Lists the editions that were taken, the newest last, with what "
                 + "each was based on and when it was taken up, by the clock of the leader of then")
-public final class ConfigHistoryVerb extends CoreVerb {
+public final class ConfigHistoryCommand extends CoreCommand {
 
     /** How many digits of a digest a table shows. */
     private static final int SHOWN_DIGITS = 16;
 
     /** Made by the command line. */
-    public ConfigHistoryVerb() {}
+    public ConfigHistoryCommand() {}
 
     @Override
     int run() throws InterruptedException {
@@ -24,7 +24,7 @@
     }
 
     private void show(Editions editions) {
-        Table taken = new Table("EDITION", "BASED ON", "BYTES", "SUM", "TAKEN");
+        TextTable taken = new TextTable("EDITION", "BASED ON", "BYTES", "SUM", "TAKEN");
         editions.taken()
                 .forEach(one ->
                         taken.line(one.edition(), one.basedOn(), one.bytes(), shortened(one.sum()), one.takenAt()));
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigPutVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigPutCommand.java
@@ -18,7 +18,7 @@
         description = "Sends a configuration, and the very same call again until the core "
                 + "says whether it was taken. Without --based-on it reads the one in force first, shows what "
                 + "changes, by names, and builds on that")
-public final class ConfigPutVerb extends CoreVerb {
+public final class ConfigPutCommand extends CoreCommand {
 
     @Required
     @Arguments(title = "FILE", description = "The configuration")
@@ -36,7 +36,7 @@
     private boolean dry;
 
     /** Made by the command line. */
-    public ConfigPutVerb() {}
+    public ConfigPutCommand() {}
 
     /**
      * What became of it.
@@ -58,7 +58,7 @@
         }
         long edition = next.configuration().edition();
         if (basedOn != null && basedOn < 0) {
-            throw VerbException.input("BASED_ON", "--based-on", "0 or more was expected, found " + basedOn);
+            throw CommandException.input("BASED_ON", "--based-on", "0 or more was expected, found " + basedOn);
         }
         Differences changes = null;
         long base = basedOn == null ? 0 : basedOn;
@@ -87,11 +87,11 @@
 
     /** The configuration in force; null for none. */
     private byte[] current() throws InterruptedException {
-        Outcome outcome = caller().call(Wire.Request.get("Config.Read"));
+        CommandOutcome outcome = caller().call(HttpCaller.Request.get("Config.Read"));
         if (!outcome.isClear()) {
             throw outcome.unclear("not sent, as the core has not told what is in force");
         }
-        if (!outcome.isDone() && !Said.of(outcome.answer()).code().equals("NONE")) {
+        if (!outcome.isDone() && !CoreAnswer.of(outcome.answer()).code().equals("NONE")) {
             throw outcome.refusal();
         }
         return outcome.isDone() ? outcome.answer().body() : null;
@@ -100,8 +100,8 @@
     /** Refuses what the core would refuse if it were sent now. */
     private void foresee(Configuration next, long inForce) {
         if (basedOn != null && basedOn != inForce) {
-            throw new VerbException(
-                    VerbException.Exit.REFUSED,
+            throw new CommandException(
+                    CommandException.Exit.REFUSED,
                     "STALE",
                     "--based-on",
                     "version " + inForce + " is in place, not " + basedOn);
@@ -109,8 +109,8 @@
         try {
             ConfigurationCheck.checkEdition(next, inForce);
         } catch (CheckException e) {
-            throw new VerbException(
-                    VerbException.Exit.REFUSED,
+            throw new CommandException(
+                    CommandException.Exit.REFUSED,
                     e.code().name(),
                     file + ": " + e.place(),
                     e.problems().get(0).text());
@@ -125,7 +125,7 @@
     }
 
     private void send(byte[] body, long edition, long base, Differences changes) throws InterruptedException {
-        Outcome outcome = caller().call(new Wire.Request(
+        CommandOutcome outcome = caller().call(new HttpCaller.Request(
                 "POST",
                 "/sablehinge/Config.Replace",
                 Map.of("Sablehinge-Based-On", Long.toString(base), "Content-Type", "application/json"),
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigurationFile.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigurationFile.java
@@ -25,22 +25,22 @@
         try {
             Path path = Path.of(file);
             if (Files.size(path) > MOST_BYTES) {
-                throw VerbException.input(
+                throw CommandException.input(
                         "TOO_LONG", file, MOST_BYTES + " bytes at most were expected, found " + Files.size(path));
             }
             body = Files.readAllBytes(path);
         } catch (NoSuchFileException e) {
-            throw VerbException.input("NO_FILE", file, "there is no such file");
+            throw CommandException.input("NO_FILE", file, "there is no such file");
         } catch (IOException e) {
-            throw VerbException.input("UNREADABLE", file, "can't be read: " + e.getMessage());
+            throw CommandException.input("UNREADABLE", file, "can't be read: " + e.getMessage());
         }
         return new ConfigurationFile(body, ConfigurationCheck.check(body));
     }
 
     /** The error of a verb that can't do without the file. */
-    static VerbException faulty(String file, CheckException faults) {
+    static CommandException faulty(String file, CheckException faults) {
         int more = faults.problems().size() - 1;
-        return VerbException.input(
+        return CommandException.input(
                 faults.code().name(),
                 file + ": " + faults.place(),
                 faults.problems().get(0).text() + (more == 0 ? "" : " (and " + more + " more: see config check)"));
--- a/src/main/java/sablehinge/cli/mesh/operator/Said.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreAnswer.java
@@ -4,11 +4,11 @@
 import java.io.IOException;
 
 /** The words of an error that came as an answer. */
-record Said(String code, String place, String message) {
+record CoreAnswer(String code, String place, String message) {
 
     private static final int LONGEST = 400;
 
-    static Said of(Wire.Answer answer) {
+    static CoreAnswer of(HttpCaller.Answer answer) {
         JsonNode body = null;
         try {
             body = Json.tree(answer.body());
@@ -16,9 +16,9 @@
             // Whoever answered is no machine of a core; its status says something all the same.
         }
         if (body == null || !body.isObject()) {
-            return new Said("HTTP_" + answer.status(), "", "the answer is not one of this system");
+            return new CoreAnswer("HTTP_" + answer.status(), "", "the answer is not one of this system");
         }
-        return new Said(
+        return new CoreAnswer(
                 cut(body.path("code").asText("HTTP_" + answer.status())),
                 cut(body.path("place").asText("")),
                 cut(body.path("message").asText("no reason was given")));
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreCaller.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreCaller.java
@@ -27,8 +27,8 @@
     private static final int BYTES_PER_MS = 2_000;
 
     private final List<String> core;
-    private final Wire wire;
-    private final Time time;
+    private final HttpCaller wire;
+    private final TimeText time;
     private final long until;
 
     CoreCaller(List<String> core, Shell shell, long withinMs) {
@@ -38,12 +38,12 @@
         until = time.now() + withinMs;
     }
 
-    static boolean isSuccess(Wire.Answer answer) {
+    static boolean isSuccess(HttpCaller.Answer answer) {
         return answer.status() / 100 == 2;
     }
 
     /** One call to one address, which is not followed. */
-    Wire.Answer once(String address, Wire.Request request) throws IOException, InterruptedException {
+    HttpCaller.Answer once(String address, HttpCaller.Request request) throws IOException, InterruptedException {
         long left = until - time.now();
         if (left <= 0) {
             throw new ConnectException("not called, as the time was up");
@@ -52,7 +52,7 @@
     }
 
     /** Calls until there is a clear answer or the time is up. */
-    Outcome call(Wire.Request request) throws InterruptedException {
+    CommandOutcome call(HttpCaller.Request request) throws InterruptedException {
         Map<String, String> said = new LinkedHashMap<>();
         boolean maybe = false;
         int odd = 0;
@@ -61,13 +61,13 @@
             String address = core.get(i % core.size());
             try {
                 String[] by = {address};
-                Wire.Answer answer = follow(by, request);
+                HttpCaller.Answer answer = follow(by, request);
                 if (isSuccess(answer)
                         || ends(answer.status())
                         || answer.status() / 100 == 4 && !isPassing(answer.status()) && ++odd >= ODD) {
-                    return new Outcome(answer, by[0], false, tries(said));
+                    return new CommandOutcome(answer, by[0], false, tries(said));
                 }
-                Said words = Said.of(answer);
+                CoreAnswer words = CoreAnswer.of(answer);
                 maybe |= answer.status() / 100 == 5 && !words.code().equals("NO_LEADER");
                 said.put(by[0], answer.status() + " " + words.line());
             } catch (Hop e) {
@@ -75,7 +75,7 @@
                 said.put(e.address, e.getCause().getMessage());
             }
             if (time.now() + pause >= until) {
-                return new Outcome(null, null, maybe, tries(said));
+                return new CommandOutcome(null, null, maybe, tries(said));
             }
             time.pause(pause);
             pause = Math.min(LONGEST_PAUSE_MS, 2 * pause);
@@ -113,11 +113,11 @@
     }
 
     /** A call and where it is sent on to; {@code by} becomes the address that answered. */
-    private Wire.Answer follow(String[] by, Wire.Request request) throws Hop, InterruptedException {
-        Wire.Request next = request;
+    private HttpCaller.Answer follow(String[] by, HttpCaller.Request request) throws Hop, InterruptedException {
+        HttpCaller.Request next = request;
         for (int hops = 0; ; hops++) {
             try {
-                Wire.Answer answer = once(by[0], next);
+                HttpCaller.Answer answer = once(by[0], next);
                 if (answer.status() != 307 || hops >= HOPS) {
                     return answer;
                 }
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreCommand.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 
 /** What all verbs have that call the core. */
-public abstract class CoreVerb extends OperatorVerb {
+public abstract class CoreCommand extends OperatorCommand {
 
     private static final Pattern ADDRESS = Pattern.compile("([\\w.-]+|\\[[0-9a-fA-F:.]+\\]):(\\d{1,5})");
     private static final int MOST_PORT = 65_535;
@@ -33,7 +33,7 @@
         String source = core != null ? "--core" : Shell.CORE;
         String given = core != null ? core : shell().core();
         if (given == null || given.isBlank()) {
-            throw VerbException.input(
+            throw CommandException.input(
                     "NO_CORE", "--core", "control addresses of the core were expected, there or in " + Shell.CORE);
         }
         Set<String> addresses = new LinkedHashSet<>();
@@ -42,13 +42,13 @@
             if (!parts.matches()
                     || Integer.parseInt(parts.group(2)) > MOST_PORT
                     || Integer.parseInt(parts.group(2)) == 0) {
-                throw VerbException.input(
+                throw CommandException.input(
                         "BAD_ADDRESS", source, "HOST:PORT was expected, found \"" + Shell.plain(one) + "\"");
             }
             addresses.add(one.strip());
         }
         if (addresses.size() > MOST_ADDRESSES) {
-            throw VerbException.input(
+            throw CommandException.input(
                     "BAD_ADDRESS",
                     source,
                     MOST_ADDRESSES + " addresses at most were expected, found " + addresses.size());
@@ -59,7 +59,7 @@
     /** Calls the core, with all the time that was given from now on. */
     final CoreCaller caller() {
         if (waitMs < 1 || waitMs > LONGEST_MS) {
-            throw VerbException.input(
+            throw CommandException.input(
                     "BAD_WAIT", "--wait", "1 to " + LONGEST_MS + " ms were expected, found " + waitMs);
         }
         return new CoreCaller(core(), shell(), waitMs);
@@ -67,7 +67,7 @@
 
     /** What the core answers to a question. */
     final <T> T ask(String operation, Class<T> type) throws InterruptedException {
-        Outcome outcome = caller().call(Wire.Request.get(operation));
+        CommandOutcome outcome = caller().call(HttpCaller.Request.get(operation));
         if (!outcome.isClear()) {
             throw outcome.unclear("the core has not told " + operation + " within " + waitMs + " ms");
         }
@@ -81,8 +81,8 @@
         try {
             return Json.read(body, type);
         } catch (IOException e) {
-            throw new VerbException(
-                    VerbException.Exit.UNCLEAR, "BAD_ANSWER", from, "the answer is not one of this system");
+            throw new CommandException(
+                    CommandException.Exit.UNCLEAR, "BAD_ANSWER", from, "the answer is not one of this system");
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/Survey.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreSurvey.java
@@ -21,7 +21,7 @@
  * @param edition the highest in force with anybody
  * @param plane as the leader knows it; null for no leader
  */
-record Survey(
+record CoreSurvey(
         boolean majority,
         int answering,
         int members,
@@ -43,7 +43,7 @@
     record Line(String address, MeshStatus status, String error) {}
 
     /** Asks all addresses that were named, and those of all members that anybody tells of. */
-    static Survey take(List<String> core, CoreCaller caller) throws InterruptedException {
+    static CoreSurvey take(List<String> core, CoreCaller caller) throws InterruptedException {
         Set<String> known = new LinkedHashSet<>(core);
         List<Line> lines = new ArrayList<>();
         Set<String> heard = new HashSet<>();
@@ -71,19 +71,19 @@
 
     private static Line ask(String address, CoreCaller caller) throws InterruptedException {
         try {
-            Wire.Answer answer = caller.once(address, Wire.Request.get("Mesh.Status"));
+            HttpCaller.Answer answer = caller.once(address, HttpCaller.Request.get("Mesh.Status"));
             return CoreCaller.isSuccess(answer)
                     ? new Line(address, Json.read(answer.body(), MeshStatus.class), null)
                     : new Line(
                             address,
                             null,
-                            answer.status() + " " + Said.of(answer).line());
+                            answer.status() + " " + CoreAnswer.of(answer).line());
         } catch (IOException e) {
             return new Line(address, null, Shell.plain(String.valueOf(e.getMessage())));
         }
     }
 
-    private static Survey of(List<Line> lines) {
+    private static CoreSurvey of(List<Line> lines) {
         List<MeshStatus> told = lines.stream()
                 .map(Line::status)
                 .filter(status -> status != null)
@@ -101,7 +101,7 @@
                 .filter(member ->
                         told.stream().anyMatch(status -> status.member().equals(member.member())))
                 .count();
-        return new Survey(
+        return new CoreSurvey(
                 2 * answering > members.size(),
                 answering,
                 members.size(),
--- a/src/main/java/sablehinge/cli/mesh/operator/Wire.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/HttpCaller.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** How calls travel. */
-public interface Wire {
+public interface HttpCaller {
 
     /**
      * A call.
--- a/src/main/java/sablehinge/cli/mesh/operator/HttpWire.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/JdkHttpCaller.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeoutException;
 
 /** Calls over HTTP/1.1. */
-final class HttpWire implements Wire {
+final class JdkHttpCaller implements HttpCaller {
 
     /** The longest answer that is read; a configuration is smaller. */
     private static final long MOST_BYTES = 16 << 20;
@@ -41,7 +41,7 @@
                 request.body().length == 0
                         ? HttpRequest.BodyPublishers.noBody()
                         : HttpRequest.BodyPublishers.ofByteArray(request.body()));
-        CompletableFuture<HttpResponse<byte[]>> call = http.sendAsync(builder.build(), HttpWire::bounded);
+        CompletableFuture<HttpResponse<byte[]>> call = http.sendAsync(builder.build(), JdkHttpCaller::bounded);
         try {
             HttpResponse<byte[]> answer = call.get(withinMs, TimeUnit.MILLISECONDS);
             return new Answer(
--- a/src/main/java/sablehinge/cli/mesh/operator/NodesVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/NodesCommand.java
@@ -8,10 +8,10 @@
         name = "nodes",
         description = "Lists the balancers of the data plane that are on the leader's roll, "
                 + "with what is beside them, and the members of the core")
-public final class NodesVerb extends CoreVerb {
+public final class NodesCommand extends CoreCommand {
 
     /** Made by the command line. */
-    public NodesVerb() {}
+    public NodesCommand() {}
 
     @Override
     int run() throws InterruptedException {
@@ -21,7 +21,8 @@
     }
 
     private void show(MeshNodes nodes) {
-        Table balancers = new Table("NODE", "ZONE", "INBOUND", "SERVICE", "UPSTREAM", "STATE", "BERTHS", "HEARD");
+        TextTable balancers =
+                new TextTable("NODE", "ZONE", "INBOUND", "SERVICE", "UPSTREAM", "STATE", "BERTHS", "HEARD");
         nodes.balancers()
                 .forEach(one -> balancers.line(
                         one.node(),
@@ -38,7 +39,7 @@
             shell().say("the leader has just begun to hear of them; there may be more");
         }
         shell().say("");
-        Table members = new Table("MEMBER", "ID", "HEARD");
+        TextTable members = new TextTable("MEMBER", "ID", "HEARD");
         nodes.members()
                 .forEach(one -> members.line(
                         one.control(),
--- a/src/main/java/sablehinge/cli/mesh/operator/OperatorVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/OperatorCommand.java
@@ -14,7 +14,7 @@
             "the command line or a file is of no use; nothing was sent",
             "no clear answer in time, or nobody could be reached"
         })
-public abstract class OperatorVerb implements MeshCommand {
+public abstract class OperatorCommand implements MeshCommand {
 
     /** The exit status of a verb that has done what it was called for. */
     static final int DONE = 0;
@@ -39,7 +39,7 @@
     public final int execute() throws InterruptedException {
         try {
             return run();
-        } catch (VerbException e) {
+        } catch (CommandException e) {
             if (json) {
                 Map<String, Object> error = new LinkedHashMap<>();
                 error.put("exit", e.exit().status());
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Does it, and returns the exit status; what it can't do is a {@link VerbException}. */
+    /** Does it, and returns the exit status; what it can't do is a {@link CommandException}. */
     abstract int run() throws InterruptedException;
 
     /** Whether JSON was asked for. */
--- a/src/main/java/sablehinge/cli/mesh/operator/Shell.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Shell.java
@@ -8,12 +8,12 @@
  *
  * @param core control addresses that the environment names; null for none
  */
-public record Shell(PrintStream out, PrintStream err, Wire wire, Time time, String core) {
+public record Shell(PrintStream out, PrintStream err, HttpCaller wire, TimeText time, String core) {
 
     /** The variable of the environment that names control addresses. */
     public static final String CORE = "SABLEHINGE_CORE";
 
-    private static final class SteadyTime implements Time {
+    private static final class SteadyTime implements TimeText {
 
         @Override
         public long now() {
@@ -28,7 +28,7 @@
 
     /** The process's own. */
     public static Shell usual(PrintStream out, PrintStream err) {
-        return new Shell(out, err, new HttpWire(), new SteadyTime(), System.getenv(CORE));
+        return new Shell(out, err, new JdkHttpCaller(), new SteadyTime(), System.getenv(CORE));
     }
 
     /** Prints a line; what a terminal would act upon is shown as a question mark. */
--- a/src/main/java/sablehinge/cli/mesh/operator/DutiesVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/SingletonRolesCommand.java
@@ -9,10 +9,10 @@
         name = "duties",
         description = "Tells who holds the duties of the core, for how long its lease "
                 + "still runs, and what is left in each tenant's pool")
-public final class DutiesVerb extends CoreVerb {
+public final class SingletonRolesCommand extends CoreCommand {
 
     /** Made by the command line. */
-    public DutiesVerb() {}
+    public SingletonRolesCommand() {}
 
     @Override
     int run() throws InterruptedException {
@@ -30,7 +30,7 @@
         shell().say("roll    change " + duties.stamp() + ", " + (duties.complete() ? "complete" : "begun anew"));
         shell().say("news    " + duties.askers() + " balancers ask for them");
         shell().say("");
-        Table pools = new Table("TENANT", "POOL PER S", "HOLDS", "LEFT");
+        TextTable pools = new TextTable("TENANT", "POOL PER S", "HOLDS", "LEFT");
         duties.pools()
                 .forEach(one -> pools.line(one.tenant(), figure(one.perS()), figure(one.most()), figure(one.left())));
         pools.print(shell());
--- a/src/main/java/sablehinge/cli/mesh/operator/StatusVerb.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/StatusCommand.java
@@ -10,17 +10,17 @@
         description = "Tells who leads the core, which members answer and whether that is "
                 + "a majority, the edition in force, and what is on the roll. Asks each machine for itself, and so "
                 + "works with a part of the core too")
-public final class StatusVerb extends CoreVerb {
+public final class StatusCommand extends CoreCommand {
 
     /** Made by the command line. */
-    public StatusVerb() {}
+    public StatusCommand() {}
 
     @Override
     int run() throws InterruptedException {
-        Survey survey = Survey.take(core(), caller());
+        CoreSurvey survey = CoreSurvey.take(core(), caller());
         if (survey.machines().stream().allMatch(line -> line.status() == null)) {
-            throw new VerbException(
-                    VerbException.Exit.UNCLEAR,
+            throw new CommandException(
+                    CommandException.Exit.UNCLEAR,
                     "NO_CLEAR_ANSWER",
                     "",
                     "no machine of the core answers; "
@@ -32,7 +32,7 @@
         return DONE;
     }
 
-    private void show(Survey survey) {
+    private void show(CoreSurvey survey) {
         int needed = survey.members() / 2 + 1;
         shell().say("core      " + (survey.majority() ? "a majority answers: " : "NO MAJORITY: ")
                 + survey.answering() + " of " + survey.members() + " members"
@@ -47,8 +47,8 @@
                         : plane.known() + " known, " + plane.ready() + " ready"
                                 + (plane.complete() ? "" : "; the leader has just begun to hear of them")));
         shell().say("");
-        Table core = new Table("MEMBER", "NODE", "ZONE", "ROLE", "TERM", "COMMIT", "EDITION");
-        for (Survey.Line line : survey.machines()) {
+        TextTable core = new TextTable("MEMBER", "NODE", "ZONE", "ROLE", "TERM", "COMMIT", "EDITION");
+        for (CoreSurvey.Line line : survey.machines()) {
             MeshStatus status = line.status();
             if (status == null) {
                 core.line(line.address(), null, null, "silent: " + line.error());
@@ -66,7 +66,7 @@
         core.print(shell());
         if (plane != null) {
             shell().say("");
-            Table services = new Table("SERVICE", "UPSTREAMS", "READY", "BERTHS");
+            TextTable services = new TextTable("SERVICE", "UPSTREAMS", "READY", "BERTHS");
             plane.services().forEach(one -> services.line(one.name(), one.known(), one.ready(), one.berths()));
             services.print(shell());
             left(plane.more());
--- a/src/main/java/sablehinge/cli/mesh/operator/Table.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/TextTable.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /** Lines whose columns stand below each other. */
-final class Table {
+final class TextTable {
 
     private static final String GAP = "  ";
 
     private final List<String[]> lines = new ArrayList<>();
 
-    Table(String... heads) {
+    TextTable(String... heads) {
         lines.add(heads);
     }
 
     /** A line; null is shown as a dash, and a line may be shorter than the heads. */
-    Table line(Object... cells) {
+    TextTable line(Object... cells) {
         String[] line = new String[cells.length];
         for (int i = 0; i < cells.length; i++) {
             line[i] = cells[i] == null || cells[i].equals("") ? "-" : cells[i].toString();
--- a/src/main/java/sablehinge/cli/mesh/operator/Time.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/TimeText.java
@@ -1,7 +1,7 @@
 package sablehinge.cli.mesh.operator;
 
 /** A clock that can be waited by. */
-public interface Time {
+public interface TimeText {
 
     /** A steady clock, ms. */
     long now();
--- a/src/main/java/sablehinge/common/mapping/Mapped.java
+++ b/src/main/java/sablehinge/common/mapping/MappedRequest.java
@@ -7,4 +7,4 @@
  * @param deadline ms; 0 for the class's own
  * @param body bytes; -1 for the replay's own
  */
-public record Mapped(String serviceClass, String key, String tenant, double deadline, int body) {}
+public record MappedRequest(String serviceClass, String key, String tenant, double deadline, int body) {}
--- a/src/main/java/sablehinge/common/mapping/Mapping.java
+++ b/src/main/java/sablehinge/common/mapping/Mapping.java
@@ -21,12 +21,12 @@
     }
 
     /** What a request is; null if no rule is for it. */
-    public Mapped map(Asked asked) {
+    public MappedRequest map(RequestAttributes asked) {
         if (rules.isEmpty()) {
             return byParts(asked.target());
         }
         for (Rule rule : rules) {
-            Mapped mapped = rule.map(asked);
+            MappedRequest mapped = rule.map(asked);
             if (mapped != null) {
                 return mapped;
             }
@@ -34,7 +34,7 @@
         return null;
     }
 
-    private static Mapped byParts(String target) {
+    private static MappedRequest byParts(String target) {
         if (!target.startsWith("/")) {
             return null;
         }
@@ -47,12 +47,12 @@
         }
         int second = first == end ? end : target.indexOf('/', first + 1);
         second = second < 0 || second > end ? end : second;
-        return new Mapped(
+        return new MappedRequest(
                 target.substring(1, first), first == end ? "" : target.substring(first + 1, second), "", 0, -1);
     }
 
     /** A request with what varies left out, so that requests of one kind can be counted as such. */
-    public static String shape(Asked asked) {
+    public static String shape(RequestAttributes asked) {
         StringBuilder shape = new StringBuilder(asked.method()).append(' ');
         if (asked.host() != null) {
             shape.append(asked.host());
--- a/src/main/java/sablehinge/common/mapping/Asked.java
+++ b/src/main/java/sablehinge/common/mapping/RequestAttributes.java
@@ -9,7 +9,7 @@
  * @param target path and query as they were asked for
  * @param headers by their names in lower case, those that the log has
  */
-public record Asked(String method, String host, String target, String caller, Map<String, String> headers) {
+public record RequestAttributes(String method, String host, String target, String caller, Map<String, String> headers) {
 
     /** The path alone. */
     public String path() {
--- a/src/main/java/sablehinge/common/mapping/Rule.java
+++ b/src/main/java/sablehinge/common/mapping/Rule.java
@@ -35,7 +35,7 @@
     }
 
     /** What a request is by this rule; null if it is none of those that the rule is for. */
-    Mapped map(Asked asked) {
+    MappedRequest map(RequestAttributes asked) {
         if (methods != null && !methods.contains(asked.method())
                 || host != null && (asked.host() == null || !host.matches(asked.host()))
                 || header != null && !header.matches(asked.headers().get(header.name))
@@ -49,6 +49,6 @@
         String name = serviceClass.fill(asked, found);
         return name.isEmpty()
                 ? null
-                : new Mapped(name, key.fill(asked, found), tenant.fill(asked, found), deadline, body);
+                : new MappedRequest(name, key.fill(asked, found), tenant.fill(asked, found), deadline, body);
     }
 }
--- a/src/main/java/sablehinge/common/mapping/Template.java
+++ b/src/main/java/sablehinge/common/mapping/Template.java
@@ -56,7 +56,7 @@
     }
 
     /** The text for a request; what it has not is empty. */
-    String fill(Asked asked, Map<String, String> found) {
+    String fill(RequestAttributes asked, Map<String, String> found) {
         if (parts.size() == 1) {
             return value(parts.get(0), asked, found);
         }
@@ -65,7 +65,7 @@
         return text.toString();
     }
 
-    private static String value(Part part, Asked asked, Map<String, String> found) {
+    private static String value(Part part, RequestAttributes asked, Map<String, String> found) {
         if (!part.filled) {
             return part.text;
         }
--- a/src/main/java/sablehinge/common/rpc/Connection.java
+++ b/src/main/java/sablehinge/common/rpc/Connection.java
@@ -140,7 +140,7 @@
     static void equip(Channel channel, Link link) {
         channel.pipeline()
                 .addLast(
-                        link.new Ear(),
+                        link.new ActivityHandler(),
                         new LengthFieldBasedFrameDecoder(MOST_BYTES + 1, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                         link);
     }
@@ -239,7 +239,7 @@
         }
 
         /** Any bytes tell that the other end is there: on a slow link a large record takes long. */
-        final class Ear extends ChannelInboundHandlerAdapter {
+        final class ActivityHandler extends ChannelInboundHandlerAdapter {
 
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
--- a/src/main/java/sablehinge/common/settings/Steps.java
+++ b/src/main/java/sablehinge/common/settings/LatencySteps.java
@@ -1,11 +1,11 @@
 package sablehinge.common.settings;
 
 /** The plain way from a file's tables to settings; what the schema has no default for, it needs. */
-final class Steps {
+final class LatencySteps {
 
-    private Steps() {}
+    private LatencySteps() {}
 
-    static LocalSettings settings(Table root) {
+    static LocalSettings settings(SettingsTable root) {
         int[] ports = root.ports("innerPorts");
         return new LocalSettings(
                 root.name("node"),
@@ -32,7 +32,7 @@
                 bounds(root.tableIfAny("bounds")));
     }
 
-    private static LocalSettings.Role role(Table root) {
+    private static LocalSettings.Role role(SettingsTable root) {
         return switch (root.name("role")) {
             case "sidecar" -> LocalSettings.Role.SIDECAR;
             case "control" -> LocalSettings.Role.CONTROL;
@@ -40,7 +40,7 @@
         };
     }
 
-    private static LocalSettings.ListenOn listenOn(Table table) {
+    private static LocalSettings.ListenOn listenOn(SettingsTable table) {
         return new LocalSettings.ListenOn(
                 table.addressIfAny("inbound"),
                 table.addressIfAny("outbound"),
@@ -48,7 +48,7 @@
                 table.addressIfAny("control"));
     }
 
-    private static LocalSettings.Limits limits(Table table) {
+    private static LocalSettings.Limits limits(SettingsTable table) {
         return new LocalSettings.Limits(
                 table.figure("cpuShare"),
                 table.figure("cores"),
@@ -59,7 +59,7 @@
     }
 
     /** A figure of a part that is not in force may be missing. */
-    private static LocalSettings.Bounds bounds(Table table) {
+    private static LocalSettings.Bounds bounds(SettingsTable table) {
         return new LocalSettings.Bounds(
                 table.figure("seedDelayS", 3),
                 table.figure("readdressAfterS", 2),
--- a/src/main/java/sablehinge/common/settings/LocalSettings.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettings.java
@@ -124,10 +124,10 @@
                     + e.getClass().getSimpleName());
         }
         try {
-            return Steps.settings(Toml.read(bytes));
+            return LatencySteps.settings(Toml.read(bytes));
         } catch (IOException e) {
             throw new ConfigException(path + ": TOML was expected: " + Toml.why(e));
-        } catch (Table.Off e) {
+        } catch (SettingsTable.Off e) {
             throw new ConfigException(path + ": " + LocalSchema.words(bytes, e.getMessage()));
         }
     }
--- a/src/main/java/sablehinge/common/settings/Table.java
+++ b/src/main/java/sablehinge/common/settings/SettingsTable.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** A table of a settings file, asked by key; what is missing or of another type is off. */
-final class Table {
+final class SettingsTable {
 
     private static final double MOST = 1e300;
 
@@ -29,7 +29,7 @@
 
     private final Map<?, ?> fields;
 
-    Table(String path, Map<?, ?> fields) {
+    SettingsTable(String path, Map<?, ?> fields) {
         this.path = path;
         this.fields = fields;
     }
@@ -46,16 +46,16 @@
         return value;
     }
 
-    Table table(String key) {
+    SettingsTable table(String key) {
         if (need(key) instanceof Map<?, ?> map) {
-            return new Table(path + key + ".", map);
+            return new SettingsTable(path + key + ".", map);
         }
         throw off(key);
     }
 
     /** An empty one where there is none. */
-    Table tableIfAny(String key) {
-        return fields.containsKey(key) ? table(key) : new Table(path + key + ".", Map.of());
+    SettingsTable tableIfAny(String key) {
+        return fields.containsKey(key) ? table(key) : new SettingsTable(path + key + ".", Map.of());
     }
 
     private String text(String key, Object value) {
--- a/src/main/java/sablehinge/common/settings/Toml.java
+++ b/src/main/java/sablehinge/common/settings/Toml.java
@@ -15,10 +15,10 @@
 
     private Toml() {}
 
-    static Table read(byte[] bytes) throws IOException {
+    static SettingsTable read(byte[] bytes) throws IOException {
         try (JsonParser in = new TomlFactory().createParser(bytes)) {
             in.nextToken();
-            return new Table("", map(in));
+            return new SettingsTable("", map(in));
         }
     }
 
--- a/src/main/java/sablehinge/controlplane/node/Authority.java
+++ b/src/main/java/sablehinge/controlplane/node/CallContext.java
@@ -1,12 +1,12 @@
 package sablehinge.controlplane.node;
 
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.Pulse;
-import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.raft.RaftMetrics;
+import sablehinge.controlplane.raft.RaftStatus;
 import sablehinge.controlplane.state.ConfigurationState;
 
 /** What settles operators' calls; all but {@link #check} is called on the thread of the API server. */
-interface Authority {
+interface CallContext {
 
     /** A steady clock, ms. */
     double now();
@@ -18,10 +18,10 @@
     Member self();
 
     /** The place of this machine in the core. */
-    Standing standing();
+    RaftStatus standing();
 
     /** What this machine can tell of its part in the agreement. */
-    Pulse pulse();
+    RaftMetrics pulse();
 
     /** Holds what each answer needs of a majority. */
     QuorumGate gate();
--- a/src/main/java/sablehinge/controlplane/node/Settled.java
+++ b/src/main/java/sablehinge/controlplane/node/CallOutcome.java
@@ -1,14 +1,15 @@
 package sablehinge.controlplane.node;
 
-import sablehinge.mesh.api.Reply;
+import sablehinge.mesh.api.ApiResponse;
 
 /** What became of an operator's call. */
-record Settled(Reply reply) {
+record CallOutcome(ApiResponse reply) {
 
     /** Where else to call; where no leader is known, nowhere. */
-    static Settled elsewhere(QuorumGate.Refusal refusal, String path) {
+    static CallOutcome elsewhere(QuorumGate.Refusal refusal, String path) {
         if (refusal.leader() != null) {
-            return new Settled(Reply.elsewhere("http://" + refusal.leader().control() + path));
+            return new CallOutcome(
+                    ApiResponse.elsewhere("http://" + refusal.leader().control() + path));
         }
         return refusal.leads()
                 ? error(503, "NO_MAJORITY", "no majority has answered")
@@ -16,7 +17,7 @@
     }
 
     /** An error without a place. */
-    static Settled error(int status, String code, String words) {
-        return new Settled(Reply.error(status, code, words));
+    static CallOutcome error(int status, String code, String words) {
+        return new CallOutcome(ApiResponse.error(status, code, words));
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.RaftNode;
-import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.raft.RaftStatus;
 import sablehinge.controlplane.state.BodyDigest;
 import sablehinge.controlplane.state.ConfigurationState;
 
@@ -128,8 +128,8 @@
     }
 
     /** This machine's place has changed: what it proposed in an earlier term may come to anything. */
-    void standing(Standing standing) {
-        if (standing.role() != Standing.Role.LEADER || standing.term() != term) {
+    void standing(RaftStatus standing) {
+        if (standing.role() != RaftStatus.Role.LEADER || standing.term() != term) {
             List<Pending> left = List.copyOf(pending.values());
             pending.clear();
             left.forEach(one -> answer(one, Verdict.UNCLEAR));
--- a/src/main/java/sablehinge/controlplane/node/Seal.java
+++ b/src/main/java/sablehinge/controlplane/node/ChunkFooter.java
@@ -16,7 +16,7 @@
  * @param version counts commits
  * @param crc CRC-32C of all before the last 128 bytes
  */
-record Seal(long block, int id, int blocks, long version, int crc) {
+record ChunkFooter(long block, int id, int blocks, long version, int crc) {
 
     static final int BLOCK = 4096;
     static final int LENGTH = 128;
@@ -104,7 +104,7 @@
     }
 
     /** The seal in the last bytes before a block; null if there's none. */
-    static Seal read(byte[] bytes, long nextBlock) {
+    static ChunkFooter read(byte[] bytes, long nextBlock) {
         String fields = fields(bytes);
         if (fields == null) {
             return null;
@@ -116,6 +116,6 @@
         if (id < 0 || blocks < 1 || version < 0 || crc < 0 || blocks > nextBlock - 2) {
             return null;
         }
-        return new Seal(nextBlock - blocks, (int) id, (int) blocks, version, (int) crc);
+        return new ChunkFooter(nextBlock - blocks, (int) id, (int) blocks, version, (int) crc);
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -22,16 +22,16 @@
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.controlplane.raft.Change;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.Member;
 import sablehinge.controlplane.raft.Message;
-import sablehinge.controlplane.raft.Pulse;
+import sablehinge.controlplane.raft.PersistedState;
+import sablehinge.controlplane.raft.RaftConfig;
+import sablehinge.controlplane.raft.RaftMetrics;
 import sablehinge.controlplane.raft.RaftNode;
+import sablehinge.controlplane.raft.RaftStatus;
 import sablehinge.controlplane.raft.Snapshot;
-import sablehinge.controlplane.raft.Standing;
-import sablehinge.controlplane.raft.Stored;
-import sablehinge.controlplane.raft.Timing;
+import sablehinge.controlplane.raft.WriteBatch;
 import sablehinge.controlplane.state.ConfigurationState;
 import sablehinge.mesh.api.ApiServer;
 import sablehinge.mesh.api.ConfigurationCheck;
@@ -77,14 +77,15 @@
     private final RaftNode raft;
     private final ConfigurationState configurations = new ConfigurationState();
     private final QuorumGate gate;
-    private final Guard guard = new Guard(() -> Runtime.getRuntime().halt(HALTED));
+    private final FailStopExecutor guard =
+            new FailStopExecutor(() -> Runtime.getRuntime().halt(HALTED));
     private final ChangeCoordinator changes;
-    private final DataPlane dataPlane;
+    private final DataPlaneService dataPlane;
     private Member self;
     /** Null, as is {@code self}, until the disk has been read. */
-    private Peers peers;
+    private PeerConnections peers;
 
-    private Standing standing = new Standing(Standing.Role.OUTSIDER, 0, null, List.of());
+    private RaftStatus standing = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
     private int sinceSnapshot;
     private long bytesSinceSnapshot;
     private boolean hangs;
@@ -101,11 +102,12 @@
         this.born = born;
         this.loop = loop;
         connection = new Connection(loop, PING_MS, DEAD_MS, observer);
-        diskWriter = new DiskWriter(opener, new Puts());
-        raft = new RaftNode(new Carries(), Timing.usual(), settings.tolerateMachines(), new SecureRandom().nextLong());
+        diskWriter = new DiskWriter(opener, new NodeDiskCallbacks());
+        raft = new RaftNode(
+                new NodeRaftActions(), RaftConfig.usual(), settings.tolerateMachines(), new SecureRandom().nextLong());
         gate = new QuorumGate(new RaftContact(), loop::execute);
         changes = new ChangeCoordinator(raft, configurations, loop::execute);
-        dataPlane = new DataPlane(loop, clock, settings.bounds(), gate, configurations);
+        dataPlane = new DataPlaneService(loop, clock, settings.bounds(), gate, configurations);
     }
 
     private static ExecutorService thread(String name) {
@@ -143,7 +145,8 @@
         try {
             await(
                     controlNode.connection.listen(
-                            new InetSocketAddress(settings.ip(), settings.innerFirst()), controlNode.new Records()),
+                            new InetSocketAddress(settings.ip(), settings.innerFirst()),
+                            controlNode.new FrameHandler()),
                     at);
             await(
                     new ApiServer(loop, controlNode.operations(), MOST_CONFIGURATION)
@@ -161,10 +164,10 @@
     }
 
     private List<Operation<?, ?>> operations() {
-        Authority authority = new Settles();
-        return Operators.all(
+        CallContext authority = new NodeCallContext();
+        return OperatorApi.all(
                 authority,
-                new Sight(
+                new ControlStatus(
                         settings.node(),
                         settings.zone(),
                         settings.listenOn().control(),
@@ -241,10 +244,10 @@
         return founders;
     }
 
-    private void begin(Member me, Stored stored) {
+    private void begin(Member me, PersistedState stored) {
         double now = clock.now();
         self = me;
-        peers = new Peers(connection, self, this::came);
+        peers = new PeerConnections(connection, self, this::came);
         List<Member> founders = founders();
         List<String> contacts = founders.stream().map(Member::address).toList();
         raft.contacts(contacts);
@@ -291,16 +294,16 @@
     }
 
     /** Hears connections of peers and of the data plane. */
-    private final class Records implements Connection.Handler {
+    private final class FrameHandler implements Connection.Handler {
 
         @Override
         public void came(Connection.Link link, Frame frame) {
             try {
                 switch (frame.kind()) {
-                    case HELLO -> link.attach(Peers.hello(frame));
+                    case HELLO -> link.attach(PeerConnections.hello(frame));
                     case AGREE -> {
                         if (link.attachment() instanceof Member from) {
-                            ControlNode.this.came(from, MessageCodec.read(frame.body()));
+                            ControlNode.this.came(from, RaftMessageCodec.read(frame.body()));
                         }
                     }
                     default -> {
@@ -325,7 +328,7 @@
     }
 
     /** Carries out what the agreement asks for. */
-    private final class Carries implements RaftNode.Actions {
+    private final class NodeRaftActions implements RaftNode.Actions {
 
         @Override
         public void send(Member to, Message message) {
@@ -333,7 +336,7 @@
         }
 
         @Override
-        public void persist(Change change) {
+        public void persist(WriteBatch change) {
             disk.execute(() -> diskWriter.write(change));
         }
 
@@ -369,7 +372,7 @@
         }
 
         @Override
-        public void standing(Standing next) {
+        public void standing(RaftStatus next) {
             standing = next;
             Log.info(LOG, "standing")
                     .addKeyValue("role", next.role())
@@ -403,7 +406,7 @@
     private final class RaftContact implements QuorumGate.Contact {
 
         @Override
-        public Standing standing() {
+        public RaftStatus standing() {
             return standing;
         }
 
@@ -429,7 +432,7 @@
     }
 
     /** What the disk's thread calls. */
-    private final class Puts implements DiskWriter.Host {
+    private final class NodeDiskCallbacks implements DiskWriter.Callbacks {
 
         @Override
         public double now() {
@@ -452,7 +455,7 @@
         }
 
         @Override
-        public void opened(Member me, Stored stored) {
+        public void opened(Member me, PersistedState stored) {
             loop.execute(() -> begin(me, stored));
         }
 
@@ -472,7 +475,7 @@
     }
 
     /** What operators' calls are settled by. */
-    private final class Settles implements Authority {
+    private final class NodeCallContext implements CallContext {
 
         @Override
         public double now() {
@@ -485,12 +488,12 @@
         }
 
         @Override
-        public Standing standing() {
+        public RaftStatus standing() {
             return standing;
         }
 
         @Override
-        public Pulse pulse() {
+        public RaftMetrics pulse() {
             return raft.pulse(clock.now());
         }
 
--- a/src/main/java/sablehinge/controlplane/node/Sight.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -12,13 +12,13 @@
 import sablehinge.controlplane.api.MeshNodes;
 import sablehinge.controlplane.api.MeshStatus;
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.Pulse;
+import sablehinge.controlplane.raft.RaftMetrics;
 import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.quota.Pool;
 import sablehinge.mesh.watch.Registration;
 
 /** What a machine of the core can tell operators of itself and, while it leads, of the mesh. */
-final class Sight {
+final class ControlStatus {
 
     /** Lists are cut after so many lines, with the count of what is left out. */
     static final int MOST_LINES = 2_000;
@@ -29,17 +29,17 @@
     private final Registry registry;
     private final WatchServer<?> queue;
     private final Pool pool;
-    private final Authority authority;
+    private final CallContext authority;
 
     /** {@code control} is where operators call this machine. */
-    Sight(
+    ControlStatus(
             String node,
             String zone,
             String control,
             Registry registry,
             WatchServer<?> queue,
             Pool pool,
-            Authority authority) {
+            CallContext authority) {
         this.node = node;
         this.zone = zone;
         this.control = control;
@@ -76,7 +76,7 @@
     }
 
     private List<Machine> members() {
-        Pulse pulse = authority.pulse();
+        RaftMetrics pulse = authority.pulse();
         List<Machine> members = new ArrayList<>();
         for (Member member : authority.standing().members()) {
             Double silent = pulse.silentMs().get(member.id());
@@ -90,7 +90,7 @@
         Map<String, MeshStatus.Service> services = new TreeMap<>();
         int known = 0;
         int ready = 0;
-        for (Registry.Line line : registry.lines(now)) {
+        for (Registry.Entry line : registry.lines(now)) {
             Registration registration = line.registration();
             boolean takes = registration.ready() && !line.gone();
             known += line.gone() ? 0 : 1;
@@ -100,7 +100,7 @@
                         registration.service(),
                         new MeshStatus.Service(
                                 registration.service(), 1, takes ? 1 : 0, takes ? registration.berths() : 0),
-                        Sight::sum);
+                        ControlStatus::sum);
             }
         }
         return new MeshStatus.Plane(
@@ -115,7 +115,7 @@
     MeshNodes nodes() {
         double now = authority.now();
         List<MeshNodes.Balancer> balancers = new ArrayList<>();
-        for (Registry.Line line : registry.lines(now)) {
+        for (Registry.Entry line : registry.lines(now)) {
             Registration registration = line.registration();
             balancers.add(new MeshNodes.Balancer(
                     registration.node(),
@@ -136,7 +136,7 @@
                 members());
     }
 
-    private static String state(Registry.Line line) {
+    private static String state(Registry.Entry line) {
         return line.gone()
                 ? "gone"
                 : line.registration().upstream().isEmpty()
--- a/src/main/java/sablehinge/controlplane/node/Damage.java
+++ b/src/main/java/sablehinge/controlplane/node/CorruptStoreException.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 
 /** What is in the file is not what a store leaves there, whenever the power goes. */
-final class Damage extends IOException {
+final class CorruptStoreException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
-    Damage(String message) {
+    CorruptStoreException(String message) {
         super(message);
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/DataPlane.java
+++ b/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
@@ -12,7 +12,7 @@
 import sablehinge.common.rpc.Connection;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.raft.RaftStatus;
 import sablehinge.controlplane.state.ConfigurationState;
 import sablehinge.controlplane.state.Registry;
 import sablehinge.mesh.api.ConfigurationReader;
@@ -29,9 +29,9 @@
  * What a machine of the core does for the data plane while it leads: it tells balancers the news, and holds the pools
  * of quotas and of retry budgets. Each answer passes the {@link QuorumGate}. Called on one thread.
  */
-final class DataPlane {
+final class DataPlaneService {
 
-    private static final Logger LOG = LoggerFactory.getLogger(DataPlane.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DataPlaneService.class);
     private static final double COMPLETE_MS = 2_500;
     private static final double GONE_MS = 12_000;
     /** News are looked at each tick: after a longer pause, in ms, it was this process that stood still. */
@@ -45,8 +45,8 @@
     private final ConfigurationState configurations;
     private final Registry registry = new Registry(COMPLETE_MS, GONE_MS);
     private final WatchServer<Connection.Link> watchServer = new WatchServer<>(registry);
-    private final Pools pools;
-    private final RetryBudgetHolder retryBudgetHolder;
+    private final QuotaPools pools;
+    private final RetryBudgetCoordinator retryBudgetHolder;
     /** Whether what is due will be sent once all that has come in together is read. */
     private boolean tellsSoon;
 
@@ -55,9 +55,9 @@
     private byte[] packed = NONE;
 
     private long packedEdition;
-    private Standing standing = new Standing(Standing.Role.OUTSIDER, 0, null, List.of());
+    private RaftStatus standing = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
 
-    DataPlane(
+    DataPlaneService(
             EventLoop loop,
             Clock clock,
             LocalSettings.Bounds bounds,
@@ -67,8 +67,8 @@
         this.clock = clock;
         this.gate = gate;
         this.configurations = configurations;
-        retryBudgetHolder = new RetryBudgetHolder(bounds);
-        pools = new Pools(
+        retryBudgetHolder = new RetryBudgetCoordinator(bounds);
+        pools = new QuotaPools(
                 loop, clock, bounds, watchServer::askers, now -> gate.allows(now, ControlRequest.QUOTA_TOKENS));
     }
 
@@ -178,10 +178,10 @@
         if (!gate.allows(now, ControlRequest.WATCH)) {
             return;
         }
-        for (WatchServer.Told<Connection.Link> told : watchServer.due(now)) {
+        for (WatchServer.Delivery<Connection.Link> told : watchServer.due(now)) {
             told.to().send(new Frame(Frame.Kind.NEWS, told.update().bytes()));
         }
-        for (HealthView.Ruling ruling : watchServer.rulings()) {
+        for (HealthView.HealthChange ruling : watchServer.rulings()) {
             Log.info(LOG, "health")
                     .addKeyValue("peer", ruling.node())
                     .addKeyValue("health", ruling.health())
@@ -193,7 +193,7 @@
     }
 
     /** The place of this machine in the core has changed. */
-    void standing(Standing next) {
+    void standing(RaftStatus next) {
         boolean led = leads();
         boolean newTerm = standing.term() != next.term();
         standing = next;
@@ -210,7 +210,7 @@
     }
 
     private boolean leads() {
-        return standing.role() == Standing.Role.LEADER;
+        return standing.role() == RaftStatus.Role.LEADER;
     }
 
     /** The committed configuration has changed. */
--- a/src/main/java/sablehinge/controlplane/node/DiskWriter.java
+++ b/src/main/java/sablehinge/controlplane/node/DiskWriter.java
@@ -7,9 +7,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
-import sablehinge.controlplane.raft.Change;
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.Stored;
+import sablehinge.controlplane.raft.PersistedState;
+import sablehinge.controlplane.raft.WriteBatch;
 
 /**
  * Puts changes down, in order, however often the disk refuses: to whoever waits for them a disk that refuses is one
@@ -20,7 +20,7 @@
 final class DiskWriter {
 
     /** Whom it works for; all of it is called on the disk's thread. */
-    interface Host {
+    interface Callbacks {
         /** A steady clock, ms. */
         double now();
 
@@ -37,7 +37,7 @@
         boolean founds(Member self);
 
         /** The disk is open and holds who this is; {@code stored} is null if it held nobody before. */
-        void opened(Member self, Stored stored);
+        void opened(Member self, PersistedState stored);
 
         /** The disk holds all changes up to a number. */
         void persisted(long number);
@@ -49,9 +49,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(DiskWriter.class);
 
     private final Supplier<RaftStore> opener;
-    private final Host host;
-    private final Patience patience = new Patience();
-    private final Deque<Change> waiting = new ArrayDeque<>();
+    private final Callbacks host;
+    private final RetryBackoff patience = new RetryBackoff();
+    private final Deque<WriteBatch> waiting = new ArrayDeque<>();
     private RaftStore store;
     private Member self;
     private boolean begun;
@@ -66,7 +66,7 @@
     private volatile double busySince = Double.POSITIVE_INFINITY;
 
     /** Opens the store with each call of {@code opener}; that throws a {@link StoreException} if it can't. */
-    DiskWriter(Supplier<RaftStore> opener, Host host) {
+    DiskWriter(Supplier<RaftStore> opener, Callbacks host) {
         this.opener = opener;
         this.host = host;
     }
@@ -77,7 +77,7 @@
     }
 
     /** Writes a change, now or when the disk takes it. */
-    void write(Change change) {
+    void write(WriteBatch change) {
         waiting.addLast(change);
         work();
     }
@@ -149,7 +149,7 @@
     }
 
     private void begin(RaftStore opened) {
-        Stored stored = opened.load();
+        PersistedState stored = opened.load();
         if (stored == null) {
             if (self == null) {
                 self = host.named(opened.damaged());
--- a/src/main/java/sablehinge/controlplane/node/Guard.java
+++ b/src/main/java/sablehinge/controlplane/node/FailStopExecutor.java
@@ -9,14 +9,14 @@
  * again, and an entry whose application throws would be passed over: either leaves a process that looks alive and is
  * not what it seems.
  */
-final class Guard {
+final class FailStopExecutor {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Guard.class);
+    private static final Logger LOG = LoggerFactory.getLogger(FailStopExecutor.class);
 
     private final Runnable halt;
 
     /** A guard; {@code halt} ends the process at once. */
-    Guard(Runnable halt) {
+    FailStopExecutor(Runnable halt) {
         this.halt = halt;
     }
 
--- /dev/null
+++ b/src/main/java/sablehinge/controlplane/node/OperatorApi.java
@@ -0,0 +1,29 @@
+package sablehinge.controlplane.node;
+
+import java.util.List;
+import sablehinge.controlplane.state.ConfigurationState;
+import sablehinge.mesh.api.ApiResponse;
+import sablehinge.mesh.api.Operation;
+
+/** The operators' calls (PROTOCOL, "The operator"), and those of the client's verbs. */
+final class OperatorApi {
+
+    private OperatorApi() {}
+
+    /** All calls, settled by an authority, with what this machine sees. */
+    static List<Operation<?, ?>> all(CallContext authority, ControlStatus sight) {
+        return List.of(
+                new ReplaceOperation(authority),
+                ReadOperation.plain(authority, ControlRequest.CONFIG_READ, () -> newest(authority.configurations())),
+                ReadOperation.worded(authority, ControlRequest.CONFIG_HISTORY, sight::editions),
+                ReadOperation.worded(authority, ControlRequest.MESH_STATUS, sight::status),
+                ReadOperation.worded(authority, ControlRequest.MESH_NODES, sight::nodes),
+                ReadOperation.worded(authority, ControlRequest.MESH_DUTIES, sight::duties));
+    }
+
+    private static ApiResponse newest(ConfigurationState configurations) {
+        return configurations.edition() == 0
+                ? ApiResponse.error(404, "NONE", "no configuration yet")
+                : ApiResponse.of(200, configurations.body());
+    }
+}
--- a/src/main/java/sablehinge/controlplane/node/Peers.java
+++ b/src/main/java/sablehinge/controlplane/node/PeerConnections.java
@@ -19,7 +19,7 @@
  * Connections to the other machines of the core: one to each for what is said to it. What can't be sent now is dropped,
  * as the agreement says everything again that matters.
  */
-final class Peers {
+final class PeerConnections {
 
     private static final int MOST = 128;
     private static final long RETRY_NANOS = 100_000_000;
@@ -61,7 +61,7 @@
         }
     }
 
-    Peers(Connection connection, Member self, BiConsumer<Member, Message> hears) {
+    PeerConnections(Connection connection, Member self, BiConsumer<Member, Message> hears) {
         this.connection = connection;
         this.self = self;
         this.hears = hears;
@@ -76,7 +76,7 @@
             peers.values().removeIf(peer -> peer.link == null);
         }
         Peer peer = peers.computeIfAbsent(to.address(), at -> new Peer(hello()));
-        Frame frame = new Frame(Frame.Kind.AGREE, MessageCodec.write(message));
+        Frame frame = new Frame(Frame.Kind.AGREE, RaftMessageCodec.write(message));
         if (peer.link != null && peer.link.isUp()) {
             peer.link.send(frame);
             return;
@@ -101,7 +101,7 @@
     private Frame hello() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            MessageCodec.writeMember(self, out);
+            RaftMessageCodec.writeMember(self, out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -110,6 +110,6 @@
 
     /** Who speaks on a connection. */
     static Member hello(Frame frame) throws IOException {
-        return MessageCodec.readMember(new DataInputStream(new ByteArrayInputStream(frame.body())));
+        return RaftMessageCodec.readMember(new DataInputStream(new ByteArrayInputStream(frame.body())));
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/QuorumGate.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumGate.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.Standing;
+import sablehinge.controlplane.raft.RaftStatus;
 
 /**
  * The one place where it is decided whether this machine has the contact with a majority that an answer needs. It looks
@@ -29,7 +29,7 @@
     interface Contact {
 
         /** The place of this machine. */
-        Standing standing();
+        RaftStatus standing();
 
         /** See {@link sablehinge.controlplane.raft.RaftNode#sinceMajority}. */
         double sinceMajority(double now);
@@ -76,7 +76,7 @@
             case NONE -> true;
             case LEASE -> contact.leases(now);
             case RECENT, CONFIRMED, COMMITTED ->
-                contact.standing().role() == Standing.Role.LEADER && contact.sinceMajority(now) <= RECENT_MS;
+                contact.standing().role() == RaftStatus.Role.LEADER && contact.sinceMajority(now) <= RECENT_MS;
         };
     }
 
@@ -110,8 +110,8 @@
 
     /** Who else may have an answer at this moment. */
     Refusal refusal(double now) {
-        Standing standing = contact.standing();
-        boolean leads = standing.role() == Standing.Role.LEADER;
+        RaftStatus standing = contact.standing();
+        boolean leads = standing.role() == RaftStatus.Role.LEADER;
         boolean known = !leads && standing.leader() != null && contact.sinceLeader(now) <= LEADER_KNOWN_MS;
         return new Refusal(known ? standing.leader() : null, leads);
     }
--- a/src/main/java/sablehinge/controlplane/node/Pools.java
+++ b/src/main/java/sablehinge/controlplane/node/QuotaPools.java
@@ -22,7 +22,7 @@
  * The duty of keeping the pools of quotas. Who asks one that is dry is answered a little later, once the other
  * balancers have given up what they can do without.
  */
-final class Pools {
+final class QuotaPools {
 
     /** How long others have to give something up, in ms: well below the asker's patience. */
     private static final long PULL_MS = 15;
@@ -40,7 +40,7 @@
 
     private record Waiting(Connection.Link link, int wanted) {}
 
-    Pools(
+    QuotaPools(
             EventLoop loop,
             Clock clock,
             LocalSettings.Bounds bounds,
--- a/src/main/java/sablehinge/controlplane/node/MessageCodec.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.Members;
+import sablehinge.controlplane.raft.MemberListCodec;
 import sablehinge.controlplane.raft.Message;
 import sablehinge.controlplane.raft.Snapshot;
 
@@ -18,7 +18,7 @@
  * Messages of the core as bytes: one byte that says which, then its fields in order, numbers big-endian. What comes in
  * is checked against bounds before anything is made of it.
  */
-public final class MessageCodec {
+public final class RaftMessageCodec {
 
     /** Most entries that are read in one message. */
     public static final int MOST_ENTRIES = 4096;
@@ -38,7 +38,7 @@
     private static final int LEAVE = 10;
     private static final int RELEASED = 11;
 
-    private MessageCodec() {}
+    private RaftMessageCodec() {}
 
     /** Writes a message. */
     public static byte[] write(Message message) {
@@ -52,19 +52,19 @@
     }
 
     private static void write(Message message, DataOutputStream out) throws IOException {
-        if (message instanceof Message.AskVote ask) {
+        if (message instanceof Message.VoteRequest ask) {
             out.writeByte(ASK_VOTE);
             out.writeLong(ask.term());
             out.writeLong(ask.lastIndex());
             out.writeLong(ask.lastTerm());
             out.writeBoolean(ask.pre());
             out.writeBoolean(ask.handed());
-        } else if (message instanceof Message.Vote vote) {
+        } else if (message instanceof Message.VoteResponse vote) {
             out.writeByte(VOTE);
             out.writeLong(vote.term());
             out.writeBoolean(vote.granted());
             out.writeBoolean(vote.pre());
-        } else if (message instanceof Message.Append append) {
+        } else if (message instanceof Message.AppendRequest append) {
             out.writeByte(APPEND);
             out.writeLong(append.term());
             out.writeLong(append.prevIndex());
@@ -75,31 +75,31 @@
             for (Entry entry : append.entries()) {
                 writeEntry(entry, out);
             }
-        } else if (message instanceof Message.Appended appended) {
+        } else if (message instanceof Message.AppendResponse appended) {
             out.writeByte(APPENDED);
             out.writeLong(appended.term());
             out.writeBoolean(appended.success());
             out.writeLong(appended.matchIndex());
             out.writeLong(appended.hint());
             out.writeLong(appended.round());
-        } else if (message instanceof Message.Install install) {
+        } else if (message instanceof Message.InstallSnapshotRequest install) {
             out.writeByte(INSTALL);
             out.writeLong(install.term());
             out.writeLong(install.round());
             out.writeInt(install.offset());
             out.writeInt(install.total());
             writeSnapshot(install.part(), out);
-        } else if (message instanceof Message.Installing installing) {
+        } else if (message instanceof Message.InstallSnapshotResponse installing) {
             out.writeByte(INSTALLING);
             out.writeLong(installing.term());
             out.writeLong(installing.index());
             out.writeInt(installing.held());
             out.writeLong(installing.round());
-        } else if (message instanceof Message.Join join) {
+        } else if (message instanceof Message.JoinRequest join) {
             out.writeByte(JOIN);
             writeMember(join.self(), out);
             out.writeLong(join.lastIndex());
-        } else if (message instanceof Message.Guide guide) {
+        } else if (message instanceof Message.LeaderHint guide) {
             out.writeByte(GUIDE);
             out.writeLong(guide.term());
             out.writeBoolean(guide.leader() != null);
@@ -107,13 +107,13 @@
                 writeMember(guide.leader(), out);
             }
             writeMembers(guide.members(), out);
-        } else if (message instanceof Message.TakeOver take) {
+        } else if (message instanceof Message.TimeoutNowRequest take) {
             out.writeByte(TAKE_OVER);
             out.writeLong(take.term());
-        } else if (message instanceof Message.Leave leave) {
+        } else if (message instanceof Message.LeaveRequest leave) {
             out.writeByte(LEAVE);
             writeMember(leave.self(), out);
-        } else if (message instanceof Message.Released released) {
+        } else if (message instanceof Message.LeaveResponse released) {
             out.writeByte(RELEASED);
             out.writeLong(released.term());
         }
@@ -133,29 +133,29 @@
         int kind = in.readUnsignedByte();
         switch (kind) {
             case ASK_VOTE:
-                return new Message.AskVote(
+                return new Message.VoteRequest(
                         in.readLong(), in.readLong(), in.readLong(), in.readBoolean(), in.readBoolean());
             case VOTE:
-                return new Message.Vote(in.readLong(), in.readBoolean(), in.readBoolean());
+                return new Message.VoteResponse(in.readLong(), in.readBoolean(), in.readBoolean());
             case APPEND:
                 return readAppend(in);
             case APPENDED:
-                return new Message.Appended(
+                return new Message.AppendResponse(
                         in.readLong(), in.readBoolean(), in.readLong(), in.readLong(), in.readLong());
             case INSTALL:
                 return readInstall(in);
             case INSTALLING:
-                return new Message.Installing(in.readLong(), in.readLong(), in.readInt(), in.readLong());
+                return new Message.InstallSnapshotResponse(in.readLong(), in.readLong(), in.readInt(), in.readLong());
             case JOIN:
-                return new Message.Join(readMember(in), in.readLong());
+                return new Message.JoinRequest(readMember(in), in.readLong());
             case GUIDE:
-                return new Message.Guide(in.readLong(), in.readBoolean() ? readMember(in) : null, readMembers(in));
+                return new Message.LeaderHint(in.readLong(), in.readBoolean() ? readMember(in) : null, readMembers(in));
             case TAKE_OVER:
-                return new Message.TakeOver(in.readLong());
+                return new Message.TimeoutNowRequest(in.readLong());
             case LEAVE:
-                return new Message.Leave(readMember(in));
+                return new Message.LeaveRequest(readMember(in));
             case RELEASED:
-                return new Message.Released(in.readLong());
+                return new Message.LeaveResponse(in.readLong());
             default:
                 throw new IOException("a message of the unknown kind " + kind);
         }
@@ -171,7 +171,7 @@
             throw new IOException(
                     "bytes " + offset + " to " + ((long) offset + part.state().length) + " of a state of " + total);
         }
-        return new Message.Install(term, part, offset, total, round);
+        return new Message.InstallSnapshotRequest(term, part, offset, total, round);
     }
 
     private static Message readAppend(DataInputStream in) throws IOException {
@@ -192,7 +192,7 @@
             }
             entries.add(entry);
         }
-        return new Message.Append(term, prevIndex, prevTerm, entries, commit, round);
+        return new Message.AppendRequest(term, prevIndex, prevTerm, entries, commit, round);
     }
 
     /** Writes an entry. */
@@ -250,7 +250,7 @@
         return new Member(in.readLong(), readAddress(in), readAddress(in));
     }
 
-    /** Addresses are ASCII; {@link Members#write} could not write others. */
+    /** Addresses are ASCII; {@link MemberListCodec#write} could not write others. */
     private static String readAddress(DataInputStream in) throws IOException {
         String text = in.readUTF();
         if (text.length() > MOST_ADDRESS || text.chars().anyMatch(c -> c == 0 || c > Byte.MAX_VALUE)) {
@@ -259,16 +259,16 @@
         return text;
     }
 
-    /** Writes a list of members, as {@link Members#write} does. */
+    /** Writes a list of members, as {@link MemberListCodec#write} does. */
     public static void writeMembers(List<Member> members, DataOutputStream out) throws IOException {
-        out.write(Members.write(members));
+        out.write(MemberListCodec.write(members));
     }
 
     /** Reads a list of members; fails if it is longer than any core. */
     public static List<Member> readMembers(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
-        if (count > Members.MOST) {
-            throw new IOException("a core of " + count + " members; " + Members.MOST + " at most are expected");
+        if (count > MemberListCodec.MOST) {
+            throw new IOException("a core of " + count + " members; " + MemberListCodec.MOST + " at most are expected");
         }
         List<Member> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -279,7 +279,7 @@
 
     private static void parse(byte[] list) throws IOException {
         try {
-            Members.read(list);
+            MemberListCodec.read(list);
         } catch (IllegalArgumentException e) {
             throw new IOException("an entry of members that can't be read", e);
         }
--- a/src/main/java/sablehinge/controlplane/node/RaftStore.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStore.java
@@ -21,12 +21,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
-import sablehinge.controlplane.raft.Change;
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.raft.Member;
-import sablehinge.controlplane.raft.Members;
+import sablehinge.controlplane.raft.MemberListCodec;
+import sablehinge.controlplane.raft.PersistedState;
 import sablehinge.controlplane.raft.Snapshot;
-import sablehinge.controlplane.raft.Stored;
+import sablehinge.controlplane.raft.WriteBatch;
 
 /**
  * What a member of the core has on its disk: who it is, its vote, its log. One file, {@code log.mv.db}, of H2's
@@ -92,7 +92,7 @@
                 disk.sync();
                 try {
                     return new RaftStore(disk, FILE, disk.has(ASIDE));
-                } catch (Damage e) {
+                } catch (CorruptStoreException e) {
                     Log.error(LOG, "disk-damaged")
                             .addKeyValue("file", disk.file(FILE))
                             .addKeyValue("cause", e.getMessage())
@@ -111,10 +111,10 @@
         }
     }
 
-    private RaftStore(Disk disk, String name, boolean aside) throws Damage {
-        String file = SealedPath.name(disk.file(name));
+    private RaftStore(Disk disk, String name, boolean aside) throws CorruptStoreException {
+        String file = VerifyingFilePath.name(disk.file(name));
         MVStore opened = null;
-        SealedChannel channel = null;
+        VerifyingFileChannel channel = null;
         try {
             // No thread, no commit but this class's, no compression; nothing of the log is read twice, so the
             // cache is small.
@@ -126,7 +126,7 @@
                     .cacheSize(1)
                     .cacheConcurrency(1)
                     .open();
-            channel = SealedPath.taken(file);
+            channel = VerifyingFilePath.taken(file);
             // Space is used again by commits, not by time: below zero, MVStore asks no clock, and what
             // commit N no longer needs is free from the third after it on. A torn commit is always the
             // last, so the one before it has lost nothing of its own, whatever the time of day did between
@@ -134,7 +134,7 @@
             opened.setRetentionTime(-1);
             opened.setVersionsToKeep(2);
             if (name.equals(FILE) && channel.version() < 0) {
-                throw new Damage("it is empty");
+                throw new CorruptStoreException("it is empty");
             }
             check(opened, channel);
             state = map(opened, "state");
@@ -147,7 +147,7 @@
             }
             read();
         } catch (RuntimeException | IOException e) {
-            SealedChannel left = channel == null ? SealedPath.taken(file) : channel;
+            VerifyingFileChannel left = channel == null ? VerifyingFilePath.taken(file) : channel;
             abandon(opened, left);
             throw judged(file, left != null && left.mending(), e);
         }
@@ -160,7 +160,7 @@
                 new MVMap.Builder<Long, byte[]>().keyType(LongDataType.INSTANCE).valueType(ByteArrayDataType.INSTANCE));
     }
 
-    private static void abandon(MVStore store, SealedChannel channel) {
+    private static void abandon(MVStore store, VerifyingFileChannel channel) {
         if (store != null) {
             shut(store);
         }
@@ -174,9 +174,9 @@
     }
 
     /** What an error at the opening means: damage is returned, all else thrown. */
-    private static Damage judged(String file, boolean mending, Exception e) {
+    private static CorruptStoreException judged(String file, boolean mending, Exception e) {
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
-            if (cause instanceof Damage damage) {
+            if (cause instanceof CorruptStoreException damage) {
                 return damage;
             }
         }
@@ -192,31 +192,32 @@
                 throw new StoreException(StoreException.Code.UNREADABLE, file + ": " + cause, e);
             }
         }
-        return new Damage(e.toString());
+        return new CorruptStoreException(e.toString());
     }
 
     /** MVStore may fall back to an older commit by itself; and of what is live, all must be as written. */
-    private static void check(MVStore store, SealedChannel channel) throws IOException {
+    private static void check(MVStore store, VerifyingFileChannel channel) throws IOException {
         if (channel.version() < 0) {
             return;
         }
         if (store.getCurrentVersion() != channel.version()) {
-            throw new Damage("commit " + channel.version() + " can't be read, only " + store.getCurrentVersion());
+            throw new CorruptStoreException(
+                    "commit " + channel.version() + " can't be read, only " + store.getCurrentVersion());
         }
         for (Map.Entry<String, String> chunk : store.getLayoutMap().entrySet()) {
             String fields = chunk.getValue();
             if (chunk.getKey().startsWith("chunk.")
-                    && Seal.field(fields, "livePages") != 0
-                    && !channel.whole(Seal.field(fields, "block"), (int) Seal.field(fields, "len"), (int)
-                            Seal.field(fields, "chunk"))) {
-                throw new Damage(chunk.getKey() + " is not as it was written");
+                    && ChunkFooter.field(fields, "livePages") != 0
+                    && !channel.whole(ChunkFooter.field(fields, "block"), (int) ChunkFooter.field(fields, "len"), (int)
+                            ChunkFooter.field(fields, "chunk"))) {
+                throw new CorruptStoreException(chunk.getKey() + " is not as it was written");
             }
         }
     }
 
     private void read() throws IOException {
         byte[] who = state.get(SELF);
-        self = who == null ? null : Members.read(who).get(0);
+        self = who == null ? null : MemberListCodec.read(who).get(0);
         byte[] vote = state.get(VOTE);
         if (vote != null) {
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(vote));
@@ -228,14 +229,14 @@
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(image));
             long index = in.readLong();
             long at = in.readLong();
-            List<Member> members = MessageCodec.readMembers(in);
+            List<Member> members = RaftMessageCodec.readMembers(in);
             snapshot = new Snapshot(index, at, members, in.readAllBytes());
         }
         long first = snapshot == null ? 1 : snapshot.index() + 1;
         last = first - 1 + entries.sizeAsLong();
         if (!entries.isEmpty() && (entries.firstKey() != first || entries.lastKey() != last)) {
-            throw new Damage("entries " + entries.firstKey() + " to " + entries.lastKey() + " where " + first + " to "
-                    + last + " are expected");
+            throw new CorruptStoreException("entries " + entries.firstKey() + " to " + entries.lastKey() + " where "
+                    + first + " to " + last + " are expected");
         }
     }
 
@@ -259,7 +260,7 @@
      *
      * @throws StoreException {@code CLOSED}, or {@code UNREADABLE} if the disk fails
      */
-    public Stored load() {
+    public PersistedState load() {
         open();
         if (self == null) {
             return null;
@@ -269,7 +270,7 @@
             for (Map.Entry<Long, byte[]> one : entries.entrySet()) {
                 all.add(entry(one.getKey(), one.getValue()));
             }
-            return new Stored(self, term, votedFor, snapshot, all);
+            return new PersistedState(self, term, votedFor, snapshot, all);
         } catch (RuntimeException e) {
             throw new StoreException(StoreException.Code.UNREADABLE, e.getMessage(), e);
         }
@@ -297,7 +298,7 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeLong(snapshot.index());
             out.writeLong(snapshot.term());
-            MessageCodec.writeMembers(snapshot.members(), out);
+            RaftMessageCodec.writeMembers(snapshot.members(), out);
             out.write(snapshot.state());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -314,7 +315,7 @@
         open();
         requireNobody();
         commit(() -> {
-            state.put(SELF, Members.write(List.of(member)));
+            state.put(SELF, MemberListCodec.write(List.of(member)));
             self = member;
         });
     }
@@ -326,12 +327,12 @@
      * @throws StoreException {@code ORDER} if it is someone already, or the change doesn't follow on an empty log;
      *     {@code CLOSED}, {@code REFUSED}
      */
-    public void found(Member member, Change founding) {
+    public void found(Member member, WriteBatch founding) {
         open();
         requireNobody();
         long next = follows(founding);
         commit(() -> {
-            state.put(SELF, Members.write(List.of(member)));
+            state.put(SELF, MemberListCodec.write(List.of(member)));
             self = member;
             apply(founding);
             last = next;
@@ -349,7 +350,7 @@
      *
      * @throws StoreException {@code ORDER} if it doesn't follow on what is held, {@code CLOSED}, {@code REFUSED}
      */
-    public void write(Change change) {
+    public void write(WriteBatch change) {
         open();
         if (self == null) {
             throw order("nobody has begun");
@@ -362,7 +363,7 @@
     }
 
     /** The last index after a change. */
-    private long follows(Change change) {
+    private long follows(WriteBatch change) {
         long base = snapshot == null ? 0 : snapshot.index();
         if (change.truncateFrom() != 0 && change.truncateFrom() <= base && change.snapshot() == null) {
             throw order("entries from " + change.truncateFrom() + " are in the snapshot to " + base);
@@ -390,7 +391,7 @@
         return new StoreException(StoreException.Code.ORDER, message, null);
     }
 
-    private void apply(Change change) {
+    private void apply(WriteBatch change) {
         if (change.term() != term || change.votedFor() != votedFor) {
             state.put(
                     VOTE,
--- a/src/main/java/sablehinge/controlplane/node/Patience.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBackoff.java
@@ -4,7 +4,7 @@
  * When a disk that refuses is tried again, and which of its refusals are worth a line of the log. It decides only;
  * {@code now} is a steady clock in ms.
  */
-final class Patience {
+final class RetryBackoff {
 
     /** The pause after the first refusal, ms; each is twice the one before. */
     static final double FIRST = 10;
--- a/src/main/java/sablehinge/controlplane/node/RetryBudgetHolder.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
@@ -6,18 +6,19 @@
 import sablehinge.common.settings.LocalSettings;
 import sablehinge.mesh.retrybudget.Claim;
 import sablehinge.mesh.retrybudget.Grant;
-import sablehinge.mesh.retrybudget.Holder;
-import sablehinge.mesh.retrybudget.Rule;
+import sablehinge.mesh.retrybudget.RetryBudgetAllocator;
+import sablehinge.mesh.retrybudget.RetryBudgetRule;
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.RetryBudgetCodec;
 
 /** The duty of holding the budget of further tries: balancers' claims are answered under a lease only. */
-final class RetryBudgetHolder {
+final class RetryBudgetCoordinator {
 
-    private final Holder holder;
+    private final RetryBudgetAllocator holder;
 
-    RetryBudgetHolder(LocalSettings.Bounds bounds) {
-        holder = new Holder(new Rule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()));
+    RetryBudgetCoordinator(LocalSettings.Bounds bounds) {
+        holder = new RetryBudgetAllocator(
+                new RetryBudgetRule(bounds.retryRatio(), bounds.retryWindowS() * 1_000, bounds.retrySlack()));
     }
 
     void begin(long term) {
--- a/src/main/java/sablehinge/controlplane/node/SealedChannel.java
+++ b/src/main/java/sablehinge/controlplane/node/VerifyingFileChannel.java
@@ -17,16 +17,16 @@
  * this looks for the newest chunk that is whole, takes the seal from one after it, which the power cut off, and lets
  * the header point to the newest. As each commit is synced before the next, only the last may be torn.
  */
-final class SealedChannel extends FileBase {
+final class VerifyingFileChannel extends FileBase {
 
-    private static final int HEADER = 2 * Seal.BLOCK;
-    private static final int STEP = 64 * Seal.BLOCK;
+    private static final int HEADER = 2 * ChunkFooter.BLOCK;
+    private static final int STEP = 64 * ChunkFooter.BLOCK;
 
     private final FileChannel base;
     private long version = -1;
     private boolean mending;
 
-    SealedChannel(FileChannel base) {
+    VerifyingFileChannel(FileChannel base) {
         this.base = base;
     }
 
@@ -50,11 +50,11 @@
     }
 
     private void mend() throws IOException {
-        List<Seal> seals = seals();
+        List<ChunkFooter> seals = seals();
         seals.sort((a, b) -> Long.compare(b.version(), a.version()));
-        List<Seal> torn = new ArrayList<>();
-        Seal newest = null;
-        for (Seal seal : seals) {
+        List<ChunkFooter> torn = new ArrayList<>();
+        ChunkFooter newest = null;
+        for (ChunkFooter seal : seals) {
             if (whole(seal)) {
                 newest = seal;
                 break;
@@ -62,45 +62,45 @@
             torn.add(seal);
         }
         if (newest == null) {
-            throw new Damage("no commit in it is whole");
+            throw new CorruptStoreException("no commit in it is whole");
         }
         if (!torn.isEmpty() && torn.get(0).version() > newest.version() + 1) {
-            throw new Damage(
+            throw new CorruptStoreException(
                     "commits " + newest.version() + " to " + torn.get(0).version() + " are not whole");
         }
         mending = true;
-        for (Seal seal : torn) {
+        for (ChunkFooter seal : torn) {
             if (seal.version() == newest.version() + 1) {
-                put(ByteBuffer.allocate(Seal.LENGTH), end(seal) - Seal.LENGTH);
+                put(ByteBuffer.allocate(ChunkFooter.LENGTH), end(seal) - ChunkFooter.LENGTH);
             }
         }
         // What is read may not be on disk: the process that wrote it ended before its sync, or the sync
         // failed, and a system that has failed once to write a page may take it for written. So it is
         // written anew, the same bytes in the same place. What came before was synced before it was begun.
-        put(chunk(newest), newest.block() * Seal.BLOCK);
+        put(chunk(newest), newest.block() * ChunkFooter.BLOCK);
         put(header(newest), 0);
         base.force(true);
         mending = false;
         version = newest.version();
     }
 
-    private static long end(Seal seal) {
-        return (seal.block() + seal.blocks()) * Seal.BLOCK;
+    private static long end(ChunkFooter seal) {
+        return (seal.block() + seal.blocks()) * ChunkFooter.BLOCK;
     }
 
     /** All seals in the file, those of chunks that were given up and in part written over, too. */
-    private List<Seal> seals() throws IOException {
-        List<Seal> seals = new ArrayList<>();
+    private List<ChunkFooter> seals() throws IOException {
+        List<ChunkFooter> seals = new ArrayList<>();
         ByteBuffer step = ByteBuffer.allocate(STEP);
-        byte[] tail = new byte[Seal.LENGTH];
-        long blocks = size() / Seal.BLOCK;
-        for (long block = 2; block < blocks; block += STEP / Seal.BLOCK) {
-            step.clear().limit((int) Math.min(STEP, (blocks - block) * Seal.BLOCK));
-            fill(step, block * Seal.BLOCK);
-            for (int end = Seal.BLOCK; end <= step.limit(); end += Seal.BLOCK) {
-                if (Seal.chunk(step, end - Seal.LENGTH)) {
-                    step.get(end - Seal.LENGTH, tail);
-                    Seal seal = Seal.read(tail, block + end / Seal.BLOCK);
+        byte[] tail = new byte[ChunkFooter.LENGTH];
+        long blocks = size() / ChunkFooter.BLOCK;
+        for (long block = 2; block < blocks; block += STEP / ChunkFooter.BLOCK) {
+            step.clear().limit((int) Math.min(STEP, (blocks - block) * ChunkFooter.BLOCK));
+            fill(step, block * ChunkFooter.BLOCK);
+            for (int end = ChunkFooter.BLOCK; end <= step.limit(); end += ChunkFooter.BLOCK) {
+                if (ChunkFooter.chunk(step, end - ChunkFooter.LENGTH)) {
+                    step.get(end - ChunkFooter.LENGTH, tail);
+                    ChunkFooter seal = ChunkFooter.read(tail, block + end / ChunkFooter.BLOCK);
                     if (seal != null) {
                         seals.add(seal);
                     }
@@ -111,25 +111,25 @@
     }
 
     /** Whether a chunk is in the file as it was written. */
-    boolean whole(Seal seal) throws IOException {
+    boolean whole(ChunkFooter seal) throws IOException {
         ByteBuffer chunk = chunk(seal);
-        return Seal.chunk(chunk, 0) && Seal.crc(chunk) == seal.crc();
+        return ChunkFooter.chunk(chunk, 0) && ChunkFooter.crc(chunk) == seal.crc();
     }
 
-    private ByteBuffer chunk(Seal seal) throws IOException {
-        ByteBuffer chunk = ByteBuffer.allocate(seal.blocks() * Seal.BLOCK);
-        fill(chunk, seal.block() * Seal.BLOCK);
+    private ByteBuffer chunk(ChunkFooter seal) throws IOException {
+        ByteBuffer chunk = ByteBuffer.allocate(seal.blocks() * ChunkFooter.BLOCK);
+        fill(chunk, seal.block() * ChunkFooter.BLOCK);
         return chunk;
     }
 
     /** Whether the chunk of that number is at a place, and is as it was written. */
     boolean whole(long block, int blocks, int id) throws IOException {
-        if (block < 2 || blocks < 1 || (block + blocks) * Seal.BLOCK > size()) {
+        if (block < 2 || blocks < 1 || (block + blocks) * ChunkFooter.BLOCK > size()) {
             return false;
         }
-        ByteBuffer tail = ByteBuffer.allocate(Seal.LENGTH);
-        fill(tail, (block + blocks) * Seal.BLOCK - Seal.LENGTH);
-        Seal seal = Seal.read(tail.array(), block + blocks);
+        ByteBuffer tail = ByteBuffer.allocate(ChunkFooter.LENGTH);
+        fill(tail, (block + blocks) * ChunkFooter.BLOCK - ChunkFooter.LENGTH);
+        ChunkFooter seal = ChunkFooter.read(tail.array(), block + blocks);
         return seal != null && seal.id() == id && seal.blocks() == blocks && whole(seal);
     }
 
@@ -137,30 +137,30 @@
         while (bytes.hasRemaining()) {
             int read = base.read(bytes, position + bytes.position());
             if (read < 0) {
-                throw new Damage("it ends at " + size());
+                throw new CorruptStoreException("it ends at " + size());
             }
         }
         bytes.flip();
     }
 
     /** MVStore's header, twice. Its time of creation matters to nothing that this store uses. */
-    private static ByteBuffer header(Seal newest) {
-        byte[] copy = Seal.checked("H:2,block:" + Long.toHexString(newest.block()) + ",blockSize:1000,chunk:"
+    private static ByteBuffer header(ChunkFooter newest) {
+        byte[] copy = ChunkFooter.checked("H:2,block:" + Long.toHexString(newest.block()) + ",blockSize:1000,chunk:"
                 + Integer.toHexString(newest.id()) + ",created:1,format:3,version:"
                 + Long.toHexString(newest.version()));
         ByteBuffer header = ByteBuffer.allocate(HEADER);
         header.put(0, copy).put(copy.length, (byte) '\n');
-        header.put(Seal.BLOCK, copy).put(Seal.BLOCK + copy.length, (byte) '\n');
+        header.put(ChunkFooter.BLOCK, copy).put(ChunkFooter.BLOCK + copy.length, (byte) '\n');
         return header;
     }
 
     @Override
     public int write(ByteBuffer bytes, long position) throws IOException {
         if (position >= HEADER
-                && position % Seal.BLOCK == 0
-                && bytes.remaining() >= Seal.BLOCK
-                && Seal.chunk(bytes, bytes.position())) {
-            Seal.set(bytes);
+                && position % ChunkFooter.BLOCK == 0
+                && bytes.remaining() >= ChunkFooter.BLOCK
+                && ChunkFooter.chunk(bytes, bytes.position())) {
+            ChunkFooter.set(bytes);
         }
         return put(bytes, position);
     }
--- a/src/main/java/sablehinge/controlplane/node/SealedPath.java
+++ b/src/main/java/sablehinge/controlplane/node/VerifyingFilePath.java
@@ -11,17 +11,17 @@
  * H2's way to put one's own channel between MVStore and a file: names that begin with {@code sealed:}. It is public
  * only because H2 makes it by reflection.
  */
-public final class SealedPath extends FilePathWrapper {
+public final class VerifyingFilePath extends FilePathWrapper {
 
     static final String SCHEME = "sealed";
-    private static final Map<String, SealedChannel> OPEN = new ConcurrentHashMap<>();
+    private static final Map<String, VerifyingFileChannel> OPEN = new ConcurrentHashMap<>();
 
     static {
-        FilePath.register(new SealedPath());
+        FilePath.register(new VerifyingFilePath());
     }
 
     /** For H2. */
-    public SealedPath() {}
+    public VerifyingFilePath() {}
 
     /** The name for H2 of a file by its plain name. */
     static String name(String file) {
@@ -29,7 +29,7 @@
     }
 
     /** The channel that was opened for a name, once; null if there's none. */
-    static SealedChannel taken(String name) {
+    static VerifyingFileChannel taken(String name) {
         return OPEN.remove(name);
     }
 
@@ -40,7 +40,7 @@
 
     @Override
     public FileChannel open(String mode) throws IOException {
-        SealedChannel channel = new SealedChannel(getBase().open(mode));
+        VerifyingFileChannel channel = new VerifyingFileChannel(getBase().open(mode));
         OPEN.put(name, channel);
         return channel;
     }
--- a/src/main/java/sablehinge/controlplane/node/WatchServer.java
+++ b/src/main/java/sablehinge/controlplane/node/WatchServer.java
@@ -36,15 +36,15 @@
 
     private final Registry registry;
     private final HealthView healthView = new HealthView();
-    private final Map<K, Asker> askers = new LinkedHashMap<>();
-    private final List<HealthView.Ruling> rulings = new ArrayList<>();
+    private final Map<K, Subscriber> askers = new LinkedHashMap<>();
+    private final List<HealthView.HealthChange> rulings = new ArrayList<>();
     private double judgedAt = Double.NEGATIVE_INFINITY;
     private long term;
     private long edition;
     private byte[] body = NONE;
     private List<String> core = List.of();
 
-    private static final class Asker {
+    private static final class Subscriber {
         WatchRequest request;
         double askedAt;
         boolean waits;
@@ -64,7 +64,7 @@
     }
 
     /** An answer for whoever asked. */
-    public record Told<K>(K to, Update update) {}
+    public record Delivery<K>(K to, Update update) {}
 
     /** A desk over a roll, which it keeps up. */
     public WatchServer(Registry registry) {
@@ -91,7 +91,7 @@
 
     /** An ask has come; its confirmation, if it wants one, is told by {@link #confirmed}. */
     public void asked(double now, K from, WatchRequest request) {
-        Asker asker = askers.computeIfAbsent(from, key -> new Asker());
+        Subscriber asker = askers.computeIfAbsent(from, key -> new Subscriber());
         asker.request = request;
         asker.askedAt = now;
         asker.waits = true;
@@ -103,7 +103,7 @@
 
     /** All that was committed before an ask came is in {@link #holds} by now. */
     public void confirmed(K asker, int number) {
-        Asker one = askers.get(asker);
+        Subscriber one = askers.get(asker);
         if (one != null && one.request.number() == number) {
             one.confirmed = true;
         }
@@ -120,20 +120,20 @@
     }
 
     /** The answers that are due. */
-    public List<Told<K>> due(double now) {
+    public List<Delivery<K>> due(double now) {
         if (now - judgedAt >= JUDGE_MS) {
             judgedAt = now;
             judge(now);
         }
         registry.expire(now);
-        Round round = new Round(now);
-        List<Told<K>> due = new ArrayList<>();
-        for (Map.Entry<K, Asker> entry : askers.entrySet()) {
-            Asker asker = entry.getValue();
+        Snapshot round = new Snapshot(now);
+        List<Delivery<K>> due = new ArrayList<>();
+        for (Map.Entry<K, Subscriber> entry : askers.entrySet()) {
+            Subscriber asker = entry.getValue();
             if (asker.waits) {
                 Update update = update(round, asker);
                 if (update != null) {
-                    due.add(new Told<>(entry.getKey(), update));
+                    due.add(new Delivery<>(entry.getKey(), update));
                 }
             }
         }
@@ -141,13 +141,13 @@
     }
 
     /** What answers of one moment share: with many askers it is found once for all of them. */
-    private final class Round {
+    private final class Snapshot {
         private final double now;
         private final boolean complete;
         private final int sharers;
         private final Map<Long, List<Registration>> since = new HashMap<>();
 
-        Round(double now) {
+        Snapshot(double now) {
             this.now = now;
             complete = registry.isComplete(now);
             sharers = registry.sharers();
@@ -163,7 +163,7 @@
         List<Registration> present = registry.present();
         present.forEach(registration -> subjects.add(new HealthView.Subject(
                 registration.node(), registration.zone(), registration.service(), registration.ready())));
-        List<HealthView.Ruling> changed = healthView.judge(now, subjects);
+        List<HealthView.HealthChange> changed = healthView.judge(now, subjects);
         changed.forEach(ruling -> registry.rule(ruling.node(), ruling.health().isOff()));
         for (Registration registration : present) {
             if (healthView.health(registration.node()) == Health.CUT_FROM_CORE) {
@@ -174,13 +174,13 @@
     }
 
     /** What has changed of who is heard, since this was asked last. */
-    public List<HealthView.Ruling> rulings() {
-        List<HealthView.Ruling> latest = List.copyOf(rulings);
+    public List<HealthView.HealthChange> rulings() {
+        List<HealthView.HealthChange> latest = List.copyOf(rulings);
         rulings.clear();
         return latest;
     }
 
-    private Update update(Round round, Asker asker) {
+    private Update update(Snapshot round, Subscriber asker) {
         WatchRequest request = asker.request;
         boolean complete = round.complete;
         boolean whole = request.term() != term || complete && !asker.toldComplete;
--- a/src/main/java/sablehinge/controlplane/raft/Entry.java
+++ b/src/main/java/sablehinge/controlplane/raft/Entry.java
@@ -13,7 +13,7 @@
     public enum Kind {
         /** Nothing; by its commit a new leader learns what was committed before it. */
         NOOP,
-        /** The members of the core from here on, as {@link Members} writes them. */
+        /** The members of the core from here on, as {@link MemberListCodec} writes them. */
         MEMBERS,
         /** A command to the state machine. */
         COMMAND
--- a/src/main/java/sablehinge/controlplane/raft/Members.java
+++ b/src/main/java/sablehinge/controlplane/raft/MemberListCodec.java
@@ -8,7 +8,7 @@
  * length of 16 bits. Written by hand, as a decider has no streams; they read the same by
  * {@code DataInputStream.readUTF}, since addresses are ASCII.
  */
-public final class Members {
+public final class MemberListCodec {
 
     /** More than any core has. */
     public static final int MOST = 64;
@@ -16,7 +16,7 @@
     private static final int ID = 8;
     private static final int LENGTH = 2;
 
-    private Members() {}
+    private MemberListCodec() {}
 
     /** Writes a list. */
     public static byte[] write(List<Member> members) {
--- a/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
+++ b/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
@@ -47,7 +47,7 @@
      * @param losses how many members may be lost at once while the core goes on, from 0 on
      * @param timing when a member counts as alive, and when as lost
      */
-    MembershipPlanner(int losses, Timing timing) {
+    MembershipPlanner(int losses, RaftConfig timing) {
         wanted = Math.max(LEAST_VOTERS, 2 * losses + 1);
         freshMs = timing.fresh();
         silentMs = timing.silent();
--- a/src/main/java/sablehinge/controlplane/raft/Message.java
+++ b/src/main/java/sablehinge/controlplane/raft/Message.java
@@ -14,16 +14,16 @@
      * @param pre only asks whether the vote would be given; nothing follows from it
      * @param handed the leader wished it, so that having heard of a leader is no reason to refuse
      */
-    record AskVote(long term, long lastIndex, long lastTerm, boolean pre, boolean handed) implements Message {}
+    record VoteRequest(long term, long lastIndex, long lastTerm, boolean pre, boolean handed) implements Message {}
 
     /**
-     * Answers {@link AskVote}.
+     * Answers {@link VoteRequest}.
      *
      * @param term the one asked for if granted, else the latest that the sender has seen
      * @param granted whether the vote is given
      * @param pre as asked
      */
-    record Vote(long term, boolean granted, boolean pre) implements Message {}
+    record VoteResponse(long term, boolean granted, boolean pre) implements Message {}
 
     /**
      * A leader's entries, or only its sign of life.
@@ -35,17 +35,17 @@
      * @param commit index up to which all is committed
      * @param round counts up with each question whether the leader still leads
      */
-    record Append(long term, long prevIndex, long prevTerm, List<Entry> entries, long commit, long round)
+    record AppendRequest(long term, long prevIndex, long prevTerm, List<Entry> entries, long commit, long round)
             implements Message {
 
         /** A message whose list can't be changed. */
-        public Append {
+        public AppendRequest {
             entries = List.copyOf(entries);
         }
     }
 
     /**
-     * Answers {@link Append} and {@link Install}.
+     * Answers {@link AppendRequest} and {@link InstallSnapshotRequest}.
      *
      * @param term the latest that the sender has seen
      * @param success whether the sender's log holds the entry before the sent ones
@@ -54,7 +54,7 @@
      *     will do
      * @param round the highest of this leader that the sender has seen
      */
-    record Appended(long term, boolean success, long matchIndex, long hint, long round) implements Message {}
+    record AppendResponse(long term, boolean success, long matchIndex, long hint, long round) implements Message {}
 
     /**
      * A chunk of a snapshot for who is behind the start of the leader's log.
@@ -63,12 +63,12 @@
      * @param part the snapshot; of its state only the bytes from {@code offset} on that are in this chunk
      * @param offset of the chunk's first byte in the state
      * @param total bytes of the whole state
-     * @param round as in {@link Append}
+     * @param round as in {@link AppendRequest}
      */
-    record Install(long term, Snapshot part, int offset, int total, long round) implements Message {
+    record InstallSnapshotRequest(long term, Snapshot part, int offset, int total, long round) implements Message {
 
         /** A whole snapshot in one chunk. */
-        public Install(long term, Snapshot snapshot, long round) {
+        public InstallSnapshotRequest(long term, Snapshot snapshot, long round) {
             this(term, snapshot, 0, snapshot.state().length, round);
         }
 
@@ -79,14 +79,14 @@
     }
 
     /**
-     * Answers an {@link Install} that does not make the snapshot whole.
+     * Answers an {@link InstallSnapshotRequest} that does not make the snapshot whole.
      *
      * @param term the latest that the sender has seen
      * @param index of the snapshot's last entry
      * @param held up to this byte the sender holds the snapshot's state
      * @param round the highest of this leader that the sender has seen
      */
-    record Installing(long term, long index, int held, long round) implements Message {}
+    record InstallSnapshotResponse(long term, long index, int held, long round) implements Message {}
 
     /**
      * Asks to be let in, or to hear of the leader.
@@ -94,19 +94,19 @@
      * @param self who asks
      * @param lastIndex of the log of who asks
      */
-    record Join(Member self, long lastIndex) implements Message {}
+    record JoinRequest(Member self, long lastIndex) implements Message {}
 
     /**
-     * Answers {@link Join} of one that the sender does not feed.
+     * Answers {@link JoinRequest} of one that the sender does not feed.
      *
      * @param term the latest that the sender has seen
      * @param leader null where none is known
      * @param members the latest list of the sender
      */
-    record Guide(long term, Member leader, List<Member> members) implements Message {
+    record LeaderHint(long term, Member leader, List<Member> members) implements Message {
 
         /** A message whose list can't be changed. */
-        public Guide {
+        public LeaderHint {
             members = List.copyOf(members);
         }
     }
@@ -116,21 +116,21 @@
      *
      * @param term of the leader
      */
-    record TakeOver(long term) implements Message {}
+    record TimeoutNowRequest(long term) implements Message {}
 
     /**
      * The sender's process is about to end, perhaps for good. Said to the leader again and again until it answers with
-     * {@link Released}.
+     * {@link LeaveResponse}.
      *
      * @param self who ends
      */
-    record Leave(Member self) implements Message {}
+    record LeaveRequest(Member self) implements Message {}
 
     /**
-     * Answers {@link Leave}: a majority of those that stay has everything on disk that is committed, and the one that
-     * leaves is no voter any more or has no successor yet.
+     * Answers {@link LeaveRequest}: a majority of those that stay has everything on disk that is committed, and the one
+     * that leaves is no voter any more or has no successor yet.
      *
      * @param term of the leader
      */
-    record Released(long term) implements Message {}
+    record LeaveResponse(long term) implements Message {}
 }
--- a/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
+++ b/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
@@ -15,14 +15,14 @@
     /** Messages that wait for the disk; of more, the oldest is lost, as any message may be. */
     private static final int MOST_HELD = 256;
 
-    private static final class Outstanding {
+    private static final class PendingBatch {
         final long number;
         final long term;
         final double since;
         final long bytes;
         long end;
 
-        Outstanding(long number, long term, long end, double since, long bytes) {
+        PendingBatch(long number, long term, long end, double since, long bytes) {
             this.number = number;
             this.term = term;
             this.end = end;
@@ -31,11 +31,11 @@
         }
     }
 
-    private record Held(long number, Member to, Message message) {}
+    private record PendingMessage(long number, Member to, Message message) {}
 
-    private final Deque<Outstanding> outstanding = new ArrayDeque<>();
-    private final Deque<Held> held = new ArrayDeque<>();
-    private final List<Held> fresh = new ArrayList<>();
+    private final Deque<PendingBatch> outstanding = new ArrayDeque<>();
+    private final Deque<PendingMessage> held = new ArrayDeque<>();
+    private final List<PendingMessage> fresh = new ArrayList<>();
     private final List<Entry> append = new ArrayList<>();
     private long truncateFrom;
     private Snapshot snapshot;
@@ -67,7 +67,7 @@
     /** Whether so much waits for the disk that no more is to be taken. */
     boolean isFull() {
         long bytes = bytes();
-        for (Outstanding one : outstanding) {
+        for (PendingBatch one : outstanding) {
             bytes += one.bytes;
         }
         return bytes > MOST_BYTES;
@@ -102,7 +102,7 @@
     /** What is on the way to the disk from an index on, or there, does not count any more. */
     private void forget(long from) {
         synced = Math.min(synced, from - 1);
-        for (Outstanding one : outstanding) {
+        for (PendingBatch one : outstanding) {
             one.end = Math.min(one.end, from - 1);
         }
     }
@@ -115,22 +115,22 @@
 
     /** A message that may not leave before all that was decided up to now is synced. */
     void hold(Member to, Message message) {
-        fresh.add(new Held(0, to, message));
+        fresh.add(new PendingMessage(0, to, message));
     }
 
     /** Makes the next change, if there is any, and sends what need not wait. */
     void flush(double now, long term, long votedFor, long lastIndex, RaftNode.Actions actions) {
-        Change change = null;
+        WriteBatch change = null;
         if (dirty && outstanding.size() < MOST_CHANGES) {
-            change = new Change(++number, term, votedFor, truncateFrom, append, snapshot);
-            outstanding.addLast(new Outstanding(number, term, lastIndex, now, bytes()));
+            change = new WriteBatch(++number, term, votedFor, truncateFrom, append, snapshot);
+            outstanding.addLast(new PendingBatch(number, term, lastIndex, now, bytes()));
             append.clear();
             truncateFrom = 0;
             snapshot = null;
             dirty = false;
         }
-        for (Held one : fresh) {
-            held.addLast(new Held(dirty ? number + 1 : number, one.to, one.message));
+        for (PendingMessage one : fresh) {
+            held.addLast(new PendingMessage(dirty ? number + 1 : number, one.to, one.message));
             if (held.size() > MOST_HELD) {
                 held.removeFirst();
             }
@@ -145,7 +145,7 @@
     /** The disk holds all changes up to a number. */
     void persisted(long upTo, RaftNode.Actions actions) {
         while (!outstanding.isEmpty() && outstanding.peekFirst().number <= upTo) {
-            Outstanding one = outstanding.removeFirst();
+            PendingBatch one = outstanding.removeFirst();
             synced = Math.max(synced, one.end);
             syncedTerm = one.term;
         }
@@ -155,7 +155,7 @@
     private void release(RaftNode.Actions actions) {
         long done = outstanding.isEmpty() ? number : outstanding.peekFirst().number - 1;
         while (!held.isEmpty() && held.peekFirst().number <= done) {
-            Held one = held.removeFirst();
+            PendingMessage one = held.removeFirst();
             actions.send(one.to, one.message);
         }
     }
--- a/src/main/java/sablehinge/controlplane/raft/Stored.java
+++ b/src/main/java/sablehinge/controlplane/raft/PersistedState.java
@@ -11,10 +11,10 @@
  * @param snapshot null where there is none
  * @param entries after the snapshot, in order and without gaps
  */
-public record Stored(Member self, long term, long votedFor, Snapshot snapshot, List<Entry> entries) {
+public record PersistedState(Member self, long term, long votedFor, Snapshot snapshot, List<Entry> entries) {
 
     /** A record whose list can't be changed. */
-    public Stored {
+    public PersistedState {
         entries = List.copyOf(entries);
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/Timing.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftConfig.java
@@ -16,7 +16,7 @@
  * @param bytes most bytes of entries in a message, but one entry always goes
  * @param waiting most entries that wait for their commit
  */
-public record Timing(
+public record RaftConfig(
         double heartbeat,
         double electionLeast,
         double electionMost,
@@ -30,7 +30,7 @@
         int waiting) {
 
     /** For a few machines in one network whose disks sync in some ms. */
-    public static Timing usual() {
-        return new Timing(100, 500, 1000, 900, 1500, 500, 1000, 2000, 64, 256 << 10, 256);
+    public static RaftConfig usual() {
+        return new RaftConfig(100, 500, 1000, 900, 1500, 500, 1000, 2000, 64, 256 << 10, 256);
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/RaftLog.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftLog.java
@@ -70,7 +70,7 @@
         }
         entries.add(entry);
         if (entry.kind() == Entry.Kind.MEMBERS) {
-            lists.put(entry.index(), List.copyOf(Members.read(entry.data())));
+            lists.put(entry.index(), List.copyOf(MemberListCodec.read(entry.data())));
         }
     }
 
--- a/src/main/java/sablehinge/controlplane/raft/Pulse.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftMetrics.java
@@ -9,10 +9,10 @@
  * @param leaseMs for how long it may still do what only one may do; 0 where it may not
  * @param silentMs by a member's id, since that one was last heard of: a leader's all others, another's leader
  */
-public record Pulse(long commit, double leaseMs, Map<Long, Double> silentMs) {
+public record RaftMetrics(long commit, double leaseMs, Map<Long, Double> silentMs) {
 
     /** A record whose map can't be changed. */
-    public Pulse {
+    public RaftMetrics {
         silentMs = Map.copyOf(silentMs);
     }
 }
