--- a/bench/src/sablehinge/bench/InspectBench.java
+++ b/bench/src/sablehinge/bench/InspectBench.java
@@ -110,7 +110,7 @@
             Writer bounded = new FilterWriter(file) {
                 @Override
                 public void write(String text, int from, int count) throws IOException {
-                    // At the end of a line only: the last one is whole.
+                    // At the end of a line only: the last one is complete.
                     if (left[0] <= 0 && text.startsWith("10.")) {
                         throw new EnoughException();
                     }
--- a/bench/src/sablehinge/bench/ReplayRehearsal.java
+++ b/bench/src/sablehinge/bench/ReplayRehearsal.java
@@ -67,7 +67,7 @@
 
     private static final int TOP_KEYS = 100;
 
-    /** How far what was received is from what was asked, and how well retries were told from requests. */
+    /** How far what was received is from what was requested, and how well retries were distinguished from requests. */
     public record Result(
             double classError,
             double keyError,
@@ -117,7 +117,9 @@
         }
     }
 
-    /** Compares what servers received with what the day asked, and judges the run whose records are in the folder. */
+    /**
+     * Compares what servers received with what the day requested, and judges the run whose records are in the folder.
+     */
     public static Result judge(Path folder, SampleDay day) throws IOException {
         Audit audit = Audit.of(folder);
         Mix mix = new Mix();
--- a/bench/src/sablehinge/common/rpc/Cut.java
+++ b/bench/src/sablehinge/common/rpc/Cut.java
@@ -15,7 +15,8 @@
 
 /**
  * A cut of the network, played at the ends that connect and that send datagrams: while it lasts nothing goes out or
- * comes in there, no connection comes up, and no end is told. The end that has taken a connection hears silence.
+ * comes in there, no connection comes up, and no end is notified. The end that has accepted a connection receives
+ * nothing.
  */
 public final class Cut {
 
@@ -28,7 +29,7 @@
     /**
      * A cut.
      *
-     * @param lasts whether it lasts now; asked on event loops
+     * @param lasts whether it lasts now; called on event loops
      * @param beyond whether an address lies beyond it
      */
     public Cut(BooleanSupplier lasts, Predicate<InetSocketAddress> beyond) {
--- a/bench/src/sablehinge/controlplane/raft/Calm.java
+++ b/bench/src/sablehinge/controlplane/raft/Calm.java
@@ -3,9 +3,10 @@
 import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
- * A time in which nothing goes wrong. All machines run (who was told to end has, and is back), nothing is cut, all
- * writes end and all messages arrive. Within a bounded time one machine leads, the core has as many voters as the
- * losses that it is to bear ask for, every running machine holds all that is committed, and an order is taken.
+ * A time in which nothing goes wrong. All machines run (a process that was ordered to end has ended, and is back),
+ * nothing is cut, all writes end and all messages arrive. Within a bounded time one machine leads, the core has as many
+ * voters as the losses that it is to bear ask for, every running machine holds all that is committed, and an order is
+ * taken.
  */
 final class Calm {
 
@@ -14,7 +15,7 @@
 
     /** Between two looks, ms; time passes for all. */
     private static final int STEP_MS = 50;
-    /** Within how long the core must be whole, ms. */
+    /** Within how long the core must be complete, ms. */
     private static final int BOUND = 20_000;
     /** Messages and writes between two looks; what is left waits for the next. */
     private static final int MAX_MOVES = 600;
@@ -26,8 +27,8 @@
     }
 
     /**
-     * Lets time pass until the core is whole; fails if it is not within the bound, unless more was lost at once than it
-     * is to bear.
+     * Lets time pass until the core is complete; fails if it is not within the bound, unless more was lost at once than
+     * it is to bear.
      */
     void await() {
         cluster.healAll();
@@ -86,7 +87,7 @@
         }
     }
 
-    /** What the core lacks to be whole; empty if nothing. */
+    /** What the core lacks to be complete; empty if nothing. */
     private String missing() {
         Machine leader = null;
         for (int i = 0; i < cluster.size(); i++) {
--- a/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
+++ b/bench/src/sablehinge/controlplane/raft/CarriedChanges.java
@@ -21,7 +21,7 @@
      */
     private static final int LOOKS = 3;
 
-    /** What a machine had applied when it last looked at its clock, the oldest look first, in one life. */
+    /** What a machine had applied when it last looked at its clock, the oldest look first, in one incarnation. */
     private static final class Looks {
         private long incarnation = -1;
         private long term;
--- a/bench/src/sablehinge/controlplane/raft/EveryOrder.java
+++ b/bench/src/sablehinge/controlplane/raft/EveryOrder.java
@@ -276,7 +276,7 @@
         return next;
     }
 
-    /** Lets time pass until somebody leads whose term has a commit and whom a majority hears. */
+    /** Lets time pass until somebody leads whose term has a commit and whom a majority follows. */
     private int led() {
         long before = cluster.leaders.size();
         for (int i = 0; i < CALM_ROUNDS; i++) {
--- a/bench/src/sablehinge/controlplane/raft/Focus.java
+++ b/bench/src/sablehinge/controlplane/raft/Focus.java
@@ -33,7 +33,7 @@
         NEWCOMER,
         /** One loses power, and another comes in. */
         SUCCESSOR,
-        /** One is told to end, and ends a while after. */
+        /** One is ordered to end, and ends a while after. */
         LEAVE
     }
 
--- a/bench/src/sablehinge/controlplane/raft/HandOver.java
+++ b/bench/src/sablehinge/controlplane/raft/HandOver.java
@@ -1,8 +1,8 @@
 package sablehinge.controlplane.raft;
 
 /**
- * A schedule in which a leader that is told to end asks another to take over while an answer to its last question is
- * still on its way: the lease that it gave up must not come back with that answer.
+ * A schedule in which a leader that is ordered to end requests another to take over while an answer to its last
+ * question is still on its way: the lease that it gave up must not come back with that answer.
  */
 final class HandOver {
 
--- a/bench/src/sablehinge/controlplane/raft/Hunt.java
+++ b/bench/src/sablehinge/controlplane/raft/Hunt.java
@@ -12,7 +12,7 @@
     /** Seeds that are played beside each other before the least of those that broke counts. */
     private static final int BATCH = 512;
 
-    /** Scripts that are shortened, of which the shortest is told. */
+    /** Scripts that are shortened, of which the shortest is reported. */
     private static final int WEIGHED = 3;
 
     private Hunt() {}
--- a/bench/src/sablehinge/controlplane/raft/LostChange.java
+++ b/bench/src/sablehinge/controlplane/raft/LostChange.java
@@ -13,11 +13,11 @@
     private static final int SHORT = 20;
     /** Rounds within which a newcomer has all that is committed. */
     private static final int SETTLES = 10;
-    /** Rounds within which a silent voter is about to be replaced, and then is. */
+    /** Rounds within which an unresponsive voter is about to be replaced, and then is. */
     private static final int WAITS = 30;
 
     private static final int MAX_COMMANDS = 4;
-    /** Commands are proposed so long before a silent voter may be replaced, ms of the leader's clock. */
+    /** Commands are proposed so long before an unresponsive voter may be replaced, ms of the leader's clock. */
     private static final double BEFORE = 60;
 
     private final Player player;
--- a/bench/src/sablehinge/controlplane/raft/RandomScheduler.java
+++ b/bench/src/sablehinge/controlplane/raft/RandomScheduler.java
@@ -5,7 +5,7 @@
 import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
- * A schedule by chance. It goes in spells, each of which has its own pace, links that lag, disks that hang, and
+ * A schedule by chance. It goes in spells, each of which has its own rate, links that lag, disks that hang, and
  * machines that are cut off; between two of them a machine or all lose power, one loses its disk, one comes in. What
  * comes how often is its {@link Focus}. At its end there is a calm in which all must heal.
  */
@@ -241,7 +241,7 @@
         }
     }
 
-    /** A process is told to end; when it may, it does, or loses power before. */
+    /** A process is ordered to end; when it may, it does, or loses power before. */
     private void leave(int machine) {
         take(Step.of(Step.Kind.LEAVE, machine));
         for (int i = 0; i < SETTLES; i++) {
--- a/bench/src/sablehinge/controlplane/raft/ScheduleTotals.java
+++ b/bench/src/sablehinge/controlplane/raft/ScheduleTotals.java
@@ -11,7 +11,7 @@
     final LongAdder acknowledged = new LongAdder();
     final LongAdder changes = new LongAdder();
     final LongAdder timing = new LongAdder();
-    /** Schedules that lost more at once than the core is to bear, so that nothing was asked of their calm. */
+    /** Schedules that lost more at once than the core is to bear, so that nothing was required of their calm. */
     final LongAdder beyond = new LongAdder();
 
     void add(SteppedCluster cluster) {
--- a/bench/src/sablehinge/controlplane/raft/SlowFollower.java
+++ b/bench/src/sablehinge/controlplane/raft/SlowFollower.java
@@ -8,7 +8,7 @@
 
     private static final int STEP_MS = 50;
     private static final int SETTLES = 10;
-    /** Rounds within which a silent voter would be replaced. */
+    /** Rounds within which an unresponsive voter would be replaced. */
     private static final int WAITS = 30;
 
     private static final int MAX_COMMANDS = 3;
--- a/bench/src/sablehinge/controlplane/raft/Step.java
+++ b/bench/src/sablehinge/controlplane/raft/Step.java
@@ -20,13 +20,13 @@
         DOUBLE(2, true),
         /** It is lost. */
         DROP(2, true),
-        /** The oldest write that is under way is on the disk, and the process hears of it. */
+        /** The oldest write that is under way is on the disk, and the process is notified. */
         SYNC(1, false),
         /** Time passes, and then this one looks at its clock. */
         TICK(1, true),
         /** Time passes, and then all look at their clocks. */
         PASS(0, true),
-        /** An operator puts a configuration in the place of the one that is read there. */
+        /** An operator replaces the configuration that is read there by another. */
         PROPOSE(1, false),
         /** An operator repeats the last such call, perhaps to another. */
         REPEAT(1, false),
@@ -48,7 +48,7 @@
         START(1, false),
         /** It is down, and its disk is empty; unless more is broken already than the core must bear. */
         WIPE(1, false),
-        /** Its process is told to end, and hands over what hangs on it. */
+        /** Its process is ordered to end, and hands over what hangs on it. */
         LEAVE(1, false),
         /** Once it may end, it ends, and its disk is gone; unless more is broken already, as in a wipe. */
         RETIRE(1, false),
@@ -58,7 +58,7 @@
         CUT(2, false),
         /** It is again. */
         MEND(2, false),
-        /** Nothing more goes wrong, and within a bounded time the core is whole; see {@link Calm}. */
+        /** Nothing more goes wrong, and within a bounded time the core is complete; see {@link Calm}. */
         CALM(0, false);
 
         private final int machines;
--- a/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
+++ b/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
@@ -48,9 +48,9 @@
     private final Map<String, Integer> places = new HashMap<>();
     private final List<List<InFlight>> links = new ArrayList<>();
     private final double[] rates = new double[MAX];
-    /** The state that was put aside at a machine for a snapshot, in its life; by place. */
+    /** The state that was put aside at a machine for a snapshot, in its incarnation; by position. */
     private final Captured[] captured = new Captured[MAX];
-    /** The life in which a machine's process was told to end; by place. */
+    /** The incarnation in which a machine's process was ordered to end; by position. */
     private final long[] leaving = new long[MAX];
 
     private final CarriedChanges carried = new CarriedChanges();
@@ -76,7 +76,7 @@
         for (int i = 0; i < MAX; i++) {
             rates[i] = plain ? 1 + (i % 3 - 1) * PLAINLY_WRONG : 1 + (random.nextInt(3) - 1) * WRONG;
         }
-        // Few entries a message and short patience bring about what a core meets seldom.
+        // Few entries a message and short timeouts bring about what a core meets seldom.
         timing = new RaftConfig(
                 usual.heartbeatIntervalMs(),
                 usual.minElectionTimeoutMs(),
@@ -375,7 +375,7 @@
         return deployment != null && deployment.isStarting(byPlace.get(place));
     }
 
-    /** Ends a process that was told to, if it still runs. */
+    /** Ends a process that was ordered to, if it still runs. */
     void endLeaving(int place) {
         Machine machine = byPlace.get(place);
         if (machine.up() && leaving[place] == machine.incarnation) {
--- a/bench/src/sablehinge/dataplane/budget/ChainBench.java
+++ b/bench/src/sablehinge/dataplane/budget/ChainBench.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /**
- * Run by {@code bench/run chain}: worth kept and attempts made at the last tier, with budgets and without, over the
+ * Run by {@code bench/run chain}: value kept and attempts made at the last tier, with budgets and without, over the
  * same drawn chains of three tiers in virtual time. Its figures don't depend on the machine.
  */
 public final class ChainBench {
--- a/bench/src/sablehinge/dataplane/sidecar/GateParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/GateParts.java
@@ -20,7 +20,7 @@
 /** The real front, gate and transport before an upstream, put together on somebody else's loop and clock. */
 public final class GateParts {
 
-    /** The life to which the gate is open. */
+    /** The incarnation to which the gate is open. */
     public static final String INCARNATION = "i-1";
 
     private static final int BERTHS = 2;
@@ -62,7 +62,7 @@
         front.open(at, done);
     }
 
-    /** Puts them together, with the gate open; {@code done} hears why they can't listen, or null. */
+    /** Puts them together, with the gate open; {@code done} gets why they can't listen, or null. */
     public static void start(
             EventLoop loop,
             Clock clock,
--- a/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -22,8 +22,8 @@
 import sablehinge.tools.standin.mesh.TrafficLog;
 
 /**
- * The control side of a sidecar without its data plane: it asks the control nodes for news, takes part in the ring of
- * watchers and claims quota tokens and retry shares with the sidecar's own classes. It forwards nothing, and its
+ * The control side of a sidecar without its data plane: it polls the control nodes for updates, takes part in the ring
+ * of watchers and claims quota tokens and retry shares with the sidecar's own classes. It forwards nothing, and its
  * upstream exists in its registration only. Its event loop owns it.
  */
 public final class HollowSidecar {
@@ -92,7 +92,7 @@
         return sidecar;
     }
 
-    /** The same, but that it only hears beats until {@link #begin}. */
+    /** The same, but that it only receives heartbeats until {@link #begin}. */
     public static HollowSidecar prepare(
             LocalSettings settings,
             EventLoop loop,
@@ -152,7 +152,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** What its beats are sent and heard on. */
+    /** What its heartbeats are sent and received on. */
     public Channel datagrams() {
         return watchers.channel();
     }
@@ -184,7 +184,7 @@
         });
     }
 
-    /** Its upstream is replaced by another, which is news to all. */
+    /** Its upstream is replaced by another, of which all are notified. */
     public void replaceUpstream(String id) {
         loop.execute(() -> {
             upstream = id;
@@ -207,7 +207,7 @@
         return requested;
     }
 
-    /** Ends it as a killed process ends: connections close, beats stop. */
+    /** Ends it as a killed process ends: connections close, heartbeats stop. */
     public void close() {
         loop.execute(() -> {
             closed = true;
--- a/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
@@ -103,7 +103,7 @@
                         15));
     }
 
-    /** The name of the upstream's life beside the balancer of that number. */
+    /** The name of the upstream's incarnation beside the balancer of that number. */
     public static String incarnation(int balancer) {
         return "i-" + balancer;
     }
@@ -112,7 +112,7 @@
      * Puts them together, without a configuration.
      *
      * @param balancers the inbound ones
-     * @param done hears why they can't listen, or null
+     * @param done gets why they can't listen, or null
      */
     public OutboundParts(
             EventLoop loop,
--- a/bench/src/sablehinge/fleet/AddedTime.java
+++ b/bench/src/sablehinge/fleet/AddedTime.java
@@ -11,7 +11,7 @@
 /** What two real sidecars, outbound and inbound, add to a request, without any load. */
 final class AddedTime {
 
-    /** The JDK's client sets the host itself unless it is told not to; read once, before its first use. */
+    /** The JDK's client sets the host itself unless it is set not to; read once, before its first use. */
     private static final String RESTRICTED = "jdk.httpclient.allowRestrictedHeaders";
 
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
--- a/bench/src/sablehinge/fleet/FleetBench.java
+++ b/bench/src/sablehinge/fleet/FleetBench.java
@@ -18,7 +18,7 @@
  */
 final class FleetBench {
 
-    /** The size that is asked for (issue 38). */
+    /** The required size (issue 38). */
     private static final int TARGET = 680;
 
     private static final int TARGET_SERVICES = 66;
--- a/bench/src/sablehinge/fleet/FleetPlan.java
+++ b/bench/src/sablehinge/fleet/FleetPlan.java
@@ -95,7 +95,7 @@
         return controlIp(place) + ":" + CONTROL;
     }
 
-    /** Where a sidecar process hears its upstream. */
+    /** Where a sidecar process receives heartbeats of its upstream. */
     String heartbeats(int place) {
         return sidecarIp(place) + ":" + CONTROL;
     }
--- a/bench/src/sablehinge/fleet/FleetRun.java
+++ b/bench/src/sablehinge/fleet/FleetRun.java
@@ -52,14 +52,14 @@
     private long edition;
     private int leader = -1;
 
-    /** What was used and said until some moment. */
+    /** What was used and sent until some moment. */
     private record Look(double at, List<Usage> control, List<Usage> sidecars, Map<Frame.Kind, Traffic.Count> traffic) {}
 
     /**
      * A fleet that does not run yet.
      *
      * @param callsPerSidecar requests a second that arrive at each hollow sidecar while it is under load
-     * @param progress is told what goes on
+     * @param progress is notified of what goes on
      */
     FleetRun(FleetPlan plan, FleetConfiguration configuration, double callsPerSidecar, Consumer<String> progress)
             throws IOException {
@@ -153,7 +153,7 @@
                 hollow.traffic().counts());
     }
 
-    /** What was used and said since a look, a second. */
+    /** What was used and sent since a look, a second. */
     private void rates(String phase, Look before) {
         Look after = look();
         double seconds = (after.at - before.at) / MS_PER_S;
--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -65,7 +65,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** The longest that a timer of this process was late since this was asked last, in ms. */
+    /** The longest that a timer of this process was late since this was last read, in ms. */
     double lateMs() {
         return latestNanos.getAndSet(0) / 1e6;
     }
@@ -137,7 +137,7 @@
         return sidecars;
     }
 
-    /** What they have said and heard. */
+    /** What they have sent and received. */
     Traffic traffic() {
         return traffic;
     }
--- a/bench/src/sablehinge/fleet/Processes.java
+++ b/bench/src/sablehinge/fleet/Processes.java
@@ -205,7 +205,7 @@
         return times;
     }
 
-    /** Voters of the control plane, as any of its nodes last said. */
+    /** Voters of the control plane, as any of its nodes last reported. */
     int members() {
         int members = 0;
         for (Daemon daemon : control) {
--- a/bench/src/sablehinge/fleet/RegionCutBench.java
+++ b/bench/src/sablehinge/fleet/RegionCutBench.java
@@ -17,7 +17,7 @@
 
 /**
  * Six control nodes and hollow sidecars in two regions that are cut from each other for a while: what is still
- * acknowledged and known on each side, and how long all takes to be whole again after it.
+ * acknowledged and known on each side, and how long all takes to be complete again after it.
  */
 final class RegionCutBench implements AutoCloseable {
 
--- a/bench/src/sablehinge/held/Flow.java
+++ b/bench/src/sablehinge/held/Flow.java
@@ -25,7 +25,7 @@
     volatile long received;
     volatile long receivedAt;
     volatile End end = End.OPEN;
-    /** When it had ended, in ms after it was asked for. */
+    /** When it had ended, in ms after it was requested. */
     volatile double tookMillis;
     /** How often it stood still for over 2 s; by the sampler. */
     int held;
--- a/bench/src/sablehinge/held/Upstreams.java
+++ b/bench/src/sablehinge/held/Upstreams.java
@@ -129,7 +129,7 @@
             if (message instanceof LastHttpContent) {
                 Flow found = id == null ? null : flows.get(id);
                 if (found == null) {
-                    // A probe, or a caller that has left.
+                    // A health check, or a caller that has left.
                     channel.writeAndFlush(head(0, false));
                     channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
                 } else {
--- a/bench/src/sablehinge/policy/BeliefBench.java
+++ b/bench/src/sablehinge/policy/BeliefBench.java
@@ -4,8 +4,8 @@
 
 /**
  * Run by {@code bench/run belief [SEEDS]}: whether the module goes on refusing when what it refused for is over, from
- * many starts in virtual time: as it was, told of an answer when it was whole, and as it is, told when one begins.
- * Servers can do 800 requests a second; for two seconds they are 40 times slower.
+ * many starts in virtual time: as it was, notified of an answer when it was complete, and as it is, notified when one
+ * begins. Servers can do 800 requests a second; for two seconds they are 40 times slower.
  */
 public final class BeliefBench {
 
--- a/bench/src/sablehinge/policy/Plant.java
+++ b/bench/src/sablehinge/policy/Plant.java
@@ -28,7 +28,7 @@
 /**
  * One instance of the module before servers with a few slots each, in virtual time: for what it believes of their load.
  * For a while all servers are slower; some answers need long in any case, as a body that is short enough to be kept
- * whole and comes in pieces does.
+ * completely and comes in chunks does.
  */
 final class Plant implements LoadBalancer.Actions {
 
@@ -44,7 +44,7 @@
      * @param rate requests a second
      * @param longShare part of the requests whose answers need long in any case
      * @param longMost up to how long, evenly from 0
-     * @param told whether the module is told when an answer begins, and not only when it is whole
+     * @param told whether the module is notified when an answer begins, and not only when it is complete
      * @param slow by how much all servers are slower from the time {@code from} to {@code to}
      */
     record Plan(
--- a/bench/src/sablehinge/tools/standin/mesh/Pulse.java
+++ b/bench/src/sablehinge/tools/standin/mesh/Pulse.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Requests at a steady rate, whatever becomes of them: each is one try on a connection of its own, to one machine after
- * another and over all routes. Times are the ledger's, in ms.
+ * Requests at a steady rate, whatever becomes of them: each is one attempt on a connection of its own, to one machine
+ * after another and over all routes. Times are the log's, in ms.
  */
 final class Pulse implements AutoCloseable {
 
--- a/bench/src/sablehinge/torture/Body.java
+++ b/bench/src/sablehinge/torture/Body.java
@@ -26,7 +26,7 @@
     byte[] next(int most) {
         byte[] bytes = new byte[(int) Math.min(most, length - at)];
         for (int done = 0; done < bytes.length; ) {
-            // Each 64 KiB begin elsewhere in the table, so that a whole one lost is seen too.
+            // Each 64 KiB begin elsewhere in the table, so that a complete one that is lost is seen too.
             long place = at + done;
             int start = (int) (from + place + (place >>> 16) * 41 & 0xffff);
             int count =
--- a/bench/src/sablehinge/torture/Caller.java
+++ b/bench/src/sablehinge/torture/Caller.java
@@ -28,7 +28,7 @@
     final PipeChannel channel;
     final Habit habit;
     private final ArrayDeque<TestRequest> planned = new ArrayDeque<>();
-    /** What was sent whole or in part and has no answer yet. */
+    /** What was sent completely or in part and has no answer yet. */
     final ArrayDeque<TestRequest> requested = new ArrayDeque<>();
 
     private TestRequest sending;
@@ -42,7 +42,7 @@
     boolean gone;
 
     boolean notified;
-    /** When it last had an answer whole, before which the next request is not looked at. */
+    /** When it last had a complete answer, before which the next request is not looked at. */
     double quietSince;
     /** When the balancer last had read all that was sent. */
     double readAt;
@@ -129,7 +129,7 @@
         } else if (sending.chunked && chunkLeft == 0 && !sending.body.isOver()) {
             chunkLeft = Math.min(
                     sending.body.length - sending.body.sent(), dice.chance(2) ? dice.size(1, 3) : dice.size(1, 40_000));
-            // The line of its size goes with the rest of the chunk's framing in one piece.
+            // The line of its size goes with the rest of the chunk's framing in one write.
             head = ((sending.body.sent() == 0 ? "" : "\r\n") + Long.toHexString(chunkLeft) + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
             headSent = 0;
--- a/bench/src/sablehinge/torture/ExchangePlay.java
+++ b/bench/src/sablehinge/torture/ExchangePlay.java
@@ -26,7 +26,7 @@
 
     /** What a caller, a neighbour or the upstream may do next. */
     enum Event {
-        /** The caller sends a whole request on its connection, behind what it has sent before. */
+        /** The caller sends a complete request on its connection, behind what it has sent before. */
         CALL,
         /** The caller sends the beginning of a long body, and its rest. */
         UPLOAD_HALF,
@@ -35,11 +35,11 @@
         /** Somebody else calls on a connection of its own: a neighbour, or the same client once more. */
         NEIGHBOUR_CALLS,
         ANSWER,
-        /** An answer with another whole one right behind it, which names no request. */
+        /** An answer with another complete one right behind it, which names no request. */
         ANSWER_AND_MORE,
         /** An answer with the beginning of another one behind it. */
         ANSWER_AND_PART,
-        /** A whole answer to a request of before. */
+        /** A complete answer to a request of before. */
         SURPLUS,
         HALF_ANSWER,
         REST_OF_ANSWER,
@@ -48,15 +48,15 @@
         NOISE,
         /** The upstream says that the request has not run. */
         REFUSE,
-        /** A whole answer that says so and names no request, while the one there goes on. */
+        /** A complete answer that says so and names no request, while the one there goes on. */
         UNNAMED_REFUSAL,
         /** The upstream has run it and answers 503. */
         FAIL_AS_FULL,
         /** A success without a stamp. */
         UNSTAMPED,
-        /** A success before the request is whole. */
+        /** A success before the request is complete. */
         ANSWER_EARLY,
-        /** The beginning of an answer before the request is whole. */
+        /** The beginning of an answer before the request is complete. */
         EARLY_HALF,
         /** The upstream forgets its idle connections: what is sent on them next is reset. */
         FORGET,
@@ -79,7 +79,7 @@
         private final String id;
         private final int length;
         private int ran;
-        /** The status of the whole answer that the upstream made for it; 0 for none. */
+        /** The status of the complete answer that the upstream made for it; 0 for none. */
         private int made;
 
         private boolean promised;
@@ -207,7 +207,7 @@
         boolean on(Line line);
     }
 
-    /** The oldest connection with a whole request at work, and no part of an answer to it sent. */
+    /** The oldest connection with a complete request at work, and no part of an answer to it sent. */
     private boolean working(Move move) {
         for (Line line : lines) {
             if (line.open() && line.at != null && line.isComplete && line.rest == null) {
@@ -328,7 +328,7 @@
 
         @Override
         public void head(HttpReader message) {
-            // It is judged once it is whole.
+            // It is judged once it is complete.
         }
 
         @Override
--- a/bench/src/sablehinge/torture/HttpReader.java
+++ b/bench/src/sablehinge/torture/HttpReader.java
@@ -12,13 +12,13 @@
  */
 final class HttpReader {
 
-    /** Hears what has come. */
+    /** Receives what has come. */
     interface Heard {
 
-        /** A head is whole. */
+        /** A head is complete. */
         void head(HttpReader message);
 
-        /** A message is whole; false ends the reading. */
+        /** A message is complete; false ends the reading. */
         boolean complete(HttpReader message);
     }
 
--- a/bench/src/sablehinge/torture/Memory.java
+++ b/bench/src/sablehinge/torture/Memory.java
@@ -4,7 +4,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.UnpooledHeapByteBuf;
 
-/** Buffers that are counted until they are released; it fails as often as it is told. */
+/** Buffers that are counted until they are released; it fails as often as it is set to. */
 final class Memory extends AbstractByteBufAllocator {
 
     private int failures;
--- a/bench/src/sablehinge/torture/Mutant.java
+++ b/bench/src/sablehinge/torture/Mutant.java
@@ -5,10 +5,11 @@
 import java.util.regex.Pattern;
 
 /**
- * A fault that somebody could make, put into a copy of a real class: a place in its text and what stands there instead.
+ * A fault that somebody could make, put into a copy of a real class: a position in its text and what stands there
+ * instead.
  *
  * @param in the class, by its path under {@code sablehinge}
- * @param after a text behind which the place is looked for; empty for the whole file
+ * @param after a text behind which the place is looked for; empty for all of the file
  */
 public record Mutant(String name, String in, String after, String text, String instead) {
 
--- a/bench/src/sablehinge/torture/OutboundPlay.java
+++ b/bench/src/sablehinge/torture/OutboundPlay.java
@@ -22,7 +22,7 @@
 /**
  * One order of events on the connections before and behind an outbound balancer, played on the real front, core,
  * decision module and transport in virtual time, between callers and inbound balancers that are played here. An inbound
- * balancer may be killed and may stand still; one that goes on later runs whatever lies whole in its buffers, at the
+ * balancer may be killed and may stand still; one that goes on later runs whatever lies complete in its buffers, at the
  * worst time for it. What must hold is judged by what callers and upstreams have seen alone.
  */
 final class OutboundPlay {
@@ -45,9 +45,9 @@
         ANSWER,
         HALF_ANSWER,
         REST_OF_ANSWER,
-        /** The answer with another whole one right behind it. */
+        /** The answer with another complete one right behind it. */
         ANSWER_AND_MORE,
-        /** A whole answer to a request of before. */
+        /** A complete answer to a request of before. */
         SURPLUS,
         /** The balancer proves that the request has not run; likewise, and resets the connection. */
         NOT_RUN,
@@ -97,7 +97,7 @@
         private int ran;
         /** At how many balancers it arrived that did not prove that it never ran. */
         private int reached;
-        /** The statuses of the whole answers that upstreams made for it. */
+        /** The statuses of the complete answers that upstreams made for it. */
         private final Set<Integer> made = new TreeSet<>();
 
         private boolean promised;
@@ -275,7 +275,7 @@
         boolean on(Line line);
     }
 
-    /** The oldest connection with a whole request and no part of an answer to it, of who goes on. */
+    /** The oldest connection with a complete request and no part of an answer to it, of who goes on. */
     private boolean working(Move move) {
         for (Line line : lines) {
             if (line.open() && !frozen[line.balancer] && line.at != null && line.isComplete && line.rest == null) {
@@ -400,7 +400,7 @@
 
         @Override
         public void head(HttpReader message) {
-            // It is judged once it is whole.
+            // It is judged once it is complete.
         }
 
         @Override
@@ -507,7 +507,7 @@
             }
         }
 
-        /** It stood still: what is whole in its buffers goes on to the upstream, given up or not. */
+        /** It stood still: what is complete in its buffers goes on to the upstream, given up or not. */
         void goesOn() {
             came();
             if (!over && at != null && isComplete && !runs) {
--- a/bench/src/sablehinge/torture/RandomModule.java
+++ b/bench/src/sablehinge/torture/RandomModule.java
@@ -77,7 +77,7 @@
     }
 
     private void send(Open one) {
-        // What a module does wrong the transport must not: at times this one sends to who was told off.
+        // What a module does wrong the transport must not: at times this one sends to a server that was withdrawn.
         List<Long> ids = new ArrayList<>(random.nextInt(8) == 0 ? known.keySet() : ready.keySet());
         if (ids.isEmpty()) {
             if (one.running == 0) {
--- a/bench/src/sablehinge/torture/Upstream.java
+++ b/bench/src/sablehinge/torture/Upstream.java
@@ -35,7 +35,7 @@
     private final int fault;
 
     private int connections;
-    /** When the balancer was told that it takes nothing new. */
+    /** When the balancer was notified that it takes nothing new. */
     double drainingSince = Double.NaN;
 
     Upstream(World world, long id, int fault) {
@@ -311,7 +311,7 @@
             }
         }
 
-        /** Checks what it is asked. */
+        /** Checks the request. */
         private final class Requests implements HttpReader.Heard {
 
             @Override
--- a/bench/src/sablehinge/torture/Watched.java
+++ b/bench/src/sablehinge/torture/Watched.java
@@ -7,8 +7,8 @@
 import sablehinge.policy.LoadBalancer;
 
 /**
- * A decision module under watch: each send has exactly one outcome, each request one final answer, and what is said
- * never to have run has not come to any upstream whole.
+ * A decision module under watch: each send has exactly one outcome, each request one final answer, and what is reported
+ * never to have run has not come to any upstream completely.
  */
 final class Watched implements LoadBalancer {
 
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -89,12 +89,12 @@
         double sentAt = Double.NaN;
 
         double begunAt = Double.NaN;
-        /** How often its head has come to an upstream, and the whole of it. */
+        /** How often its head has come to an upstream, and all of it. */
         int reached;
 
         int ran;
         double ranAt = Double.NaN;
-        /** The answers that were made for it, whole. */
+        /** The answers that were made for it, complete. */
         final List<Made> made = new ArrayList<>();
 
         TestRequest(String txn, Caller caller, Kind kind, Body body, boolean chunked, double remaining) {
@@ -311,7 +311,7 @@
         return requested;
     }
 
-    /** A caller has an answer that looks whole. */
+    /** A caller has an answer that looks complete. */
     void answered(Caller caller, TestRequest requested, HttpReader answer) {
         answers++;
         int status = answer.status();
--- a/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
@@ -67,7 +67,7 @@
         return mayHaveRun;
     }
 
-    /** Counts bytes by which a slow caller is told from a long request. */
+    /** Counts bytes by which a slow caller is distinguished from a long request. */
     void count(int bytes) {
         bytesReceived += bytes;
     }
--- a/src/main/java/sablehinge/dataplane/proxy/RequestAdmission.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestAdmission.java
@@ -5,8 +5,8 @@
 import sablehinge.policy.LoadBalancer;
 
 /**
- * Whether a request is taken in, before the module is told of it. What is refused here has not run, so that its caller
- * may try again without harm.
+ * Whether a request is taken in, before it reaches the module. What is refused here has not run, so that its caller may
+ * try again without harm.
  */
 final class RequestAdmission {
 
--- a/src/main/java/sablehinge/dataplane/sidecar/GracefulShutdown.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/GracefulShutdown.java
@@ -26,10 +26,10 @@
     /** What the stages do; each returns once it is done. */
     interface Stages {
 
-        /** Clients are told to go elsewhere. */
+        /** Clients are notified to go elsewhere. */
         void reportNotReady() throws InterruptedException;
 
-        /** The other balancers are told to select the upstream beside no more. */
+        /** The other balancers are notified to select the upstream beside no more. */
         void withdrawUpstream() throws InterruptedException;
 
         /** Nobody is let in any more. */
--- a/src/main/java/sablehinge/gateway/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -8,10 +8,7 @@
 import java.net.SocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Arrays;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
@@ -28,7 +25,6 @@
 import sablehinge.common.logging.Log;
 import sablehinge.common.logging.Logging;
 import sablehinge.dataplane.budget.HeaderText;
-import sablehinge.dataplane.budget.Keys;
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
 import sablehinge.dataplane.http1.UpstreamClient;
@@ -97,7 +93,7 @@
 
     private OperatorNode(
             Path file,
-            First first,
+            FirstVersion first,
             VersionStore store,
             Function<LoadBalancer.Actions, LoadBalancer> module,
             HeaderText text) {
@@ -128,26 +124,6 @@
         return RosterParser.number(service) & 0xffff_ffff_ffffL;
     }
 
-    private static Keys keys(Path file, BudgetPart part) throws IOException {
-        if (part.keys().isEmpty()) {
-            return null;
-        }
-        Map<String, byte[]> secrets = new LinkedHashMap<>();
-        for (Map.Entry<String, String> key : part.keys().entrySet()) {
-            Path secret = file.toAbsolutePath().getParent().resolve(key.getValue());
-            try {
-                secrets.put(key.getKey(), OperatorFile.bytes(secret));
-            } catch (IOException e) {
-                throw new IOException("budget key " + key.getKey() + ": " + key.getValue() + ": " + e.getMessage(), e);
-            }
-        }
-        try {
-            return new Keys(secrets);
-        } catch (IllegalArgumentException e) {
-            throw new IOException("budget: " + e.getMessage(), e);
-        }
-    }
-
     /**
      * Starts by an operator file. The version that was last confirmed is served, not the file, if there is one.
      *
@@ -180,10 +156,10 @@
         }
         OperatorNode node = null;
         try {
-            First first = first(store, bytes, checked.config(), adopt);
+            FirstVersion first = FirstVersion.choose(store, bytes, checked.config(), adopt);
             BudgetPart budget = first.config().budget();
             // Before anything is begun that would have to be ended.
-            HeaderText text = budget == null ? null : new HeaderText(keys(file, budget));
+            HeaderText text = budget == null ? null : new HeaderText(BudgetKeys.read(file, budget));
             node = new OperatorNode(file, first, store, module, text);
             node.begin(first.config(), state);
             if (store.confirmed() != first.number()) {
@@ -213,43 +189,6 @@
         }
     }
 
-    /** A version to serve first. */
-    private record First(int number, OperatorConfig config) {}
-
-    private static First first(VersionStore store, byte[] bytes, OperatorConfig given, boolean adopt)
-            throws IOException {
-        if (store.cutOff() != 0) {
-            Log.warn(LOG, "version-cut-off")
-                    .addKeyValue("version", store.cutOff())
-                    .addKeyValue("current", store.confirmed())
-                    .log(
-                            "configuration: version {} was on trial when the process ended"
-                                    + " and is undone; version {} serves",
-                            store.cutOff(),
-                            store.confirmed());
-            store.mark(0);
-        }
-        if (store.confirmed() == 0 || adopt) {
-            return new First(store.stage(bytes), given);
-        }
-        byte[] confirmed = store.content(store.confirmed());
-        if (!Arrays.equals(confirmed, bytes)) {
-            Log.warn(LOG, "file-differs")
-                    .addKeyValue("current", store.confirmed())
-                    .log(
-                            "configuration: the operator file is not version {}, which serves;"
-                                    + " `config apply` or SIGHUP would try it, --adopt at the start takes it"
-                                    + " as it is",
-                            store.confirmed());
-        }
-        OperatorFile.Checked checked = OperatorFile.parse(confirmed);
-        if (checked.config() == null) {
-            throw new IOException("version " + store.confirmed() + " can't be served by this program: "
-                    + checked.problems().get(0).in("its file") + "; --adopt takes the operator file instead");
-        }
-        return new First(store.confirmed(), checked.config());
-    }
-
     /** On the thread that has the store: operators may be at work already. */
     private void confirm(int number) throws IOException, InterruptedException {
         try {
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -1,16 +1,12 @@
 package sablehinge.gateway.node;
 
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
-import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutorService;
-import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -50,9 +46,6 @@
     private static final double LISTENER_GRACE_MS = 2_000;
     /** Versions that may have requests at work at once. */
     static final int MAX_ALIVE = 8;
-    /** Names of zones and machine types over the incarnation of the process. */
-    private static final int MAX_NAMES = 10_000;
-
     /** A version that was read: what it says, and what it stands on once it is applied. */
     private static final class Running {
         final OperatorConfig config;
@@ -69,7 +62,7 @@
 
     private final OperatorNode node;
     private final VersionStore store;
-    private final ExecutorService files;
+    private final FileTasks files;
     private final ChangeDecider decider;
     private final Map<Integer, Running> known = new HashMap<>();
     private final Map<ListenerPart, Frontend> fronts = new LinkedHashMap<>();
@@ -90,7 +83,7 @@
     Versions(OperatorNode node, VersionStore store, ExecutorService files, int number, OperatorConfig first) {
         this.node = node;
         this.store = store;
-        this.files = files;
+        this.files = new FileTasks(files, node.loop());
         decider = new ChangeDecider(number, this);
         Running running = read(number, first);
         running.source = source(running);
@@ -185,28 +178,6 @@
 
     // ---- What operators ask for ---------------------------------------------------------------------
 
-    /** Runs a task that waits for files, and hands its end to the loop. */
-    private <T> void onFiles(Callable<T> task, BiConsumer<T, String> end) {
-        files.execute(() -> {
-            T value = null;
-            String failure = null;
-            try {
-                value = task.call();
-            } catch (Exception e) {
-                failure = e.getMessage() == null
-                        ? e.getClass().getSimpleName()
-                        : e.getMessage().lines().findFirst().orElse("");
-            }
-            T made = value;
-            String why = failure;
-            try {
-                node.loop().execute(() -> end.accept(made, why));
-            } catch (RejectedExecutionException e) {
-                Log.debug(LOG, "ended").log("the process has ended");
-            }
-        });
-    }
-
     /** What a staging came to: a number, or problems of the file, or a refusal. */
     record Staged(int version, List<Problem> problems, String refusal) {}
 
@@ -214,16 +185,20 @@
     void stage(byte[] content, int base, Consumer<Staged> end) {
         int over = base == 0 ? decider.confirmed() : base;
         OperatorConfig running = current().config;
-        onFiles(() -> OperatorFile.parse(content), (checked, failure) -> {
+        files.run(() -> OperatorFile.parse(content), (checked, failure) -> {
             Reply may = decider.mayStage(over);
             String refusal = failure != null
                     ? failure
-                    : !may.done() ? may.message() : checked.config() == null ? null : fixed(running, checked.config());
+                    : !may.done()
+                            ? may.message()
+                            : checked.config() == null
+                                    ? null
+                                    : FixedSettings.conflict(running, checked.config(), zones.size() + kinds.size());
             if (refusal != null || checked.config() == null) {
                 end.accept(new Staged(0, checked == null ? List.of() : checked.problems(), refusal));
                 return;
             }
-            onFiles(() -> store.stage(content), (number, unwritten) -> {
+            files.run(() -> store.stage(content), (number, unwritten) -> {
                 if (unwritten != null) {
                     end.accept(new Staged(0, List.of(), unwritten));
                     return;
@@ -244,33 +219,6 @@
         });
     }
 
-    /** What a version may not change while the process runs; null if it leaves that alone. */
-    private String fixed(OperatorConfig running, OperatorConfig next) {
-        if (!running.admin().equals(next.admin())) {
-            return "admin can't change while the process runs";
-        }
-        if (!Objects.equals(running.budget(), next.budget())) {
-            return "budget can't change while the process runs";
-        }
-        if (!Objects.equals(running.recorder(), next.recorder())) {
-            return "recorder can't change while the process runs";
-        }
-        if (!running.node().state().equals(next.node().state())
-                || running.node().descriptors() != next.node().descriptors()
-                || !Objects.equals(running.node().accessLog(), next.node().accessLog())
-                || !running.node().name().equals(next.node().name())) {
-            return "node.name, state, descriptors and access-log can't change while the process runs";
-        }
-        long names = (long) zones.size()
-                + kinds.size()
-                + next.zones().size()
-                + next.kinds().size();
-        return names <= MAX_NAMES
-                ? null
-                : "over " + MAX_NAMES
-                        + " names of zones and kinds since the process began; restart it to forget the old ones";
-    }
-
     Reply drop(int version) {
         Reply reply = decider.drop(version);
         if (reply.done()) {
@@ -324,7 +272,7 @@
 
     /** The content of a version. */
     void content(int version, BiConsumer<byte[], String> end) {
-        onFiles(() -> store.content(version), end);
+        files.run(() -> store.content(version), end);
     }
 
     // ---- What the decider asks for ------------------------------------------------------------------
@@ -364,20 +312,9 @@
 
     @Override
     public void mark(int version) {
-        write(() -> store.mark(version), failure -> decider.marked(node.clock().now(), version, failure));
-    }
-
-    private interface Writing {
-        void run() throws IOException;
-    }
-
-    private void write(Writing writing, Consumer<String> end) {
-        onFiles(
-                () -> {
-                    writing.run();
-                    return null;
-                },
-                (nothing, failure) -> end.accept(failure));
+        files.write(
+                () -> store.mark(version),
+                failure -> decider.marked(node.clock().now(), version, failure));
     }
 
     @Override
@@ -425,7 +362,7 @@
 
     @Override
     public void writeConfirmed(int version) {
-        write(
+        files.write(
                 () -> store.confirm(version),
                 failure -> decider.written(node.clock().now(), version, failure));
     }
@@ -449,7 +386,7 @@
                 .log("configuration: version {} is undone, version {} is current: {}", version, to, reason);
         giveUp(version, to);
         // If the disk fails here too, the mark stays, which says the same to the next start.
-        write(() -> store.mark(0), failure -> {});
+        files.write(() -> store.mark(0), failure -> {});
     }
 
     @Override
--- a/src/main/java/sablehinge/tools/replay/run/Load.java
+++ b/src/main/java/sablehinge/tools/replay/run/Load.java
@@ -88,9 +88,9 @@
         laneThreads = new long[options.lanes()];
         for (int i = 0; i < options.lanes(); i++) {
             EventLoop loop = ClosingEventLoops.single("load");
-            List<ReplayWorker.Target> targets = new ArrayList<>();
+            List<ReplayTarget> targets = new ArrayList<>();
             for (InetSocketAddress address : options.targets()) {
-                targets.add(new ReplayWorker.Target(address, address.getHostString() + ":" + address.getPort()));
+                targets.add(new ReplayTarget(address, address.getHostString() + ":" + address.getPort()));
             }
             lanes.add(new ReplayWorker(
                     loop,
--- a/src/main/java/sablehinge/tools/replay/run/Warmup.java
+++ b/src/main/java/sablehinge/tools/replay/run/Warmup.java
@@ -66,7 +66,7 @@
                 all[i] = new ReplayWorker(
                         (EventLoop) group.next(),
                         "warm-up",
-                        List.of(new ReplayWorker.Target((InetSocketAddress) server.localAddress(), "warm-up")),
+                        List.of(new ReplayTarget((InetSocketAddress) server.localAddress(), "warm-up")),
                         100,
                         ReplayClient.Terms.usual(),
                         i,
--- a/src/main/java/sablehinge/tools/standin/model/ServerModel.java
+++ b/src/main/java/sablehinge/tools/standin/model/ServerModel.java
@@ -12,12 +12,12 @@
 
 /**
  * What a server does with work: so many requests share its cores evenly, some wait, the rest are rejected. One that has
- * just started is cold and can do a part of it, which rises evenly; sent too much in that time it falls over.
+ * just started is warming up and can do a part of it, which rises evenly; sent too much in that time it falls over.
  */
 public final class ServerModel {
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
-    /** Ms after which the warmth of a cold server is looked at anew. */
+    /** Ms after which the warmth of a server that warms up is looked at anew. */
     private static final double STEP = 5;
     /** Work that counts as done: times since 1970 have steps of a quarter of that as doubles. */
     private static final double DONE = 1e-3;
@@ -119,7 +119,7 @@
      * A request has come; whether it was taken in. All work that is sent counts for a fall, also what is rejected.
      *
      * @param work what it needs up to its first wait for the tier behind
-     * @param knows whether who sends it knows that this server is cold
+     * @param knows whether who sends it knows that this server is warming up
      */
     public boolean arrive(double now, long id, double work, boolean knows) {
         press(now, work, knows);
@@ -168,7 +168,7 @@
         return fell;
     }
 
-    /** The share of what pushed it over that came from senders who knew that it was cold. */
+    /** The share of what pushed it over that came from senders who knew that it was warming up. */
     public double informed() {
         return informed;
     }
@@ -219,7 +219,7 @@
         for (Job job : running.values()) {
             least = Math.min(least, job.left);
         }
-        // A cold one gets faster: looked at again, it is done sooner than now seems.
+        // One that is warming up gets faster: looked at again, it is done sooner than now seems.
         return warmth(time) < 1
                 ? time + Math.min(STEP, Math.max(0, least / scheduled))
                 : time + Math.max(0, least / scheduled);
--- a/src/test/java/sablehinge/bench/ReplayRehearsalTest.java
+++ b/src/test/java/sablehinge/bench/ReplayRehearsalTest.java
@@ -9,7 +9,7 @@
 import sablehinge.bench.ReplayRehearsal.Result;
 import sablehinge.tools.replay.SampleDay;
 
-/** The replay's measurement at a size that CI can play; see docs/design/replay.md for the whole. */
+/** The replay's measurement at a size that CI can play; see docs/design/replay.md for all of it. */
 class ReplayRehearsalTest {
 
     @TempDir
--- a/src/test/java/sablehinge/cli/DaemonStartTest.java
+++ b/src/test/java/sablehinge/cli/DaemonStartTest.java
@@ -92,7 +92,7 @@
                         .waitFor());
     }
 
-    /** The bench found it: the signal ends a virtual machine that nobody has told otherwise. */
+    /** The bench found it: the signal ends a virtual machine that nobody has set otherwise. */
     @Test
     void aHangUpReadsTheSettingsAgainAndEndsNothing() throws Exception {
         String text = SETTINGS.formatted(folder.resolve("data"));
--- a/src/test/java/sablehinge/cli/DrainTest.java
+++ b/src/test/java/sablehinge/cli/DrainTest.java
@@ -178,7 +178,7 @@
             // A late caller, one on a connection that it had, and the one that was taken before.
             Peer.Message late = null;
             while (late == null || late.header("Connection") == null) {
-                // Callers are asked to leave only when the time for the last answers begins.
+                // Callers are requested to leave only when the time for the last answers begins.
                 Peer caller = Peer.to(address);
                 caller.write(HEALTH);
                 late = caller.read();
@@ -254,7 +254,7 @@
             caller.write(HEALTH);
             caller.read();
             drain.start();
-            // It has begun once the thread sleeps; so far callers are not asked to leave.
+            // It has begun once the thread sleeps; so far callers are not requested to leave.
             while (drain.getState() != Thread.State.TIMED_WAITING) {
                 Thread.onSpinWait();
             }
--- a/src/test/java/sablehinge/common/eventloop/ClosingEventLoopsTest.java
+++ b/src/test/java/sablehinge/common/eventloop/ClosingEventLoopsTest.java
@@ -74,7 +74,7 @@
         assertAllIsClosed();
     }
 
-    /** What is still to be done when the shutdown is asked for is done, and may open nothing. */
+    /** What is still to be done when the shutdown is requested is done, and may open nothing. */
     @Test
     void aConnectionThatIsMadeDuringAShutdownIsClosedToo() throws Exception {
         Channel[] late = new Channel[1];
--- a/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
@@ -19,7 +19,7 @@
 
     private static final long NEVER_MS = 60_000;
 
-    /** Writes down what it is told. */
+    /** Writes down what it is notified of. */
     private static final class Notes implements Connection.Observer {
         private final BlockingQueue<String> notes = new LinkedBlockingQueue<>();
 
--- a/src/test/java/sablehinge/controlplane/node/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -226,7 +226,7 @@
             tickAfter(0);
         }
 
-        /** Something reaches the process in a while, if it still lives then. */
+        /** Something reaches the process in a while, if it is still alive then. */
         private void arrives(double ms, Runnable what) {
             long mine = incarnation;
             after(ms, () -> {
--- a/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
@@ -29,7 +29,7 @@
 import sablehinge.mesh.quota.Quota;
 import sablehinge.mesh.watch.Registration;
 
-/** What operators are told, by the operations' own types: no socket, no thread, a clock that is set. */
+/** What operators are answered, by the operations' own types: no socket, no thread, a clock that is set. */
 class OperatorApiTest {
 
     private static final Member ONE = new Member(1, "10.0.0.1:7780", "10.0.0.1:7701");
--- a/src/test/java/sablehinge/controlplane/node/OperatorModel.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorModel.java
@@ -13,9 +13,9 @@
 
 /**
  * Operators over a {@link ControlCluster}, who follow the protocol: up to eight orders under way, each sent again as it
- * was, elsewhere, after a second of silence, a 5xx or a lost answer; 307 is followed twice. Copies of an order may also
- * come once more, up to 20 s late. It knows only what operators saw, and fails as soon as that can't be true of one
- * history.
+ * was, elsewhere, after a second without an answer, a 5xx or a lost answer; 307 is followed twice. Copies of an order
+ * may also come once more, up to 20 s late. It knows only what operators saw, and fails as soon as that can't be true
+ * of one history.
  */
 final class OperatorModel {
 
--- a/src/test/java/sablehinge/controlplane/node/QuorumContactTest.java
+++ b/src/test/java/sablehinge/controlplane/node/QuorumContactTest.java
@@ -108,7 +108,7 @@
         assertEquals(request.path() == null ? 0 : 1, statuses.size());
     }
 
-    /** Old answers make a leader's peers look alive, but no question that it asked lately. */
+    /** Old answers make a leader's peers look alive, but not a question that it sent lately. */
     @Test
     void answersThatWaitedInABufferAreNoRecentContact() {
         ControlCluster.Machine leader = led();
--- a/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
+++ b/src/test/java/sablehinge/controlplane/node/WatchServerTest.java
@@ -16,7 +16,7 @@
 import sablehinge.mesh.watch.Update;
 import sablehinge.mesh.watch.WatchRequest;
 
-/** When asks for news are answered, and with what; the time is the test's. */
+/** When watch requests are answered, and with what; the time is the test's. */
 class WatchServerTest {
 
     private static final long TERM = 5;
--- a/src/test/java/sablehinge/controlplane/raft/Claims.java
+++ b/src/test/java/sablehinge/controlplane/raft/Claims.java
@@ -11,7 +11,7 @@
 import sablehinge.controlplane.state.BodyDigest;
 import sablehinge.controlplane.state.ConfigurationState;
 
-/** What operators were told about configurations, held against every state that a machine comes to. */
+/** What operators were answered about configurations, held against every state that a machine comes to. */
 final class Claims {
 
     /** An operator's call; the term in which it was proposed is 0 in one that is only repeated. */
@@ -34,7 +34,7 @@
     private final Map<Long, Long> successors = new HashMap<>();
     /** What came of each entry, by its index. */
     private final Map<Long, String> outcomes = new HashMap<>();
-    /** Orders that came into force, and those whose operators were told that they never will. */
+    /** Orders that came into force, and those whose operators were answered that they never will. */
     private final List<Call> inForce = new ArrayList<>();
 
     private final List<Call> refused = new ArrayList<>();
@@ -143,7 +143,7 @@
         return one.basedOn == other.basedOn && one.edition == other.edition && Arrays.equals(one.body, other.body);
     }
 
-    /** Carries out a committed entry. */
+    /** Executes a committed entry. */
     void applied(Machine at, Entry entry) {
         ConfigurationState.Outcome outcome = entry.kind() == Entry.Kind.COMMAND ? command(at, entry) : null;
         if (at.leads() && entry.term() == at.raftStatus.term()) {
@@ -155,7 +155,7 @@
         }
     }
 
-    /** The operator is told that its order is in force or was, or that it never will be. */
+    /** The operator is answered that its order is in force or was, or that it never will be. */
     private void answer(Machine at, Entry entry, Call call, ConfigurationState.Outcome outcome) {
         if (outcome == ConfigurationState.Outcome.TAKEN || outcome == ConfigurationState.Outcome.REPEATED) {
             for (Acknowledged one : acknowledged) {
--- a/src/test/java/sablehinge/controlplane/raft/LeaderLossTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/LeaderLossTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** After each loss of the leader the core agrees again, and is whole again, within the operators' bounds. */
+/** After each loss of the leader the core agrees again, and is complete again, within the operators' bounds. */
 class LeaderLossTest {
 
     /** The smallest {@code contactMs} and {@code onboardS} of the deployments, in ms. */
--- a/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
@@ -77,7 +77,7 @@
         assertNone(five.next(list("a", "b", "c"), with(list("d"), unresponsive("e", STALE))));
     }
 
-    /** With a fourth voter three must answer: were one silent, the loss of the newcomer would end it. */
+    /** With a fourth voter three must answer: were one unresponsive, the loss of the newcomer would end it. */
     @Test
     void threeDoNotBecomeFourWhileOneOfThemDoesNotAnswer() {
         assertNone(five.next(with(list("a", "b"), unresponsive("c", STALE)), list("d", "e")));
@@ -130,7 +130,7 @@
         assertRemoves("c", three.next(with(list("a", "b"), leaving("c"), well("d")), List.of()));
     }
 
-    /** A fourth voter beside a silent one would leave no loss to be borne. */
+    /** A fourth voter beside an unresponsive one would leave no loss to be borne. */
     @Test
     void whoLeavesGoesFirstWhileAnotherIsSilent() {
         assertRemoves("c", five.next(with(list("a", "b", "d"), leaving("c"), unresponsive("e", STALE)), list("f")));
--- a/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
@@ -29,7 +29,7 @@
     /** Faults of each of the points that can go wrong. */
     private static final int MIN_FAULTS = 8;
 
-    /** A founder that lost its founding, votes, loses power, and is asked by another in the same term. */
+    /** A founder that lost its founding, votes, loses power, and gets a vote request of another in the same term. */
     private static final String NAME_ONLY =
             """
             seed 0
@@ -56,8 +56,8 @@
             """;
 
     /**
-     * A leader asks a round whether a silent voter may go, hears of it again and drops the thought; a voter that has
-     * answered that round is wiped, and then the first one leaves.
+     * A leader starts a heartbeat round on whether an unresponsive voter may go, receives from it again and gives that
+     * up; a voter that has answered that round is wiped, and then the first one leaves.
      */
     private static final String OLD_ROUND =
             """
@@ -225,7 +225,7 @@
         assertNull(Script.parse(Files.readAllLines(file)).breach());
     }
 
-    /** Two of three founders are more than the core bears, so nothing is asked of the calm after it. */
+    /** Two of three founders are more than the core bears, so nothing is required of the calm after it. */
     @Test
     void whatIsBeyondTheBoundsIsSetAside() {
         SteppedCluster cluster = new SteppedCluster(FIVE_START);
@@ -237,8 +237,8 @@
 
     /**
      * One of three is cut off for long, and the other follower loses its disk just after it was heard. Its successor is
-     * ready before the leader can know that the former life is gone: if the silent one went for it, the list that is
-     * left could never agree to anything again.
+     * ready before the leader can know that the former incarnation is gone: if the unresponsive one went for it, the
+     * membership that is left could never agree to anything again.
      */
     @Test
     void whoIsSilentDoesNotGoForOneThatIsLostForGood() {
@@ -266,7 +266,7 @@
         assertTrue(cluster.list.contains(cluster.machine(away).self), cluster.line());
     }
 
-    /** Answers to the round count for the change that it was asked for, not for the same one later. */
+    /** Answers to the round count for the change that it was started for, not for the same one later. */
     @Test
     void aChangeThatWasDroppedIsAskedForAnew() {
         Script script = Script.parse(OLD_ROUND.lines().toList());
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -331,7 +331,7 @@
     void aRestartInOrderChangesNoVoters() {
         play(1, cluster -> {
             List<Member> before = cluster.list;
-            // A new leader waits until all that may want the place have asked it.
+            // A new leader waits until all that may want the place have sent it a request.
             cluster.run(500);
             for (Machine machine : List.copyOf(cluster.machines.values())) {
                 leave(cluster, machine, machine.leads() ? 600 : 100);
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
@@ -279,7 +279,7 @@
         assertEquals(1, memberChanges());
         assertEquals(List.of(A, B, D), raftStatus.members());
         persisted();
-        // B is silent long enough to be replaced, but D's coming in has not been committed.
+        // B is unresponsive long enough to be replaced, but D's coming in has not been committed.
         for (int i = 0; i < 200; i++) {
             now += 20;
             from(D, new Message.AppendResponse(raftStatus.term(), true, 2, 3, 1));
@@ -532,7 +532,7 @@
         }
         assertEquals(9, taken);
         assertEquals(9, last(Message.AppendResponse.class).hint(), "from where it wants them again");
-        // What is committed is known as such all the same, and a sign of life is answered.
+        // What is committed is known as such all the same, and a heartbeat is answered.
         from(B, new Message.AppendRequest(2, 9, 2, List.of(large(10)), 4, 20));
         assertEquals(4, applied.size());
         from(B, new Message.AppendRequest(2, 9, 2, List.of(), 4, 21));
--- a/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -91,7 +91,7 @@
         final Map<Long, Long> barriers = new HashMap<>();
         final List<Long> confirmed = new ArrayList<>();
         final List<Long> denied = new ArrayList<>();
-        /** Whether this life, which is to end, may. */
+        /** Whether this incarnation, which is to end, may. */
         boolean released;
 
         Machine(String address) {
@@ -382,7 +382,7 @@
             raft.barrier(clock(), token);
         }
 
-        /** An operator puts a configuration in the place of the one that it has read here. */
+        /** An operator replaces the configuration that it has read here by another. */
         boolean propose() {
             return up() && claims.propose(this);
         }
--- a/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
@@ -29,7 +29,7 @@
     private final Map<String, Long> compactedAt = new HashMap<>();
     /** After so many entries a machine cuts its log. */
     int compactsEvery = 10;
-    /** Whole bytes of snapshots that were sent. */
+    /** All bytes of snapshots that were sent. */
     long snapshotBytes;
     /** Messages of snapshots that were sent. */
     long snapshotMessages;
--- a/src/test/java/sablehinge/controlplane/state/RegistryTest.java
+++ b/src/test/java/sablehinge/controlplane/state/RegistryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.mesh.watch.Registration;
 
-/** What is known of who is there, and what is news. */
+/** What is known of who is there, and what is new. */
 class RegistryTest {
 
     private final Registry registry = new Registry(2_500, 1_000);
@@ -59,7 +59,7 @@
         assertEquals(1, registry.quotaSharers(), "a is forgotten");
     }
 
-    /** Its process ends with its upstream, some moments after that has said that it leaves. */
+    /** Its process ends with its upstream, some moments after that has reported that it leaves. */
     @Test
     void whoSaidThatItsUpstreamLeavesHasNoPartOnceItIsSilent() {
         registry.register(0, registration("a", "i-1", true, 0));
@@ -106,7 +106,7 @@
         assertEquals(List.of(), registry.since(0));
     }
 
-    /** Else all who are told of would be gone as soon as a machine that was stopped goes on. */
+    /** Else all who are reported would be gone as soon as a machine that was stopped goes on. */
     @Test
     void aTimeInWhichTheKeeperItselfStoodStillIsNobodysSilence() {
         registry.register(0, registration("a", "i-1", true, 0));
--- a/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
@@ -49,7 +49,7 @@
         private long requests;
         private long callCount = 10;
         private boolean leaves;
-        /** When this machine first acknowledged that the life leaves; it must get nothing so long after. */
+        /** When this machine first acknowledged that the incarnation leaves; it must get nothing so long after. */
         private double leavesAt = Double.POSITIVE_INFINITY;
 
         private double latest = Double.NEGATIVE_INFINITY;
@@ -118,7 +118,9 @@
             }
         }
 
-        /** Time passes; other balancers, whose roll is old, send requests for the life all the while. */
+        /**
+         * Time passes; other balancers, whose endpoint list is old, send requests for the incarnation all the while.
+         */
         void passes(double millis) {
             double end = now + millis;
             while (now < end) {
@@ -267,13 +269,13 @@
         assertTrue(lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5)));
         assertFalse(lifecycle.handleHeartbeat(1, new Heartbeat(INCARNATION, SERVICE, false, 9, 0, 4)));
         assertEquals(4, lifecycle.present().berths());
-        // Nor does it say that the upstream lives still.
+        // Nor does it say that the upstream is still alive.
         lifecycle.handleHeartbeat(5_000, heartbeat(INCARNATION, 4));
         assertTrue(lifecycle.tick(5_400));
         assertNull(lifecycle.present());
     }
 
-    /** A copy of a heartbeat is no later one, and says that the upstream lives. */
+    /** A copy of a heartbeat is no later one, and says that the upstream is alive. */
     @Test
     void aHeartbeatThatComesTwiceIsTheSame() {
         UpstreamLifecycle lifecycle = lifecycle();
--- a/src/test/java/sablehinge/dataplane/budget/AttemptBudgetsTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/AttemptBudgetsTest.java
@@ -137,7 +137,7 @@
         assertEquals(
                 Refusal.SPENT,
                 store.arrive(20, carried(5, 4, 900), false, 900, 0, 1).refusal());
-        // Sent again, and with more: it is the same purse.
+        // Sent again, and with more: it is the same budget.
         assertEquals(
                 Refusal.SPENT,
                 store.arrive(30, carried(5, 8, 900), false, 900, 0, 1).refusal());
--- a/src/test/java/sablehinge/dataplane/budget/Chain.java
+++ b/src/test/java/sablehinge/dataplane/budget/Chain.java
@@ -124,7 +124,7 @@
                 if (back.served()) {
                     balancer.least.served(now, now - sentAt);
                 }
-                // A failure that comes at once tells of a sick server: to give others up would not help.
+                // A failure that comes at once indicates an unhealthy server: to give others up would not help.
                 boolean late = now - sentAt > 0.8 * (deadline - sentAt);
                 if (late || back.served()) {
                     balancer.shedder.felt(now, late);
@@ -250,7 +250,7 @@
             });
         }
 
-        /** One call after another; what the last report said goes back. */
+        /** One call after another; what the last report contained goes back. */
         private void further(Call call, HeaderText.Found<Budget> found, int calls, Report last, Ending end) {
             if (calls == 0) {
                 finish(call, true, last, end);
@@ -352,7 +352,7 @@
         return requested.stream().mapToInt(one -> one.leaves).average().orElse(0);
     }
 
-    /** Worth served in time, of all that was asked for. */
+    /** Value served in time, of all that was requested. */
     double kept() {
         double all = requested.stream().mapToDouble(one -> one.value).sum();
         return requested.stream()
--- a/src/test/java/sablehinge/dataplane/budget/LoadShedderTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/LoadShedderTest.java
@@ -60,7 +60,7 @@
         assertEquals(0.2, cheap / 5_000.0, 0.03);
     }
 
-    /** Whoever claims a hundred times the worth gains nothing over its share. */
+    /** Whoever claims a hundred times the value gains nothing over its share. */
     @Test
     void aClaimOfTooMuchWorthGainsNothing() {
         SplittableRandom random = new SplittableRandom(3);
--- a/src/test/java/sablehinge/dataplane/http1/CrowdTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/CrowdTest.java
@@ -98,7 +98,7 @@
                 caller.write(Stage.spend("f" + i, "x"));
                 if (Script.next(taken) == 0) {
                     lost++;
-                    // Told to the module by now, as the caller has its answer.
+                    // Reported to the module by now, as the caller has its answer.
                     caller.read();
                 }
             }
--- a/src/test/java/sablehinge/dataplane/http1/FrontendTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/FrontendTest.java
@@ -194,7 +194,7 @@
             stage.sockets = 64 + 20;
             stage.start();
             for (int i = 0; i < 200; i++) {
-                // Each keeps its connection for good, as far as it is asked.
+                // Each keeps its connection for good, as far as it is requested.
                 Peer caller = stage.caller();
                 caller.write(HEALTH);
                 assertEquals(200, caller.read().status());
--- a/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
@@ -103,7 +103,7 @@
         }
     }
 
-    /** What its body takes is no latency, so the module hears when it begins; not of one that is whole. */
+    /** What its body takes is no latency, so the module is notified when it begins; not of one that is complete. */
     @Test
     void anAnswerThatTricklesInIsToldWhenItBegins() throws Exception {
         try (Stage stage = new Stage().start()) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Nothing of it may look whole. */
+    /** Nothing of it may look complete. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"})
     void aLongAnswerThatBreaksOffEndsTheCallersConnection(String framing) throws Exception {
@@ -367,7 +367,7 @@
             head(in);
             in.readNBytes(400_000);
             stage.node.onLoop((frontend, upstreams) -> {
-                // 400 kB are worth ten seconds.
+                // 400 kB count as ten seconds.
                 frontend.sweep(stage.node.now() + 9_000);
                 return null;
             });
--- a/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
@@ -21,7 +21,7 @@
 import sablehinge.testing.Script;
 import sablehinge.testing.Stage;
 
-/** How attempts go out, and how each way in which they end is told to the module. */
+/** How attempts go out, and how each way in which they end is reported to the module. */
 @Timeout(60)
 class UpstreamClientTest {
 
@@ -567,7 +567,7 @@
         }
     }
 
-    /** Answers the node's first watch with a whole list of one upstream. */
+    /** Answers the node's first watch with a complete list of one upstream. */
     private static Peer tell(Stage stage, String entry) throws Exception {
         Script.next(stage.script.changes);
         Peer watch = stage.discovery.accept();
--- a/src/test/java/sablehinge/dataplane/sidecar/AttemptWrittenTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/AttemptWrittenTest.java
@@ -32,7 +32,7 @@
 import sablehinge.testing.Listener;
 import sablehinge.testing.Peer;
 
-/** When an attempt counts as sent whole: from the moment in which the system has taken its last byte. */
+/** When an attempt counts as sent completely: from the moment in which the system has taken its last byte. */
 @Timeout(60)
 class AttemptWrittenTest {
 
--- a/src/test/java/sablehinge/dataplane/sidecar/BalancerSettingsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/BalancerSettingsTest.java
@@ -22,7 +22,7 @@
 
     private record Sent(long request, int number, long upstream) {}
 
-    /** Carries out what the module asks for, as far as it is sends. */
+    /** Executes what the module requests, as far as it is sends. */
     private static final class Host implements LoadBalancer.Actions {
         private final ArrayDeque<Sent> sent = new ArrayDeque<>();
         private final HashMap<Long, Integer> numbers = new HashMap<>();
--- a/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
@@ -26,7 +26,9 @@
 import sablehinge.testing.Listener;
 import sablehinge.testing.Peer;
 
-/** Beats on the wire, what a balancer tells of those it does not hear, and what it does when told. */
+/**
+ * Heartbeats on the wire, what a balancer reports of those from which it receives none, and what it does when notified.
+ */
 @Timeout(60)
 class PeerMonitorTest {
 
--- a/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
@@ -29,7 +29,7 @@
         return granted;
     }
 
-    /** All other balancers may have spent the whole burst before their processes began anew. */
+    /** All other balancers may have spent all of the burst before their processes began anew. */
     @Test
     void aProcessThatBeginsHasHalfOfItsPartOfTheBurst() throws Exception {
         int balancers = 10;
--- a/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
@@ -291,7 +291,7 @@
             SidecarFixture.await("it has arrived", () -> mesh.arrived.size() == 1);
             mesh.app.close();
             if (answer.isEmpty() || !answer.endsWith("\r\n\r\n")) {
-                // What is not whole stays so until the connection ends.
+                // What is not complete stays so until the connection ends.
                 mesh.closeUpstreams();
             }
             PlainConnection.Message response = client.read();
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -35,14 +35,14 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** The module and core under the mesh's terms, with shares from a holder that the test plays. */
+/** The module and core under the mesh's terms, with shares from a leader that the test plays. */
 class RetryBudgetTest {
 
     private static final double RATIO = 0.2;
     private static final int SLACK = 62;
     private static final int BALANCERS = 11;
 
-    /** Answers each attempt at once, as it is told to. */
+    /** Answers each attempt at once, as it is set to. */
     private static final class World implements Transport, Registry {
         private double now = 1;
         private final RetryBudgetAllocator allocator =
--- a/src/test/java/sablehinge/dataplane/sidecar/SidecarFixture.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/SidecarFixture.java
@@ -141,7 +141,7 @@
                 + body;
     }
 
-    /** An upstream's whole success. */
+    /** An upstream's complete success. */
     static String ok(String id, String body, String... headers) {
         return "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: " + id + "\r\nSablehinge-Postmark: 3e1b." + id + "\r\n"
                 + String.join("", headers) + "Content-Length: " + body.length() + "\r\n\r\n" + body;
@@ -225,7 +225,7 @@
         return keep(PlainConnection.to(at.inbound()));
     }
 
-    /** What another balancer would say for a life of the upstream. */
+    /** What another balancer would say for an incarnation of the upstream. */
     static String meant(String id, String incarnation, String... headers) {
         return get("/u/x", id, "Sablehinge-Deliver-To: " + incarnation + "\r\n", String.join("", headers));
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
@@ -124,7 +124,7 @@
         return PackedConfiguration.pack(configuration.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A configuration is in force that nobody hears of before somebody asks whether theirs is the newest. */
+    /** A configuration is in force of which nobody is notified before somebody asks whether theirs is the newest. */
     void holdsUntilRequested(String configuration, long next) {
         request(() -> {
             nextEdition = next;
@@ -150,12 +150,12 @@
         });
     }
 
-    /** How often it was asked whether what it holds is the newest. */
+    /** How often it was queried whether what it holds is the newest. */
     int confirmationsRequested() {
         return request(() -> confirmationsRequested);
     }
 
-    /** Waits until whoever asks knows all that is held, and that its upstream is there as told. */
+    /** Waits until whoever asks knows all that is held, and that its upstream is there as reported. */
     void awaitKnown(String upstream) {
         SidecarFixture.await(
                 "the news are known",
@@ -171,12 +171,12 @@
         return request(() -> connections);
     }
 
-    /** What it was told last of who asks. */
+    /** What was last reported of who asks. */
     Registration lastRegistration() {
         return request(() -> last == null ? null : last.registration());
     }
 
-    /** When it was last told that the upstream there is to be drawn, by {@link System#nanoTime}. */
+    /** When it was last notified that the upstream there is to be drawn, by {@link System#nanoTime}. */
     long readyAt() {
         return request(() -> readyAt);
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/UpdateFilterTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/UpdateFilterTest.java
@@ -7,7 +7,7 @@
 import sablehinge.dataplane.sidecar.UpdateFilter.Verdict;
 import sablehinge.mesh.watch.Update;
 
-/** Which news a balancer takes. */
+/** Which updates a balancer takes. */
 class UpdateFilterTest {
 
     private final UpdateFilter filter = new UpdateFilter();
@@ -36,7 +36,7 @@
         assertEquals(Verdict.DEPOSED, judge(5, false));
     }
 
-    /** They were confirmed when they were asked for, and waited in a buffer since. */
+    /** They were confirmed when they were requested, and waited in a buffer since. */
     @Test
     void newsThatWaitedWhileTheProcessStoodStillAreAskedForAgain() {
         assertEquals(Verdict.ASK_AGAIN, judge(20_000, 3, true));
--- a/src/test/java/sablehinge/dataplane/sidecar/WatchClientTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/WatchClientTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a real balancer makes of the core's news and of its upstream's beats. */
+/** What a real balancer makes of the core's updates and of its upstream's heartbeats. */
 @Timeout(60)
 class WatchClientTest {
 
-    /** For how long a request of 12 s with an unknown route or key waits for news, at least. */
+    /** For how long a request of 12 s with an unknown route or key waits for an update, at least. */
     private static final long WAITS_MS = 340;
 
     private static final String TENANT = "{\"name\":\"hule930\",\"passes\":[\"%s\"]}";
--- a/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
+++ b/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
@@ -20,7 +20,7 @@
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.policy.LoadBalancer.Repeat;
 
-/** What an operator file may say, and how it is told what it may not. */
+/** What an operator file may say, and how what it may not say is reported. */
 class OperatorFileTest {
 
     static final Path EXAMPLE = Path.of("deploy/operator.toml");
@@ -223,7 +223,7 @@
         only("f:6: brackets are nested more than 32 deep", SHORT + "x = " + "[".repeat(100_000));
     }
 
-    /** What can't be opened, doesn't end or leads nowhere is told and not waited for. */
+    /** What can't be opened, doesn't end or leads nowhere is reported and not waited for. */
     @Test
     void filesThatAreNoneAreRefused(@TempDir Path folder) throws IOException {
         assertEquals("there is no such file", first(folder.resolve("absent")));
--- a/src/test/java/sablehinge/gateway/config/versions/VersionStoreTest.java
+++ b/src/test/java/sablehinge/gateway/config/versions/VersionStoreTest.java
@@ -28,7 +28,7 @@
 
     /**
      * A disk that keeps only what was synced, and of the rest what chance lets through: a name may or may not have
-     * changed, content may be whole, torn, or none.
+     * changed, content may be complete, torn, or none.
      */
     private static final class FailingDisk implements Disk {
         /** What a crash leaves: content by name. */
@@ -175,7 +175,7 @@
                 if (again.confirmed() != 0) {
                     assertArrayEquals(content(again.confirmed()), again.content(again.confirmed()));
                 }
-                // And life goes on.
+                // And it goes on.
                 int version = again.stage(content(99));
                 assertTrue(version > again.confirmed());
                 again.confirm(version);
--- a/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
@@ -78,7 +78,7 @@
             Peer caller = two.caller();
             caller.write(Stage.get("d1", "5"));
             assertEquals(503, caller.read().status());
-            // Nobody waits for the old one any more, and what it missed is asked for.
+            // Nobody waits for the old one any more, and what it missed is requested.
             Peer watch = two.discovery.accept();
             assertEquals(
                     "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
--- a/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
@@ -69,7 +69,7 @@
         assertEquals(300, back.startedAt());
     }
 
-    /** Cold though discovery does not know yet that it was restarted. */
+    /** Warming up though discovery does not know yet that it was restarted. */
     @Test
     void backIsColdUntilDiscoveryKnowsBetter() {
         Maintenance out = new Maintenance();
@@ -115,7 +115,7 @@
                 .ofMaxSize(80);
     }
 
-    /** After any story, what is passed on is discovery's list but for who is out, and who was is cold. */
+    /** After any story, what is passed on is discovery's list but for who is out, and who was is warming up. */
     @Property(tries = 2_000)
     void anyStory(@ForAll("stories") List<Event> story) {
         Maintenance maintenance = new Maintenance();
--- a/src/test/java/sablehinge/gateway/node/BudgetsTest.java
+++ b/src/test/java/sablehinge/gateway/node/BudgetsTest.java
@@ -325,7 +325,7 @@
         String signed = new HeaderText(new Keys(Map.of("k1", secret))).write(budget);
         ask(balancer, "look-up", Map.of("Sablehinge-Budget", signed), "5");
         assertTrue(store.seen.size() >= 1 && store.seen.size() <= 2);
-        // Sent again it draws on the same purse.
+        // Sent again it draws on the same budget.
         ask(balancer, "look-up", Map.of("Sablehinge-Budget", signed), "5");
         ask(balancer, "look-up", Map.of("Sablehinge-Budget", signed), "5");
         assertEquals(2, store.seen.size());
--- a/src/test/java/sablehinge/gateway/node/OperationTest.java
+++ b/src/test/java/sablehinge/gateway/node/OperationTest.java
@@ -63,7 +63,7 @@
         }
     }
 
-    /** The module hears of it as of a drain, and of the return as of a start. */
+    /** The module is notified of it as of a drain, and of the return as of a start. */
     @Test
     void theModuleHearsOfADrainAndOfAStart() throws Exception {
         try (Stage stage = stage(1)) {
--- a/src/test/java/sablehinge/gateway/node/OperatorNodeTest.java
+++ b/src/test/java/sablehinge/gateway/node/OperatorNodeTest.java
@@ -464,7 +464,7 @@
         }
     }
 
-    /** A discovery that goes on through a change: its news counts for both versions, and is not asked for anew. */
+    /** A discovery that goes on through a change: its updates count for both versions, and are not requested anew. */
     @Test
     void aDiscoveryGoesOnThroughAChange() throws Exception {
         try (OperatorStage stage = new OperatorStage(2);
--- a/src/test/java/sablehinge/gateway/recorder/DumpTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/DumpTest.java
@@ -65,7 +65,7 @@
         assertTrue(TimelinePage.of(timeline).contains("connection 10"));
     }
 
-    /** Cut off anywhere, or with a bit turned anywhere, it is refused with a place. */
+    /** Cut off anywhere, or with a bit flipped anywhere, it is refused with a position. */
     @Test
     void whatIsDamagedIsRefused() throws IOException {
         byte[] complete = dump(1_000).bytes();
--- a/src/test/java/sablehinge/gateway/recorder/WatchTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchTest.java
@@ -211,7 +211,7 @@
     @Property(tries = 500)
     void onlyWhatIsStuckIsTold(@ForAll long seed) {
         Random random = new Random(seed);
-        // One instance plays all tries: what was told in one is not told again.
+        // One instance plays all tries: what was reported in one is not reported again.
         process.bodies.clear();
         for (int i = 0; i < 5; i++) {
             process.bodies.add(new Body());
--- a/src/test/java/sablehinge/gateway/recorder/WatchdogTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchdogTest.java
@@ -77,7 +77,7 @@
         watchdog.dump((path, why) -> requested.add(path + " " + why));
         assertTrue(requested.poll(20, TimeUnit.SECONDS).contains("asked.flight null"));
         for (int i = 0; i < 305; i++) {
-            // Less than a hung loop's time, so that nothing else is told.
+            // Less than a hung loop's time, so that nothing else is reported.
             pass(200);
             watchdog.tick();
         }
--- a/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
@@ -37,7 +37,7 @@
     /** One event: ms after the one before, the version it names (0 for the one under way), how it went. */
     private record Event(Kind kind, int after, int version, boolean fails) {}
 
-    /** Follows what is asked for, and holds it against what may be. */
+    /** Follows what is requested, and holds it against what may be. */
     private static final class Follower implements ChangeDecider.Actions {
         ChangeDecider decider;
         int serving = 1;
--- a/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderTest.java
@@ -22,7 +22,7 @@
     private final ChangeDecider decider = new ChangeDecider(1, log);
     private double now = 1_000_000;
 
-    /** Keeps what is asked for. */
+    /** Keeps what is requested. */
     private static final class Log implements ChangeDecider.Actions {
         final List<String> requested = new ArrayList<>();
 
@@ -251,7 +251,7 @@
         assertEquals(0, undone);
     }
 
-    /** Trouble that begins late in a trial shows as well as at once: the share is that of the last seconds. */
+    /** A fault that begins late in a trial shows as well as at once: the share is that of the last seconds. */
     @Test
     void lateTroubleIsNotDilutedByAGoodBeginning() {
         answers(1, 20, 0, 0, 1);
--- a/src/test/java/sablehinge/gateway/wire/WireHostTest.java
+++ b/src/test/java/sablehinge/gateway/wire/WireHostTest.java
@@ -131,7 +131,7 @@
         Run run = run(concat(opening(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
         assertEquals(0, run.status, run.err);
         byte[] reply = run.out;
-        // An empty reply to the opening, then one record: place, instance, request, upstream, patience.
+        // An empty reply to the opening, then one record: place, instance, request, upstream, timeout.
         assertEquals(8 + 8 + 32, reply.length);
         assertEquals(32, LittleEndian.getInt(reply, 8));
         assertEquals(1, LittleEndian.getInt(reply, 12));
--- a/src/test/java/sablehinge/mesh/api/SpoiltPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/api/SpoiltPropertyTest.java
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Takes some bytes out, or a value, and puts something else there. */
+    /** Takes some bytes out, or a value, and inserts something else. */
     @Property(tries = 4_000)
     void aPieceIsReplaced(
             @ForAll @IntRange(max = 1_500) int from,
--- a/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
@@ -20,7 +20,7 @@
 import sablehinge.mesh.failuredetection.HealthView.HealthChange;
 import sablehinge.mesh.failuredetection.HealthView.Subject;
 
-/** Who is off, by what the keeper and the watchers hear. */
+/** Who is off, by what the leader and the watchers receive. */
 class HealthViewTest {
 
     private static final int COUNT = 12;
@@ -135,7 +135,7 @@
         assertEquals(Health.CUT_FROM_CORE, healthView.health("n1"));
     }
 
-    /** Those listed are silent, and whoever watches over them says so. */
+    /** Those listed are unresponsive, and whoever watches over them reports it. */
     private void fall(Set<String> fallen) {
         Map<String, List<Suspicion>> suspicions = new HashMap<>();
         fallen.forEach(node -> hashRing.watchers(node).forEach(watcher -> suspicions
--- a/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What one watcher makes of beats; the time is the test's. */
+/** What one watcher makes of heartbeats; the time is the test's. */
 class MonitorTest {
 
     private static final double TICK = 100;
--- a/src/test/java/sablehinge/mesh/quota/MeterTest.java
+++ b/src/test/java/sablehinge/mesh/quota/MeterTest.java
@@ -41,7 +41,7 @@
         assertEquals(4, bucket.take(50, 100));
     }
 
-    /** Whoever had the duty before may have given all out. */
+    /** Whoever had the singleton role before may have given all out. */
     @Test
     void aPoolBeginsEmptyWithEachWhoTakesTheDutyOver() {
         Map<String, Quota> quotas = Map.of("t", new Quota(100, 50));
@@ -54,7 +54,7 @@
         assertEquals(0, pool.take(1_000, "other", 5));
     }
 
-    /** Balancers that come to run out ask the pool; the duty changes hands now and then. */
+    /** Balancers that come to run out ask the pool; the singleton role changes hands now and then. */
     @Test
     void overAnyWindowNoMoreGoesThroughThanTheRuleGrants() {
         SplittableRandom random = new SplittableRandom(20_261_202);
--- a/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
@@ -111,7 +111,7 @@
         return reportedRequests[0];
     }
 
-    /** So many services are asked for in docs/CAPACITY.md. */
+    /** So many services are required by docs/CAPACITY.md. */
     @Test
     void furtherTriesOfEachOfSixtySixServicesHaveAShare() {
         List<String> services =
--- a/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Balancers and the one who holds the pools, in virtual time: records are lost, doubled, late and overtaken, clocks run
- * apart by a hundredth, balancers are cut off, the duty changes hands. What arrives beyond the first is judged against
- * the rule by its words, whatever the deciders believe.
+ * Balancers and the owner of the pools, in virtual time: records are lost, doubled, late and overtaken, clocks run
+ * apart by a hundredth, balancers are cut off, the singleton role changes hands. What arrives beyond the first is
+ * judged against the rule by its words, whatever the deciders believe.
  */
 final class SimulatedMesh {
 
@@ -234,7 +234,7 @@
         leads();
     }
 
-    /** Another holds the duty from now on; before, there may be nobody for a while. */
+    /** Another has the singleton role from now on; before, there may be nobody for a while. */
     void leads() {
         allocator = new RetryBudgetAllocator(rule);
         allocatorRate = 0.99 + random.nextDouble() * 0.02;
@@ -242,7 +242,7 @@
         allocator.adopt(now * allocatorRate, List.of(ATLAS, RELEVE));
     }
 
-    /** The holder is gone, and another comes after so many ms. */
+    /** The owner is gone, and another comes after so many ms. */
     void leaderless(double ms) {
         allocator = null;
         leaderless = now + ms;
--- a/src/test/java/sablehinge/mesh/watch/RecordsTest.java
+++ b/src/test/java/sablehinge/mesh/watch/RecordsTest.java
@@ -15,7 +15,7 @@
 import sablehinge.mesh.retrybudget.Claim;
 import sablehinge.mesh.retrybudget.Grant;
 
-/** Asks and news as bytes. */
+/** Requests and updates as bytes. */
 class RecordsTest {
 
     private static final Registration ONE =
@@ -124,7 +124,7 @@
                 assertThrows(IOException.class, () -> RetryBudgetCodec.claim(part), "a claim of " + length);
             }
         }
-        // After the life, the number, the term and the service: how many lines there are.
+        // After the incarnation, the number, the term and the service: how many lines there are.
         bytes[8 + 4 + 8 + 2 + 7] = (byte) (Claim.MAX_LINES + 1);
         assertThrows(IOException.class, () -> RetryBudgetCodec.claim(bytes));
     }
--- a/src/test/java/sablehinge/policy/Bench.java
+++ b/src/test/java/sablehinge/policy/Bench.java
@@ -92,7 +92,7 @@
                         attempts));
     }
 
-    /** A request with a key and its class's whole deadline. */
+    /** A request with a key and its class's full deadline. */
     void keyed(long id, int serviceClass, long key) {
         request(id, serviceClass, now + settings.classes().get(serviceClass).deadline(), 0, key);
     }
--- a/src/test/java/sablehinge/policy/ModuleTest.java
+++ b/src/test/java/sablehinge/policy/ModuleTest.java
@@ -297,7 +297,7 @@
                 bench.finish(bench.lastSend(), Result.OK);
             }
         }
-        // A warm server takes 240 of the 2400 calls; a cold one can do 0.2 of that and falls at 3 times it.
+        // A warm server takes 240 of the 2400 calls; one that is warming up can do 0.2 of that and falls at 3 times it.
         assertTrue(toWarmingUp > 0 && toWarmingUp < 0.2 * 3 * 240, "sent to the cold server: " + toWarmingUp);
     }
 
@@ -338,8 +338,8 @@
             toWarmingUp += bench.lastSend().upstream() == 1 ? 1 : 0;
             bench.finishAfter(bench.lastSend(), Result.OK, 100);
         }
-        // Its ramp alone would give it 0.2 of 9.2 shares (217 calls), its earnings alone about 160; it waits
-        // for a whole call to be earned and then for the draw: about 100.
+        // Its slow start alone would give it 0.2 of 9.2 shares (217 calls), its earnings alone about 160; it waits
+        // for a full call to be earned and then for the draw: about 100.
         assertTrue(toWarmingUp > 70 && toWarmingUp < 130, "sent to the cold server: " + toWarmingUp);
     }
 
@@ -356,7 +356,7 @@
                 bench.finish(bench.lastSend(), warmingUp ? Result.OK : Result.ERROR);
             }
         }
-        // 1100 calls over 3.2 warm servers' worth; it can do 0.2 of one share and falls at 3 times that.
+        // 1100 calls over the capacity of 3.2 warm servers; it can do 0.2 of one share and falls at 3 times that.
         assertTrue(toWarmingUp < 0.2 * 3 * 1_100 / 3.2, "sent to the cold server: " + toWarmingUp);
     }
 
--- a/src/test/java/sablehinge/policy/RandomEventsTest.java
+++ b/src/test/java/sablehinge/policy/RandomEventsTest.java
@@ -150,7 +150,9 @@
             return !placed || serviceClass == 1 || server % 2 == 1 && server / 4 == 0;
         }
 
-        /** A cold server earns 0.9 of its present part of what it might get, of half the fleet at least. */
+        /**
+         * A server that is warming up earns 0.9 of its present part of what it might get, of half the fleet at least.
+         */
         private void earn(int serviceClass) {
             long usable = 0;
             for (int i = 0; i < SERVERS; i++) {
@@ -209,7 +211,7 @@
                 }
                 bench.list(Change.FULL, all.toArray(Sites.Server[]::new));
             } else if (random.nextInt(5) == 0) {
-                // The change is not told yet: the state stays as it was for the books.
+                // The change is not reported yet: the state stays as it was for the checks.
                 bench.list(Change.FAILED);
                 states[i] = State.REMOVED;
                 listedAnew(i);
--- a/src/test/java/sablehinge/policy/VersionsTest.java
+++ b/src/test/java/sablehinge/policy/VersionsTest.java
@@ -165,7 +165,7 @@
         assertFalse(bench.isOpen(1));
     }
 
-    /** A cold server's budget is one, whatever versions come and go while it warms up. */
+    /** The budget of a server that is warming up is one, whatever versions come and go while it warms up. */
     @Test
     void changesEarnAColdServerNothing() {
         assertEquals(warmUpSends(false), warmUpSends(true), 3);
--- a/src/test/java/sablehinge/testing/Logs.java
+++ b/src/test/java/sablehinge/testing/Logs.java
@@ -27,7 +27,7 @@
         return () -> ROOT.setLevel(before);
     }
 
-    /** Hears of each line until it is undone. */
+    /** Receives each line until it is undone. */
     public static Undo heard(Consumer<String> each) {
         AppenderBase<ILoggingEvent> appender = new AppenderBase<>() {
             @Override
--- a/src/test/java/sablehinge/testing/OperatorStage.java
+++ b/src/test/java/sablehinge/testing/OperatorStage.java
@@ -76,7 +76,7 @@
         return Peer.to(addresses.get(addresses.size() - 1));
     }
 
-    /** One request, asked over a connection of its own, and its answer. */
+    /** One request, sent over a connection of its own, and its answer. */
     public Peer.Message ask(String request) throws Exception {
         try (Peer caller = caller()) {
             caller.write(request);
--- a/src/test/java/sablehinge/testing/Script.java
+++ b/src/test/java/sablehinge/testing/Script.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import sablehinge.policy.LoadBalancer;
 
-/** A module that does what the test says, and remembers what its host told it. */
+/** A module that does what the test says, and remembers what its host reported to it. */
 public final class Script implements LoadBalancer {
 
     public Actions actions;
@@ -85,7 +85,7 @@
         }
     }
 
-    /** How long after its sending each answer began that was not whole at once. */
+    /** How long after its sending each answer began that was not complete at once. */
     public final java.util.concurrent.ConcurrentLinkedQueue<Double> begun =
             new java.util.concurrent.ConcurrentLinkedQueue<>();
 
--- a/src/test/java/sablehinge/testing/StandIn.java
+++ b/src/test/java/sablehinge/testing/StandIn.java
@@ -28,7 +28,7 @@
 import java.util.function.Function;
 import sablehinge.common.eventloop.ClosingEventLoops;
 
-/** A server of any number of connections, which notes what reaches it and answers as it is told. */
+/** A server of any number of connections, which notes what reaches it and answers as it is set to. */
 public final class StandIn implements AutoCloseable {
 
     /** What reached it: the caller's id, the path, the time its caller would wait, in s. */
--- a/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
+++ b/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
@@ -222,7 +222,7 @@
         RuleChecker fresh = new RuleChecker(TERMS, breaches::add);
         List.of(update).forEach(fresh::take);
         fresh.take(ran(1, begun, begun + 5, How.SERVED));
-        // What is told after the send says nothing of it.
+        // What is reported after the send says nothing of it.
         fresh.take(new ListSent(begun + 6, "b1", "s1", "up"));
         fresh.take(new Tried(
                 begun + 10,
@@ -295,7 +295,7 @@
         assertEquals(0, judge.early());
     }
 
-    /** Histories that keep the rules by their making, told in any order that stays within the hold. */
+    /** Histories that keep the rules by their making, reported in any order that stays within the lease. */
     @Test
     void randomHistoriesThatKeepTheRulesHaveNoBreach() {
         for (long seed = 0; seed < 300; seed++) {
--- a/src/test/java/sablehinge/tools/replay/LogsTest.java
+++ b/src/test/java/sablehinge/tools/replay/LogsTest.java
@@ -136,7 +136,7 @@
         }
         for (byte[] complete : List.of(gzip(text.toString()), zstd(text.toString()))) {
             try (Logs logs = open(USUAL, file("cut", Arrays.copyOf(complete, complete.length / 2)))) {
-                // Zstandard's decoder keeps back a window's worth, which may be all of this.
+                // Zstandard's decoder keeps back a window, which may be all of this.
                 int least = complete[0] == 0x1f ? 5_000 : 0;
                 assertTrue(all(logs).size() >= least, complete.length + " " + logs.counts());
                 assertEquals(1, logs.counts().unreadable());
@@ -177,7 +177,7 @@
         }
     }
 
-    /** nginx writes when a request ends; what was asked first may stand last. */
+    /** nginx writes when a request ends; what was requested first may stand last. */
     @Test
     void whereTimesAreEndsTheBeginningCounts() throws IOException {
         String format = "$remote_addr [$time_local] \"$request\" $status $request_time";
--- a/src/test/java/sablehinge/tools/replay/run/LoadTest.java
+++ b/src/test/java/sablehinge/tools/replay/run/LoadTest.java
@@ -312,7 +312,7 @@
     void aRequestThatIsAddedAsALaneStopsIsNeitherSentNorWaitedFor() throws Exception {
         EventLoop loop = ClosingEventLoops.single("lane");
         try {
-            ReplayWorker.Target nobody = new ReplayWorker.Target(new InetSocketAddress("127.0.0.1", 9), "127.0.0.1:9");
+            ReplayTarget nobody = new ReplayTarget(new InetSocketAddress("127.0.0.1", 9), "127.0.0.1:9");
             ReplayWorker lane = new ReplayWorker(loop, "clients", List.of(nobody), 1, ONCE, 1, System.nanoTime(), null);
             loop.submit(lane::stop).sync();
             assertTrue(lane.add(new Planned(System.nanoTime(), "look", null, "/look", "", "", 1_000, 0), 0));
--- a/src/test/java/sablehinge/tools/standin/FleetTest.java
+++ b/src/test/java/sablehinge/tools/standin/FleetTest.java
@@ -58,7 +58,7 @@
 
     private final ConcurrentLinkedQueue<Evidence> record = new ConcurrentLinkedQueue<>();
     private final LinkedBlockingQueue<String> story = new LinkedBlockingQueue<>();
-    /** Where the list of servers is asked for. */
+    /** Where the list of servers is requested. */
     private final Map<String, InetSocketAddress> lists = new ConcurrentHashMap<>();
 
     private Fleet fleet;
@@ -238,7 +238,7 @@
         begun("refuse");
         assertThrows(ConnectException.class, () -> {
             for (int i = 0; i < 1_000_000; i++) {
-                // The listener is closed a moment after it is said.
+                // The listener is closed a moment after it is reported.
                 try {
                     new Socket(server().getAddress(), server().getPort()).close();
                 } catch (ConnectException refused) {
--- a/src/test/java/sablehinge/tools/standin/SaboteurTest.java
+++ b/src/test/java/sablehinge/tools/standin/SaboteurTest.java
@@ -39,7 +39,7 @@
 /** The test of the audit: whoever breaks a rule is caught and named, and who breaks none is not. */
 class SaboteurTest {
 
-    /** One server is drained and another restarts cold; some requests are struck on the way. */
+    /** One server is drained and another restarts and warms up; some requests are struck on the way. */
     private static final String SCENARIO =
             """
             seed = 5
@@ -126,7 +126,7 @@
         Recorder clients = new Recorder(folder.resolve("requests.jsonl.gz"));
         LocalBalancers local = new LocalBalancers(servers::note, actions -> new Saboteur(deed, actions));
         Balancers balancers = spec -> {
-            // One that ignores drains has to be told of none by its transport either.
+            // One that ignores drains has to be notified of none by its transport either.
             Scenario believed = deed != Deed.IGNORES_DRAINS
                     ? spec.scenario()
                     : new Scenario(
--- a/src/test/java/sablehinge/torture/HeldRequestsTest.java
+++ b/src/test/java/sablehinge/torture/HeldRequestsTest.java
@@ -69,7 +69,7 @@
 
         @Override
         public void taken() {
-            // All that is said here fits.
+            // All that is written here fits.
         }
 
         @Override
--- a/src/test/java/sablehinge/torture/TortureTest.java
+++ b/src/test/java/sablehinge/torture/TortureTest.java
@@ -76,7 +76,7 @@
         assertEquals(List.of(), without);
     }
 
-    /** Each piece would else be a call of the system, which small pieces make many of. */
+    /** Each chunk would else be a system call, of which small chunks make many. */
     @Test
     void piecesThatComeTogetherAreWrittenTogether() throws Exception {
         Mutant one = new Mutant(
