--- a/src/main/java/sablehinge/policy/AttemptRules.java
+++ b/src/main/java/sablehinge/policy/AttemptRules.java
@@ -7,17 +7,21 @@
 import sablehinge.policy.LoadBalancer.ServiceClass;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** What a request may do next after the attempts that it has had. */
+/** Decides, from the attempts made so far, whether a request may be sent again and whether it may be refused. */
 final class AttemptRules {
 
     private AttemptRules() {}
 
-    /** Rules 6 and 2: placement; an attempt that may have run ties a request to its group, or ends it. */
+    /**
+     * Whether the next attempt may go to a server. Rule 6: placement restricts the servers of a class. Rule 2: after an
+     * attempt that may have run, a deduplicated request stays within its group and memory, and an at-most-once request
+     * is not sent again.
+     */
     static boolean mayGoTo(Call call, Server server, double now) {
         Limits limits = call.limits();
-        if (call.attempts.size() >= call.most
+        if (call.attempts.size() >= call.maxAttempts
                 || call.running > 0 && !limits.parallel()
-                || !call.type.admits(server.listed)) {
+                || !call.type.admits(server.entry)) {
             return false;
         }
         Attempt first = call.firstMaybeRun();
@@ -26,7 +30,7 @@
         }
         return call.type.repeat() == Repeat.DEDUPLICATED
                 && now < first.sentAt + call.type.memory()
-                && sharesGroup(call.type.group(), first.server.listed, server.listed);
+                && sharesGroup(call.type.group(), first.server.entry, server.entry);
     }
 
     private static boolean sharesGroup(Group group, Upstream first, Upstream second) {
@@ -37,7 +41,7 @@
         };
     }
 
-    /** Rule 1: whether a client that is refused may try again without harm. */
+    /** Rule 1: whether the client can safely retry the request if it is refused. */
     static boolean mayRefuse(Call call) {
         ServiceClass type = call.type;
         return type.repeat() == Repeat.IDEMPOTENT
--- a/src/main/java/sablehinge/policy/Call.java
+++ b/src/main/java/sablehinge/policy/Call.java
@@ -4,29 +4,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request being worked on, with its attempts: what happened, no decisions. */
+/** State of an active request and its attempts; makes no decisions. */
 final class Call {
 
-    /** One attempt; {@code result} is null while it is out. */
+    /** One attempt; {@code result} is null while it is in flight. */
     static final class Attempt {
         final Call call;
         final Server server;
         final int number;
         final double sentAt;
-        /** Own attempts that were in flight there when it was sent. */
-        final int behind;
+        /** This instance's attempts in flight at the server when this one was sent. */
+        final int inFlightBefore;
 
         LoadBalancer.Result result;
         boolean streaming;
-        /** Whether it was taken as a sign of overload while it was out. */
-        boolean strained;
+        /** Whether it was reported as a sign of overload while it was in flight. */
+        boolean countedAsOverload;
 
         Attempt(Call call, Server server, double sentAt) {
             this.call = call;
             this.server = server;
             this.number = call.attempts.size();
             this.sentAt = sentAt;
-            this.behind = server.out.size();
+            this.inFlightBefore = server.inFlight.size();
         }
     }
 
@@ -37,14 +37,14 @@
     final long id;
     final double arrivedAt;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** The unfinished requests of its key in order of arrival, itself among them; null if it is free. */
+    /** The unsettled requests of its key in order of arrival, including this one; null if order does not matter. */
     ArrayDeque<Call> queue;
-    /** Until when an attempt that was given up may still be running. */
-    double restsUntil = Double.NEGATIVE_INFINITY;
-    /** When an answer no longer earns its cost. */
-    double usefulEnd;
+    /** Time until which a timed-out, reset or cancelled attempt is assumed to be still running. */
+    double mayRunUntil = Double.NEGATIVE_INFINITY;
+    /** Time after which an answer is no longer worth the work. */
+    double usefulUntil;
 
-    final int most;
+    final int maxAttempts;
     int running;
     boolean done;
     boolean streaming;
@@ -56,16 +56,16 @@
         this.type = record.type;
         this.id = request.id();
         this.arrivedAt = arrivedAt;
-        most = Math.min(limits().maxAttempts(), request.attempts() > 0 ? request.attempts() : 1_000);
+        maxAttempts = Math.min(limits().maxAttempts(), request.attempts() > 0 ? request.attempts() : 1_000);
     }
 
     LoadBalancer.Limits limits() {
         return view.settings.limits();
     }
 
-    /** The request's hinted work relative to the mean of its class. */
-    double size() {
-        double mean = record.hint.value();
+    /** The request's expected work relative to the mean of its class; 1 if unknown. */
+    double relativeCost() {
+        double mean = record.costHint.value();
         return request.cost() > 0 && mean > 0 ? request.cost() / mean : 1;
     }
 
@@ -78,7 +78,9 @@
         return false;
     }
 
-    /** The earliest attempt that is out or was not proven never to have run; null if there is none. */
+    /**
+     * The earliest attempt that is in flight or whose result does not prove that it never ran; null if there is none.
+     */
     Attempt firstMaybeRun() {
         for (Attempt attempt : attempts) {
             if (attempt.result == null || !attempt.result.neverRan()) {
--- a/src/main/java/sablehinge/policy/ClassRecord.java
+++ b/src/main/java/sablehinge/policy/ClassRecord.java
@@ -2,63 +2,63 @@
 
 import java.util.Objects;
 
-/** What was seen of a class of requests over all servers. */
+/** Statistics of one class of requests over all servers. */
 final class ClassRecord {
 
-    /** Weight of a sample in the averages over all servers (class latency, machine type, cost hints). */
+    /** Weight of a sample in the moving averages over all servers (class latency, machine type, cost hints). */
     static final double GAIN = 0.02;
 
-    /** Expected latency before any was seen, as a share of the class's aim. */
-    private static final double FIRST_GUESS = 0.2;
-    /** {@link #slowRatio} at first. */
-    private static final double FIRST_SLOW_RATIO = 3;
+    /** Expected latency before the first sample, as a share of the class's aim. */
+    private static final double INITIAL_LATENCY_AIM_SHARE = 0.2;
+    /** Initial value of {@link #slowRatio}. */
+    private static final double INITIAL_SLOW_RATIO = 3;
 
-    /** Its place in the servers' records; a class keeps it from one version of the settings to the next. */
+    /** Index of the class in the servers' records; stays the same from one version of the settings to the next. */
     final int index;
 
     final LoadBalancer.ServiceClass type;
-    /** Served latency in ms for a request of mean cost on a mean server. */
+    /** Mean latency in ms of served requests, scaled to a request of mean cost on an average server. */
     final Mean latency;
-    /** Hinted cost. */
-    final Mean hint;
-    /** Its share of the requests that arrive. */
+    /** Mean cost hint of the requests that have one. */
+    final Mean costHint;
+    /** Moving average of its share of the arriving requests. */
     double share;
-    /** The part of them to refuse at once. */
-    double refused;
-    /** The first class of the same placement: the two below are kept there for all of them. */
-    ClassRecord leader;
-    /** Share of the work requested that is refused at once, and when it was last moved. */
+    /** Share of its requests to refuse on arrival. */
+    double refusedShare;
+    /** The first class with the same placement; stores the next two fields for all classes with this placement. */
+    ClassRecord placementHead;
+    /** Share of the requested work that is refused on arrival, and the time of its last update. */
     double pressure;
 
-    double feltAt;
-    /** How many times the expected latency only the slowest calls take. */
+    double pressureUpdatedAt;
+    /** Multiple of the expected latency that only the slowest calls exceed; see {@link LatencyEstimate#slowAfter}. */
     double slowRatio;
 
     ClassRecord(int index, LoadBalancer.ServiceClass type) {
         this.index = index;
         this.type = type;
-        latency = new Mean(FIRST_GUESS * type.aim(), GAIN);
-        hint = new Mean(0, GAIN);
-        slowRatio = FIRST_SLOW_RATIO;
+        latency = new Mean(INITIAL_LATENCY_AIM_SHARE * type.aim(), GAIN);
+        costHint = new Mean(0, GAIN);
+        slowRatio = INITIAL_SLOW_RATIO;
     }
 
-    /** The class in another version: what was seen of it stays. */
-    ClassRecord(ClassRecord before, LoadBalancer.ServiceClass type) {
-        index = before.index;
+    /** Carries the statistics of a class over to another version of the settings. */
+    ClassRecord(ClassRecord previous, LoadBalancer.ServiceClass type) {
+        index = previous.index;
         this.type = type;
-        latency = before.latency;
-        hint = before.hint;
-        share = before.share;
-        pressure = before.pressure;
-        feltAt = before.feltAt;
-        slowRatio = before.slowRatio;
+        latency = previous.latency;
+        costHint = previous.costHint;
+        share = previous.share;
+        pressure = previous.pressure;
+        pressureUpdatedAt = previous.pressureUpdatedAt;
+        slowRatio = previous.slowRatio;
     }
 
     boolean sharesPlacement(ClassRecord other) {
         return Objects.equals(type.zones(), other.type.zones()) && Objects.equals(type.kinds(), other.type.kinds());
     }
 
-    boolean isBound() {
+    boolean isPlacementRestricted() {
         return type.zones() != null || type.kinds() != null;
     }
 }
--- a/src/main/java/sablehinge/policy/KeyQueues.java
+++ b/src/main/java/sablehinge/policy/KeyQueues.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /**
- * Rule 5: requests of a key, in a class that is served in order, run one after the other as they came. A request leaves
- * its queue once it is over, no attempt is out and none that was given up may still be running.
+ * Rule 5: requests with the same key, in classes that are served in order, run one at a time in order of arrival. A
+ * request leaves its queue when it has its final answer, no attempt is in flight and no abandoned attempt may still be
+ * running.
  */
 final class KeyQueues {
 
-    /** The requests of each key that are not settled; looked up by key only, dropped when empty. */
+    /** The unsettled requests of each key. Empty queues are removed; the map is never iterated. */
     private final Map<Long, ArrayDeque<Call>> queues = new HashMap<>();
 
-    /** Adds a request that arrives, if order matters for it. */
+    /** Appends an arriving request to the queue of its key, if its class is served in order. */
     void add(Call call) {
         if (call.type.inOrder() && call.request.key() != 0) {
             call.queue = queues.computeIfAbsent(call.request.key(), key -> new ArrayDeque<>());
@@ -21,13 +22,13 @@
         }
     }
 
-    /** Whether a request may run now. */
+    /** Whether a request is at the head of its queue or needs no queue. */
     static boolean isFirst(Call call) {
         return call.queue == null || call.queue.peekFirst() == call;
     }
 
-    /** The time in ms that the requests before it in its queue are expected to take. */
-    static double waitBefore(Call call) {
+    /** The expected total latency, in ms, of the requests ahead of this one in its queue. */
+    static double expectedWait(Call call) {
         return call.queue == null
                 ? 0
                 : call.queue.stream()
@@ -39,7 +40,7 @@
     /**
      * Removes a request from its queue.
      *
-     * @return the request that may run now because of it; null if there is none, as where one leaves before its turn
+     * @return the request that may run now; null if the queue is empty or the removed request was not its head
      */
     Call remove(Call call) {
         boolean first = call.queue.peekFirst() == call;
--- a/src/main/java/sablehinge/policy/LatencyEstimate.java
+++ b/src/main/java/sablehinge/policy/LatencyEstimate.java
@@ -2,25 +2,29 @@
 
 import sablehinge.policy.Call.Attempt;
 
-/** How long requests take by class: the expected latency, and the delay that only the slowest exceed. Times are ms. */
+/** Estimates the latency of requests by class: the expected value and a high quantile. Times are in ms. */
 final class LatencyEstimate {
 
-    /** Share of an expected latency that goes with the hinted work; the rest is waiting that all share. */
-    private static final double HINT_SHARE = 0.5;
-    /** Latencies closer than this, ms, are equal; keeps every l above zero. */
-    private static final double MIN_LATENCY = 0.01;
-    /** Share of calls slower than the delay after which a hedged request or a retry pays. */
+    /**
+     * Share of the expected latency that scales with the cost hint; the rest is waiting time common to all requests.
+     */
+    private static final double HINTED_LATENCY_SHARE = 0.5;
+    /** Lower bound of a latency sample; keeps every server cost above zero. */
+    private static final double MIN_LATENCY_MS = 0.01;
+    /** Share of calls slower than the delay after which a hedged request or a retry is worthwhile. */
     private static final double SLOW_SHARE = 0.05;
     /** Step of the quantile estimate behind that delay, relative to its value. */
     private static final double SLOW_STEP = 0.05;
-    /** Bounds of that delay over the expected latency: for even and long-tailed classes. */
+    /**
+     * Bounds of that delay relative to the expected latency, for classes with uniform and with long-tailed latencies.
+     */
     private static final double MIN_SLOW_RATIO = 1.5;
 
     private static final double MAX_SLOW_RATIO = 10;
 
     private LatencyEstimate() {}
 
-    /** The latency to expect of a request on a mean server. */
+    /** The expected latency of a request on an average server. */
     static double expected(Call call) {
         return call.record.latency.value() * hintFactor(call);
     }
@@ -30,32 +34,32 @@
         return expected(call) * call.record.slowRatio;
     }
 
-    /** A served attempt took so long. */
+    /** Records the latency of a served attempt. */
     static void observe(Attempt attempt, double elapsed) {
         Call call = attempt.call;
         Server server = attempt.server;
-        double perHint = Math.max(MIN_LATENCY, elapsed) / hintFactor(call);
-        double relative = perHint / call.record.latency.value();
-        moveSlowRatio(call.record, relative);
-        call.record.latency.add(perHint / server.base());
+        double normalized = Math.max(MIN_LATENCY_MS, elapsed) / hintFactor(call);
+        double relative = normalized / call.record.latency.value();
+        updateSlowRatio(call.record, relative);
+        call.record.latency.add(normalized / server.relativeLatency());
         server.latencySum += relative;
         server.latencyCount += 1;
-        server.crowdSum += attempt.behind;
+        server.inFlightSum += attempt.inFlightBefore;
         server.kind.latency.add(relative);
     }
 
-    /** An attempt was given up, later than any that is served. */
-    static void observeGivenUp(ClassRecord record) {
-        moveSlowRatio(record, Double.MAX_VALUE);
+    /** Records an attempt that was abandoned: counts as slower than any served one. */
+    static void observeAbandoned(ClassRecord record) {
+        updateSlowRatio(record, Double.MAX_VALUE);
     }
 
-    /** Moves the estimate of the latency over the expected one that only {@link #SLOW_SHARE} of calls exceed. */
-    private static void moveSlowRatio(ClassRecord record, double ratio) {
+    /** Updates the estimate of the ratio to the expected latency that only {@link #SLOW_SHARE} of calls exceed. */
+    private static void updateSlowRatio(ClassRecord record, double ratio) {
         double slow = record.slowRatio * (1 + SLOW_STEP * (ratio > record.slowRatio ? 1 - SLOW_SHARE : -SLOW_SHARE));
         record.slowRatio = Math.min(MAX_SLOW_RATIO, Math.max(MIN_SLOW_RATIO, slow));
     }
 
     private static double hintFactor(Call call) {
-        return 1 - HINT_SHARE + HINT_SHARE * call.size();
+        return 1 - HINTED_LATENCY_SHARE + HINTED_LATENCY_SHARE * call.relativeCost();
     }
 }
--- a/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
+++ b/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
@@ -7,37 +7,40 @@
 import sablehinge.policy.Call.Attempt;
 
 /**
- * Follows each request: arrival, the draw of a server, the send, the outcome, the next attempt or the final answer.
- * Read {@link LoadBalancer} first: it is the interface.
+ * Load balancer that draws servers at random with weights that fall with latency and failures. It handles each request
+ * from arrival over the choice of a server, the send and the outcome to a retry or the final answer. Read the interface
+ * {@link LoadBalancer} first.
  *
- * <p>The ordinary path: every server has a cost l ({@link ServerCost}); each call goes to a ready server drawn at
- * random in proportion to 1/l, and each outcome refreshes the evidence behind l. What else is decided stands beside it:
- * which servers a request may go to ({@link AttemptRules}), how much a server gets that has just started
- * ({@link SlowStart}), what is refused under overload ({@link OverloadControl}), the order of requests with a key
- * ({@link KeyQueues}), which servers are listed ({@link ServerList}) and when the list is doubted
- * ({@link StaleListDetector}).
+ * <p>Every server has a cost l ({@link ServerCost}). Each call goes to a ready server drawn at random in proportion to
+ * 1/l, and each outcome updates the statistics from which l is computed. Other classes decide which servers a request
+ * may go to ({@link AttemptRules}), how much traffic a newly started server gets ({@link SlowStart}), which requests
+ * are refused under overload ({@link OverloadControl}), in which order requests with a key run ({@link KeyQueues}),
+ * which servers are listed ({@link ServerList}) and when the list may be stale ({@link StaleListDetector}).
  */
 public final class LatencyWeightedBalancer implements LoadBalancer {
 
-    /** Without second copies an attempt that may be repeated is given up after this many such delays. */
-    private static final double GIVE_UP = 2;
-    /** Least share of the expected latency that must be left for a send. */
-    private static final double TOO_LATE = 0.25;
-    /** Ms after which a request that finds no server to go to looks again; well below any aim. */
-    private static final double LOOK_AGAIN = 20;
-    /** Share of its time for which a request is held that finds no server: the rest is its client's. */
-    private static final double HOLD_SHARE = 0.45;
-    /** Least and, with as much again at random, most wait before the registry is requested again, of askEvery. */
-    private static final double ASK_AGAIN = 0.1;
-
-    /** The longest wait advised to a refused client, of its aim: it should come back in good time. */
-    private static final double RETURN_SHARE = 0.5;
-    /** Above this share of work refused nothing is sent in a second copy: it would deepen the jam. */
-    private static final double CALM = 0.05;
+    /** Timeout of a repeatable attempt that is not hedged, as a multiple of {@link LatencyEstimate#slowAfter}. */
+    private static final double TIMEOUT_SLOW_DELAYS = 2;
+    /** Minimum remaining time for a send, as a share of the expected latency. */
+    private static final double MIN_REMAINING_LATENCY_SHARE = 0.25;
+    /** Delay before a request for which no server is available is dispatched again; well below any aim. */
+    private static final double DISPATCH_RETRY_MS = 20;
+    /** Maximum share of its time for which a request waits for a server; the rest is left for the client to retry. */
+    private static final double MAX_HOLD_SHARE = 0.45;
+    /**
+     * Minimum delay before the watch is requested again after a failure, as a share of askEvery. A random delay of up
+     * to the same length is added.
+     */
+    private static final double WATCH_RETRY_SHARE = 0.1;
+
+    /** Upper bound of the retry-after advice, as a share of the aim, so that the retry can still meet the aim. */
+    private static final double MAX_RETRY_AFTER_AIM_SHARE = 0.5;
+    /** Pressure from which no hedged request is sent, as it would add to the overload. */
+    private static final double MAX_HEDGING_PRESSURE = 0.05;
 
     private static final long WATCH_TOKEN = -1;
     private static final int HOLD_TIMER = 0xff;
-    private static final int STRAIN_TIMER = 0x80;
+    private static final int OVERLOAD_TIMER = 0x80;
 
     private final Actions actions;
     private final Extras extras;
@@ -47,31 +50,38 @@
     private final Map<Long, Call> calls = new HashMap<>();
     private StaleListDetector staleList;
     private SplittableRandom random;
-    private double extraCalls;
-    /** Own calls of late for each ready server. */
-    private double evidence;
+    private double extraAttemptBudget;
+    /** Recent calls of this instance per ready server. */
+    private double recentCallsPerServer;
 
-    /** Creates an instance that asks its host for actions through {@code actions}. */
+    /** Creates an instance with the default bounds on extra attempts. */
     public LatencyWeightedBalancer(Actions actions) {
         this(actions, new Extras(0.1, 3, 1, Double.POSITIVE_INFINITY));
     }
 
-    /** Likewise, with other bounds on calls beyond the first. */
+    /** Creates an instance with the given bounds on extra attempts. */
     public LatencyWeightedBalancer(Actions actions, Extras extras) {
         this.actions = actions;
         this.extras = extras;
-        extraCalls = extras.saved;
+        extraAttemptBudget = extras.saved;
     }
 
-    /** Calls beyond the first: earned by a request, kept, taken after no run; aims to hold one. */
+    /**
+     * Bounds on attempts beyond the first of a request, and on how long a request waits for a server.
+     *
+     * @param perRequest extra attempts that each arriving request adds to the budget
+     * @param saved upper bound of the budget
+     * @param redraw budget that an attempt costs after one that never ran, and that a successful retry returns
+     * @param hold how long a request waits for a server at most, as a multiple of the aim of its class
+     */
     public record Extras(double perRequest, double saved, double redraw, double hold) {}
 
     @Override
-    public void start(double now, Settings given, long seed) {
+    public void start(double now, Settings settings, long seed) {
         random = new SplittableRandom(seed);
         staleList = new StaleListDetector(now);
-        adopt(now, given);
-        if (given.subscribe()) {
+        adopt(now, settings);
+        if (settings.subscribe()) {
             actions.watch(true);
         }
     }
@@ -79,9 +89,9 @@
     // ---- Versions of the settings ------------------------------------------------------------------
 
     @Override
-    public void adopt(double now, Settings given) {
-        servers.adopt(given);
-        staleList.onSettings(given);
+    public void adopt(double now, Settings settings) {
+        servers.adopt(settings);
+        staleList.onSettings(settings);
     }
 
     @Override
@@ -99,101 +109,110 @@
     public void request(double now, Request request) {
         Call call = new Call(request, servers.current(), now);
         calls.put(request.id(), call);
-        extraCalls = Math.min(extras.saved, extraCalls + (call.most > 1 ? extras.perRequest : 0));
+        extraAttemptBudget =
+                Math.min(extras.saved, extraAttemptBudget + (call.maxAttempts > 1 ? extras.perRequest : 0));
         if (request.cost() > 0) {
-            call.record.hint.add(request.cost());
+            call.record.costHint.add(request.cost());
         }
-        // Where a late answer has no value, the work for it is better spent on others.
-        double stretched = call.type.aim() + call.type.aimStretch() * request.cost();
-        double aim = now + Math.min(call.type.deadline(), stretched);
-        call.usefulEnd = call.type.lateValue() > 0 ? request.deadline() : Math.min(request.deadline(), aim);
-        if (OverloadControl.shed(call, random)) {
-            answerUnserved(call, now);
+        // If a late answer has no value, no work is spent on the request after its aim.
+        double stretchedAim = call.type.aim() + call.type.aimStretch() * request.cost();
+        double aim = now + Math.min(call.type.deadline(), stretchedAim);
+        call.usefulUntil = call.type.lateValue() > 0 ? request.deadline() : Math.min(request.deadline(), aim);
+        if (OverloadControl.shouldShed(call, random)) {
+            refuseOrFail(call, now);
             return;
         }
-        slowStart.earn(call, settings().rules(), now);
+        slowStart.earnSends(call, settings().rules(), now);
         queues.add(call);
         dispatch(call, now);
     }
 
     /**
-     * Sends the next attempt. A request that never ran is held while it waits for its turn, or for a server that is
-     * ready, open to it and warm enough; it is refused as soon as that cannot end in time.
+     * Sends the next attempt. A request without attempts waits until it is first in its queue and an eligible server is
+     * available; it is refused as soon as this cannot happen in time.
      */
     private void dispatch(Call call, double now) {
-        double latest = call.usefulEnd - TOO_LATE * LatencyEstimate.expected(call) - KeyQueues.waitBefore(call);
-        double held = Math.min(extras.hold * call.type.aim(), HOLD_SHARE * (call.request.deadline() - call.arrivedAt));
-        double holdUntil = Math.min(latest, call.arrivedAt + held);
-        boolean itsTurn = KeyQueues.isFirst(call);
-        Server server = itsTurn && now < latest ? draw(call, true, now) : null;
+        double latestSend = call.usefulUntil
+                - MIN_REMAINING_LATENCY_SHARE * LatencyEstimate.expected(call)
+                - KeyQueues.expectedWait(call);
+        double maxHold =
+                Math.min(extras.hold * call.type.aim(), MAX_HOLD_SHARE * (call.request.deadline() - call.arrivedAt));
+        double holdUntil = Math.min(latestSend, call.arrivedAt + maxHold);
+        boolean firstInQueue = KeyQueues.isFirst(call);
+        Server server = firstInQueue && now < latestSend ? draw(call, true, now) : null;
         if (server != null) {
             send(call, server, now);
         } else if (now < holdUntil && call.attempts.isEmpty()) {
-            double again = itsTurn ? Math.min(holdUntil, now + LOOK_AGAIN) : holdUntil;
-            actions.setTimer(call.id << 8 | HOLD_TIMER, again);
+            double retryAt = firstInQueue ? Math.min(holdUntil, now + DISPATCH_RETRY_MS) : holdUntil;
+            actions.setTimer(call.id << 8 | HOLD_TIMER, retryAt);
         } else {
-            answerUnserved(call, now);
+            refuseOrFail(call, now);
         }
     }
 
-    // ---- The draw ----------------------------------------------------------------------------------
+    // ---- Server selection --------------------------------------------------------------------------
 
     /**
-     * A ready server at random in proportion to 1/l, or null if none may be used; one that the request has tried only
-     * when all have been tried and nothing is out.
+     * Draws an eligible ready server at random in proportion to 1/l; returns null if there is none. A server that the
+     * request has already tried is drawn only if no other is eligible and no attempt of the request is in flight.
      */
-    private Server draw(Call call, boolean untried, double now) {
+    private Server draw(Call call, boolean untriedOnly, double now) {
         double total = 0;
-        double tries = 0;
+        double finished = 0;
         for (Server server : call.view.ready) {
-            tries += server.tries;
-            boolean usable = AttemptRules.mayGoTo(call, server, now)
-                    && !(untried && call.tried(server))
+            finished += server.finished;
+            boolean eligible = AttemptRules.mayGoTo(call, server, now)
+                    && !(untriedOnly && call.tried(server))
                     && SlowStart.maySend(server, settings().rules(), now);
-            server.weight = usable ? 1 / cost(server, call, now) : 0;
+            server.weight = eligible ? 1 / cost(server, call, now) : 0;
             total += server.weight;
         }
-        evidence = tries / Math.max(1, call.view.ready.size());
+        recentCallsPerServer = finished / Math.max(1, call.view.ready.size());
         double point = random.nextDouble() * total;
-        Server drawn = null;
+        Server picked = null;
         for (Server server : call.view.ready) {
             if (server.weight > 0 && point >= 0) {
-                drawn = server;
+                picked = server;
                 point -= server.weight;
             }
         }
-        return drawn == null && untried && call.running == 0 ? draw(call, false, now) : drawn;
+        return picked == null && untriedOnly && call.running == 0 ? draw(call, false, now) : picked;
     }
 
     private double cost(Server server, Call call, double now) {
         return ServerCost.of(
-                server, call, evidence, SlowStart.warmth(server, settings().rules(), now), now);
+                server,
+                call,
+                recentCallsPerServer,
+                SlowStart.capacityShare(server, settings().rules(), now),
+                now);
     }
 
     // ---- The send ----------------------------------------------------------------------------------
 
     private void send(Call call, Server server, double now) {
         Attempt attempt = new Attempt(call, server, now);
-        double timeout = call.usefulEnd - now;
+        double timeout = call.usefulUntil - now;
         double expected = LatencyEstimate.expected(call);
         double slowAfter = LatencyEstimate.slowAfter(call);
         boolean repeatable = call.type.repeat() != Repeat.AT_MOST_ONCE && !call.type.streamed();
         if (repeatable && call.limits().parallel() && slowAfter + expected < timeout) {
             actions.setTimer(call.id << 8 | attempt.number, now + slowAfter);
-        } else if (repeatable && extraCalls >= 1 && GIVE_UP * slowAfter + expected < timeout) {
-            timeout = GIVE_UP * slowAfter;
+        } else if (repeatable && extraAttemptBudget >= 1 && TIMEOUT_SLOW_DELAYS * slowAfter + expected < timeout) {
+            timeout = TIMEOUT_SLOW_DELAYS * slowAfter;
         }
         call.attempts.add(attempt);
         call.running++;
-        server.out.addLast(attempt);
+        server.inFlight.addLast(attempt);
         SlowStart.onSend(server, settings().rules(), now);
         if (settings().tier() == 0) {
-            actions.setTimer(call.id << 8 | STRAIN_TIMER | attempt.number, now + OverloadControl.strainedAfter(call));
+            actions.setTimer(
+                    call.id << 8 | OVERLOAD_TIMER | attempt.number, now + OverloadControl.overloadThreshold(call));
         }
-        actions.send(call.id, server.listed.id(), timeout);
+        actions.send(call.id, server.entry.id(), timeout);
     }
 
-    /** A call is slower than nearly all: a second copy elsewhere, if the budget has one. */
+    /** Handles a due timer: watch retry, dispatch retry, overload signal, or a slow call that may be hedged. */
     @Override
     public void timer(double now, long token) {
         if (token == WATCH_TOKEN) {
@@ -206,25 +225,25 @@
             return;
         }
         if (call.done) {
-            forgetIfSettled(call, now);
+            removeIfSettled(call, now);
         } else if (number == HOLD_TIMER && call.attempts.isEmpty()) {
             dispatch(call, now);
-        } else if (number >= STRAIN_TIMER && number < HOLD_TIMER) {
-            // Overload is felt when a call becomes overdue: by the time it ends, a crowd has gathered.
-            Attempt attempt = call.attempts.get(number - STRAIN_TIMER);
+        } else if (number >= OVERLOAD_TIMER && number < HOLD_TIMER) {
+            // Overload is reported when a call becomes overdue; until it ends, many more calls would queue up.
+            Attempt attempt = call.attempts.get(number - OVERLOAD_TIMER);
             if (attempt.result == null && !attempt.streaming) {
-                attempt.strained = true;
+                attempt.countedAsOverload = true;
                 OverloadControl.observe(call, false, now);
             }
         } else if (!call.streaming
                 && call.attempts.size() == number + 1
                 && call.attempts.get(number).result == null
-                && extraCalls >= 1
-                && call.record.leader.pressure < CALM
-                && call.usefulEnd - now > LatencyEstimate.expected(call)) {
+                && extraAttemptBudget >= 1
+                && call.record.placementHead.pressure < MAX_HEDGING_PRESSURE
+                && call.usefulUntil - now > LatencyEstimate.expected(call)) {
             Server server = draw(call, true, now);
             if (server != null) {
-                extraCalls -= 1;
+                extraAttemptBudget -= 1;
                 send(call, server, now);
             }
         }
@@ -242,81 +261,85 @@
         }
         Attempt attempt = call.attempts.get(outcome.attempt());
         attempt.result = outcome.result();
-        attempt.server.out.remove(attempt);
+        attempt.server.inFlight.remove(attempt);
         call.running--;
         if (outcome.result() == Result.TIMEOUT
                 || outcome.result() == Result.RESET
                 || outcome.result() == Result.CANCELLED) {
-            call.restsUntil = now + call.view.settings.rules().orderSettle();
+            call.mayRunUntil = now + call.view.settings.rules().orderSettle();
         }
-        learn(attempt, outcome, now);
-        boolean inGoodTime = outcome.elapsed() < OverloadControl.strainedAfter(call);
-        // What breaks at once is a sign of an unhealthy server: to refuse others would not help.
-        boolean unhealthy = inGoodTime
+        recordOutcome(attempt, outcome, now);
+        boolean inTime = outcome.elapsed() < OverloadControl.overloadThreshold(call);
+        // A fast failure indicates an unhealthy server rather than overload; shedding load would not help.
+        boolean unhealthy = inTime
                 && (outcome.result() == Result.ERROR
                         || outcome.result() == Result.RESET
                         || outcome.result() == Result.CONNECT_FAILED);
-        if (settings().tier() == 0 && !attempt.strained && outcome.result() != Result.CANCELLED && !unhealthy) {
-            OverloadControl.observe(call, outcome.result() == Result.OK && inGoodTime, now);
+        if (settings().tier() == 0
+                && !attempt.countedAsOverload
+                && outcome.result() != Result.CANCELLED
+                && !unhealthy) {
+            OverloadControl.observe(call, outcome.result() == Result.OK && inTime, now);
         }
         if (outcome.result() == Result.OK && attempt.number > 0) {
-            // It served where another did not: unhealthy servers, not overload, so as many again are due.
-            extraCalls = Math.min(extras.saved, extraCalls + extras.redraw);
+            // A retry that succeeds indicates unhealthy servers rather than overload, so the budget is refilled.
+            extraAttemptBudget = Math.min(extras.saved, extraAttemptBudget + extras.redraw);
         }
-        freeConnection(attempt.server, outcome.result(), now);
+        closeIdleIfTableFull(attempt.server, outcome.result(), now);
         if (staleList.onOutcome(attempt.server, outcome.result(), settings(), now)) {
             actions.watch(true);
         }
         if (outcome.closed() || call.done) {
-            over(call, now);
+            finishCall(call, now);
         } else if (call.running == 0) {
-            tryAgain(call, outcome.result(), now);
+            retryOrAnswer(call, outcome.result(), now);
         }
     }
 
     /**
-     * Idle connections of many balancers fill a server's table, and it turns callers away though it has time to spare.
-     * Whoever meets a full table gives back what it does not use there, as long as idle ones last. Elsewhere
-     * connections stay: a failed connect may as well mean that a server is down.
+     * Idle connections of many balancers can fill a server's connection table, so that the server rejects callers
+     * although it has capacity. After a failed connect this instance closes its idle connections to that server, for as
+     * long as an idle connection lives. Connections to other servers stay open, as the failed connect may also mean
+     * that the server is down.
      */
-    private void freeConnection(Server server, Result result, double now) {
+    private void closeIdleIfTableFull(Server server, Result result, double now) {
         if (result == Result.CONNECT_FAILED) {
-            server.crowdedUntil = now + settings().limits().connectionIdle();
+            server.tableFullUntil = now + settings().limits().connectionIdle();
         }
-        if (now < server.crowdedUntil && server.out.isEmpty()) {
-            actions.closeIdle(server.listed.id());
+        if (now < server.tableFullUntil && server.inFlight.isEmpty()) {
+            actions.closeIdle(server.entry.id());
         }
     }
 
-    /** Another attempt if rule, time and budget allow; otherwise the final answer. */
-    private void tryAgain(Call call, Result result, double now) {
-        double price = result.neverRan() ? extras.redraw : 1;
-        if (result == Result.NOT_SENT || extraCalls < price) {
-            answerUnserved(call, now);
+    /** Dispatches another attempt if the budget allows it; otherwise gives the final answer. */
+    private void retryOrAnswer(Call call, Result result, double now) {
+        double budgetCost = result.neverRan() ? extras.redraw : 1;
+        if (result == Result.NOT_SENT || extraAttemptBudget < budgetCost) {
+            refuseOrFail(call, now);
         } else {
-            extraCalls -= price;
+            extraAttemptBudget -= budgetCost;
             dispatch(call, now);
         }
     }
 
-    /** Rule 1's one final answer: a refusal only where trying again is known to be harmless. */
-    private void answerUnserved(Call call, double now) {
+    /** Gives the final answer of rule 1: a refusal only if the client can safely retry, otherwise a failure. */
+    private void refuseOrFail(Call call, double now) {
         if (AttemptRules.mayRefuse(call)) {
-            actions.refuse(call.id, call.limits().retryAfter() ? comeBackAfter(call) : 0);
+            actions.refuse(call.id, call.limits().retryAfter() ? adviseRetryAfter(call) : 0);
         } else {
             actions.fail(call.id);
         }
-        over(call, now);
+        finishCall(call, now);
     }
 
-    /** When a refused client ought to return: the later, the more has to go before there is room for it. */
-    private double comeBackAfter(Call call) {
-        double longest = Math.min(call.limits().maxRetryAfter(), RETURN_SHARE * call.type.aim());
-        return Math.min(longest, LOOK_AGAIN + longest * call.record.leader.pressure);
+    /** The retry-after advice for a refused client in ms; grows with the pressure. */
+    private double adviseRetryAfter(Call call) {
+        double maxRetryAfter = Math.min(call.limits().maxRetryAfter(), MAX_RETRY_AFTER_AIM_SHARE * call.type.aim());
+        return Math.min(maxRetryAfter, DISPATCH_RETRY_MS + maxRetryAfter * call.record.placementHead.pressure);
     }
 
-    /** The request has its answer: copies still out only waste work. */
-    private void over(Call call, double now) {
+    /** Marks the request as answered and cancels its attempts in flight, as their work would be wasted. */
+    private void finishCall(Call call, double now) {
         for (Attempt attempt : call.attempts) {
             if (!call.done
                     && attempt.result == null
@@ -326,15 +349,15 @@
             }
         }
         call.done = true;
-        forgetIfSettled(call, now);
+        removeIfSettled(call, now);
     }
 
-    private void forgetIfSettled(Call call, double now) {
+    private void removeIfSettled(Call call, double now) {
         if (call.running > 0) {
             return;
         }
-        if (call.queue != null && now < call.restsUntil) {
-            actions.setTimer(call.id << 8 | HOLD_TIMER, call.restsUntil);
+        if (call.queue != null && now < call.mayRunUntil) {
+            actions.setTimer(call.id << 8 | HOLD_TIMER, call.mayRunUntil);
         } else if (calls.remove(call.id) != null && call.queue != null) {
             Call next = queues.remove(call);
             if (next != null) {
@@ -357,29 +380,32 @@
     public void clientGone(double now, long requestId) {
         Call call = calls.get(requestId);
         if (call != null) {
-            over(call, now);
+            finishCall(call, now);
         }
     }
 
-    // ---- The evidence behind l ---------------------------------------------------------------------
+    // ---- Server statistics --------------------------------------------------------------------------
 
-    /** Served calls succeed; errors, full, time-outs, failed and reset connections count against s. */
-    private void learn(Attempt attempt, Outcome outcome, double now) {
+    /**
+     * Counts served calls as successes; errors, rejections, timeouts, failed and reset connections lower the success
+     * share.
+     */
+    private void recordOutcome(Attempt attempt, Outcome outcome, double now) {
         Server server = attempt.server;
         Result result = outcome.result();
-        // The copy that lost is evidence only when overdue, and then the same as a time-out.
+        // A cancelled copy counts only if it was overdue, and then like a timeout.
         boolean tooEarly = result == Result.CANCELLED && outcome.elapsed() <= LatencyEstimate.slowAfter(attempt.call);
         if (result == Result.NOT_SENT || tooEarly) {
             return;
         }
-        server.fade(now);
-        server.count(attempt.call.record.index, result == Result.OK);
+        server.decay(now);
+        server.countOutcome(attempt.call.record.index, result == Result.OK);
         if (result == Result.OK) {
             if (!attempt.streaming) {
                 LatencyEstimate.observe(attempt, outcome.elapsed());
             }
         } else if (result == Result.CANCELLED || result == Result.TIMEOUT) {
-            LatencyEstimate.observeGivenUp(attempt.call.record);
+            LatencyEstimate.observeAbandoned(attempt.call.record);
         }
     }
 
@@ -389,7 +415,7 @@
     public void upstreamsChanged(double now, Change change, List<Upstream> upstreams) {
         staleList.onAnswer(!upstreams.isEmpty(), settings(), now);
         if (change == Change.FAILED) {
-            double wait = ASK_AGAIN * (1 + random.nextDouble());
+            double wait = WATCH_RETRY_SHARE * (1 + random.nextDouble());
             actions.setTimer(WATCH_TOKEN, now + wait * settings().rules().askEvery());
         } else {
             servers.update(change, upstreams, slowStart, random, now);
--- a/src/main/java/sablehinge/policy/LoadBalancer.java
+++ b/src/main/java/sablehinge/policy/LoadBalancer.java
@@ -3,92 +3,93 @@
 import java.util.List;
 
 /**
- * The decisions of one load balancer instance: events go in, actions come out.
+ * The decisions of one load balancer instance: it receives events and requests actions.
  *
  * <p>An instance has no clock, thread or socket of its own. Its host calls one event method at a time, with the time of
- * the event, and executes what is requested by {@link Actions} during that call. All times are ms; the clock never goes
- * back and has no special zero. Same events, settings and seed give the same actions.
+ * the event, and executes the {@link Actions} requested during that call. All times are in ms; the clock is monotonic
+ * with an arbitrary origin. The same events, settings and seed give the same actions.
  */
 public interface LoadBalancer {
 
-    /** Begins; the first call, followed by a {@link Change#CACHED} list. */
+    /** Starts the instance; the first call, followed by a {@link Change#CACHED} list. */
     void start(double now, Settings settings, long seed);
 
     /**
-     * An update of the upstreams. {@link Change#DELTA} brings changed entries only, {@link Change#FULL} and
-     * {@link Change#CACHED} the complete list, {@link Change#FAILED} none: a call to the registry failed.
+     * An update of the upstreams. {@link Change#DELTA} contains changed entries only, {@link Change#FULL} and
+     * {@link Change#CACHED} the complete list, {@link Change#FAILED} none, as a call to the registry failed.
      */
     void upstreamsChanged(double now, Change change, List<Upstream> upstreams);
 
-    /** A request has arrived; the instance now owes it exactly one final answer. */
+    /** A request has arrived; the instance must give it exactly one final answer. */
     void request(double now, Request request);
 
     /**
-     * Other settings hold for what arrives from now on; what has come keeps its own, and goes only to servers listed
-     * under both. An object may be handed in again. A {@link Change#FULL} list follows if they differ.
+     * Activates settings for the requests that arrive from now on. Earlier requests keep their own settings and go only
+     * to servers that are listed in both versions. The same object may be activated again. A {@link Change#FULL} list
+     * follows if the lists of servers differ.
      */
     default void adopt(double now, Settings settings) {
-        throw new UnsupportedOperationException("the settings stay as they were at the start");
+        throw new UnsupportedOperationException("this load balancer does not support a change of settings");
     }
 
-    /** Nothing that came under such settings is left, and nothing goes back to them. */
+    /** No request with these settings is left, and they will not be activated again. */
     default void forget(double now, Settings settings) {}
 
     /** How an attempt ended; one such event for every {@link Actions#send}. */
     void attemptFinished(double now, Outcome outcome);
 
-    /** An answer that is streamed, or not complete at once, has begun: the time-out of its attempt is over. */
+    /** An answer that is streamed, or arrives in parts, has begun; the timeout of its attempt no longer applies. */
     void streamStarted(double now, long requestId, int attempt, double elapsed);
 
-    /** The client has left; nothing more is owed. Outcomes of running attempts still follow. */
+    /** The client has disconnected; no answer is needed. Outcomes of running attempts still follow. */
     void clientGone(double now, long requestId);
 
     /** A timer set by {@link Actions#setTimer} is due. */
     void timer(double now, long token);
 
-    /** The result of a health check; {@code report} is null where none came. */
+    /** The result of a health check; {@code report} is null if there was none. */
     default void healthCheckResult(double now, long upstream, Result result, double elapsed, double[] report) {}
 
     /** A message from another instance of the same tier. */
     default void peerMessage(double now, int sender, byte[] payload) {}
 
-    /** What an instance can ask of its host; all of it takes effect at the time of the event at hand. */
+    /** The actions that an instance can request from its host; they take effect at the time of the current event. */
     interface Actions {
 
-        /** Sends an attempt; those of a request are numbered 0, 1, 2 ... in the order of these calls. */
+        /** Sends an attempt; the attempts of a request are numbered 0, 1, 2 ... in the order of these calls. */
         void send(long requestId, long upstream, double timeout);
 
-        /** Final answer: refused, and trying again is harmless. 0 gives no advice on when. */
+        /** Final answer: refused, and a retry is safe. A {@code retryAfter} of 0 gives no advice on when to retry. */
         void refuse(long requestId, double retryAfter);
 
-        /** Final answer: failed, with no promise about effects. */
+        /** Final answer: failed; the request may have taken effect. */
         void fail(long requestId);
 
-        /** Stops waiting for one attempt. */
+        /** Cancels one attempt. */
         void cancel(long requestId, int attempt);
 
-        /** Checks on an upstream. */
+        /** Sends a health check to an upstream. */
         void healthCheck(long upstream);
 
         /** Closes this instance's idle connections to an upstream. */
         void closeIdle(long upstream);
 
-        /** Asks the registry once for the complete list. */
+        /** Requests the complete list from the registry once. */
         void fetch();
 
-        /** Subscribes to the registry's changes, or ends the subscription. */
+        /** Starts or ends the subscription to changes in the registry. */
         void watch(boolean on);
 
-        /** Asks for a {@link LoadBalancer#timer} event at or after the given time. */
+        /** Requests a {@link LoadBalancer#timer} event at or after the given time. */
         void setTimer(long token, double at);
 
-        /** Sends a message to one instance of this tier, or to all with {@link #ALL_PEERS}. */
+        /** Sends a message to one other instance of this tier, or to all of them with {@link #ALL_PEERS}. */
         void tell(int peer, byte[] payload);
 
-        /** Writes a line to the host's log. */
+        /** Writes a line to the log of the host. */
         void log(String text);
 
-        /** Every other instance of the tier. */
+        /** Addresses every other instance of the tier. */
         int ALL_PEERS = -1;
     }
 
@@ -100,7 +101,7 @@
         FAILED
     }
 
-    /** An upstream's state; a removed one is listed only in a {@link Change#DELTA}. */
+    /** State of an upstream; {@link #REMOVED} occurs only in a {@link Change#DELTA}. */
     enum State {
         REMOVED,
         READY,
@@ -108,14 +109,14 @@
     }
 
     /**
-     * One upstream as listed.
+     * An upstream in the list of the registry.
      *
      * @param id opaque address
      * @param zone index of its zone
      * @param kind index of its machine type
-     * @param cell the handful of upstreams that share which keys they have seen
+     * @param cell index of the small group of upstreams that share their record of seen keys
      * @param weight relative size, see {@link Settings#weightKind}
-     * @param startedAt when its process last started; 0 for long ago
+     * @param startedAt when its process last started; 0 if that was long ago
      */
     record Upstream(long id, int zone, int kind, int cell, State state, double weight, double startedAt) {
 
@@ -129,12 +130,12 @@
      *
      * @param serviceClass index into {@link Settings#classes}
      * @param tenant index into {@link Settings#tenants}
-     * @param key what ties requests together; 0 for none
-     * @param deadline when the client gives this try up
-     * @param cost expected work in ms of a standard core; 0 when not known
-     * @param retry whether the client marked it as a repeat
-     * @param write whether it changes something
-     * @param attempts the most that it may have, where the limits allow more; 0 for as many as they do
+     * @param key groups related requests; 0 for none
+     * @param deadline when the client abandons this attempt
+     * @param cost expected work in ms of a standard core; 0 if unknown
+     * @param retry whether the client marked it as a retry
+     * @param write whether it modifies state
+     * @param attempts upper bound of its attempts, below that of the limits; 0 for the bound of the limits
      */
     record Request(
             long id,
@@ -158,7 +159,7 @@
         CANCELLED,
         NOT_SENT;
 
-        /** Whether this proves that the attempt never ran. */
+        /** Whether this result proves that the attempt never ran. */
         public boolean neverRan() {
             return this == FULL || this == CONNECT_FAILED || this == NOT_SENT;
         }
@@ -167,7 +168,7 @@
     /**
      * The end of one attempt.
      *
-     * @param closed whether the request is over; otherwise it is still owed its final answer
+     * @param closed whether the request is finished; otherwise it still needs its final answer
      * @param elapsed time since the attempt was sent
      * @param report the upstream's load report in the order of {@link Settings#reportFields}, or null
      */
@@ -187,14 +188,14 @@
         AT_MOST_ONCE
     }
 
-    /** Which upstreams drop repeats of a request of a deduplicated class. */
+    /** Which upstreams discard duplicates of a request of a deduplicated class. */
     enum Group {
         ALL,
         ZONE,
         CELL
     }
 
-    /** How load reports come, if at all. */
+    /** How load reports are delivered, if at all. */
     enum Reports {
         PIGGYBACK,
         PROBE,
@@ -212,16 +213,16 @@
     /**
      * A class of requests.
      *
-     * @param aim answered within this it earns its full value
-     * @param aimStretch the aim grows by this many times the request's own work
-     * @param deadline how long a client waits over all its tries
-     * @param lateValue the share of the value left after the aim
-     * @param memory how long repeats are dropped, from the first attempt that may have run
+     * @param aim target latency; an answer within it has its full value
+     * @param aimStretch the aim grows by this multiple of the request's own work
+     * @param deadline how long a client waits over all its attempts
+     * @param lateValue the share of the value that an answer after the aim has
+     * @param memory how long duplicates are discarded, from the first attempt that may have run
      * @param streamed whether answers are streams
-     * @param inOrder whether requests of one key, over all such classes, take turns in order of arrival
-     * @param zones the only zones it may be sent to; null where any will do, empty where none will
-     * @param kinds the only machine types it may be sent to; null where any will do, empty where none will
-     * @param crossing growth of l across zones beside what the site's price makes of it, as for large bodies
+     * @param inOrder whether requests with the same key, over all such classes, run one at a time in order of arrival
+     * @param zones the zones it may be sent to; null for any, empty for none
+     * @param kinds the machine types it may be sent to; null for any, empty for none
+     * @param crossing growth of the cost l across zones in addition to that from the site's price, as for large bodies
      */
     record ServiceClass(
             String name,
@@ -239,7 +240,7 @@
             List<Integer> kinds,
             double crossing) {
 
-        /** Whether placement allows an upstream for this class, at any attempt. */
+        /** Whether placement allows this class to be sent to an upstream. */
         public boolean admits(Upstream upstream) {
             return (zones == null || zones.contains(upstream.zone()))
                     && (kinds == null || kinds.contains(upstream.kind()));
@@ -250,7 +251,7 @@
     record Tenant(String name, double share, double quotaPerSecond) {}
 
     /**
-     * What a site allows.
+     * The limits of a site.
      *
      * @param cpuPerRequest microseconds of CPU for a request with its outcomes; 0 for no limit
      * @param cpuPerSecond microseconds of CPU for an instance in a second
@@ -271,9 +272,9 @@
             double cpuPerSecond) {}
 
     /**
-     * The figures of the rules; see {@code docs/design.md}.
+     * The parameters of the rules; see {@code docs/design.md}.
      *
-     * @param orderSettle how long a key rests after an attempt that may still run was given up
+     * @param orderSettle how long requests of a key wait after an abandoned attempt that may still run
      */
     record Rules(
             double answerGrace,
@@ -286,11 +287,12 @@
             double orderSettle) {}
 
     /**
-     * The weights of the parts of the result; a part that a site leaves out weighs 0.
+     * The weights of the components of the score; a component that a site omits has weight 0.
      *
-     * @param tail value counts in full only while at most the share {@code tailMiss} misses its aim; what is refused
-     *     inside the aim is no miss
-     * @param nines tenfold steps by which the unserved value lies below the total, full at {@code topNines}
+     * @param tail weight of the tail: the value counts in full only while at most the share {@code tailMiss} misses its
+     *     aim; a request refused within the aim is no miss
+     * @param nines weight of the number of tenfold steps by which the unserved value is below the total, full at
+     *     {@code topNines}
      */
     record Goal(
             double exact,
@@ -302,7 +304,7 @@
             double nines,
             double topNines) {}
 
-    /** Points taken off the result, each for its share or rate. */
+    /** Penalties subtracted from the score, each multiplied by its share or rate. */
     record Prices(
             double crossZone,
             double healthCheck,
@@ -316,14 +318,14 @@
     /**
      * The settings of an instance.
      *
-     * @param position this instance's number among its siblings
-     * @param siblings how many instances its tier has
-     * @param tier the tier it sends to, 0 being the one that clients reach
-     * @param subscribe whether the registry tells only those who ask
-     * @param passesDeadline whether calls between tiers carry the time their caller has left
-     * @param warmKeys whether an upstream that served a key lately serves it cheaper
+     * @param position index of this instance among its siblings
+     * @param siblings number of instances in its tier
+     * @param tier the tier it sends to; 0 is the one that clients reach
+     * @param subscribe whether the registry sends updates only to subscribers
+     * @param passesDeadline whether calls between tiers carry the remaining time of their caller
+     * @param warmKeys whether an upstream that recently served a key serves it at a lower cost
      * @param valueByWork whether value counts per unit of work rather than per request
-     * @param overShareValue the value of a request beyond its tenant's share, of its class's value
+     * @param overShareValue the value of a request beyond its tenant's share, as a fraction of the value of its class
      */
     record Settings(
             int position,
--- a/src/main/java/sablehinge/policy/Mean.java
+++ b/src/main/java/sablehinge/policy/Mean.java
@@ -1,15 +1,15 @@
 package sablehinge.policy;
 
-/** An average that forgets: its first samples weigh more, down to a steady gain. */
+/** Exponential moving average whose first samples weigh more; the gain falls to a constant minimum. */
 final class Mean {
 
-    private final double leastGain;
+    private final double minGain;
     private double value;
     private double gain = 0.5;
 
-    Mean(double first, double leastGain) {
+    Mean(double first, double minGain) {
         value = first;
-        this.leastGain = leastGain;
+        this.minGain = minGain;
     }
 
     double value() {
@@ -18,6 +18,6 @@
 
     void add(double sample) {
         value += gain * (sample - value);
-        gain = Math.max(leastGain, gain / (1 + gain));
+        gain = Math.max(minGain, gain / (1 + gain));
     }
 }
--- a/src/main/java/sablehinge/policy/OverloadControl.java
+++ b/src/main/java/sablehinge/policy/OverloadControl.java
@@ -6,101 +6,104 @@
 import sablehinge.policy.LoadBalancer.Settings;
 
 /**
- * Load shedding: when every l rises together, weights say nothing. Under overload all would be late, so a part of the
- * work is refused before any is spent on it: only where clients arrive, since further down a refusal wastes what was
- * done above.
+ * Load shedding. When the costs of all servers rise together, the weights cannot relieve any of them and all requests
+ * would be late, so a part of the work is refused on arrival. Only the first tier sheds load: a refusal in a later tier
+ * wastes the work already done in the tiers before it.
  */
 final class OverloadControl {
 
-    /** Change of the share of work refused in a second of signs of overload, and in one of the opposite. */
-    private static final double PRESSURE_UP = 0.9;
+    /** Rise of the pressure per second of overload signals, and its fall per second of calls served in time. */
+    private static final double PRESSURE_RISE_PER_SECOND = 0.9;
 
-    private static final double PRESSURE_DOWN = 0.22;
-    /** The longest time in ms for which one outcome stands. */
-    private static final double MAX_GAP = 250;
+    private static final double PRESSURE_FALL_PER_SECOND = 0.22;
+    /** Longest time for which a single signal counts. */
+    private static final double MAX_SIGNAL_GAP_MS = 250;
 
     private static final double MAX_PRESSURE = 0.95;
     private static final int PLAN_STEPS = 10;
-    /** A plan may miss the pressure by the work over this. */
+    /** A plan is valid if the work it fails to refuse is below the total work divided by this. */
     private static final double PLAN_PRECISION = 1_000;
-    /** Least share of the requests that a class is reckoned with; keeps ratios finite. */
+    /** Added to the request share of every class; keeps ratios finite. */
     private static final double MIN_SHARE = 1e-6;
-    /** A first-tier call that takes more of its aim than this, and its value when late, tells of overload. */
-    private static final double STRAINED = 0.5;
+    /** A first-tier call is a sign of overload from this share of its aim plus its value when late. */
+    private static final double OVERLOAD_AIM_SHARE = 0.5;
 
     private OverloadControl() {}
 
-    /** The latency in ms from which a call of the first tier is a sign of overload. */
-    static double strainedAfter(Call call) {
-        return (STRAINED + call.type.lateValue()) * call.type.aim() * Math.max(1, call.size());
+    /** The latency in ms from which a first-tier call counts as a sign of overload. */
+    static double overloadThreshold(Call call) {
+        return (OVERLOAD_AIM_SHARE + call.type.lateValue()) * call.type.aim() * Math.max(1, call.relativeCost());
     }
 
     /**
-     * Each sign stands for the time since the one before: the level moves as fast where traffic is thin, or where so
-     * much is refused that few outcomes come, and does not outlast its cause.
+     * Updates the pressure with one signal. Each signal counts for the time since the previous one, so the pressure
+     * changes equally fast with little traffic, or when most requests are refused and few outcomes arrive, and falls
+     * soon after the overload ends.
      *
-     * @param inTime whether the call was served in good time
+     * @param inTime whether the call was served below the overload threshold
      */
     static void observe(Call call, boolean inTime, double now) {
-        ClassRecord leader = call.record.leader;
-        double seconds = Math.min(MAX_GAP, now - leader.feltAt) / 1_000;
-        leader.feltAt = now;
-        double changed = leader.pressure + (inTime ? -PRESSURE_DOWN : PRESSURE_UP) * seconds;
-        leader.pressure = Math.min(MAX_PRESSURE, Math.max(0, changed));
+        ClassRecord placementHead = call.record.placementHead;
+        double seconds = Math.min(MAX_SIGNAL_GAP_MS, now - placementHead.pressureUpdatedAt) / 1_000;
+        placementHead.pressureUpdatedAt = now;
+        double updated =
+                placementHead.pressure + (inTime ? -PRESSURE_FALL_PER_SECOND : PRESSURE_RISE_PER_SECOND) * seconds;
+        placementHead.pressure = Math.min(MAX_PRESSURE, Math.max(0, updated));
     }
 
-    /** Counts a request that arrives, and decides whether it is refused at once. */
-    static boolean shed(Call call, SplittableRandom random) {
+    /** Counts an arriving request and decides whether to refuse it. */
+    static boolean shouldShed(Call call, SplittableRandom random) {
         for (ClassRecord c : call.view.classes) {
             c.share += ClassRecord.GAIN * ((c == call.record ? 1 : 0) - c.share);
         }
-        if (call.record.leader.pressure == 0) {
+        if (call.record.placementHead.pressure == 0) {
             return false;
         }
-        plan(call.view, call.record.leader);
-        return random.nextDouble() < call.record.refused;
+        planRefusals(call.view, call.record.placementHead);
+        return random.nextDouble() < call.record.refusedShare;
     }
 
     /**
-     * How much of each class to refuse so that the pressure's share of their work goes, at least loss: the cheapest
-     * value per work first, but no class more than pays: the worst one counts by itself too. Classes of one placement
-     * share their pressure: what is bound to crowded servers is shed alone.
+     * Decides which share of each class to refuse, so that the refused work matches the pressure at minimal loss of
+     * value. Classes with the lowest value per work are refused first. As the goal also weighs the worst class by
+     * itself, plans with different upper bounds of the refused share are compared. Classes with the same placement
+     * share their pressure, so the classes restricted to overloaded servers are shed alone.
      */
-    private static void plan(View view, ClassRecord leader) {
+    private static void planRefusals(View view, ClassRecord placementHead) {
         Settings settings = view.settings;
         ClassRecord[] cheapestFirst = Arrays.stream(view.classes)
-                .filter(c -> c.leader == leader)
+                .filter(c -> c.placementHead == placementHead)
                 .sorted(Comparator.comparingDouble(c -> value(c, settings) / work(c)))
                 .toArray(ClassRecord[]::new);
-        double allWork =
+        double totalWork =
                 Arrays.stream(cheapestFirst).mapToDouble(OverloadControl::work).sum();
         double totalValue = Arrays.stream(cheapestFirst)
                 .mapToDouble(c -> value(c, settings))
                 .sum();
-        double forWorst = settings.goal().worstClass();
-        double[] parts = new double[cheapestFirst.length];
-        double leastLoss = Double.MAX_VALUE;
+        double worstClassWeight = settings.goal().worstClass();
+        double[] refusedShares = new double[cheapestFirst.length];
+        double minLoss = Double.MAX_VALUE;
         for (int step = 1; step <= PLAN_STEPS; step++) {
-            double maxPart = (double) step / PLAN_STEPS;
-            double left = leader.pressure * allWork;
-            double loss = forWorst * maxPart;
-            for (int i = 0; i < parts.length; i++) {
-                parts[i] = Math.min(maxPart, left / work(cheapestFirst[i]));
-                left -= parts[i] * work(cheapestFirst[i]);
-                loss += (1 - forWorst) * parts[i] * value(cheapestFirst[i], settings) / totalValue;
+            double maxShare = (double) step / PLAN_STEPS;
+            double remainingWork = placementHead.pressure * totalWork;
+            double loss = worstClassWeight * maxShare;
+            for (int i = 0; i < refusedShares.length; i++) {
+                refusedShares[i] = Math.min(maxShare, remainingWork / work(cheapestFirst[i]));
+                remainingWork -= refusedShares[i] * work(cheapestFirst[i]);
+                loss += (1 - worstClassWeight) * refusedShares[i] * value(cheapestFirst[i], settings) / totalValue;
             }
-            if (left < allWork / PLAN_PRECISION && loss < leastLoss) {
-                leastLoss = loss;
-                for (int i = 0; i < parts.length; i++) {
-                    cheapestFirst[i].refused = parts[i];
+            if (remainingWork < totalWork / PLAN_PRECISION && loss < minLoss) {
+                minLoss = loss;
+                for (int i = 0; i < refusedShares.length; i++) {
+                    cheapestFirst[i].refusedShare = refusedShares[i];
                 }
             }
         }
     }
 
-    /** A class's part of the work requested; hints tell it best, else served latencies. */
+    /** The class's part of the requested work, from cost hints if available, otherwise from served latencies. */
     private static double work(ClassRecord c) {
-        return (c.share + MIN_SHARE) * (c.hint.value() > 0 ? c.hint.value() : c.latency.value());
+        return (c.share + MIN_SHARE) * (c.costHint.value() > 0 ? c.costHint.value() : c.latency.value());
     }
 
     private static double value(ClassRecord c, Settings settings) {
--- a/src/main/java/sablehinge/policy/Server.java
+++ b/src/main/java/sablehinge/policy/Server.java
@@ -3,21 +3,21 @@
 import java.util.ArrayDeque;
 import java.util.Arrays;
 
-/** What was seen of one server by this instance: sums of evidence that fade, no decisions. */
+/** This instance's statistics of one server as decaying sums; makes no decisions. */
 final class Server {
 
-    /** Ms in which evidence fades to 1/e: shorter than most faults, so an unhealthy server is retried. */
-    private static final double EVIDENCE_FADE = 8_000;
-    /** Ms between refreshes of a server's faded evidence; far below the fade, it only saves CPU. */
-    private static final double FADE_STEP = 200;
-    /** Samples that the mean of a server's machine type weighs in its base, as most bases rest on few. */
-    private static final double BASE_POOL = 2;
-    /** Calls that its machine type's record weighs in s: a faulty type shows in all its servers. */
-    private static final double SUCCESS_POOL = 2;
-    /** Calls that a server's record over all classes weighs in s for one: it may fail one class or all. */
-    private static final double CLASS_POOL = 1;
-
-    /** What was seen of a machine type: mean relative latency and share of calls served. */
+    /** Time in which statistics decay to 1/e; shorter than most faults, so an unhealthy server is tried again. */
+    private static final double EVIDENCE_DECAY_MS = 8_000;
+    /** Minimum time between decay steps; far below the decay time, it only saves CPU. */
+    private static final double DECAY_STEP_MS = 200;
+    /** Weight in samples of the mean of the machine type in the relative latency, as most servers have few samples. */
+    private static final double LATENCY_PRIOR_SAMPLES = 2;
+    /** Weight in calls of the machine type in the success share: a faulty type affects all its servers. */
+    private static final double SUCCESS_PRIOR_CALLS = 2;
+    /** Weight in calls of all classes in the success share of one class: a server may fail one class or all. */
+    private static final double CLASS_PRIOR_CALLS = 1;
+
+    /** Statistics of a machine type: mean relative latency and share of calls served. */
     static final class Kind {
         final Mean latency;
         final Mean served;
@@ -28,93 +28,98 @@
         }
     }
 
-    LoadBalancer.Upstream listed;
+    LoadBalancer.Upstream entry;
     final Kind kind;
-    /** Own attempts in flight there, oldest first. */
-    final ArrayDeque<Call.Attempt> out = new ArrayDeque<>();
-    /** Served latencies relative to what was expected, and how many. */
+    /** This instance's attempts in flight at the server, oldest first. */
+    final ArrayDeque<Call.Attempt> inFlight = new ArrayDeque<>();
+    /** Sum and number of served latencies relative to the expected latency. */
     double latencySum;
 
     double latencyCount;
-    /** Own calls in flight there when these were sent. */
-    double crowdSum;
-    /** Calls served and ended there, of all classes and of each. */
+    /** Sum of the calls that were in flight at the server when the served ones were sent. */
+    double inFlightSum;
+    /** Calls served and calls finished, over all classes and by class. */
     double served;
 
-    double tries;
-    double[] servedOf;
-    double[] triesOf;
-    /** Whether it belongs to the subset of the fleet that this instance prefers. */
-    boolean preferred;
-    /** Sends that it has earned while warming up. */
+    double finished;
+    double[] servedByClass;
+    double[] finishedByClass;
+    /** Whether it belongs to the {@link ServerSubset} that this instance prefers. */
+    boolean inSubset;
+    /** Sends that are allowed to it while it warms up. */
     double warmUpBudget;
-    /** Until when it is taken to have a full table of connections. */
-    double crowdedUntil = Double.NEGATIVE_INFINITY;
-    /** Calls that it rejected or did not let connect since it last served one. */
+    /** Time until which its connection table is assumed to be full. */
+    double tableFullUntil = Double.NEGATIVE_INFINITY;
+    /** Rejections and failed connects since it last served a call. */
     int rejections;
-    /** Scratch for one draw. */
+    /** Scratch value of one draw or of one choice of the subset. */
     double weight;
 
-    private double fadedAt;
+    private double decayedAt;
 
-    Server(LoadBalancer.Upstream listed, Kind kind, int classes, double now, double warmUpBudget) {
-        servedOf = new double[classes];
-        triesOf = new double[classes];
-        this.listed = listed;
+    Server(LoadBalancer.Upstream entry, Kind kind, int classes, double now, double warmUpBudget) {
+        servedByClass = new double[classes];
+        finishedByClass = new double[classes];
+        this.entry = entry;
         this.kind = kind;
         this.warmUpBudget = warmUpBudget;
-        fadedAt = now;
+        decayedAt = now;
     }
 
-    /** Lets all evidence fade, at most once in {@link #FADE_STEP}. */
-    void fade(double now) {
-        if (now - fadedAt < FADE_STEP) {
+    /** Decays all statistics, at most once in {@link #DECAY_STEP_MS}. */
+    void decay(double now) {
+        if (now - decayedAt < DECAY_STEP_MS) {
             return;
         }
-        double kept = Math.exp((fadedAt - now) / EVIDENCE_FADE);
-        latencySum *= kept;
-        latencyCount *= kept;
-        crowdSum *= kept;
-        served *= kept;
-        tries *= kept;
-        for (int i = 0; i < triesOf.length; i++) {
-            servedOf[i] *= kept;
-            triesOf[i] *= kept;
+        double factor = Math.exp((decayedAt - now) / EVIDENCE_DECAY_MS);
+        latencySum *= factor;
+        latencyCount *= factor;
+        inFlightSum *= factor;
+        served *= factor;
+        finished *= factor;
+        for (int i = 0; i < finishedByClass.length; i++) {
+            servedByClass[i] *= factor;
+            finishedByClass[i] *= factor;
         }
-        fadedAt = now;
+        decayedAt = now;
     }
 
-    /** Has a place for a class that was not there before, in so many places in all. */
-    void begin(int serviceClass, int places) {
-        servedOf = Arrays.copyOf(servedOf, Math.max(places, servedOf.length));
-        triesOf = Arrays.copyOf(triesOf, servedOf.length);
-        servedOf[serviceClass] = 0;
-        triesOf[serviceClass] = 0;
+    /**
+     * Resets the statistics of a class.
+     *
+     * @param slots minimum length of the arrays by class
+     */
+    void addClass(int serviceClass, int slots) {
+        servedByClass = Arrays.copyOf(servedByClass, Math.max(slots, servedByClass.length));
+        finishedByClass = Arrays.copyOf(finishedByClass, servedByClass.length);
+        servedByClass[serviceClass] = 0;
+        finishedByClass[serviceClass] = 0;
     }
 
-    void count(int serviceClass, boolean wasServed) {
+    void countOutcome(int serviceClass, boolean wasServed) {
         kind.served.add(wasServed ? 1 : 0);
-        tries += 1;
-        triesOf[serviceClass] += 1;
+        finished += 1;
+        finishedByClass[serviceClass] += 1;
         if (wasServed) {
             served += 1;
-            servedOf[serviceClass] += 1;
+            servedByClass[serviceClass] += 1;
         }
     }
 
-    /** Latency relative to the mean of all servers, pooled with samples of its machine type. */
-    double base() {
-        return (latencySum + BASE_POOL * kind.latency.value()) / (latencyCount + BASE_POOL);
+    /** Mean latency relative to all servers, pooled with samples of its machine type. */
+    double relativeLatency() {
+        return (latencySum + LATENCY_PRIOR_SAMPLES * kind.latency.value()) / (latencyCount + LATENCY_PRIOR_SAMPLES);
     }
 
-    /** Mean of own calls in flight ahead of those served, pooled with some that found none. */
-    double crowd() {
-        return crowdSum / (latencyCount + BASE_POOL);
+    /** Mean number of calls already in flight when a served call was sent, pooled with samples of zero. */
+    double meanInFlight() {
+        return inFlightSum / (latencyCount + LATENCY_PRIOR_SAMPLES);
     }
 
-    /** A class's share of calls served, pooled with that of all classes, and that with its machine type's. */
+    /** Success share of a class, pooled with that of all classes, which is pooled with that of the machine type. */
     double success(int serviceClass) {
-        double all = (served + SUCCESS_POOL * kind.served.value()) / (tries + SUCCESS_POOL);
-        return (servedOf[serviceClass] + CLASS_POOL * all) / (triesOf[serviceClass] + CLASS_POOL);
+        double overall = (served + SUCCESS_PRIOR_CALLS * kind.served.value()) / (finished + SUCCESS_PRIOR_CALLS);
+        return (servedByClass[serviceClass] + CLASS_PRIOR_CALLS * overall)
+                / (finishedByClass[serviceClass] + CLASS_PRIOR_CALLS);
     }
 }
--- a/src/main/java/sablehinge/policy/StaleListDetector.java
+++ b/src/main/java/sablehinge/policy/StaleListDetector.java
@@ -5,34 +5,37 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /**
- * Decides when to request the list of servers although a watch is open. A watch may be dead without a sign, its
- * registry restarted or cut off, and what is listed as ready be long gone or draining. That shows in servers that take
- * nothing: then the watch is begun anew, which brings what was missed. Guards against any unnoticed loss of updates; a
- * server that crashed unnoticed looks the same, so the requests grow rare while no update comes, lest those of a large
- * fleet flood the registry. Times are ms.
+ * Decides when to renew the watch on the list of servers. A watch may fail silently, for example when the registry
+ * restarts or is partitioned, so that servers listed as ready are draining or gone. Servers that reject all calls
+ * indicate this; the watch is then renewed, which delivers the missed updates. As a crashed server looks the same, the
+ * interval between renewals doubles while no update arrives, so that a large fleet does not flood the registry. Times
+ * are in ms.
  */
 final class StaleListDetector {
 
-    /** Calls in a row that a listed server rejected or did not let connect: the list may be old. */
+    /** Consecutive rejections or failed connects of a listed server from which the list may be stale. */
     private static final int MAX_REJECTIONS = 3;
-    /** Least time without an update after which one is requested, of askEvery; it doubles while none comes. */
-    private static final double TRUST = 0.3;
+    /**
+     * Initial time without an update after which the watch is renewed, as a share of askEvery; doubles until one
+     * arrives.
+     */
+    private static final double MIN_TRUST_SHARE = 0.3;
 
-    /** When the registry last answered or was requested, and for how long that is trusted. */
+    /** Time at which the registry last answered or was requested, and for how long the list is trusted since. */
     private double updatedAt;
 
-    private double trust;
+    private double trustedForMs;
 
     StaleListDetector(double now) {
         updatedAt = now;
     }
 
-    /** Settings have come into force. */
+    /** Resets the trust interval from the settings. */
     void onSettings(Settings settings) {
-        trust = TRUST * settings.rules().askEvery();
+        trustedForMs = MIN_TRUST_SHARE * settings.rules().askEvery();
     }
 
-    /** The registry has answered, perhaps without any change. */
+    /** Handles an answer of the registry, {@code changed} if it lists any server. */
     void onAnswer(boolean changed, Settings settings, double now) {
         updatedAt = now;
         if (changed) {
@@ -40,7 +43,7 @@
         }
     }
 
-    /** An attempt has ended; whether the list is to be requested now. */
+    /** Handles the end of an attempt; returns whether the watch must be renewed now. */
     boolean onOutcome(Server server, Result result, Settings settings, double now) {
         if (result == Result.FULL || result == Result.CONNECT_FAILED) {
             server.rejections += 1;
@@ -49,11 +52,11 @@
         }
         boolean stale = settings.subscribe()
                 && server.rejections >= MAX_REJECTIONS
-                && server.listed.state() == State.READY
-                && now - updatedAt >= trust;
+                && server.entry.state() == State.READY
+                && now - updatedAt >= trustedForMs;
         if (stale) {
             updatedAt = now;
-            trust *= 2;
+            trustedForMs *= 2;
         }
         return stale;
     }
--- a/src/main/java/sablehinge/policy/View.java
+++ b/src/main/java/sablehinge/policy/View.java
@@ -4,24 +4,24 @@
 import java.util.List;
 import java.util.Set;
 
-/** A version of the settings with the servers listed under it; requests keep that under which they came. */
+/** A version of the settings with the servers listed in it. A request uses the version that was active on arrival. */
 final class View {
 
     final LoadBalancer.Settings settings;
     final ClassRecord[] classes;
-    /** The servers listed under it, by id, and those of them that are ready now under any. */
-    Set<Long> listed;
+    /** Ids of the servers listed in this version, and those of these servers that are ready now. */
+    Set<Long> listedIds;
 
     List<Server> ready = List.of();
 
-    View(LoadBalancer.Settings settings, ClassRecord[] classes, Set<Long> listed) {
+    View(LoadBalancer.Settings settings, ClassRecord[] classes, Set<Long> listedIds) {
         this.settings = settings;
         this.classes = classes;
-        this.listed = listed;
+        this.listedIds = listedIds;
     }
 
-    /** What was seen of a class of that name; null if it has none. */
-    ClassRecord named(String name) {
+    /** The record of the class with this name; null if there is none. */
+    ClassRecord classNamed(String name) {
         return Arrays.stream(classes)
                 .filter(c -> c.type.name().equals(name))
                 .findFirst()
