--- a/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
+++ b/src/main/java/sablehinge/policy/LatencyWeightedBalancer.java
@@ -25,7 +25,9 @@
     private static final double MIN_REMAINING_LATENCY_SHARE = 0.25;
     /** Delay before a request for which no server is available is dispatched again; well below any aim. */
     private static final double DISPATCH_RETRY_MS = 20;
-    /** Maximum share of its time for which a request waits for a server; the rest is left for the client to retry. */
+    /**
+     * Maximum share of the time to the deadline for which a request waits; the rest is left for the client to retry.
+     */
     private static final double MAX_HOLD_SHARE = 0.45;
     /**
      * Minimum delay before the watch is requested again after a failure, as a share of askEvery. A random delay of up
@@ -103,7 +105,7 @@
         return servers.current().settings;
     }
 
-    // ---- A request arrives -------------------------------------------------------------------------
+    // ---- Arrival of a request ----------------------------------------------------------------------
 
     @Override
     public void request(double now, Request request) {
@@ -122,7 +124,7 @@
             refuseOrFail(call, now);
             return;
         }
-        slowStart.earnSends(call, settings().rules(), now);
+        slowStart.addSendBudget(call, settings().rules(), now);
         queues.add(call);
         dispatch(call, now);
     }
@@ -188,7 +190,7 @@
                 now);
     }
 
-    // ---- The send ----------------------------------------------------------------------------------
+    // ---- Sending -----------------------------------------------------------------------------------
 
     private void send(Call call, Server server, double now) {
         Attempt attempt = new Attempt(call, server, now);
@@ -249,7 +251,7 @@
         }
     }
 
-    // ---- The outcome -------------------------------------------------------------------------------
+    // ---- Outcomes ----------------------------------------------------------------------------------
 
     @Override
     public void attemptFinished(double now, Outcome outcome) {
@@ -409,7 +411,7 @@
         }
     }
 
-    // ---- The list of servers -----------------------------------------------------------------------
+    // ---- Server list -------------------------------------------------------------------------------
 
     @Override
     public void upstreamsChanged(double now, Change change, List<Upstream> upstreams) {
--- a/src/main/java/sablehinge/policy/LoadBalancer.java
+++ b/src/main/java/sablehinge/policy/LoadBalancer.java
@@ -131,7 +131,7 @@
      * @param serviceClass index into {@link Settings#classes}
      * @param tenant index into {@link Settings#tenants}
      * @param key groups related requests; 0 for none
-     * @param deadline when the client abandons this attempt
+     * @param deadline when the client abandons this request
      * @param cost expected work in ms of a standard core; 0 if unknown
      * @param retry whether the client marked it as a retry
      * @param write whether it modifies state
@@ -215,7 +215,7 @@
      *
      * @param aim target latency; an answer within it has its full value
      * @param aimStretch the aim grows by this multiple of the request's own work
-     * @param deadline how long a client waits over all its attempts
+     * @param deadline how long a client waits in total, including its own retries
      * @param lateValue the share of the value that an answer after the aim has
      * @param memory how long duplicates are discarded, from the first attempt that may have run
      * @param streamed whether answers are streams
--- a/src/main/java/sablehinge/policy/SlowStart.java
+++ b/src/main/java/sablehinge/policy/SlowStart.java
@@ -48,7 +48,7 @@
      * add up to the limit. Requests are counted rather than sends, so that a fleet in which all servers warm up can
      * start; assuming at least half of the full capacity protects such a fleet from overload.
      */
-    void earnSends(Call call, Rules rules, double now) {
+    void addSendBudget(Call call, Rules rules, double now) {
         if (now >= warmUpEndsAt) {
             return;
         }
--- a/src/main/java/sablehinge/policy/StaleListDetector.java
+++ b/src/main/java/sablehinge/policy/StaleListDetector.java
@@ -19,7 +19,7 @@
      * Initial time without an update after which the watch is renewed, as a share of askEvery; doubles until one
      * arrives.
      */
-    private static final double MIN_TRUST_SHARE = 0.3;
+    private static final double INITIAL_TRUST_SHARE = 0.3;
 
     /** Time at which the registry last answered or was requested, and for how long the list is trusted since. */
     private double updatedAt;
@@ -32,10 +32,10 @@
 
     /** Resets the trust interval from the settings. */
     void onSettings(Settings settings) {
-        trustedForMs = MIN_TRUST_SHARE * settings.rules().askEvery();
+        trustedForMs = INITIAL_TRUST_SHARE * settings.rules().askEvery();
     }
 
-    /** Handles an answer of the registry, {@code changed} if it lists any server. */
+    /** Handles an answer or failure of the registry; {@code changed} if it contains upstreams. */
     void onAnswer(boolean changed, Settings settings, double now) {
         updatedAt = now;
         if (changed) {
