--- a/src/test/java/sablehinge/policy/Bench.java
+++ b/src/test/java/sablehinge/policy/BalancerHarness.java
@@ -16,7 +16,7 @@
 import sablehinge.policy.LoadBalancer.Settings;
 
 /** One instance in virtual time: hands it events, keeps its actions, rings its timers. */
-final class Bench implements LoadBalancer.Actions {
+final class BalancerHarness implements LoadBalancer.Actions {
 
     record Sent(long request, int attempt, long upstream, double timeout, double at) {}
 
@@ -42,15 +42,17 @@
             new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
     private long alarmsSet;
 
-    Bench(Settings settings, long seed) {
+    BalancerHarness(Settings settings, long seed) {
         this.settings = settings;
         balancer = new LatencyWeightedBalancer(this);
         balancer.start(now, settings, seed);
     }
 
-    void list(Change change, Sites.Server... servers) {
+    void list(Change change, TestSettings.Server... servers) {
         balancer.upstreamsChanged(
-                now, change, Arrays.stream(servers).map(Sites.Server::listed).toList());
+                now,
+                change,
+                Arrays.stream(servers).map(TestSettings.Server::listed).toList());
     }
 
     void adopt(Settings next) {
--- a/src/test/java/sablehinge/policy/EmbeddingExampleTest.java
+++ b/src/test/java/sablehinge/policy/EmbeddingExampleTest.java
@@ -30,8 +30,8 @@
 
     @Test
     void theExampleSendsItsRequest() {
-        Bench bench = new Bench(Sites.plain().build(), 1);
-        host(bench, Sites.plain().build(), 100_000);
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().build(), 1);
+        host(bench, TestSettings.plain().build(), 100_000);
         assertEquals(7, bench.lastSend().request());
         assertEquals(1, bench.lastSend().upstream());
     }
--- a/src/test/java/sablehinge/policy/ModuleTest.java
+++ b/src/test/java/sablehinge/policy/LatencyWeightedBalancerTest.java
@@ -19,15 +19,15 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /** Hand-made events in virtual time. */
-class ModuleTest {
+class LatencyWeightedBalancerTest {
 
     private static final double NOW = 100_000;
 
     @Test
     void picksAreInProportionToOneOverL() {
         // Two servers, one answering in half the time of the other: it is drawn twice as often.
-        Bench bench = new Bench(Sites.plain().build(), 7);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().build(), 7);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         for (int i = 0; i < 2_000; i++) {
             bench.request(i, 0);
             bench.advance(bench.lastSend().upstream() == 1 ? 100 : 200);
@@ -42,14 +42,14 @@
 
     @Test
     void failuresLowerAServersShareButDoNotEndIt() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 3);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 3);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         int toFailing = 0;
         for (int i = 0; i < 2_000; i++) {
             bench.request(i, 0);
             bench.advance(100);
             while (bench.isOpen(i)) {
-                Bench.Sent sent = bench.lastSend();
+                BalancerHarness.Sent sent = bench.lastSend();
                 toFailing += sent.upstream() == 1 ? 1 : 0;
                 bench.finish(sent, sent.upstream() == 1 ? Result.ERROR : Result.OK);
             }
@@ -61,8 +61,9 @@
     @Test
     void aRequestHasNoMoreAttemptsThanItsBudget() {
         for (int most = 1; most <= 3; most++) {
-            Bench bench = new Bench(Sites.plain().tier(1).build(), 3);
-            bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+            BalancerHarness bench =
+                    new BalancerHarness(TestSettings.plain().tier(1).build(), 3);
+            bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2), TestSettings.server(3));
             bench.bounded(1, 0, most);
             int attempts = 0;
             while (bench.isOpen(1)) {
@@ -73,8 +74,9 @@
         }
         int[] sent = new int[2];
         for (int most = 0; most <= 1; most++) {
-            Bench bench = new Bench(Sites.plain().tier(1).build(), 3);
-            bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+            BalancerHarness bench =
+                    new BalancerHarness(TestSettings.plain().tier(1).build(), 3);
+            bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2), TestSettings.server(3));
             // What is granted at the start is spent first, and what the hundred in the middle earn after
             // them.
             for (int i = 0; i < 140; i++) {
@@ -91,13 +93,14 @@
 
     @Test
     void aHungServerLosesItsShareBeforeItsCallsTimeOut() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 5);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().repeat(Repeat.AT_MOST_ONCE).build(), 5);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2), TestSettings.server(3));
         int hung = 0;
         for (int i = 0; i < 600; i++) {
             bench.request(i, 0);
             bench.advance(10);
-            Bench.Sent sent = bench.lastSend();
+            BalancerHarness.Sent sent = bench.lastSend();
             if (sent.upstream() != 1 || i < 300) {
                 bench.finish(sent, Result.OK);
             } else {
@@ -109,9 +112,9 @@
 
     @Test
     void oneOverdueCallIsEnoughToAvoidItsServer() {
-        Bench bench =
-                new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 5);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 5);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(0, 0);
         long hung = bench.lastSend().upstream();
         bench.advance(1_500);
@@ -126,8 +129,9 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunFails() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
         bench.finish(bench.lastSend(), Result.TIMEOUT);
         assertEquals(1, bench.sends.size());
@@ -137,8 +141,9 @@
 
     @Test
     void anUnsafeRequestThatProvablyNeverRanIsSentAgain() {
-        Bench bench = new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
         bench.finish(bench.lastSend(), Result.FULL);
         assertEquals(2, bench.sends.size());
@@ -147,8 +152,8 @@
 
     @Test
     void aKeyedRequestStaysInItsGroupAndWindow() {
-        Bench bench = new Bench(
-                Sites.plain()
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain()
                         .tier(1)
                         .repeat(Repeat.DEDUPLICATED)
                         .group(Group.CELL)
@@ -157,12 +162,12 @@
                 1);
         bench.list(
                 Change.CACHED,
-                Sites.server(1).cell(0),
-                Sites.server(2).cell(0),
-                Sites.server(3).cell(1));
+                TestSettings.server(1).cell(0),
+                TestSettings.server(2).cell(0),
+                TestSettings.server(3).cell(1));
         for (int i = 0; i < 50; i++) {
             bench.request(i, 0);
-            Bench.Sent first = bench.lastSend();
+            BalancerHarness.Sent first = bench.lastSend();
             bench.finish(first, Result.ERROR);
             if (first.upstream() == 3) {
                 assertTrue(bench.failed.contains((long) i) || bench.lastSend().upstream() == 3);
@@ -182,12 +187,12 @@
 
     @Test
     void nothingGoesToAServerThatDrainsOrIsGone() {
-        Bench bench = new Bench(Sites.plain().build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2), TestSettings.server(3));
         bench.list(
                 Change.DELTA,
-                Sites.server(1).state(State.DRAINING),
-                Sites.server(2).state(State.REMOVED));
+                TestSettings.server(1).state(State.DRAINING),
+                TestSettings.server(2).state(State.REMOVED));
         for (int i = 0; i < 100; i++) {
             bench.request(i, 0);
             assertEquals(3, bench.lastSend().upstream());
@@ -197,32 +202,33 @@
 
     @Test
     void aRequestWithoutAnyReadyServerWaitsForOneAndIsAnsweredInTime() {
-        Bench bench = new Bench(Sites.plain().build(), 1);
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().build(), 1);
         bench.list(Change.CACHED);
         bench.request(1, 0);
         bench.request(2, 0);
         assertTrue(bench.isOpen(1) && bench.sends.isEmpty());
         bench.advance(100);
-        bench.list(Change.FULL, Sites.server(1));
+        bench.list(Change.FULL, TestSettings.server(1));
         bench.advance(50);
         assertEquals(2, bench.sends.size());
-        bench.list(Change.DELTA, Sites.server(1).state(State.REMOVED));
+        bench.list(Change.DELTA, TestSettings.server(1).state(State.REMOVED));
         bench.request(3, 0);
         bench.advance(5_000);
         assertEquals(List.of(3L), bench.refused);
         // A request that nothing was sent for is given back while its client can still use its time.
         bench.request(4, 0);
-        bench.advance(Sites.DEADLINE * 0.48);
+        bench.advance(TestSettings.DEADLINE * 0.48);
         assertEquals(List.of(3L, 4L), bench.refused);
-        assertTrue(bench.retryAfter > 0 && bench.retryAfter <= Sites.AIM / 2, "after " + bench.retryAfter);
+        assertTrue(bench.retryAfter > 0 && bench.retryAfter <= TestSettings.AIM / 2, "after " + bench.retryAfter);
     }
 
     @Test
     void aSecondCopyFollowsASlowCallAndTheLoserIsCancelled() {
-        Bench bench = new Bench(Sites.plain().parallel(true).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().parallel(true).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
-        Bench.Sent first = bench.lastSend();
+        BalancerHarness.Sent first = bench.lastSend();
         bench.advance(1_000);
         assertEquals(2, bench.sends.size());
         bench.finish(bench.lastSend(), Result.OK);
@@ -233,8 +239,8 @@
 
     @Test
     void extraAttemptsStayBoundedWhenEverythingFails() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2), TestSettings.server(3));
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
             while (bench.isOpen(i)) {
@@ -248,8 +254,8 @@
 
     @Test
     void extraAttemptsThatServeAreNotBoundedByTheBudget() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2), TestSettings.server(3));
         int served = 0;
         for (int i = 0; i < 500; i++) {
             bench.request(i, 0);
@@ -264,8 +270,8 @@
 
     @Test
     void idleConnectionsAreGivenBackOnlyToTheServerThatTurnsConnectionsAway() {
-        Bench bench = new Bench(Sites.plain().build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
         bench.finish(bench.lastSend(), Result.OK);
         assertEquals(0, bench.closed);
@@ -284,10 +290,11 @@
         int servers = 10;
         int toWarmingUp = 0;
         for (int s = 0; s < siblings; s++) {
-            Bench bench = new Bench(Sites.plain().siblings(siblings).build(), s);
-            Sites.Server[] list = new Sites.Server[servers];
+            BalancerHarness bench =
+                    new BalancerHarness(TestSettings.plain().siblings(siblings).build(), s);
+            TestSettings.Server[] list = new TestSettings.Server[servers];
             for (int i = 0; i < servers; i++) {
-                list[i] = Sites.server(i + 1);
+                list[i] = TestSettings.server(i + 1);
             }
             list[0].startedAt(NOW);
             bench.list(Change.CACHED, list);
@@ -303,9 +310,10 @@
 
     @Test
     void aSubscriptionIsAskedForAtStartAndAgainAfterAFailure() {
-        Bench bench = new Bench(Sites.plain().subscribe(true).build(), 1);
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().subscribe(true).build(), 1);
         assertEquals(1, bench.watches);
-        bench.list(Change.CACHED, Sites.server(1));
+        bench.list(Change.CACHED, TestSettings.server(1));
         bench.list(Change.FAILED);
         assertEquals(1, bench.watches);
         bench.advance(10_000);
@@ -314,8 +322,8 @@
 
     @Test
     void answersInNoTimeAtAllDoNotUpsetTheDraw() {
-        Bench bench = new Bench(Sites.plain().build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         for (int i = 0; i < 3_000; i++) {
             bench.request(i, 0);
             bench.finish(bench.lastSend(), Result.OK);
@@ -325,10 +333,10 @@
 
     @Test
     void aColdServersEarningsAndItsRampBothHoldItBack() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-        Sites.Server[] list = new Sites.Server[10];
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 4);
+        TestSettings.Server[] list = new TestSettings.Server[10];
         for (int i = 0; i < list.length; i++) {
-            list[i] = Sites.server(i + 1);
+            list[i] = TestSettings.server(i + 1);
         }
         list[0].startedAt(NOW);
         bench.list(Change.CACHED, list);
@@ -345,8 +353,13 @@
 
     @Test
     void aColdServerIsNotFloodedWhenAllOthersFail() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-        bench.list(Change.CACHED, Sites.server(1).startedAt(NOW), Sites.server(2), Sites.server(3), Sites.server(4));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 4);
+        bench.list(
+                Change.CACHED,
+                TestSettings.server(1).startedAt(NOW),
+                TestSettings.server(2),
+                TestSettings.server(3),
+                TestSettings.server(4));
         int toWarmingUp = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
@@ -362,9 +375,9 @@
 
     @Test
     void aRestartedServerIsColdAgain() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
-        bench.list(Change.DELTA, Sites.server(1).startedAt(NOW));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 4);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
+        bench.list(Change.DELTA, TestSettings.server(1).startedAt(NOW));
         int toWarmingUp = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
@@ -376,13 +389,13 @@
 
     @Test
     void aRestartClearsTheRecord() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 4);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         int toFirst = 0;
         for (int i = 0; i < 1_000; i++) {
             if (i == 500) {
                 toFirst = 0;
-                bench.list(Change.DELTA, Sites.server(1).startedAt(NOW - 9_500));
+                bench.list(Change.DELTA, TestSettings.server(1).startedAt(NOW - 9_500));
             }
             bench.request(i, 0);
             while (bench.isOpen(i)) {
@@ -396,8 +409,8 @@
 
     @Test
     void aStrayTimerSendsNoSecondCopyWhereTwoAtOnceAreForbidden() {
-        Bench bench = new Bench(Sites.plain().build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
         bench.timer(1 << 8);
         assertEquals(1, bench.sends.size());
@@ -405,10 +418,10 @@
 
     @Test
     void anOutcomeThatCrossesTheClientsLeavingSendsNothing() {
-        Bench bench = new Bench(Sites.plain().build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
-        Bench.Sent sent = bench.lastSend();
+        BalancerHarness.Sent sent = bench.lastSend();
         bench.clientGone(1);
         bench.finishUnclosed(sent, Result.FULL);
         assertEquals(1, bench.sends.size());
@@ -418,8 +431,9 @@
     @Test
     void underOverloadTheCheapClassIsRefusedFirstAndOnlyWhereClientsArrive() {
         for (int tier = 0; tier < 2; tier++) {
-            Bench bench = new Bench(Sites.plain().tier(tier).lateValue(0).build(), 1);
-            bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+            BalancerHarness bench = new BalancerHarness(
+                    TestSettings.plain().tier(tier).lateValue(0).build(), 1);
+            bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
             int[] sent = new int[2];
             for (int i = 0; i < 400; i++) {
                 int before = bench.sends.size();
@@ -441,8 +455,9 @@
 
     @Test
     void refusingEndsSoonAfterItsCauseEvenIfFewCallsAreLeftToTell() {
-        Bench bench = new Bench(Sites.plain().lateValue(0).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().lateValue(0).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         for (int i = 0; i < 200; i++) {
             bench.request(i, 0);
             bench.advance(20);
@@ -468,8 +483,9 @@
 
     @Test
     void noSecondCopyIsSentWhileWorkIsRefused() {
-        Bench bench = new Bench(Sites.plain().parallel(true).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().parallel(true).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         for (int i = 0; i < 60; i++) {
             bench.request(i, 0);
             bench.advance(50);
@@ -488,9 +504,9 @@
 
     @Test
     void overloadIsFeltWhileCallsAreStillOut() {
-        Bench bench =
-                new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateValue(0).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().repeat(Repeat.AT_MOST_ONCE).lateValue(0).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         int i = 0;
         for (; i < 40; i++) {
             bench.request(i, 0);
@@ -508,9 +524,13 @@
     @Test
     void errorsThatComeAtOnceAreNoSignOfOverload() {
         for (Result result : new Result[] {Result.ERROR, Result.FULL}) {
-            Bench bench = new Bench(
-                    Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateValue(0).build(), 1);
-            bench.list(Change.CACHED, Sites.server(1));
+            BalancerHarness bench = new BalancerHarness(
+                    TestSettings.plain()
+                            .repeat(Repeat.AT_MOST_ONCE)
+                            .lateValue(0)
+                            .build(),
+                    1);
+            bench.list(Change.CACHED, TestSettings.server(1));
             for (int i = 0; i < 200; i++) {
                 bench.request(i, 0);
                 if (bench.isOpen(i)) {
@@ -518,20 +538,28 @@
                 }
             }
             long shed = 200
-                    - bench.sends.stream().map(Bench.Sent::request).distinct().count();
+                    - bench.sends.stream()
+                            .map(BalancerHarness.Sent::request)
+                            .distinct()
+                            .count();
             assertEquals(result == Result.FULL, shed > 0, shed + " refused without a try");
         }
     }
 
     @Test
     void aSickServerAtHomeIsLeftEvenWhereACrossingIsDear() {
-        Bench bench = new Bench(
-                Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).crossZone(0.2).build(), 1);
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain()
+                        .tier(1)
+                        .repeat(Repeat.AT_MOST_ONCE)
+                        .crossZone(0.2)
+                        .build(),
+                1);
         bench.list(
                 Change.CACHED,
-                Sites.server(1),
-                Sites.server(2).zone(1),
-                Sites.server(3).zone(1));
+                TestSettings.server(1),
+                TestSettings.server(2).zone(1),
+                TestSettings.server(3).zone(1));
         long unhealthy = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
@@ -546,14 +574,19 @@
 
     @Test
     void aSickServerThatFailsAtOnceIsNotTakenForAFreeOne() {
-        Bench bench = new Bench(
-                Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).crossZone(0.2).build(), 1);
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain()
+                        .tier(1)
+                        .repeat(Repeat.AT_MOST_ONCE)
+                        .crossZone(0.2)
+                        .build(),
+                1);
         bench.list(
                 Change.CACHED,
-                Sites.server(1),
-                Sites.server(2).zone(1),
-                Sites.server(3).zone(1));
-        ArrayDeque<Bench.Sent> out = new ArrayDeque<>();
+                TestSettings.server(1),
+                TestSettings.server(2).zone(1),
+                TestSettings.server(3).zone(1));
+        ArrayDeque<BalancerHarness.Sent> out = new ArrayDeque<>();
         int lost = 0;
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
@@ -574,8 +607,9 @@
 
     @Test
     void aDearCrossingIsRareAndAPreferredPartTakesMostCalls() {
-        Bench bench = new Bench(Sites.plain().tier(1).crossZone(0.03).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).zone(1));
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().tier(1).crossZone(0.03).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2).zone(1));
         for (int i = 0; i < 1_000; i++) {
             bench.request(i, 0);
             bench.finishAfter(bench.lastSend(), Result.OK, 100);
@@ -590,11 +624,16 @@
         int[] drawn = new int[49];
         int inEight = 0;
         for (int position = 0; position < siblings; position++) {
-            Bench bench = new Bench(
-                    Sites.plain().tier(1).siblings(siblings).position(position).build(), 1);
-            Sites.Server[] list = new Sites.Server[48];
+            BalancerHarness bench = new BalancerHarness(
+                    TestSettings.plain()
+                            .tier(1)
+                            .siblings(siblings)
+                            .position(position)
+                            .build(),
+                    1);
+            TestSettings.Server[] list = new TestSettings.Server[48];
             for (int i = 0; i < list.length; i++) {
-                list[i] = Sites.server(i + 1).kind(i % 2);
+                list[i] = TestSettings.server(i + 1).kind(i % 2);
             }
             bench.list(Change.CACHED, list);
             int[] own = new int[49];
@@ -616,10 +655,10 @@
 
     @Test
     void whereServersAreKnownTheSubsetHardlyCounts() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-        Sites.Server[] list = new Sites.Server[48];
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 1);
+        TestSettings.Server[] list = new TestSettings.Server[48];
         for (int i = 0; i < list.length; i++) {
-            list[i] = Sites.server(i + 1);
+            list[i] = TestSettings.server(i + 1);
         }
         bench.list(Change.CACHED, list);
         int[] drawn = new int[49];
@@ -634,10 +673,10 @@
 
     @Test
     void aSubsetWhoseServersFailIsLeft() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 1);
-        Sites.Server[] list = new Sites.Server[48];
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 1);
+        TestSettings.Server[] list = new TestSettings.Server[48];
         for (int i = 0; i < list.length; i++) {
-            list[i] = Sites.server(i + 1);
+            list[i] = TestSettings.server(i + 1);
         }
         bench.list(Change.CACHED, list);
         Set<Long> failing = new HashSet<>();
@@ -659,17 +698,18 @@
 
     @Test
     void workStopsAtTheAimWhereALateAnswerIsWorthNothing() {
-        Bench bench =
-                new Bench(Sites.plain().repeat(Repeat.AT_MOST_ONCE).lateValue(0).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().repeat(Repeat.AT_MOST_ONCE).lateValue(0).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1));
         bench.request(1, 0);
-        assertEquals(Sites.AIM, bench.lastSend().timeout());
+        assertEquals(TestSettings.AIM, bench.lastSend().timeout());
     }
 
     @Test
     void aStartedStreamIsLeftAloneAndItsCopiesAreNot() {
-        Bench bench = new Bench(Sites.plain().streamed(true).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1));
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().streamed(true).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1));
         bench.request(1, 0);
         bench.streamStarted(bench.lastSend());
         bench.advance(10_000);
@@ -680,14 +720,19 @@
 
     @Test
     void aServerThatFailsOneClassLosesThatClassAndKeepsTheOther() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 3);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4));
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 3);
+        bench.list(
+                Change.CACHED,
+                TestSettings.server(1),
+                TestSettings.server(2),
+                TestSettings.server(3),
+                TestSettings.server(4));
         int[] toFailing = new int[2];
         for (int i = 0; i < 2_000; i++) {
             bench.request(i, i % 2);
             bench.advance(20);
             while (bench.isOpen(i)) {
-                Bench.Sent sent = bench.lastSend();
+                BalancerHarness.Sent sent = bench.lastSend();
                 toFailing[i % 2] += sent.upstream() == 1 ? 1 : 0;
                 bench.finishAfter(sent, sent.upstream() == 1 && i % 2 == 0 ? Result.ERROR : Result.OK, 100);
             }
@@ -699,11 +744,11 @@
 
     @Test
     void aMachineTypeThatFailsIsAvoidedAlsoAtServersNotYetTried() {
-        Bench bench =
-                new Bench(Sites.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 3);
-        Sites.Server[] list = new Sites.Server[80];
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().tier(1).repeat(Repeat.AT_MOST_ONCE).build(), 3);
+        TestSettings.Server[] list = new TestSettings.Server[80];
         for (int i = 0; i < list.length; i++) {
-            list[i] = Sites.server(i + 1).kind(i % 2);
+            list[i] = TestSettings.server(i + 1).kind(i % 2);
         }
         bench.list(Change.CACHED, list);
         int toFailing = 0;
@@ -722,8 +767,9 @@
 
     @Test
     void requestsOfOneKeyTakeTurnsInOrderOfArrivalAndOthersAreFree() {
-        Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().inOrder(true).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.keyed(1, 0, 7);
         bench.keyed(2, 1, 7);
         bench.keyed(3, 0, 8);
@@ -731,7 +777,7 @@
         bench.keyed(5, 0, 0);
         assertEquals(
                 List.of(1L, 3L, 4L, 5L),
-                bench.sends.stream().map(Bench.Sent::request).toList());
+                bench.sends.stream().map(BalancerHarness.Sent::request).toList());
         bench.advance(50);
         bench.finish(bench.sends.get(0), Result.OK);
         assertEquals(2, bench.lastSend().request());
@@ -739,8 +785,9 @@
 
     @Test
     void aKeyRestsAfterAnAttemptThatMayStillRunAlsoWhenItsClientHasLeft() {
-        Bench bench = new Bench(Sites.plain().inOrder(true).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().inOrder(true).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.keyed(1, 0, 7);
         bench.keyed(2, 0, 7);
         bench.clientGone(1);
@@ -755,8 +802,9 @@
 
     @Test
     void theRequestWhoseTurnItIsMayBeSentAgain() {
-        Bench bench = new Bench(Sites.plain().inOrder(true).tier(1).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench =
+                new BalancerHarness(TestSettings.plain().inOrder(true).tier(1).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.keyed(1, 0, 7);
         bench.keyed(2, 0, 7);
         bench.finish(bench.lastSend(), Result.RESET);
@@ -766,8 +814,9 @@
 
     @Test
     void aRequestWhoseTurnCannotComeInTimeIsRefusedOnArrival() {
-        Bench bench = new Bench(Sites.plain().inOrder(true).lateValue(0).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().inOrder(true).lateValue(0).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         for (int i = 1; i <= 20; i++) {
             bench.keyed(i, 0, 7);
         }
@@ -779,9 +828,9 @@
 
     @Test
     void aWaitingRequestIsAnsweredInTime() {
-        Bench bench = new Bench(
-                Sites.plain().inOrder(true).repeat(Repeat.AT_MOST_ONCE).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().inOrder(true).repeat(Repeat.AT_MOST_ONCE).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.keyed(1, 0, 7);
         bench.keyed(2, 0, 7);
         bench.advance(2_000);
@@ -792,12 +841,13 @@
 
     @Test
     void aBoundClassGoesOnlyWhereItMayAlsoWhenItsServersFail() {
-        Bench bench = new Bench(Sites.plain().onlyZones(1).onlyKinds(1).tier(1).build(), 1);
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().onlyZones(1).onlyKinds(1).tier(1).build(), 1);
         bench.list(
                 Change.CACHED,
-                Sites.server(1).zone(1),
-                Sites.server(2).kind(1),
-                Sites.server(3).zone(1).kind(1));
+                TestSettings.server(1).zone(1),
+                TestSettings.server(2).kind(1),
+                TestSettings.server(3).zone(1).kind(1));
         for (int i = 0; i < 200; i++) {
             bench.request(i, 0);
             while (bench.isOpen(i)) {
@@ -810,13 +860,14 @@
     @Test
     void aBoundClassWithoutAServerIsHeldAndAnOpenOneIsNot() {
         for (Integer[] kinds : new Integer[][] {{1}, {}}) {
-            Bench bench = new Bench(Sites.plain().onlyKinds(kinds).build(), 1);
-            bench.list(Change.CACHED, Sites.server(1));
+            BalancerHarness bench =
+                    new BalancerHarness(TestSettings.plain().onlyKinds(kinds).build(), 1);
+            bench.list(Change.CACHED, TestSettings.server(1));
             bench.request(1, 0);
             bench.request(2, 1);
             assertEquals(2, bench.lastSend().request());
             assertTrue(bench.isOpen(1));
-            bench.list(Change.DELTA, Sites.server(2).kind(1));
+            bench.list(Change.DELTA, TestSettings.server(2).kind(1));
             bench.advance(100);
             assertEquals(kinds.length == 1 ? 1 : 2, bench.lastSend().request());
             bench.advance(2_000);
@@ -826,8 +877,9 @@
 
     @Test
     void overloadOfABoundClassRefusesNothingOfTheOthers() {
-        Bench bench = new Bench(Sites.plain().onlyKinds(1).lateValue(0).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).kind(1));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().onlyKinds(1).lateValue(0).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2).kind(1));
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
             bench.request(i, i % 2);
@@ -844,8 +896,9 @@
 
     @Test
     void thoseWhoMayGoElsewhereMakeRoomForABoundClass() {
-        Bench bench = new Bench(Sites.plain().onlyKinds(1).lateValue(0).build(), 1);
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2).kind(1));
+        BalancerHarness bench = new BalancerHarness(
+                TestSettings.plain().onlyKinds(1).lateValue(0).build(), 1);
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2).kind(1));
         int[] free = new int[3];
         for (int i = 0; i < 600; i++) {
             bench.request(i, i % 2);
@@ -863,18 +916,18 @@
 
     @Test
     void aFleetThatIsColdAsAWholeIsNotLeftIdle() {
-        Bench bench = new Bench(Sites.plain().tier(1).build(), 4);
+        BalancerHarness bench = new BalancerHarness(TestSettings.plain().tier(1).build(), 4);
         bench.list(
                 Change.CACHED,
-                Sites.server(1).startedAt(NOW),
-                Sites.server(2).startedAt(NOW),
-                Sites.server(3).startedAt(NOW),
-                Sites.server(4).startedAt(NOW));
+                TestSettings.server(1).startedAt(NOW),
+                TestSettings.server(2).startedAt(NOW),
+                TestSettings.server(3).startedAt(NOW),
+                TestSettings.server(4).startedAt(NOW));
         for (int i = 0; i < 400; i++) {
             bench.request(i, 0);
             int before = bench.sends.size();
             bench.advance(5);
-            for (Bench.Sent s : bench.sends.subList(Math.max(0, before - 1), bench.sends.size())) {
+            for (BalancerHarness.Sent s : bench.sends.subList(Math.max(0, before - 1), bench.sends.size())) {
                 if (bench.isOpen(s.request())) {
                     bench.finish(s, Result.OK);
                 }
--- a/src/test/java/sablehinge/policy/RandomEventsTest.java
+++ b/src/test/java/sablehinge/policy/RandomEventsTest.java
@@ -63,14 +63,14 @@
         private final boolean streamed;
         private final boolean inOrder;
         private final boolean placed;
-        private final Bench bench;
-        private final Sites.Server[] servers = new Sites.Server[SERVERS];
+        private final BalancerHarness bench;
+        private final TestSettings.Server[] servers = new TestSettings.Server[SERVERS];
         private final State[] states = new State[SERVERS];
         /** Sends whose outcome has not come. */
-        private final List<Bench.Sent> out = new ArrayList<>();
+        private final List<BalancerHarness.Sent> out = new ArrayList<>();
 
-        private final Map<Long, List<Bench.Sent>> byRequest = new HashMap<>();
-        private final Set<Bench.Sent> provenUnrun = new HashSet<>();
+        private final Map<Long, List<BalancerHarness.Sent>> byRequest = new HashMap<>();
+        private final Set<BalancerHarness.Sent> provenUnrun = new HashSet<>();
         private final Map<Long, Double> deadlines = new HashMap<>();
         private final Set<Long> streaming = new HashSet<>();
         private final Set<Long> servedOrGone = new HashSet<>();
@@ -95,7 +95,7 @@
             streamed = random.nextInt(4) == 0;
             inOrder = !streamed && random.nextBoolean();
             placed = random.nextInt(3) == 0;
-            Sites.Builder site = Sites.plain()
+            TestSettings.Builder site = TestSettings.plain()
                     .repeat(repeat)
                     .group(group)
                     .memory(700)
@@ -104,9 +104,9 @@
                     .inOrder(inOrder)
                     .siblings(3)
                     .lateValue(random.nextBoolean() ? 0.3 : 0);
-            bench = new Bench((placed ? site.onlyZones(1).onlyKinds(0) : site).build(), seed);
+            bench = new BalancerHarness((placed ? site.onlyZones(1).onlyKinds(0) : site).build(), seed);
             for (int i = 0; i < SERVERS; i++) {
-                servers[i] = Sites.server(i + 1).zone(i % 2).cell(i / 2).kind(i / 4);
+                servers[i] = TestSettings.server(i + 1).zone(i % 2).cell(i / 2).kind(i / 4);
                 states[i] = State.READY;
             }
             bench.list(Change.CACHED, servers);
@@ -170,7 +170,7 @@
             if (out.isEmpty()) {
                 return;
             }
-            Bench.Sent sent = out.remove(random.nextInt(out.size()));
+            BalancerHarness.Sent sent = out.remove(random.nextInt(out.size()));
             Result result = random.nextInt(3) > 0 ? Result.OK : UNSERVED[random.nextInt(UNSERVED.length)];
             if (!bench.isOpen(sent.request())) {
                 result = random.nextBoolean() ? Result.CANCELLED : result;
@@ -181,7 +181,7 @@
             finish(sent, result);
         }
 
-        private void finish(Bench.Sent sent, Result result) {
+        private void finish(BalancerHarness.Sent sent, Result result) {
             if (result.neverRan()) {
                 provenUnrun.add(sent);
             }
@@ -203,13 +203,13 @@
                 listedAnew(i);
             }
             if (random.nextInt(4) == 0) {
-                List<Sites.Server> all = new ArrayList<>();
+                List<TestSettings.Server> all = new ArrayList<>();
                 for (int k = 0; k < SERVERS; k++) {
                     if (states[k] != State.REMOVED) {
                         all.add(servers[k].state(states[k]));
                     }
                 }
-                bench.list(Change.FULL, all.toArray(Sites.Server[]::new));
+                bench.list(Change.FULL, all.toArray(TestSettings.Server[]::new));
             } else if (random.nextInt(5) == 0) {
                 // The change is not reported yet: the state stays as it was for the checks.
                 bench.list(Change.FAILED);
@@ -227,7 +227,7 @@
         }
 
         /** Rule 4: one call at once and then what is earned. */
-        private void checkWarmUpBudget(Bench.Sent sent, String where) {
+        private void checkWarmUpBudget(BalancerHarness.Sent sent, String where) {
             int server = (int) sent.upstream() - 1;
             if (started[server] != 0 && sent.at() - started[server] < 10_000) {
                 sentTo[server]++;
@@ -247,7 +247,7 @@
 
         private void stream() {
             if (streamed && !out.isEmpty()) {
-                Bench.Sent sent = out.get(random.nextInt(out.size()));
+                BalancerHarness.Sent sent = out.get(random.nextInt(out.size()));
                 if (bench.isOpen(sent.request()) && streaming.add(sent.request())) {
                     bench.streamStarted(sent);
                 }
@@ -260,7 +260,7 @@
             while (bench.now < until) {
                 bench.advance(Math.min(5, until - bench.now));
                 check("on the way");
-                for (Bench.Sent sent : List.copyOf(out)) {
+                for (BalancerHarness.Sent sent : List.copyOf(out)) {
                     boolean due = !streaming.contains(sent.request()) && expiry(sent) <= bench.now;
                     if (due && out.remove(sent)) {
                         finish(sent, Result.TIMEOUT);
@@ -270,13 +270,13 @@
             }
         }
 
-        private double expiry(Bench.Sent sent) {
+        private double expiry(BalancerHarness.Sent sent) {
             return Math.min(sent.at() + Math.max(0, sent.timeout()), deadlines.get(sent.request()));
         }
 
         private void check(String where) {
             for (; seen < bench.sends.size(); seen++) {
-                Bench.Sent sent = bench.sends.get(seen);
+                BalancerHarness.Sent sent = bench.sends.get(seen);
                 checkSend(sent, where + ": " + sent);
                 checkWarmUpBudget(sent, where + ": " + sent);
                 byRequest
@@ -306,16 +306,16 @@
             }
         }
 
-        private void checkSend(Bench.Sent sent, String where) {
+        private void checkSend(BalancerHarness.Sent sent, String where) {
             int server = (int) sent.upstream() - 1;
             assertEquals(State.READY, states[server], where + ": rule 3");
             assertTrue(open(classOf.get(sent.request()), server), where + ": rule 6");
             checkOrder(sent, where);
             assertFalse(servedOrGone.contains(sent.request()), where + ": sent after the end");
-            List<Bench.Sent> earlier = byRequest.getOrDefault(sent.request(), List.of());
+            List<BalancerHarness.Sent> earlier = byRequest.getOrDefault(sent.request(), List.of());
             assertTrue(earlier.size() < 4, where + ": too many attempts");
             assertTrue(parallel || earlier.stream().noneMatch(out::contains), where + ": two at once");
-            for (Bench.Sent before : earlier) {
+            for (BalancerHarness.Sent before : earlier) {
                 if (provenUnrun.contains(before) || repeat == Repeat.IDEMPOTENT) {
                     continue;
                 }
@@ -329,7 +329,7 @@
         }
 
         /** Rule 5: ids rise in order of arrival; key 0 is no key. */
-        private void checkOrder(Bench.Sent sent, String where) {
+        private void checkOrder(BalancerHarness.Sent sent, String where) {
             long key = keyOf.get(sent.request());
             for (long id = 0; inOrder && key != 0 && id < sent.request(); id++) {
                 long before = id;
@@ -348,7 +348,7 @@
         /** At the end every request has had its answer. */
         private void drain(String where) {
             advance(5_000);
-            for (Bench.Sent sent : List.copyOf(out)) {
+            for (BalancerHarness.Sent sent : List.copyOf(out)) {
                 out.remove(sent);
                 servedOrGone.add(sent.request());
                 bench.finish(sent, Result.OK);
--- a/src/test/java/sablehinge/policy/VersionsTest.java
+++ b/src/test/java/sablehinge/policy/SettingsVersionsTest.java
@@ -19,10 +19,10 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /** Settings that change while requests are under way. */
-class VersionsTest {
+class SettingsVersionsTest {
 
-    private final Settings old = Sites.plain().build();
-    private final Bench bench = new Bench(old, 5);
+    private final Settings old = TestSettings.plain().build();
+    private final BalancerHarness bench = new BalancerHarness(old, 5);
 
     private static Settings named(Settings base, String first, Repeat repeat, int attempts) {
         LoadBalancer.ServiceClass c = base.classes().get(0);
@@ -83,7 +83,7 @@
 
     @Test
     void aRequestKeepsTheEffectAndTheAttemptsUnderWhichItCame() {
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
         bench.adopt(named(old, "first", Repeat.AT_MOST_ONCE, 1));
         bench.finish(bench.lastSend(), Result.ERROR);
@@ -97,25 +97,30 @@
 
     @Test
     void aRetryGoesOnlyToServersOfItsOwnVersion() {
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
         long first = bench.lastSend().upstream();
         bench.adopt(named(old, "first", Repeat.IDEMPOTENT, 4));
-        bench.list(Change.FULL, Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4));
+        bench.list(
+                Change.FULL,
+                TestSettings.server(1),
+                TestSettings.server(2),
+                TestSettings.server(3),
+                TestSettings.server(4));
         bench.finish(bench.lastSend(), Result.ERROR);
         assertEquals(3 - first, bench.lastSend().upstream());
     }
 
     @Test
     void whatIsGoneInEitherVersionTakesNothingNewFromBoth() {
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
         long first = bench.lastSend().upstream();
         bench.adopt(named(old, "first", Repeat.IDEMPOTENT, 4));
-        bench.list(Change.FULL, Sites.server(first));
+        bench.list(Change.FULL, TestSettings.server(first));
         bench.finish(bench.lastSend(), Result.ERROR);
         assertTrue(bench.sends.stream().allMatch(sent -> sent.upstream() == first));
-        bench.list(Change.FULL, Sites.server(first).state(State.DRAINING));
+        bench.list(Change.FULL, TestSettings.server(first).state(State.DRAINING));
         int before = bench.sends.size();
         bench.request(2, 0);
         assertEquals(before, bench.sends.size());
@@ -124,7 +129,7 @@
     /** Back to the version before, with a server that the other one had dropped: its record is still there. */
     @Test
     void goingBackForgetsNothing() {
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         // Server 1 fails all it gets, so that it is hardly drawn any more.
         for (long id = 1; id <= 200; id++) {
             bench.request(id, 0);
@@ -133,9 +138,9 @@
             }
         }
         bench.adopt(named(old, "first", Repeat.IDEMPOTENT, 4));
-        bench.list(Change.FULL, Sites.server(2));
+        bench.list(Change.FULL, TestSettings.server(2));
         bench.adopt(old);
-        bench.list(Change.FULL, Sites.server(1), Sites.server(2));
+        bench.list(Change.FULL, TestSettings.server(1), TestSettings.server(2));
         int sent = bench.sends.size();
         for (long id = 201; id <= 300; id++) {
             bench.request(id, 0);
@@ -148,7 +153,7 @@
 
     @Test
     void aClassThatIsGoneIsServedToItsEndAndItsPlaceIsUsedAgain() {
-        bench.list(Change.CACHED, Sites.server(1), Sites.server(2));
+        bench.list(Change.CACHED, TestSettings.server(1), TestSettings.server(2));
         bench.request(1, 0);
         Settings before = old;
         for (int i = 0; i < 100; i++) {
@@ -172,10 +177,13 @@
     }
 
     private static long warmUpSends(boolean changing) {
-        Settings base = Sites.plain().build();
-        Bench bench = new Bench(base, 9);
-        Sites.Server[] servers = {
-            Sites.server(1), Sites.server(2), Sites.server(3), Sites.server(4).startedAt(bench.now)
+        Settings base = TestSettings.plain().build();
+        BalancerHarness bench = new BalancerHarness(base, 9);
+        TestSettings.Server[] servers = {
+            TestSettings.server(1),
+            TestSettings.server(2),
+            TestSettings.server(3),
+            TestSettings.server(4).startedAt(bench.now)
         };
         bench.list(Change.CACHED, servers);
         for (long id = 1; id <= 400; id++) {
@@ -199,15 +207,15 @@
     }
 
     private static void random(SplittableRandom random, String what) {
-        Settings base = Sites.plain().build();
-        Bench bench = new Bench(base, 3);
+        Settings base = TestSettings.plain().build();
+        BalancerHarness bench = new BalancerHarness(base, 3);
         List<Settings> versions = new ArrayList<>(List.of(base));
         Map<Settings, Set<Long>> lists = new java.util.IdentityHashMap<>();
         Map<Long, Settings> cameUnder = new HashMap<>();
         Settings current = base;
         lists.put(base, list(bench, random));
         Set<Long> ready = lists.get(base);
-        List<Bench.Sent> out = new ArrayList<>();
+        List<BalancerHarness.Sent> out = new ArrayList<>();
         int seen = 0;
         for (long id = 1; id <= 150; id++) {
             switch (random.nextInt(6)) {
@@ -239,7 +247,7 @@
                 }
             }
             for (; seen < bench.sends.size(); seen++) {
-                Bench.Sent sent = bench.sends.get(seen);
+                BalancerHarness.Sent sent = bench.sends.get(seen);
                 Settings own = cameUnder.get(sent.request());
                 out.add(sent);
                 assertTrue(lists.get(own).contains(sent.upstream()), what + ": a server of another version");
@@ -253,14 +261,14 @@
         }
     }
 
-    private static Set<Long> list(Bench bench, SplittableRandom random) {
+    private static Set<Long> list(BalancerHarness bench, SplittableRandom random) {
         Set<Long> ids = new HashSet<>();
         for (long id = 1; id <= 6; id++) {
             if (random.nextInt(3) > 0) {
                 ids.add(id);
             }
         }
-        bench.list(Change.FULL, ids.stream().map(Sites::server).toArray(Sites.Server[]::new));
+        bench.list(Change.FULL, ids.stream().map(TestSettings::server).toArray(TestSettings.Server[]::new));
         return ids;
     }
 }
--- a/src/test/java/sablehinge/policy/Sites.java
+++ b/src/test/java/sablehinge/policy/TestSettings.java
@@ -15,12 +15,12 @@
 import sablehinge.policy.LoadBalancer.WeightKind;
 
 /** Settings and server entries for tests. */
-final class Sites {
+final class TestSettings {
 
     static final double AIM = 1_000;
     static final double DEADLINE = 2_000;
 
-    private Sites() {}
+    private TestSettings() {}
 
     static Builder plain() {
         return new Builder();
