--- a/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
+++ b/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
@@ -98,7 +98,7 @@
             case ASK -> watch(link, WatchRequest.read(frame.body()));
             case TOKENS -> pools.handleRequest(link, Tokens.read(frame.body()));
             case PULL -> pools.handleReturn(Tokens.read(frame.body()));
-            case SHARES -> claimed(link, RetryBudgetCodec.claim(frame.body()));
+            case SHARES -> claimed(link, RetryBudgetCodec.decodeClaim(frame.body()));
             default -> {
                 return false;
             }
--- a/src/main/java/sablehinge/controlplane/node/QuotaPools.java
+++ b/src/main/java/sablehinge/controlplane/node/QuotaPools.java
@@ -91,7 +91,7 @@
         int given = pool.take(clock.now(), tenant, wanted.count());
         if (given > 0
                 || totalWaiting >= MAX_WAITING
-                || !waiting.containsKey(tenant) && !pool.pulls(clock.now(), tenant)) {
+                || !waiting.containsKey(tenant) && !pool.startReclaim(clock.now(), tenant)) {
             answer(link, tenant, given);
             return;
         }
@@ -107,7 +107,7 @@
 
     /** A balancer gives something up. */
     void handleReturn(Tokens tokens) {
-        pool.regain(clock.now(), tokens.tenant(), tokens.count());
+        pool.returnTokens(clock.now(), tokens.tenant(), tokens.count());
     }
 
     private void settle(String tenant) {
--- a/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
@@ -33,7 +33,7 @@
 
     /** The answer to a claim; null where there is none. */
     Frame answer(double now, Claim claim) {
-        Grant grant = allocator.claimed(now, claim);
-        return grant == null ? null : new Frame(Frame.Kind.SHARES, RetryBudgetCodec.bytes(grant));
+        Grant grant = allocator.grant(now, claim);
+        return grant == null ? null : new Frame(Frame.Kind.SHARES, RetryBudgetCodec.encode(grant));
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/WatchServer.java
+++ b/src/main/java/sablehinge/controlplane/node/WatchServer.java
@@ -76,7 +76,7 @@
         term = asLeaderOf;
         subscribers.clear();
         registry.reset(now);
-        healthView.begin(now);
+        healthView.startTerm(now);
     }
 
     /**
@@ -98,7 +98,7 @@
         subscriber.confirmed = false;
         registry.register(now, request.registration());
         request.vouched().forEach(registration -> registry.vouched(now, registration));
-        healthView.heard(now, request.registration().node(), request.suspicions());
+        healthView.onHeartbeat(now, request.registration().node(), request.suspicions());
     }
 
     /** All that was committed before an ask came is in {@link #configurationChanged} by now. */
--- a/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
+++ b/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
@@ -79,7 +79,7 @@
         }
 
         /** The most attempts that there can be for it here, if each spends as little as it can. */
-        public int most() {
+        public int maxAttempts() {
             return Math.max(1, budget.left - Math.max(0, budget.owed - 1) * terms.need());
         }
 
@@ -157,7 +157,7 @@
      * @param waited for how long it may have lain here before it was read: a pause of this process makes no time
      * @param value of its class, for a call that has none
      */
-    public Admission arrive(
+    public Admission admit(
             double now, HeaderText.Found<Budget> found, boolean entry, double remaining, double waited, double value) {
         read.merge(found.kind(), 1L, Long::sum);
         Budget carried = entry ? null : found.value();
@@ -235,7 +235,7 @@
      * @param resendable whether another attempt may follow one that may have run
      * @param least time in ms that the tier below needs at the least
      */
-    public Grant take(Call call, double now, boolean resendable, double least) {
+    public Grant grant(Call call, double now, boolean resendable, double least) {
         if (call.closed || call.attempts() < 1 || call.deadline - now - terms.wire() <= Math.max(0, least)) {
             return null;
         }
@@ -255,7 +255,7 @@
     }
 
     /** The attempt never ran: all that it was granted comes back. */
-    public void neverRan(Grant grant) {
+    public void onAttemptNeverRan(Grant grant) {
         settle(grant, 0);
     }
 
@@ -265,7 +265,7 @@
      * @param report what came back; null if nothing did that can be believed
      * @param served whether it served
      */
-    public void over(Grant grant, Report report, boolean served) {
+    public void onAttemptFinished(Grant grant, Report report, boolean served) {
         boolean known = report != null && report.grant() == grant.id;
         settle(grant, known ? Math.min(grant.attempts, report.spent()) : grant.attempts);
         if (known && !served && !report.again()) {
--- a/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
+++ b/src/main/java/sablehinge/dataplane/budget/LoadShedder.java
@@ -74,7 +74,7 @@
     }
 
     /** An attempt has shown that there is more than can be done, or the opposite. */
-    public void felt(double now, boolean overload) {
+    public void recordLoad(double now, boolean overload) {
         double seconds = Math.min(MAX_GAP_MS, Math.max(0, now - feltAt)) / 1_000;
         feltAt = now;
         pressure = Math.min(MAX_PRESSURE, Math.max(0, pressure + (overload ? UP_PER_S : -DOWN_PER_S) * seconds));
--- a/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
+++ b/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
@@ -20,7 +20,7 @@
     private double at;
 
     /** A call was served in so many ms. */
-    public void served(double now, double elapsed) {
+    public void recordServed(double now, double elapsed) {
         at = now;
         seen++;
         if (seen == 1) {
--- a/src/main/java/sablehinge/dataplane/budget/PauseDetector.java
+++ b/src/main/java/sablehinge/dataplane/budget/PauseDetector.java
@@ -26,7 +26,7 @@
     }
 
     /** How long, in ms, what is read now may have waited for it; 0 while all goes on. */
-    public double waited(double now) {
+    public double waitedMs(double now) {
         return now - last <= READ_AFTER_MS ? Math.max(late, over(now)) : over(now);
     }
 
--- a/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
@@ -65,7 +65,7 @@
     }
 
     double waited(double now) {
-        return pauses.waited(now);
+        return pauses.waitedMs(now);
     }
 
     /** Whether a call that was taken in may go on, by its value among those of all callers. */
@@ -83,17 +83,17 @@
     /** How an attempt ended: what is late, or was rejected by a full server, is a sign of overload. */
     private void ended(double now, double sentAt, double deadline, Result result) {
         if (result == Result.OK) {
-            least.served(now, now - sentAt);
+            least.recordServed(now, now - sentAt);
         }
         boolean late = result == Result.FULL || now - sentAt > LATE * (deadline - sentAt);
         if (shedder != null && (late || result == Result.OK)) {
-            shedder.felt(now, late);
+            shedder.recordLoad(now, late);
         }
     }
 
     /** What the next attempt of a request may take of its budget; null if that is used up. */
     AttemptBudgets.Grant take(Exchange exchange, double now) {
-        return attemptBudgets.take(exchange.budget, now, mayRepeat(exchange), least.value(now));
+        return attemptBudgets.grant(exchange.budget, now, mayRepeat(exchange), least.value(now));
     }
 
     /** An attempt is over, whether it went out or not: its grant is settled. */
@@ -104,9 +104,9 @@
             return;
         }
         if (end.result().neverRan()) {
-            attemptBudgets.neverRan(grant);
+            attemptBudgets.onAttemptNeverRan(grant);
         } else {
-            attemptBudgets.over(grant, end.spent(), end.result() == Result.OK);
+            attemptBudgets.onAttemptFinished(grant, end.spent(), end.result() == Result.OK);
         }
         if (end.result() != Result.NOT_SENT && end.result() != Result.CANCELLED) {
             ended(now, Math.max(sent.at, exchange.endedAt), exchange.deadline, end.result());
--- a/src/main/java/sablehinge/dataplane/proxy/RequestAdmission.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestAdmission.java
@@ -43,7 +43,7 @@
             return new Decision(arrival, null, null);
         }
         double value = version.settings().classes().get(arrival.serviceClass()).value();
-        AttemptBudgets.Admission admission = budgets.attemptBudgets.arrive(
+        AttemptBudgets.Admission admission = budgets.attemptBudgets.admit(
                 now, arrival.budget(), budgets.entry, arrival.deadline() - now, budgets.waited(now), value);
         AttemptBudgets.Call call = admission.call();
         if (call == null) {
--- a/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
@@ -293,7 +293,8 @@
         }
         try {
             balancer.request(
-                    clock.now(), arrival.withId(exchange.id, exchange.budget == null ? 0 : exchange.budget.most()));
+                    clock.now(),
+                    arrival.withId(exchange.id, exchange.budget == null ? 0 : exchange.budget.maxAttempts()));
         } finally {
             if (late) {
                 balancer.adopt(clock.now(), version.settings());
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -133,7 +133,7 @@
         }
         Configuration.Route route = match.route();
         Configuration.Tenant tenant = routingTable.tenant(MeshHeaders.single(headers, MeshHeaders.KEY));
-        if (routingTable.wantsKeys() && !route.open() && tenant == null) {
+        if (routingTable.requiresKeys() && !route.open() && tenant == null) {
             throw BadRequestException.rejected(HttpResponseStatus.UNAUTHORIZED, "unknown key")
                     .heldFor(held(route));
         }
@@ -145,8 +145,8 @@
         if (tenant != null) {
             claim(tenant, route, left, now);
         }
-        String service = routingTable.choose(route, random.nextDouble());
-        retryBudget.came(service, tenant == null && routingTable.wantsKeys());
+        String service = routingTable.chooseService(route, random.nextDouble());
+        retryBudget.came(service, tenant == null && routingTable.requiresKeys());
         int rank = tenant != null && tenant.priority() >= 0 ? tenant.priority() : route.priority();
         headers.remove(MeshHeaders.KEY)
                 .remove(MeshHeaders.SENDER)
--- a/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
@@ -76,7 +76,7 @@
         this.clock = clock;
         this.settings = settings;
         this.update = update;
-        place = HashRing.place(settings.node());
+        place = HashRing.positionOf(settings.node());
         reaching = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -133,7 +133,7 @@
         hashRing.watchers(settings.node())
                 .forEach(watcher ->
                         heartbeatTargets.add(new InetSocketAddress(at(watcher).getAddress(), settings.innerFirst())));
-        monitor.over(clock.now(), hashRing.watched(settings.node()));
+        monitor.setWatched(clock.now(), hashRing.watchedBy(settings.node()));
     }
 
     private InetSocketAddress at(String node) {
@@ -168,7 +168,7 @@
      */
     List<Registration> vouched() {
         List<Registration> vouched = new ArrayList<>();
-        for (String node : monitor.heardPeers()) {
+        for (String node : monitor.livePeers()) {
             if (!registered.contains(node)) {
                 vouched.add(known.get(node));
             }
@@ -188,7 +188,7 @@
             connect.channel().close();
         }
         SuspicionCause evidence = evidence(connect.cause());
-        if (monitor.found(clock.now(), node, evidence)) {
+        if (monitor.onProbeResult(clock.now(), node, evidence)) {
             Log.info(LOG, "accuses")
                     .addKeyValue("peer", node)
                     .addKeyValue("evidence", evidence)
@@ -217,8 +217,8 @@
             content.readBytes(bytes);
             try {
                 HeartbeatPacket pulse = HeartbeatPacket.read(bytes);
-                String node = hashRing.at(pulse.place());
-                if (node != null && monitor.heard(clock.now(), node, pulse.incarnation(), pulse.number())) {
+                String node = hashRing.nodeAt(pulse.place());
+                if (node != null && monitor.onHeartbeat(clock.now(), node, pulse.incarnation(), pulse.number())) {
                     Log.info(LOG, "hears-again").addKeyValue("peer", node).log("a balancer is heard again");
                     update.run();
                 }
--- a/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
@@ -142,13 +142,13 @@
     /** In how many ms a token comes by itself. */
     double next(Configuration.Tenant tenant) {
         TenantMeter one = metered.get(tenant.name());
-        return one == null ? 0 : Math.max(1, one.bucket.next());
+        return one == null ? 0 : Math.max(1, one.bucket.msUntilToken());
     }
 
     /** Gives up what its own requests are not likely to need of a tenant's quota, for others to have. */
     int lend(double now, String tenant) {
         TenantMeter one = metered.get(tenant);
-        return one == null ? 0 : one.bucket.lend(now, 1 + KEPT * one.claims(now));
+        return one == null ? 0 : one.bucket.releaseAbove(now, 1 + KEPT * one.claims(now));
     }
 
     /** The pool has answered. */
--- a/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
@@ -57,40 +57,40 @@
                 place += registration.node().compareTo(node) < 0 ? 1 : 0;
             }
         }
-        shares.place(place, Math.max(place + 1, Math.max(among, assumedBalancers)));
+        shares.setPosition(place, Math.max(place + 1, Math.max(among, assumedBalancers)));
     }
 
     /** A request has come; where requests need a key, one without any is a call of the upstream beside. */
     void came(String service, boolean call) {
         if (call) {
-            shares.called(service);
+            shares.onUpstreamCall(service);
         } else {
-            shares.requested(service);
+            shares.onRequest(service);
         }
     }
 
     /** The local upstream has rejected what had arrived there. */
     void rejected() {
-        shares.arrived(depot);
+        shares.onExtraArrival(depot);
     }
 
     @Override
     public void take(Version version, int serviceClass, boolean beside, Consumer<Runnable> then) {
         String name = version.classes().get(serviceClass);
-        shares.take(clock.now(), name.substring(name.lastIndexOf('\n') + 1), beside, then);
+        shares.acquire(clock.now(), name.substring(name.lastIndexOf('\n') + 1), beside, then);
         tick();
     }
 
     /** Claims what is wanted, if that is due; to be called some times a second. */
     void tick() {
-        shares.expire(clock.now());
-        Claim claim = shares.claim(clock.now());
+        shares.expireWaiting(clock.now());
+        Claim claim = shares.nextClaim(clock.now());
         if (claim != null) {
-            claims.accept(new Frame(Frame.Kind.SHARES, RetryBudgetCodec.bytes(claim)));
+            claims.accept(new Frame(Frame.Kind.SHARES, RetryBudgetCodec.encode(claim)));
         }
     }
 
     void granted(Grant grant) {
-        shares.granted(clock.now(), grant);
+        shares.onGrant(clock.now(), grant);
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
@@ -177,7 +177,7 @@
                     from.send(new Frame(Frame.Kind.PULL, new Tokens(tenant, lent).bytes()));
                 }
             } else if (frame.kind() == Frame.Kind.SHARES) {
-                listener.shares(RetryBudgetCodec.grant(frame.body()));
+                listener.shares(RetryBudgetCodec.decodeGrant(frame.body()));
             } else if (frame.kind() == Frame.Kind.REDIRECT) {
                 String leader = new String(frame.body(), StandardCharsets.UTF_8);
                 redirect(from, leader.isEmpty() ? null : leader);
--- a/src/main/java/sablehinge/mesh/failuredetection/HashRing.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HashRing.java
@@ -9,15 +9,15 @@
 /**
  * Balancers in the order of hashes of their names, each of which is watched over by some of those that come next.
  * Whoever knows the same balancers comes to the same watchers; when one comes or goes, only those that stand shortly
- * before it change theirs. Watchers are drawn from the next {@link #REACH}, so nobody watches over more than that, and
- * are of as many zones as can be, so that the cut of one zone blinds none.
+ * before it change theirs. Watchers are drawn from the next {@link #CANDIDATES}, so nobody watches over more than that,
+ * and are of as many zones as can be, so that the cut of one zone blinds none.
  */
 public final class HashRing {
 
     /** Watchers of each, where there are enough balancers. */
     public static final int WATCHERS = 3;
     /** Balancers next on the ring among which they are chosen. */
-    public static final int REACH = 2 * WATCHERS;
+    public static final int CANDIDATES = 2 * WATCHERS;
 
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -31,7 +31,7 @@
     /** A ring of balancers, given with their zones. */
     public HashRing(Map<String, String> zones) {
         places = new ArrayList<>(zones.size());
-        zones.forEach((node, zone) -> places.add(new RingPosition(place(node), node, zone)));
+        zones.forEach((node, zone) -> places.add(new RingPosition(positionOf(node), node, zone)));
         places.sort(Comparator.comparingLong(RingPosition::at).thenComparing(RingPosition::node));
         for (int i = 0; i < places.size(); i++) {
             index.put(places.get(i).node(), i);
@@ -40,7 +40,7 @@
     }
 
     /** Where a name stands on every ring. */
-    public static long place(String node) {
+    public static long positionOf(String node) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < node.length(); i++) {
             hash = (hash ^ node.charAt(i)) * FNV_PRIME;
@@ -52,7 +52,7 @@
     }
 
     /** Who stands at a place, or null. */
-    public String at(long place) {
+    public String nodeAt(long place) {
         return names.get(place);
     }
 
@@ -63,8 +63,8 @@
         if (at == null) {
             return chosen;
         }
-        List<RingPosition> next = new ArrayList<>(REACH);
-        for (int i = 1; i <= Math.min(REACH, places.size() - 1); i++) {
+        List<RingPosition> next = new ArrayList<>(CANDIDATES);
+        for (int i = 1; i <= Math.min(CANDIDATES, places.size() - 1); i++) {
             next.add(places.get((at + i) % places.size()));
         }
         Map<String, Integer> used = new HashMap<>(Map.of(places.get(at).zone(), 1));
@@ -83,10 +83,10 @@
     }
 
     /** Whom a balancer watches over. */
-    public List<String> watched(String node) {
+    public List<String> watchedBy(String node) {
         Integer at = index.get(node);
         List<String> watched = new ArrayList<>();
-        for (int i = 1; at != null && i <= Math.min(REACH, places.size() - 1); i++) {
+        for (int i = 1; at != null && i <= Math.min(CANDIDATES, places.size() - 1); i++) {
             String before = places.get(Math.floorMod(at - i, places.size())).node();
             if (watchers(before).contains(node)) {
                 watched.add(before);
--- a/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
@@ -52,14 +52,14 @@
     public record HealthChange(String node, Health before, Health health, int suspecting, int watchers) {}
 
     /** Forgets all: another leader's term has begun, and all balancers have time to be heard by it. */
-    public void begin(double now) {
+    public void startTerm(double now) {
         begunAt = now;
         reports.clear();
         healthByNode.clear();
     }
 
     /** The leader has received a heartbeat of a balancer, with the peers that it suspects now. */
-    public void heard(double now, String node, List<Suspicion> suspicions) {
+    public void onHeartbeat(double now, String node, List<Suspicion> suspicions) {
         reports.put(node, new PeerReport(now, List.copyOf(suspicions)));
     }
 
@@ -149,7 +149,7 @@
     private SuspicionCause evidence(String watcher, String node) {
         for (Suspicion suspicion : reports.get(watcher).suspicions()) {
             if (suspicion.node().equals(node)) {
-                return suspicion.evidence();
+                return suspicion.cause();
             }
         }
         return SuspicionCause.SILENT;
--- a/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
@@ -22,7 +22,7 @@
     /** One that has just come under watch may take so much longer to speak: it may not know of it yet. */
     static final double GRACE_MS = 1_500;
     /** Most balancers watched over: all the ring can ask for, with some from rings a moment older. */
-    public static final int MAX_REPORTED = 4 * HashRing.REACH;
+    public static final int MAX_REPORTED = 4 * HashRing.CANDIDATES;
 
     /** Each suspicion that proved wrong adds this share of the timeout, up to so many times. */
     private static final double FLAP_PART = 0.5;
@@ -52,7 +52,7 @@
     }
 
     /** Whom to watch over from now on; what is known of others is forgotten. */
-    public void over(double now, Collection<String> nodes) {
+    public void setWatched(double now, Collection<String> nodes) {
         watched.keySet().retainAll(nodes);
         for (String node : nodes) {
             if (watched.size() < MAX_REPORTED && !watched.containsKey(node)) {
@@ -70,7 +70,7 @@
      * @param number of the heartbeat, which counts up in one incarnation
      * @return whether an accusation is taken back by it
      */
-    public boolean heard(double now, String node, int incarnation, int number) {
+    public boolean onHeartbeat(double now, String node, int incarnation, int number) {
         WatchedPeer one = watched.get(node);
         if (one == null || one.incarnation == incarnation && number - one.number <= 0) {
             return false;
@@ -112,7 +112,7 @@
      * What answers at the address of a suspect; true if that is a new accusation. One whose machine is there and that
      * never spoke here may not know that it should: it is looked at again later.
      */
-    public boolean found(double now, String node, SuspicionCause evidence) {
+    public boolean onProbeResult(double now, String node, SuspicionCause evidence) {
         WatchedPeer one = watched.get(node);
         if (one == null || !one.suspected || one.evidence != null) {
             return false;
@@ -127,14 +127,14 @@
     }
 
     /** Who spoke lately. */
-    public List<String> heardPeers() {
-        List<String> heardPeers = new ArrayList<>();
+    public List<String> livePeers() {
+        List<String> livePeers = new ArrayList<>();
         watched.forEach((node, one) -> {
             if (one.heard && !one.suspected) {
-                heardPeers.add(node);
+                livePeers.add(node);
             }
         });
-        return heardPeers;
+        return livePeers;
     }
 
     /** Who is accused now, and by what. */
--- a/src/main/java/sablehinge/mesh/quota/Bucket.java
+++ b/src/main/java/sablehinge/mesh/quota/Bucket.java
@@ -19,7 +19,7 @@
     public void set(double now, Quota part) {
         fill(now);
         perMs = part.perSecond() / MS;
-        most = Math.max(1, part.bound());
+        most = Math.max(1, part.burst());
         tokens = Double.isNaN(tokens) ? most * first : Math.min(tokens, most);
     }
 
@@ -44,12 +44,12 @@
     }
 
     /** Gives up what is above so many tokens, for others to have, and tells how many those are. */
-    public int lend(double now, double kept) {
+    public int releaseAbove(double now, double kept) {
         return take(now, (int) Math.max(0, left(now) - kept));
     }
 
     /** Adds tokens that others gave up; what is above the bound is lost. */
-    public void regain(double now, int count) {
+    public void restore(double now, int count) {
         fill(now);
         tokens = Math.max(tokens, Math.min(most, tokens + count));
     }
@@ -66,7 +66,7 @@
     }
 
     /** In how many ms there will be a token; infinite where none comes. */
-    public double next() {
+    public double msUntilToken() {
         return tokens >= 1 ? 0 : perMs == 0 ? Double.POSITIVE_INFINITY : (1 - tokens) / perMs;
     }
 }
--- a/src/main/java/sablehinge/mesh/quota/Pool.java
+++ b/src/main/java/sablehinge/mesh/quota/Pool.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether unused tokens of a tenant's quota are to be reclaimed from balancers now. */
-    public boolean pulls(double now, String tenant) {
+    public boolean startReclaim(double now, String tenant) {
         Double last = pulledAt.get(tenant);
         if (!buckets.containsKey(tenant) || last != null && now - last < PULL_MS) {
             return false;
@@ -62,10 +62,10 @@
     }
 
     /** A balancer returns so many tokens; they count only soon after they were reclaimed. */
-    public void regain(double now, String tenant, int count) {
+    public void returnTokens(double now, String tenant, int count) {
         Double last = pulledAt.get(tenant);
         if (last != null && now - last < PULL_MS) {
-            buckets.get(tenant).regain(now, count);
+            buckets.get(tenant).restore(now, count);
         }
     }
 }
--- a/src/main/java/sablehinge/mesh/quota/Quota.java
+++ b/src/main/java/sablehinge/mesh/quota/Quota.java
@@ -7,9 +7,9 @@
  * twice.
  *
  * @param perSecond requests a second over all balancers
- * @param bound requests above that which may come at once, over all balancers
+ * @param burst requests above that which may come at once, over all balancers
  */
-public record Quota(double perSecond, double bound) {
+public record Quota(double perSecond, double burst) {
 
     /** The part that is divided evenly among all balancers. */
     public static final double EVEN_SHARE = 0.6;
@@ -19,22 +19,22 @@
      * the tenant's own figures stays unused: what is on its way while parts change, and restarts.
      *
      * @param perS the tenant's requests a second
-     * @param burst the tenant's requests on top
+     * @param tenantBurst the tenant's requests on top
      * @param windowS the window
      * @param excess the share above the figures that is not yet a breach
      * @param slack likewise in requests
      */
-    public static Quota of(double perS, double burst, double windowS, double excess, double slack) {
-        return new Quota(perS, burst + (excess * (perS * windowS + burst) + slack) / 2);
+    public static Quota of(double perS, double tenantBurst, double windowS, double excess, double slack) {
+        return new Quota(perS, tenantBurst + (excess * (perS * windowS + tenantBurst) + slack) / 2);
     }
 
     /** The even part of one of so many balancers. */
     public Quota even(int balancers) {
-        return new Quota(perSecond * EVEN_SHARE / balancers, bound * EVEN_SHARE / balancers);
+        return new Quota(perSecond * EVEN_SHARE / balancers, burst * EVEN_SHARE / balancers);
     }
 
     /** The pool. */
     public Quota pool() {
-        return new Quota(perSecond * (1 - EVEN_SHARE), bound * (1 - EVEN_SHARE));
+        return new Quota(perSecond * (1 - EVEN_SHARE), burst * (1 - EVEN_SHARE));
     }
 }
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
@@ -117,7 +117,7 @@
     }
 
     /** Answers a claim; null for one that is late or doubled, or when there are too many balancers. */
-    public Grant claimed(double now, Claim claim) {
+    public Grant grant(double now, Claim claim) {
         expire(now);
         Owner owner = owners.get(claim.incarnation());
         if (owner == null && owners.size() < MAX_OWNERS) {
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
@@ -120,13 +120,13 @@
     }
 
     /** Which of so many balancers this is, from 0, by an order that all of them have. */
-    public void place(int own, int all) {
+    public void setPosition(int own, int all) {
         place = own;
         among = all;
     }
 
     /** A client has sent a request for a service here. */
-    public void requested(String service) {
+    public void onRequest(String service) {
         ServiceShare part = parts.get(service);
         if (part != null) {
             part.requests++;
@@ -134,7 +134,7 @@
     }
 
     /** The upstream beside has called a service. */
-    public void called(String service) {
+    public void onUpstreamCall(String service) {
         ServiceShare part = parts.get(service);
         if (part != null) {
             part.calls++;
@@ -148,7 +148,7 @@
      * @param spare whether one that is out may yet do: then some must be left
      * @param then called once, perhaps before this returns, with what gives the token back, or with null
      */
-    public void take(double now, String service, boolean spare, Consumer<Runnable> then) {
+    public void acquire(double now, String service, boolean spare, Consumer<Runnable> then) {
         ServiceShare part = parts.get(service);
         if (part == null) {
             then.accept(null);
@@ -171,7 +171,7 @@
     }
 
     /** What has waited long enough takes what is reserved; to be called some times a second. */
-    public void expire(double now) {
+    public void expireWaiting(double now) {
         for (ServiceShare part : parts.values()) {
             while (!part.waiting.isEmpty() && part.waiting.peekFirst().until <= now) {
                 part.waiting.pollFirst().then.accept(reserved(now, part));
@@ -192,7 +192,7 @@
     }
 
     /** Something has arrived beyond the first for which no token was taken. */
-    public void arrived(String service) {
+    public void onExtraArrival(String service) {
         ServiceShare part = parts.get(service);
         if (part != null) {
             part.spent++;
@@ -200,7 +200,7 @@
     }
 
     /** The claim to send now; null where that can wait. What is not needed is given back. */
-    public Claim claim(double now) {
+    public Claim nextClaim(double now) {
         if (now >= end && term != 0) {
             term = 0;
             parts.values().forEach(ServiceShare::resetEpoch);
@@ -234,7 +234,7 @@
     }
 
     /** A leader has answered; an answer to another claim than the last is ignored. */
-    public void granted(double now, Grant grant) {
+    public void onGrant(double now, Grant grant) {
         if (grant.number() != number || number == answered || now >= requestedAt + GRANT_LIFETIME_MS) {
             return;
         }
--- a/src/main/java/sablehinge/mesh/routing/RoutingTable.java
+++ b/src/main/java/sablehinge/mesh/routing/RoutingTable.java
@@ -117,7 +117,7 @@
     }
 
     /** Whether a request needs a key, unless its route is open. */
-    public boolean wantsKeys() {
+    public boolean requiresKeys() {
         return !configuration.tenants().isEmpty();
     }
 
@@ -132,7 +132,7 @@
      * @param point at least 0 and below 1; points that are spread evenly give each service its share
      * @return one whose share is above 0; the first one where none is
      */
-    public String choose(Configuration.Route route, double point) {
+    public String chooseService(Configuration.Route route, double point) {
         List<Configuration.Share> split = route.split();
         String last = split.get(0).service();
         if (split.size() == 1) {
--- a/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
+++ b/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
@@ -13,7 +13,7 @@
     private RetryBudgetCodec() {}
 
     /** Writes a claim. */
-    public static byte[] bytes(Claim claim) {
+    public static byte[] encode(Claim claim) {
         return RecordBytes.of(out -> {
             out.writeLong(claim.incarnation());
             out.writeInt(claim.number());
@@ -32,7 +32,7 @@
     }
 
     /** Reads a claim; fails on anything else. */
-    public static Claim claim(byte[] bytes) throws IOException {
+    public static Claim decodeClaim(byte[] bytes) throws IOException {
         DataInputStream in = RecordBytes.in(bytes);
         long incarnation = in.readLong();
         int number = in.readInt();
@@ -49,7 +49,7 @@
     }
 
     /** Writes a grant. */
-    public static byte[] bytes(Grant grant) {
+    public static byte[] encode(Grant grant) {
         return RecordBytes.of(out -> {
             out.writeInt(grant.number());
             out.writeLong(grant.term());
@@ -62,7 +62,7 @@
     }
 
     /** Reads a grant; fails on anything else. */
-    public static Grant grant(byte[] bytes) throws IOException {
+    public static Grant decodeGrant(byte[] bytes) throws IOException {
         DataInputStream in = RecordBytes.in(bytes);
         int number = in.readInt();
         long term = in.readLong();
--- a/src/main/java/sablehinge/mesh/watch/WatchRequest.java
+++ b/src/main/java/sablehinge/mesh/watch/WatchRequest.java
@@ -54,7 +54,7 @@
         out.writeByte(suspicions.size());
         for (Suspicion suspicion : suspicions) {
             out.writeUTF(suspicion.node());
-            out.writeByte(suspicion.evidence().ordinal());
+            out.writeByte(suspicion.cause().ordinal());
         }
         out.writeByte(vouched.size());
         for (Registration other : vouched) {
--- a/src/test/java/sablehinge/dataplane/budget/AttemptBudgetsTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/AttemptBudgetsTest.java
@@ -30,25 +30,25 @@
     }
 
     private static Admission client(AttemptBudgets attemptBudgets, double now) {
-        return attemptBudgets.arrive(now, new Found<>(Kind.MISSING, null), true, 1_000, 0, 3);
+        return attemptBudgets.admit(now, new Found<>(Kind.MISSING, null), true, 1_000, 0, 3);
     }
 
     @Test
     void aPartStaysBackAndWhatWasNotSpentComesBack() {
         AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission client = client(front, 0);
-        Grant first = front.take(client.call(), 0, true, 0);
+        Grant first = front.grant(client.call(), 0, true, 0);
         assertEquals(4, first.attempts());
         Budget budget = first.budget(100);
         // 1,000 ms, less the margin of 5, the wire's 2 and the 100 that have passed.
         assertEquals(893, budget.remaining());
         assertEquals(List.of(FRONT), budget.path());
         assertEquals(3, budget.value());
-        front.over(first, new Report(budget.grant(), 1, true), false);
+        front.onAttemptFinished(first, new Report(budget.grant(), 1, true), false);
         assertEquals(7, client.call().attempts());
-        Grant second = front.take(client.call(), 200, true, 0);
+        Grant second = front.grant(client.call(), 200, true, 0);
         // Nothing came back: all of it counts as spent.
-        front.over(second, null, false);
+        front.onAttemptFinished(second, null, false);
         assertEquals(8 - 1 - second.attempts(), client.call().attempts());
         assertEquals(1 + second.attempts(), front.close(client.call(), true).spent());
     }
@@ -57,10 +57,10 @@
     void oneThatMayNotBeSentAgainIsGrantedAll() {
         AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission client = client(front, 0);
-        Grant only = front.take(client.call(), 0, false, 0);
+        Grant only = front.grant(client.call(), 0, false, 0);
         assertEquals(8, only.attempts());
-        front.neverRan(only);
-        front.neverRan(only);
+        front.onAttemptNeverRan(only);
+        front.onAttemptNeverRan(only);
         assertEquals(8, client.call().attempts());
     }
 
@@ -71,13 +71,13 @@
                 new AttemptBudgets(new BudgetSettings(7, 10_000, 100, 1, 1, 3, false, 5, 2, 0.9, 0, 10), FRONT, 1);
         Admission client = client(front, 0);
         assertEquals(2, client.call().attempts());
-        assertEquals(3, front.take(client.call(), 0, true, 0).attempts());
-        assertEquals(3, front.take(client.call(), 0, true, 0).attempts());
-        assertNull(front.take(client.call(), 0, true, 0), "one is left, which is not enough for a retry");
+        assertEquals(3, front.grant(client.call(), 0, true, 0).attempts());
+        assertEquals(3, front.grant(client.call(), 0, true, 0).attempts());
+        assertNull(front.grant(client.call(), 0, true, 0), "one is left, which is not enough for a retry");
         AttemptBudgets poor =
                 new AttemptBudgets(new BudgetSettings(2, 10_000, 100, 1, 1, 3, false, 5, 2, 0.5, 0, 10), FRONT, 1);
         Admission first = client(poor, 0);
-        assertEquals(2, poor.take(first.call(), 0, true, 0).attempts(), "a first attempt goes with what there is");
+        assertEquals(2, poor.grant(first.call(), 0, true, 0).attempts(), "a first attempt goes with what there is");
     }
 
     /** The tier below has spent what there was: this one does not begin all over. */
@@ -85,10 +85,10 @@
     void whatIsNotWorthAnotherTryHasNone() {
         AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission client = client(front, 0);
-        Grant first = front.take(client.call(), 0, true, 0);
-        front.over(first, new Report(first.budget(0).grant(), 2, false), false);
+        Grant first = front.grant(client.call(), 0, true, 0);
+        front.onAttemptFinished(first, new Report(first.budget(0).grant(), 2, false), false);
         assertEquals(0, client.call().attempts());
-        assertNull(front.take(client.call(), 1, true, 0));
+        assertNull(front.grant(client.call(), 1, true, 0));
         assertFalse(front.close(client.call(), true).again());
     }
 
@@ -97,9 +97,9 @@
     void oneTierTriesAgainAndNotThree() {
         AttemptBudgets store = new AttemptBudgets(terms(true, 1, 10), RENDER, 1);
         for (int tries = 1; tries <= 2; tries++) {
-            Admission call = store.arrive(0, carried(tries, 4, 900, FRONT), false, 900, 0, 1);
+            Admission call = store.admit(0, carried(tries, 4, 900, FRONT), false, 900, 0, 1);
             for (int i = 0; i < tries; i++) {
-                store.over(store.take(call.call(), 0, true, 0), null, false);
+                store.onAttemptFinished(store.grant(call.call(), 0, true, 0), null, false);
             }
             assertEquals(new Report(tries, tries, tries == 1), store.close(call.call(), true));
         }
@@ -110,37 +110,37 @@
     void reportsAreNotBelievedBeyondTheirGrant() {
         AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
         Admission client = client(front, 0);
-        Grant first = front.take(client.call(), 0, true, 0);
-        front.over(first, new Report(99, 0, true), false);
+        Grant first = front.grant(client.call(), 0, true, 0);
+        front.onAttemptFinished(first, new Report(99, 0, true), false);
         assertEquals(4, client.call().attempts());
-        Grant second = front.take(client.call(), 0, true, 0);
-        front.over(second, new Report(second.budget(0).grant(), 9_999, true), false);
+        Grant second = front.grant(client.call(), 0, true, 0);
+        front.onAttemptFinished(second, new Report(second.budget(0).grant(), 9_999, true), false);
         assertEquals(2, client.call().attempts());
     }
 
     @Test
     void callsOfOneGrantDrawOnOnePurse() {
         AttemptBudgets store = new AttemptBudgets(terms(true, 3, 10), RENDER, 1);
-        Admission first = store.arrive(0, carried(5, 4, 900), false, 900, 0, 1);
+        Admission first = store.admit(0, carried(5, 4, 900), false, 900, 0, 1);
         // Four, of which two are owed to calls that are still to come.
         assertEquals(2, first.call().attempts());
-        store.over(store.take(first.call(), 0, true, 0), null, false);
-        store.over(store.take(first.call(), 0, true, 0), null, false);
-        assertNull(store.take(first.call(), 0, true, 0));
+        store.onAttemptFinished(store.grant(first.call(), 0, true, 0), null, false);
+        store.onAttemptFinished(store.grant(first.call(), 0, true, 0), null, false);
+        assertNull(store.grant(first.call(), 0, true, 0));
         store.close(first.call(), false);
         for (int i = 0; i < 2; i++) {
-            Admission next = store.arrive(10, carried(5, 4, 900), false, 900, 0, 1);
-            assertNotNull(store.take(next.call(), 10, true, 0));
-            assertNull(store.take(next.call(), 10, true, 0));
+            Admission next = store.admit(10, carried(5, 4, 900), false, 900, 0, 1);
+            assertNotNull(store.grant(next.call(), 10, true, 0));
+            assertNull(store.grant(next.call(), 10, true, 0));
             store.close(next.call(), true);
         }
         assertEquals(
                 Refusal.SPENT,
-                store.arrive(20, carried(5, 4, 900), false, 900, 0, 1).refusal());
+                store.admit(20, carried(5, 4, 900), false, 900, 0, 1).refusal());
         // Sent again, and with more: it is the same budget.
         assertEquals(
                 Refusal.SPENT,
-                store.arrive(30, carried(5, 8, 900), false, 900, 0, 1).refusal());
+                store.admit(30, carried(5, 8, 900), false, 900, 0, 1).refusal());
         assertEquals(1, store.size());
     }
 
@@ -148,63 +148,61 @@
     void theDeadAreTurnedAwayOnArrivalAndNeverSentOn() {
         AttemptBudgets store = new AttemptBudgets(terms(true, 1, 10), RENDER, 1);
         assertEquals(
-                Refusal.DEAD,
-                store.arrive(0, carried(1, 4, 5), false, 900, 0, 1).refusal());
+                Refusal.DEAD, store.admit(0, carried(1, 4, 5), false, 900, 0, 1).refusal());
         assertEquals(
-                Refusal.DEAD,
-                store.arrive(0, carried(2, 4, 900), false, 5, 0, 1).refusal());
+                Refusal.DEAD, store.admit(0, carried(2, 4, 900), false, 5, 0, 1).refusal());
         // Lay unread for as long as the process stood still.
         assertEquals(
                 Refusal.DEAD,
-                store.arrive(0, carried(3, 4, 900), false, 900, 896, 1).refusal());
+                store.admit(0, carried(3, 4, 900), false, 900, 896, 1).refusal());
         assertEquals(0, store.size());
-        Admission alive = store.arrive(0, carried(4, 4, 900), false, 900, 0, 1);
-        assertNull(store.take(alive.call(), 890, true, 10), "the tier below needs 10 ms");
-        Grant late = store.take(alive.call(), 800, true, 10);
+        Admission alive = store.admit(0, carried(4, 4, 900), false, 900, 0, 1);
+        assertNull(store.grant(alive.call(), 890, true, 10), "the tier below needs 10 ms");
+        Grant late = store.grant(alive.call(), 800, true, 10);
         assertNull(late.budget(894), "its connection took too long");
         // A later call of the same grant has no more time than the first one.
         assertEquals(
                 Refusal.DEAD,
-                store.arrive(896, carried(4, 4, 900), false, 900, 0, 1).refusal());
+                store.admit(896, carried(4, 4, 900), false, 900, 0, 1).refusal());
     }
 
     @Test
     void whoComesBackToItsOwnPathIsALoop() {
         AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
-        Admission loop = front.arrive(0, carried(1, 4, 900, FRONT, RENDER, 0xccccL), false, 900, 0, 1);
+        Admission loop = front.admit(0, carried(1, 4, 900, FRONT, RENDER, 0xccccL), false, 900, 0, 1);
         assertEquals(Refusal.LOOP, loop.refusal());
         assertEquals(List.of(FRONT, RENDER, 0xccccL, FRONT), loop.path());
         assertEquals(
                 Refusal.LOOP,
-                front.arrive(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
+                front.admit(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
         // Another service, and a second call to it from the same place.
         AttemptBudgets render = new AttemptBudgets(terms(false, 2, 10), RENDER, 1);
-        assertNull(render.arrive(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
-        assertNull(render.arrive(1, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
+        assertNull(render.admit(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
+        assertNull(render.admit(1, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
         // Where an operator allows to come back once.
         AttemptBudgets twice =
                 new AttemptBudgets(new BudgetSettings(8, 10_000, 100, 1, 1, 1, false, 5, 2, 0.5, 1, 10), FRONT, 1);
-        assertNull(twice.arrive(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
+        assertNull(twice.admit(0, carried(1, 4, 900, FRONT), false, 900, 0, 1).refusal());
         assertEquals(
                 Refusal.LOOP,
-                twice.arrive(0, carried(2, 4, 900, FRONT, FRONT), false, 900, 0, 1)
+                twice.admit(0, carried(2, 4, 900, FRONT, FRONT), false, 900, 0, 1)
                         .refusal());
         Long[] sixteen = new Long[16];
         java.util.Arrays.setAll(sixteen, i -> (long) i);
         assertEquals(
                 Refusal.LOOP,
-                front.arrive(0, carried(3, 4, 900, sixteen), false, 900, 0, 1).refusal());
+                front.admit(0, carried(3, 4, 900, sixteen), false, 900, 0, 1).refusal());
     }
 
     @Test
     void nobodyRaisesItsBudget() {
         AttemptBudgets front = new AttemptBudgets(terms(false, 1, 10), FRONT, 1);
-        Admission liar = front.arrive(
+        Admission liar = front.admit(
                 0, new Found<>(Kind.READ, new Budget(1, 9_999, 3_000_000, 1e6, List.of())), true, 1e9, 0, 3);
         assertEquals(8, liar.call().attempts());
         assertEquals(9_995, liar.call().deadline());
         AttemptBudgets store = new AttemptBudgets(terms(true, 1, 10), RENDER, 1);
-        Admission much = store.arrive(
+        Admission much = store.admit(
                 0, new Found<>(Kind.READ, new Budget(1, 9_999, 3_000_000, 1e6, List.of())), false, 1e9, 0, 3);
         assertEquals(
                 List.of(8.0, 9_995.0, 100.0),
@@ -215,7 +213,7 @@
         for (Kind kind : List.of(Kind.MISSING, Kind.UNREADABLE, Kind.FORGED)) {
             assertEquals(
                     1,
-                    store.arrive(0, new Found<>(kind, null), false, 900, 0, 3)
+                    store.admit(0, new Found<>(kind, null), false, 900, 0, 3)
                             .call()
                             .attempts());
             assertEquals(1, store.read().get(kind));
@@ -227,17 +225,17 @@
         AttemptBudgets store = new AttemptBudgets(terms(true, 1, 3), RENDER, 1);
         List<Admission> open = new ArrayList<>();
         for (long grant = 0; grant < 3; grant++) {
-            open.add(store.arrive(0, carried(grant, 4, 900), false, 900, 0, 1));
+            open.add(store.admit(0, carried(grant, 4, 900), false, 900, 0, 1));
         }
         assertEquals(
                 Refusal.FULL,
-                store.arrive(1, carried(9, 4, 900), false, 900, 0, 1).refusal());
+                store.admit(1, carried(9, 4, 900), false, 900, 0, 1).refusal());
         store.close(open.get(1).call(), true);
         // Over, but a call of the same grant may follow until its time is gone.
         assertEquals(
                 Refusal.FULL,
-                store.arrive(2, carried(9, 4, 900), false, 900, 0, 1).refusal());
-        assertNull(store.arrive(896, carried(9, 4, 900), false, 900, 0, 1).refusal());
+                store.admit(2, carried(9, 4, 900), false, 900, 0, 1).refusal());
+        assertNull(store.admit(896, carried(9, 4, 900), false, 900, 0, 1).refusal());
         assertEquals(3, store.size());
     }
 
@@ -248,7 +246,7 @@
         for (int i = 0; i < 100; i++) {
             Admission client = client(front, i);
             assertNotNull(client.call());
-            front.over(front.take(client.call(), i, true, 0), null, true);
+            front.onAttemptFinished(front.grant(client.call(), i, true, 0), null, true);
             front.close(client.call(), false);
         }
         assertEquals(0, front.size());
@@ -270,15 +268,15 @@
         PauseDetector watch = new PauseDetector(20, 0);
         for (double now = 20; now <= 100; now += 20) {
             watch.tick(now + 5);
-            assertEquals(0, watch.waited(now + 15));
+            assertEquals(0, watch.waitedMs(now + 15));
         }
         // Read first after a pause of 900 ms, and read after the tick that was as late.
-        assertEquals(880, watch.waited(1_005));
+        assertEquals(880, watch.waitedMs(1_005));
         watch.tick(1_005);
-        assertEquals(880, watch.waited(1_007));
-        assertEquals(0, watch.waited(1_015));
+        assertEquals(880, watch.waitedMs(1_007));
+        assertEquals(0, watch.waitedMs(1_015));
         watch.tick(1_025);
-        assertEquals(0, watch.waited(1_027));
+        assertEquals(0, watch.waitedMs(1_027));
     }
 
     @Test
@@ -286,11 +284,11 @@
         MinimumTime least = new MinimumTime();
         java.util.SplittableRandom random = new java.util.SplittableRandom(5);
         for (int i = 0; i < 19; i++) {
-            least.served(i, 100);
+            least.recordServed(i, 100);
             assertEquals(0, least.value(i), "too little is known");
         }
         for (int i = 0; i < 5_000; i++) {
-            least.served(i, 20 + 100 * random.nextDouble());
+            least.recordServed(i, 20 + 100 * random.nextDouble());
         }
         double value = least.value(5_000);
         assertTrue(value > 18 && value < 35, "quantile 0.05 of 20 to 120 ms: " + value);
--- a/src/test/java/sablehinge/dataplane/budget/Chain.java
+++ b/src/test/java/sablehinge/dataplane/budget/Chain.java
@@ -81,10 +81,10 @@
             AttemptBudgets.Grant grant = null;
             Budget attemptBudget = null;
             if (plan.budgets()) {
-                grant = balancer.attemptBudgets.take(budget, now, resendable, balancer.least.value(now));
+                grant = balancer.attemptBudgets.grant(budget, now, resendable, balancer.least.value(now));
                 attemptBudget = grant == null ? null : grant.budget(now);
                 if (grant != null && attemptBudget == null) {
-                    balancer.attemptBudgets.neverRan(grant);
+                    balancer.attemptBudgets.onAttemptNeverRan(grant);
                 }
                 if (attemptBudget == null) {
                     close(new Back(false, runs > 0, null));
@@ -117,17 +117,17 @@
         private void finished(AttemptBudgets.Grant grant, Back back, double sentAt) {
             if (grant != null) {
                 if (!back.ran()) {
-                    balancer.attemptBudgets.neverRan(grant);
+                    balancer.attemptBudgets.onAttemptNeverRan(grant);
                 } else {
-                    balancer.attemptBudgets.over(grant, back.report(), back.served());
+                    balancer.attemptBudgets.onAttemptFinished(grant, back.report(), back.served());
                 }
                 if (back.served()) {
-                    balancer.least.served(now, now - sentAt);
+                    balancer.least.recordServed(now, now - sentAt);
                 }
                 // A failure that comes at once indicates an unhealthy server: to give others up would not help.
                 boolean late = now - sentAt > 0.8 * (deadline - sentAt);
                 if (late || back.served()) {
-                    balancer.shedder.felt(now, late);
+                    balancer.shedder.recordLoad(now, late);
                 }
             }
             if (over) {
@@ -188,7 +188,7 @@
                 return;
             }
             AttemptBudgets.Admission admission =
-                    attemptBudgets.arrive(now, found, tier == 0, remaining, 0, requested.value);
+                    attemptBudgets.admit(now, found, tier == 0, remaining, 0, requested.value);
             if (admission.call() == null) {
                 end.done(new Back(false, false, null));
                 return;
--- a/src/test/java/sablehinge/dataplane/budget/LoadShedderTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/LoadShedderTest.java
@@ -14,9 +14,9 @@
     /** Presses until about the given share of the work is to go. */
     private static LoadShedder pressed(double floor, double share, double pressure) {
         LoadShedder shedder = new LoadShedder(new LoadShedder.Settings(floor, share), 7);
-        shedder.felt(0, false);
+        shedder.recordLoad(0, false);
         for (double now = 10; shedder.pressure() < pressure; now += 10) {
-            shedder.felt(now, true);
+            shedder.recordLoad(now, true);
         }
         return shedder;
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
@@ -61,12 +61,12 @@
                 mesh.core.tells(new Registration(
                         "s-3", "monza-b", unresponsive.address(), SidecarFixture.SERVICE, "i-3", true, 4, 0));
                 HeartbeatPacket first = read(socket);
-                assertEquals(HashRing.place("s-1"), first.place());
+                assertEquals(HashRing.positionOf("s-1"), first.place());
                 HeartbeatPacket second = read(socket);
                 assertEquals(new HeartbeatPacket(first.place(), first.incarnation(), first.number() + 1), second);
-                HeartbeatPacket heartbeat = new HeartbeatPacket(HashRing.place(OTHER), 5, 1);
+                HeartbeatPacket heartbeat = new HeartbeatPacket(HashRing.positionOf(OTHER), 5, 1);
                 send(socket, mesh, heartbeat.bytes());
-                send(socket, mesh, new HeartbeatPacket(HashRing.place("s-3"), 6, 1).bytes());
+                send(socket, mesh, new HeartbeatPacket(HashRing.positionOf("s-3"), 6, 1).bytes());
                 send(socket, mesh, new byte[3]);
                 SidecarFixture.await("they are accused", () -> accused(mesh).equals(Set.of(OTHER, "s-3")));
                 send(socket, mesh, heartbeat.bytes());
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -96,8 +96,8 @@
         private void claimed(Frame frame) {
             try {
                 if (reachable) {
-                    retryBudget.granted(RetryBudgetCodec.grant(
-                            RetryBudgetCodec.bytes(allocator.claimed(now, RetryBudgetCodec.claim(frame.body())))));
+                    retryBudget.granted(RetryBudgetCodec.decodeGrant(
+                            RetryBudgetCodec.encode(allocator.grant(now, RetryBudgetCodec.decodeClaim(frame.body())))));
                 }
             } catch (IOException e) {
                 throw new AssertionError(e);
--- a/src/test/java/sablehinge/mesh/failuredetection/HashRingTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HashRingTest.java
@@ -36,12 +36,12 @@
     @Test
     void aNameHasItsPlaceWhoeverElseIsThere() {
         HashRing hashRing = new HashRing(zones(Set.of(1, 2, 3)));
-        assertEquals("sidecar-2", hashRing.at(HashRing.place("sidecar-2")));
-        assertNull(hashRing.at(HashRing.place("sidecar-9")));
+        assertEquals("sidecar-2", hashRing.nodeAt(HashRing.positionOf("sidecar-2")));
+        assertNull(hashRing.nodeAt(HashRing.positionOf("sidecar-9")));
         assertEquals(List.of(), hashRing.watchers("sidecar-9"));
         assertEquals(List.of(), new HashRing(zones(Set.of(1))).watchers("sidecar-1"));
         // On the wire between processes, and so never another.
-        assertEquals(-574169720292795091L, HashRing.place("sidecar-plateau-1"));
+        assertEquals(-574169720292795091L, HashRing.positionOf("sidecar-plateau-1"));
     }
 
     @Property(tries = 500)
@@ -53,11 +53,11 @@
             List<String> watchers = hashRing.watchers(node);
             assertEquals(Math.min(HashRing.WATCHERS, zones.size() - 1), new HashSet<>(watchers).size());
             assertFalse(watchers.contains(node));
-            assertTrue(hashRing.watched(node).size() <= HashRing.REACH);
-            watchers.forEach(watcher -> assertTrue(hashRing.watched(watcher).contains(node)));
-            hashRing.watched(node)
+            assertTrue(hashRing.watchedBy(node).size() <= HashRing.CANDIDATES);
+            watchers.forEach(watcher -> assertTrue(hashRing.watchedBy(watcher).contains(node)));
+            hashRing.watchedBy(node)
                     .forEach(other -> assertTrue(hashRing.watchers(other).contains(node)));
-            if (zones.size() <= HashRing.REACH + 1) {
+            if (zones.size() <= HashRing.CANDIDATES + 1) {
                 Set<String> others = new HashSet<>(zones.values());
                 others.remove(zones.get(node));
                 Set<String> chosen = new HashSet<>();
@@ -79,6 +79,6 @@
         long changed = zones.keySet().stream()
                 .filter(node -> !with.watchers(node).equals(without.watchers(node)))
                 .count();
-        assertTrue(changed <= HashRing.REACH, changed + " of " + zones.size());
+        assertTrue(changed <= HashRing.CANDIDATES, changed + " of " + zones.size());
     }
 }
--- a/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
@@ -44,7 +44,7 @@
     private void asks(Set<String> timedOut, Map<String, List<Suspicion>> suspicions) {
         for (Subject subject : subjects) {
             if (!timedOut.contains(subject.node())) {
-                healthView.heard(now, subject.node(), suspicions.getOrDefault(subject.node(), List.of()));
+                healthView.onHeartbeat(now, subject.node(), suspicions.getOrDefault(subject.node(), List.of()));
             }
         }
     }
@@ -78,7 +78,7 @@
         only(later(Set.of("n1"), accused("n1", 2, evidence)), health);
         assertTrue(health.isUnavailable());
         assertEquals(List.of(), later(Set.of("n1"), accused("n1", 3, evidence)));
-        healthView.heard(now, "n1", List.of());
+        healthView.onHeartbeat(now, "n1", List.of());
         only(healthView.evaluate(now, subjects), Health.CUT_FROM_SOME);
         only(later(Set.of(), Map.of()), Health.WELL);
     }
@@ -100,8 +100,8 @@
     void aWatcherThatTheKeeperDoesNotHearAccusesNobody() {
         List<String> watchers = hashRing.watchers("n1");
         now += 1;
-        healthView.heard(now, watchers.get(0), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
-        healthView.heard(now, watchers.get(1), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
+        healthView.onHeartbeat(now, watchers.get(0), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
+        healthView.onHeartbeat(now, watchers.get(1), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
         now += NO_CONTACT;
         asks(Set.of("n1", watchers.get(0), watchers.get(1)), Map.of());
         healthView.evaluate(now, subjects);
--- a/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/MonitorTest.java
@@ -16,13 +16,13 @@
     private double now;
 
     MonitorTest() {
-        watch.over(0, List.of("a", "b"));
+        watch.setWatched(0, List.of("a", "b"));
         heartbeat("a", 1);
         heartbeat("b", 1);
     }
 
     private boolean heartbeat(String node, int number) {
-        return watch.heard(now, node, 7, number);
+        return watch.onHeartbeat(now, node, 7, number);
     }
 
     /** Ticks until a time; returns who has come under suspicion. */
@@ -43,9 +43,9 @@
         assertEquals(List.of("a"), until(1_000));
         assertEquals(List.of(), until(1_400));
         assertEquals(List.of(), watch.suspicions());
-        assertFalse(watch.found(now, "b", SuspicionCause.RESET));
-        assertTrue(watch.found(now, "a", SuspicionCause.RESET));
-        assertFalse(watch.found(now, "a", SuspicionCause.SILENT));
+        assertFalse(watch.onProbeResult(now, "b", SuspicionCause.RESET));
+        assertTrue(watch.onProbeResult(now, "a", SuspicionCause.RESET));
+        assertFalse(watch.onProbeResult(now, "a", SuspicionCause.SILENT));
         assertEquals(List.of(new Suspicion("a", SuspicionCause.RESET)), watch.suspicions());
     }
 
@@ -53,27 +53,27 @@
     void aBeatTakesAnAccusationBackAtOnceUnlessALaterOneHadOvertakenIt() {
         heartbeat("a", 9);
         until(1_000);
-        watch.found(now, "a", SuspicionCause.SILENT);
+        watch.onProbeResult(now, "a", SuspicionCause.SILENT);
         assertFalse(heartbeat("a", 8));
         assertFalse(heartbeat("a", 9));
         assertEquals(1, watch.suspicions().size());
         assertTrue(heartbeat("a", 10));
         assertEquals(List.of(), watch.suspicions());
-        assertFalse(watch.found(now, "a", SuspicionCause.SILENT));
+        assertFalse(watch.onProbeResult(now, "a", SuspicionCause.SILENT));
     }
 
     @Test
     void aProcessThatHasStartedAgainCountsItsBeatsAnew() {
         heartbeat("a", 900);
         until(1_000);
-        watch.found(now, "a", SuspicionCause.RESET);
-        assertTrue(watch.heard(now, "a", 8, 1));
+        watch.onProbeResult(now, "a", SuspicionCause.RESET);
+        assertTrue(watch.onHeartbeat(now, "a", 8, 1));
     }
 
     @Test
     void whoStoodStillItselfAccusesNobody() {
         until(1_000);
-        watch.found(now, "a", SuspicionCause.SILENT);
+        watch.onProbeResult(now, "a", SuspicionCause.SILENT);
         now += 5_000;
         assertEquals(List.of(), watch.tick(now));
         assertEquals(List.of(), watch.suspicions());
@@ -83,25 +83,25 @@
 
     @Test
     void whoHasJustComeUnderWatchHasTimeToHearOfIt() {
-        watch.over(now, List.of("b", "c"));
+        watch.setWatched(now, List.of("b", "c"));
         assertEquals(List.of("b"), until(Monitor.GRACE_MS + Monitor.SUSPECT_MS));
         assertEquals(List.of("c"), until(now + TICK));
-        watch.found(now, "c", SuspicionCause.SILENT);
-        watch.over(now, List.of("b"));
+        watch.onProbeResult(now, "c", SuspicionCause.SILENT);
+        watch.setWatched(now, List.of("b"));
         assertEquals(List.of(), watch.suspicions());
     }
 
     @Test
     void whoNeverSpokeAndWhoseMachineIsThereMayNotKnowThatItShouldSpeak() {
-        watch.over(now, List.of("c", "d"));
+        watch.setWatched(now, List.of("c", "d"));
         assertEquals(List.of("c", "d"), until(Monitor.GRACE_MS + Monitor.SUSPECT_MS + TICK));
-        assertFalse(watch.found(now, "c", SuspicionCause.FROZEN));
-        assertTrue(watch.found(now, "d", SuspicionCause.SILENT));
-        assertEquals(List.of(), watch.heardPeers());
+        assertFalse(watch.onProbeResult(now, "c", SuspicionCause.FROZEN));
+        assertTrue(watch.onProbeResult(now, "d", SuspicionCause.SILENT));
+        assertEquals(List.of(), watch.livePeers());
         assertEquals(List.of("c"), until(now + Monitor.GRACE_MS + Monitor.SUSPECT_MS + TICK));
-        assertTrue(watch.found(now, "c", SuspicionCause.RESET));
+        assertTrue(watch.onProbeResult(now, "c", SuspicionCause.RESET));
         heartbeat("d", 1);
-        assertEquals(List.of("d"), watch.heardPeers());
+        assertEquals(List.of("d"), watch.livePeers());
     }
 
     @Test
--- a/src/test/java/sablehinge/mesh/quota/MeterTest.java
+++ b/src/test/java/sablehinge/mesh/quota/MeterTest.java
@@ -18,7 +18,7 @@
     void aBucketBeginsHalfFullAndFillsUpToItsBound() {
         bucket.set(0, new Quota(10, 8));
         assertEquals(4, bucket.take(0, 100));
-        assertEquals(100, bucket.next(), 1e-6);
+        assertEquals(100, bucket.msUntilToken(), 1e-6);
         assertEquals(0, bucket.take(99, 1));
         assertEquals(1, bucket.take(100, 1));
         assertEquals(8, bucket.take(100_000, 100));
@@ -31,7 +31,7 @@
         bucket.set(0, new Quota(10, 100));
         assertEquals(4, bucket.take(0, 100));
         bucket.set(0, new Quota(0, 100));
-        assertEquals(Double.POSITIVE_INFINITY, bucket.next());
+        assertEquals(Double.POSITIVE_INFINITY, bucket.msUntilToken());
     }
 
     @Test
@@ -101,9 +101,9 @@
     }
 
     private void pull(double now, Bucket[] even, Bucket by) {
-        if (pool.pulls(now, "t")) {
+        if (pool.startReclaim(now, "t")) {
             for (Bucket other : even) {
-                pool.regain(now, "t", other == by ? 0 : other.lend(now, 1));
+                pool.returnTokens(now, "t", other == by ? 0 : other.releaseAbove(now, 1));
             }
         }
     }
@@ -111,18 +111,18 @@
     @Test
     void whatIsGivenUpCountsOnceAndOnlySoonAfterItWasAskedFor() {
         pool.adopt(0, Map.of("t", new Quota(10, 20)));
-        pool.regain(0, "t", 5);
+        pool.returnTokens(0, "t", 5);
         assertEquals(0, pool.take(0, "t", 9), "nobody was asked");
-        assertTrue(pool.pulls(0, "t"));
-        assertFalse(pool.pulls(99, "t"), "they were asked just now");
-        assertFalse(pool.pulls(0, "other"));
-        pool.regain(0, "t", 500);
+        assertTrue(pool.startReclaim(0, "t"));
+        assertFalse(pool.startReclaim(99, "t"), "they were asked just now");
+        assertFalse(pool.startReclaim(0, "other"));
+        pool.returnTokens(0, "t", 500);
         assertEquals(8, pool.take(0, "t", 99), "above its bound nothing is kept");
-        pool.regain(100, "t", 5);
+        pool.returnTokens(100, "t", 5);
         assertEquals(0, pool.take(100, "t", 9), "too late");
         bucket.set(0, new Quota(10, 20));
-        assertEquals(7, bucket.lend(0, 2.5));
-        assertEquals(0, bucket.lend(0, 2.5));
+        assertEquals(7, bucket.releaseAbove(0, 2.5));
+        assertEquals(0, bucket.releaseAbove(0, 2.5));
         assertEquals(3, bucket.take(0, 9));
     }
 
--- a/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/RetryBudgetSharesTest.java
@@ -29,7 +29,7 @@
 
     private int share(double now, long incarnation, int requests, int spent, int share, int wanted) {
         return allocator
-                .claimed(now, claim(incarnation, 1, B, new Claim.Line(A, requests, 0, spent, share, wanted)))
+                .grant(now, claim(incarnation, 1, B, new Claim.Line(A, requests, 0, spent, share, wanted)))
                 .lines()
                 .get(0)
                 .share();
@@ -41,7 +41,7 @@
         assertEquals(4, share(0, 1, 1_080, 0, 0, 100), "half of the eight earned, the rest for others");
         assertEquals(4, share(0, 1, 1_000, 0, 4, 0), "a count never goes back");
         assertEquals(6, share(0, 1, 1_080, 0, 4, 100));
-        assertNull(allocator.claimed(0, new Claim(1, claims, 1, B, List.of())), "doubled");
+        assertNull(allocator.grant(0, new Claim(1, claims, 1, B, List.of())), "doubled");
     }
 
     @Test
@@ -66,7 +66,7 @@
         assertEquals(
                 5,
                 allocator
-                        .claimed(100, claim(1, 2, B, new Claim.Line(A, 20_100, 0, 0, 0, 100)))
+                        .grant(100, claim(1, 2, B, new Claim.Line(A, 20_100, 0, 0, 0, 100)))
                         .lines()
                         .get(0)
                         .share(),
@@ -75,8 +75,8 @@
 
     @Test
     void aTryIsGivenWithTheCallsThatItsRunWillMake() {
-        allocator.claimed(0, claim(1, 1, A, new Claim.Line(A, 0, 0, 0, 0, 0), new Claim.Line(B, 0, 0, 0, 0, 0)));
-        Grant grant = allocator.claimed(
+        allocator.grant(0, claim(1, 1, A, new Claim.Line(A, 0, 0, 0, 0, 0), new Claim.Line(B, 0, 0, 0, 0, 0)));
+        Grant grant = allocator.grant(
                 0, claim(1, 1, A, new Claim.Line(A, 500, 0, 0, 0, 100), new Claim.Line(B, 60, 500, 0, 0, 0)));
         assertEquals(2, grant.lines().get(0).share(), "half of the six of releve, for its calls");
     }
@@ -86,14 +86,14 @@
     void aClaimMadeInTheMidstOfAnAnswerTellsOfAllOfIt() {
         RetryBudgetShares shares = new RetryBudgetShares(RULE, 7, B);
         shares.adopt(List.of(A, B));
-        shares.place(0, 100);
+        shares.setPosition(0, 100);
         taken(shares, 0, A, false);
-        shares.granted(1, new Grant(shares.claim(0).number(), 1, List.of(new Grant.Line(A, 0))));
+        shares.onGrant(1, new Grant(shares.nextClaim(0).number(), 1, List.of(new Grant.Line(A, 0))));
         Claim[] again = new Claim[1];
-        shares.take(20, A, false, token -> again[0] = shares.claim(421));
+        shares.acquire(20, A, false, token -> again[0] = shares.nextClaim(421));
         taken(shares, 20, B, false);
-        Claim claim = shares.claim(20);
-        shares.granted(25, new Grant(claim.number(), 1, List.of(new Grant.Line(A, 3), new Grant.Line(B, 1))));
+        Claim claim = shares.nextClaim(20);
+        shares.onGrant(25, new Grant(claim.number(), 1, List.of(new Grant.Line(A, 3), new Grant.Line(B, 1))));
         for (Claim.Line line : again[0].lines()) {
             assertEquals(line.service().equals(B) ? 1 : 2, line.share(), line.service());
         }
@@ -104,7 +104,7 @@
     private int taken(RetryBudgetShares shares, double now, String service, boolean spare) {
         int[] reportedRequests = {-1};
         heard = 0;
-        shares.take(now, service, spare, token -> {
+        shares.acquire(now, service, spare, token -> {
             reportedRequests[0] = token == null ? 0 : 1;
             heard += token == null ? 2 : 1;
         });
@@ -119,31 +119,31 @@
         allocator.adopt(0, services);
         RetryBudgetShares shares = new RetryBudgetShares(RULE, 7, services.get(0));
         shares.adopt(services);
-        shares.place(0, 100);
-        services.forEach(shares::requested);
+        shares.setPosition(0, 100);
+        services.forEach(shares::onRequest);
         services.forEach(service -> taken(shares, 0, service, false));
-        Claim claim = shares.claim(0);
+        Claim claim = shares.nextClaim(0);
         assertEquals(66, claim.lines().size());
-        assertEquals(66, allocator.claimed(0, claim).lines().size());
+        assertEquals(66, allocator.grant(0, claim).lines().size());
     }
 
     @Test
     void aShareEndsWithItsOwnerBeforeItEndsWithTheHolder() {
         RetryBudgetShares shares = new RetryBudgetShares(RULE, 7, B);
         shares.adopt(List.of(A));
-        shares.place(0, 100);
+        shares.setPosition(0, 100);
         assertEquals(0, taken(shares, 0, A, false), "no holder was ever in touch, and none is reserved");
-        Claim first = shares.claim(0);
+        Claim first = shares.nextClaim(0);
         assertEquals(1, first.lines().get(0).wanted());
-        shares.granted(880, new Grant(first.number(), 1, List.of(new Grant.Line(A, 2))));
+        shares.onGrant(880, new Grant(first.number(), 1, List.of(new Grant.Line(A, 2))));
         assertEquals(1, taken(shares, 899, A, false));
         assertEquals(0, taken(shares, 899, A, true), "the last is not for a second copy");
         assertEquals(0, taken(shares, 900, B, false), "no such service");
         assertEquals(-1, taken(shares, 900, A, false), "it waits for what the holder says");
-        assertEquals(0, shares.claim(901).term());
-        shares.granted(1_801, new Grant(2, 1, List.of(new Grant.Line(A, 2))));
+        assertEquals(0, shares.nextClaim(901).term());
+        shares.onGrant(1_801, new Grant(2, 1, List.of(new Grant.Line(A, 2))));
         assertEquals(0, heard, "an answer that comes after its end");
-        shares.expire(1_801);
+        shares.expireWaiting(1_801);
         assertEquals(2, heard, "told once, of nothing");
     }
 }
--- a/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
@@ -129,7 +129,7 @@
         void startedAt() {
             shares = new RetryBudgetShares(rule, random.nextLong(), beside);
             shares.adopt(List.of(ATLAS, RELEVE));
-            shares.place(place, sidecars.length);
+            shares.setPosition(place, sidecars.length);
         }
 
         double clock() {
@@ -140,7 +140,7 @@
             demand.forEach((service, perSecond) -> {
                 for (double left = perSecond * STEP / 1_000; random.nextDouble() < left; left--) {
                     requests.computeIfAbsent(service, name -> new Times()).add(now);
-                    shares.requested(service);
+                    shares.onRequest(service);
                     run(service, false, 1);
                 }
             });
@@ -149,7 +149,7 @@
         /** A run makes its calls, which are repeats if it is one; if it fails, another may follow. */
         private void run(String service, boolean repeat, int tries) {
             if (service.equals(ATLAS) && random.nextDouble() < calls) {
-                caller().shares.called(RELEVE);
+                caller().shares.onUpstreamCall(RELEVE);
                 if (repeat) {
                     extra(RELEVE, now + random.nextDouble() * lag);
                 }
@@ -170,7 +170,7 @@
             if (!spare) {
                 wanted.add(requestedAt);
             }
-            shares.take(clock(), service, spare, token -> {
+            shares.acquire(clock(), service, spare, token -> {
                 if (!spare && token != null) {
                     met.add(requestedAt);
                 }
@@ -208,15 +208,15 @@
         }
 
         private void claim() {
-            shares.expire(clock());
-            Claim claim = shares.claim(clock());
+            shares.expireWaiting(clock());
+            Claim claim = shares.nextClaim(clock());
             if (claim != null) {
                 trips++;
                 carry(
                         () -> {
-                            Grant grant = allocator == null ? null : allocator.claimed(now * allocatorRate, claim);
+                            Grant grant = allocator == null ? null : allocator.grant(now * allocatorRate, claim);
                             if (grant != null) {
-                                carry(() -> shares.granted(clock(), grant), cut);
+                                carry(() -> shares.onGrant(clock(), grant), cut);
                             }
                         },
                         cut);
--- a/src/test/java/sablehinge/mesh/routing/RoutingTableTest.java
+++ b/src/test/java/sablehinge/mesh/routing/RoutingTableTest.java
@@ -87,10 +87,10 @@
         assertEquals(TENANT, PLAN.tenant("k2"));
         assertNull(PLAN.tenant("k3"));
         assertNull(PLAN.tenant(null));
-        assertTrue(PLAN.wantsKeys());
+        assertTrue(PLAN.requiresKeys());
         assertFalse(new RoutingTable(
                         new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), List.of(), List.of()))
-                .wantsKeys());
+                .requiresKeys());
         assertEquals(110, PLAN.service("s").connCap());
         assertNull(PLAN.service("u"));
     }
@@ -104,13 +104,14 @@
                 new Configuration.Share("a", 90),
                 new Configuration.Share("b", 10),
                 new Configuration.Share("last", 0));
-        assertEquals("a", PLAN.choose(split, 0));
-        assertEquals("a", PLAN.choose(split, 0.899999));
-        assertEquals("b", PLAN.choose(split, 0.9));
-        assertEquals("b", PLAN.choose(split, Math.nextDown(1.0)));
-        assertEquals("b", PLAN.choose(split, 1));
+        assertEquals("a", PLAN.chooseService(split, 0));
+        assertEquals("a", PLAN.chooseService(split, 0.899999));
+        assertEquals("b", PLAN.chooseService(split, 0.9));
+        assertEquals("b", PLAN.chooseService(split, Math.nextDown(1.0)));
+        assertEquals("b", PLAN.chooseService(split, 1));
         assertEquals(
                 "x",
-                PLAN.choose(route("h", "/", new Configuration.Share("x", 0), new Configuration.Share("y", 0)), 0.7));
+                PLAN.chooseService(
+                        route("h", "/", new Configuration.Share("x", 0), new Configuration.Share("y", 0)), 0.7));
     }
 }
--- a/src/test/java/sablehinge/mesh/watch/RecordsTest.java
+++ b/src/test/java/sablehinge/mesh/watch/RecordsTest.java
@@ -98,12 +98,12 @@
                 .mapToObj(i -> new Claim.Line("service-" + i, i, 0, 0, 0, 1))
                 .toList();
         Claim claim = new Claim(1, 1, 1, "service-0", lines);
-        assertEquals(claim, RetryBudgetCodec.claim(RetryBudgetCodec.bytes(claim)));
+        assertEquals(claim, RetryBudgetCodec.decodeClaim(RetryBudgetCodec.encode(claim)));
         Grant grant = new Grant(
                 1,
                 1,
                 lines.stream().map(line -> new Grant.Line(line.service(), 3)).toList());
-        assertEquals(grant, RetryBudgetCodec.grant(RetryBudgetCodec.bytes(grant)));
+        assertEquals(grant, RetryBudgetCodec.decodeGrant(RetryBudgetCodec.encode(grant)));
     }
 
     @Test
@@ -114,18 +114,18 @@
                 1L << 40,
                 "huvo11a",
                 List.of(new Claim.Line("huvo11a", 1 << 30, 0, 5, 9, 65_535), new Claim.Line("wuno96b", 0, 3, 0, 0, 0)));
-        assertEquals(claim, RetryBudgetCodec.claim(RetryBudgetCodec.bytes(claim)));
+        assertEquals(claim, RetryBudgetCodec.decodeClaim(RetryBudgetCodec.encode(claim)));
         Grant grant = new Grant(7, 1L << 40, List.of(new Grant.Line("huvo11a", 1 << 20)));
-        assertEquals(grant, RetryBudgetCodec.grant(RetryBudgetCodec.bytes(grant)));
-        byte[] bytes = RetryBudgetCodec.bytes(claim);
+        assertEquals(grant, RetryBudgetCodec.decodeGrant(RetryBudgetCodec.encode(grant)));
+        byte[] bytes = RetryBudgetCodec.encode(claim);
         for (int length = 0; length <= bytes.length + 1; length++) {
             byte[] part = Arrays.copyOf(bytes, length);
             if (length != bytes.length) {
-                assertThrows(IOException.class, () -> RetryBudgetCodec.claim(part), "a claim of " + length);
+                assertThrows(IOException.class, () -> RetryBudgetCodec.decodeClaim(part), "a claim of " + length);
             }
         }
         // After the incarnation, the number, the term and the service: how many lines there are.
         bytes[8 + 4 + 8 + 2 + 7] = (byte) (Claim.MAX_LINES + 1);
-        assertThrows(IOException.class, () -> RetryBudgetCodec.claim(bytes));
+        assertThrows(IOException.class, () -> RetryBudgetCodec.decodeClaim(bytes));
     }
 }
