--- a/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
+++ b/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
@@ -55,7 +55,7 @@
             return;
         }
         Member name =
-                first ? machine.self : Member.later(cluster.dice(machine), machine.address, machine.self.control());
+                first ? machine.self : Member.nonFounder(cluster.dice(machine), machine.address, machine.self.control());
         machine.incarnation++;
         machine.self = name;
         names.put(machine.address, name);
--- a/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
@@ -17,7 +17,7 @@
             new Mutant(
                     "who lost its disk comes back as its old self",
                     "controlplane/raft/Member",
-                    "Member later(",
+                    "Member nonFounder(",
                     "return new Member(even == 0 ? 2 : even, address, control);",
                     "return founder(address, control);"),
             new Mutant(
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -227,7 +227,7 @@
     public void reload(LocalSettings next) {
         loop.execute(() -> {
             List<String> contacts = next.innerSeeds();
-            raft.contacts(contacts);
+            raft.addContacts(contacts);
             Log.info(LOG, "settings").addKeyValue("seeds", contacts.size()).log("the settings were read again");
         });
     }
@@ -238,7 +238,7 @@
         peers = new PeerConnections(connection, self, this::onMessage);
         List<Member> founders = identity.founders();
         List<String> contacts = settings.innerSeeds();
-        raft.contacts(contacts);
+        raft.addContacts(contacts);
         if (stored != null) {
             // Even who has nothing but a name, and asks to be let in, may have given its vote.
             raft.start(now, stored, now - (System.nanoTime() - processStartedAt) / NANOS_PER_MS);
--- a/src/main/java/sablehinge/controlplane/node/ControlStatus.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -90,7 +90,7 @@
         Map<String, MeshStatus.Service> services = new TreeMap<>();
         int known = 0;
         int ready = 0;
-        for (Registry.Entry line : registry.lines(now)) {
+        for (Registry.Entry line : registry.entries(now)) {
             Registration registration = line.registration();
             boolean takes = registration.ready() && !line.gone();
             known += line.gone() ? 0 : 1;
@@ -115,7 +115,7 @@
     MeshNodes nodes() {
         double now = context.now();
         List<MeshNodes.Balancer> balancers = new ArrayList<>();
-        for (Registry.Entry line : registry.lines(now)) {
+        for (Registry.Entry line : registry.entries(now)) {
             Registration registration = line.registration();
             balancers.add(new MeshNodes.Balancer(
                     registration.node(),
--- a/src/main/java/sablehinge/controlplane/node/CoreIdentity.java
+++ b/src/main/java/sablehinge/controlplane/node/CoreIdentity.java
@@ -28,7 +28,7 @@
         String control = settings.listenOn().control();
         return settings.firstStart() && !isCorrupt
                 ? Member.founder(address, control)
-                : Member.later(random.nextLong(), address, control);
+                : Member.nonFounder(random.nextLong(), address, control);
     }
 
     /** The machines that the settings name as seeds, as founders of the core. */
--- a/src/main/java/sablehinge/controlplane/node/WatchServer.java
+++ b/src/main/java/sablehinge/controlplane/node/WatchServer.java
@@ -97,7 +97,7 @@
         subscriber.pending = true;
         subscriber.confirmed = false;
         registry.register(now, request.registration());
-        request.vouched().forEach(registration -> registry.vouched(now, registration));
+        request.vouched().forEach(registration -> registry.recordPeerReport(now, registration));
         healthView.heard(now, request.registration().node(), request.suspicions());
     }
 
@@ -168,7 +168,7 @@
                 change -> registry.setEjected(change.node(), change.health().isUnavailable()));
         for (Registration registration : present) {
             if (healthView.health(registration.node()) == Health.CUT_FROM_CORE) {
-                registry.vouched(now, registration);
+                registry.recordPeerReport(now, registration);
             }
         }
         healthChanges.addAll(changed);
--- a/src/main/java/sablehinge/controlplane/raft/Member.java
+++ b/src/main/java/sablehinge/controlplane/raft/Member.java
@@ -26,7 +26,7 @@
     }
 
     /** A member whose disk began empty after the founding; {@code random} tells it from all others. */
-    public static Member later(long random, String address, String control) {
+    public static Member nonFounder(long random, String address, String control) {
         long even = random & ~1L;
         return new Member(even == 0 ? 2 : even, address, control);
     }
--- a/src/main/java/sablehinge/controlplane/raft/RaftNode.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftNode.java
@@ -106,7 +106,7 @@
     }
 
     /** Addresses of machines that may be members, for a replica that looks for them. */
-    public void contacts(List<String> addresses) {
+    public void addContacts(List<String> addresses) {
         discovery.addContacts(addresses);
     }
 
--- a/src/main/java/sablehinge/controlplane/state/Registry.java
+++ b/src/main/java/sablehinge/controlplane/state/Registry.java
@@ -88,7 +88,7 @@
     }
 
     /** Peers hear a balancer that does not register here: it stays, as they know it where it never registered. */
-    public void vouched(double now, Registration registration) {
+    public void recordPeerReport(double now, Registration registration) {
         Row row = rows.computeIfAbsent(registration.node(), node -> new Row());
         row.heardAt = now;
         if (row.registration == null) {
@@ -175,7 +175,7 @@
     public record Entry(Registration registration, double sinceLastMessageMs, boolean gone) {}
 
     /** All balancers, in the order of the nodes' names. */
-    public List<Entry> lines(double now) {
+    public List<Entry> entries(double now) {
         List<Entry> lines = new ArrayList<>(rows.size());
         rows.values()
                 .forEach(
--- a/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
@@ -135,7 +135,7 @@
                 }
             }
             try (RaftStore store = RaftStore.open(disk)) {
-                store.begin(Member.later(8, "10.0.0.1:7000", "10.0.0.1:7001"));
+                store.begin(Member.nonFounder(8, "10.0.0.1:7000", "10.0.0.1:7001"));
             }
             try (RaftStore store = RaftStore.open(disk)) {
                 assertFalse(store.isCorrupt());
--- a/src/test/java/sablehinge/controlplane/node/StoredDataTest.java
+++ b/src/test/java/sablehinge/controlplane/node/StoredDataTest.java
@@ -29,7 +29,7 @@
     private static final Member ONE = Member.founder("10.0.0.1:7780", "10.0.0.1:8367");
     private static final Member TWO = Member.founder("10.0.0.2:7780", "10.0.0.2:8367");
     private static final Member THREE = Member.founder("10.0.0.3:7780", "10.0.0.3:8367");
-    private static final Member FOUR = Member.later(42, "10.0.0.4:7780", "10.0.0.4:8367");
+    private static final Member FOUR = Member.nonFounder(42, "10.0.0.4:7780", "10.0.0.4:8367");
 
     @TempDir
     Path folder;
--- a/src/test/java/sablehinge/controlplane/node/WireFormatTest.java
+++ b/src/test/java/sablehinge/controlplane/node/WireFormatTest.java
@@ -17,7 +17,7 @@
 class WireFormatTest {
 
     private static final Member ONE = Member.founder("10.0.0.1:7780", "10.0.0.1:8367");
-    private static final Member TWO = Member.later(42, "10.0.0.2:7780", "10.0.0.2:8367");
+    private static final Member TWO = Member.nonFounder(42, "10.0.0.2:7780", "10.0.0.2:8367");
     private static final Snapshot SNAPSHOT = new Snapshot(5, 3, List.of(ONE, TWO), new byte[] {1, 2, 3});
 
     private static void assertBytes(Message message, String hex) throws IOException {
--- a/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
@@ -20,7 +20,7 @@
     private final MembershipPlanner five = new MembershipPlanner(2, TIMING);
 
     private static Member member(String name) {
-        return Member.later(name.hashCode(), name + ":1", "c" + name);
+        return Member.nonFounder(name.hashCode(), name + ":1", "c" + name);
     }
 
     private static Replica well(String name) {
@@ -102,7 +102,7 @@
 
     @Test
     void theFormerLifeOfAWipedVoterGoesAtOnceAndBeforeAnother() {
-        Replica formerIncarnation = new Replica(Member.later(7, "d:1", "cd"), STALE, true, false);
+        Replica formerIncarnation = new Replica(Member.nonFounder(7, "d:1", "cd"), STALE, true, false);
         assertRemoves(formerIncarnation, three.next(with(list("a", "b"), formerIncarnation), list("d")));
         assertRemoves(
                 formerIncarnation,
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeCodecTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeCodecTest.java
@@ -18,7 +18,7 @@
 class RaftNodeCodecTest {
 
     private static final List<Member> MEMBERS =
-            List.of(Member.founder("10.0.0.1:1", "10.0.0.1:2"), Member.later(-7, "10.0.0.2:1", ""));
+            List.of(Member.founder("10.0.0.1:1", "10.0.0.1:2"), Member.nonFounder(-7, "10.0.0.2:1", ""));
     private static final List<Message> MESSAGES = List.of(
             new Message.VoteRequest(1, 2, 3, true, false),
             new Message.VoteResponse(Long.MAX_VALUE, true, false),
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRulesTest.java
@@ -14,8 +14,8 @@
     private static final Member A = Member.founder("a:1", "ca");
     private static final Member B = Member.founder("b:1", "cb");
     private static final Member C = Member.founder("c:1", "cc");
-    private static final Member D = Member.later(40, "d:1", "cd");
-    private static final Member E = Member.later(50, "e:1", "ce");
+    private static final Member D = Member.nonFounder(40, "d:1", "cd");
+    private static final Member E = Member.nonFounder(50, "e:1", "ce");
     private static final byte[] NONE = {};
 
     private record Sent(Member to, Message message) {}
--- a/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -137,7 +137,7 @@
 
         void start() {
             boot();
-            raft.contacts(addresses());
+            raft.addContacts(addresses());
             raft.start(
                     clock(), new PersistedState(self, disk.term, disk.votedFor, disk.snapshot, disk.entries), clock());
         }
@@ -154,7 +154,7 @@
         void begin(Member me, List<Member> founders) {
             self = me;
             boot();
-            raft.contacts(addresses());
+            raft.addContacts(addresses());
             raft.bootstrap(clock(), me, founders);
         }
 
@@ -166,7 +166,7 @@
 
         /** Starts with an empty disk long after the founding. */
         void outside() {
-            self = Member.later(dice(this), address, "c" + address);
+            self = Member.nonFounder(dice(this), address, "c" + address);
             disk = new Disk();
             disk.self = self;
             boot();
