--- a/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
@@ -147,7 +147,7 @@
                 clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
         Frontend front = new Frontend(loop, sockets, memory, core, routes);
         UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
-        core.bound((version, serviceClass, beside, then) -> then.accept(() -> {}));
+        core.setRetryLimiter((version, serviceClass, beside, then) -> then.accept(() -> {}));
         core.start(BalancerSettings.gate(), 1, new Roster(0, true, List.of()), transport, NO_REGISTRY);
         front.open(at, done);
     }
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -206,7 +206,7 @@
     void watch() {
         recorder = new FlightRecorder(new Ring(1 << 16), () -> (long) (net.now() * 1e6));
         sockets.trace(recorder);
-        core.trace(recorder);
+        core.setTracer(recorder);
         Watch watch = new Watch(new Watch.Terms(50, 500, 250, 1_000, 5_000, 0));
         Vitals seen = new LoopVitals(core, sockets, () -> List.of(front), memory::used);
         net.loop.scheduleAtFixedRate(() -> alarms.addAll(watch.tick(net.now(), seen)), 50, 50, TimeUnit.MILLISECONDS);
--- a/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
 import sablehinge.dataplane.proxy.Answer;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 import sablehinge.dataplane.proxy.Payload;
 import sablehinge.dataplane.proxy.TraceEvent;
 
@@ -131,7 +131,7 @@
     }
 
     /** Shows a watch what passes through, and what is not written out. */
-    void passages(Consumer<Passage> each) {
+    void passages(Consumer<MonitoredRelay> each) {
         responses.passages(each);
         receiver.passages(each);
     }
--- a/src/main/java/sablehinge/dataplane/http1/ChannelOutlet.java
+++ b/src/main/java/sablehinge/dataplane/http1/ChannelOutlet.java
@@ -2,13 +2,13 @@
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOutboundBuffer;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 
 /** The writing side of a connection as a watch sees it; by itself, what waits there to be written out. */
-record ChannelOutlet(Channel channel, int connection, Sockets sockets) implements Passage {
+record ChannelOutlet(Channel channel, int connection, Sockets sockets) implements MonitoredRelay {
 
     @Override
-    public long moved() {
+    public long bytesForwarded() {
         return 0;
     }
 
@@ -23,12 +23,12 @@
     }
 
     @Override
-    public long unwritten() {
-        return unwritten(channel);
+    public long unwrittenBytes() {
+        return unwrittenBytes(channel);
     }
 
     /** Bytes that a channel has and its kernel has not. */
-    static long unwritten(Channel channel) {
+    static long unwrittenBytes(Channel channel) {
         ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
         return waiting == null ? 0 : waiting.totalPendingWriteBytes();
     }
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void nudge() {
+    public void resume() {
         sockets.writeNow(channel);
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/CurrentRequest.java
+++ b/src/main/java/sablehinge/dataplane/http1/CurrentRequest.java
@@ -160,7 +160,7 @@
         connection.trace(TraceEvent.REQUEST, 0);
         Arrival arrival = checked.arrival();
         Exchange begun = coming
-                ? context.core.requestComing(version, arrival, payload, this)
+                ? context.core.requestStreaming(version, arrival, payload, this)
                 : context.core.request(version, arrival, payload, this);
         // The answer may have come already, and with it the next request.
         if (begun.isOpen()) {
@@ -186,7 +186,7 @@
     /** The body that was sent on while it came is complete, or nobody wants the rest. */
     void onBodyOver() {
         if (exchange != null) {
-            context.core.ended(exchange);
+            context.core.requestComplete(exchange);
         }
     }
 
@@ -201,7 +201,7 @@
     }
 
     @Override
-    public String name() {
+    public String requestName() {
         return name == null ? "" : name;
     }
 
--- a/src/main/java/sablehinge/dataplane/http1/EarlyRequest.java
+++ b/src/main/java/sablehinge/dataplane/http1/EarlyRequest.java
@@ -63,7 +63,7 @@
         } else {
             Payload payload = answer.payload() == Payload.NONE
                     ? Payload.NONE
-                    : answer.payload().keep();
+                    : answer.payload().retain();
             kept = new Answer(answer.kind(), payload, answer.retryAfter(), answer.spent(), answer.path());
         }
     }
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -27,7 +27,7 @@
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
 import sablehinge.dataplane.budget.HeaderText;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.ShutdownDeadlines;
 
@@ -181,7 +181,7 @@
     }
 
     /** Each body that passes through, and each answer that is not written out. */
-    public void passages(Consumer<Passage> each) {
+    public void passages(Consumer<MonitoredRelay> each) {
         context.connections.forEach(connection -> connection.passages(each));
     }
 
@@ -268,7 +268,7 @@
             context.sockets.readNow(connection.channel);
         }
         context.beginDrain();
-        context.shutdown = deadlines.admittingWhatCameBy(context.core.now());
+        context.shutdown = deadlines.withAdmissionExtendedTo(context.core.now());
     }
 
     private void shut() {
--- a/src/main/java/sablehinge/dataplane/http1/HttpPayload.java
+++ b/src/main/java/sablehinge/dataplane/http1/HttpPayload.java
@@ -7,7 +7,7 @@
 public record HttpPayload(FullHttpMessage message) implements Payload {
 
     @Override
-    public Payload keep() {
+    public Payload retain() {
         message.retain();
         return this;
     }
--- a/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
@@ -74,7 +74,7 @@
                 : new CheckedRequest(
                         checked.name(),
                         checked.arrival()
-                                .with(budgets.readBudget(request.headers().get(UpstreamClient.BUDGET))),
+                                .withBudget(budgets.readBudget(request.headers().get(UpstreamClient.BUDGET))),
                         checked.version());
     }
 
@@ -101,7 +101,7 @@
             response.headers().set(UpstreamClient.SPENT, budgets.write(answer.spent()));
         }
         if (answer != null && !answer.path().isEmpty()) {
-            response.headers().set("Sablehinge-Path", ChainBudgets.text(answer.path()));
+            response.headers().set("Sablehinge-Path", ChainBudgets.formatPath(answer.path()));
         }
         if (version != null && version.shown()) {
             response.headers().set("Sablehinge-Version", version.number());
--- a/src/main/java/sablehinge/dataplane/http1/Relay.java
+++ b/src/main/java/sablehinge/dataplane/http1/Relay.java
@@ -2,13 +2,13 @@
 
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayDeque;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 
 /**
  * A body that passes through as it comes, once, from whoever reads it to whoever writes it. What is not written is not
  * read: the writer limits the reading, so that little of it is held. Both ends are on one loop.
  */
-final class Relay implements Passage {
+final class Relay implements MonitoredRelay {
 
     /** Reads the body. */
     interface Source {
@@ -166,13 +166,13 @@
     }
 
     @Override
-    public long moved() {
+    public long bytesForwarded() {
         return moved;
     }
 
     @Override
-    public long unwritten() {
-        return sink == null ? 0 : sink.outlet().unwritten();
+    public long unwrittenBytes() {
+        return sink == null ? 0 : sink.outlet().unwrittenBytes();
     }
 
     @Override
@@ -191,12 +191,12 @@
     }
 
     @Override
-    public void nudge() {
+    public void resume() {
         if (!over && !ended && !paused) {
             source.readNow();
         }
         if (sink != null) {
-            sink.outlet().nudge();
+            sink.outlet().resume();
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.function.Consumer;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 import sablehinge.dataplane.proxy.TraceEvent;
 
 /**
@@ -265,7 +265,7 @@
     }
 
     /** Shows a watch the body that is sent on while it comes. */
-    void passages(Consumer<Passage> each) {
+    void passages(Consumer<MonitoredRelay> each) {
         if (requestRelay != null && requestRelay.isTaken()) {
             each.accept(requestRelay);
         }
--- a/src/main/java/sablehinge/dataplane/http1/ResponseWriter.java
+++ b/src/main/java/sablehinge/dataplane/http1/ResponseWriter.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import sablehinge.dataplane.proxy.Answer;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 import sablehinge.dataplane.proxy.TraceEvent;
 
 /**
@@ -110,7 +110,7 @@
     }
 
     /** Shows a watch what is being written. */
-    void passages(Consumer<Passage> each) {
+    void passages(Consumer<MonitoredRelay> each) {
         if (responseRelay != null) {
             each.accept(responseRelay);
         } else if (unwrittenAnswers > 0) {
@@ -231,7 +231,7 @@
     /** The channel can take more, or no more for now. */
     void onWritabilityChanged() {
         connection.trace(
-                channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, ChannelOutlet.unwritten(channel));
+                channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, ChannelOutlet.unwrittenBytes(channel));
         if (responseRelay != null) {
             responseRelay.setWritable(channel.isWritable());
         }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -348,7 +348,7 @@
     /** The head of an answer has come, and not yet all of its body. */
     void onResponseStart() {
         if (!ended && progress != null && !isBodyPending()) {
-            double latest = progress.begun();
+            double latest = progress.responseStarted();
             if (!ended && expiry != null) {
                 expiry.cancel(false);
                 until = latest;
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
@@ -164,7 +164,7 @@
                 passing,
                 grant,
                 until,
-                (result, payload) -> progress.ended(result(version.settings(), result, payload)));
+                (result, payload) -> progress.finished(result(version.settings(), result, payload)));
         attempt.progress = progress;
         attempt.start(targets.get(upstream));
         return attempt;
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamConnection.java
@@ -365,7 +365,7 @@
     /** The upstream limits the reading of a body that is relayed. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        trace(channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, ChannelOutlet.unwritten(channel));
+        trace(channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, ChannelOutlet.unwrittenBytes(channel));
         if (attempt != null && attempt.passing != null) {
             attempt.passing.body().setWritable(channel.isWritable());
         }
--- a/src/main/java/sablehinge/dataplane/proxy/Arrival.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Arrival.java
@@ -16,7 +16,7 @@
  * @param retry whether its caller marked it as a repeat
  * @param write whether it changes something
  * @param budget its attempt budget; null where budgets are off
- * @param attempts the most servers that it may reach; 0 for as many as the version's limits allow
+ * @param maxAttempts the most servers that it may reach; 0 for as many as the version's limits allow
  */
 public record Arrival(
         int serviceClass,
@@ -27,25 +27,25 @@
         boolean retry,
         boolean write,
         HeaderText.Found<Budget> budget,
-        int attempts) {
+        int maxAttempts) {
 
     /** A request where budgets are off. */
     public Arrival(int serviceClass, int tenant, long key, double deadline, double cost, boolean retry, boolean write) {
         this(serviceClass, tenant, key, deadline, cost, retry, write, null, 0);
     }
 
-    Arrival until(double earlier) {
-        return new Arrival(serviceClass, tenant, key, earlier, cost, retry, write, budget, attempts);
+    Arrival withDeadline(double earlierDeadline) {
+        return new Arrival(serviceClass, tenant, key, earlierDeadline, cost, retry, write, budget, maxAttempts);
     }
 
     /** The same with its attempt budget. */
-    public Arrival with(HeaderText.Found<Budget> carried) {
-        return new Arrival(serviceClass, tenant, key, deadline, cost, retry, write, carried, attempts);
+    public Arrival withBudget(HeaderText.Found<Budget> newBudget) {
+        return new Arrival(serviceClass, tenant, key, deadline, cost, retry, write, newBudget, maxAttempts);
     }
 
     /** The same, which may reach so many servers at most. */
-    public Arrival within(int most) {
-        return new Arrival(serviceClass, tenant, key, deadline, cost, retry, write, budget, most);
+    public Arrival withMaxAttempts(int newMaxAttempts) {
+        return new Arrival(serviceClass, tenant, key, deadline, cost, retry, write, budget, newMaxAttempts);
     }
 
     Request withId(long id, int sends) {
--- a/src/main/java/sablehinge/dataplane/proxy/Caller.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Caller.java
@@ -7,7 +7,7 @@
     void answer(Answer answer);
 
     /** What the caller calls its request; empty if it has no name for it. Read before the answer. */
-    default String name() {
+    default String requestName() {
         return "";
     }
 }
--- a/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
@@ -134,14 +134,14 @@
     /** A call has come back to this service: logged once a loop. */
     void looped(List<Long> path) {
         if (loops.isNew(path)) {
-            report.accept("a loop of calls: " + text(path) + "; what "
+            report.accept("a loop of calls: " + formatPath(path) + "; what "
                     + (path.size() < 2 ? "came first" : Long.toHexString(path.get(path.size() - 2)))
                     + " sends to comes back here");
         }
     }
 
     /** A path as it is shown. */
-    public static String text(List<Long> path) {
+    public static String formatPath(List<Long> path) {
         return String.join(" > ", path.stream().map(Long::toHexString).toList());
     }
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Exchange.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Exchange.java
@@ -61,7 +61,7 @@
         deadline = arrival.deadline();
         remaining = arrival.deadline() - arrivedAt;
         serviceClass = arrival.serviceClass();
-        attemptsAtMost = arrival.attempts();
+        attemptsAtMost = arrival.maxAttempts();
         this.caller = caller;
     }
 
@@ -114,8 +114,8 @@
     }
 
     /** What its caller calls it. */
-    String name() {
-        return caller == null ? "" : caller.name();
+    String requestName() {
+        return caller == null ? "" : caller.requestName();
     }
 
     /** Nobody waits for an answer any more. */
--- a/src/main/java/sablehinge/dataplane/proxy/Payload.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Payload.java
@@ -15,7 +15,7 @@
     }
 
     /** The same, held once more by whoever asks; nothing where it passes through and can't be kept. */
-    default Payload keep() {
+    default Payload retain() {
         return NONE;
     }
 
--- a/src/main/java/sablehinge/dataplane/proxy/ProxyShutdown.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ProxyShutdown.java
@@ -20,7 +20,7 @@
     private final Clock clock;
     private final Timers timers;
     private final Collection<Exchange> exchanges;
-    private final BiConsumer<Exchange, Answer> giveUp;
+    private final BiConsumer<Exchange, Answer> abort;
     /** Null unless the process is about to end. */
     private ShutdownDeadlines deadlines;
 
@@ -28,13 +28,13 @@
      * Nothing ends yet.
      *
      * @param exchanges those that are not forgotten, as they change
-     * @param giveUp answers one over the module's head
+     * @param abort answers one over the module's head
      */
-    ProxyShutdown(Clock clock, Timers timers, Collection<Exchange> exchanges, BiConsumer<Exchange, Answer> giveUp) {
+    ProxyShutdown(Clock clock, Timers timers, Collection<Exchange> exchanges, BiConsumer<Exchange, Answer> abort) {
         this.clock = clock;
         this.timers = timers;
         this.exchanges = exchanges;
-        this.giveUp = giveUp;
+        this.abort = abort;
     }
 
     /** The process is about to end: from now on nothing begins that could not be answered before that. */
@@ -57,7 +57,7 @@
     private void refuseIncomplete() {
         for (Exchange exchange : List.copyOf(exchanges)) {
             if (exchange.isOpen() && exchange.coming && !exchange.mayHaveRun()) {
-                giveUp.accept(exchange, deadlines.refusal());
+                abort.accept(exchange, deadlines.refusal());
             }
         }
     }
@@ -67,12 +67,12 @@
      *
      * @return how many requests that were
      */
-    int giveUpAll() {
+    int abortAll() {
         List<Exchange> open = exchanges.stream().filter(Exchange::isOpen).toList();
         for (Exchange exchange : open) {
             logGivenUp(exchange);
             boolean refused = deadlines != null && !exchange.mayHaveRun();
-            giveUp.accept(exchange, refused ? deadlines.refusal() : Answer.of(Answer.Kind.UNANSWERED));
+            abort.accept(exchange, refused ? deadlines.refusal() : Answer.of(Answer.Kind.UNANSWERED));
         }
         return open.size();
     }
--- a/src/main/java/sablehinge/dataplane/proxy/RequestAdmission.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestAdmission.java
@@ -28,8 +28,8 @@
     }
 
     /** Switches budgets on for what arrives from now on. */
-    void budgets(ChainBudgets hop) {
-        budgets = hop;
+    void setBudgets(ChainBudgets chainBudgets) {
+        budgets = chainBudgets;
     }
 
     /** Decides on an arrival, while so many requests are at work. */
@@ -52,7 +52,7 @@
         if (!budgets.admits(now, arrival, admission)) {
             return Decision.refused(arrival, shed(call, limits));
         }
-        return new Decision(arrival.until(Math.min(arrival.deadline(), call.deadline())), call, null);
+        return new Decision(arrival.withDeadline(Math.min(arrival.deadline(), call.deadline())), call, null);
     }
 
     /** What has the least value is refused first, and another attempt elsewhere is no use: all are as busy. */
--- a/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
@@ -37,7 +37,7 @@
     private Observer observer;
     private Tracer tracer = Tracer.OFF;
     private ChainBudgets budgets;
-    private Extras extras;
+    private RetryLimiter retryLimiter;
     /** Versions that are not forgotten yet, by their numbers. */
     private final LiveVersions versions = new LiveVersions();
 
@@ -49,7 +49,7 @@
         this.clock = clock;
         this.timers = timers;
         balancer = module.apply(this);
-        shutdown = new ProxyShutdown(clock, timers, exchanges.values(), this::giveUp);
+        shutdown = new ProxyShutdown(clock, timers, exchanges.values(), this::abort);
     }
 
     /** Begins to decide with a first version and the servers as they were last known. */
@@ -104,7 +104,7 @@
      * Servers that a source which is not the current one's says are draining or gone: requests of an older version must
      * not go there either.
      */
-    public void warn(Roster draining) {
+    public void updateDraining(Roster draining) {
         transport.update(draining);
     }
 
@@ -125,35 +125,35 @@
     }
 
     /** Names who sees every answer; null for nobody. */
-    public void observe(Observer sees) {
-        observer = sees;
+    public void setObserver(Observer newObserver) {
+        observer = newObserver;
     }
 
     /** Sets the tracer of each step of each request. */
-    public void trace(Tracer listener) {
-        tracer = listener;
+    public void setTracer(Tracer newTracer) {
+        tracer = newTracer;
     }
 
     /** Each request that is past its deadline by so many ms and not forgotten yet, by its number. */
-    public void overdue(double by, LongConsumer each) {
-        double latest = clock.now() - by;
+    public void forEachOverdue(double overdueMs, LongConsumer action) {
+        double latest = clock.now() - overdueMs;
         for (Exchange exchange : exchanges.values()) {
             if (exchange.deadline < latest) {
-                each.accept(exchange.id);
+                action.accept(exchange.id);
             }
         }
     }
 
     /** Switches budgets on for what arrives from now on. */
-    public void budgets(ChainBudgets hop) {
-        budgets = hop;
-        admission.budgets(hop);
-        hop.start(timers, clock);
+    public void setBudgets(ChainBudgets chainBudgets) {
+        budgets = chainBudgets;
+        admission.setBudgets(chainBudgets);
+        chainBudgets.start(timers, clock);
     }
 
     /** Names who bounds attempts beyond those that reached nobody, for what arrives from now on. */
-    public void bound(Extras by) {
-        extras = by;
+    public void setRetryLimiter(RetryLimiter limiter) {
+        retryLimiter = limiter;
     }
 
     /** The time, in ms of the clock that all of the program reads. */
@@ -174,16 +174,16 @@
     private void onModuleFailure(Exchange about, Throwable cause) {
         Log.error(LOG, "module-failed").setCause(cause).log("the decision module failed");
         if (about != null && about.isOpen()) {
-            giveUp(about, Answer.Kind.BROKEN);
+            abort(about, Answer.Kind.BROKEN);
         }
     }
 
     /** Answers a request over the module's head and tells it that the client waits no more. */
-    private void giveUp(Exchange exchange, Answer.Kind kind) {
-        giveUp(exchange, Answer.of(kind));
+    private void abort(Exchange exchange, Answer.Kind kind) {
+        abort(exchange, Answer.of(kind));
     }
 
-    private void giveUp(Exchange exchange, Answer last) {
+    private void abort(Exchange exchange, Answer last) {
         answer(exchange, last);
         exchange.attempts.forEach(RequestProxy::cancel);
         decisions.call(null, () -> balancer.clientGone(clock.now(), exchange.id));
@@ -213,16 +213,16 @@
 
     /**
      * Takes a request in that is still coming, to be sent on meanwhile. Its time, by which its answer, its attempt and
-     * the module's timers about it count, begins with {@link #ended}.
+     * the module's timers about it count, begins with {@link #requestComplete}.
      *
      * @param arrival its deadline is what it would be if the request ended now
      */
-    public Exchange requestComing(Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
+    public Exchange requestStreaming(Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         return request(arrivedUnder, arrival, payload, caller, true);
     }
 
     /** The last of a request that was coming has come. */
-    public void ended(Exchange exchange) {
+    public void requestComplete(Exchange exchange) {
         if (!exchange.coming) {
             return;
         }
@@ -307,7 +307,7 @@
             Log.warn(LOG, "request-unanswered")
                     .addKeyValue("request", exchange.id)
                     .log("a request was left without an answer");
-            giveUp(exchange, Answer.Kind.UNANSWERED);
+            abort(exchange, Answer.Kind.UNANSWERED);
         }
     }
 
@@ -327,8 +327,8 @@
      *
      * @return how many requests that were
      */
-    public int giveUpAll() {
-        return shutdown.giveUpAll();
+    public int abortAll() {
+        return shutdown.abortAll();
     }
 
     /**
@@ -351,7 +351,7 @@
 
     /** An attempt that went out has ended. */
     void attemptEnded(SentAttempt sent, double begunAt, AttemptResult result) {
-        if (extras != null && result.result().neverRan()) {
+        if (retryLimiter != null && result.result().neverRan()) {
             sent.exchange.reachedNobody();
         }
         finished(sent, begunAt, result);
@@ -382,7 +382,7 @@
         if (end.result() == Result.OK) {
             answer(exchange, new Answer(Answer.Kind.SERVED, end.payload(), 0));
         } else if (end.result() == Result.ERROR && exchange.isOpen() && end.payload() != Payload.NONE) {
-            exchange.failed(end.payload().keep());
+            exchange.failed(end.payload().retain());
         }
         double from = Math.max(sent.at, exchange.endedAt);
         double until = end.result() == Result.OK && begunAt >= from ? begunAt : clock.now();
@@ -444,10 +444,10 @@
         double deadline = exchange.coming ? now + exchange.remaining : exchange.deadline;
         double until = timeout == 0 ? deadline : Math.min(deadline, now + timeout);
         exchange.queueTimeoutMs = until - now;
-        if (extras != null && exchange.reached > 0) {
+        if (retryLimiter != null && exchange.reached > 0) {
             DeferredAttempt waiting = new DeferredAttempt(this, sent, until);
             exchange.attempts.add(waiting);
-            extras.take(exchange.version, exchange.serviceClass, exchange.running > 1, waiting);
+            retryLimiter.acquire(exchange.version, exchange.serviceClass, exchange.running > 1, waiting);
             return;
         }
         exchange.reaches(null);
@@ -463,7 +463,7 @@
                 && sent.number < exchange.version.settings().limits().maxAttempts()
                 && exchange.request.canBeSent()
                 && (!exchange.coming || exchange.running == 1)
-                && (extras == null || !exchange.isSpent());
+                && (retryLimiter == null || !exchange.isSpent());
     }
 
     private void notSent(SentAttempt sent) {
@@ -490,7 +490,7 @@
     }
 
     private void answer(Exchange exchange, Answer answer) {
-        String name = observer == null ? null : exchange.name();
+        String name = observer == null ? null : exchange.requestName();
         if (exchange.isOpen()) {
             tracer.note(TraceEvent.ANSWERED, 0, exchange.id, answer.kind().ordinal());
         }
--- a/src/main/java/sablehinge/dataplane/proxy/Extras.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RetryLimiter.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** Bounds what a request sends beyond what has reached nobody: where others share the right to do so. */
-public interface Extras {
+public interface RetryLimiter {
 
     /**
      * Takes the right to one more attempt of a request of which another may have reached a server.
@@ -14,5 +14,5 @@
      * @param then is called once, perhaps before this returns, with what gives the right back, once it is known that
      *     nothing was reached; of null where there is none to be had soon
      */
-    void take(Version version, int serviceClass, boolean beside, Consumer<Runnable> then);
+    void acquire(Version version, int serviceClass, boolean beside, Consumer<Runnable> then);
 }
--- a/src/main/java/sablehinge/dataplane/proxy/SentAttempt.java
+++ b/src/main/java/sablehinge/dataplane/proxy/SentAttempt.java
@@ -24,7 +24,7 @@
      * one whose answer comes already has all of its request's time.
      */
     @Override
-    public double begun() {
+    public double responseStarted() {
         begunAt = core.now();
         exchange.begun.add(number);
         double elapsed = begunAt - Math.max(at, exchange.endedAt);
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void ended(AttemptResult result) {
+    public void finished(AttemptResult result) {
         core.attemptEnded(this, begunAt, result);
     }
 }
--- a/src/main/java/sablehinge/dataplane/proxy/ShutdownDeadlines.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ShutdownDeadlines.java
@@ -35,7 +35,7 @@
      * The same, for a front that stops to admit only now, later than it was to: what has come by now is admitted,
      * unless it stops so late, as a process does that was paused, that too little time would be left for it.
      */
-    public ShutdownDeadlines admittingWhatCameBy(double now) {
+    public ShutdownDeadlines withAdmissionExtendedTo(double now) {
         double latest = admitUntil + Math.min(MAX_LATE_STOP_MS, LATE_STOP_SHARE * (startUntil - admitUntil));
         return new ShutdownDeadlines(Math.min(Math.max(admitUntil, now), latest), startUntil, answerUntil);
     }
--- a/src/main/java/sablehinge/dataplane/proxy/TraceEvent.java
+++ b/src/main/java/sablehinge/dataplane/proxy/TraceEvent.java
@@ -1,8 +1,8 @@
 package sablehinge.dataplane.proxy;
 
 /**
- * The events of a {@link Tracer}. The name of each is what a dump keeps; its value means what {@link #of} says, and 0
- * where that is empty.
+ * The events of a {@link Tracer}. The name of each is what a dump keeps; its value means what {@link #valueMeaning}
+ * says, and 0 where that is empty.
  */
 public enum TraceEvent {
     /** A caller was let in. */
@@ -73,7 +73,7 @@
     }
 
     /** What its value is; empty where it has none. */
-    public String of() {
+    public String valueMeaning() {
         return value;
     }
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Tracer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Tracer.java
@@ -15,7 +15,7 @@
      * @param connection its number among the process's connections; 0 where it is about none, or where the one before
      *     it says which
      * @param exchange the request's number in core; 0 likewise
-     * @param value by {@link TraceEvent#of}
+     * @param value by {@link TraceEvent#valueMeaning}
      */
     void note(TraceEvent event, int connection, long exchange, long value);
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Transport.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Transport.java
@@ -19,7 +19,7 @@
          *
          * @return until when it may come, in ms of the {@link Clock}, in place of the time given to {@code send}
          */
-        double begun();
+        double responseStarted();
 
         /**
          * How long the request has from when it has come completely, in ms; an upstream that takes nothing of a body
@@ -30,7 +30,7 @@
         }
 
         /** It has ended, once. */
-        void ended(AttemptResult result);
+        void finished(AttemptResult result);
     }
 
     /** An attempt that is out. */
--- a/src/main/java/sablehinge/dataplane/sidecar/GracefulShutdown.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/GracefulShutdown.java
@@ -47,7 +47,7 @@
         boolean isDrained() throws InterruptedException;
 
         /** Gives up what still waits for an answer; how many requests that were. */
-        int giveUpAll() throws InterruptedException;
+        int abortAll() throws InterruptedException;
 
         /** Whether every answer that was begun is written out. */
         boolean isWrittenOut() throws InterruptedException;
@@ -94,7 +94,7 @@
         boolean done = await(clock, deadlines.answerUntil(), stages::isDrained);
         int givenUp = 0;
         if (!done) {
-            givenUp = stages.giveUpAll();
+            givenUp = stages.abortAll();
             // Not for callers that are slow to close: the rest of the grace is the virtual machine's, to end in.
             await(clock, clock.now() + LAST_ANSWERS_MS, stages::isWrittenOut);
         }
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -168,7 +168,7 @@
                                 0,
                                 false,
                                 route.kind() != Configuration.Kind.SAFE)
-                        .within(route.attempts()),
+                        .withMaxAttempts(route.attempts()),
                 version);
     }
 
--- a/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
@@ -7,7 +7,7 @@
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.rpc.Frame;
 import sablehinge.common.settings.LocalSettings;
-import sablehinge.dataplane.proxy.Extras;
+import sablehinge.dataplane.proxy.RetryLimiter;
 import sablehinge.dataplane.proxy.Version;
 import sablehinge.mesh.retrybudget.Claim;
 import sablehinge.mesh.retrybudget.Grant;
@@ -18,7 +18,7 @@
 import sablehinge.mesh.watch.RetryBudgetCodec;
 
 /** Bounds the further tries of this balancer's requests by its shares, which it asks the core for. */
-final class RetryBudget implements Extras {
+final class RetryBudget implements RetryLimiter {
 
     private final Clock clock;
     private final RetryBudgetShares shares;
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void take(Version version, int serviceClass, boolean beside, Consumer<Runnable> then) {
+    public void acquire(Version version, int serviceClass, boolean beside, Consumer<Runnable> then) {
         String name = version.classes().get(serviceClass);
         shares.take(clock.now(), name.substring(name.lastIndexOf('\n') + 1), beside, then);
         tick();
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -167,7 +167,7 @@
                 NO_REGISTRY);
         version = new Version(0, first.settings(), first.classes(), List.of(), false);
         versions.put(0, version);
-        outbound.bound(retryBudget);
+        outbound.setRetryLimiter(retryBudget);
         outbound.start(version, System.nanoTime(), new Roster(0, true, List.of()), peers, NO_REGISTRY);
         watchClient = new WatchClient(
                 loop,
@@ -461,8 +461,8 @@
         }
 
         @Override
-        public int giveUpAll() throws InterruptedException {
-            return loop.submit(() -> outbound.giveUpAll() + inbound.giveUpAll())
+        public int abortAll() throws InterruptedException {
+            return loop.submit(() -> outbound.abortAll() + inbound.abortAll())
                     .sync()
                     .getNow();
         }
--- a/src/main/java/sablehinge/gateway/node/LoopVitals.java
+++ b/src/main/java/sablehinge/gateway/node/LoopVitals.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 import sablehinge.dataplane.http1.Frontend;
 import sablehinge.dataplane.http1.Sockets;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.gateway.recorder.Vitals;
 
@@ -28,13 +28,13 @@
     }
 
     @Override
-    public void passages(Consumer<Passage> each) {
+    public void passages(Consumer<MonitoredRelay> each) {
         fronts.get().forEach(front -> front.passages(each));
     }
 
     @Override
     public void overdue(double by, LongConsumer each) {
-        core.overdue(by, each);
+        core.forEachOverdue(by, each);
     }
 
     @Override
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -246,7 +246,7 @@
 
     /** Names who sees every answer, on the loop; for rehearsals, none of which the platform plays. */
     public void observe(Observer observer) {
-        loop.execute(() -> core.observe(observer));
+        loop.execute(() -> core.setObserver(observer));
     }
 
     /** The time, in ms, of the clock that all its parts read. */
@@ -291,7 +291,7 @@
             done = endDrain();
         }
         // What SIGKILL found unanswered would be lost; a failure is an answer.
-        loop.submit(core::giveUpAll).sync();
+        loop.submit(core::abortAll).sync();
         leave();
     }
 
--- a/src/main/java/sablehinge/gateway/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -109,7 +109,7 @@
         budgets = text;
         if (part != null) {
             transport.budgets(budgets);
-            core.budgets(new ChainBudgets(
+            core.setBudgets(new ChainBudgets(
                     part.terms(),
                     part.shed(),
                     serviceId(part.service()),
@@ -371,7 +371,7 @@
         while (!onLoop(this::endDrain) && clock.now() < latest) {
             Thread.sleep(DRAIN_CHECK_MS);
         }
-        loop.submit(core::giveUpAll).sync();
+        loop.submit(core::abortAll).sync();
         if (recording != null) {
             recording.end();
         }
--- a/src/main/java/sablehinge/gateway/node/Recording.java
+++ b/src/main/java/sablehinge/gateway/node/Recording.java
@@ -84,7 +84,7 @@
 
     /** Begins, on the loop. */
     void begin() {
-        core.trace(recorder);
+        core.setTracer(recorder);
         sockets.trace(recorder);
         watchdog.start();
         long period = Math.round(watch.terms().tick());
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -106,7 +106,7 @@
     /** Starts core with the first version. */
     void start(long seed) {
         Running first = known.get(decider.confirmed());
-        node.core().observe(this);
+        node.core().setObserver(this);
         node.core().start(first.version, seed, first.source.roster(), node.transport(), new CurrentSource());
     }
 
@@ -172,7 +172,7 @@
         } else if (roster != null) {
             List<Roster.Member> off = new ArrayList<>(roster.members());
             off.removeIf(m -> m.upstream().state() == State.READY);
-            node.core().warn(new Roster(roster.version(), false, off));
+            node.core().updateDraining(new Roster(roster.version(), false, off));
         }
     }
 
--- a/src/main/java/sablehinge/gateway/recorder/Dump.java
+++ b/src/main/java/sablehinge/gateway/recorder/Dump.java
@@ -60,7 +60,12 @@
         for (int i = 0; i < words.length; i += Ring.WORDS) {
             TraceEvent kind = kinds[(int) words[i + 1]];
             events.add(new Event(
-                    words[i], kind.name(), (int) (words[i + 1] >>> 32), words[i + 2], words[i + 3], kind.of()));
+                    words[i],
+                    kind.name(),
+                    (int) (words[i + 1] >>> 32),
+                    words[i + 2],
+                    words[i + 3],
+                    kind.valueMeaning()));
         }
         return new Dump(node, atMillis, atMicros, reason, detail, stack, ring.written() - events.size(), events);
     }
@@ -80,7 +85,7 @@
         names.forEach(name -> head.withArray("events")
                 .addObject()
                 .put("name", name)
-                .put("of", TraceEvent.valueOf(name).of()));
+                .put("of", TraceEvent.valueOf(name).valueMeaning()));
         byte[] text = JSON.writeValueAsBytes(head);
         ByteBuffer out = ByteBuffer.allocate(
                         MARK.length + Integer.BYTES + text.length + events.size() * Ring.EVENT_BYTES + Integer.BYTES)
--- a/src/main/java/sablehinge/gateway/recorder/Vitals.java
+++ b/src/main/java/sablehinge/gateway/recorder/Vitals.java
@@ -2,13 +2,13 @@
 
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 
 /** What the {@link Watch} can see of a process; on the thread that owns it. */
 public interface Vitals {
 
     /** Each body that passes through, and each answer that is not written out. */
-    void passages(Consumer<Passage> each);
+    void passages(Consumer<MonitoredRelay> each);
 
     /** Each request that is past its deadline by at least so many ms, by its number. */
     void overdue(double by, LongConsumer each);
--- a/src/main/java/sablehinge/gateway/recorder/Watch.java
+++ b/src/main/java/sablehinge/gateway/recorder/Watch.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 import sablehinge.gateway.recorder.Alarm.Kind;
 
 /**
@@ -48,7 +48,7 @@
 
     private final Terms terms;
     private final List<Alarm> alarms = new ArrayList<>();
-    private Map<Passage, Seen> passages = new IdentityHashMap<>();
+    private Map<MonitoredRelay, Seen> passages = new IdentityHashMap<>();
     private Set<Long> late = Set.of();
     private double last = Double.NaN;
     private double quietSince = Double.NaN;
@@ -90,11 +90,11 @@
     }
 
     private void lookAtPassages(double now, Vitals vitals, double lateness) {
-        Map<Passage, Seen> before = passages;
+        Map<MonitoredRelay, Seen> before = passages;
         passages = new IdentityHashMap<>();
-        List<Passage> present = new ArrayList<>();
+        List<MonitoredRelay> present = new ArrayList<>();
         vitals.passages(present::add);
-        for (Passage one : present) {
+        for (MonitoredRelay one : present) {
             Seen seen = before.get(one);
             if (seen == null) {
                 seen = new Seen();
@@ -105,12 +105,12 @@
         }
     }
 
-    private void look(double now, Passage one, Seen seen, double lateness) {
+    private void look(double now, MonitoredRelay one, Seen seen, double lateness) {
         seen.since += lateness;
         seen.heldSince += lateness;
-        if (one.moved() != seen.moved || one.unwritten() != seen.unwritten) {
-            seen.moved = one.moved();
-            seen.unwritten = one.unwritten();
+        if (one.bytesForwarded() != seen.moved || one.unwrittenBytes() != seen.unwritten) {
+            seen.moved = one.bytesForwarded();
+            seen.unwritten = one.unwrittenBytes();
             seen.since = now;
             seen.heldSince = Double.NaN;
             seen.nudged = 0;
@@ -133,7 +133,7 @@
                     0,
                     (unread
                                     ? "nothing is read for it, though it can take more, "
-                                    : "nobody has flushed " + one.unwritten() + " bytes ")
+                                    : "nobody has flushed " + one.unwrittenBytes() + " bytes ")
                             + "for "
                             + Math.round(now - seen.heldSince) + " ms");
         } else if (now - seen.since >= terms.stall) {
@@ -141,31 +141,31 @@
         }
     }
 
-    private void nudge(double now, Passage one, Seen seen) {
-        long moved = one.moved();
-        long unwritten = one.unwritten();
-        one.nudge();
-        if (one.moved() == moved && one.unwritten() >= unwritten) {
+    private void nudge(double now, MonitoredRelay one, Seen seen) {
+        long moved = one.bytesForwarded();
+        long unwritten = one.unwrittenBytes();
+        one.resume();
+        if (one.bytesForwarded() == moved && one.unwrittenBytes() >= unwritten) {
             seen.nudged = 0;
             return;
         }
         seen.nudged++;
         if (seen.nudged >= MOVED_BY_NUDGES) {
             seen.reported = true;
-            boolean unread = one.moved() > moved;
+            boolean unread = one.bytesForwarded() > moved;
             alarm(
                     unread ? Kind.UNREAD : Kind.UNWRITTEN,
                     one.connection(),
                     0,
                     (unread
-                                    ? one.moved() - moved + " bytes had come and were not read"
-                                    : unwritten - one.unwritten() + " bytes could be written and were not")
+                                    ? one.bytesForwarded() - moved + " bytes had come and were not read"
+                                    : unwritten - one.unwrittenBytes() + " bytes could be written and were not")
                             + " for "
                             + Math.round(now - seen.since) + " ms");
         }
         // Only what moves by itself clears the count.
-        seen.moved = one.moved();
-        seen.unwritten = one.unwritten();
+        seen.moved = one.bytesForwarded();
+        seen.unwritten = one.unwrittenBytes();
         seen.since = now;
     }
 
--- a/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
@@ -107,7 +107,7 @@
                 if (!over) {
                     over = true;
                     out.remove(this);
-                    progress.ended(AttemptResult.without(result));
+                    progress.finished(AttemptResult.without(result));
                 }
             }
 
@@ -309,7 +309,7 @@
             TestRequest one = place < requested.size() ? requested.get(place) : null;
             if (one != null && one.comes && !one.gone) {
                 one.ended = true;
-                core.ended(one.exchange);
+                core.requestComplete(one.exchange);
             }
         }
 
@@ -319,7 +319,7 @@
             one.comes = random.nextInt(4) == 0;
             Arrival arrival = new Arrival(0, 0, 0, now + 1_000, 0, false, true);
             one.exchange = one.comes
-                    ? core.requestComing(one.version, arrival, one, one)
+                    ? core.requestStreaming(one.version, arrival, one, one)
                     : core.request(one.version, arrival, one, one);
         }
     }
@@ -393,7 +393,7 @@
         for (int i = 0; i < 20; i++) {
             world.ask();
         }
-        world.core.giveUpAll();
+        world.core.abortAll();
         world.requested.forEach(one -> assertEquals(1, one.answers));
         assertEquals(0, world.out.size(), "attempts go on for what is answered");
         world.advance(2_000);
@@ -436,7 +436,7 @@
         Version repeatable = new Version(1, settings(Repeat.IDEMPOTENT, 3, 1_000), List.of("one"), List.of(), false);
         List<Consumer<Runnable>> waiting = new ArrayList<>();
         int[] returned = {0};
-        world.core.bound((version, serviceClass, beside, then) -> waiting.add(then));
+        world.core.setRetryLimiter((version, serviceClass, beside, then) -> waiting.add(then));
         world.core.start(repeatable, 3, roster(new SplittableRandom(8)), world, world);
         World.TestRequest one = world.new TestRequest(repeatable);
         world.core.request(repeatable, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
@@ -459,7 +459,7 @@
         World.TestRequest answeredEarly = world.new TestRequest(repeatable);
         answeredEarly.comes = true;
         for (World.TestRequest one : List.of(coming, answeredEarly)) {
-            world.core.requestComing(repeatable, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
+            world.core.requestStreaming(repeatable, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
         }
         world.out.get(0).mayHaveRun = false;
         world.core.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
@@ -491,7 +491,7 @@
         List<World.TestRequest> both = List.of(world.new TestRequest(only), world.new TestRequest(only));
         both.forEach(one -> core.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one));
         core.drain(new ShutdownDeadlines(world.now, world.now, world.now));
-        assertEquals(2, core.giveUpAll());
+        assertEquals(2, core.abortAll());
         assertEquals(Answer.Kind.REFUSED, both.get(0).last.kind());
         assertEquals(Answer.Kind.UNANSWERED, both.get(1).last.kind());
         assertEquals(0, world.out.size());
@@ -525,13 +525,14 @@
         core.start(only, 9, roster(new SplittableRandom(8)), world, world);
         World.TestRequest one = world.new TestRequest(only);
         one.comes = true;
-        Exchange exchange = core.requestComing(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
+        Exchange exchange =
+                core.requestStreaming(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
         assertEquals(Result.NOT_SENT, outcomes.remove(0).result());
         world.advance(60_000);
         assertEquals(List.of(), fired);
         assertEquals(0, one.answers);
         one.ended = true;
-        core.ended(exchange);
+        core.requestComplete(exchange);
         double ended = world.now;
         world.advance(399);
         assertEquals(List.of(ended + 100), fired);
@@ -566,7 +567,7 @@
             World.TestRequest one = world.new TestRequest(only);
             Exchange exchange = core.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
             for (World.Out out : List.copyOf(world.out)) {
-                out.progress.begun();
+                out.progress.responseStarted();
             }
             if (leaves) {
                 core.clientGone(exchange);
@@ -603,7 +604,7 @@
             World.TestRequest one = world.new TestRequest(only);
             core.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
             world.advance(30);
-            world.out.get(0).progress.begun();
+            world.out.get(0).progress.responseStarted();
             world.advance(900);
             world.out.get(0).finish(result);
         }
@@ -660,7 +661,7 @@
         core.start(only, 7, roster(new SplittableRandom(8)), world, world);
         World.TestRequest one = world.new TestRequest(only);
         core.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
-        core.giveUpAll();
+        core.abortAll();
         assertEquals(1, one.answers);
         assertEquals(0, world.out.size());
         assertEquals(1, one.released);
--- a/src/test/java/sablehinge/dataplane/sidecar/AttemptWrittenTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/AttemptWrittenTest.java
@@ -48,12 +48,12 @@
     private static final class Ended extends CompletableFuture<Result> implements Transport.Progress {
 
         @Override
-        public double begun() {
+        public double responseStarted() {
             return Double.POSITIVE_INFINITY;
         }
 
         @Override
-        public void ended(AttemptResult result) {
+        public void finished(AttemptResult result) {
             complete(result.result());
         }
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/GracefulShutdownTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/GracefulShutdownTest.java
@@ -35,8 +35,8 @@
         assertTrue(deadlines.admits(10, 19));
         assertFalse(deadlines.admits(10, 20));
         assertFalse(deadlines.admits(11, 12));
-        assertTrue(deadlines.admittingWhatCameBy(11).admits(11, 12));
-        assertFalse(deadlines.admittingWhatCameBy(21).admits(21, 21));
+        assertTrue(deadlines.withAdmissionExtendedTo(11).admits(11, 12));
+        assertFalse(deadlines.withAdmissionExtendedTo(21).admits(21, 21));
     }
 
     /** A process that was paused, or had no share of its core, stops to admit late: not for all who came meanwhile. */
@@ -45,7 +45,7 @@
     void whenAFrontStopsToAdmitFarTooLateThenWhatCameLastIsNotTaken(double graceMs, double latest) {
         ShutdownDeadlines deadlines = GracefulShutdown.deadlines(NOW, graceMs);
         double stoppedAt = deadlines.startUntil() - 1;
-        ShutdownDeadlines late = deadlines.admittingWhatCameBy(stoppedAt);
+        ShutdownDeadlines late = deadlines.withAdmissionExtendedTo(stoppedAt);
         assertTrue(late.admits(NOW + latest, stoppedAt));
         assertFalse(late.admits(NOW + latest + 1, stoppedAt));
     }
@@ -139,7 +139,7 @@
         }
 
         @Override
-        public int giveUpAll() {
+        public int abortAll() {
             done.add("given up");
             return 1;
         }
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -76,7 +76,7 @@
                         "s-" + i, "monza-a", "127.0.0.1:1", SidecarFixture.SERVICE, "i-" + i, true, 4, 0));
             }
             retryBudget.divide(registry, 1);
-            core.bound(retryBudget);
+            core.setRetryLimiter(retryBudget);
             List<Roster.Member> members = new ArrayList<>();
             for (long id = 1; id <= 5; id++) {
                 members.add(new Roster.Member(
@@ -118,7 +118,7 @@
                                     0,
                                     false,
                                     false)
-                            .within(routes.get(0).attempts()),
+                            .withMaxAttempts(routes.get(0).attempts()),
                     Payload.NONE,
                     caller::accept);
         }
@@ -132,7 +132,7 @@
                 AttemptBudgets.Grant grant,
                 Progress progress) {
             sends++;
-            progress.ended(AttemptResult.without(answers));
+            progress.finished(AttemptResult.without(answers));
             return () -> {};
         }
 
--- a/src/test/java/sablehinge/gateway/recorder/WatchTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import sablehinge.dataplane.proxy.Passage;
+import sablehinge.dataplane.proxy.MonitoredRelay;
 import sablehinge.gateway.recorder.Alarm.Kind;
 
 /** What the watch sees, in virtual time. */
@@ -20,7 +20,7 @@
     private static final Watch.Terms TERMS = new Watch.Terms(50, 500, 250, 1_000, 5_000, 100);
 
     /** A body that passes through: what a real one could tell, and what its kernels hold. */
-    private static final class Body implements Passage {
+    private static final class Body implements MonitoredRelay {
         long moved;
         long unwritten;
         long unread;
@@ -35,12 +35,12 @@
         }
 
         @Override
-        public long moved() {
+        public long bytesForwarded() {
             return moved;
         }
 
         @Override
-        public long unwritten() {
+        public long unwrittenBytes() {
             return unwritten;
         }
 
@@ -60,7 +60,7 @@
         }
 
         @Override
-        public void nudge() {
+        public void resume() {
             moved += paused ? 0 : Math.min(unread, 10);
             unread -= paused ? 0 : Math.min(unread, 10);
             long written = Math.min(unflushed, 10);
@@ -70,7 +70,7 @@
     }
 
     private static final class Process implements Vitals {
-        final List<Passage> bodies = new ArrayList<>();
+        final List<MonitoredRelay> bodies = new ArrayList<>();
         final List<Long> late = new ArrayList<>();
         long woken;
         int busy = 1;
@@ -79,7 +79,7 @@
         int descriptors = 3;
 
         @Override
-        public void passages(Consumer<Passage> each) {
+        public void passages(Consumer<MonitoredRelay> each) {
             bodies.forEach(each);
         }
 
@@ -217,7 +217,7 @@
             process.bodies.add(new Body());
         }
         for (int step = 0; step < 200; step++) {
-            for (Passage one : process.bodies) {
+            for (MonitoredRelay one : process.bodies) {
                 Body body = (Body) one;
                 switch (random.nextInt(5)) {
                     case 0 -> body.moved++;
