--- a/src/main/java/sablehinge/controlplane/api/Editions.java
+++ b/src/main/java/sablehinge/controlplane/api/Editions.java
@@ -3,26 +3,27 @@
 import java.util.List;
 
 /**
- * Which configurations were taken: the answer to {@code Config.History}.
+ * The history of accepted configurations: the answer to {@code Config.History}.
  *
- * @param edition in force; 0 for none
- * @param taken the newest ones, the oldest of them first
+ * @param edition the current edition; 0 for none
+ * @param taken the most recently accepted configurations, oldest first
  */
 public record Editions(long edition, List<Taken> taken) {
 
-    /** Editions whose list can't be changed. */
+    /** Copies the list. */
     public Editions {
         taken = List.copyOf(taken);
     }
 
     /**
-     * A configuration that was taken.
+     * An accepted configuration.
      *
-     * @param basedOn the edition that it took the place of; null where that was not kept
-     * @param bytes its length
-     * @param sum SHA-256 of its bytes in hexadecimal digits; FNV-1a of 64 bits where it was taken under a state format
+     * @param basedOn the edition that it replaced; null if that was not recorded
+     * @param bytes the length of its body
+     * @param sum SHA-256 of the body in hexadecimal digits; 64-bit FNV-1a if it was accepted under a state format
      *     before the third
-     * @param takenAt when the leader of that day took it up, by its time of day, ISO 8601; null where that was not kept
+     * @param takenAt when the leader of that time proposed it, by the leader's wall clock, in ISO 8601; null if that
+     *     was not recorded
      */
     public record Taken(long edition, Long basedOn, int bytes, String sum, String takenAt) {}
 }
--- a/src/main/java/sablehinge/controlplane/api/Machine.java
+++ b/src/main/java/sablehinge/controlplane/api/Machine.java
@@ -1,10 +1,10 @@
 package sablehinge.controlplane.api;
 
 /**
- * A member of the core as another one knows it.
+ * A member of the core from the view of the answering node.
  *
- * @param member its id, which differs for each incarnation of a disk
- * @param control where operators call it
- * @param silentMs since it was last heard of; null where the one who says so doesn't listen for it
+ * @param member the member's id, which changes when the member loses its disk
+ * @param control the address of its operator API
+ * @param silentMs the time since its last message; null if the answering node doesn't monitor it
  */
 public record Machine(String member, String control, Long silentMs) {}
--- a/src/main/java/sablehinge/controlplane/api/MeshNodes.java
+++ b/src/main/java/sablehinge/controlplane/api/MeshNodes.java
@@ -5,28 +5,28 @@
 /**
  * The registry of the leader: the answer to {@code Mesh.Nodes}.
  *
- * @param leader where operators call the leader, which keeps the registry
- * @param complete whether every live balancer has had the time to register
- * @param more balancers that are left out
+ * @param leader the address of the operator API of the leader, which maintains the registry
+ * @param complete whether every live balancer has had time to register
+ * @param more the number of balancers omitted from the list
  */
 public record MeshNodes(
         String leader, long term, boolean complete, List<Balancer> balancers, int more, List<Machine> members) {
 
-    /** Nodes whose lists can't be changed. */
+    /** Copies the lists. */
     public MeshNodes {
         balancers = List.copyOf(balancers);
         members = List.copyOf(members);
     }
 
     /**
-     * A balancer of the data plane and what is beside it.
+     * A balancer of the data plane and its local upstream.
      *
-     * @param inbound where it takes requests for its upstream
-     * @param upstream the id of the upstream's incarnation; empty for none
-     * @param state "ready"; "draining": the upstream or the balancer leaves; "empty": no upstream beside it; "gone":
-     *     nothing has been heard for long
-     * @param berths requests that the upstream works on at once
-     * @param silentMs since it was last heard of
+     * @param inbound the address at which it accepts requests for its upstream
+     * @param upstream the id of the upstream's current instance; empty for none
+     * @param state "ready"; "draining": the upstream or the balancer shuts down; "empty": no local upstream; "gone":
+     *     the registration has expired
+     * @param berths the number of requests that the upstream processes concurrently
+     * @param silentMs the time since its last registration
      */
     public record Balancer(
             String node,
--- a/src/main/java/sablehinge/controlplane/api/MeshSingletonRoles.java
+++ b/src/main/java/sablehinge/controlplane/api/MeshSingletonRoles.java
@@ -5,13 +5,13 @@
 /**
  * The singleton roles of the leader: the answer to {@code Mesh.Duties}.
  *
- * @param node which node has the roles
- * @param control where operators call it
- * @param leaseMs for how long it may still give out of the pools; 0 where it may not
- * @param stamp the last change of its registry, counted from the beginning of the term
- * @param complete whether every live balancer has had the time to register
- * @param askers balancers that watch it for updates
- * @param more pools that are left out
+ * @param node the name of the node that has the roles
+ * @param control the address of its operator API
+ * @param leaseMs the remaining time of the lease under which it grants tokens of the pools; 0 without a lease
+ * @param stamp the number of changes of its registry since the beginning of the term
+ * @param complete whether every live balancer has had time to register
+ * @param askers the number of balancers that watch it for updates
+ * @param more the number of pools omitted from the list
  */
 public record MeshSingletonRoles(
         String node,
@@ -24,17 +24,17 @@
         List<Pool> pools,
         int more) {
 
-    /** Roles whose list can't be changed. */
+    /** Copies the list. */
     public MeshSingletonRoles {
         pools = List.copyOf(pools);
     }
 
     /**
-     * The part of a tenant's quota that is given out on demand.
+     * The part of a tenant's quota that is granted on demand.
      *
-     * @param perS requests a second that come into it
-     * @param most that it holds
-     * @param left in it now
+     * @param perS the refill rate in requests per second
+     * @param most the capacity of the pool
+     * @param left the requests that are available now
      */
     public record Pool(String tenant, double perS, double most, double left) {}
 }
--- a/src/main/java/sablehinge/controlplane/api/MeshStatus.java
+++ b/src/main/java/sablehinge/controlplane/api/MeshStatus.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a machine of the core says of itself and of what it knows: the answer to {@code Mesh.Status}.
+ * The status of a control node and of the core from its view: the answer to {@code Mesh.Status}.
  *
- * @param member its id in the core
- * @param control where operators call it
+ * @param member the node's member id in the core
+ * @param control the address of its operator API
  * @param role {@code leader}, {@code follower}, {@code candidate} or {@code outsider}
- * @param leader where operators call the leader of the term; null where it knows of none
- * @param commit the index up to which the log is committed, and applied, here
- * @param edition of the configuration in force here; 0 for none
- * @param members the latest list of members that it has
- * @param plane what is in the registry; null for a member that does not lead, as it keeps none
+ * @param leader the address of the operator API of the term's leader; null if the node knows none
+ * @param commit the index up to which this node's log is committed and applied
+ * @param edition the edition of the configuration that this node has applied; 0 for none
+ * @param members the latest member list of this node
+ * @param plane the data plane by the registry; null on nodes other than the leader, which have no registry
  */
 public record MeshStatus(
         String node,
@@ -27,12 +27,12 @@
         List<Machine> members,
         Plane plane) {
 
-    /** A status whose list can't be changed. */
+    /** Copies the list. */
     public MeshStatus {
         members = List.copyOf(members);
     }
 
-    /** Whether it leads. */
+    /** Whether the node is the leader. */
     public boolean leads() {
         return role.equals("leader");
     }
@@ -40,14 +40,14 @@
     /**
      * The data plane as the leader knows it.
      *
-     * @param known balancers that it has heard of lately
-     * @param ready balancers whose upstream takes new requests
-     * @param complete whether every live balancer has had the time to register to this leader
-     * @param more services that are left out
+     * @param known the number of balancers whose registration has not expired
+     * @param ready the number of balancers whose upstream accepts new requests
+     * @param complete whether every live balancer has had time to register with this leader
+     * @param more the number of services omitted from the list
      */
     public record Plane(int known, int ready, boolean complete, List<Service> services, int more) {
 
-        /** A plane whose list can't be changed. */
+        /** Copies the list. */
         public Plane {
             services = List.copyOf(services);
         }
@@ -56,9 +56,9 @@
     /**
      * The upstreams of a service.
      *
-     * @param known upstreams that live
-     * @param ready those of them that take new requests
-     * @param berths requests that the ready ones work on at once
+     * @param known the number of upstreams whose balancer's registration has not expired
+     * @param ready the number of upstreams that accept new requests
+     * @param berths the number of requests that the ready upstreams process concurrently
      */
     public record Service(String name, int known, int ready, int berths) {}
 }
--- a/src/main/java/sablehinge/controlplane/api/package-info.java
+++ b/src/main/java/sablehinge/controlplane/api/package-info.java
@@ -1,2 +1,2 @@
-/** What control nodes answer to operators, as records; their components are the fields of the JSON on the wire. */
+/** The answers of control nodes to operators, as records whose components are the JSON fields on the wire. */
 package sablehinge.controlplane.api;
--- a/src/main/java/sablehinge/controlplane/node/CallContext.java
+++ b/src/main/java/sablehinge/controlplane/node/CallContext.java
@@ -5,38 +5,38 @@
 import sablehinge.controlplane.raft.RaftStatus;
 import sablehinge.controlplane.state.ConfigurationState;
 
-/** What settles operators' calls; all but {@link #runOffLoop} is called on the thread of the API server. */
+/** Services that operator calls use. Every method but {@link #runOffLoop} is called on the API server's event loop. */
 interface CallContext {
 
-    /** A steady clock, ms. */
+    /** The monotonic clock in ms. */
     double now();
 
-    /** The time of day, ms since 1970. */
+    /** The wall clock in ms since 1970. */
     long timeOfDay();
 
-    /** This machine as a member; null until its disk has been read. */
+    /** This node as a member of the core; null until its disk has been read. */
     Member self();
 
-    /** The place of this machine in the core. */
+    /** The Raft role, term and leader as this node knows them. */
     RaftStatus raftStatus();
 
-    /** What this machine can tell of its part in the agreement. */
+    /** The metrics of this node's Raft replica. */
     RaftMetrics metrics();
 
-    /** Holds what each answer needs of a majority. */
+    /** Checks that this node has the quorum contact which an answer requires. */
     QuorumGate gate();
 
-    /** Takes changes through the log. */
+    /** Replicates configuration changes through the Raft log. */
     ChangeCoordinator changes();
 
-    /** The state that is applied here. */
+    /** The configuration state that this node has applied. */
     default ConfigurationState configurations() {
         return changes().configurations();
     }
 
-    /** Does work that takes long on a thread beside, and {@link #runOnLoop} comes back from there. */
+    /** Runs long work on a separate thread, which returns its result with {@link #runOnLoop}. */
     void runOffLoop(Runnable work);
 
-    /** Comes back to the thread of the API server. */
+    /** Runs work on the API server's event loop. */
     void runOnLoop(Runnable work);
 }
--- a/src/main/java/sablehinge/controlplane/node/CallOutcome.java
+++ b/src/main/java/sablehinge/controlplane/node/CallOutcome.java
@@ -2,10 +2,10 @@
 
 import sablehinge.mesh.api.ApiResponse;
 
-/** What became of an operator's call. */
+/** The result of an operator's call. */
 record CallOutcome(ApiResponse reply) {
 
-    /** Where else to call; where no leader is known, nowhere. */
+    /** A redirect to the leader, or an error if no leader is known. */
     static CallOutcome redirect(QuorumGate.Refusal refusal, String path) {
         if (refusal.leader() != null) {
             return new CallOutcome(
@@ -16,8 +16,8 @@
                 : error(503, "NO_LEADER", "the core has no leader at the moment");
     }
 
-    /** An error without a place. */
-    static CallOutcome error(int status, String code, String words) {
-        return new CallOutcome(ApiResponse.error(status, code, words));
+    /** An error that names no place in the request body. */
+    static CallOutcome error(int status, String code, String message) {
+        return new CallOutcome(ApiResponse.error(status, code, message));
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/ChangeCoordinator.java
@@ -13,103 +13,104 @@
 import sablehinge.controlplane.state.ConfigurationState;
 
 /**
- * Takes operators' changes through the log. What becomes of a change is decided where its entry is applied, from the
- * state that the entries before it have made, and nowhere else: so each member comes to the same, and a leader that has
- * not yet applied what came before its term judges nothing. A change that ends in any other way has no clear answer,
- * and may be sent again as it was.
+ * Replicates operators' configuration changes through the Raft log. The outcome of a change is decided only when its
+ * entry is applied, from the state that the preceding entries produced. Every member therefore reaches the same
+ * decision, and a leader that has not yet applied the entries of earlier terms decides nothing. A change that ends in
+ * any other way is answered as unclear, and the client may resend it unchanged.
  *
- * <p>{@code now} is a steady clock in ms. All calls come from one thread.
+ * <p>{@code now} is a monotonic clock in ms. All calls come from one thread.
  */
 final class ChangeCoordinator {
 
-    /** How long an operator's call waits, in ms: shorter than the second after which callers go elsewhere. */
+    /** Timeout of an operator's call: shorter than the second after which clients call another node. */
     static final double CALL_TIMEOUT_MS = 900;
 
     /**
-     * An operator's order to put a configuration in the place of another. Two are the same if all of their parts are.
+     * An operator's request to replace the current configuration. Two requests are the same if all components are
+     * equal.
      *
-     * @param basedOn the version that it is to follow
-     * @param edition of the configuration, as its body says
-     * @param digest of the body
+     * @param basedOn the edition that the new configuration replaces
+     * @param edition the new configuration's edition, from its body
+     * @param digest the digest of the body
      */
-    record Order(long basedOn, long edition, BodyDigest digest) {}
+    record ChangeRequest(long basedOn, long edition, BodyDigest digest) {}
 
-    /** The answer to an order. */
+    /** The answer to a change request. */
     enum Verdict {
-        /** A majority has it on disk. */
+        /** Committed: a majority has the change on disk. */
         TAKEN,
-        /** Another version is current, and this order will never be taken. */
+        /** A different edition is current; this change will never be accepted. */
         STALE,
-        /** Its edition is not above the one in force, and this order will never be taken. */
+        /** The edition is not above the current one; this change will never be accepted. */
         OLD,
-        /** It is based on a version that is not there yet: it may be taken later. */
+        /** Based on an edition that does not exist yet; the change may be accepted later. */
         AHEAD,
-        /** Whether it is in force, or will be, is unknown. */
+        /** Unknown whether the change is committed or will be. */
         UNCLEAR
     }
 
-    private record Listener(double until, Consumer<Verdict> then) {}
+    private record Listener(double deadlineMs, Consumer<Verdict> callback) {}
 
-    /** An entry of the present term that is not yet applied; those who wait for it. */
-    private static final class Pending {
-        final Order order;
+    /** A proposed entry of the current term that is not yet applied, with the callers that wait for it. */
+    private static final class PendingChange {
+        final ChangeRequest request;
         final List<Listener> listeners = new ArrayList<>();
 
-        Pending(Order order) {
-            this.order = order;
+        PendingChange(ChangeRequest request) {
+            this.request = request;
         }
     }
 
     private final RaftNode raft;
     private final ConfigurationState configurations;
-    private final Consumer<Runnable> deferred;
-    /** By the index of the entry; the agreement bounds how many entries may be uncommitted. */
-    private final Map<Long, Pending> pending = new HashMap<>();
+    private final Consumer<Runnable> deferredExecutor;
+    /** By entry index. The Raft node bounds the number of uncommitted entries. */
+    private final Map<Long, PendingChange> pending = new HashMap<>();
 
     private long term;
 
     /**
-     * Changes of a state.
+     * A coordinator of changes to {@code configurations}.
      *
-     * @param deferred runs something after the event that is being handled, on the same thread: an answer may lead to
-     *     the next call, which may not come from within what the agreement calls
+     * @param deferredExecutor runs a task on the same thread after the current event: an answer may trigger the next
+     *     call, and the Raft node must not be called from within its own callbacks
      */
-    ChangeCoordinator(RaftNode raft, ConfigurationState configurations, Consumer<Runnable> deferred) {
+    ChangeCoordinator(RaftNode raft, ConfigurationState configurations, Consumer<Runnable> deferredExecutor) {
         this.raft = raft;
         this.configurations = configurations;
-        this.deferred = deferred;
+        this.deferredExecutor = deferredExecutor;
     }
 
     /**
-     * Sends an order through the log. One that is on its way already is not sent a second time.
+     * Proposes a change. A request that equals a pending one waits for that entry and is not proposed a second time.
      *
-     * @param at the time of day in ms since 1970; it is kept and decides nothing
+     * @param timeOfDayMs the wall clock in ms since 1970; it is stored with the change and has no effect on the outcome
      */
-    void submit(double now, Order order, byte[] body, long at, Consumer<Verdict> then) {
-        Listener listener = new Listener(now + CALL_TIMEOUT_MS, then);
-        for (Pending one : pending.values()) {
-            if (one.order.equals(order)) {
-                one.listeners.add(listener);
+    void submit(double now, ChangeRequest request, byte[] body, long timeOfDayMs, Consumer<Verdict> callback) {
+        Listener listener = new Listener(now + CALL_TIMEOUT_MS, callback);
+        for (PendingChange change : pending.values()) {
+            if (change.request.equals(request)) {
+                change.listeners.add(listener);
                 return;
             }
         }
-        long index = raft.propose(now, ConfigurationState.replace(order.basedOn, order.edition, body, at));
+        long index = raft.propose(now, ConfigurationState.replace(request.basedOn, request.edition, body, timeOfDayMs));
         if (index == 0) {
-            deferred.accept(() -> then.accept(Verdict.UNCLEAR));
+            deferredExecutor.accept(() -> callback.accept(Verdict.UNCLEAR));
             return;
         }
-        Pending made = new Pending(order);
-        made.listeners.add(listener);
-        pending.put(index, made);
+        PendingChange change = new PendingChange(request);
+        change.listeners.add(listener);
+        pending.put(index, change);
     }
 
-    /** Executes a committed command, and answers the callers that wait for it. */
-    ConfigurationState.Outcome applied(Entry entry) {
+    /** Applies a committed command and answers the callers that wait for it. */
+    ConfigurationState.Outcome apply(Entry entry) {
         ConfigurationState.Outcome outcome = configurations.apply(entry.data());
-        Pending one = pending.remove(entry.index());
-        if (one != null) {
+        PendingChange change = pending.remove(entry.index());
+        if (change != null) {
             answer(
-                    one,
+                    change,
                     entry.term() != term
                             ? Verdict.UNCLEAR
                             : switch (outcome) {
@@ -123,34 +124,34 @@
         return outcome;
     }
 
-    private void answer(Pending one, Verdict verdict) {
-        one.listeners.forEach(listener -> deferred.accept(() -> listener.then.accept(verdict)));
+    private void answer(PendingChange change, Verdict verdict) {
+        change.listeners.forEach(listener -> deferredExecutor.accept(() -> listener.callback.accept(verdict)));
     }
 
-    /** This machine's place has changed: what it proposed in an earlier term may come to anything. */
+    /** Called when the Raft status changes. The outcome of entries proposed in an earlier term is unknown. */
     void onStatusChanged(RaftStatus raftStatus) {
         if (raftStatus.role() != RaftStatus.Role.LEADER || raftStatus.term() != term) {
-            List<Pending> left = List.copyOf(pending.values());
+            List<PendingChange> unresolved = List.copyOf(pending.values());
             pending.clear();
-            left.forEach(one -> answer(one, Verdict.UNCLEAR));
+            unresolved.forEach(change -> answer(change, Verdict.UNCLEAR));
         }
         term = raftStatus.term();
     }
 
-    /** Lets time pass: who has waited too long is answered; their entry goes its way. */
+    /** Answers callers whose timeout has expired; their entries remain proposed. */
     void expire(double now) {
-        for (Pending one : pending.values()) {
-            for (Iterator<Listener> each = one.listeners.iterator(); each.hasNext(); ) {
-                Listener listener = each.next();
-                if (now > listener.until) {
-                    each.remove();
-                    deferred.accept(() -> listener.then.accept(Verdict.UNCLEAR));
+        for (PendingChange change : pending.values()) {
+            for (Iterator<Listener> iterator = change.listeners.iterator(); iterator.hasNext(); ) {
+                Listener listener = iterator.next();
+                if (now > listener.deadlineMs) {
+                    iterator.remove();
+                    deferredExecutor.accept(() -> listener.callback.accept(Verdict.UNCLEAR));
                 }
             }
         }
     }
 
-    /** The configuration that is in force here. */
+    /** The configuration state that this node has applied. */
     ConfigurationState configurations() {
         return configurations;
     }
--- a/src/main/java/sablehinge/controlplane/node/ChunkFooter.java
+++ b/src/main/java/sablehinge/controlplane/node/ChunkFooter.java
@@ -6,24 +6,24 @@
 import org.h2.mvstore.DataUtils;
 
 /**
- * The last 128 bytes of a chunk, which is what MVStore writes for one commit. MVStore writes the chunk's number, length
- * and version there with a checksum of these alone; a sealed one has a checksum of all its bytes, too. MVStore passes
- * over the field that it doesn't know.
+ * The last 128 bytes of a chunk; MVStore writes one chunk for each commit. MVStore's footer holds the chunk's id,
+ * length and version, and a checksum of only these fields. A sealed footer also has a checksum of the entire chunk
+ * before it, in a field that MVStore ignores.
  *
- * @param block where the chunk begins, in blocks of 4096 bytes
- * @param id of the chunk
- * @param blocks it is long
- * @param version counts commits
- * @param crc CRC-32C of all before the last 128 bytes
+ * @param block the chunk's first block; blocks have 4096 bytes
+ * @param id the chunk's id
+ * @param blocks the chunk's length in blocks
+ * @param version the commit's version, which counts commits
+ * @param crc CRC-32C of all the chunk's bytes before the footer
  */
 record ChunkFooter(long block, int id, int blocks, long version, int crc) {
 
-    static final int BLOCK = 4096;
-    static final int LENGTH = 128;
+    static final int BLOCK_BYTES = 4096;
+    static final int LENGTH_BYTES = 128;
     private static final String FLETCHER = ",fletcher:";
 
-    /** Whether bytes begin as a chunk does. */
-    static boolean chunk(ByteBuffer bytes, int at) {
+    /** Whether the bytes at a position begin like a chunk. */
+    static boolean startsWithChunkHeader(ByteBuffer bytes, int at) {
         return bytes.get(at) == 'c'
                 && bytes.get(at + 1) == 'h'
                 && bytes.get(at + 2) == 'u'
@@ -32,38 +32,38 @@
                 && bytes.get(at + 5) == ':';
     }
 
-    /** The checksum of a chunk. */
+    /** The CRC-32C of a chunk without its footer. */
     static int crc(ByteBuffer chunk) {
         ByteBuffer body = chunk.duplicate();
-        body.limit(body.limit() - LENGTH);
+        body.limit(body.limit() - LENGTH_BYTES);
         CRC32C crc = new CRC32C();
         crc.update(body);
         return (int) crc.getValue();
     }
 
-    /** Writes the checksum into the end of a chunk, which is all that remains of the buffer. */
-    static void set(ByteBuffer chunk) {
-        int start = chunk.limit() - LENGTH;
-        byte[] footer = new byte[LENGTH];
+    /** Writes the chunk's CRC into its footer; the chunk is all of the buffer's remaining bytes. */
+    static void seal(ByteBuffer chunk) {
+        int start = chunk.limit() - LENGTH_BYTES;
+        byte[] footer = new byte[LENGTH_BYTES];
         chunk.get(start, footer);
         String text = new String(footer, StandardCharsets.ISO_8859_1);
         int end = text.indexOf(FLETCHER);
-        byte[] sealed = checked(text.substring(0, end) + ",crc:" + Integer.toHexString(crc(chunk)));
-        for (int i = 0; i < LENGTH - 1; i++) {
+        byte[] sealed = withChecksum(text.substring(0, end) + ",crc:" + Integer.toHexString(crc(chunk)));
+        for (int i = 0; i < LENGTH_BYTES - 1; i++) {
             chunk.put(start + i, i < sealed.length ? sealed[i] : (byte) ' ');
         }
-        chunk.put(start + LENGTH - 1, (byte) '\n');
+        chunk.put(start + LENGTH_BYTES - 1, (byte) '\n');
     }
 
-    /** A text of fields with MVStore's checksum after it. */
-    static byte[] checked(String fields) {
+    /** The fields followed by MVStore's checksum of them. */
+    static byte[] withChecksum(String fields) {
         byte[] bytes = fields.getBytes(StandardCharsets.ISO_8859_1);
         int check = DataUtils.getFletcher32(bytes, 0, bytes.length);
         return (fields + FLETCHER + Integer.toHexString(check)).getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** A text of fields, up to its checksum; null if that is another, or if it doesn't end as written. */
-    static String fields(byte[] bytes) {
+    /** The fields before the checksum; null if the checksum or the padding after it is wrong. */
+    static String verifiedFields(byte[] bytes) {
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         int end = text.indexOf(FLETCHER);
         if (end < 0) {
@@ -76,11 +76,11 @@
             to++;
         }
         String check = Integer.toHexString(DataUtils.getFletcher32(bytes, 0, end));
-        return text.substring(from, to).equals(check) && endsBlank(bytes, to) ? fields : null;
+        return text.substring(from, to).equals(check) && endsWithPadding(bytes, to) ? fields : null;
     }
 
-    /** Whether only blanks and a line's end follow: MVStore takes no chunk that ends in anything else. */
-    private static boolean endsBlank(byte[] bytes, int from) {
+    /** Whether only blanks and a final line feed follow: MVStore accepts no other end of a chunk. */
+    private static boolean endsWithPadding(byte[] bytes, int from) {
         for (int i = from; i < bytes.length - 1; i++) {
             if (bytes[i] != ' ') {
                 return false;
@@ -89,7 +89,7 @@
         return bytes[bytes.length - 1] == '\n';
     }
 
-    /** A number of such a text, -1 if it has no such field or that is no number. */
+    /** The hexadecimal value of a field; -1 if the field is missing or is no number. */
     static long field(String fields, String name) {
         for (String field : fields.split(",")) {
             if (field.startsWith(name) && field.length() > name.length() && field.charAt(name.length()) == ':') {
@@ -103,9 +103,9 @@
         return -1;
     }
 
-    /** The seal in the last bytes before a block; null if there's none. */
-    static ChunkFooter read(byte[] bytes, long nextBlock) {
-        String fields = fields(bytes);
+    /** Parses the footer that ends at a block; null if the bytes are no valid sealed footer. */
+    static ChunkFooter parse(byte[] bytes, long nextBlock) {
+        String fields = verifiedFields(bytes);
         if (fields == null) {
             return null;
         }
--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -37,37 +37,37 @@
 import sablehinge.mesh.api.Operation;
 
 /**
- * A machine of the core: it agrees with the others on the configuration, keeps it on disk, takes operators' calls and,
- * while it leads, publishes updates to the data plane. One thread owns all of it but the disk's work and the checks of
- * configurations, which have a thread each.
+ * A node of the core. It replicates the configuration with the other nodes through Raft, stores it on disk, serves
+ * operators' calls and, while it is the leader, publishes updates to the data plane. All state belongs to one event
+ * loop; disk writes and the validation of configurations each have a thread of their own.
  */
 public final class ControlNode {
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlNode.class);
     private static final long TICK_MS = 20;
     private static final long MS_PER_S = 1_000;
-    /** What is kept of the grace time to end in, in ms. */
+    /** The part of the grace period that is reserved for ending the process. */
     private static final long SHUTDOWN_RESERVE_MS = 1_000;
 
     private static final double NANOS_PER_MS = 1e6;
-    /** How often an end of a connection between processes pings when it receives nothing, ms. */
+    /** How often each end of a connection between processes sends a ping while it receives nothing. */
     static final long PING_INTERVAL_MS = 300;
 
     static final long CONNECTION_TIMEOUT_MS = 1_200;
     private static final int MAX_CONFIGURATION_BYTES = 15 * 1024 * 1024;
-    /** What the process ends with where it can't go on as who it was. */
+    /** The exit status of a process that can't continue with its member identity. */
     private static final int HALT_EXIT_STATUS = 3;
 
     private final EventLoop loop;
     private final Clock clock = Clock.system();
-    private final ExecutorService disk = thread("disk");
-    private final ExecutorService checks = thread("checks");
+    private final ExecutorService diskExecutor = singleThreadExecutor("disk");
+    private final ExecutorService validationExecutor = singleThreadExecutor("checks");
     private final LocalSettings settings;
-    private final long processStartedAt;
+    private final long processStartNanos;
     private final Connection connection;
     private final CoreIdentity identity;
     private final DiskWriter diskWriter;
-    private final DiskHangDetector diskHangs;
+    private final DiskHangDetector diskHangDetector;
     private final RaftNode raft;
     private final ConfigurationState configurations = new ConfigurationState();
     private final QuorumGate gate;
@@ -77,80 +77,80 @@
     private final DataPlaneService dataPlane;
     private final StateMachine stateMachine;
     private Member self;
-    /** Null, as is {@code self}, until the disk has been read. */
+    /** Null, like {@code self}, until the disk has been read. */
     private PeerConnections peers;
 
     private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
-    /** Opened once nothing that is committed hangs on this process. */
+    /** Counted down once no committed entry depends on this process. */
     private final CountDownLatch released = new CountDownLatch(1);
 
     private ControlNode(
             LocalSettings settings,
-            long processStartedAt,
+            long processStartNanos,
             EventLoop loop,
             Supplier<RaftStore> opener,
             Connection.Observer observer) {
         this.settings = settings;
-        this.processStartedAt = processStartedAt;
+        this.processStartNanos = processStartNanos;
         this.loop = loop;
         connection = new Connection(loop, PING_INTERVAL_MS, CONNECTION_TIMEOUT_MS, observer);
         identity = new CoreIdentity(settings, new SecureRandom());
         diskWriter = new DiskWriter(opener, new NodeDiskCallbacks());
-        diskHangs = new DiskHangDetector(clock, diskWriter);
+        diskHangDetector = new DiskHangDetector(clock, diskWriter);
         raft = new RaftNode(
                 new NodeRaftActions(),
                 RaftConfig.defaults(),
                 settings.tolerateMachines(),
                 new SecureRandom().nextLong());
-        gate = new QuorumGate(new RaftContact(raft, () -> raftStatus), loop::execute);
+        gate = new QuorumGate(new RaftNodeView(raft, () -> raftStatus), loop::execute);
         changes = new ChangeCoordinator(raft, configurations, loop::execute);
         dataPlane = new DataPlaneService(loop, clock, settings.bounds(), gate, configurations);
         stateMachine = new StateMachine(
                 changes,
                 failStopExecutor,
-                dataPlane::configuration,
+                dataPlane::onConfigurationChanged,
                 (index, state) -> loop.execute(() -> raft.compact(index, state)));
     }
 
-    private static ExecutorService thread(String name) {
+    private static ExecutorService singleThreadExecutor(String name) {
         return Executors.newSingleThreadExecutor(new DefaultThreadFactory(name, true));
     }
 
     /**
-     * Starts a machine of the core. It is heard by all who call, and takes part as soon as its disk has been read and
-     * takes writes, however long that lasts.
+     * Starts a node of the core. It accepts connections at once, and joins Raft as soon as its disk has been read and
+     * accepts writes, however long that takes.
      *
-     * @param processStartedAt when its process began, by {@link System#nanoTime}: whatever the process before promised
-     *     a leader, it had promised by then
+     * @param processStartNanos the start of this process by {@link System#nanoTime}: the previous process made all its
+     *     promises to leaders before then
      */
-    public static ControlNode start(LocalSettings settings, long processStartedAt)
+    public static ControlNode start(LocalSettings settings, long processStartNanos)
             throws ConfigException, InterruptedException {
         if (settings.dataDir() == null) {
             throw new ConfigException("a control node needs dataDir in its settings");
         }
         Path folder = Path.of(settings.dataDir());
-        return start(settings, processStartedAt, () -> RaftStore.open(folder));
+        return start(settings, processStartNanos, () -> RaftStore.open(folder));
     }
 
-    /** The same with a store of another kind; it is opened anew after each refusal. */
-    static ControlNode start(LocalSettings settings, long processStartedAt, Supplier<RaftStore> opener)
+    /** Starts a node with a given store, which is reopened after each failed write. */
+    static ControlNode start(LocalSettings settings, long processStartNanos, Supplier<RaftStore> opener)
             throws ConfigException, InterruptedException {
-        return start(settings, processStartedAt, opener, Connection.Observer.NONE);
+        return start(settings, processStartNanos, opener, Connection.Observer.NONE);
     }
 
-    /** The same, with an observer of its records. */
+    /** Starts a node with a given store and an observer of its connections. */
     static ControlNode start(
-            LocalSettings settings, long processStartedAt, Supplier<RaftStore> opener, Connection.Observer observer)
+            LocalSettings settings, long processStartNanos, Supplier<RaftStore> opener, Connection.Observer observer)
             throws ConfigException, InterruptedException {
         EventLoop loop = ClosingEventLoops.single("control");
-        ControlNode controlNode = new ControlNode(settings, processStartedAt, loop, opener, observer);
-        String at = settings.ip() + ":" + settings.innerFirst();
+        ControlNode controlNode = new ControlNode(settings, processStartNanos, loop, opener, observer);
+        String listenAddress = settings.ip() + ":" + settings.innerFirst();
         try {
             await(
                     controlNode.connection.listen(
                             new InetSocketAddress(settings.ip(), settings.innerFirst()),
                             new FrameHandler(controlNode.dataPlane, controlNode::onMessage)),
-                    at);
+                    listenAddress);
             await(
                     new ApiServer(loop, controlNode.operations(), MAX_CONFIGURATION_BYTES)
                             .listen(address(settings.listenOn().control())),
@@ -159,14 +159,14 @@
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await();
             throw new ConfigException(e.getMessage());
         }
-        controlNode.disk.execute(controlNode.diskWriter::open);
+        controlNode.diskExecutor.execute(controlNode.diskWriter::open);
         loop.scheduleAtFixedRate(
-                controlNode.diskHangs::check,
+                controlNode.diskHangDetector::check,
                 DiskHangDetector.HANG_MS,
                 DiskHangDetector.HANG_MS,
                 TimeUnit.MILLISECONDS);
-        // The schema is loaded before the first configuration comes, and beside what must not wait for it.
-        controlNode.checks.execute(ConfigurationCheck::warm);
+        // Loads the schema before the first configuration arrives, on a thread that delays nothing else.
+        controlNode.validationExecutor.execute(ConfigurationCheck::warm);
         return controlNode;
     }
 
@@ -184,11 +184,11 @@
                         context));
     }
 
-    private static void await(io.netty.channel.ChannelFuture bound, String at)
+    private static void await(io.netty.channel.ChannelFuture bound, String listenAddress)
             throws IOException, InterruptedException {
         if (!bound.await().isSuccess()) {
             throw new IOException(
-                    "cannot listen on " + at + ": " + bound.cause().getMessage());
+                    "cannot listen on " + listenAddress + ": " + bound.cause().getMessage());
         }
     }
 
@@ -197,64 +197,64 @@
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** Ends at once, but for what is being written to the disk; for tests. */
+    /** Stops at once, except for the disk write in progress; for tests. */
     void close() throws InterruptedException {
         loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await();
-        checks.shutdown();
-        disk.execute(diskWriter::close);
-        disk.shutdown();
-        disk.awaitTermination(1, TimeUnit.MINUTES);
+        validationExecutor.shutdown();
+        diskExecutor.execute(diskWriter::close);
+        diskExecutor.shutdown();
+        diskExecutor.awaitTermination(1, TimeUnit.MINUTES);
     }
 
     /**
-     * Ends its part in the core as SIGTERM wants it: hands leadership over and returns once others hold what it holds,
-     * or when the time to end is nearly up. Whether the machine comes back is not known to it, so its place goes to
-     * another only if a learner waits for it.
+     * Leaves the core gracefully on SIGTERM: transfers leadership and returns once a majority of the remaining members
+     * has all committed entries on disk, or shortly before the grace period ends. The node doesn't know whether it will
+     * come back, so it gives up its membership only if a learner is waiting to take its place.
      *
-     * @param elapsedMs how much of the grace is over, ms
-     * @return whether others hold it
+     * @param elapsedMs the part of the grace period that has already passed, in ms
+     * @return whether the node was released before the timeout
      */
     public boolean leave(double elapsedMs) throws InterruptedException {
         long graceMs = Math.round(settings.bounds().graceS() * MS_PER_S - elapsedMs);
-        long ms = Math.max(0, graceMs - SHUTDOWN_RESERVE_MS);
+        long timeoutMs = Math.max(0, graceMs - SHUTDOWN_RESERVE_MS);
         loop.execute(() -> raft.leave(clock.now()));
-        boolean inOrder = released.await(ms, TimeUnit.MILLISECONDS);
-        Log.info(LOG, "leaves").addKeyValue("released", inOrder).log("leaves the core");
-        return inOrder;
+        boolean releasedInTime = released.await(timeoutMs, TimeUnit.MILLISECONDS);
+        Log.info(LOG, "leaves").addKeyValue("released", releasedInTime).log("leaves the core");
+        return releasedInTime;
     }
 
-    /** Takes over what may change while it runs: where other machines of the core may be. */
+    /** Applies the settings that may change at runtime: the addresses of the seeds. */
     public void reload(LocalSettings next) {
         loop.execute(() -> {
             List<String> contacts = next.innerSeeds();
             raft.contacts(contacts);
-            Log.info(LOG, "settings").addKeyValue("seeds", contacts.size()).log("the settings were read again");
+            Log.info(LOG, "settings").addKeyValue("seeds", contacts.size()).log("the settings were reloaded");
         });
     }
 
-    private void begin(Member me, PersistedState stored) {
+    private void startRaft(Member member, PersistedState stored) {
         double now = clock.now();
-        self = me;
+        self = member;
         peers = new PeerConnections(connection, self, this::onMessage);
         List<Member> founders = identity.founders();
         List<String> contacts = settings.innerSeeds();
         raft.contacts(contacts);
         if (stored != null) {
-            // Even who has nothing but a name, and asks to be let in, may have given its vote.
-            raft.start(now, stored, now - (System.nanoTime() - processStartedAt) / NANOS_PER_MS);
+            // Even a member that has stored only its identity, and is still to be admitted, may have voted.
+            raft.start(now, stored, now - (System.nanoTime() - processStartNanos) / NANOS_PER_MS);
         } else if (founders.contains(self)) {
             raft.bootstrap(now, self, founders);
         } else {
             raft.startAsLearner(now, self, contacts);
         }
-        // Not at a fixed rate: after a pause of the process all that it missed would be run at once.
+        // Not at a fixed rate: after a pause of the process, all missed ticks would run at once.
         loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         Log.info(LOG, "starts")
                 .addKeyValue("node", settings.node())
                 .addKeyValue("member", self.id())
                 .addKeyValue("founds", stored == null && founders.contains(self))
                 .addKeyValue("outside", stored == null && !founders.contains(self))
-                .log("takes part in the core");
+                .log("starts its part in the core");
     }
 
     private void tick() {
@@ -278,8 +278,8 @@
         }
 
         @Override
-        public void persist(WriteBatch change) {
-            disk.execute(() -> diskWriter.write(change));
+        public void persist(WriteBatch batch) {
+            diskExecutor.execute(() -> diskWriter.write(batch));
         }
 
         @Override
@@ -301,7 +301,7 @@
                     .addKeyValue(
                             "leader", next.leader() == null ? "" : next.leader().address())
                     .addKeyValue("members", next.members().size())
-                    .log("the core's standing");
+                    .log("the Raft status has changed");
             changes.onStatusChanged(next);
             dataPlane.onStatusChanged(next);
             peers.retainOnly(next.members());
@@ -323,7 +323,7 @@
         }
     }
 
-    /** What the disk's thread calls. */
+    /** The callbacks of the disk writer, which run on the disk's thread. */
     private final class NodeDiskCallbacks implements DiskWriter.Callbacks {
 
         @Override
@@ -332,8 +332,8 @@
         }
 
         @Override
-        public void later(double ms, Runnable work) {
-            loop.schedule(() -> disk.execute(work), Math.round(ms * 1000), TimeUnit.MICROSECONDS);
+        public void schedule(double delayMs, Runnable task) {
+            loop.schedule(() -> diskExecutor.execute(task), Math.round(delayMs * 1000), TimeUnit.MICROSECONDS);
         }
 
         @Override
@@ -342,13 +342,13 @@
         }
 
         @Override
-        public boolean isFounder(Member me) {
-            return identity.founders().contains(me);
+        public boolean isFounder(Member member) {
+            return identity.founders().contains(member);
         }
 
         @Override
-        public void opened(Member me, PersistedState stored) {
-            loop.execute(() -> begin(me, stored));
+        public void opened(Member member, PersistedState stored) {
+            loop.execute(() -> startRaft(member, stored));
         }
 
         @Override
@@ -357,16 +357,16 @@
         }
 
         @Override
-        public void stateLost(StoreException why) {
-            // The next process finds what is there, and is another member if that is nothing.
+        public void stateLost(StoreException error) {
+            // The next process starts from the disk's content, as a new member if there is none.
             Log.error(LOG, "disk-failed")
-                    .addKeyValue("code", why.code())
-                    .log("what was synced is gone: {}", why.getMessage());
+                    .addKeyValue("code", error.code())
+                    .log("synced data is missing: {}", error.getMessage());
             Runtime.getRuntime().halt(HALT_EXIT_STATUS);
         }
     }
 
-    /** What operators' calls are settled by. */
+    /** The services of this node for operators' calls. */
     private final class NodeCallContext implements CallContext {
 
         @Override
@@ -390,13 +390,13 @@
         }
 
         @Override
-        public void runOffLoop(Runnable work) {
-            checks.execute(work);
+        public void runOffLoop(Runnable task) {
+            validationExecutor.execute(task);
         }
 
         @Override
-        public void runOnLoop(Runnable work) {
-            loop.execute(work);
+        public void runOnLoop(Runnable task) {
+            loop.execute(task);
         }
 
         @Override
--- a/src/main/java/sablehinge/controlplane/node/ControlRequest.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlRequest.java
@@ -1,31 +1,31 @@
 package sablehinge.controlplane.node;
 
 /**
- * Everything that operators and data-plane balancers ask of a control machine, with the contact with a majority that
- * its answer needs. {@link QuorumGate} holds it.
+ * The requests of operators and data-plane balancers to a control node, each with the contact with a majority that its
+ * answer requires. {@link QuorumGate} enforces the requirement.
  */
 enum ControlRequest {
-    /** An operator sends a configuration. */
+    /** An operator replaces the configuration. */
     CONFIG_REPLACE("/sablehinge/Config.Replace", QuorumContact.COMMITTED),
     /** An operator reads the newest configuration. */
     CONFIG_READ("/sablehinge/Config.Read", QuorumContact.CONFIRMED),
-    /** An operator reads which editions were taken. */
+    /** An operator reads the history of accepted editions. */
     CONFIG_HISTORY("/sablehinge/Config.History", QuorumContact.CONFIRMED),
-    /** What a machine of the core knows of itself; it names its role and term, and claims no more. */
+    /** The status of a single control node: its answer names its role and term, and claims nothing about the core. */
     MESH_STATUS("/sablehinge/Mesh.Status", QuorumContact.NONE),
-    /** What {@link #MESH_STATUS} adds about the data plane. */
+    /** The data plane's part of {@link #MESH_STATUS}. */
     MESH_STATUS_PLANE(null, QuorumContact.RECENT),
-    /** Which balancers there are. */
+    /** The registered balancers. */
     MESH_NODES("/sablehinge/Mesh.Nodes", QuorumContact.RECENT),
-    /** What the leader holds for the data plane. */
+    /** The leader's singleton roles for the data plane; {@code Duties} on the wire. */
     MESH_SINGLETON_ROLES("/sablehinge/Mesh.Duties", QuorumContact.RECENT),
     /** A balancer watches for updates: configuration, registry, members of the core. */
     WATCH(null, QuorumContact.RECENT),
-    /** A balancer watches for a confirmed update, which nothing newer precedes: one that has just started, for one. */
+    /** A balancer, such as one that has just started, watches for an update that is confirmed to be the newest. */
     WATCH_CONFIRMED(null, QuorumContact.CONFIRMED),
-    /** A balancer asks for tokens of a tenant's quota; so does the core that balancers give some back. */
+    /** A balancer requests tokens of a tenant's quota, or the leader requests unused tokens back from balancers. */
     QUOTA_TOKENS(null, QuorumContact.LEASE),
-    /** A balancer gives tokens back: one that isn't in force any more loses them, which bounds nothing. */
+    /** A balancer returns tokens. A deposed leader discards them, which never raises a limit. */
     QUOTA_RETURN(null, QuorumContact.NONE),
     /** A balancer claims shares of the retry budget. */
     RETRY_SHARES(null, QuorumContact.LEASE);
@@ -38,12 +38,12 @@
         this.contact = contact;
     }
 
-    /** The path of an operators' call; null for a record of the data plane. */
+    /** The path of an operator's call; null for a record of the data plane. */
     String path() {
         return path;
     }
 
-    /** What its answer needs. */
+    /** The contact with a majority that the answer requires. */
     QuorumContact contact() {
         return contact;
     }
--- a/src/main/java/sablehinge/controlplane/node/ControlStatus.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -17,34 +17,34 @@
 import sablehinge.mesh.quota.Pool;
 import sablehinge.mesh.watch.Registration;
 
-/** What a machine of the core can tell operators of itself and, while it leads, of the mesh. */
+/** Reports the state of this control node and, while it is the leader, of the mesh. */
 final class ControlStatus {
 
-    /** Lists are cut after so many lines, with the count of what is left out. */
-    static final int MAX_LINES = 2_000;
+    /** The maximum length of a list in an answer, which also has the number of omitted entries. */
+    static final int MAX_LIST_ENTRIES = 2_000;
 
     private final String node;
     private final String zone;
     private final String control;
     private final Registry registry;
-    private final WatchServer<?> queue;
+    private final WatchServer<?> watchServer;
     private final Pool pool;
     private final CallContext context;
 
-    /** {@code control} is where operators call this machine. */
+    /** A reporter; {@code control} is the address of this node's operator API. */
     ControlStatus(
             String node,
             String zone,
             String control,
             Registry registry,
-            WatchServer<?> queue,
+            WatchServer<?> watchServer,
             Pool pool,
             CallContext context) {
         this.node = node;
         this.zone = zone;
         this.control = control;
         this.registry = registry;
-        this.queue = queue;
+        this.watchServer = watchServer;
         this.pool = pool;
         this.context = context;
     }
@@ -64,10 +64,10 @@
                 context.gate().allows(context.now(), ControlRequest.MESH_STATUS_PLANE) ? plane() : null);
     }
 
-    /** Where operators call the leader; null where none is known. */
+    /** The address of the leader's operator API; null if no leader is known. */
     private String leader() {
-        QuorumGate.Refusal elsewhere = context.gate().refusal(context.now());
-        Member leader = elsewhere.leads() ? context.self() : elsewhere.leader();
+        QuorumGate.Refusal refusal = context.gate().refusal(context.now());
+        Member leader = refusal.leads() ? context.self() : refusal.leader();
         return leader == null ? null : leader.control();
     }
 
@@ -79,8 +79,8 @@
         RaftMetrics metrics = context.metrics();
         List<Machine> members = new ArrayList<>();
         for (Member member : context.raftStatus().members()) {
-            Double sinceMs = metrics.sinceLastMessageMs().get(member.id());
-            members.add(new Machine(id(member), member.control(), sinceMs == null ? null : Math.round(sinceMs)));
+            Double silentMs = metrics.sinceLastMessageMs().get(member.id());
+            members.add(new Machine(id(member), member.control(), silentMs == null ? null : Math.round(silentMs)));
         }
         return members;
     }
@@ -90,66 +90,79 @@
         Map<String, MeshStatus.Service> services = new TreeMap<>();
         int known = 0;
         int ready = 0;
-        for (Registry.Entry line : registry.lines(now)) {
-            Registration registration = line.registration();
-            boolean takes = registration.ready() && !line.gone();
-            known += line.gone() ? 0 : 1;
-            ready += takes ? 1 : 0;
+        for (Registry.Entry entry : registry.lines(now)) {
+            Registration registration = entry.registration();
+            boolean acceptsRequests = registration.ready() && !entry.gone();
+            known += entry.gone() ? 0 : 1;
+            ready += acceptsRequests ? 1 : 0;
             if (!registration.upstream().isEmpty()) {
                 services.merge(
                         registration.service(),
                         new MeshStatus.Service(
-                                registration.service(), 1, takes ? 1 : 0, takes ? registration.berths() : 0),
+                                registration.service(),
+                                1,
+                                acceptsRequests ? 1 : 0,
+                                acceptsRequests ? registration.berths() : 0),
                         ControlStatus::sum);
             }
         }
         return new MeshStatus.Plane(
-                known, ready, registry.isComplete(now), cut(List.copyOf(services.values())), more(services.size()));
+                known,
+                ready,
+                registry.isComplete(now),
+                truncate(List.copyOf(services.values())),
+                omittedCount(services.size()));
     }
 
-    private static MeshStatus.Service sum(MeshStatus.Service one, MeshStatus.Service other) {
+    private static MeshStatus.Service sum(MeshStatus.Service first, MeshStatus.Service second) {
         return new MeshStatus.Service(
-                one.name(), one.known() + other.known(), one.ready() + other.ready(), one.berths() + other.berths());
+                first.name(),
+                first.known() + second.known(),
+                first.ready() + second.ready(),
+                first.berths() + second.berths());
     }
 
     MeshNodes nodes() {
         double now = context.now();
         List<MeshNodes.Balancer> balancers = new ArrayList<>();
-        for (Registry.Entry line : registry.lines(now)) {
-            Registration registration = line.registration();
+        for (Registry.Entry entry : registry.lines(now)) {
+            Registration registration = entry.registration();
             balancers.add(new MeshNodes.Balancer(
                     registration.node(),
                     registration.zone(),
                     registration.inbound(),
                     registration.service(),
                     registration.upstream(),
-                    state(line),
+                    state(entry),
                     registration.berths(),
-                    Math.round(line.sinceLastMessageMs())));
+                    Math.round(entry.sinceLastMessageMs())));
         }
         return new MeshNodes(
                 control,
                 context.raftStatus().term(),
                 registry.isComplete(now),
-                cut(balancers),
-                more(balancers.size()),
+                truncate(balancers),
+                omittedCount(balancers.size()),
                 members());
     }
 
-    private static String state(Registry.Entry line) {
-        return line.gone()
+    private static String state(Registry.Entry entry) {
+        return entry.gone()
                 ? "gone"
-                : line.registration().upstream().isEmpty()
+                : entry.registration().upstream().isEmpty()
                         ? "empty"
-                        : line.registration().ready() ? "ready" : "draining";
+                        : entry.registration().ready() ? "ready" : "draining";
     }
 
     MeshSingletonRoles singletonRoles() {
         double now = context.now();
         List<MeshSingletonRoles.Pool> pools = new ArrayList<>();
-        for (Pool.Line line : pool.lines(now)) {
+        for (Pool.Line poolLine : pool.lines(now)) {
             pools.add(new MeshSingletonRoles.Pool(
-                    line.tenant(), line.quota().perSecond(), line.quota().bound(), line.left()));
+                    poolLine.tenant(),
+                    poolLine.quota().perSecond(),
+                    poolLine.quota().bound(),
+                    poolLine.left()));
         }
         return new MeshSingletonRoles(
                 node,
@@ -158,9 +171,9 @@
                 Math.round(context.metrics().leaseMs()),
                 registry.stamp(),
                 registry.isComplete(now),
-                queue.subscribers().size(),
-                cut(pools),
-                more(pools.size()));
+                watchServer.subscribers().size(),
+                truncate(pools),
+                omittedCount(pools.size()));
     }
 
     Editions editions() {
@@ -175,11 +188,11 @@
         return new Editions(context.configurations().edition(), taken);
     }
 
-    private static <T> List<T> cut(List<T> lines) {
-        return lines.subList(0, Math.min(MAX_LINES, lines.size()));
+    private static <T> List<T> truncate(List<T> entries) {
+        return entries.subList(0, Math.min(MAX_LIST_ENTRIES, entries.size()));
     }
 
-    private static int more(int lines) {
-        return Math.max(0, lines - MAX_LINES);
+    private static int omittedCount(int entryCount) {
+        return Math.max(0, entryCount - MAX_LIST_ENTRIES);
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/CoreIdentity.java
+++ b/src/main/java/sablehinge/controlplane/node/CoreIdentity.java
@@ -6,7 +6,7 @@
 import sablehinge.common.settings.LocalSettings;
 import sablehinge.controlplane.raft.Member;
 
-/** Who this machine and the founders of the core are, by the settings. */
+/** The identity of this node and of the core's founders, derived from the settings. */
 final class CoreIdentity {
 
     private final LocalSettings settings;
@@ -18,10 +18,10 @@
     }
 
     /**
-     * The member that this machine becomes where its disk holds none: a founder at the first start of the system, else
-     * a new member, as one that lost its disk has lost its votes with it.
+     * The member that this node becomes if its disk holds no member: a founder at the first start of the system, else a
+     * member with a new id, because a node that lost its disk has also lost the record of its votes.
      *
-     * @param isCorrupt whether the disk held something that can't be read any more
+     * @param isCorrupt whether the disk held data that is no longer readable
      */
     Member memberForEmptyDisk(boolean isCorrupt) {
         String address = settings.ip() + ":" + settings.innerFirst();
@@ -31,7 +31,7 @@
                 : Member.later(random.nextLong(), address, control);
     }
 
-    /** The machines that the settings name as seeds, as founders of the core. */
+    /** The seeds of the settings, as founders of the core. */
     List<Member> founders() {
         List<Member> founders = new ArrayList<>();
         for (String seed : settings.seeds()) {
--- a/src/main/java/sablehinge/controlplane/node/CorruptStoreException.java
+++ b/src/main/java/sablehinge/controlplane/node/CorruptStoreException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** What is in the file is not what a store leaves there, whenever the power goes. */
+/** The file has content that no store leaves behind, not even after a power loss. */
 final class CorruptStoreException extends IOException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
+++ b/src/main/java/sablehinge/controlplane/node/DataPlaneService.java
@@ -26,18 +26,18 @@
 import sablehinge.mesh.watch.WatchRequest;
 
 /**
- * What a machine of the core does for the data plane while it leads: it publishes updates to balancers, and holds the
- * pools of quotas and of retry budgets. Each answer passes the {@link QuorumGate}. Called on one thread.
+ * The leader's services for the data plane: it publishes updates to balancers, and maintains the pools of quotas and of
+ * retry budgets. Each answer passes the {@link QuorumGate}. Called on one thread.
  */
 final class DataPlaneService {
 
     private static final Logger LOG = LoggerFactory.getLogger(DataPlaneService.class);
     private static final double REGISTRY_COMPLETE_MS = 2_500;
     private static final double REGISTRATION_EXPIRY_MS = 12_000;
-    /** Updates are published each tick: after a longer pause, in ms, it was this process that stood still. */
+    /** Updates are published each tick, so a longer gap means that this process was paused. */
     private static final double PAUSE_DETECTION_MS = 1_000;
 
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] NO_CONFIGURATION = new byte[0];
 
     private final EventLoop loop;
     private final Clock clock;
@@ -47,12 +47,12 @@
     private final WatchServer<Connection.Link> watchServer = new WatchServer<>(registry);
     private final QuotaPools pools;
     private final RetryBudgetCoordinator retryBudgetCoordinator;
-    /** Whether what is due will be sent once all that has come in together is read. */
+    /** Whether {@link #publish} is scheduled to run after the records that arrived together are read. */
     private boolean publishScheduled;
 
     private double lastPublishedAt;
-    /** The edition in force as all are sent it; packed once for each edition, and only while this leads. */
-    private byte[] packed = NONE;
+    /** The current configuration as it is sent; packed once for each edition, and only while this node leads. */
+    private byte[] packedConfiguration = NO_CONFIGURATION;
 
     private long packedEdition;
     private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
@@ -72,7 +72,7 @@
                 loop, clock, bounds, watchServer::subscribers, now -> gate.allows(now, ControlRequest.QUOTA_TOKENS));
     }
 
-    /** Who is known, to be looked at. */
+    /** The registry of balancers, for reading. */
     Registry registry() {
         return registry;
     }
@@ -82,23 +82,23 @@
         return watchServer;
     }
 
-    /** The pools of quotas, to be looked at. */
+    /** The pools of quotas, for reading. */
     Pool pool() {
         return pools.pool();
     }
 
     /**
-     * A record of a balancer has come.
+     * Handles a record from a balancer.
      *
-     * @return whether it is of a kind that balancers send
-     * @throws IOException where it can't be read
+     * @return whether the record is of a kind that balancers send
+     * @throws IOException if the record is malformed
      */
     boolean handleFrame(Connection.Link link, Frame frame) throws IOException {
         switch (frame.kind()) {
             case ASK -> watch(link, WatchRequest.read(frame.body()));
             case TOKENS -> pools.handleRequest(link, Tokens.read(frame.body()));
             case PULL -> pools.handleReturn(Tokens.read(frame.body()));
-            case SHARES -> claimed(link, RetryBudgetCodec.claim(frame.body()));
+            case SHARES -> handleClaim(link, RetryBudgetCodec.claim(frame.body()));
             default -> {
                 return false;
             }
@@ -106,14 +106,14 @@
         return true;
     }
 
-    /** A connection has ended. */
-    void closed(Connection.Link link) {
+    /** Called when a connection has closed. */
+    void onConnectionClosed(Connection.Link link) {
         watchServer.removeSubscriber(link);
     }
 
     private void watch(Connection.Link link, WatchRequest request) {
         if (request.term() > raftStatus.term()) {
-            // It has an update of the leader of a later term: what is known here is older.
+            // The balancer has an update from the leader of a later term, so this node's state is out of date.
             redirect(link, new QuorumGate.Refusal(null, false));
             return;
         }
@@ -146,7 +146,7 @@
         link.send(new Frame(Frame.Kind.REDIRECT, leader.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void claimed(Connection.Link link, Claim claim) {
+    private void handleClaim(Connection.Link link, Claim claim) {
         gate.require(
                 clock.now(),
                 ControlRequest.RETRY_SHARES,
@@ -159,7 +159,7 @@
                 refusal -> {});
     }
 
-    /** Publishes what is due once all records that came in together are read: once for all of them. */
+    /** Schedules one {@link #publish} after all records that arrived together are read. */
     private void schedulePublish() {
         if (!publishScheduled) {
             publishScheduled = true;
@@ -188,41 +188,41 @@
                     .addKeyValue("before", change.before())
                     .addKeyValue("accusers", change.suspecting())
                     .addKeyValue("watchers", change.watchers())
-                    .log("what is known of a balancer");
+                    .log("the health of a balancer has changed");
         }
     }
 
-    /** The place of this machine in the core has changed. */
+    /** Called when the Raft status of this node has changed. */
     void onStatusChanged(RaftStatus next) {
-        boolean led = leads();
+        boolean wasLeader = isLeader();
         boolean newTerm = raftStatus.term() != next.term();
         raftStatus = next;
-        if (leads() && (!led || newTerm)) {
+        if (isLeader() && (!wasLeader || newTerm)) {
             watchServer.startTerm(clock.now(), next.term());
             pools.startTerm();
             retryBudgetCoordinator.startTerm(next.term());
             adopt();
-        } else if (led && !leads()) {
+        } else if (wasLeader && !isLeader()) {
             QuorumGate.Refusal refusal = gate.refusal(clock.now());
             watchServer.subscribers().forEach(link -> redirect(link, refusal));
         }
         publishConfiguration();
     }
 
-    private boolean leads() {
+    private boolean isLeader() {
         return raftStatus.role() == RaftStatus.Role.LEADER;
     }
 
-    /** The committed configuration has changed. */
-    void configuration() {
-        // Balancers first: publishing must not depend on what the pools make of it.
+    /** Called when the committed configuration has changed. */
+    void onConfigurationChanged() {
+        // Publishes first: a failure in the pools must not keep the configuration from the balancers.
         publishConfiguration();
         adopt();
     }
 
-    /** The quotas and services in force are what the pools are filled by. */
+    /** Sets the pools to the quotas and services of the current configuration. */
     private void adopt() {
-        if (leads() && configurations.edition() > 0) {
+        if (isLeader() && configurations.edition() > 0) {
             Configuration configuration = ConfigurationReader.read(configurations.body());
             pools.adopt(configuration);
             retryBudgetCoordinator.adopt(clock.now(), configuration);
@@ -232,18 +232,18 @@
     private void publishConfiguration() {
         List<String> members = new ArrayList<>();
         raftStatus.members().forEach(member -> members.add(member.address()));
-        watchServer.configurationChanged(configurations.edition(), packed(), members);
+        watchServer.configurationChanged(configurations.edition(), packedConfiguration(), members);
         schedulePublish();
     }
 
-    private byte[] packed() {
-        if (!leads() || configurations.edition() == 0) {
-            return NONE;
+    private byte[] packedConfiguration() {
+        if (!isLeader() || configurations.edition() == 0) {
+            return NO_CONFIGURATION;
         }
         if (packedEdition != configurations.edition()) {
-            packed = PackedConfiguration.pack(configurations.body());
+            packedConfiguration = PackedConfiguration.pack(configurations.body());
             packedEdition = configurations.edition();
         }
-        return packed;
+        return packedConfiguration;
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/Disk.java
+++ b/src/main/java/sablehinge/controlplane/node/Disk.java
@@ -2,21 +2,21 @@
 
 import java.io.IOException;
 
-/** A folder of files. */
+/** A directory of files. */
 interface Disk {
 
-    /** The name by which H2 opens a file of this folder. */
+    /** The name by which H2 opens a file of this directory. */
     String file(String name);
 
-    /** Whether there is such a file. */
+    /** Whether the file exists. */
     boolean has(String name) throws IOException;
 
-    /** Gives a file another name, in place of what had that name. */
+    /** Renames a file and replaces any file that has the new name. */
     void rename(String from, String to) throws IOException;
 
-    /** Removes a file if it is there. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Returns when the names in the folder are on disk. */
+    /** Syncs the directory: returns once its file names are on disk. */
     void sync() throws IOException;
 }
--- a/src/main/java/sablehinge/controlplane/node/DiskHangDetector.java
+++ b/src/main/java/sablehinge/controlplane/node/DiskHangDetector.java
@@ -5,10 +5,10 @@
 import sablehinge.common.eventloop.Clock;
 import sablehinge.common.logging.Log;
 
-/** Logs when the disk answers nothing, and when it answers again: a disk that hangs raises no error by itself. */
+/** Logs when the disk stops responding and when it responds again: a disk that hangs raises no error by itself. */
 final class DiskHangDetector {
 
-    /** A disk that has been busy with one batch for longer hangs, ms; it is checked as often. */
+    /** A disk that has been busy with one batch for longer counts as hanging; also the interval between checks. */
     static final long HANG_MS = 1_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(DiskHangDetector.class);
@@ -27,10 +27,10 @@
         double busyMs = clock.now() - diskWriter.busySince();
         if (busyMs > HANG_MS && !hangs) {
             hangs = true;
-            Log.warn(LOG, "disk-hangs").addKeyValue("ms", Math.round(busyMs)).log("the disk doesn't answer");
+            Log.warn(LOG, "disk-hangs").addKeyValue("ms", Math.round(busyMs)).log("the disk doesn't respond");
         } else if (busyMs <= HANG_MS && hangs) {
             hangs = false;
-            Log.info(LOG, "disk-answers").log("the disk answers again");
+            Log.info(LOG, "disk-answers").log("the disk responds again");
         }
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/DiskWriter.java
+++ b/src/main/java/sablehinge/controlplane/node/DiskWriter.java
@@ -12,38 +12,38 @@
 import sablehinge.controlplane.raft.WriteBatch;
 
 /**
- * Writes batches, in order, however often the disk refuses: to whoever waits for them a disk that refuses is one that
- * stalls. After a refusal the store is closed, and after a pause opened from what is on disk; the change that was under
- * way is there, or it is written again. None is reported before it is synced, and none twice. All calls are made on one
- * thread; how many changes wait is bounded by who makes them.
+ * Writes batches in order and retries failed writes without limit; callers see a failing disk as a slow one. After a
+ * failure the store is closed, and after a backoff it is reopened from the disk's content: the batch that was in flight
+ * is either there or is written again. No batch is reported before it is synced, and none twice. All calls are made on
+ * one thread; the caller bounds the number of pending batches.
  */
 final class DiskWriter {
 
-    /** Whom it works for; all of it is called on the disk's thread. */
+    /** The owner of the writer; all methods are called on the disk's thread. */
     interface Callbacks {
-        /** A steady clock, ms. */
+        /** The monotonic clock in ms. */
         double now();
 
-        /** Calls back after some ms. */
-        void later(double ms, Runnable writePending);
+        /** Runs {@code writePending} on the disk's thread after a delay. */
+        void schedule(double delayMs, Runnable writePending);
 
-        /** Who this machine is to be, as the disk holds nobody; called once. */
+        /** The member that this node becomes, as its disk holds none; called once. */
         Member memberForEmptyDisk(boolean isCorrupt);
 
         /**
-         * Whether a member that the disk does not hold yet is one of those that found the core. Its name goes to the
-         * disk with its first change, in one commit; that of any other before all else.
+         * Whether a member that is not on disk yet is a founder of the core. A founder's identity is written together
+         * with its first batch, in one commit; any other member's is written before everything else.
          */
         boolean isFounder(Member self);
 
-        /** The disk is open and holds who this is; {@code stored} is null if it held nobody before. */
+        /** The store is open. {@code stored} is null if the disk held no member before. */
         void opened(Member self, PersistedState stored);
 
-        /** The disk holds all changes up to a number. */
+        /** All batches up to a number are on disk. */
         void persisted(long number);
 
-        /** What was reported is gone, or a change doesn't follow: this one can't go on as who it was. */
-        void stateLost(StoreException why);
+        /** Reported data is missing, or a batch doesn't follow the stored state: the member can't continue. */
+        void stateLost(StoreException error);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(DiskWriter.class);
@@ -51,38 +51,38 @@
     private final Supplier<RaftStore> opener;
     private final Callbacks callbacks;
     private final RetryBackoff backoff = new RetryBackoff();
-    private final Deque<WriteBatch> waiting = new ArrayDeque<>();
+    private final Deque<WriteBatch> pendingBatches = new ArrayDeque<>();
     private RaftStore store;
     private Member self;
     private boolean initialized;
-    /** Whether the disk is to get the name with the next change. */
-    private boolean foundingPending;
+    /** Whether the member's identity is to be written with the next batch. */
+    private boolean bootstrapPending;
 
     private boolean waitingForRetry;
     private boolean closed;
-    /** The store's version with all changes that were reported. */
+    /** The store's version after the last batch that was reported. */
     private long version;
 
     private volatile double busySince = Double.POSITIVE_INFINITY;
 
-    /** Opens the store with each call of {@code opener}; that throws a {@link StoreException} if it can't. */
+    /** A writer to the stores that {@code opener} opens, which throws a {@link StoreException} on failure. */
     DiskWriter(Supplier<RaftStore> opener, Callbacks callbacks) {
         this.opener = opener;
         this.callbacks = callbacks;
     }
 
-    /** Opens the store, now or when the disk lets it. */
+    /** Opens the store, and retries until that succeeds. */
     void open() {
         writePending();
     }
 
-    /** Writes a change, now or when the disk takes it. */
-    void write(WriteBatch change) {
-        waiting.addLast(change);
+    /** Writes a batch, and retries until that succeeds. */
+    void write(WriteBatch batch) {
+        pendingBatches.addLast(batch);
         writePending();
     }
 
-    /** Writes nothing any more. */
+    /** Closes the store; no batch is written any more. */
     void close() {
         closed = true;
         if (store != null) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Since when the disk has been at one opening or change, ms; infinity if at none. For any thread. */
+    /** When the current opening or write began, in ms; infinity if there is none. May be called on any thread. */
     double busySince() {
         return busySince;
     }
@@ -105,61 +105,61 @@
             if (store == null) {
                 RaftStore opened = opener.get();
                 store = opened;
-                verifyReopened(opened);
+                verifyOpened(opened);
             }
-            while (!waiting.isEmpty()) {
+            while (!pendingBatches.isEmpty()) {
                 busySince = callbacks.now();
                 write();
-                completed();
+                batchPersisted();
             }
-            recovered();
+            logRecovery();
         } catch (StoreException e) {
-            refused(e);
+            handleFailure(e);
         } finally {
             busySince = Double.POSITIVE_INFINITY;
         }
     }
 
     private void write() {
-        if (foundingPending) {
-            store.found(self, waiting.peekFirst());
+        if (bootstrapPending) {
+            store.bootstrap(self, pendingBatches.peekFirst());
         } else {
-            store.write(waiting.peekFirst());
+            store.write(pendingBatches.peekFirst());
         }
     }
 
-    /** Finds out what is on disk. */
-    private void verifyReopened(RaftStore opened) {
+    /** Compares the content of a reopened store with what was reported. */
+    private void verifyOpened(RaftStore opened) {
         if (!initialized) {
-            begin(opened);
+            initialize(opened);
             return;
         }
-        boolean landed = opened.version() == version + 1 && !waiting.isEmpty();
-        Member expected = foundingPending && !landed ? null : self;
-        if (!Objects.equals(expected, opened.self()) || opened.version() != version && !landed) {
+        boolean inFlightPersisted = opened.version() == version + 1 && !pendingBatches.isEmpty();
+        Member expected = bootstrapPending && !inFlightPersisted ? null : self;
+        if (!Objects.equals(expected, opened.self()) || opened.version() != version && !inFlightPersisted) {
             throw new StoreException(
                     StoreException.Code.LOST,
-                    "it holds commit " + opened.version() + " of " + opened.self() + "; commit " + version + " of "
-                            + expected + " was reported",
+                    "the disk holds commit " + opened.version() + " of " + opened.self() + "; commit " + version
+                            + " of " + expected + " was reported",
                     null);
         }
-        if (landed) {
-            completed();
+        if (inFlightPersisted) {
+            batchPersisted();
         }
     }
 
-    private void begin(RaftStore opened) {
+    private void initialize(RaftStore opened) {
         PersistedState stored = opened.load();
         if (stored == null) {
             if (self == null) {
                 self = callbacks.memberForEmptyDisk(opened.isCorrupt());
             }
-            foundingPending = callbacks.isFounder(self);
-            if (!foundingPending) {
-                opened.begin(self);
+            bootstrapPending = callbacks.isFounder(self);
+            if (!bootstrapPending) {
+                opened.initialize(self);
             }
         } else if (stored.self().equals(self)) {
-            // Its beginning was refused, and has arrived all the same.
+            // The write of the identity was reported as failed, but reached the disk.
             stored = null;
         } else {
             self = stored.self();
@@ -169,24 +169,24 @@
         callbacks.opened(self, stored);
     }
 
-    private void completed() {
-        foundingPending = false;
+    private void batchPersisted() {
+        bootstrapPending = false;
         version = store.version();
-        callbacks.persisted(waiting.removeFirst().number());
+        callbacks.persisted(pendingBatches.removeFirst().number());
     }
 
-    private void recovered() {
-        int refusals = backoff.refusals();
-        long ms = Math.round(backoff.failingForMs(callbacks.now()));
-        if (backoff.recovered()) {
+    private void logRecovery() {
+        int failures = backoff.failures();
+        long failingForMs = Math.round(backoff.failingForMs(callbacks.now()));
+        if (backoff.recordRecovery()) {
             Log.info(LOG, "disk-well")
-                    .addKeyValue("refusals", refusals)
-                    .addKeyValue("ms", ms)
-                    .log("the disk takes writes again");
+                    .addKeyValue("refusals", failures)
+                    .addKeyValue("ms", failingForMs)
+                    .log("the disk accepts writes again");
         }
     }
 
-    private void refused(StoreException e) {
+    private void handleFailure(StoreException e) {
         if (store != null) {
             store.close();
             store = null;
@@ -197,16 +197,16 @@
             return;
         }
         double now = callbacks.now();
-        if (backoff.refused(now, e.code())) {
+        if (backoff.recordFailure(now, e.code())) {
             Log.warn(LOG, "disk-refuses")
                     .addKeyValue("code", e.code())
-                    .addKeyValue("refusals", backoff.refusals())
+                    .addKeyValue("refusals", backoff.failures())
                     .addKeyValue("ms", Math.round(backoff.failingForMs(now)))
-                    .addKeyValue("waiting", waiting.size())
-                    .log("the disk refuses, and is tried again: {}", e.getMessage());
+                    .addKeyValue("waiting", pendingBatches.size())
+                    .log("the disk failed; retries: {}", e.getMessage());
         }
         waitingForRetry = true;
-        callbacks.later(backoff.pause(), () -> {
+        callbacks.schedule(backoff.delayMs(), () -> {
             waitingForRetry = false;
             writePending();
         });
--- a/src/main/java/sablehinge/controlplane/node/FailStopExecutor.java
+++ b/src/main/java/sablehinge/controlplane/node/FailStopExecutor.java
@@ -5,9 +5,9 @@
 import sablehinge.common.logging.Log;
 
 /**
- * What becomes of an error inside a control node, such as memory that ran out. A periodic task that throws is never run
- * again, and an entry whose application throws would be passed over: either leaves a process that looks alive and is
- * not what it seems.
+ * Handles errors inside a control node, such as an {@link OutOfMemoryError}. A periodic task that throws is never run
+ * again, and a committed entry whose application throws would be skipped: either leaves a process that looks alive but
+ * is in an invalid state.
  */
 final class FailStopExecutor {
 
@@ -15,38 +15,38 @@
 
     private final Runnable halt;
 
-    /** A guard; {@code halt} ends the process at once. */
+    /** An executor; {@code halt} ends the process at once. */
     FailStopExecutor(Runnable halt) {
         this.halt = halt;
     }
 
-    /** Does work that is done again soon, or may be left out: an error is logged, and all else goes on. */
-    void runTolerant(String what, Runnable work) {
+    /** Runs a task that is repeated soon or may be skipped: an error is logged, and the process continues. */
+    void runTolerant(String taskName, Runnable task) {
         try {
-            work.run();
-        } catch (RuntimeException | Error e) {
-            tell(what, e, "an error was passed over");
+            task.run();
+        } catch (RuntimeException | Error error) {
+            logError(taskName, error, "an error was ignored");
         }
     }
 
-    /** Does work of which nothing may be left out: after an error the next process begins from the disk. */
-    void failStop(String what, Runnable work) {
+    /** Runs a task that must not be skipped: an error ends the process, and the next one starts from the disk. */
+    void runFailStop(String taskName, Runnable task) {
         try {
-            work.run();
-        } catch (RuntimeException | Error e) {
-            tell(what, e, "an error ends this process");
+            task.run();
+        } catch (RuntimeException | Error error) {
+            logError(taskName, error, "an error ends this process");
             halt.run();
         }
     }
 
-    private static void tell(String what, Throwable e, String text) {
+    private static void logError(String taskName, Throwable error, String text) {
         try {
             Log.error(LOG, "internal-error")
-                    .addKeyValue("during", what)
-                    .setCause(e)
+                    .addKeyValue("during", taskName)
+                    .setCause(error)
                     .log(text);
         } catch (RuntimeException | Error second) {
-            // Where memory has run out there may be none for a line either.
+            // After memory has run out, logging may fail too.
         }
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/FrameHandler.java
+++ b/src/main/java/sablehinge/controlplane/node/FrameHandler.java
@@ -10,7 +10,7 @@
 import sablehinge.controlplane.raft.Member;
 import sablehinge.controlplane.raft.Message;
 
-/** Handles the records that come from other control nodes and from the data plane, on the node's event loop. */
+/** Handles the records from other control nodes and from the data plane, on the node's event loop. */
 final class FrameHandler implements Connection.Handler {
 
     private static final Logger LOG = LoggerFactory.getLogger(FrameHandler.class);
@@ -27,7 +27,7 @@
     public void onFrame(Connection.Link link, Frame frame) {
         try {
             switch (frame.kind()) {
-                case HELLO -> link.attach(PeerConnections.hello(frame));
+                case HELLO -> link.attach(PeerConnections.readHello(frame));
                 case RAFT -> {
                     if (link.attachment() instanceof Member from) {
                         onRaftMessage.accept(from, RaftMessageCodec.read(frame.body()));
@@ -43,13 +43,13 @@
             Log.warn(LOG, "record-malformed")
                     .addKeyValue("kind", frame.kind())
                     .addKeyValue("cause", e.getMessage())
-                    .log("a record can't be read");
+                    .log("malformed record; closes the connection");
             link.close();
         }
     }
 
     @Override
     public void closed(Connection.Link link) {
-        dataPlane.closed(link);
+        dataPlane.onConnectionClosed(link);
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/PeerConnections.java
+++ b/src/main/java/sablehinge/controlplane/node/PeerConnections.java
@@ -16,23 +16,23 @@
 import sablehinge.controlplane.raft.Message;
 
 /**
- * Connections to the other machines of the core: one to each for what is sent to it. What can't be sent now is dropped,
- * as the agreement says everything again that matters.
+ * Outgoing connections to the other nodes of the core, one to each. A message that can't be sent now is dropped, except
+ * for the newest one of each peer: Raft repeats every message that matters.
  */
 final class PeerConnections {
 
     private static final int MAX_PEERS = 128;
-    private static final long RETRY_NANOS = 100_000_000;
+    private static final long RECONNECT_INTERVAL_NANOS = 100_000_000;
     private final Connection connection;
     private final Member self;
-    private final BiConsumer<Member, Message> messageHandler;
+    private final BiConsumer<Member, Message> onMessage;
     private final Map<String, Peer> peers = new HashMap<>();
 
     private static final class Peer implements Connection.Handler {
         private final Frame hello;
         private Connection.Link link;
-        private long triedAt;
-        /** What waits for the connection: the newest only. */
+        private long lastAttemptNanos;
+        /** The newest frame that waits for the connection. */
         private Frame pendingFrame;
 
         Peer(Frame hello) {
@@ -50,7 +50,7 @@
 
         @Override
         public void onFrame(Connection.Link from, Frame frame) {
-            // The other end speaks on its own connection.
+            // The peer sends its messages on its own connection.
         }
 
         @Override
@@ -61,21 +61,21 @@
         }
     }
 
-    PeerConnections(Connection connection, Member self, BiConsumer<Member, Message> messageHandler) {
+    PeerConnections(Connection connection, Member self, BiConsumer<Member, Message> onMessage) {
         this.connection = connection;
         this.self = self;
-        this.messageHandler = messageHandler;
+        this.onMessage = onMessage;
     }
 
     void send(Member to, Message message) {
         if (to.id() == self.id()) {
-            messageHandler.accept(self, message);
+            onMessage.accept(self, message);
             return;
         }
         if (peers.size() > MAX_PEERS) {
             peers.values().removeIf(peer -> peer.link == null);
         }
-        Peer peer = peers.computeIfAbsent(to.address(), at -> new Peer(hello()));
+        Peer peer = peers.computeIfAbsent(to.address(), address -> new Peer(helloFrame()));
         Frame frame = new Frame(Frame.Kind.RAFT, RaftMessageCodec.write(message));
         if (peer.link != null && peer.link.isUp()) {
             peer.link.send(frame);
@@ -83,23 +83,23 @@
         }
         peer.pendingFrame = frame;
         long now = System.nanoTime();
-        if (peer.link == null && now - peer.triedAt > RETRY_NANOS) {
-            peer.triedAt = now;
+        if (peer.link == null && now - peer.lastAttemptNanos > RECONNECT_INTERVAL_NANOS) {
+            peer.lastAttemptNanos = now;
             peer.link = connection.connect(ControlNode.address(to.address()), peer);
         }
     }
 
-    /** Who is in the core now: connections to others end. */
-    void retainOnly(List<Member> retainOnly) {
+    /** Removes peers that are not members of the core and have no connection. */
+    void retainOnly(List<Member> members) {
         peers.entrySet().removeIf(peer -> {
-            boolean gone =
-                    retainOnly.stream().noneMatch(member -> member.address().equals(peer.getKey()))
+            boolean removable =
+                    members.stream().noneMatch(member -> member.address().equals(peer.getKey()))
                             && peer.getValue().link == null;
-            return gone;
+            return removable;
         });
     }
 
-    private Frame hello() {
+    private Frame helloFrame() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             RaftMessageCodec.writeMember(self, out);
@@ -109,8 +109,8 @@
         return new Frame(Frame.Kind.HELLO, bytes.toByteArray());
     }
 
-    /** Who speaks on a connection. */
-    static Member hello(Frame frame) throws IOException {
+    /** The member that a HELLO frame names as the sender. */
+    static Member readHello(Frame frame) throws IOException {
         return RaftMessageCodec.readMember(new DataInputStream(new ByteArrayInputStream(frame.body())));
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/QuorumContact.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumContact.java
@@ -1,24 +1,24 @@
 package sablehinge.controlplane.node;
 
 /**
- * What a control machine must know of the majority of the core before it answers something. Whoever has less names who
- * leads instead, or leaves the question without a clear answer; see {@link QuorumGate}.
+ * The contact with a majority of the core that a control node needs before it answers a request. A node with less
+ * contact redirects the client to the leader or answers that the outcome is unknown; see {@link QuorumGate}.
  */
 enum QuorumContact {
-    /** Nothing: the answer is about this machine or the call itself, and no other machine could deny it. */
+    /** No contact: the answer concerns only this node or the call itself, and no other node could contradict it. */
     NONE,
     /**
-     * It leads, and a majority has answered a heartbeat round that was sent within {@link QuorumGate#RECENT_MS}. For
-     * what may be somewhat old, but not older than that.
+     * The node is the leader, and a majority has answered a heartbeat round that was sent within
+     * {@link QuorumGate#MAJORITY_RECENT_MS}. For answers that may be out of date by at most that time.
      */
     RECENT,
-    /** It leads and holds a lease at this moment. For what only one machine may do at a time. */
+    /** The node is the leader and holds a lease now. For actions that only one node may perform at a time. */
     LEASE,
     /**
-     * After the question came, a majority has confirmed that this machine leads, and all that was committed before is
-     * applied here. For what must be the newest.
+     * A majority has confirmed, after the request arrived, that this node is the leader, and all entries committed
+     * before then are applied here. For linearizable reads.
      */
     CONFIRMED,
-    /** {@link #RECENT} to begin with; the answer then is what a committed entry of the log has come to. */
+    /** {@link #RECENT} to accept the request; the answer is the outcome of a committed log entry. */
     COMMITTED
 }
--- a/src/main/java/sablehinge/controlplane/node/QuorumGate.java
+++ b/src/main/java/sablehinge/controlplane/node/QuorumGate.java
@@ -9,26 +9,26 @@
 import sablehinge.controlplane.raft.RaftStatus;
 
 /**
- * The one place where it is decided whether this machine has the contact with a majority that an answer needs. It looks
- * at the time of each act, never at what the last tick found: a process that stood still finds calls in its buffers
- * before its first tick. {@code now} is a steady clock in ms.
+ * The only place that decides whether this node has the contact with a majority that an answer requires. Each decision
+ * uses the time of the request, never a result of the last tick: after a pause, a process handles the requests in its
+ * buffers before its first tick. {@code now} is a monotonic clock in ms.
  *
- * <p>Refusals come at once where the contact is known to be missing, and within {@link #CALL_TIMEOUT_MS} otherwise,
- * which is shorter than the second after which callers go elsewhere.
+ * <p>A request is refused at once if the contact is known to be missing, otherwise within {@link #CALL_TIMEOUT_MS},
+ * which is shorter than the second after which clients call another node.
  */
 final class QuorumGate {
 
-    /** The age, in ms, up to which a majority's answer counts as recent; a leader resigns after as much. */
+    /** The age up to which a majority's heartbeat answers count as recent; a leader resigns after the same time. */
     static final double MAJORITY_RECENT_MS = 900;
-    /** How long a majority's confirmation is waited for, in ms. */
+    /** Timeout of a confirmation by a majority. */
     static final double CALL_TIMEOUT_MS = 900;
-    /** A follower that has not heard for so long of the leader that it knows names it no more, in ms. */
+    /** A follower that has received nothing from its leader for this long no longer redirects to the leader. */
     static final double LEADER_KNOWN_MS = 1_500;
 
-    /** What is known of the core; {@link sablehinge.controlplane.raft.RaftNode} is behind it. */
-    interface Contact {
+    /** The state of this node's {@link sablehinge.controlplane.raft.RaftNode}, as far as the gate needs it. */
+    interface RaftView {
 
-        /** The place of this machine. */
+        /** The Raft status of this node. */
         RaftStatus raftStatus();
 
         /** See {@link sablehinge.controlplane.raft.RaftNode#sinceMajorityMs}. */
@@ -40,80 +40,82 @@
         /** See {@link sablehinge.controlplane.raft.RaftNode#hasLease}. */
         boolean hasLease(double now);
 
-        /** See {@link sablehinge.controlplane.raft.RaftNode#barrier}; {@link QuorumGate#barrierEnded} tells its end. */
+        /** See {@link sablehinge.controlplane.raft.RaftNode#barrier}; it ends with {@link QuorumGate#barrierEnded}. */
         void barrier(double now, long token);
     }
 
     /**
-     * Why there is no answer, and who may have one.
+     * The reason for a missing answer.
      *
-     * @param leader another machine that leads as far as is known; null where none is
-     * @param leads whether this machine itself counts as the leader, without the contact that it needs
+     * @param leader the other node that is known as the leader; null if there is none
+     * @param leads whether this node is the leader itself but lacks the required contact
      */
     record Refusal(Member leader, boolean leads) {}
 
-    private record Waiting(double until, Runnable granted, Consumer<Refusal> refused) {}
+    private record PendingRequest(double deadlineMs, Runnable granted, Consumer<Refusal> refused) {}
 
-    private final Contact contact;
-    private final Consumer<Runnable> deferred;
-    private final Map<Long, Waiting> waiting = new HashMap<>();
+    private final RaftView raftView;
+    private final Consumer<Runnable> deferredExecutor;
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private long lastToken;
 
     /**
      * A gate.
      *
-     * @param deferred runs something after the event that is being handled, on the same thread: the agreement may not
-     *     be called from within what it calls
+     * @param deferredExecutor runs a task on the same thread after the current event: the Raft node must not be called
+     *     from within its own callbacks
      */
-    QuorumGate(Contact contact, Consumer<Runnable> deferred) {
-        this.contact = contact;
-        this.deferred = deferred;
+    QuorumGate(RaftView raftView, Consumer<Runnable> deferredExecutor) {
+        this.raftView = raftView;
+        this.deferredExecutor = deferredExecutor;
     }
 
-    /** Whether there is the contact by which something may be begun, or answered where that is enough. */
-    boolean allows(double now, ControlRequest what) {
-        return switch (what.contact()) {
+    /** Whether a request may be started now; for all but CONFIRMED and COMMITTED requests also whether to answer. */
+    boolean allows(double now, ControlRequest request) {
+        return switch (request.contact()) {
             case NONE -> true;
-            case LEASE -> contact.hasLease(now);
+            case LEASE -> raftView.hasLease(now);
             case RECENT, CONFIRMED, COMMITTED ->
-                contact.raftStatus().role() == RaftStatus.Role.LEADER
-                        && contact.sinceMajorityMs(now) <= MAJORITY_RECENT_MS;
+                raftView.raftStatus().role() == RaftStatus.Role.LEADER
+                        && raftView.sinceMajorityMs(now) <= MAJORITY_RECENT_MS;
         };
     }
 
-    /** Has something answered once there is the contact that it needs, or refused; one of both, once. */
-    void require(double now, ControlRequest what, Runnable granted, Consumer<Refusal> refused) {
-        if (!allows(now, what)) {
+    /**
+     * Runs exactly one of both callbacks, once: {@code granted} when the required contact exists, else {@code refused}.
+     */
+    void require(double now, ControlRequest request, Runnable granted, Consumer<Refusal> refused) {
+        if (!allows(now, request)) {
             refused.accept(refusal(now));
-        } else if (what.contact() == QuorumContact.CONFIRMED) {
+        } else if (request.contact() == QuorumContact.CONFIRMED) {
             long token = ++lastToken;
-            waiting.put(token, new Waiting(now + CALL_TIMEOUT_MS, granted, refused));
-            contact.barrier(now, token);
+            pending.put(token, new PendingRequest(now + CALL_TIMEOUT_MS, granted, refused));
+            raftView.barrier(now, token);
         } else {
             granted.run();
         }
     }
 
-    /** A barrier has ended: everything committed before it is applied here, or none knows. */
+    /** Called when a barrier ends; if confirmed, all entries committed before the barrier are applied here. */
     void barrierEnded(double now, long token, boolean confirmed) {
-        Waiting one = waiting.remove(token);
-        if (one != null) {
-            deferred.accept(confirmed ? one.granted : () -> one.refused.accept(refusal(now)));
+        PendingRequest request = pending.remove(token);
+        if (request != null) {
+            deferredExecutor.accept(confirmed ? request.granted : () -> request.refused.accept(refusal(now)));
         }
     }
 
-    /** Lets time pass: what has waited too long is refused. */
+    /** Refuses requests whose timeout has expired. */
     void expire(double now) {
-        List<Waiting> late = new ArrayList<>();
-        waiting.values().removeIf(one -> now > one.until && late.add(one));
-        late.forEach(one -> one.refused.accept(refusal(now)));
+        List<PendingRequest> expired = new ArrayList<>();
+        pending.values().removeIf(request -> now > request.deadlineMs && expired.add(request));
+        expired.forEach(request -> request.refused.accept(refusal(now)));
     }
 
-    /** Who else may have an answer at this moment. */
+    /** The refusal at this moment, with the leader if another node is known to be it. */
     Refusal refusal(double now) {
-        RaftStatus raftStatus = contact.raftStatus();
+        RaftStatus raftStatus = raftView.raftStatus();
         boolean leads = raftStatus.role() == RaftStatus.Role.LEADER;
-        boolean known = !leads && raftStatus.leader() != null && contact.sinceLeaderMs(now) <= LEADER_KNOWN_MS;
-        return new Refusal(known ? raftStatus.leader() : null, leads);
+        boolean leaderKnown = !leads && raftStatus.leader() != null && raftView.sinceLeaderMs(now) <= LEADER_KNOWN_MS;
+        return new Refusal(leaderKnown ? raftStatus.leader() : null, leads);
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/QuotaPools.java
+++ b/src/main/java/sablehinge/controlplane/node/QuotaPools.java
@@ -19,41 +19,41 @@
 import sablehinge.mesh.watch.Tokens;
 
 /**
- * The leader's pools of quotas. A request to a pool that is dry is answered a little later, once the other balancers
- * have given up what they can do without.
+ * The leader's token pools of the tenants' quotas. A request to an empty pool is answered after a short delay, in which
+ * the other balancers return their unused tokens.
  */
 final class QuotaPools {
 
-    /** How long others have to give something up, in ms: well below the requester's timeout. */
-    private static final long RECLAIM_MS = 15;
+    /** The time that balancers have to return unused tokens: well below the requester's timeout. */
+    private static final long RECLAIM_DELAY_MS = 15;
 
-    private static final int MAX_WAITING = 4_096;
+    private static final int MAX_WAITING_REQUESTS = 4_096;
 
     private final EventLoop loop;
     private final Clock clock;
     private final LocalSettings.Bounds bounds;
     private final Supplier<Collection<Connection.Link>> balancers;
-    private final DoublePredicate leases;
+    private final DoublePredicate hasLease;
     private final Pool pool = new Pool();
-    private final Map<String, List<Waiting>> waiting = new HashMap<>();
+    private final Map<String, List<WaitingRequest>> waiting = new HashMap<>();
     private int totalWaiting;
 
-    private record Waiting(Connection.Link link, int wanted) {}
+    private record WaitingRequest(Connection.Link link, int wanted) {}
 
     QuotaPools(
             EventLoop loop,
             Clock clock,
             LocalSettings.Bounds bounds,
             Supplier<Collection<Connection.Link>> balancers,
-            DoublePredicate leases) {
+            DoublePredicate hasLease) {
         this.loop = loop;
         this.clock = clock;
         this.bounds = bounds;
         this.balancers = balancers;
-        this.leases = leases;
+        this.hasLease = hasLease;
     }
 
-    /** The pools, to be looked at. */
+    /** The pools, for reading. */
     Pool pool() {
         return pool;
     }
@@ -64,7 +64,7 @@
         totalWaiting = 0;
     }
 
-    /** The quotas in force are what the pools are filled by. */
+    /** Sets the pools to the quotas of the current configuration. */
     void adopt(Configuration configuration) {
         Map<String, Quota> quotas = new HashMap<>();
         for (Configuration.Tenant tenant : configuration.tenants()) {
@@ -82,45 +82,45 @@
         pool.adopt(clock.now(), quotas);
     }
 
-    /** A balancer asks; without a lease it gets no answer. */
+    /** Handles a balancer's request for tokens; it gets no answer while this node holds no lease. */
     void handleRequest(Connection.Link link, Tokens wanted) {
-        if (!leases.test(clock.now())) {
+        if (!hasLease.test(clock.now())) {
             return;
         }
         String tenant = wanted.tenant();
-        int given = pool.take(clock.now(), tenant, wanted.count());
-        if (given > 0
-                || totalWaiting >= MAX_WAITING
+        int granted = pool.take(clock.now(), tenant, wanted.count());
+        if (granted > 0
+                || totalWaiting >= MAX_WAITING_REQUESTS
                 || !waiting.containsKey(tenant) && !pool.pulls(clock.now(), tenant)) {
-            answer(link, tenant, given);
+            answer(link, tenant, granted);
             return;
         }
         if (!waiting.containsKey(tenant)) {
             waiting.put(tenant, new ArrayList<>());
-            Frame pull = new Frame(Frame.Kind.PULL, new Tokens(tenant, 0).bytes());
-            balancers.get().forEach(balancer -> balancer.send(pull));
-            loop.schedule(() -> settle(tenant), RECLAIM_MS, TimeUnit.MILLISECONDS);
+            Frame reclaim = new Frame(Frame.Kind.PULL, new Tokens(tenant, 0).bytes());
+            balancers.get().forEach(balancer -> balancer.send(reclaim));
+            loop.schedule(() -> answerWaiting(tenant), RECLAIM_DELAY_MS, TimeUnit.MILLISECONDS);
         }
-        waiting.get(tenant).add(new Waiting(link, wanted.count()));
+        waiting.get(tenant).add(new WaitingRequest(link, wanted.count()));
         totalWaiting++;
     }
 
-    /** A balancer gives something up. */
+    /** Handles the tokens that a balancer returns. */
     void handleReturn(Tokens tokens) {
         pool.regain(clock.now(), tokens.tenant(), tokens.count());
     }
 
-    private void settle(String tenant) {
-        List<Waiting> all = waiting.remove(tenant);
-        if (all != null) {
-            totalWaiting -= all.size();
+    private void answerWaiting(String tenant) {
+        List<WaitingRequest> requests = waiting.remove(tenant);
+        if (requests != null) {
+            totalWaiting -= requests.size();
         }
-        if (all != null && leases.test(clock.now())) {
-            all.forEach(one -> answer(one.link, tenant, pool.take(clock.now(), tenant, one.wanted)));
+        if (requests != null && hasLease.test(clock.now())) {
+            requests.forEach(request -> answer(request.link, tenant, pool.take(clock.now(), tenant, request.wanted)));
         }
     }
 
-    private static void answer(Connection.Link link, String tenant, int given) {
-        link.send(new Frame(Frame.Kind.TOKENS, new Tokens(tenant, given).bytes()));
+    private static void answer(Connection.Link link, String tenant, int granted) {
+        link.send(new Frame(Frame.Kind.TOKENS, new Tokens(tenant, granted).bytes()));
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
@@ -15,14 +15,14 @@
 import sablehinge.controlplane.raft.Snapshot;
 
 /**
- * Messages of the core as bytes: one byte that says which, then its fields in order, numbers big-endian. What comes in
- * is checked against bounds before anything is made of it.
+ * Encodes Raft messages as bytes: one byte for the kind of message, then its fields in order, numbers big-endian.
+ * Received sizes are checked against bounds before anything is allocated.
  */
 public final class RaftMessageCodec {
 
-    /** Most entries that are read in one message. */
+    /** The maximum number of entries in one message. */
     public static final int MAX_ENTRIES = 4096;
-    /** Most bytes that are read of one entry or one state. */
+    /** The maximum size of one entry or one snapshot. */
     public static final int MAX_BYTES = 64 << 20;
 
     private static final int MAX_ADDRESS_LENGTH = 256;
@@ -152,12 +152,12 @@
         }
     }
 
-    /** Reads what {@link #write(Message)} wrote; fails on anything else. */
+    /** Reads a message that {@link #write(Message)} wrote; fails on any other bytes. */
     public static Message read(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         Message message = read(in);
         if (in.available() > 0) {
-            throw new IOException(in.available() + " bytes after a message");
+            throw new IOException(in.available() + " bytes after the end of a message");
         }
         return message;
     }
@@ -176,7 +176,7 @@
                 return new Message.AppendResponse(
                         in.readLong(), in.readBoolean(), in.readLong(), in.readLong(), in.readLong());
             case INSTALL_SNAPSHOT_REQUEST:
-                return readInstall(in);
+                return readInstallSnapshot(in);
             case INSTALL_SNAPSHOT_RESPONSE:
                 return new Message.InstallSnapshotResponse(in.readLong(), in.readLong(), in.readInt(), in.readLong());
             case JOIN_REQUEST:
@@ -190,21 +190,21 @@
             case LEAVE_RESPONSE:
                 return new Message.LeaveResponse(in.readLong());
             default:
-                throw new IOException("a message of the unknown kind " + kind);
+                throw new IOException("unknown message kind " + kind);
         }
     }
 
-    private static Message readInstall(DataInputStream in) throws IOException {
+    private static Message readInstallSnapshot(DataInputStream in) throws IOException {
         long term = in.readLong();
         long round = in.readLong();
         int offset = in.readInt();
         int total = in.readInt();
-        Snapshot part = readSnapshot(in);
-        if (offset < 0 || total > MAX_BYTES || total - part.state().length < offset) {
-            throw new IOException(
-                    "bytes " + offset + " to " + ((long) offset + part.state().length) + " of a state of " + total);
+        Snapshot chunk = readSnapshot(in);
+        if (offset < 0 || total > MAX_BYTES || total - chunk.state().length < offset) {
+            throw new IOException("invalid snapshot chunk: bytes " + offset + " to "
+                    + ((long) offset + chunk.state().length) + " of " + total);
         }
-        return new Message.InstallSnapshotRequest(term, part, offset, total, round);
+        return new Message.InstallSnapshotRequest(term, chunk, offset, total, round);
     }
 
     private static Message readAppend(DataInputStream in) throws IOException {
@@ -215,13 +215,13 @@
         long round = in.readLong();
         int count = in.readInt();
         if (count < 0 || count > MAX_ENTRIES) {
-            throw new IOException(count + " entries in a message; " + MAX_ENTRIES + " at most are expected");
+            throw new IOException(count + " entries in a message; the maximum is " + MAX_ENTRIES);
         }
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Entry entry = readEntry(in);
             if (entry.index() != prevIndex + 1 + i) {
-                throw new IOException("entry " + entry.index() + " in the place of " + (prevIndex + 1 + i));
+                throw new IOException("found entry " + entry.index() + ", expected entry " + (prevIndex + 1 + i));
             }
             entries.add(entry);
         }
@@ -237,17 +237,17 @@
         out.write(entry.data());
     }
 
-    /** Reads an entry; one of members whose list can't be read is refused here. */
+    /** Reads an entry; fails for a {@code MEMBERS} entry whose member list is malformed. */
     public static Entry readEntry(DataInputStream in) throws IOException {
         long index = in.readLong();
         long term = in.readLong();
         int kind = in.readUnsignedByte();
         if (kind >= Entry.Kind.values().length) {
-            throw new IOException("an entry of the unknown kind " + kind);
+            throw new IOException("unknown entry kind " + kind);
         }
         Entry entry = new Entry(index, term, Entry.Kind.values()[kind], readBytes(in));
         if (entry.kind() == Entry.Kind.MEMBERS) {
-            parse(entry.data());
+            validateMembers(entry.data());
         }
         return entry;
     }
@@ -266,7 +266,7 @@
         long index = in.readLong();
         long term = in.readLong();
         if (index < 0 || term < 0) {
-            throw new IOException("a snapshot of entry " + index + " of term " + term);
+            throw new IOException("invalid snapshot position: index " + index + ", term " + term);
         }
         return new Snapshot(index, term, readMembers(in), readBytes(in));
     }
@@ -283,26 +283,25 @@
         return new Member(in.readLong(), readAddress(in), readAddress(in));
     }
 
-    /** Addresses are ASCII; {@link MemberListCodec#write} could not write others. */
+    /** Reads an address. Addresses are ASCII, because {@link MemberListCodec#write} can't write others. */
     private static String readAddress(DataInputStream in) throws IOException {
         String text = in.readUTF();
         if (text.length() > MAX_ADDRESS_LENGTH || text.chars().anyMatch(c -> c == 0 || c > Byte.MAX_VALUE)) {
-            throw new IOException("an address that is none");
+            throw new IOException("invalid member address");
         }
         return text;
     }
 
-    /** Writes a list of members, as {@link MemberListCodec#write} does. */
+    /** Writes a list of members in the format of {@link MemberListCodec#write}. */
     public static void writeMembers(List<Member> members, DataOutputStream out) throws IOException {
         out.write(MemberListCodec.write(members));
     }
 
-    /** Reads a list of members; fails if it is longer than any core. */
+    /** Reads a list of members; fails if it has more than {@link MemberListCodec#MAX_MEMBERS}. */
     public static List<Member> readMembers(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
         if (count > MemberListCodec.MAX_MEMBERS) {
-            throw new IOException(
-                    "a core of " + count + " members; " + MemberListCodec.MAX_MEMBERS + " at most are expected");
+            throw new IOException(count + " members in a list; the maximum is " + MemberListCodec.MAX_MEMBERS);
         }
         List<Member> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -311,23 +310,23 @@
         return members;
     }
 
-    private static void parse(byte[] list) throws IOException {
+    private static void validateMembers(byte[] list) throws IOException {
         try {
             MemberListCodec.read(list);
         } catch (IllegalArgumentException e) {
-            throw new IOException("an entry of members that can't be read", e);
+            throw new IOException("malformed member list in an entry", e);
         }
     }
 
     private static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > MAX_BYTES) {
-            throw new IOException(length + " bytes of data; " + MAX_BYTES + " at most are expected");
+            throw new IOException(length + " bytes of data; the maximum is " + MAX_BYTES);
         }
-        // Reads as it goes: a length that lies costs no more memory than the bytes that came.
+        // readNBytes allocates as it reads: a false length costs no more memory than the received bytes.
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
-            throw new IOException("data that ends early");
+            throw new IOException("truncated data");
         }
         return bytes;
     }
--- a/src/main/java/sablehinge/controlplane/node/RaftContact.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftNodeView.java
@@ -4,8 +4,8 @@
 import sablehinge.controlplane.raft.RaftNode;
 import sablehinge.controlplane.raft.RaftStatus;
 
-/** What the gate knows of the core, from the Raft node of this machine. */
-record RaftContact(RaftNode raft, Supplier<RaftStatus> status) implements QuorumGate.Contact {
+/** The state of this node's Raft replica for the quorum gate. */
+record RaftNodeView(RaftNode raft, Supplier<RaftStatus> status) implements QuorumGate.RaftView {
 
     @Override
     public RaftStatus raftStatus() {
--- a/src/main/java/sablehinge/controlplane/node/RaftStore.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStore.java
@@ -19,14 +19,15 @@
 import sablehinge.controlplane.raft.WriteBatch;
 
 /**
- * What a member of the core has on its disk: who it is, its vote, its log. One file, {@code log.mv.db}, of H2's
- * MVStore. All calls are one thread's, at least not at the same time; none leaves a thread behind.
+ * The persistent state of a member of the core: its identity, its vote and its log. The store is a single file,
+ * {@code log.mv.db}, of H2's MVStore. Calls must not overlap; no call leaves a thread behind.
  *
- * <p>When {@link #begin} or {@link #write} returns, what it was given survives a loss of power; until then the disk
- * holds what it did before or all of the change. After a refusal the store is closed; who opens it again finds the one
- * or the other, written anew, and {@link #version} tells which. An empty file is made under another name, so a file
- * {@code log.mv.db} is always complete. One that is corrupt is kept as {@code log.mv.db.damaged}; as long as that is
- * there and nothing was begun after it, {@link #isCorrupt} says so, in later processes also.
+ * <p>When {@link #initialize}, {@link #bootstrap} or {@link #write} returns, the written data survives a power loss;
+ * until then the disk holds either the previous state or all of the change. A failed write closes the store. Opening it
+ * again finds one of the two states, rewrites and syncs it, and {@link #version} tells which one it is. A new file is
+ * created under a temporary name, so {@code log.mv.db} is always complete. A corrupt file is kept as
+ * {@code log.mv.db.damaged}; while that file exists and no member has been stored after it, {@link #isCorrupt} is true,
+ * also in later processes.
  */
 public final class RaftStore implements AutoCloseable {
 
@@ -39,11 +40,11 @@
     private static final long SELF = 1;
     private static final long VOTE = 2;
     private static final long SNAPSHOT = 1;
-    /** A file longer than this, in bytes, is made less sparse as it is written. */
+    /** Writes compact the file only while it is larger than this. */
     private static final long COMPACTION_MIN_FILE_BYTES = 64L << 20;
-    /** Of the chunks' bytes, those still in use in percent under which some are written anew. */
+    /** The percentage of live bytes in the chunks below which some chunks are rewritten. */
     private static final int COMPACTION_FILL_PERCENT = 50;
-    /** How much is written anew with one change, at most, in bytes. */
+    /** The maximum number of bytes that one write rewrites. */
     private static final int COMPACTION_BYTES_PER_WRITE = 1 << 20;
 
     private final MVStore store;
@@ -55,30 +56,30 @@
     private long term;
     private long votedFor;
     private Snapshot snapshot;
-    /** The last entry's index, or the snapshot's where none follows it. */
-    private long last;
+    /** The index of the last entry, or of the snapshot if no entry follows it. */
+    private long lastIndex;
 
     private boolean closed;
 
     /**
-     * Opens the store in a folder, and makes both if need be.
+     * Opens the store in a directory, and creates both if they don't exist.
      *
-     * @throws StoreException {@code LOCKED} if another process has it, {@code UNREADABLE} if the disk doesn't let it be
-     *     read, {@code REFUSED} if it doesn't let it be made or mended
+     * @throws StoreException {@code LOCKED} if another process has the store open, {@code UNREADABLE} if it can't be
+     *     read, {@code REFUSED} if it can't be created or recovered
      */
-    public static RaftStore open(Path folder) {
+    public static RaftStore open(Path directory) {
         try {
-            return open(new SystemDisk(folder));
+            return open(new SystemDisk(directory));
         } catch (IOException e) {
             throw new StoreException(
-                    StoreException.Code.REFUSED, "folder " + folder + " can't be made: " + e.getMessage(), e);
+                    StoreException.Code.REFUSED, "can't create directory " + directory + ": " + e.getMessage(), e);
         }
     }
 
     static RaftStore open(Disk disk) {
         try {
             if (disk.has(FILE)) {
-                // It may have got its name just before an end, or before a sync that was refused.
+                // The rename may not be on disk yet: the process ended, or the sync failed, right after it.
                 disk.sync();
                 try {
                     return new RaftStore(disk, FILE, disk.has(CORRUPT_FILE));
@@ -87,7 +88,7 @@
                             .addKeyValue("file", disk.file(FILE))
                             .addKeyValue("cause", e.getMessage())
                             .log(
-                                    "the log is damaged; it is kept as {}, and what this member had is lost",
+                                    "the log is corrupt; it is kept as {}, and the state of this member is lost",
                                     CORRUPT_FILE);
                     disk.rename(FILE, CORRUPT_FILE);
                     disk.sync();
@@ -104,12 +105,12 @@
     }
 
     private RaftStore(Disk disk, String name, boolean corruptFileExists) throws CorruptStoreException {
-        String file = VerifyingFilePath.name(disk.file(name));
+        String file = VerifyingFilePath.h2Name(disk.file(name));
         MVStore opened = null;
         VerifyingFileChannel channel = null;
         try {
-            // No thread, no commit but this class's, no compression; nothing of the log is read twice, so the
-            // cache is small.
+            // No background thread, no automatic commit and no compression. The cache is small because nothing
+            // of the log is read twice.
             opened = new MVStore.Builder()
                     .fileName(file)
                     .autoCommitDisabled()
@@ -118,15 +119,14 @@
                     .cacheSize(1)
                     .cacheConcurrency(1)
                     .open();
-            channel = VerifyingFilePath.taken(file);
-            // Space is used again by commits, not by time: below zero, MVStore asks no clock, and what
-            // commit N no longer needs is free from the third after it on. A torn commit is always the
-            // last, so the one before it has lost nothing of its own, whatever the time of day did between
-            // the two.
+            channel = VerifyingFilePath.removeChannel(file);
+            // A negative retention time makes MVStore reuse space by commits and not by the wall clock: space
+            // that commit N no longer needs is reused from the third commit after it on. Only the last commit
+            // can be torn, so the commit before it is always complete, whatever the wall clock did.
             opened.setRetentionTime(-1);
             opened.setVersionsToKeep(2);
             if (name.equals(FILE) && channel.version() < 0) {
-                throw new CorruptStoreException("it is empty");
+                throw new CorruptStoreException("the file is empty");
             }
             RaftStoreRecovery.check(opened, channel);
             state = map(opened, "state");
@@ -137,11 +137,11 @@
                 opened.commit();
                 opened.sync();
             }
-            read();
+            readState();
         } catch (RuntimeException | IOException e) {
-            VerifyingFileChannel left = channel == null ? VerifyingFilePath.taken(file) : channel;
-            abandon(opened, left);
-            throw RaftStoreRecovery.classify(file, left != null && left.isRecovering(), e);
+            VerifyingFileChannel openedChannel = channel == null ? VerifyingFilePath.removeChannel(file) : channel;
+            closeAfterFailure(opened, openedChannel);
+            throw RaftStoreRecovery.classify(file, openedChannel != null && openedChannel.isRecovering(), e);
         }
         isCorrupt = corruptFileExists && self == null;
     }
@@ -152,84 +152,84 @@
                 new MVMap.Builder<Long, byte[]>().keyType(LongDataType.INSTANCE).valueType(ByteArrayDataType.INSTANCE));
     }
 
-    private static void abandon(MVStore store, VerifyingFileChannel channel) {
+    private static void closeAfterFailure(MVStore store, VerifyingFileChannel channel) {
         if (store != null) {
-            shut(store);
+            closeQuietly(store);
         }
         if (channel != null) {
             try {
                 channel.close();
             } catch (IOException e) {
-                LOG.debug("closing after an error", e);
+                LOG.debug("failed to close after an error", e);
             }
         }
     }
 
-    private void read() throws IOException {
-        byte[] who = state.get(SELF);
-        self = who == null ? null : RaftStoreCodec.readSelf(who);
-        byte[] vote = state.get(VOTE);
-        if (vote != null) {
-            RaftStoreCodec.Vote stored = RaftStoreCodec.readVote(vote);
+    private void readState() throws IOException {
+        byte[] selfBytes = state.get(SELF);
+        self = selfBytes == null ? null : RaftStoreCodec.readSelf(selfBytes);
+        byte[] voteBytes = state.get(VOTE);
+        if (voteBytes != null) {
+            RaftStoreCodec.Vote stored = RaftStoreCodec.readVote(voteBytes);
             term = stored.term();
             votedFor = stored.votedFor();
         }
-        byte[] image = snapshots.get(SNAPSHOT);
-        if (image != null) {
-            snapshot = RaftStoreCodec.readSnapshot(image);
+        byte[] snapshotBytes = snapshots.get(SNAPSHOT);
+        if (snapshotBytes != null) {
+            snapshot = RaftStoreCodec.readSnapshot(snapshotBytes);
         }
         long first = snapshot == null ? 1 : snapshot.index() + 1;
-        last = first - 1 + entries.sizeAsLong();
-        if (!entries.isEmpty() && (entries.firstKey() != first || entries.lastKey() != last)) {
-            throw new CorruptStoreException("entries " + entries.firstKey() + " to " + entries.lastKey() + " where "
-                    + first + " to " + last + " are expected");
+        lastIndex = first - 1 + entries.sizeAsLong();
+        if (!entries.isEmpty() && (entries.firstKey() != first || entries.lastKey() != lastIndex)) {
+            throw new CorruptStoreException("found entries " + entries.firstKey() + " to " + entries.lastKey()
+                    + ", expected " + first + " to " + lastIndex);
         }
     }
 
-    /** Who began on this disk; null if nobody has. */
+    /** The member that is stored on this disk; null if there is none. */
     Member self() {
         return self;
     }
 
-    /** Counts up by one with each change that is on disk, in this process and over all of them. */
+    /** The number of commits on disk, which each write increments by one, also across processes. */
     long version() {
         return store.getCurrentVersion();
     }
 
-    /** Whether what this machine had was lost; it then has to come back as another member. */
+    /** Whether this node's state was lost; the node must then join as a new member. */
     public boolean isCorrupt() {
         return isCorrupt;
     }
 
     /**
-     * What the disk holds; null if it holds nothing yet.
+     * The stored state; null if no member is stored yet.
      *
      * @throws StoreException {@code CLOSED}, or {@code UNREADABLE} if the disk fails
      */
     public PersistedState load() {
-        open();
+        requireOpen();
         if (self == null) {
             return null;
         }
         try {
-            List<Entry> all = new ArrayList<>();
-            for (Map.Entry<Long, byte[]> one : entries.entrySet()) {
-                all.add(RaftStoreCodec.readEntry(one.getKey(), one.getValue()));
+            List<Entry> loaded = new ArrayList<>();
+            for (Map.Entry<Long, byte[]> stored : entries.entrySet()) {
+                loaded.add(RaftStoreCodec.readEntry(stored.getKey(), stored.getValue()));
             }
-            return new PersistedState(self, term, votedFor, snapshot, all);
+            return new PersistedState(self, term, votedFor, snapshot, loaded);
         } catch (RuntimeException e) {
             throw new StoreException(StoreException.Code.UNREADABLE, e.getMessage(), e);
         }
     }
 
     /**
-     * Writes who this member is, once.
+     * Writes the member's identity, once.
      *
-     * @throws StoreException {@code ORDER} if it is someone already, {@code CLOSED}, {@code REFUSED}
+     * @throws StoreException {@code ORDER} if a member is stored already, {@code CLOSED}, {@code REFUSED}
      */
-    public void begin(Member member) {
-        open();
-        requireNobody();
+    public void initialize(Member member) {
+        requireOpen();
+        requireUninitialized();
         commit(() -> {
             state.put(SELF, RaftStoreCodec.writeSelf(member));
             self = member;
@@ -237,154 +237,161 @@
     }
 
     /**
-     * Writes who this member is together with its first change, both or neither: a founder that has its name has its
-     * founding, whenever power is lost.
+     * Writes a founder's identity and its first batch atomically: a founder whose identity is on disk also has its
+     * bootstrap batch there, even after a power loss.
      *
-     * @throws StoreException {@code ORDER} if it is someone already, or the change doesn't follow on an empty log;
+     * @throws StoreException {@code ORDER} if a member is stored already, or if the batch doesn't fit an empty log;
      *     {@code CLOSED}, {@code REFUSED}
      */
-    public void found(Member member, WriteBatch founding) {
-        open();
-        requireNobody();
-        long next = follows(founding);
+    public void bootstrap(Member member, WriteBatch firstBatch) {
+        requireOpen();
+        requireUninitialized();
+        long newLastIndex = lastIndexAfter(firstBatch);
         commit(() -> {
             state.put(SELF, RaftStoreCodec.writeSelf(member));
             self = member;
-            apply(founding);
-            last = next;
+            apply(firstBatch);
+            lastIndex = newLastIndex;
         });
     }
 
-    private void requireNobody() {
+    private void requireUninitialized() {
         if (self != null) {
-            throw order("it is member " + self.id() + " already");
+            throw orderException("the store already belongs to member " + self.id());
         }
     }
 
     /**
-     * Writes a batch, all of it or nothing.
+     * Writes a batch atomically.
      *
-     * @throws StoreException {@code ORDER} if it doesn't follow on what is held, {@code CLOSED}, {@code REFUSED}
+     * @throws StoreException {@code ORDER} if the batch doesn't follow the stored state, {@code CLOSED},
+     *     {@code REFUSED}
      */
-    public void write(WriteBatch change) {
-        open();
+    public void write(WriteBatch batch) {
+        requireOpen();
         if (self == null) {
-            throw order("nobody has begun");
+            throw orderException("no member is stored");
         }
-        long next = follows(change);
+        long newLastIndex = lastIndexAfter(batch);
         commit(() -> {
-            apply(change);
-            last = next;
+            apply(batch);
+            lastIndex = newLastIndex;
         });
     }
 
-    /** The last index after a change. */
-    private long follows(WriteBatch change) {
+    /** The last index after a batch; fails if the batch doesn't follow the stored state. */
+    private long lastIndexAfter(WriteBatch batch) {
         long base = snapshot == null ? 0 : snapshot.index();
-        if (change.truncateFrom() != 0 && change.truncateFrom() <= base && change.snapshot() == null) {
-            throw order("entries from " + change.truncateFrom() + " are in the snapshot to " + base);
+        if (batch.truncateFrom() != 0 && batch.truncateFrom() <= base && batch.snapshot() == null) {
+            throw orderException(
+                    "can't truncate from " + batch.truncateFrom() + ": the snapshot covers entries up to " + base);
         }
-        long end = change.truncateFrom() == 0 ? last : Math.max(base, Math.min(last, change.truncateFrom() - 1));
-        if (change.snapshot() != null) {
-            if (change.snapshot().index() < base) {
-                throw order("a snapshot to " + change.snapshot().index() + " after one to " + base);
+        long endIndex =
+                batch.truncateFrom() == 0 ? lastIndex : Math.max(base, Math.min(lastIndex, batch.truncateFrom() - 1));
+        if (batch.snapshot() != null) {
+            if (batch.snapshot().index() < base) {
+                throw orderException(
+                        "snapshot " + batch.snapshot().index() + " is older than the stored snapshot " + base);
             }
-            boolean joins = !change.append().isEmpty() && change.append().get(0).index() == end + 1;
-            if (!joins) {
-                end = Math.max(end, change.snapshot().index());
+            boolean continuesLog =
+                    !batch.append().isEmpty() && batch.append().get(0).index() == endIndex + 1;
+            if (!continuesLog) {
+                endIndex = Math.max(endIndex, batch.snapshot().index());
             }
         }
-        for (Entry entry : change.append()) {
-            if (entry.index() != end + 1) {
-                throw order("entry " + entry.index() + " after " + end);
+        for (Entry entry : batch.append()) {
+            if (entry.index() != endIndex + 1) {
+                throw orderException("entry " + entry.index() + " doesn't follow entry " + endIndex);
             }
-            end++;
+            endIndex++;
         }
-        return change.snapshot() == null ? end : Math.max(end, change.snapshot().index());
+        return batch.snapshot() == null
+                ? endIndex
+                : Math.max(endIndex, batch.snapshot().index());
     }
 
-    private static StoreException order(String message) {
+    private static StoreException orderException(String message) {
         return new StoreException(StoreException.Code.ORDER, message, null);
     }
 
-    private void apply(WriteBatch change) {
-        if (change.term() != term || change.votedFor() != votedFor) {
-            state.put(VOTE, RaftStoreCodec.writeVote(change.term(), change.votedFor()));
-            term = change.term();
-            votedFor = change.votedFor();
+    private void apply(WriteBatch batch) {
+        if (batch.term() != term || batch.votedFor() != votedFor) {
+            state.put(VOTE, RaftStoreCodec.writeVote(batch.term(), batch.votedFor()));
+            term = batch.term();
+            votedFor = batch.votedFor();
         }
-        if (change.truncateFrom() != 0) {
-            drop(change.truncateFrom(), last);
+        if (batch.truncateFrom() != 0) {
+            removeEntries(batch.truncateFrom(), lastIndex);
         }
         long base = snapshot == null ? 0 : snapshot.index();
-        if (change.snapshot() != null) {
-            drop(base + 1, change.snapshot().index());
-            snapshots.put(SNAPSHOT, RaftStoreCodec.writeSnapshot(change.snapshot()));
-            snapshot = change.snapshot();
+        if (batch.snapshot() != null) {
+            removeEntries(base + 1, batch.snapshot().index());
+            snapshots.put(SNAPSHOT, RaftStoreCodec.writeSnapshot(batch.snapshot()));
+            snapshot = batch.snapshot();
             base = snapshot.index();
         }
-        for (Entry entry : change.append()) {
+        for (Entry entry : batch.append()) {
             if (entry.index() > base) {
                 entries.put(entry.index(), RaftStoreCodec.writeEntry(entry));
             }
         }
     }
 
-    private void drop(long from, long to) {
+    private void removeEntries(long from, long to) {
         if (entries.isEmpty()) {
             return;
         }
         long first = Math.max(from, entries.firstKey());
-        long end = Math.min(to, entries.lastKey());
-        if (first == entries.firstKey() && end == entries.lastKey()) {
+        long endIndex = Math.min(to, entries.lastKey());
+        if (first == entries.firstKey() && endIndex == entries.lastKey()) {
             entries.clear();
             return;
         }
-        for (long index = first; index <= end; index++) {
+        for (long index = first; index <= endIndex; index++) {
             entries.remove(index);
         }
     }
 
-    private void commit(Runnable changes) {
+    private void commit(Runnable writes) {
         try {
-            changes.run();
+            writes.run();
             if (store.getFileStore().size() > COMPACTION_MIN_FILE_BYTES
                     && store.getFileStore().getChunksFillRate() < COMPACTION_FILL_PERCENT) {
                 store.compact(COMPACTION_FILL_PERCENT, COMPACTION_BYTES_PER_WRITE);
             }
             if (store.hasUnsavedChanges()) {
-                // The chunk is written by this thread when commit returns; sync is the file's force.
+                // commit writes the chunk on this thread before it returns; sync forces the file to disk.
                 store.commit();
                 store.sync();
             }
         } catch (RuntimeException | Error e) {
-            // What is in memory may be half of the change, and a sync that failed once may say nothing when
-            // called again: only the disk knows, when it is opened anew.
+            // The state in memory may have half of the change, and after a failed sync a second one may falsely
+            // succeed: only reopening the file shows what is on disk.
             close();
             throw new StoreException(StoreException.Code.REFUSED, e.getMessage(), e);
         }
     }
 
-    private void open() {
+    private void requireOpen() {
         if (closed) {
             throw new StoreException(StoreException.Code.CLOSED, "the store is closed", null);
         }
     }
 
-    /** Closes the file and writes nothing: all that was written is on disk already. */
+    /** Closes the file without a write: every completed write is on disk already. */
     @Override
     public void close() {
         if (!closed) {
             closed = true;
-            shut(store);
+            closeQuietly(store);
         }
     }
 
-    private static void shut(MVStore store) {
+    private static void closeQuietly(MVStore store) {
         try {
             store.closeImmediately();
         } catch (RuntimeException e) {
-            LOG.debug("closing after an error", e);
+            LOG.debug("failed to close after an error", e);
         }
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/RaftStoreCodec.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStoreCodec.java
@@ -14,15 +14,15 @@
 import sablehinge.controlplane.raft.Snapshot;
 
 /**
- * The values of {@link RaftStore}'s maps as bytes, numbers big-endian. The form is that of all versions so far; files
- * of earlier versions are read by it.
+ * Encodes the values of {@link RaftStore}'s maps, numbers big-endian. All versions so far use this format, so it also
+ * reads files of earlier versions.
  */
 final class RaftStoreCodec {
 
-    /** Bytes of an entry before its data: the term and the kind. */
+    /** The size of an entry before its data: the term and the kind. */
     private static final int ENTRY_HEADER_BYTES = Long.BYTES + 1;
 
-    /** The term that a replica has seen, and who has its vote in it; 0 for nobody. */
+    /** The latest term that a replica has seen, and the id of the member that has its vote in that term; 0 for none. */
     record Vote(long term, long votedFor) {}
 
     private RaftStoreCodec() {}
--- a/src/main/java/sablehinge/controlplane/node/RaftStoreRecovery.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStoreRecovery.java
@@ -7,12 +7,12 @@
 import org.h2.mvstore.MVStore;
 import org.h2.mvstore.MVStoreException;
 
-/** Decides what a {@link RaftStore} that was opened, or could not be, has on disk. */
+/** Classifies errors at the opening of a {@link RaftStore}, and verifies the content of an opened one. */
 final class RaftStoreRecovery {
 
     private RaftStoreRecovery() {}
 
-    /** What an error at the opening means: corruption is returned, all else thrown. */
+    /** Classifies an error at the opening: returns corruption, throws every other error. */
     static CorruptStoreException classify(String file, boolean isRecovering, Exception e) {
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
             if (cause instanceof CorruptStoreException corrupt) {
@@ -21,7 +21,7 @@
         }
         int code = e instanceof MVStoreException error ? error.getErrorCode() : 0;
         if (code == DataUtils.ERROR_FILE_LOCKED) {
-            throw new StoreException(StoreException.Code.LOCKED, file + " is open in another process", e);
+            throw new StoreException(StoreException.Code.LOCKED, file + " is locked by another process", e);
         }
         if (isRecovering || code == DataUtils.ERROR_WRITING_FAILED) {
             throw new StoreException(StoreException.Code.REFUSED, e.getMessage(), e);
@@ -34,14 +34,14 @@
         return new CorruptStoreException(e.toString());
     }
 
-    /** MVStore may fall back to an older commit by itself; and of what is live, all must be as written. */
+    /** Checks that MVStore has not fallen back to an older commit, and that every live chunk is intact. */
     static void check(MVStore store, VerifyingFileChannel channel) throws IOException {
         if (channel.version() < 0) {
             return;
         }
         if (store.getCurrentVersion() != channel.version()) {
-            throw new CorruptStoreException(
-                    "commit " + channel.version() + " can't be read, only " + store.getCurrentVersion());
+            throw new CorruptStoreException("commit " + channel.version() + " is unreadable; MVStore opened commit "
+                    + store.getCurrentVersion());
         }
         for (Map.Entry<String, String> chunk : store.getLayoutMap().entrySet()) {
             String fields = chunk.getValue();
@@ -50,7 +50,7 @@
                     && !channel.isIntact(
                             ChunkFooter.field(fields, "block"), (int) ChunkFooter.field(fields, "len"), (int)
                                     ChunkFooter.field(fields, "chunk"))) {
-                throw new CorruptStoreException(chunk.getKey() + " is not as it was written");
+                throw new CorruptStoreException(chunk.getKey() + " fails its checksum");
             }
         }
     }
--- a/src/main/java/sablehinge/controlplane/node/ReadOperation.java
+++ b/src/main/java/sablehinge/controlplane/node/ReadOperation.java
@@ -5,16 +5,16 @@
 import sablehinge.mesh.api.ApiResponse;
 import sablehinge.mesh.api.Query;
 
-/** An operator asks, and nothing changes by it. */
+/** An operator's call that reads and changes nothing. */
 final class ReadOperation extends Query<CallOutcome> {
 
     private final CallContext context;
     private final ControlRequest request;
     private final AnswerSource source;
 
-    /** What is answered. */
+    /** Produces the answer. */
     private interface AnswerSource {
-        void to(Consumer<CallOutcome> answer);
+        void sendTo(Consumer<CallOutcome> answer);
     }
 
     private ReadOperation(CallContext context, ControlRequest request, AnswerSource source) {
@@ -24,12 +24,14 @@
         this.source = source;
     }
 
-    /** A question that a reply answers which is there. */
-    static ReadOperation plain(CallContext context, ControlRequest request, Supplier<ApiResponse> reply) {
-        return new ReadOperation(context, request, answer -> answer.accept(new CallOutcome(reply.get())));
+    /** An operation whose response is built on the API server's event loop. */
+    static ReadOperation ofResponse(CallContext context, ControlRequest request, Supplier<ApiResponse> response) {
+        return new ReadOperation(context, request, answer -> answer.accept(new CallOutcome(response.get())));
     }
 
-    /** A question that a record answers: it is taken on the API server's thread, and put in words beside. */
+    /**
+     * An operation whose response is a record, read on the API server's event loop and serialized on another thread.
+     */
     static ReadOperation ofRecord(CallContext context, ControlRequest request, Supplier<Record> source) {
         return new ReadOperation(context, request, answer -> {
             Record record = source.get();
@@ -40,8 +42,8 @@
                 } catch (RuntimeException e) {
                     outcome = CallOutcome.error(500, "BROKEN", String.valueOf(e.getMessage()));
                 }
-                CallOutcome last = outcome;
-                context.runOnLoop(() -> answer.accept(last));
+                CallOutcome result = outcome;
+                context.runOnLoop(() -> answer.accept(result));
             });
         });
     }
@@ -52,7 +54,7 @@
                 .require(
                         context.now(),
                         request,
-                        () -> source.to(answer),
+                        () -> source.sendTo(answer),
                         refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
 
--- a/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
+++ b/src/main/java/sablehinge/controlplane/node/ReplaceOperation.java
@@ -11,7 +11,7 @@
 import sablehinge.mesh.api.HttpOperation;
 import sablehinge.mesh.routing.Configuration;
 
-/** An operator sends a configuration. */
+/** An operator's call that replaces the configuration. */
 final class ReplaceOperation extends HttpOperation<ReplaceOperation.ReplaceRequest, CallOutcome> {
 
     private final CallContext context;
@@ -21,7 +21,7 @@
         this.context = context;
     }
 
-    /** A configuration is to take the place of another. */
+    /** The parsed call: the edition to replace and the new configuration. */
     record ReplaceRequest(long basedOn, byte[] body) {}
 
     @Override
@@ -47,28 +47,28 @@
                         refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
 
-    /** On the checks' thread: an invalid body is invalid whichever member checks it. */
+    /** Validates the body on the validation thread; the result is the same on every member. */
     private void check(ReplaceRequest call, long term, Consumer<CallOutcome> answer) {
-        CallOutcome refused;
+        CallOutcome failure;
         try {
             Configuration checked = ConfigurationCheck.check(call.body());
-            ChangeCoordinator.Order order =
-                    new ChangeCoordinator.Order(call.basedOn(), checked.edition(), BodyDigest.of(call.body()));
-            context.runOnLoop(() -> submit(order, call.body(), term, answer));
+            ChangeCoordinator.ChangeRequest change =
+                    new ChangeCoordinator.ChangeRequest(call.basedOn(), checked.edition(), BodyDigest.of(call.body()));
+            context.runOnLoop(() -> submit(change, call.body(), term, answer));
             return;
         } catch (CheckException e) {
-            refused = new CallOutcome(ApiResponse.error(
+            failure = new CallOutcome(ApiResponse.error(
                     400, e.code().name(), e.place(), e.problems().get(0).text()));
         } catch (RuntimeException e) {
-            refused = CallOutcome.error(500, "BROKEN", String.valueOf(e.getMessage()));
+            failure = CallOutcome.error(500, "BROKEN", String.valueOf(e.getMessage()));
         }
-        CallOutcome outcome = refused;
-        context.runOnLoop(() -> answer.accept(outcome));
+        CallOutcome result = failure;
+        context.runOnLoop(() -> answer.accept(result));
     }
 
-    private void submit(ChangeCoordinator.Order order, byte[] body, long term, Consumer<CallOutcome> answer) {
+    private void submit(ChangeCoordinator.ChangeRequest change, byte[] body, long term, Consumer<CallOutcome> answer) {
         if (context.raftStatus().term() != term) {
-            // A copy that was sent elsewhere meanwhile may have been answered there.
+            // The client may have sent a copy to another node that has answered it meanwhile.
             answer.accept(CallOutcome.error(503, "NO_MAJORITY", "the core's leader has changed"));
             return;
         }
@@ -79,33 +79,33 @@
                         () -> context.changes()
                                 .submit(
                                         context.now(),
-                                        order,
+                                        change,
                                         body,
                                         context.timeOfDay(),
-                                        verdict -> answer.accept(reply(order, verdict))),
+                                        verdict -> answer.accept(reply(change, verdict))),
                         refusal -> answer.accept(CallOutcome.redirect(refusal, path())));
     }
 
-    private CallOutcome reply(ChangeCoordinator.Order order, ChangeCoordinator.Verdict verdict) {
+    private CallOutcome reply(ChangeCoordinator.ChangeRequest change, ChangeCoordinator.Verdict verdict) {
         long current = context.configurations().edition();
         return switch (verdict) {
-            // An order that is repeated late was taken, and another edition may be in force by now.
+            // A late repetition was accepted before, and a newer edition may be current by now.
             case TAKEN ->
                 new CallOutcome(
                         ApiResponse.of(200, ("{\"edition\":" + current + "}").getBytes(StandardCharsets.US_ASCII)));
             case STALE ->
-                CallOutcome.error(412, "STALE", "version " + current + " is in place, not " + order.basedOn());
+                CallOutcome.error(412, "STALE", "version " + current + " is in place, not " + change.basedOn());
             case OLD ->
                 new CallOutcome(ApiResponse.error(
                         400,
                         CheckException.Code.OLD_EDITION.name(),
                         "/edition",
-                        "edition " + order.edition() + " is not above " + current));
+                        "edition " + change.edition() + " is not above " + current));
             case AHEAD ->
                 CallOutcome.error(
                         503,
                         "AHEAD",
-                        "version " + order.basedOn() + " is not in place yet; the same call may be made again");
+                        "version " + change.basedOn() + " is not in place yet; the same call may be made again");
             case UNCLEAR ->
                 CallOutcome.error(503, "NO_MAJORITY", "no majority has answered; the same call may be made again");
         };
--- a/src/main/java/sablehinge/controlplane/node/RetryBackoff.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBackoff.java
@@ -1,71 +1,72 @@
 package sablehinge.controlplane.node;
 
 /**
- * When a disk that refuses is tried again, and which of its refusals are logged. It decides only; {@code now} is a
- * steady clock in ms.
+ * Decides when an operation on a failing disk is retried and which failures are logged. {@code now} is a monotonic
+ * clock in ms.
  */
 final class RetryBackoff {
 
-    /** The pause after the first refusal, ms; each is twice the one before. */
-    static final double FIRST_PAUSE_MS = 10;
-    /** The longest pause, ms: so much later than the disk is well again, at most, it is found to be. */
-    static final double MAX_PAUSE_MS = 640;
-    /** Between two lines while the code stays, ms. */
+    /** The delay after the first failure; it doubles with each further one. */
+    static final double INITIAL_DELAY_MS = 10;
+    /** The maximum delay, which also bounds how late the recovery of the disk is noticed. */
+    static final double MAX_DELAY_MS = 640;
+    /** The minimum interval between log lines with the same error code. */
     static final double SAME_CODE_LOG_INTERVAL_MS = 60_000;
-    /** Between two lines whatever has changed, ms. */
+    /** The minimum interval between any two log lines. */
     static final double MIN_LOG_INTERVAL_MS = 5_000;
 
-    private int refusals;
-    private double since;
-    private double loggedAt = Double.NEGATIVE_INFINITY;
-    /** Whether these refusals were logged. */
+    private int failures;
+    private double failingSinceMs;
+    private double loggedAtMs = Double.NEGATIVE_INFINITY;
+    /** Whether the current series of failures was logged. */
     private boolean logged;
 
-    private StoreException.Code code;
+    private StoreException.Code loggedCode;
 
     /**
-     * The disk has refused.
+     * Records a failure.
      *
      * @return whether to log it
      */
-    boolean refused(double now, StoreException.Code why) {
-        if (refusals == 0) {
-            since = now;
+    boolean recordFailure(double now, StoreException.Code code) {
+        if (failures == 0) {
+            failingSinceMs = now;
         }
-        refusals++;
-        boolean logs = now - loggedAt >= (logged && why == code ? SAME_CODE_LOG_INTERVAL_MS : MIN_LOG_INTERVAL_MS);
-        if (logs) {
-            loggedAt = now;
+        failures++;
+        boolean shouldLog =
+                now - loggedAtMs >= (logged && code == loggedCode ? SAME_CODE_LOG_INTERVAL_MS : MIN_LOG_INTERVAL_MS);
+        if (shouldLog) {
+            loggedAtMs = now;
             logged = true;
-            code = why;
+            loggedCode = code;
         }
-        return logs;
+        return shouldLog;
     }
 
-    /** How long to wait after the last refusal, ms. */
-    double pause() {
-        return Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * (1L << Math.min(16, refusals - 1)));
+    /** The delay after the last failure. */
+    double delayMs() {
+        return Math.min(MAX_DELAY_MS, INITIAL_DELAY_MS * (1L << Math.min(16, failures - 1)));
     }
 
     /**
-     * The disk has taken all that waited: what comes next is a first refusal again.
+     * Records that everything pending was written. The next failure counts as the first of a new series.
      *
-     * @return whether to log it, as the refusals were
+     * @return whether to log the recovery: only if a failure was logged
      */
-    boolean recovered() {
-        boolean logs = logged;
-        refusals = 0;
+    boolean recordRecovery() {
+        boolean shouldLog = logged;
+        failures = 0;
         logged = false;
-        return logs;
+        return shouldLog;
     }
 
-    /** Refusals in a row; 0 while the disk is well. */
-    int refusals() {
-        return refusals;
+    /** The number of consecutive failures; 0 while the disk works. */
+    int failures() {
+        return failures;
     }
 
-    /** How long the disk has been refusing, ms. */
+    /** How long the disk has been failing. */
     double failingForMs(double now) {
-        return refusals == 0 ? 0 : now - since;
+        return failures == 0 ? 0 : now - failingSinceMs;
     }
 }
--- a/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
+++ b/src/main/java/sablehinge/controlplane/node/RetryBudgetCoordinator.java
@@ -11,7 +11,7 @@
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.RetryBudgetCodec;
 
-/** Answers balancers' claims on the retry budget, under a lease only. */
+/** Answers balancers' claims on the retry budget; the caller checks that this node holds a lease. */
 final class RetryBudgetCoordinator {
 
     private final RetryBudgetAllocator allocator;
@@ -31,7 +31,7 @@
         allocator.adopt(now, services);
     }
 
-    /** The answer to a claim; null where there is none. */
+    /** The answer to a claim; null if there is none. */
     Frame answer(double now, Claim claim) {
         Grant grant = allocator.claimed(now, claim);
         return grant == null ? null : new Frame(Frame.Kind.SHARES, RetryBudgetCodec.bytes(grant));
--- a/src/main/java/sablehinge/controlplane/node/StateMachine.java
+++ b/src/main/java/sablehinge/controlplane/node/StateMachine.java
@@ -8,21 +8,21 @@
 import sablehinge.controlplane.state.ConfigurationState;
 
 /**
- * Applies committed entries to the state of a control node, and asks for a snapshot once enough of them have come. An
- * entry that can't be applied ends the process: to pass over it would leave a state that is no other replica's.
+ * Applies committed entries to the state of a control node, and triggers a snapshot after a number of entries. An entry
+ * that can't be applied ends the process: skipping it would make the state differ from all other replicas.
  */
 final class StateMachine {
 
     private static final Logger LOG = LoggerFactory.getLogger(StateMachine.class);
-    /** The log is cut to a snapshot after so many entries. */
+    /** The log is compacted to a snapshot after this number of entries. */
     private static final int MAX_LOG_ENTRIES = 48;
-    /** Or after so many bytes of entries, which bounds the file and what a start reads. */
+    /** The log is also compacted after this size of entries, which bounds the file and the data read at a start. */
     private static final long MAX_LOG_BYTES = 4 << 20;
 
-    /** Cuts the log to a snapshot. */
+    /** Compacts the log. */
     interface Compaction {
 
-        /** Replaces the log up to and with the entry of the given index by the state after it. */
+        /** Replaces the log up to and including an index by the state after that entry. */
         void compact(long index, byte[] state);
     }
 
@@ -34,9 +34,9 @@
     private long bytesSinceSnapshot;
 
     /**
-     * A state machine over the state of a coordinator.
+     * A state machine that applies commands through a coordinator.
      *
-     * @param onConfigurationChanged called after another configuration has come into force
+     * @param onConfigurationChanged called after a new configuration has taken effect
      */
     StateMachine(
             ChangeCoordinator changes,
@@ -54,7 +54,7 @@
         entriesSinceSnapshot++;
         bytesSinceSnapshot += entry.data().length;
         if (entry.kind() == Entry.Kind.COMMAND) {
-            executor.failStop("entry", () -> applyCommand(entry));
+            executor.runFailStop("entry", () -> applyCommand(entry));
         }
         if (entriesSinceSnapshot >= MAX_LOG_ENTRIES || bytesSinceSnapshot >= MAX_LOG_BYTES) {
             entriesSinceSnapshot = 0;
@@ -64,18 +64,18 @@
     }
 
     private void applyCommand(Entry entry) {
-        if (changes.applied(entry) == ConfigurationState.Outcome.TAKEN) {
+        if (changes.apply(entry) == ConfigurationState.Outcome.TAKEN) {
             executor.runTolerant("configuration", onConfigurationChanged);
             Log.info(LOG, "configuration")
                     .addKeyValue("edition", configurations().edition())
                     .addKeyValue("index", entry.index())
-                    .log("a configuration is in force");
+                    .log("a new configuration has taken effect");
         }
     }
 
-    /** Takes over the state of a snapshot in place of its own. */
+    /** Replaces the state by that of a snapshot. */
     void restore(Snapshot snapshot) {
-        executor.failStop("snapshot", () -> configurations().restore(snapshot.state()));
+        executor.runFailStop("snapshot", () -> configurations().restore(snapshot.state()));
         executor.runTolerant("configuration", onConfigurationChanged);
     }
 
--- a/src/main/java/sablehinge/controlplane/node/StoreException.java
+++ b/src/main/java/sablehinge/controlplane/node/StoreException.java
@@ -1,26 +1,26 @@
 package sablehinge.controlplane.node;
 
-/** The store can't do what was requested. */
+/** An operation of the store failed. */
 public final class StoreException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    /** What went wrong. */
+    /** The kind of failure. */
     public enum Code {
-        /** Another process has the file open. Nothing was changed; it may be had later. */
+        /** Another process has the file open. Nothing was changed; a later attempt may succeed. */
         LOCKED,
-        /** The file is there and can't be read; nothing was changed, and the store is not open. */
+        /** The file exists but can't be read. Nothing was changed, and the store is not open. */
         UNREADABLE,
         /**
-         * The disk refused a write, a sync or a name: it is full, can't be written, or fails. The store is closed; the
-         * disk holds what it did before or all of the change, as shows when it is opened again.
+         * A write, a sync, a rename or another file operation failed: the disk is full, read-only or broken. The store
+         * is closed. The disk holds either the previous state or all of the change; reopening the store shows which.
          */
         REFUSED,
-        /** The change doesn't follow on what is held. Nothing was changed, and the store stays open. */
+        /** The batch doesn't follow the stored state. Nothing was changed, and the store stays open. */
         ORDER,
-        /** The store is closed, by its owner or by a write that was refused. */
+        /** The store was closed by its owner or by a failed write. */
         CLOSED,
-        /** What was reported as synced is not there when the store is opened again in the same process. */
+        /** Data that was reported as synced is missing when the store is reopened in the same process. */
         LOST
     }
 
@@ -31,7 +31,7 @@
         this.code = code;
     }
 
-    /** The system's message; MVStore's names only the place. */
+    /** The root cause's message, because MVStore's own message names only the position. */
     private static String root(Throwable cause) {
         Throwable root = cause;
         while (root != null && root.getCause() != null) {
@@ -40,7 +40,7 @@
         return root == cause ? "" : " (" + root.getMessage() + ")";
     }
 
-    /** What went wrong. */
+    /** The kind of failure. */
     public Code code() {
         return code;
     }
--- a/src/main/java/sablehinge/controlplane/node/SystemDisk.java
+++ b/src/main/java/sablehinge/controlplane/node/SystemDisk.java
@@ -7,59 +7,59 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A folder of the system's file system, made if need be. */
+/** A directory of the file system, created if it doesn't exist. */
 final class SystemDisk implements Disk {
 
-    private final Path folder;
+    private final Path directory;
 
-    SystemDisk(Path folder) throws IOException {
-        this.folder = folder.toAbsolutePath().normalize();
-        make(this.folder);
+    SystemDisk(Path directory) throws IOException {
+        this.directory = directory.toAbsolutePath().normalize();
+        createDirectories(this.directory);
     }
 
-    /** The name of a folder that is made stands in the one above it, which is synced. */
-    private static void make(Path folder) throws IOException {
-        if (folder == null || Files.isDirectory(folder)) {
+    /** Creates a directory and its parents, and syncs each parent, which holds the new directory's name. */
+    private static void createDirectories(Path directory) throws IOException {
+        if (directory == null || Files.isDirectory(directory)) {
             return;
         }
-        make(folder.getParent());
-        Files.createDirectory(folder);
+        createDirectories(directory.getParent());
+        Files.createDirectory(directory);
         try {
-            sync(folder.getParent());
+            sync(directory.getParent());
         } catch (IOException e) {
-            // Who finds it there takes it for synced.
-            Files.deleteIfExists(folder);
+            // A later call that finds the directory assumes that its name is synced.
+            Files.deleteIfExists(directory);
             throw e;
         }
     }
 
     @Override
     public String file(String name) {
-        return folder.resolve(name).toString();
+        return directory.resolve(name).toString();
     }
 
     @Override
     public boolean has(String name) {
-        return Files.exists(folder.resolve(name));
+        return Files.exists(directory.resolve(name));
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
     @Override
     public void sync() throws IOException {
-        sync(folder);
+        sync(directory);
     }
 
-    private static void sync(Path folder) throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    private static void sync(Path directory) throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
--- a/src/main/java/sablehinge/controlplane/node/VerifyingFileChannel.java
+++ b/src/main/java/sablehinge/controlplane/node/VerifyingFileChannel.java
@@ -9,18 +9,19 @@
 import org.h2.store.fs.FileBase;
 
 /**
- * A file of MVStore whose chunks are sealed, and are mended before MVStore reads them.
+ * A file of MVStore whose chunks are sealed with a checksum, and which is recovered before MVStore reads it.
  *
- * <p>MVStore takes a chunk for complete if its first and its last bytes are there. A disk that loses power may have
- * written these and not what lies between. And it finds the newest chunk through a header that may be on disk when the
- * chunk is not; it then may take an older one for the newest. So when the file is locked and before MVStore reads it,
- * this looks for the newest chunk that is complete, takes the footer from one after it, which the power cut off, and
- * lets the header point to the newest. As each commit is synced before the next, only the last may be torn.
+ * <p>MVStore considers a chunk complete if its first and last bytes are there, but a disk that loses power may have
+ * written these and not the bytes between them. MVStore also finds the newest chunk through a header that may be on
+ * disk without the chunk, and may then use an older chunk as the newest. Therefore, when the file is locked and before
+ * MVStore reads it, this class finds the newest complete chunk, erases the footer of a torn chunk after it, and
+ * rewrites the header to point to the newest complete chunk. Each commit is synced before the next one, so only the
+ * last commit can be torn.
  */
 final class VerifyingFileChannel extends FileBase {
 
-    private static final int HEADER = 2 * ChunkFooter.BLOCK;
-    private static final int STEP = 64 * ChunkFooter.BLOCK;
+    private static final int HEADER_BYTES = 2 * ChunkFooter.BLOCK_BYTES;
+    private static final int SCAN_BYTES = 64 * ChunkFooter.BLOCK_BYTES;
 
     private final FileChannel base;
     private long version = -1;
@@ -30,12 +31,12 @@
         this.base = base;
     }
 
-    /** The version of the newest commit that was complete when the file was locked; -1 if the file was empty. */
+    /** The version of the newest complete commit when the file was locked; -1 if the file was empty. */
     long version() {
         return version;
     }
 
-    /** Whether it was last heard of as it wrote what it mends. */
+    /** Whether recovery has begun to write and has not completed; true after a write of the recovery failed. */
     boolean isRecovering() {
         return isRecovering;
     }
@@ -50,11 +51,11 @@
     }
 
     private void recoverLastCommit() throws IOException {
-        List<ChunkFooter> seals = seals();
-        seals.sort((a, b) -> Long.compare(b.version(), a.version()));
+        List<ChunkFooter> footers = findFooters();
+        footers.sort((a, b) -> Long.compare(b.version(), a.version()));
         List<ChunkFooter> torn = new ArrayList<>();
         ChunkFooter newest = null;
-        for (ChunkFooter footer : seals) {
+        for (ChunkFooter footer : footers) {
             if (isIntact(footer)) {
                 newest = footer;
                 break;
@@ -62,115 +63,116 @@
             torn.add(footer);
         }
         if (newest == null) {
-            throw new CorruptStoreException("no commit in it is whole");
+            throw new CorruptStoreException("the file has no complete commit");
         }
         if (!torn.isEmpty() && torn.get(0).version() > newest.version() + 1) {
-            throw new CorruptStoreException(
-                    "commits " + newest.version() + " to " + torn.get(0).version() + " are not whole");
+            throw new CorruptStoreException("commits after " + newest.version() + " up to "
+                    + torn.get(0).version() + " are incomplete");
         }
         isRecovering = true;
         for (ChunkFooter footer : torn) {
             if (footer.version() == newest.version() + 1) {
-                put(ByteBuffer.allocate(ChunkFooter.LENGTH), end(footer) - ChunkFooter.LENGTH);
+                writeFully(ByteBuffer.allocate(ChunkFooter.LENGTH_BYTES), end(footer) - ChunkFooter.LENGTH_BYTES);
             }
         }
-        // What is read may not be on disk: the process that wrote it ended before its sync, or the sync
-        // failed, and a system that has failed once to write a page may take it for written. So it is
-        // written anew, the same bytes in the same place. What came before was synced before it was begun.
-        put(chunk(newest), newest.block() * ChunkFooter.BLOCK);
-        put(header(newest), 0);
+        // The bytes that were read may not be on disk: the process that wrote them ended before the sync, or the
+        // sync failed, after which the operating system may treat the dirty pages as clean. So the same bytes are
+        // written again to the same place. Earlier commits were synced before this one began.
+        writeFully(chunk(newest), newest.block() * ChunkFooter.BLOCK_BYTES);
+        writeFully(header(newest), 0);
         base.force(true);
         isRecovering = false;
         version = newest.version();
     }
 
     private static long end(ChunkFooter footer) {
-        return (footer.block() + footer.blocks()) * ChunkFooter.BLOCK;
-    }
-
-    /** All seals in the file, those of chunks that were given up and in part written over, too. */
-    private List<ChunkFooter> seals() throws IOException {
-        List<ChunkFooter> seals = new ArrayList<>();
-        ByteBuffer step = ByteBuffer.allocate(STEP);
-        byte[] tail = new byte[ChunkFooter.LENGTH];
-        long blocks = size() / ChunkFooter.BLOCK;
-        for (long block = 2; block < blocks; block += STEP / ChunkFooter.BLOCK) {
-            step.clear().limit((int) Math.min(STEP, (blocks - block) * ChunkFooter.BLOCK));
-            fill(step, block * ChunkFooter.BLOCK);
-            for (int end = ChunkFooter.BLOCK; end <= step.limit(); end += ChunkFooter.BLOCK) {
-                if (ChunkFooter.chunk(step, end - ChunkFooter.LENGTH)) {
-                    step.get(end - ChunkFooter.LENGTH, tail);
-                    ChunkFooter footer = ChunkFooter.read(tail, block + end / ChunkFooter.BLOCK);
+        return (footer.block() + footer.blocks()) * ChunkFooter.BLOCK_BYTES;
+    }
+
+    /** All sealed footers in the file, including those of obsolete chunks that are partly overwritten. */
+    private List<ChunkFooter> findFooters() throws IOException {
+        List<ChunkFooter> footers = new ArrayList<>();
+        ByteBuffer scanned = ByteBuffer.allocate(SCAN_BYTES);
+        byte[] tail = new byte[ChunkFooter.LENGTH_BYTES];
+        long blocks = size() / ChunkFooter.BLOCK_BYTES;
+        for (long block = 2; block < blocks; block += SCAN_BYTES / ChunkFooter.BLOCK_BYTES) {
+            scanned.clear().limit((int) Math.min(SCAN_BYTES, (blocks - block) * ChunkFooter.BLOCK_BYTES));
+            readFully(scanned, block * ChunkFooter.BLOCK_BYTES);
+            for (int end = ChunkFooter.BLOCK_BYTES; end <= scanned.limit(); end += ChunkFooter.BLOCK_BYTES) {
+                if (ChunkFooter.startsWithChunkHeader(scanned, end - ChunkFooter.LENGTH_BYTES)) {
+                    scanned.get(end - ChunkFooter.LENGTH_BYTES, tail);
+                    ChunkFooter footer = ChunkFooter.parse(tail, block + end / ChunkFooter.BLOCK_BYTES);
                     if (footer != null) {
-                        seals.add(footer);
+                        footers.add(footer);
                     }
                 }
             }
         }
-        return seals;
+        return footers;
     }
 
-    /** Whether a chunk is in the file as it was written. */
+    /** Whether a footer's chunk is in the file and has the right checksum. */
     boolean isIntact(ChunkFooter footer) throws IOException {
         ByteBuffer chunk = chunk(footer);
-        return ChunkFooter.chunk(chunk, 0) && ChunkFooter.crc(chunk) == footer.crc();
+        return ChunkFooter.startsWithChunkHeader(chunk, 0) && ChunkFooter.crc(chunk) == footer.crc();
     }
 
     private ByteBuffer chunk(ChunkFooter footer) throws IOException {
-        ByteBuffer chunk = ByteBuffer.allocate(footer.blocks() * ChunkFooter.BLOCK);
-        fill(chunk, footer.block() * ChunkFooter.BLOCK);
+        ByteBuffer chunk = ByteBuffer.allocate(footer.blocks() * ChunkFooter.BLOCK_BYTES);
+        readFully(chunk, footer.block() * ChunkFooter.BLOCK_BYTES);
         return chunk;
     }
 
-    /** Whether the chunk of that number is at a place, and is as it was written. */
+    /** Whether the chunk with the given id is at a position and has the right checksum. */
     boolean isIntact(long block, int blocks, int id) throws IOException {
-        if (block < 2 || blocks < 1 || (block + blocks) * ChunkFooter.BLOCK > size()) {
+        if (block < 2 || blocks < 1 || (block + blocks) * ChunkFooter.BLOCK_BYTES > size()) {
             return false;
         }
-        ByteBuffer tail = ByteBuffer.allocate(ChunkFooter.LENGTH);
-        fill(tail, (block + blocks) * ChunkFooter.BLOCK - ChunkFooter.LENGTH);
-        ChunkFooter footer = ChunkFooter.read(tail.array(), block + blocks);
+        ByteBuffer tail = ByteBuffer.allocate(ChunkFooter.LENGTH_BYTES);
+        readFully(tail, (block + blocks) * ChunkFooter.BLOCK_BYTES - ChunkFooter.LENGTH_BYTES);
+        ChunkFooter footer = ChunkFooter.parse(tail.array(), block + blocks);
         return footer != null && footer.id() == id && footer.blocks() == blocks && isIntact(footer);
     }
 
-    private void fill(ByteBuffer bytes, long position) throws IOException {
+    private void readFully(ByteBuffer bytes, long position) throws IOException {
         while (bytes.hasRemaining()) {
             int read = base.read(bytes, position + bytes.position());
             if (read < 0) {
-                throw new CorruptStoreException("it ends at " + size());
+                throw new CorruptStoreException("unexpected end of file at " + size());
             }
         }
         bytes.flip();
     }
 
-    /** MVStore's header, twice. Its time of creation matters to nothing that this store uses. */
+    /** MVStore's header in two copies. This store uses nothing that depends on the time of creation. */
     private static ByteBuffer header(ChunkFooter newest) {
-        byte[] copy = ChunkFooter.checked("H:2,block:" + Long.toHexString(newest.block()) + ",blockSize:1000,chunk:"
-                + Integer.toHexString(newest.id()) + ",created:1,format:3,version:"
-                + Long.toHexString(newest.version()));
-        ByteBuffer header = ByteBuffer.allocate(HEADER);
+        byte[] copy =
+                ChunkFooter.withChecksum("H:2,block:" + Long.toHexString(newest.block()) + ",blockSize:1000,chunk:"
+                        + Integer.toHexString(newest.id()) + ",created:1,format:3,version:"
+                        + Long.toHexString(newest.version()));
+        ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
         header.put(0, copy).put(copy.length, (byte) '\n');
-        header.put(ChunkFooter.BLOCK, copy).put(ChunkFooter.BLOCK + copy.length, (byte) '\n');
+        header.put(ChunkFooter.BLOCK_BYTES, copy).put(ChunkFooter.BLOCK_BYTES + copy.length, (byte) '\n');
         return header;
     }
 
     @Override
     public int write(ByteBuffer bytes, long position) throws IOException {
-        if (position >= HEADER
-                && position % ChunkFooter.BLOCK == 0
-                && bytes.remaining() >= ChunkFooter.BLOCK
-                && ChunkFooter.chunk(bytes, bytes.position())) {
-            ChunkFooter.set(bytes);
+        if (position >= HEADER_BYTES
+                && position % ChunkFooter.BLOCK_BYTES == 0
+                && bytes.remaining() >= ChunkFooter.BLOCK_BYTES
+                && ChunkFooter.startsWithChunkHeader(bytes, bytes.position())) {
+            ChunkFooter.seal(bytes);
         }
-        return put(bytes, position);
+        return writeFully(bytes, position);
     }
 
-    private int put(ByteBuffer bytes, long position) throws IOException {
-        int all = 0;
+    private int writeFully(ByteBuffer bytes, long position) throws IOException {
+        int written = 0;
         while (bytes.hasRemaining()) {
-            all += base.write(bytes, position + all);
+            written += base.write(bytes, position + written);
         }
-        return all;
+        return written;
     }
 
     @Override
--- a/src/main/java/sablehinge/controlplane/node/VerifyingFilePath.java
+++ b/src/main/java/sablehinge/controlplane/node/VerifyingFilePath.java
@@ -8,8 +8,8 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * H2's way to put one's own channel between MVStore and a file: names that begin with {@code sealed:}. It is public
- * only because H2 makes it by reflection.
+ * Puts a {@link VerifyingFileChannel} between MVStore and each file whose name begins with {@code sealed:}. The class
+ * is public because H2 creates instances by reflection.
  */
 public final class VerifyingFilePath extends FilePathWrapper {
 
@@ -20,16 +20,16 @@
         FilePath.register(new VerifyingFilePath());
     }
 
-    /** For H2. */
+    /** Called by H2. */
     public VerifyingFilePath() {}
 
-    /** The name for H2 of a file by its plain name. */
-    static String name(String file) {
+    /** The name by which H2 opens a file through this class. */
+    static String h2Name(String file) {
         return SCHEME + ":" + file;
     }
 
-    /** The channel that was opened for a name, once; null if there's none. */
-    static VerifyingFileChannel taken(String name) {
+    /** Returns the channel that was opened for a name and forgets it; null if there is none. */
+    static VerifyingFileChannel removeChannel(String name) {
         return OPEN.remove(name);
     }
 
--- a/src/main/java/sablehinge/controlplane/node/WatchServer.java
+++ b/src/main/java/sablehinge/controlplane/node/WatchServer.java
@@ -15,85 +15,86 @@
 import sablehinge.mesh.watch.WatchRequest;
 
 /**
- * Answers the long polls of data-plane balancers: at once where there is an update, and after a while where there is
- * none. It decides when and with what; whoever leads the core keeps one.
+ * Answers the long polls of data-plane balancers: at once if there is an update, otherwise after a timeout. It decides
+ * when to answer and with what; the leader of the core runs it.
  *
- * @param <K> what names an asker's connection
+ * @param <K> the key of a subscriber's connection
  */
 public final class WatchServer<K> {
 
-    /** How long a request without an update is held, ms. */
+    /** The long-poll timeout: how long a request waits for an update. */
     private static final double LONG_POLL_MS = 400;
-    /** How often it is ruled on who is off, in ms. */
+    /** The interval between evaluations of the balancers' health. */
     private static final double EVALUATION_INTERVAL_MS = 40;
     /**
-     * How often one subscriber is sent a configuration while many come in succession, ms; the first two of them are
-     * sent at once. Reading one of thousands of routes takes a narrow machine a good part of a second.
+     * The minimum interval between configurations for one subscriber while many follow in succession; the first two of
+     * them are sent at once. Reading a configuration of thousands of routes takes a host with few cores a large part of
+     * a second.
      */
     private static final double MIN_CONFIGURATION_INTERVAL_MS = 1_000;
 
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] NO_CONFIGURATION = new byte[0];
 
     private final Registry registry;
     private final HealthView healthView = new HealthView();
     private final Map<K, Subscriber> subscribers = new LinkedHashMap<>();
     private final List<HealthView.HealthChange> healthChanges = new ArrayList<>();
-    private double evaluatedAt = Double.NEGATIVE_INFINITY;
+    private double evaluatedAtMs = Double.NEGATIVE_INFINITY;
     private long term;
     private long edition;
-    private byte[] body = NONE;
-    private List<String> core = List.of();
+    private byte[] body = NO_CONFIGURATION;
+    private List<String> memberAddresses = List.of();
 
     private static final class Subscriber {
         WatchRequest request;
-        double requestedAt;
+        double requestedAtMs;
         boolean pending;
         boolean confirmed;
         boolean sentComplete;
-        /** Until when the configurations that it was sent would have lasted, in ms, at that many a second. */
-        double configurationQuotaUntil = Double.NEGATIVE_INFINITY;
+        /** When the sent configurations are used up at a rate of one per {@link #MIN_CONFIGURATION_INTERVAL_MS}. */
+        double configurationQuotaUntilMs = Double.NEGATIVE_INFINITY;
 
-        boolean mayHaveConfiguration(double now) {
-            return request.confirm() || configurationQuotaUntil - now <= MIN_CONFIGURATION_INTERVAL_MS;
+        boolean mayReceiveConfiguration(double now) {
+            return request.confirm() || configurationQuotaUntilMs - now <= MIN_CONFIGURATION_INTERVAL_MS;
         }
 
-        void hasConfiguration(double now) {
-            double before = Math.min(Math.max(now, configurationQuotaUntil), now + MIN_CONFIGURATION_INTERVAL_MS);
-            configurationQuotaUntil = before + MIN_CONFIGURATION_INTERVAL_MS;
+        void recordConfigurationSent(double now) {
+            double before = Math.min(Math.max(now, configurationQuotaUntilMs), now + MIN_CONFIGURATION_INTERVAL_MS);
+            configurationQuotaUntilMs = before + MIN_CONFIGURATION_INTERVAL_MS;
         }
     }
 
     /** An update and the subscriber that it is for. */
     public record Delivery<K>(K to, Update update) {}
 
-    /** A server of updates over a registry, which it maintains. */
+    /** A server for a registry, which the server maintains. */
     public WatchServer(Registry registry) {
         this.registry = registry;
     }
 
-    /** Begins to answer as the leader of a term; the configuration is what is committed. */
-    public void startTerm(double now, long asLeaderOf) {
-        term = asLeaderOf;
+    /** Starts to answer as the leader of a term, with the committed configuration. */
+    public void startTerm(double now, long newTerm) {
+        term = newTerm;
         subscribers.clear();
         registry.reset(now);
         healthView.begin(now);
     }
 
     /**
-     * The committed configuration as {@link PackedConfiguration} packs it, and where the members of the core take
-     * records.
+     * Sets the committed configuration, packed by {@link PackedConfiguration}, and the addresses at which the members
+     * of the core accept records.
      */
-    public void configurationChanged(long newest, byte[] newestBody, List<String> members) {
-        edition = newest;
-        body = newestBody;
-        core = List.copyOf(members);
+    public void configurationChanged(long newEdition, byte[] newBody, List<String> members) {
+        edition = newEdition;
+        body = newBody;
+        memberAddresses = List.copyOf(members);
     }
 
-    /** A request has come; its confirmation, if it wants one, comes by {@link #confirmed}. */
+    /** Handles a request. If it requires a confirmation, {@link #confirmed} must follow before it is answered. */
     public void handleRequest(double now, K from, WatchRequest request) {
         Subscriber subscriber = subscribers.computeIfAbsent(from, key -> new Subscriber());
         subscriber.request = request;
-        subscriber.requestedAt = now;
+        subscriber.requestedAtMs = now;
         subscriber.pending = true;
         subscriber.confirmed = false;
         registry.register(now, request.registration());
@@ -101,32 +102,32 @@
         healthView.heard(now, request.registration().node(), request.suspicions());
     }
 
-    /** All that was committed before an ask came is in {@link #configurationChanged} by now. */
+    /** Confirms a request: everything committed before it arrived was passed to {@link #configurationChanged}. */
     public void confirmed(K subscriber, int number) {
-        Subscriber one = subscribers.get(subscriber);
-        if (one != null && one.request.number() == number) {
-            one.confirmed = true;
+        Subscriber entry = subscribers.get(subscriber);
+        if (entry != null && entry.request.number() == number) {
+            entry.confirmed = true;
         }
     }
 
-    /** An asker has gone. */
+    /** Removes a subscriber whose connection has closed. */
     public void removeSubscriber(K subscriber) {
         subscribers.remove(subscriber);
     }
 
-    /** The subscribers to redirect, as this server answers no more. */
+    /** The current subscribers. */
     public Collection<K> subscribers() {
         return List.copyOf(subscribers.keySet());
     }
 
-    /** The answers that are due. */
+    /** The updates that are due. */
     public List<Delivery<K>> dueDeliveries(double now) {
-        if (now - evaluatedAt >= EVALUATION_INTERVAL_MS) {
-            evaluatedAt = now;
+        if (now - evaluatedAtMs >= EVALUATION_INTERVAL_MS) {
+            evaluatedAtMs = now;
             evaluate(now);
         }
         registry.expire(now);
-        Snapshot round = new Snapshot(now);
+        Round round = new Round(now);
         List<Delivery<K>> dueDeliveries = new ArrayList<>();
         for (Map.Entry<K, Subscriber> entry : subscribers.entrySet()) {
             Subscriber subscriber = entry.getValue();
@@ -140,14 +141,14 @@
         return dueDeliveries;
     }
 
-    /** What answers of one moment share: with many askers it is found once for all of them. */
-    private final class Snapshot {
+    /** The values that all updates of one call share, computed once for all subscribers. */
+    private final class Round {
         private final double now;
         private final boolean complete;
         private final int quotaSharers;
         private final Map<Long, List<Registration>> since = new HashMap<>();
 
-        Snapshot(double now) {
+        Round(double now) {
             this.now = now;
             complete = registry.isComplete(now);
             quotaSharers = registry.quotaSharers();
@@ -174,39 +175,40 @@
         healthChanges.addAll(changed);
     }
 
-    /** Changes of peers' health since the last call. */
+    /** The changes of balancers' health since the last call. */
     public List<HealthView.HealthChange> healthChanges() {
-        List<HealthView.HealthChange> latest = List.copyOf(healthChanges);
+        List<HealthView.HealthChange> drained = List.copyOf(healthChanges);
         healthChanges.clear();
-        return latest;
+        return drained;
     }
 
-    private Update update(Snapshot round, Subscriber subscriber) {
+    private Update update(Round round, Subscriber subscriber) {
         WatchRequest request = subscriber.request;
         boolean complete = round.complete;
         boolean full = request.term() != term || complete && !subscriber.sentComplete;
-        boolean newer = request.edition() < edition && subscriber.mayHaveConfiguration(round.now);
+        boolean hasNewerEdition = request.edition() < edition && subscriber.mayReceiveConfiguration(round.now);
         boolean changed = full || request.stamp() < registry.stamp();
-        boolean held = round.now - subscriber.requestedAt < LONG_POLL_MS;
-        if (request.confirm() && !subscriber.confirmed || !newer && !changed && !request.confirm() && held) {
+        boolean withinLongPoll = round.now - subscriber.requestedAtMs < LONG_POLL_MS;
+        if (request.confirm() && !subscriber.confirmed
+                || !hasNewerEdition && !changed && !request.confirm() && withinLongPoll) {
             return null;
         }
         subscriber.pending = false;
         subscriber.sentComplete |= complete;
-        if (newer) {
-            subscriber.hasConfiguration(round.now);
+        if (hasNewerEdition) {
+            subscriber.recordConfigurationSent(round.now);
         }
         return new Update(
                 request.number(),
                 subscriber.confirmed,
                 edition,
-                newer ? body : NONE,
+                hasNewerEdition ? body : NO_CONFIGURATION,
                 term,
                 registry.stamp(),
                 full,
                 complete,
                 round.quotaSharers,
                 changed ? round.since(full ? 0 : request.stamp()) : List.of(),
-                core);
+                memberAddresses);
     }
 }
--- a/src/test/java/sablehinge/controlplane/node/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -137,7 +137,7 @@
     }
 
     /** A machine of the core and its disk. */
-    final class Machine implements RaftActions, QuorumGate.Contact, CallContext {
+    final class Machine implements RaftActions, QuorumGate.RaftView, CallContext {
 
         final Member member;
         RaftNode raft;
@@ -330,7 +330,7 @@
         @Override
         public void apply(Entry entry) {
             if (entry.kind() == Entry.Kind.COMMAND) {
-                changes.applied(entry);
+                changes.apply(entry);
             }
             if (++sinceCompacted >= COMPACT_AFTER) {
                 sinceCompacted = 0;
--- a/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
+++ b/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void later(double ms, Runnable writePending) {
+    public void schedule(double ms, Runnable writePending) {
         assertNull(wakes, "it waits already");
         pauses++;
         wakesAt = now + ms;
@@ -205,8 +205,8 @@
             assertTrue(wake());
             longest = Math.max(longest, now - before);
         }
-        assertEquals(RetryBackoff.MAX_PAUSE_MS, longest);
-        assertTrue(now - start > 90 * RetryBackoff.MAX_PAUSE_MS, "paused for " + (now - start));
+        assertEquals(RetryBackoff.MAX_DELAY_MS, longest);
+        assertTrue(now - start > 90 * RetryBackoff.MAX_DELAY_MS, "paused for " + (now - start));
         assertEquals(List.of(), reported);
         disk.room = Long.MAX_VALUE;
         assertTrue(wake());
@@ -236,21 +236,22 @@
         RetryBackoff backoff = new RetryBackoff();
         int lines = 0;
         for (int ms = 0; ms < 600_000; ms += 500) {
-            lines += backoff.refused(ms, ms < 300_000 ? StoreException.Code.REFUSED : StoreException.Code.UNREADABLE)
+            lines += backoff.recordFailure(
+                            ms, ms < 300_000 ? StoreException.Code.REFUSED : StoreException.Code.UNREADABLE)
                     ? 1
                     : 0;
         }
         assertEquals(10, lines);
-        assertEquals(1200, backoff.refusals());
+        assertEquals(1200, backoff.failures());
         assertEquals(600_000, backoff.failingForMs(600_000));
-        assertTrue(backoff.recovered());
-        assertTrue(backoff.refused(600_001, StoreException.Code.UNREADABLE));
-        assertEquals(RetryBackoff.FIRST_PAUSE_MS, backoff.pause());
+        assertTrue(backoff.recordRecovery());
+        assertTrue(backoff.recordFailure(600_001, StoreException.Code.UNREADABLE));
+        assertEquals(RetryBackoff.INITIAL_DELAY_MS, backoff.delayMs());
         // A disk that is well in between, again and again, fills no log either.
         lines = 0;
         for (int ms = 600_001; ms < 660_001; ms += 10) {
-            lines += backoff.recovered() ? 1 : 0;
-            lines += backoff.refused(ms, StoreException.Code.REFUSED) ? 1 : 0;
+            lines += backoff.recordRecovery() ? 1 : 0;
+            lines += backoff.recordFailure(ms, StoreException.Code.REFUSED) ? 1 : 0;
         }
         assertEquals(23, lines);
     }
--- a/src/test/java/sablehinge/controlplane/node/FailStopExecutorTest.java
+++ b/src/test/java/sablehinge/controlplane/node/FailStopExecutorTest.java
@@ -26,11 +26,11 @@
 
     @Test
     void workOfWhichNothingMayBeLeftOutEndsTheProcessWhenItFails() {
-        guard.failStop("an entry", () -> came.add("done"));
-        guard.failStop("an entry", () -> {
+        guard.runFailStop("an entry", () -> came.add("done"));
+        guard.runFailStop("an entry", () -> {
             throw new OutOfMemoryError("heap");
         });
-        guard.failStop("an entry", () -> {
+        guard.runFailStop("an entry", () -> {
             throw new IllegalArgumentException("format");
         });
         assertEquals(List.of("done", "halt", "halt"), came);
--- a/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
@@ -49,7 +49,7 @@
     private double now = 10_000;
 
     /** The core as the test sets it. */
-    private final class ScriptedContact implements QuorumGate.Contact {
+    private final class ScriptedContact implements QuorumGate.RaftView {
 
         @Override
         public RaftStatus raftStatus() {
