--- a/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
@@ -134,7 +134,7 @@
             assertEquals(model.text(), text(store.load()));
             if (!model.begun) {
                 model.begun = true;
-                store.begin(SELF);
+                store.initialize(SELF);
             }
             for (int i = 1; i <= changes; i++) {
                 before = model.text();
@@ -179,7 +179,7 @@
             CrashDisk disk = new CrashDisk(at);
             disk.dieAt = at;
             try (RaftStore store = RaftStore.open(disk)) {
-                store.found(SELF, founding);
+                store.bootstrap(SELF, founding);
             } catch (StoreException e) {
                 assertTrue(disk.dead, e::toString);
             }
@@ -225,7 +225,7 @@
             assertTrue(allowed.contains(text(stored)), place);
             if (stored == null) {
                 assertNull(stored);
-                store.begin(SELF);
+                store.initialize(SELF);
                 return;
             }
             Model model = new Model();
--- a/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
@@ -46,7 +46,7 @@
         try (RaftStore store = RaftStore.open(folder.resolve("a/b"))) {
             assertNull(store.load());
             assertFalse(store.isCorrupt());
-            store.begin(SELF);
+            store.initialize(SELF);
             store.write(new WriteBatch(1, 7, 42, 0, List.of(entry(1, 10), entry(2, 300_000)), null));
         }
         try (RaftStore store = RaftStore.open(folder.resolve("a/b"))) {
@@ -66,7 +66,7 @@
     void truncatesAndTakesASnapshotInPlaceOfEntries() {
         CrashDisk disk = new CrashDisk(1);
         try (RaftStore store = RaftStore.open(disk)) {
-            store.begin(SELF);
+            store.initialize(SELF);
             store.write(append(1, 2, 3, 4, 5));
             store.write(new WriteBatch(2, 1, 0, 4, List.of(entry(4, 9)), null));
             assertEquals(List.of(1L, 2L, 3L, 4L), indexes(store));
@@ -93,9 +93,9 @@
                     StoreException.Code.ORDER,
                     assertThrows(StoreException.class, () -> store.write(append(1)))
                             .code());
-            store.begin(SELF);
+            store.initialize(SELF);
             store.write(append(1, 2));
-            assertThrows(StoreException.class, () -> store.begin(SELF));
+            assertThrows(StoreException.class, () -> store.initialize(SELF));
             assertThrows(StoreException.class, () -> store.write(append(4)));
             assertThrows(StoreException.class, () -> store.write(append(2)));
             store.write(append(3));
@@ -108,7 +108,7 @@
         for (int kind = 0; kind < 4; kind++) {
             CrashDisk disk = new CrashDisk(kind);
             try (RaftStore store = RaftStore.open(disk)) {
-                store.begin(SELF);
+                store.initialize(SELF);
                 store.write(new WriteBatch(1, 1, 0, 0, List.of(entry(1, 20_000)), null));
                 store.write(append(2));
                 store.write(append(3));
@@ -135,7 +135,7 @@
                 }
             }
             try (RaftStore store = RaftStore.open(disk)) {
-                store.begin(Member.later(8, "10.0.0.1:7000", "10.0.0.1:7001"));
+                store.initialize(Member.later(8, "10.0.0.1:7000", "10.0.0.1:7001"));
             }
             try (RaftStore store = RaftStore.open(disk)) {
                 assertFalse(store.isCorrupt());
@@ -148,7 +148,7 @@
     void doesWithoutTheHeader() {
         CrashDisk disk = new CrashDisk(1);
         try (RaftStore store = RaftStore.open(disk)) {
-            store.begin(SELF);
+            store.initialize(SELF);
             store.write(append(1, 2));
         }
         Arrays.fill(disk.bytes(RaftStore.FILE), 0, 8192, (byte) 0);
@@ -162,7 +162,7 @@
     void aRefusedWriteClosesItForGood() {
         CrashDisk disk = new CrashDisk(1);
         RaftStore store = RaftStore.open(disk);
-        store.begin(SELF);
+        store.initialize(SELF);
         store.write(append(1, 2));
         disk.room = disk.bytes(RaftStore.FILE).length + 20_000;
         StoreException full = assertThrows(
@@ -183,15 +183,15 @@
     void aCommitWhoseLastBytesAreOlderOnesIsTorn() {
         CrashDisk disk = new CrashDisk(1);
         RaftStore store = RaftStore.open(disk);
-        store.begin(SELF);
+        store.initialize(SELF);
         store.write(append(1));
         byte[] before = disk.bytes(RaftStore.FILE).clone();
         store.write(append(2));
         byte[] after = disk.bytes(RaftStore.FILE).clone();
         store.close();
         int end = after.length;
-        assertEquals(before.length + ChunkFooter.BLOCK, end, "the last commit is the last block");
-        for (int older = 1; older <= ChunkFooter.LENGTH; older++) {
+        assertEquals(before.length + ChunkFooter.BLOCK_BYTES, end, "the last commit is the last block");
+        for (int older = 1; older <= ChunkFooter.LENGTH_BYTES; older++) {
             byte[] torn = after.clone();
             Arrays.fill(torn, end - older, end, (byte) 'x');
             disk.bytes(RaftStore.FILE, torn);
@@ -208,7 +208,7 @@
         CrashDisk disk = new CrashDisk(1);
         long longest = 0;
         try (RaftStore store = RaftStore.open(disk)) {
-            store.begin(SELF);
+            store.initialize(SELF);
             int forces = disk.forces;
             for (int i = 1; i <= count; i++) {
                 Snapshot snapshot = i % 64 == 0 ? new Snapshot(i - 8, 1, List.of(SELF), new byte[200_000]) : null;
