--- a/src/main/java/sablehinge/controlplane/node/ControlNode.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlNode.java
@@ -254,7 +254,7 @@
                 .addKeyValue("member", self.id())
                 .addKeyValue("founds", stored == null && founders.contains(self))
                 .addKeyValue("outside", stored == null && !founders.contains(self))
-                .log("starts its part in the core");
+                .log("the Raft replica has started");
     }
 
     private void tick() {
--- a/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftMessageCodec.java
@@ -215,7 +215,7 @@
         long round = in.readLong();
         int count = in.readInt();
         if (count < 0 || count > MAX_ENTRIES) {
-            throw new IOException(count + " entries in a message; the maximum is " + MAX_ENTRIES);
+            throw new IOException(count + " entries in a message; " + MAX_ENTRIES + " is the maximum");
         }
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -301,7 +301,8 @@
     public static List<Member> readMembers(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
         if (count > MemberListCodec.MAX_MEMBERS) {
-            throw new IOException(count + " members in a list; the maximum is " + MemberListCodec.MAX_MEMBERS);
+            throw new IOException(
+                    "a list of " + count + " members; " + MemberListCodec.MAX_MEMBERS + " is the maximum");
         }
         List<Member> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -321,7 +322,7 @@
     private static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > MAX_BYTES) {
-            throw new IOException(length + " bytes of data; the maximum is " + MAX_BYTES);
+            throw new IOException(length + " bytes of data; " + MAX_BYTES + " is the maximum");
         }
         // readNBytes allocates as it reads: a false length costs no more memory than the received bytes.
         byte[] bytes = in.readNBytes(length);
--- a/src/main/java/sablehinge/controlplane/node/RaftStore.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStore.java
@@ -182,7 +182,7 @@
         lastIndex = first - 1 + entries.sizeAsLong();
         if (!entries.isEmpty() && (entries.firstKey() != first || entries.lastKey() != lastIndex)) {
             throw new CorruptStoreException("found entries " + entries.firstKey() + " to " + entries.lastKey()
-                    + ", expected " + first + " to " + lastIndex);
+                    + ", but " + first + " to " + lastIndex + " are expected");
         }
     }
 
--- a/src/test/java/sablehinge/controlplane/node/ControlCluster.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlCluster.java
@@ -31,27 +31,28 @@
 import sablehinge.mesh.quota.Pool;
 
 /**
- * Control machines on a made-up clock: the real agreement, state, gate, coordinator and operations, over a network and
- * disks that follow a seed. A machine can be cut off, frozen with what comes waiting in its buffers, killed with or
- * without what its disk was at, and started again. Its log is compacted every few entries, so that whoever was away is
- * sent a snapshot.
+ * Control nodes on a simulated clock: the real Raft node, state, gate, coordinator and operations, over a network and
+ * disks that a seed controls. A node can be partitioned, paused while its messages are buffered, killed with or without
+ * its unsynced writes, and restarted. Its log is compacted every few entries, so that a node that was away receives a
+ * snapshot.
  */
 final class ControlCluster {
 
     private static final double TICK_MS = 20;
-    /** Entries after which a machine compacts its log. */
-    private static final int COMPACT_AFTER = 6;
+    /** The number of entries after which a node compacts its log. */
+    private static final int COMPACTION_ENTRIES = 6;
 
-    private record Event(double at, long order, Runnable what) {}
+    private record Event(double at, long sequence, Runnable task) {}
 
     final Random random;
     final Map<String, Machine> machines = new LinkedHashMap<>();
-    /** Pairs of addresses, {@code from>to}, between which nothing is carried. */
-    final Set<String> cuts = new HashSet<>();
+    /** Pairs of addresses, {@code from>to}, between which all messages are dropped. */
+    final Set<String> droppedLinks = new HashSet<>();
 
-    private final PriorityQueue<Event> queue = new PriorityQueue<>((one, other) ->
-            one.at == other.at ? Long.compare(one.order, other.order) : Double.compare(one.at, other.at));
-    private long order;
+    private final PriorityQueue<Event> queue = new PriorityQueue<>((first, second) -> first.at == second.at
+            ? Long.compare(first.sequence, second.sequence)
+            : Double.compare(first.at, second.at));
+    private long sequence;
     private double now;
 
     ControlCluster(long seed, int size) {
@@ -61,33 +62,33 @@
             members.add(Member.founder("10.0.0." + i + ":7100", "10.0.0." + i + ":7090"));
         }
         members.forEach(member -> machines.put(member.control(), new Machine(member)));
-        machines.values().forEach(machine -> machine.found(members));
+        machines.values().forEach(machine -> machine.bootstrap(members));
     }
 
     double now() {
         return now;
     }
 
-    void after(double ms, Runnable what) {
-        queue.add(new Event(now + ms, ++order, what));
+    void schedule(double delayMs, Runnable task) {
+        queue.add(new Event(now + delayMs, ++sequence, task));
     }
 
-    void run(double ms) {
+    void advance(double ms) {
         double end = now + ms;
         while (!queue.isEmpty() && queue.peek().at <= end) {
             Event event = queue.remove();
             now = event.at;
-            event.what.run();
+            event.task.run();
         }
         now = end;
     }
 
-    /** Who leads the latest term and is heard by a majority; null where nobody is. */
+    /** The leader of the latest term that is in contact with a majority; null if there is none. */
     Machine leader() {
         Machine leader = null;
         for (Machine machine : machines.values()) {
             if (machine.up()
-                    && !machine.frozen
+                    && !machine.paused
                     && machine.gate.allows(now, ControlRequest.WATCH)
                     && (leader == null || machine.raftStatus.term() > leader.raftStatus.term())) {
                 leader = machine;
@@ -102,41 +103,41 @@
             if (leader != null && leader.raft.hasLease(now)) {
                 return leader;
             }
-            run(TICK_MS);
+            advance(TICK_MS);
         }
-        throw new AssertionError(now + " ms: nobody leads");
+        throw new AssertionError(now + " ms: no leader");
     }
 
-    List<Machine> others(Machine not) {
-        return machines.values().stream().filter(machine -> machine != not).toList();
+    List<Machine> others(Machine excluded) {
+        return machines.values().stream().filter(machine -> machine != excluded).toList();
     }
 
-    /** Cuts a machine off from the others of the core; operators still reach it. */
-    void cutOff(Machine one, boolean outward, boolean inward) {
-        for (Machine other : others(one)) {
+    /** Partitions a node from the other nodes of the core; operators still reach it. */
+    void partition(Machine isolated, boolean outward, boolean inward) {
+        for (Machine peer : others(isolated)) {
             if (outward) {
-                cuts.add(one.member.address() + ">" + other.member.address());
+                droppedLinks.add(isolated.member.address() + ">" + peer.member.address());
             }
             if (inward) {
-                cuts.add(other.member.address() + ">" + one.member.address());
+                droppedLinks.add(peer.member.address() + ">" + isolated.member.address());
             }
         }
     }
 
-    /** Ends all troubles. */
+    /** Ends all faults. */
     void heal() {
-        cuts.clear();
+        droppedLinks.clear();
         for (Machine machine : machines.values()) {
             machine.stalledUntil = now;
             if (!machine.up()) {
                 machine.start();
-            } else if (machine.frozen) {
-                machine.thaw();
+            } else if (machine.paused) {
+                machine.resume();
             }
         }
     }
 
-    /** A machine of the core and its disk. */
+    /** A control node and its disk. */
     final class Machine implements RaftActions, QuorumGate.RaftView, CallContext {
 
         final Member member;
@@ -146,17 +147,17 @@
         ConfigurationState state;
         ChangeCoordinator changes;
         List<Operation<?, ?>> operations;
-        boolean frozen;
-        double thawedAt;
-        int installs;
+        boolean paused;
+        double resumedAt;
+        int installedSnapshots;
         private long incarnation;
-        private int sinceCompacted;
-        private final ArrayDeque<Runnable> buffers = new ArrayDeque<>();
+        private int entriesSinceCompaction;
+        private final ArrayDeque<Runnable> bufferedTasks = new ArrayDeque<>();
         private final List<WriteBatch> unsynced = new ArrayList<>();
         private double diskFreeAt;
         private double stalledUntil;
         private long diskTerm;
-        private long diskVote;
+        private long diskVotedFor;
         private Snapshot diskSnapshot;
         private final List<Entry> diskEntries = new ArrayList<>();
 
@@ -174,16 +175,16 @@
 
         private void boot() {
             incarnation++;
-            buffers.clear();
+            bufferedTasks.clear();
             unsynced.clear();
-            frozen = false;
-            sinceCompacted = 0;
+            paused = false;
+            entriesSinceCompaction = 0;
             diskFreeAt = now;
             raftStatus = new RaftStatus(RaftStatus.Role.OUTSIDER, 0, null, List.of());
             state = new ConfigurationState();
             raft = new RaftNode(this, RaftConfig.defaults(), machines.size() / 2, random.nextLong());
-            gate = new QuorumGate(this, this::later);
-            changes = new ChangeCoordinator(raft, state, this::later);
+            gate = new QuorumGate(this, this::defer);
+            changes = new ChangeCoordinator(raft, state, this::defer);
             Registry registry = new Registry(2_500, 12_000);
             operations = OperatorApi.all(
                     this,
@@ -192,62 +193,62 @@
             tickAfter(random.nextDouble() * TICK_MS);
         }
 
-        private void found(List<Member> members) {
+        private void bootstrap(List<Member> members) {
             boot();
             raft.bootstrap(now, member, members);
         }
 
         void start() {
             boot();
-            raft.start(now, new PersistedState(member, diskTerm, diskVote, diskSnapshot, diskEntries), now);
+            raft.start(now, new PersistedState(member, diskTerm, diskVotedFor, diskSnapshot, diskEntries), now);
         }
 
-        /** Ends the process; its disk has some of what it was at. */
+        /** Ends the process; a random part of its unsynced writes is on disk. */
         void kill() {
-            int kept = random.nextInt(unsynced.size() + 1);
-            unsynced.subList(0, kept).forEach(this::write);
+            int survivingWrites = random.nextInt(unsynced.size() + 1);
+            unsynced.subList(0, survivingWrites).forEach(this::write);
             raft = null;
             incarnation++;
-            buffers.clear();
+            bufferedTasks.clear();
         }
 
-        void freeze() {
-            frozen = true;
+        void pause() {
+            paused = true;
         }
 
-        /** Goes on: first with what waits in its buffers, then with its ticks. */
-        void thaw() {
-            frozen = false;
-            thawedAt = now;
-            long mine = incarnation;
-            while (!buffers.isEmpty() && mine == incarnation) {
-                buffers.poll().run();
+        /** Resumes: handles the buffered tasks first and then ticks. */
+        void resume() {
+            paused = false;
+            resumedAt = now;
+            long expectedIncarnation = incarnation;
+            while (!bufferedTasks.isEmpty() && expectedIncarnation == incarnation) {
+                bufferedTasks.poll().run();
             }
             tickAfter(0);
         }
 
-        /** Something reaches the process in a while, if it is still alive then. */
-        private void arrives(double ms, Runnable what) {
-            long mine = incarnation;
-            after(ms, () -> {
-                if (mine == incarnation && up()) {
-                    if (frozen) {
-                        buffers.add(what);
+        /** Runs a task in the process after a delay, if the same process still runs then. */
+        private void deliver(double delayMs, Runnable task) {
+            long expectedIncarnation = incarnation;
+            schedule(delayMs, () -> {
+                if (expectedIncarnation == incarnation && up()) {
+                    if (paused) {
+                        bufferedTasks.add(task);
                     } else {
-                        what.run();
+                        task.run();
                     }
                 }
             });
         }
 
-        private void later(Runnable work) {
-            arrives(0, work);
+        private void defer(Runnable task) {
+            deliver(0, task);
         }
 
         private void tickAfter(double ms) {
-            long mine = incarnation;
-            after(ms, () -> {
-                if (mine == incarnation && up() && !frozen) {
+            long expectedIncarnation = incarnation;
+            schedule(ms, () -> {
+                if (expectedIncarnation == incarnation && up() && !paused) {
                     raft.tick(now);
                     changes.expire(now);
                     gate.expire(now);
@@ -256,13 +257,13 @@
             });
         }
 
-        /** An operator's call comes; the answer leaves when it is there. */
+        /** Executes an operator's call. */
         void call(ControlRequest request, long basedOn, String body, Consumer<ApiResponse> answer) {
-            arrives(0, () -> {
-                for (Operation<?, ?> one : operations) {
-                    if (one.path().equals(request.path())) {
-                        carry(
-                                one,
+            deliver(0, () -> {
+                for (Operation<?, ?> operation : operations) {
+                    if (operation.path().equals(request.path())) {
+                        execute(
+                                operation,
                                 new ApiRequest(
                                         "",
                                         new DefaultHttpHeaders().add("Sablehinge-Based-On", Long.toString(basedOn)),
@@ -273,18 +274,18 @@
             });
         }
 
-        private <Q, A> void carry(Operation<Q, A> operation, ApiRequest requested, Consumer<ApiResponse> answer) {
-            operation.execute(operation.read(requested), response -> answer.accept(operation.write(response)));
+        private <Q, A> void execute(Operation<Q, A> operation, ApiRequest request, Consumer<ApiResponse> answer) {
+            operation.execute(operation.read(request), response -> answer.accept(operation.write(response)));
         }
 
-        // What the agreement asks for.
+        // RaftActions
 
         @Override
         public void send(Member to, Message message) {
-            if (!cuts.contains(member.address() + ">" + to.address())) {
+            if (!droppedLinks.contains(member.address() + ">" + to.address())) {
                 for (Machine machine : machines.values()) {
                     if (machine.member.address().equals(to.address())) {
-                        machine.arrives(
+                        machine.deliver(
                                 0.2 + random.nextDouble(), () -> machine.raft.handleMessage(now, member, message));
                     }
                 }
@@ -292,39 +293,39 @@
         }
 
         @Override
-        public void persist(WriteBatch change) {
-            unsynced.add(change);
+        public void persist(WriteBatch batch) {
+            unsynced.add(batch);
             diskFreeAt = Math.max(now, diskFreeAt) + 1 + random.nextDouble() * 2;
-            arrives(diskFreeAt - now, () -> synced(change));
+            deliver(diskFreeAt - now, () -> onSynced(batch));
         }
 
-        private void synced(WriteBatch change) {
+        private void onSynced(WriteBatch batch) {
             if (now < stalledUntil) {
-                arrives(stalledUntil - now, () -> synced(change));
+                deliver(stalledUntil - now, () -> onSynced(batch));
                 return;
             }
-            while (!unsynced.isEmpty() && unsynced.get(0).number() <= change.number()) {
+            while (!unsynced.isEmpty() && unsynced.get(0).number() <= batch.number()) {
                 write(unsynced.remove(0));
             }
-            raft.persisted(now, change.number());
+            raft.persisted(now, batch.number());
         }
 
-        /** The disk ends nothing for so long, ms, not even what it is at. */
+        /** Lets the disk complete no write for a time, not even the ones in flight. */
         void stall(double ms) {
             stalledUntil = now + ms;
         }
 
-        private void write(WriteBatch change) {
-            diskTerm = change.term();
-            diskVote = change.votedFor();
-            if (change.truncateFrom() > 0) {
-                diskEntries.removeIf(entry -> entry.index() >= change.truncateFrom());
+        private void write(WriteBatch batch) {
+            diskTerm = batch.term();
+            diskVotedFor = batch.votedFor();
+            if (batch.truncateFrom() > 0) {
+                diskEntries.removeIf(entry -> entry.index() >= batch.truncateFrom());
             }
-            if (change.snapshot() != null) {
-                diskSnapshot = change.snapshot();
+            if (batch.snapshot() != null) {
+                diskSnapshot = batch.snapshot();
                 diskEntries.removeIf(entry -> entry.index() <= diskSnapshot.index());
             }
-            diskEntries.addAll(change.append());
+            diskEntries.addAll(batch.append());
         }
 
         @Override
@@ -332,16 +333,16 @@
             if (entry.kind() == Entry.Kind.COMMAND) {
                 changes.apply(entry);
             }
-            if (++sinceCompacted >= COMPACT_AFTER) {
-                sinceCompacted = 0;
+            if (++entriesSinceCompaction >= COMPACTION_ENTRIES) {
+                entriesSinceCompaction = 0;
                 byte[] bytes = state.state();
-                later(() -> raft.compact(entry.index(), bytes));
+                defer(() -> raft.compact(entry.index(), bytes));
             }
         }
 
         @Override
         public void restore(Snapshot snapshot) {
-            installs++;
+            installedSnapshots++;
             state.restore(snapshot.state());
         }
 
@@ -361,7 +362,7 @@
             gate.barrierEnded(now, token, false);
         }
 
-        // What the gate and the operations ask for.
+        // QuorumGate.RaftView and CallContext
 
         @Override
         public double sinceMajorityMs(double at) {
@@ -419,13 +420,13 @@
         }
 
         @Override
-        public void runOffLoop(Runnable work) {
-            arrives(random.nextDouble() * 4, work);
+        public void runOffLoop(Runnable task) {
+            deliver(random.nextDouble() * 4, task);
         }
 
         @Override
-        public void runOnLoop(Runnable work) {
-            arrives(0, work);
+        public void runOnLoop(Runnable task) {
+            deliver(0, task);
         }
     }
 }
--- a/src/test/java/sablehinge/controlplane/node/ControlNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/node/ControlNodeTest.java
@@ -42,12 +42,12 @@
 import sablehinge.mesh.watch.Update;
 import sablehinge.mesh.watch.WatchRequest;
 
-/** Three real machines of the core on loopback addresses, each with a folder, called as operators call. */
+/** Three control nodes on loopback addresses, each with its own directory, called through the operator API. */
 @Timeout(240)
 class ControlNodeTest {
 
     private static final long TIMEOUT_NANOS = 30_000_000_000L;
-    private static final AtomicInteger MADE = new AtomicInteger();
+    private static final AtomicInteger CLUSTERS = new AtomicInteger();
     private static final HttpClient HTTP = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .followRedirects(HttpClient.Redirect.NEVER)
@@ -55,20 +55,20 @@
             .build();
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private final ControlNode[] members = new ControlNode[3];
     private final List<String> seeds = new ArrayList<>();
     private final List<String> redirects = new CopyOnWriteArrayList<>();
-    private String net;
+    private String subnet;
 
     @BeforeEach
-    void starts() throws Exception {
+    void startAll() throws Exception {
         long process = ProcessHandle.current().pid();
-        net = "127." + (1 + process % 250) + "." + (1 + process / 250 % 250) + ".";
-        int first = 200 + 3 * MADE.getAndIncrement();
+        subnet = "127." + (1 + process % 250) + "." + (1 + process / 250 % 250) + ".";
+        int first = 200 + 3 * CLUSTERS.getAndIncrement();
         for (int i = 0; i < members.length; i++) {
-            seeds.add(net + (first + i) + ":7090");
+            seeds.add(subnet + (first + i) + ":7090");
         }
         for (int i = 0; i < members.length; i++) {
             start(i, true);
@@ -76,7 +76,7 @@
     }
 
     @AfterEach
-    void ends() throws Exception {
+    void stopAll() throws Exception {
         for (int i = 0; i < members.length; i++) {
             stop(i);
         }
@@ -101,7 +101,7 @@
                 seeds,
                 first,
                 true,
-                folder.resolve("r-" + i).toString(),
+                directory.resolve("r-" + i).toString(),
                 500,
                 List.of(),
                 null,
@@ -156,8 +156,8 @@
         HttpResponse<String> at(int member) throws Exception;
     }
 
-    /** Calls members one after the other as operators do, until one gives a clear answer. */
-    private HttpResponse<String> called(int first, Call call) throws Exception {
+    /** Calls the members in turn, as the protocol requires of operators, until one gives a clear answer. */
+    private HttpResponse<String> callUntilAnswered(int first, Call call) throws Exception {
         long end = System.nanoTime() + TIMEOUT_NANOS;
         int member = first;
         while (System.nanoTime() < end) {
@@ -173,7 +173,7 @@
                     return answer;
                 }
             } catch (IOException e) {
-                // It is down, or was until just now.
+                // The member is down or still starting.
             }
             LockSupport.parkNanos(20_000_000);
             member = (member + 1) % members.length;
@@ -181,67 +181,70 @@
         throw new AssertionError("no clear answer");
     }
 
-    private int replaced(long basedOn, String body) throws Exception {
-        return called(0, member -> replaceAt(member, "" + basedOn, body)).statusCode();
+    private int replace(long basedOn, String body) throws Exception {
+        return callUntilAnswered(0, member -> replaceAt(member, "" + basedOn, body))
+                .statusCode();
     }
 
     private HttpResponse<String> read(int first) throws Exception {
-        return called(first, this::readAt);
+        return callUntilAnswered(first, this::readAt);
     }
 
-    /** Who leads, once all members that run agree on that. */
+    /** The index of the leader, once all running members agree on it. */
     private int leader() throws Exception {
         long end = System.nanoTime() + TIMEOUT_NANOS;
         while (System.nanoTime() < end) {
             int leader = -1;
-            int outcome = 0;
+            int followers = 0;
             int running = 0;
             for (int i = 0; i < members.length; i++) {
                 if (members[i] != null) {
                     running++;
                     HttpResponse<String> answer = readAt(i);
                     if (answer.statusCode() == 307) {
-                        outcome++;
+                        followers++;
                     } else if (answer.statusCode() < 500) {
                         leader = i;
                     }
                 }
             }
-            if (leader >= 0 && outcome == running - 1) {
+            if (leader >= 0 && followers == running - 1) {
                 return leader;
             }
             LockSupport.parkNanos(20_000_000);
         }
-        throw new AssertionError("nobody leads");
+        throw new AssertionError("no leader");
     }
 
     @Test
-    void theFirstConfigurationIsTakenAndReadAsItWasSentWhoeverIsCalled() throws Exception {
+    void replacesAndReadsConfigurationThroughAnyMember() throws Exception {
         assertEquals(404, read(0).statusCode());
         String body = configuration(7, "huvo11a");
-        assertEquals(200, replaced(0, body));
+        assertEquals(200, replace(0, body));
         for (int i = 0; i < 3; i++) {
             assertEquals(body, read(i).body());
-            assertEquals(200, called(i, member -> replaceAt(member, "0", body)).statusCode());
+            assertEquals(
+                    200,
+                    callUntilAnswered(i, member -> replaceAt(member, "0", body)).statusCode());
         }
         assertFalse(redirects.isEmpty());
         for (String location : redirects) {
             assertTrue(location.matches("http://127[.0-9]+:7090/sablehinge/Config[.](Read|Replace)"), location);
         }
-        assertEquals(200, replaced(7, configuration(9, "wuno96b")));
-        assertEquals(200, replaced(0, body));
+        assertEquals(200, replace(7, configuration(9, "wuno96b")));
+        assertEquals(200, replace(0, body));
         assertEquals(configuration(9, "wuno96b"), read(2).body());
     }
 
     @Test
-    void ofTwoAtOnceOnOneVersionOneWinsAndTheOtherIsToldSo() throws Exception {
-        assertEquals(200, replaced(0, configuration(7, "huvo11a")));
+    void acceptsOneOfTwoConcurrentChangesOnSameBase() throws Exception {
+        assertEquals(200, replace(0, configuration(7, "huvo11a")));
         List<String> bodies = List.of(configuration(9, "huvo11a"), configuration(10, "wuno96b"));
         List<CompletableFuture<Integer>> answers = new ArrayList<>();
         for (String body : bodies) {
             answers.add(CompletableFuture.supplyAsync(() -> {
                 try {
-                    return replaced(7, body);
+                    return replace(7, body);
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
@@ -250,66 +253,70 @@
         List<Integer> codes = List.of(answers.get(0).get(), answers.get(1).get());
         assertEquals(List.of(200, 412), codes.stream().sorted().toList());
         assertEquals(bodies.get(codes.indexOf(200)), read(1).body());
-        assertEquals(412, replaced(7, configuration(11, "huvo11a")));
+        assertEquals(412, replace(7, configuration(11, "huvo11a")));
     }
 
     @Test
-    void anInvalidConfigurationIsRefusedWithItsPlaceAndNotInForce() throws Exception {
+    void refusesInvalidConfigurationWithItsPlace() throws Exception {
         String body = configuration(7, "huvo11a");
-        String[][] spoilt = {
+        String[][] invalidParts = {
             {"\"edition\":7", "\"edition\":\"x\"", "/edition"},
             {"{\"depot\":\"huvo11a\"", "{\"depot\":\"no\"", "/gates/0/regulations/0/dispatch"},
             {"\"attempts\":2", "\"attempts\":0", "/gates/0/regulations/0/dispatch/attempts"},
             {"4000", "600001", "/gates/0/regulations/0/dispatch/timeoutMs"},
             {"\"fleets\"", "\"fleets", "line"}
         };
-        for (String[] one : spoilt) {
-            HttpResponse<String> answer = called(0, member -> replaceAt(member, "0", body.replace(one[0], one[1])));
+        for (String[] part : invalidParts) {
+            HttpResponse<String> answer =
+                    callUntilAnswered(0, member -> replaceAt(member, "0", body.replace(part[0], part[1])));
             assertEquals(400, answer.statusCode());
-            assertTrue(answer.body().contains(one[2]), answer.body());
+            assertTrue(answer.body().contains(part[2]), answer.body());
         }
-        assertEquals(400, called(0, member -> replaceAt(member, "none", body)).statusCode());
+        assertEquals(
+                400,
+                callUntilAnswered(0, member -> replaceAt(member, "none", body)).statusCode());
         assertEquals(404, read(0).statusCode());
-        assertEquals(200, replaced(0, body));
-        assertEquals(400, replaced(7, configuration(6, "huvo11a")));
+        assertEquals(200, replace(0, body));
+        assertEquals(400, replace(7, configuration(6, "huvo11a")));
         assertEquals(body, read(0).body());
     }
 
     @Test
-    void aCallWithoutAClearAnswerMayBeRepeatedToTheNextLeader() throws Exception {
-        assertEquals(200, replaced(0, configuration(7, "huvo11a")));
+    void unclearCallMayBeRepeatedAtNextLeader() throws Exception {
+        assertEquals(200, replace(0, configuration(7, "huvo11a")));
         int leader = leader();
         String body = configuration(8, "wuno96b");
-        assertEquals(200, replaced(7, body));
+        assertEquals(200, replace(7, body));
         stop(leader);
         assertEquals(
                 200,
-                called((leader + 1) % 3, member -> replaceAt(member, "7", body)).statusCode());
+                callUntilAnswered((leader + 1) % 3, member -> replaceAt(member, "7", body))
+                        .statusCode());
         assertEquals(body, read((leader + 2) % 3).body());
-        assertEquals(200, replaced(0, configuration(7, "huvo11a")));
-        assertEquals(412, replaced(7, configuration(9, "huvo11a")));
+        assertEquals(200, replace(0, configuration(7, "huvo11a")));
+        assertEquals(412, replace(7, configuration(9, "huvo11a")));
         start(leader, false);
-        assertEquals(200, replaced(8, configuration(10, "huvo11a")));
+        assertEquals(200, replace(8, configuration(10, "huvo11a")));
         assertEquals(configuration(10, "huvo11a"), read(leader).body());
     }
 
-    /** What SIGTERM calls: it returns once another leads and a majority of the others holds all. */
+    /** On SIGTERM, {@code leave} returns once another member leads and a majority of the others has all entries. */
     @Test
-    void aLeaderThatIsStoppedHandsOverBeforeItEnds() throws Exception {
-        assertEquals(200, replaced(0, configuration(7, "huvo11a")));
+    void stoppedLeaderTransfersLeadership() throws Exception {
+        assertEquals(200, replace(0, configuration(7, "huvo11a")));
         int leader = leader();
         long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!members[leader].leave(0)) {
-            assertTrue(System.nanoTime() < end, "nobody takes over");
+            assertTrue(System.nanoTime() < end, "no other member takes over");
         }
         assertTrue(leader() != leader);
         stop(leader);
-        assertEquals(200, replaced(7, configuration(8, "wuno96b")));
+        assertEquals(200, replace(7, configuration(8, "wuno96b")));
     }
 
     @Test
-    void withoutAMajorityNothingIsAcknowledgedNorRead() throws Exception {
-        assertEquals(200, replaced(0, configuration(7, "huvo11a")));
+    void acknowledgesAndReadsNothingWithoutMajority() throws Exception {
+        assertEquals(200, replace(0, configuration(7, "huvo11a")));
         int leader = leader();
         stop((leader + 1) % 3);
         stop((leader + 2) % 3);
@@ -320,15 +327,15 @@
             assertTrue(code == 503 || code == 307, "read with " + code);
         }
         start((leader + 1) % 3, false);
-        assertEquals(200, replaced(7, configuration(8, "wuno96b")));
+        assertEquals(200, replace(7, configuration(8, "wuno96b")));
         assertEquals(configuration(8, "wuno96b"), read(leader).body());
     }
 
     @Test
-    void allThatWasAcknowledgedIsThereAfterAllHaveEnded() throws Exception {
-        // More than the log holds before it is cut to a snapshot.
+    void acknowledgedChangesSurviveRestartOfAllMembers() throws Exception {
+        // More entries than the log holds before it is compacted to a snapshot.
         for (int edition = 1; edition <= 50; edition++) {
-            assertEquals(200, replaced(edition - 1, configuration(edition, "huvo11a")));
+            assertEquals(200, replace(edition - 1, configuration(edition, "huvo11a")));
         }
         for (int i = 0; i < 3; i++) {
             stop(i);
@@ -337,54 +344,54 @@
             start(i, false);
         }
         assertEquals(configuration(50, "huvo11a"), read(0).body());
-        assertEquals(200, replaced(0, configuration(1, "huvo11a")));
-        assertEquals(200, replaced(49, configuration(50, "huvo11a")));
-        assertEquals(412, replaced(49, configuration(51, "huvo11a")));
-        assertEquals(200, replaced(50, configuration(51, "huvo11a")));
+        assertEquals(200, replace(0, configuration(1, "huvo11a")));
+        assertEquals(200, replace(49, configuration(50, "huvo11a")));
+        assertEquals(412, replace(49, configuration(51, "huvo11a")));
+        assertEquals(200, replace(50, configuration(51, "huvo11a")));
     }
 
-    /** Whoever tries again with another address finds the first one free. */
+    /** A start with another address must find the first address free. */
     @Test
-    void aStartThatFailsLeavesNoListenerBehind() throws Exception {
+    void failedStartLeavesNoListenerBehind() throws Exception {
         stop(0);
         InetSocketAddress control = ControlNode.address(seeds.get(0));
-        InetSocketAddress inner = new InetSocketAddress(control.getAddress(), 7_100);
-        try (ServerSocket taken = new ServerSocket()) {
-            taken.bind(control);
+        InetSocketAddress innerAddress = new InetSocketAddress(control.getAddress(), 7_100);
+        try (ServerSocket occupied = new ServerSocket()) {
+            occupied.bind(control);
             assertThrows(ConfigException.class, () -> start(0, false));
         }
         try (ServerSocket free = new ServerSocket()) {
-            free.bind(inner);
+            free.bind(innerAddress);
         }
         start(0, false);
-        assertEquals(200, replaced(0, configuration(7, "huvo11a")));
+        assertEquals(200, replace(0, configuration(7, "huvo11a")));
     }
 
-    /** A disk that can't be had at a start: here, its folder's name is taken by a file. */
+    /** The disk is unusable at the start: a file has the name of its directory. */
     @Test
-    void aMachineWhoseDiskRefusesAtItsStartAnswersAndTakesPartOnceItIsWell() throws Exception {
-        assertEquals(200, replaced(0, configuration(7, "huvo11a")));
+    void nodeWithFailingDiskAnswersAndJoinsOnceDiskRecovers() throws Exception {
+        assertEquals(200, replace(0, configuration(7, "huvo11a")));
         int leader = leader();
-        int late = (leader + 1) % 3;
-        stop(late);
-        Path its = folder.resolve("r-" + late);
-        Files.move(its, folder.resolve("aside"));
-        Files.writeString(its, "not a folder");
-        start(late, false);
-        assertEquals(503, readAt(late).statusCode());
-        assertEquals(200, replaced(7, configuration(8, "wuno96b")));
-        assertEquals(503, readAt(late).statusCode());
-        Files.delete(its);
-        Files.move(folder.resolve("aside"), its);
+        int restarted = (leader + 1) % 3;
+        stop(restarted);
+        Path memberDirectory = directory.resolve("r-" + restarted);
+        Files.move(memberDirectory, directory.resolve("aside"));
+        Files.writeString(memberDirectory, "not a folder");
+        start(restarted, false);
+        assertEquals(503, readAt(restarted).statusCode());
+        assertEquals(200, replace(7, configuration(8, "wuno96b")));
+        assertEquals(503, readAt(restarted).statusCode());
+        Files.delete(memberDirectory);
+        Files.move(directory.resolve("aside"), memberDirectory);
         leader = leader();
-        stop((late + 1) % 3 == leader ? (late + 2) % 3 : (late + 1) % 3);
-        assertEquals(200, replaced(8, configuration(9, "huvo11a")));
+        stop((restarted + 1) % 3 == leader ? (restarted + 2) % 3 : (restarted + 1) % 3);
+        assertEquals(200, replace(8, configuration(9, "huvo11a")));
     }
 
     @Test
-    void whoAsksForNewsIsSentToTheLeaderWhoTellsAndConfirmsThem() throws Exception {
+    void redirectsWatchRequestToLeaderThatConfirmsUpdate() throws Exception {
         String body = configuration(7, "huvo11a");
-        assertEquals(200, replaced(0, body));
+        assertEquals(200, replace(0, body));
         int leader = leader();
         EventLoop loop = ClosingEventLoops.single("test");
         try {
@@ -397,13 +404,13 @@
                     true,
                     List.of(),
                     List.of());
-            Frame elsewhere = exchange(loop, (leader + 1) % 3, request);
-            assertEquals(Frame.Kind.REDIRECT, elsewhere.kind());
+            Frame redirect = exchange(loop, (leader + 1) % 3, request);
+            assertEquals(Frame.Kind.REDIRECT, redirect.kind());
             String host = seeds.get(leader).substring(0, seeds.get(leader).indexOf(':'));
-            assertEquals(host + ":7100", new String(elsewhere.body(), StandardCharsets.UTF_8));
-            Frame outcome = exchange(loop, leader, request);
-            assertEquals(Frame.Kind.UPDATE, outcome.kind());
-            Update update = Update.read(outcome.body());
+            assertEquals(host + ":7100", new String(redirect.body(), StandardCharsets.UTF_8));
+            Frame updateFrame = exchange(loop, leader, request);
+            assertEquals(Frame.Kind.UPDATE, updateFrame.kind());
+            Update update = Update.read(updateFrame.body());
             assertEquals(3, update.number());
             assertTrue(update.confirmed());
             assertEquals(7, update.edition());
@@ -421,12 +428,12 @@
     }
 
     @Test
-    void whoWasToldNewsByALeaderOfALaterTermIsSentElsewhere() throws Exception {
-        assertEquals(200, replaced(0, configuration(7, "huvo11a")));
+    void redirectsWatchRequestWithLaterTerm() throws Exception {
+        assertEquals(200, replace(0, configuration(7, "huvo11a")));
         int leader = leader();
         EventLoop loop = ClosingEventLoops.single("test");
         try {
-            Frame elsewhere = exchange(
+            Frame redirect = exchange(
                     loop,
                     leader,
                     new WatchRequest(
@@ -438,14 +445,14 @@
                             false,
                             List.of(),
                             List.of()));
-            assertEquals(Frame.Kind.REDIRECT, elsewhere.kind());
-            assertEquals("", new String(elsewhere.body(), StandardCharsets.UTF_8));
+            assertEquals(Frame.Kind.REDIRECT, redirect.kind());
+            assertEquals("", new String(redirect.body(), StandardCharsets.UTF_8));
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The first record that a member answers to an ask. */
+    /** The first frame with which a member answers a watch request. */
     private Frame exchange(EventLoop loop, int member, WatchRequest request) throws InterruptedException {
         LinkedBlockingQueue<Frame> answers = new LinkedBlockingQueue<>();
         Connection.Handler handler = new Connection.Handler() {
--- a/src/test/java/sablehinge/controlplane/node/CrashDisk.java
+++ b/src/test/java/sablehinge/controlplane/node/CrashDisk.java
@@ -15,32 +15,34 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * A folder in memory that can lose power at each write, sync, rename and opening, can refuse them for a while, and can
- * be full. A sync that was refused loses what it covered, though it can still be read, and later syncs say nothing of
- * it.
+ * A directory in memory that can lose power at each write, sync, rename and opening, can fail these for a while, and
+ * can be full. A failed sync loses some of the writes that it covered: they can still be read, and later syncs succeed
+ * without them.
  */
 final class CrashDisk implements Disk {
 
-    /** A file's bytes as a program sees them, those on disk, and what was done since the last sync. */
-    private static final class Body {
-        private byte[] seen = new byte[0];
+    /** A file's bytes as a program reads them, the bytes on disk, and the operations since the last sync. */
+    private static final class FileContent {
+        private byte[] visible = new byte[0];
         private byte[] synced = new byte[0];
-        private final List<Op> ops = new ArrayList<>();
+        private final List<Op> unsyncedOps = new ArrayList<>();
         private boolean locked;
     }
 
-    /** A write, or with null a new length. */
+    /** A write, or a truncation if {@code bytes} is null. */
     private record Op(long at, byte[] bytes) {}
 
-    /** A file got a name, lost one, or both; {@code gone} or {@code body} is null for none. */
-    private record NameStep(String gone, String name, Body body) {
+    /**
+     * A creation, deletion or renaming of a file; {@code removedName} or {@code content} is null if it doesn't apply.
+     */
+    private record NameChange(String removedName, String name, FileContent content) {
 
-        void onto(Map<String, Body> names) {
-            if (gone != null) {
-                names.remove(gone);
+        void applyTo(Map<String, FileContent> names) {
+            if (removedName != null) {
+                names.remove(removedName);
             }
-            if (body != null) {
-                names.put(name, body);
+            if (content != null) {
+                names.put(name, content);
             }
         }
     }
@@ -51,92 +53,92 @@
 
     private static CrashDisk current;
 
-    private Map<String, Body> names = new HashMap<>();
-    private Map<String, Body> syncedNames = new HashMap<>();
-    private final List<NameStep> nameSteps = new ArrayList<>();
+    private Map<String, FileContent> names = new HashMap<>();
+    private Map<String, FileContent> syncedNames = new HashMap<>();
+    private final List<NameChange> unsyncedNameChanges = new ArrayList<>();
     int steps;
     int forces;
     long writtenBytes;
-    /** The step at which the power goes; it takes place or it doesn't, by {@code after}. */
-    int dieAt = Integer.MAX_VALUE;
+    /** The step at which power is lost; {@code completesLastStep} tells whether the step still takes place. */
+    int powerLossAt = Integer.MAX_VALUE;
 
-    boolean after;
-    boolean dead;
-    long room = Long.MAX_VALUE;
-    /** Steps from the one up to before the other are refused: in part done, of a sync some pages lost. */
-    int refuseFrom = Integer.MAX_VALUE;
+    boolean completesLastStep;
+    boolean powerLost;
+    long capacityBytes = Long.MAX_VALUE;
+    /** Steps from this one to before {@code failTo} fail: writes are done in part, and syncs lose some writes. */
+    int failFrom = Integer.MAX_VALUE;
 
-    int refuseTo = Integer.MAX_VALUE;
-    boolean refusing;
-    /** Steps that shorten a file and were refused; MVStore takes ten such steps before it gives up. */
-    int refusedTruncations;
+    int failTo = Integer.MAX_VALUE;
+    boolean failing;
+    /** The number of failed truncations; MVStore makes ten attempts before it gives up. */
+    int failedTruncations;
 
     private final Random random;
 
     CrashDisk(long seed) {
         random = new Random(seed);
-        after = random.nextBoolean();
+        completesLastStep = random.nextBoolean();
         current = this;
     }
 
     private void step() throws IOException {
-        if (dead) {
+        if (powerLost) {
             throw new IOException("no power");
         }
-        if (++steps == dieAt) {
-            dead = true;
-            if (!after) {
+        if (++steps == powerLossAt) {
+            powerLost = true;
+            if (!completesLastStep) {
                 throw new IOException("no power");
             }
         }
-        refusing = steps >= refuseFrom && steps < refuseTo;
+        failing = steps >= failFrom && steps < failTo;
     }
 
-    /** A step that is refused does nothing. */
-    private void all() throws IOException {
+    /** A step that has no effect if it fails. */
+    private void stepWithoutEffectOnFailure() throws IOException {
         step();
-        if (refusing) {
-            throw new IOException("refused");
+        if (failing) {
+            throw new IOException("injected failure");
         }
     }
 
-    private void done() throws IOException {
-        if (dead) {
+    private void checkPower() throws IOException {
+        if (powerLost) {
             throw new IOException("no power");
         }
     }
 
-    /** The power is back; of what was not synced, some is there. */
+    /** Restores power; a random part of the unsynced operations is on disk. */
     void powerUp() {
         names = new HashMap<>(syncedNames);
-        // Each that was not synced is kept or lost by itself, whatever became of those before it.
+        // Each unsynced name change survives or is lost independently of the earlier ones.
         int mode = random.nextInt(4);
-        for (NameStep step : nameSteps) {
+        for (NameChange step : unsyncedNameChanges) {
             if (mode == 0 || mode > 1 && random.nextBoolean()) {
-                step.onto(names);
+                step.applyTo(names);
             }
         }
         syncedNames = new HashMap<>(names);
-        nameSteps.clear();
-        for (Body body : names.values()) {
-            int torn = random.nextInt(4);
-            byte[] bytes = body.synced;
-            for (Op op : body.ops) {
-                int fate = torn == 0 ? 0 : torn == 1 ? 1 : random.nextInt(4);
+        unsyncedNameChanges.clear();
+        for (FileContent content : names.values()) {
+            int tornMode = random.nextInt(4);
+            byte[] bytes = content.synced;
+            for (Op op : content.unsyncedOps) {
+                int fate = tornMode == 0 ? 0 : tornMode == 1 ? 1 : random.nextInt(4);
                 bytes = fate == 0 ? bytes : applied(bytes, op, fate);
             }
-            body.synced = bytes;
-            body.seen = bytes.clone();
-            body.ops.clear();
-            body.locked = false;
+            content.synced = bytes;
+            content.visible = bytes.clone();
+            content.unsyncedOps.clear();
+            content.locked = false;
         }
-        dead = false;
-        dieAt = Integer.MAX_VALUE;
-        refuseFrom = Integer.MAX_VALUE;
+        powerLost = false;
+        powerLossAt = Integer.MAX_VALUE;
+        failFrom = Integer.MAX_VALUE;
         current = this;
     }
 
-    /** Fate 1 is all of it, 2 its beginning, 3 some sectors. */
+    /** Applies an operation: fate 1 is all of it, 2 its beginning, 3 some sectors. */
     private byte[] applied(byte[] bytes, Op op, int fate) {
         if (op.bytes == null) {
             return Arrays.copyOf(bytes, (int) Math.min(op.at, bytes.length));
@@ -151,19 +153,19 @@
         return result;
     }
 
-    private void take(NameStep step) {
-        step.onto(names);
-        nameSteps.add(step);
+    private void change(NameChange step) {
+        step.applyTo(names);
+        unsyncedNameChanges.add(step);
     }
 
     byte[] bytes(String name) {
-        return names.get(name).seen;
+        return names.get(name).visible;
     }
 
     void bytes(String name, byte[] bytes) {
-        Body body = names.computeIfAbsent(name, none -> new Body());
-        body.seen = bytes;
-        body.synced = bytes.clone();
+        FileContent content = names.computeIfAbsent(name, none -> new FileContent());
+        content.visible = bytes;
+        content.synced = bytes.clone();
     }
 
     @Override
@@ -178,29 +180,29 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        all();
-        take(new NameStep(from, to, names.get(from)));
-        done();
+        stepWithoutEffectOnFailure();
+        change(new NameChange(from, to, names.get(from)));
+        checkPower();
     }
 
     @Override
     public void delete(String name) throws IOException {
         if (names.containsKey(name)) {
-            all();
-            take(new NameStep(name, null, null));
-            done();
+            stepWithoutEffectOnFailure();
+            change(new NameChange(name, null, null));
+            checkPower();
         }
     }
 
     @Override
     public void sync() throws IOException {
-        all();
+        stepWithoutEffectOnFailure();
         syncedNames = new HashMap<>(names);
-        nameSteps.clear();
-        done();
+        unsyncedNameChanges.clear();
+        checkPower();
     }
 
-    /** H2's way to these files; public as H2 makes it by reflection. */
+    /** Opens these files for H2; public because H2 creates instances by reflection. */
     public static final class MemoryPath extends FilePathWrapper {
         public MemoryPath() {}
 
@@ -227,36 +229,36 @@
         @Override
         public FileChannel open(String mode) throws IOException {
             String file = name.substring(6);
-            current.all();
+            current.stepWithoutEffectOnFailure();
             if (!current.names.containsKey(file)) {
-                current.take(new NameStep(null, file, new Body()));
+                current.change(new NameChange(null, file, new FileContent()));
             }
-            current.done();
+            current.checkPower();
             return new Memory(current, current.names.get(file));
         }
     }
 
     private static final class Memory extends FileBaseDefault {
         private final CrashDisk disk;
-        private final Body body;
+        private final FileContent content;
 
-        Memory(CrashDisk disk, Body body) {
+        Memory(CrashDisk disk, FileContent content) {
             this.disk = disk;
-            this.body = body;
+            this.content = content;
         }
 
         @Override
         public long size() {
-            return body.seen.length;
+            return content.visible.length;
         }
 
         @Override
         public int read(ByteBuffer to, long position) {
-            if (position >= body.seen.length) {
+            if (position >= content.visible.length) {
                 return -1;
             }
-            int length = (int) Math.min(to.remaining(), body.seen.length - position);
-            to.put(body.seen, (int) position, length);
+            int length = (int) Math.min(to.remaining(), content.visible.length - position);
+            to.put(content.visible, (int) position, length);
             return length;
         }
 
@@ -265,71 +267,71 @@
             disk.step();
             byte[] bytes = new byte[from.remaining()];
             from.get(bytes);
-            if (disk.refusing) {
-                put(new Op(position, Arrays.copyOf(bytes, disk.random.nextInt(bytes.length + 1))));
-                throw new IOException("refused");
+            if (disk.failing) {
+                record(new Op(position, Arrays.copyOf(bytes, disk.random.nextInt(bytes.length + 1))));
+                throw new IOException("injected failure");
             }
-            if (position + bytes.length > disk.room) {
-                int fits = (int) Math.max(0, disk.room - position);
-                put(new Op(position, Arrays.copyOf(bytes, fits)));
+            if (position + bytes.length > disk.capacityBytes) {
+                int fits = (int) Math.max(0, disk.capacityBytes - position);
+                record(new Op(position, Arrays.copyOf(bytes, fits)));
                 throw new IOException("No space left on device");
             }
-            put(new Op(position, bytes));
+            record(new Op(position, bytes));
             disk.writtenBytes += bytes.length;
-            disk.done();
+            disk.checkPower();
             return bytes.length;
         }
 
-        private void put(Op op) {
+        private void record(Op op) {
             int end = (int) op.at + op.bytes.length;
-            if (end > body.seen.length) {
-                body.seen = Arrays.copyOf(body.seen, end);
+            if (end > content.visible.length) {
+                content.visible = Arrays.copyOf(content.visible, end);
             }
-            System.arraycopy(op.bytes, 0, body.seen, (int) op.at, op.bytes.length);
-            body.ops.add(op);
+            System.arraycopy(op.bytes, 0, content.visible, (int) op.at, op.bytes.length);
+            content.unsyncedOps.add(op);
         }
 
         @Override
         protected void implTruncate(long size) throws IOException {
             disk.step();
-            if (disk.refusing) {
-                disk.refusedTruncations++;
-                throw new IOException("refused");
+            if (disk.failing) {
+                disk.failedTruncations++;
+                throw new IOException("injected failure");
             }
-            body.seen = Arrays.copyOf(body.seen, (int) Math.min(size, body.seen.length));
-            body.ops.add(new Op(size, null));
-            disk.done();
+            content.visible = Arrays.copyOf(content.visible, (int) Math.min(size, content.visible.length));
+            content.unsyncedOps.add(new Op(size, null));
+            disk.checkPower();
         }
 
         @Override
         public void force(boolean metadata) throws IOException {
             disk.step();
             disk.forces++;
-            if (disk.refusing) {
-                body.ops.removeIf(op -> op.bytes != null && disk.random.nextInt(3) != 0);
-                throw new IOException("refused");
+            if (disk.failing) {
+                content.unsyncedOps.removeIf(op -> op.bytes != null && disk.random.nextInt(3) != 0);
+                throw new IOException("injected failure");
             }
-            for (Op op : body.ops) {
+            for (Op op : content.unsyncedOps) {
                 if (op.bytes == null) {
-                    body.synced = Arrays.copyOf(body.synced, (int) Math.min(op.at, body.synced.length));
+                    content.synced = Arrays.copyOf(content.synced, (int) Math.min(op.at, content.synced.length));
                 } else {
                     int end = (int) op.at + op.bytes.length;
-                    if (end > body.synced.length) {
-                        body.synced = Arrays.copyOf(body.synced, end);
+                    if (end > content.synced.length) {
+                        content.synced = Arrays.copyOf(content.synced, end);
                     }
-                    System.arraycopy(op.bytes, 0, body.synced, (int) op.at, op.bytes.length);
+                    System.arraycopy(op.bytes, 0, content.synced, (int) op.at, op.bytes.length);
                 }
             }
-            body.ops.clear();
-            disk.done();
+            content.unsyncedOps.clear();
+            disk.checkPower();
         }
 
         @Override
         public FileLock tryLock(long position, long size, boolean shared) {
-            if (body.locked) {
+            if (content.locked) {
                 return null;
             }
-            body.locked = true;
+            content.locked = true;
             return new FileLock(this, position, size, shared) {
                 @Override
                 public boolean isValid() {
@@ -338,14 +340,14 @@
 
                 @Override
                 public void release() {
-                    body.locked = false;
+                    content.locked = false;
                 }
             };
         }
 
         @Override
         protected void implCloseChannel() {
-            body.locked = false;
+            content.locked = false;
         }
     }
 }
--- a/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
+++ b/src/test/java/sablehinge/controlplane/node/DiskWriterTest.java
@@ -17,22 +17,22 @@
 import sablehinge.controlplane.raft.PersistedState;
 import sablehinge.controlplane.raft.WriteBatch;
 
-/** A disk that refuses for a while, at each of its steps in turn, on a made-up clock. */
+/** A disk that fails for a while, at each of its operations in turn, on a simulated clock. */
 class DiskWriterTest implements DiskWriter.Callbacks {
 
-    private static final int CHANGES = 14;
+    private static final int BATCHES = 14;
 
     private CrashDisk disk;
     private DiskWriter diskWriter;
     private double now;
-    private double wakesAt;
-    private Runnable wakes;
-    private int pauses;
-    /** Whether the member's name goes to the disk with its first change. */
+    private double retryAtMs;
+    private Runnable retry;
+    private int retries;
+    /** Whether the member's identity is written with its first batch. */
     private boolean isFounder;
 
     private int opened;
-    private PersistedState found;
+    private PersistedState storedAtOpening;
     private final List<Long> reported = new ArrayList<>();
     private StoreException stateLost;
 
@@ -42,11 +42,11 @@
     }
 
     @Override
-    public void schedule(double ms, Runnable writePending) {
-        assertNull(wakes, "it waits already");
-        pauses++;
-        wakesAt = now + ms;
-        wakes = writePending;
+    public void schedule(double delayMs, Runnable writePending) {
+        assertNull(retry, "a retry is already scheduled");
+        retries++;
+        retryAtMs = now + delayMs;
+        retry = writePending;
     }
 
     @Override
@@ -63,97 +63,97 @@
     public void opened(Member self, PersistedState stored) {
         assertEquals(RaftStoreCrashTest.SELF, self);
         opened++;
-        found = stored;
+        storedAtOpening = stored;
     }
 
     @Override
     public void persisted(long number) {
         assertEquals(reported.size() + 1, number, "out of order, or twice");
-        assertFalse(disk.dead || disk.refusing, "reported while the disk fails");
+        assertFalse(disk.powerLost || disk.failing, "reported while the disk fails");
         reported.add(number);
     }
 
     @Override
-    public void stateLost(StoreException why) {
-        stateLost = why;
+    public void stateLost(StoreException error) {
+        stateLost = error;
     }
 
-    private void begins(long seed) {
+    private void reset(long seed) {
         disk = new CrashDisk(seed);
-        wakes = null;
+        retry = null;
         opened = 0;
-        pauses = 0;
+        retries = 0;
         reported.clear();
         diskWriter = new DiskWriter(() -> RaftStore.open(disk), this);
     }
 
-    private boolean wake() {
-        if (wakes == null || disk.dead) {
+    private boolean runRetry() {
+        if (retry == null || disk.powerLost) {
             return false;
         }
-        Runnable next = wakes;
-        wakes = null;
-        now = wakesAt;
-        next.run();
+        Runnable task = retry;
+        retry = null;
+        now = retryAtMs;
+        task.run();
         return true;
     }
 
-    /** The states after none, one, two and so on of all changes, which come while earlier ones wait. */
+    /** Writes all batches, some while earlier ones are pending; returns the state after each number of batches. */
     private List<String> run(long seed) {
         Random random = new Random(seed);
         RaftStoreCrashTest.Model model = new RaftStoreCrashTest.Model();
         List<String> states = new ArrayList<>();
         diskWriter.open();
-        model.begun = !isFounder;
+        model.initialized = !isFounder;
         states.add(model.text());
-        for (int i = 1; i <= CHANGES; i++) {
-            WriteBatch change = RaftStoreCrashTest.next(model, i, random);
-            model.begun = true;
-            model.apply(change);
+        for (int i = 1; i <= BATCHES; i++) {
+            WriteBatch batch = RaftStoreCrashTest.randomBatch(model, i, random);
+            model.initialized = true;
+            model.apply(batch);
             states.add(model.text());
-            if (!disk.dead) {
-                diskWriter.write(change);
+            if (!disk.powerLost) {
+                diskWriter.write(batch);
             }
             if (i % 3 == 0) {
-                wake();
+                runRetry();
             }
         }
-        for (int i = 0; i < 200 && wake(); i++) {
+        for (int i = 0; i < 200 && runRetry(); i++) {
             assertNull(stateLost);
         }
         return states;
     }
 
-    private String onDisk(String place) {
+    private String readDisk(String context) {
         try (RaftStore store = RaftStore.open(disk)) {
-            assertFalse(store.isCorrupt(), place);
+            assertFalse(store.isCorrupt(), context);
             return RaftStoreCrashTest.text(store.load());
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatWasReportedStaysAndTheRestFollowsInOrderWhereverTheDiskRefuses(boolean founder) {
+    void writesAllBatchesInOrderDespiteDiskFailures(boolean founder) {
         isFounder = founder;
         for (long seed = 1; seed <= 2; seed++) {
-            begins(seed);
+            reset(seed);
             run(seed);
             int steps = disk.steps;
             for (int at = 1; at <= steps; at++) {
                 for (int length : new int[] {1, 2, 9, 40}) {
-                    String place = "seed " + seed + ", steps " + at + " and on, " + length;
-                    begins(seed * 7919 + at * 31L + length);
-                    disk.refuseFrom = at;
-                    disk.refuseTo = at + length;
+                    String context = "seed " + seed + ", steps " + at + " and on, " + length;
+                    reset(seed * 7919 + at * 31L + length);
+                    disk.failFrom = at;
+                    disk.failTo = at + length;
                     List<String> states = run(seed);
-                    // A file that can't be shortened at once is as good.
-                    assertTrue(pauses > 0 || disk.refusedTruncations == length, place);
-                    assertNull(stateLost, place);
-                    assertEquals(CHANGES, reported.size(), place);
-                    assertEquals(1, opened, place);
-                    assertNull(found, place + ": it had begun in this life");
+                    // A failed truncation alone needs no retry: a file that isn't shortened at once is valid, too.
+                    assertTrue(retries > 0 || disk.failedTruncations == length, context);
+                    assertNull(stateLost, context);
+                    assertEquals(BATCHES, reported.size(), context);
+                    assertEquals(1, opened, context);
+                    assertNull(storedAtOpening, context + ": the member was initialized by this process");
                     diskWriter.close();
-                    assertEquals(states.get(CHANGES), onDisk(place), place);
+                    assertEquals(states.get(BATCHES), readDisk(context), context);
                 }
             }
         }
@@ -161,78 +161,78 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatWasReportedOutlivesALossOfPowerAtEachStepAfterARefusal(boolean founder) {
+    void reportedBatchesSurvivePowerLossAfterDiskFailure(boolean founder) {
         isFounder = founder;
         for (long seed = 1; seed <= 2; seed++) {
-            begins(seed);
+            reset(seed);
             run(seed);
             int steps = disk.steps;
             for (int at = 1; at <= steps; at++) {
-                for (int later = 0; later < 14; later++) {
+                for (int operationsUntilPowerLoss = 0; operationsUntilPowerLoss < 14; operationsUntilPowerLoss++) {
                     int length = 1 + at % 3;
-                    String place = "seed " + seed + ", step " + at + ", power " + later;
-                    begins(seed * 104_729 + at * 31L + later);
-                    disk.refuseFrom = at;
-                    disk.refuseTo = at + length;
-                    disk.dieAt = at + length + later;
+                    String context = "seed " + seed + ", step " + at + ", power " + operationsUntilPowerLoss;
+                    reset(seed * 104_729 + at * 31L + operationsUntilPowerLoss);
+                    disk.failFrom = at;
+                    disk.failTo = at + length;
+                    disk.powerLossAt = at + length + operationsUntilPowerLoss;
                     List<String> states = run(seed);
                     int count = reported.size();
-                    boolean had = opened > 0;
+                    boolean wasOpened = opened > 0;
                     disk.powerUp();
-                    String is = onDisk(place);
+                    String stored = readDisk(context);
                     assertTrue(
-                            is.equals(states.get(count))
-                                    || count < CHANGES && had && is.equals(states.get(count + 1))
-                                    || !had && is.equals("nothing"),
-                            () -> place + ": after " + count + " " + is);
+                            stored.equals(states.get(count))
+                                    || count < BATCHES && wasOpened && stored.equals(states.get(count + 1))
+                                    || !wasOpened && stored.equals("nothing"),
+                            () -> context + ": after " + count + " " + stored);
                 }
             }
         }
     }
 
     @Test
-    void aFullDiskIsWaitedForWithPausesThatGrowToABound() {
-        begins(5);
+    void retriesFullDiskWithBoundedBackoff() {
+        reset(5);
         diskWriter.open();
-        disk.room = disk.bytes(RaftStore.FILE).length;
+        disk.capacityBytes = disk.bytes(RaftStore.FILE).length;
         byte[] data = new byte[300_000];
         diskWriter.write(new WriteBatch(1, 1, 0, 0, List.of(new Entry(1, 1, Entry.Kind.COMMAND, data)), null));
         diskWriter.write(new WriteBatch(2, 2, 7, 0, List.of(), null));
         double start = now;
-        double longest = 0;
+        double longestDelay = 0;
         for (int i = 0; i < 100; i++) {
             double before = now;
-            assertTrue(wake());
-            longest = Math.max(longest, now - before);
+            assertTrue(runRetry());
+            longestDelay = Math.max(longestDelay, now - before);
         }
-        assertEquals(RetryBackoff.MAX_DELAY_MS, longest);
+        assertEquals(RetryBackoff.MAX_DELAY_MS, longestDelay);
         assertTrue(now - start > 90 * RetryBackoff.MAX_DELAY_MS, "paused for " + (now - start));
         assertEquals(List.of(), reported);
-        disk.room = Long.MAX_VALUE;
-        assertTrue(wake());
+        disk.capacityBytes = Long.MAX_VALUE;
+        assertTrue(runRetry());
         assertEquals(List.of(1L, 2L), reported);
-        assertNull(wakes);
+        assertNull(retry);
     }
 
     @Test
-    void aStoreThatIsFoundOlderThanWhatWasReportedIsNotGoneOnWith() {
-        begins(6);
+    void stopsIfReopenedStoreIsOlderThanReported() {
+        reset(6);
         diskWriter.open();
         diskWriter.write(new WriteBatch(1, 1, 7, 0, List.of(), null));
         byte[] older = Arrays.copyOf(disk.bytes(RaftStore.FILE), disk.bytes(RaftStore.FILE).length);
         diskWriter.write(new WriteBatch(2, 2, 8, 0, List.of(), null));
-        disk.refuseFrom = disk.steps + 1;
-        disk.refuseTo = disk.steps + 2;
+        disk.failFrom = disk.steps + 1;
+        disk.failTo = disk.steps + 2;
         diskWriter.write(new WriteBatch(3, 3, 9, 0, List.of(), null));
         disk.bytes(RaftStore.FILE, older);
-        wake();
+        runRetry();
         assertEquals(StoreException.Code.LOST, stateLost.code());
         assertEquals(List.of(1L, 2L), reported);
-        assertFalse(wake());
+        assertFalse(runRetry());
     }
 
     @Test
-    void aLineIsWorthItAtFirstAndForAnotherCodeAndOnceAMinute() {
+    void logsFirstFailureEachNewCodeAndOncePerMinute() {
         RetryBackoff backoff = new RetryBackoff();
         int lines = 0;
         for (int ms = 0; ms < 600_000; ms += 500) {
@@ -247,7 +247,7 @@
         assertTrue(backoff.recordRecovery());
         assertTrue(backoff.recordFailure(600_001, StoreException.Code.UNREADABLE));
         assertEquals(RetryBackoff.INITIAL_DELAY_MS, backoff.delayMs());
-        // A disk that is well in between, again and again, fills no log either.
+        // A disk that fails and recovers in turn must not flood the log either.
         lines = 0;
         for (int ms = 600_001; ms < 660_001; ms += 10) {
             lines += backoff.recordRecovery() ? 1 : 0;
--- a/src/test/java/sablehinge/controlplane/node/FailStopExecutorTest.java
+++ b/src/test/java/sablehinge/controlplane/node/FailStopExecutorTest.java
@@ -6,33 +6,33 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of errors inside a control node. */
+/** Errors inside a control node. */
 class FailStopExecutorTest {
 
-    private final List<String> came = new ArrayList<>();
-    private final FailStopExecutor guard = new FailStopExecutor(() -> came.add("halt"));
+    private final List<String> events = new ArrayList<>();
+    private final FailStopExecutor executor = new FailStopExecutor(() -> events.add("halt"));
 
     @Test
-    void workThatIsDoneAgainSoonMayFailAndNothingElseIsTouched() {
-        guard.runTolerant("a tick", () -> {
+    void tolerantTaskMayFailWithoutHalt() {
+        executor.runTolerant("a tick", () -> {
             throw new IllegalStateException("broken");
         });
-        guard.runTolerant("a tick", () -> {
+        executor.runTolerant("a tick", () -> {
             throw new OutOfMemoryError("direct");
         });
-        guard.runTolerant("a tick", () -> came.add("done"));
-        assertEquals(List.of("done"), came);
+        executor.runTolerant("a tick", () -> events.add("done"));
+        assertEquals(List.of("done"), events);
     }
 
     @Test
-    void workOfWhichNothingMayBeLeftOutEndsTheProcessWhenItFails() {
-        guard.runFailStop("an entry", () -> came.add("done"));
-        guard.runFailStop("an entry", () -> {
+    void failStopTaskHaltsOnFailure() {
+        executor.runFailStop("an entry", () -> events.add("done"));
+        executor.runFailStop("an entry", () -> {
             throw new OutOfMemoryError("heap");
         });
-        guard.runFailStop("an entry", () -> {
+        executor.runFailStop("an entry", () -> {
             throw new IllegalArgumentException("format");
         });
-        assertEquals(List.of("done", "halt", "halt"), came);
+        assertEquals(List.of("done", "halt", "halt"), events);
     }
 }
--- a/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorApiTest.java
@@ -29,7 +29,7 @@
 import sablehinge.mesh.quota.Quota;
 import sablehinge.mesh.watch.Registration;
 
-/** What operators are answered, by the operations' own types: no socket, no thread, a clock that is set. */
+/** Answers of the operator API, without sockets or threads and with a manual clock. */
 class OperatorApiTest {
 
     private static final Member ONE = new Member(1, "10.0.0.1:7780", "10.0.0.1:7701");
@@ -38,18 +38,18 @@
     private final ConfigurationState configurations = new ConfigurationState();
     private final Registry registry = new Registry(2_500, 12_000);
     private final Pool pool = new Pool();
-    private final Map<Long, Double> unresponsive = new HashMap<>();
+    private final Map<Long, Double> sinceLastMessageMs = new HashMap<>();
     private RaftStatus raftStatus = new RaftStatus(RaftStatus.Role.LEADER, 7, ONE, List.of(ONE, TWO));
-    private boolean sure = true;
-    private Runnable duringCheck = () -> {};
+    private boolean majorityConfirms = true;
+    private Runnable duringValidation = () -> {};
     private double sinceMajorityMs = 50;
     private double sinceLeaderMs = 50;
-    private final QuorumGate gate = new QuorumGate(new ScriptedContact(), Runnable::run);
+    private final QuorumGate gate = new QuorumGate(new ScriptedRaftView(), Runnable::run);
     private final ChangeCoordinator changes = new ChangeCoordinator(null, configurations, Runnable::run);
     private double now = 10_000;
 
-    /** The core as the test sets it. */
-    private final class ScriptedContact implements QuorumGate.RaftView {
+    /** The Raft state as the test sets it. */
+    private final class ScriptedRaftView implements QuorumGate.RaftView {
 
         @Override
         public RaftStatus raftStatus() {
@@ -73,11 +73,11 @@
 
         @Override
         public void barrier(double at, long token) {
-            gate.barrierEnded(at, token, sure);
+            gate.barrierEnded(at, token, majorityConfirms);
         }
     }
 
-    private final class Scripted implements CallContext {
+    private final class ScriptedContext implements CallContext {
 
         @Override
         public double now() {
@@ -96,7 +96,7 @@
 
         @Override
         public RaftMetrics metrics() {
-            return new RaftMetrics(42, 250.4, unresponsive);
+            return new RaftMetrics(42, 250.4, sinceLastMessageMs);
         }
 
         @Override
@@ -116,7 +116,7 @@
 
         @Override
         public void runOffLoop(Runnable work) {
-            duringCheck.run();
+            duringValidation.run();
             work.run();
         }
 
@@ -127,20 +127,20 @@
     }
 
     private ApiResponse call(String path, HttpHeaders headers, String body) {
-        CallContext context = new Scripted();
+        CallContext context = new ScriptedContext();
         ControlStatus status = new ControlStatus(
                 "core-1", "z-a", ONE.control(), registry, new WatchServer<String>(registry), pool, context);
-        for (Operation<?, ?> one : OperatorApi.all(context, status)) {
-            if (one.path().equals("/sablehinge/" + path)) {
-                return carry(one, new ApiRequest("", headers, body.getBytes(StandardCharsets.UTF_8)));
+        for (Operation<?, ?> operation : OperatorApi.all(context, status)) {
+            if (operation.path().equals("/sablehinge/" + path)) {
+                return execute(operation, new ApiRequest("", headers, body.getBytes(StandardCharsets.UTF_8)));
             }
         }
         throw new AssertionError("no operation at " + path);
     }
 
-    private static <Q, A> ApiResponse carry(Operation<Q, A> operation, ApiRequest requested) {
+    private static <Q, A> ApiResponse execute(Operation<Q, A> operation, ApiRequest request) {
         ApiResponse[] reply = new ApiResponse[1];
-        operation.execute(operation.read(requested), answer -> reply[0] = operation.write(answer));
+        operation.execute(operation.read(request), answer -> reply[0] = operation.write(answer));
         return reply[0];
     }
 
@@ -150,12 +150,12 @@
         return new ObjectMapper().readValue(reply.body(), type);
     }
 
-    private void tells(double at, String node, String upstream, boolean ready) {
+    private void register(double at, String node, String upstream, boolean ready) {
         registry.register(at, new Registration(node, "z-a", "10.0.1.1:7703", "basalt", upstream, ready, 12, 0));
     }
 
     @Test
-    void whoFollowsNobodySaysSoOfItselfAndSendsNobodyElsewhere() throws IOException {
+    void candidateReportsItselfAndRedirectsNobody() throws IOException {
         raftStatus = new RaftStatus(RaftStatus.Role.CANDIDATE, 8, null, List.of(ONE, TWO));
         MeshStatus status = fetch("Mesh.Status", MeshStatus.class);
         assertEquals("candidate", status.role());
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void whoFollowsSendsQuestionsOfTheRollToTheLeader() {
+    void followerRedirectsRegistryRequestsToLeader() {
         raftStatus = new RaftStatus(RaftStatus.Role.FOLLOWER, 7, TWO, List.of(ONE, TWO));
         ApiResponse reply = call("Mesh.Duties", new DefaultHttpHeaders(), "");
         assertEquals(307, reply.status());
@@ -175,19 +175,19 @@
     }
 
     @Test
-    void theLeaderTellsWhoIsReadyWhoDrainsAndWhoIsGone() throws IOException {
+    void leaderReportsReadyDrainingEmptyAndGoneBalancers() throws IOException {
         registry.reset(0);
-        unresponsive.put(TWO.id(), 180.2);
-        tells(0, "n-gone", "i-4", true);
-        tells(9_000, "n-ready", "i-1", true);
-        tells(9_500, "n-drains", "i-2", false);
-        tells(9_990, "n-empty", "", false);
+        sinceLastMessageMs.put(TWO.id(), 180.2);
+        register(0, "n-gone", "i-4", true);
+        register(9_000, "n-ready", "i-1", true);
+        register(9_500, "n-drains", "i-2", false);
+        register(9_990, "n-empty", "", false);
         now = 12_100;
         MeshNodes nodes = fetch("Mesh.Nodes", MeshNodes.class);
         assertEquals(
                 List.of("n-drains draining 2600", "n-empty empty 2110", "n-gone gone 12100", "n-ready ready 3100"),
                 nodes.balancers().stream()
-                        .map(one -> one.node() + " " + one.state() + " " + one.silentMs())
+                        .map(balancer -> balancer.node() + " " + balancer.state() + " " + balancer.silentMs())
                         .toList());
         assertEquals(180, nodes.members().get(1).silentMs());
         MeshStatus.Plane plane = fetch("Mesh.Status", MeshStatus.class).plane();
@@ -197,17 +197,17 @@
     }
 
     @Test
-    void thePoolsAreToldWithWhatIsLeftOfThem() throws IOException {
+    void reportsPoolsWithAvailableTokens() throws IOException {
         pool.adopt(0, Map.of("t", new Quota(10, 100)));
         assertEquals(15, pool.take(5_000, "t", 15));
         MeshSingletonRoles singletonRoles = fetch("Mesh.Duties", MeshSingletonRoles.class);
         assertEquals(250, singletonRoles.leaseMs());
-        // 4 a second of 10 are the pool's: 20 come within 5 s, and 20 within the other 5 s.
+        // The pool gets 4 of the quota's 10 per second: 20 in the first 5 s and 20 in the other 5 s.
         assertEquals(List.of(new MeshSingletonRoles.Pool("t", 4, 40, 25)), singletonRoles.pools());
     }
 
     @Test
-    void theHistoryIsToldOnlyWhereAMajorityConfirms() throws IOException {
+    void reportsHistoryOnlyIfMajorityConfirms() throws IOException {
         configurations.apply(ConfigurationState.replace(0, 3, new byte[] {'a'}, 1_700_000_000_000L));
         assertEquals(
                 new Editions(
@@ -219,28 +219,28 @@
                                 "ca978112ca1bbdcafac231b39a23dc4d" + "a786eff8147c4e72b9807785afee48bb",
                                 "2023-11-14T22:13:20Z"))),
                 fetch("Config.History", Editions.class));
-        sure = false;
+        majorityConfirms = false;
         assertEquals(503, call("Config.History", new DefaultHttpHeaders(), "").status());
     }
 
-    /** Its copies may have been answered by whoever led in between; the log of this term is another. */
+    /** A leader of the terms between may have answered copies of the change, so its outcome is unknown here. */
     @Test
-    void anOrderThatCameInAnEarlierTermIsLeftWithoutAClearAnswer() throws IOException {
+    void changeFromEarlierTermIsUnclear() throws IOException {
         String body = OperatorModel.body(3, 1);
-        duringCheck = () -> raftStatus = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
-        assertEquals(503, replaced(body));
-        duringCheck = () -> raftStatus = new RaftStatus(RaftStatus.Role.FOLLOWER, 9, TWO, List.of(ONE, TWO));
+        duringValidation = () -> raftStatus = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
+        assertEquals(503, replaceStatus(body));
+        duringValidation = () -> raftStatus = new RaftStatus(RaftStatus.Role.FOLLOWER, 9, TWO, List.of(ONE, TWO));
         raftStatus = new RaftStatus(RaftStatus.Role.LEADER, 9, ONE, List.of(ONE, TWO));
-        assertEquals(307, replaced(body));
+        assertEquals(307, replaceStatus(body));
     }
 
-    private int replaced(String body) {
+    private int replaceStatus(String body) {
         return call("Config.Replace", new DefaultHttpHeaders().add("Sablehinge-Based-On", "0"), body)
                 .status();
     }
 
     @Test
-    void aRefusalNamesItsCodeAndItsPlace() throws IOException {
+    void refusalNamesCodeAndPlace() throws IOException {
         ApiResponse reply =
                 call("Config.Replace", new DefaultHttpHeaders().add("Sablehinge-Based-On", "0"), "{\"edition\":1}");
         assertEquals(400, reply.status());
--- a/src/test/java/sablehinge/controlplane/node/OperatorModel.java
+++ b/src/test/java/sablehinge/controlplane/node/OperatorModel.java
@@ -12,29 +12,29 @@
 import sablehinge.mesh.api.ApiResponse;
 
 /**
- * Operators over a {@link ControlCluster}, who follow the protocol: up to eight orders under way, each sent again as it
- * was, elsewhere, after a second without an answer, a 5xx or a lost answer; 307 is followed twice. Copies of an order
- * may also come once more, up to 20 s late. It knows only what operators saw, and fails as soon as that can't be true
- * of one history.
+ * Operators of a {@link ControlCluster} that follow the protocol: up to eight change requests in flight, each resent
+ * unchanged to another node after a second without an answer, a 5xx or a lost answer; a 307 is followed twice. A copy
+ * of a request may also arrive up to 20 s late. The model knows only what operators observe, and fails as soon as their
+ * observations contradict a single linear history.
  */
 final class OperatorModel {
 
-    private static final double NO_CONTACT_MS = 1_000;
-    private static final double PAUSE_MS = 30;
-    private static final int MAX_UNDER_WAY = 8;
-    /** No answer takes longer, in ms, but of a machine that stood still. */
-    private static final double AT_ONCE_MS = 930;
+    private static final double RESEND_TIMEOUT_MS = 1_000;
+    private static final double RESEND_DELAY_MS = 30;
+    private static final int MAX_IN_FLIGHT = 8;
+    /** No answer takes longer, except from a node that was paused. */
+    private static final double MAX_ANSWER_MS = 930;
 
-    /** An order as it is sent, and what was seen of it. */
-    static final class Order {
+    /** A change request and its observed outcome. */
+    static final class Change {
         final long basedOn;
         final long edition;
         final String body;
         boolean acknowledged;
         int refused;
-        boolean underWay;
+        boolean inFlight;
 
-        Order(long basedOn, long edition, String body) {
+        Change(long basedOn, long edition, String body) {
             this.basedOn = basedOn;
             this.edition = edition;
             this.body = body;
@@ -43,21 +43,21 @@
         @Override
         public String toString() {
             return edition + " on " + basedOn + (acknowledged ? ", acknowledged" : "") + ", " + refused
-                    + (underWay ? ", under way" : "");
+                    + (inFlight ? ", in flight" : "");
         }
     }
 
     private final ControlCluster cluster;
     private final String name;
-    private final List<Order> orders = new ArrayList<>();
-    private final Map<Long, Order> acknowledgedByBase = new HashMap<>();
-    private final Map<Long, Order> acknowledgedByEdition = new HashMap<>();
+    private final List<Change> changes = new ArrayList<>();
+    private final Map<Long, Change> acknowledgedByBase = new HashMap<>();
+    private final Map<Long, Change> acknowledgedByEdition = new HashMap<>();
     private long newestSeen;
-    private int drawn;
-    double lossOfAnswers;
+    private int bodyCount;
+    double answerLossRate;
     int acknowledgements;
     int refusals;
-    int unclear;
+    int unclearAnswers;
     int reads;
 
     OperatorModel(ControlCluster cluster, String name) {
@@ -65,9 +65,9 @@
         this.name = name;
     }
 
-    private void check(boolean holds, String text) {
-        if (!holds) {
-            throw new AssertionError(name + ", " + cluster.now() + " ms: " + text);
+    private void check(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(name + ", " + cluster.now() + " ms: " + message);
         }
     }
 
@@ -83,145 +83,148 @@
                 .formatted(edition, number);
     }
 
-    /** Sends an order that is new, or the same as one before in some part. */
-    void sendSomething() {
-        if (orders.stream().filter(order -> order.underWay).count() >= MAX_UNDER_WAY) {
+    /** Sends a change request that is new or shares some components with an earlier one. */
+    void sendRandomChange() {
+        if (changes.stream().filter(change -> change.inFlight).count() >= MAX_IN_FLIGHT) {
             return;
         }
-        send(draw());
+        send(randomChange());
     }
 
-    private Order draw() {
+    private Change randomChange() {
         int kind = cluster.random.nextInt(10);
         long base = newestSeen;
         long edition = base + 1 + cluster.random.nextInt(3);
-        Order known = orders.isEmpty() ? null : orders.get(cluster.random.nextInt(orders.size()));
-        if (known != null && kind == 0) {
-            return known;
-        } else if (known != null && kind == 1) {
-            return order(base, known.edition, known.body);
-        } else if (known != null && kind == 2) {
-            return order(known.basedOn, known.edition, body(known.edition, ++drawn));
-        } else if (known != null && kind == 3) {
-            return order(known.basedOn, edition, body(edition, ++drawn));
-        } else if (known != null && kind == 4) {
-            // On one that may come to be: more than one step ahead of what was seen.
-            return order(known.edition, known.edition + 1, body(known.edition + 1, ++drawn));
+        Change earlier = changes.isEmpty() ? null : changes.get(cluster.random.nextInt(changes.size()));
+        if (earlier != null && kind == 0) {
+            return earlier;
+        } else if (earlier != null && kind == 1) {
+            return findOrCreate(base, earlier.edition, earlier.body);
+        } else if (earlier != null && kind == 2) {
+            return findOrCreate(earlier.basedOn, earlier.edition, body(earlier.edition, ++bodyCount));
+        } else if (earlier != null && kind == 3) {
+            return findOrCreate(earlier.basedOn, edition, body(edition, ++bodyCount));
+        } else if (earlier != null && kind == 4) {
+            // Based on an edition that may never be accepted, so possibly several steps ahead of the newest edition
+            // seen.
+            return findOrCreate(earlier.edition, earlier.edition + 1, body(earlier.edition + 1, ++bodyCount));
         }
-        return order(base, edition, body(edition, ++drawn));
+        return findOrCreate(base, edition, body(edition, ++bodyCount));
     }
 
-    private Order order(long basedOn, long edition, String body) {
-        for (Order one : orders) {
-            if (one.basedOn == basedOn && one.edition == edition && one.body.equals(body)) {
-                return one;
+    private Change findOrCreate(long basedOn, long edition, String body) {
+        for (Change candidate : changes) {
+            if (candidate.basedOn == basedOn && candidate.edition == edition && candidate.body.equals(body)) {
+                return candidate;
             }
         }
-        Order made = new Order(basedOn, edition, body);
-        orders.add(made);
-        return made;
+        Change created = new Change(basedOn, edition, body);
+        changes.add(created);
+        return created;
     }
 
-    void send(Order order) {
-        order.underWay = true;
-        send(order, any(), 0);
+    void send(Change change) {
+        change.inFlight = true;
+        send(change, randomNode(), 0);
     }
 
-    private ControlCluster.Machine any() {
+    private ControlCluster.Machine randomNode() {
         List<ControlCluster.Machine> all = List.copyOf(cluster.machines.values());
         return all.get(cluster.random.nextInt(all.size()));
     }
 
-    private void send(Order order, ControlCluster.Machine to, int redirects) {
-        boolean[] over = new boolean[1];
-        boolean lost = cluster.random.nextDouble() < lossOfAnswers;
+    private void send(Change change, ControlCluster.Machine to, int redirects) {
+        boolean[] completed = new boolean[1];
+        boolean lost = cluster.random.nextDouble() < answerLossRate;
         double sentAt = cluster.now();
-        double late = cluster.random.nextDouble() < 0.1 ? cluster.random.nextDouble() * 20_000 : 0;
-        if (late > 0) {
-            cluster.after(late, () -> call(order, to, reply -> {}));
+        double copyDelayMs = cluster.random.nextDouble() < 0.1 ? cluster.random.nextDouble() * 20_000 : 0;
+        if (copyDelayMs > 0) {
+            cluster.schedule(copyDelayMs, () -> call(change, to, reply -> {}));
         }
-        cluster.after(
+        cluster.schedule(
                 cluster.random.nextDouble() * 2,
-                () -> call(order, to, reply -> {
-                    if (!over[0] && !lost && cluster.now() - sentAt < NO_CONTACT_MS) {
-                        over[0] = true;
-                        answered(order, reply, redirects);
+                () -> call(change, to, reply -> {
+                    if (!completed[0] && !lost && cluster.now() - sentAt < RESEND_TIMEOUT_MS) {
+                        completed[0] = true;
+                        handleAnswer(change, reply, redirects);
                     }
                 }));
-        cluster.after(NO_CONTACT_MS, () -> {
-            if (!over[0]) {
-                over[0] = true;
-                again(order);
+        cluster.schedule(RESEND_TIMEOUT_MS, () -> {
+            if (!completed[0]) {
+                completed[0] = true;
+                resend(change);
             }
         });
     }
 
-    private void call(Order order, ControlCluster.Machine to, Consumer<ApiResponse> answer) {
+    private void call(Change change, ControlCluster.Machine to, Consumer<ApiResponse> answer) {
         if (to.up()) {
-            double came = cluster.now();
-            boolean awake = !to.frozen;
-            to.call(ControlRequest.CONFIG_REPLACE, order.basedOn, order.body, reply -> {
+            double sentAt = cluster.now();
+            boolean running = !to.paused;
+            to.call(ControlRequest.CONFIG_REPLACE, change.basedOn, change.body, reply -> {
                 check(
-                        !awake || to.thawedAt > came || cluster.now() - came <= AT_ONCE_MS,
-                        "an answer took " + (cluster.now() - came) + " ms");
+                        !running || to.resumedAt > sentAt || cluster.now() - sentAt <= MAX_ANSWER_MS,
+                        "an answer took " + (cluster.now() - sentAt) + " ms");
                 answer.accept(reply);
             });
         }
     }
 
-    private void again(Order order) {
-        unclear++;
-        cluster.after(PAUSE_MS, () -> send(order, any(), 0));
+    private void resend(Change change) {
+        unclearAnswers++;
+        cluster.schedule(RESEND_DELAY_MS, () -> send(change, randomNode(), 0));
     }
 
-    private void answered(Order order, ApiResponse reply, int redirects) {
+    private void handleAnswer(Change change, ApiResponse reply, int redirects) {
         switch (reply.status()) {
-            case 200 -> acknowledged(order);
-            case 400, 412 -> refused(order, reply);
+            case 200 -> handleAcknowledgement(change);
+            case 400, 412 -> handleRefusal(change, reply);
             case 307 -> {
                 String to = reply.location()
                         .substring("http://".length(), reply.location().indexOf("/s"));
-                check(cluster.machines.containsKey(to), "sent to " + reply.location());
+                check(cluster.machines.containsKey(to), "redirected to " + reply.location());
                 if (redirects < 2) {
-                    send(order, cluster.machines.get(to), redirects + 1);
+                    send(change, cluster.machines.get(to), redirects + 1);
                 } else {
-                    again(order);
+                    resend(change);
                 }
             }
             default -> {
-                check(reply.status() >= 500, "an answer of " + reply.status());
-                again(order);
+                check(reply.status() >= 500, "unexpected status " + reply.status());
+                resend(change);
             }
         }
     }
 
-    private void acknowledged(Order order) {
+    private void handleAcknowledgement(Change change) {
         acknowledgements++;
-        order.underWay = false;
-        check(order.refused == 0, "acknowledged after it was refused: " + order);
-        check(order.edition > order.basedOn, "an old edition is acknowledged: " + order);
-        Order other = acknowledgedByBase.putIfAbsent(order.basedOn, order);
-        check(other == null || other == order, "two on one version: " + order + "; " + other);
-        other = acknowledgedByEdition.putIfAbsent(order.edition, order);
-        check(other == null || other == order, "two under one number: " + order + "; " + other);
-        order.acknowledged = true;
-        newestSeen = Math.max(newestSeen, order.edition);
+        change.inFlight = false;
+        check(change.refused == 0, "acknowledged after a refusal: " + change);
+        check(change.edition > change.basedOn, "acknowledged an old edition: " + change);
+        Change other = acknowledgedByBase.putIfAbsent(change.basedOn, change);
+        check(other == null || other == change, "acknowledged two changes on the same base: " + change + "; " + other);
+        other = acknowledgedByEdition.putIfAbsent(change.edition, change);
+        check(
+                other == null || other == change,
+                "acknowledged two changes with the same edition: " + change + "; " + other);
+        change.acknowledged = true;
+        newestSeen = Math.max(newestSeen, change.edition);
     }
 
-    private void refused(Order order, ApiResponse reply) {
+    private void handleRefusal(Change change, ApiResponse reply) {
         refusals++;
-        order.underWay = false;
-        check(!order.acknowledged, "refused with " + reply.status() + " after it was acknowledged: " + order);
-        check(reply.status() != 400 || order.edition <= order.basedOn, "400 for a valid one: " + order);
-        order.refused = reply.status();
+        change.inFlight = false;
+        check(!change.acknowledged, "refused with " + reply.status() + " after an acknowledgement: " + change);
+        check(reply.status() != 400 || change.edition <= change.basedOn, "400 for a valid change: " + change);
+        change.refused = reply.status();
     }
 
-    /** Reads the newest configuration at some machine. */
+    /** Reads the newest configuration from a node. */
     void read(ControlCluster.Machine at) {
         if (!at.up()) {
             return;
         }
-        long least = acknowledgedByEdition.keySet().stream()
+        long minEdition = acknowledgedByEdition.keySet().stream()
                 .mapToLong(Long::longValue)
                 .max()
                 .orElse(0);
@@ -229,66 +232,69 @@
             if (reply.status() == 200) {
                 reads++;
                 String body = new String(reply.body(), StandardCharsets.UTF_8);
-                Order found = orders.stream()
-                        .filter(order -> order.body.equals(body))
+                Change found = changes.stream()
+                        .filter(change -> change.body.equals(body))
                         .findAny()
                         .orElse(null);
-                check(found != null, "something is in force that nobody sent");
-                check(found.edition >= least, "read " + found + " after " + least + " was acknowledged");
+                check(found != null, "read a configuration that was never sent");
+                check(
+                        found.edition >= minEdition,
+                        "read " + found + " after edition " + minEdition + " was acknowledged");
                 newestSeen = Math.max(newestSeen, found.edition);
             } else {
                 check(
-                        reply.status() >= 500 || reply.status() == 307 || reply.status() == 404 && least == 0,
-                        "a read is answered with " + reply.status());
+                        reply.status() >= 500 || reply.status() == 307 || reply.status() == 404 && minEdition == 0,
+                        "unexpected status of a read: " + reply.status());
             }
         });
     }
 
-    void readAnywhere() {
-        read(any());
+    void readFromRandomNode() {
+        read(randomNode());
     }
 
-    /** In calm: all that is under way ends, what was acknowledged is acknowledged again and in the history. */
-    void concludes() {
-        lossOfAnswers = 0;
-        for (int i = 0; i < 100 && orders.stream().anyMatch(this::isOpen); i++) {
-            cluster.run(500);
+    /** Without faults: all requests complete, and acknowledged ones are acknowledged again and are in the history. */
+    void verifyFinalState() {
+        answerLossRate = 0;
+        for (int i = 0; i < 100 && changes.stream().anyMatch(this::mustStillComplete); i++) {
+            cluster.advance(500);
         }
         check(
-                orders.stream().noneMatch(this::isOpen),
-                "still under way: " + orders.stream().filter(this::isOpen).toList());
-        for (Order order : List.copyOf(orders)) {
-            if (order.acknowledged) {
-                send(order);
+                changes.stream().noneMatch(this::mustStillComplete),
+                "still in flight: "
+                        + changes.stream().filter(this::mustStillComplete).toList());
+        for (Change change : List.copyOf(changes)) {
+            if (change.acknowledged) {
+                send(change);
             }
         }
-        cluster.run(30_000);
-        check(orders.stream().noneMatch(order -> order.acknowledged && order.underWay), "not acknowledged again");
-        agreesWithHistory();
+        cluster.advance(30_000);
+        check(changes.stream().noneMatch(change -> change.acknowledged && change.inFlight), "not acknowledged again");
+        verifyHistory();
     }
 
-    /** One that is on a version that never came to be has no end. */
-    private boolean isOpen(Order order) {
-        return order.underWay && order.basedOn <= cluster.awaitLeader().state.edition();
+    /** Whether a request must still complete; one that is based on an edition that was never accepted never does. */
+    private boolean mustStillComplete(Change change) {
+        return change.inFlight && change.basedOn <= cluster.awaitLeader().state.edition();
     }
 
-    private void agreesWithHistory() {
+    private void verifyHistory() {
         Map<Long, Long> bases = new HashMap<>();
         Set<Long> editions = new HashSet<>(Set.of(0L));
-        Set<String> taken = new HashSet<>();
+        Set<String> accepted = new HashSet<>();
         cluster.awaitLeader().state.read((edition, basedOn, at, length, digest) -> {
             bases.put(basedOn, edition);
             editions.add(edition);
-            taken.add(basedOn + ">" + edition + ":" + digest);
+            accepted.add(basedOn + ">" + edition + ":" + digest);
         });
-        for (Order order : orders) {
-            String mark = order.basedOn + ">" + order.edition + ":"
-                    + BodyDigest.of(order.body.getBytes(StandardCharsets.UTF_8));
-            check(!order.acknowledged || taken.contains(mark), "acknowledged and lost: " + order);
-            check(order.refused == 0 || !taken.contains(mark), "refused and in force: " + order);
+        for (Change change : changes) {
+            String entry = change.basedOn + ">" + change.edition + ":"
+                    + BodyDigest.of(change.body.getBytes(StandardCharsets.UTF_8));
+            check(!change.acknowledged || accepted.contains(entry), "acknowledged but not in the history: " + change);
+            check(change.refused == 0 || !accepted.contains(entry), "refused but in the history: " + change);
             check(
-                    order.refused != 412 || !editions.contains(order.basedOn) || bases.containsKey(order.basedOn),
-                    "412, but nothing ever followed: " + order);
+                    change.refused != 412 || !editions.contains(change.basedOn) || bases.containsKey(change.basedOn),
+                    "refused with 412, but its base was never replaced: " + change);
         }
     }
 }
--- a/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreCrashTest.java
@@ -16,41 +16,43 @@
 import sablehinge.controlplane.raft.Snapshot;
 import sablehinge.controlplane.raft.WriteBatch;
 
-/** The power goes at each step; what is read back is the state before or after the change in flight. */
+/** Loses power at each disk operation: the recovered state must be that before or after the write in flight. */
 class RaftStoreCrashTest {
 
     static final Member SELF = Member.founder("10.0.0.1:7000", "10.0.0.1:7001");
     private static final int CHANGES = 24;
 
-    /** What a store should hold, kept in the simplest way. */
+    /** A reference model of the store. */
     static final class Model {
         private final List<Entry> entries = new ArrayList<>();
         private Snapshot snapshot;
         private long term;
-        private long vote;
-        boolean begun;
+        private long votedFor;
+        boolean initialized;
 
-        private long last() {
+        private long lastIndex() {
             return entries.isEmpty()
                     ? snapshot == null ? 0 : snapshot.index()
                     : entries.get(entries.size() - 1).index();
         }
 
-        void apply(WriteBatch change) {
-            term = change.term();
-            vote = change.votedFor();
-            if (change.truncateFrom() != 0) {
-                entries.removeIf(e -> e.index() >= change.truncateFrom());
+        void apply(WriteBatch batch) {
+            term = batch.term();
+            votedFor = batch.votedFor();
+            if (batch.truncateFrom() != 0) {
+                entries.removeIf(e -> e.index() >= batch.truncateFrom());
             }
-            entries.addAll(change.append());
-            if (change.snapshot() != null) {
-                snapshot = change.snapshot();
+            entries.addAll(batch.append());
+            if (batch.snapshot() != null) {
+                snapshot = batch.snapshot();
                 entries.removeIf(e -> e.index() <= snapshot.index());
             }
         }
 
         String text() {
-            return begun ? RaftStoreCrashTest.text(new PersistedState(SELF, term, vote, snapshot, entries)) : "nothing";
+            return initialized
+                    ? RaftStoreCrashTest.text(new PersistedState(SELF, term, votedFor, snapshot, entries))
+                    : "nothing";
         }
     }
 
@@ -79,10 +81,10 @@
         return text.toString();
     }
 
-    /** Another's snapshot, further than the log is, and entries after it. */
-    private static WriteBatch install(Model model, int number, Random random) {
+    /** The snapshot of another member, beyond the end of the log, with entries after it. */
+    private static WriteBatch randomSnapshotInstall(Model model, int number, Random random) {
         long base = model.snapshot == null ? 0 : model.snapshot.index();
-        long index = model.last() + 1 + random.nextInt(30);
+        long index = model.lastIndex() + 1 + random.nextInt(30);
         byte[] state = new byte[random.nextInt(200_000)];
         random.nextBytes(state);
         List<Entry> append = new ArrayList<>();
@@ -98,13 +100,13 @@
                 new Snapshot(index, number, List.of(SELF), state));
     }
 
-    static WriteBatch next(Model model, int number, Random random) {
+    static WriteBatch randomBatch(Model model, int number, Random random) {
         if (random.nextInt(8) == 0) {
-            return install(model, number, random);
+            return randomSnapshotInstall(model, number, random);
         }
         long from = 0;
         long base = model.snapshot == null ? 0 : model.snapshot.index();
-        long end = model.last();
+        long end = model.lastIndex();
         if (random.nextInt(6) == 0 && !model.entries.isEmpty()) {
             from = base + 1 + random.nextInt(model.entries.size());
             end = from - 1;
@@ -125,41 +127,41 @@
         return new WriteBatch(number, number / 5, random.nextInt(2), from, append, snapshot);
     }
 
-    /** Runs until the power goes; gives the texts of the states that may be found then. */
-    private static List<String> run(CrashDisk disk, Model model, Random random, int changes) {
+    /** Runs until the power loss; returns the states that recovery may find. */
+    private static List<String> run(CrashDisk disk, Model model, Random random, int batchCount) {
         String before = model.text();
         try {
             RaftStore store = RaftStore.open(disk);
             assertFalse(store.isCorrupt());
             assertEquals(model.text(), text(store.load()));
-            if (!model.begun) {
-                model.begun = true;
+            if (!model.initialized) {
+                model.initialized = true;
                 store.initialize(SELF);
             }
-            for (int i = 1; i <= changes; i++) {
+            for (int i = 1; i <= batchCount; i++) {
                 before = model.text();
-                WriteBatch change = next(model, i, random);
-                model.apply(change);
-                store.write(change);
+                WriteBatch batch = randomBatch(model, i, random);
+                model.apply(batch);
+                store.write(batch);
             }
             before = model.text();
             store.close();
         } catch (StoreException e) {
-            assertTrue(disk.dead, e::toString);
+            assertTrue(disk.powerLost, e::toString);
         }
         return List.of(before, model.text());
     }
 
-    private static int length(long seed) {
+    private static int countSteps(long seed) {
         CrashDisk disk = new CrashDisk(seed);
         run(disk, new Model(), new Random(seed), CHANGES);
         return disk.steps;
     }
 
     @Test
-    void eachStepMayBeTheLast() {
+    void recoversFromPowerLossAtEachStep() {
         for (long seed = 1; seed <= 2; seed++) {
-            int steps = length(seed);
+            int steps = countSteps(seed);
             for (int at = 1; at <= steps; at++) {
                 for (int fate = 0; fate < 2; fate++) {
                     crash(seed, at, fate);
@@ -168,27 +170,27 @@
         }
     }
 
-    /** Whenever power is lost at the first start, a founder has its name and its founding, or nothing. */
+    /** After a power loss during the first start, a founder has its identity and its bootstrap batch, or neither. */
     @Test
-    void aFounderHasItsNameWithItsFoundingOrNeither() {
-        WriteBatch founding = new WriteBatch(1, 0, 0, 0, List.of(), new Snapshot(0, 0, List.of(SELF), new byte[0]));
-        int found = 0;
-        int nothing = 0;
-        boolean died = true;
-        for (int at = 1; died; at++) {
+    void bootstrapIsAtomicUnderPowerLoss() {
+        WriteBatch firstBatch = new WriteBatch(1, 0, 0, 0, List.of(), new Snapshot(0, 0, List.of(SELF), new byte[0]));
+        int bootstrapped = 0;
+        int empty = 0;
+        boolean powerLost = true;
+        for (int at = 1; powerLost; at++) {
             CrashDisk disk = new CrashDisk(at);
-            disk.dieAt = at;
+            disk.powerLossAt = at;
             try (RaftStore store = RaftStore.open(disk)) {
-                store.bootstrap(SELF, founding);
+                store.bootstrap(SELF, firstBatch);
             } catch (StoreException e) {
-                assertTrue(disk.dead, e::toString);
+                assertTrue(disk.powerLost, e::toString);
             }
-            died = disk.dead;
+            powerLost = disk.powerLost;
             disk.powerUp();
             try (RaftStore store = RaftStore.open(disk)) {
                 PersistedState stored = store.load();
-                nothing += stored == null ? 1 : 0;
-                found += stored != null ? 1 : 0;
+                empty += stored == null ? 1 : 0;
+                bootstrapped += stored != null ? 1 : 0;
                 assertTrue(
                         stored == null
                                 || stored.self().equals(SELF)
@@ -197,47 +199,47 @@
                         "step " + at);
             }
         }
-        assertTrue(found > 1 && nothing > 1, found + " found, " + nothing + " nothing");
+        assertTrue(bootstrapped > 1 && empty > 1, bootstrapped + " bootstrapped, " + empty + " empty");
     }
 
     private static void crash(long seed, int at, int fate) {
-        String place = "seed " + seed + ", step " + at + ", fate " + fate;
+        String context = "seed " + seed + ", step " + at + ", fate " + fate;
         CrashDisk disk = new CrashDisk(seed * 1000_003 + at * 31L + fate);
-        disk.dieAt = at;
+        disk.powerLossAt = at;
         List<String> allowed = run(disk, new Model(), new Random(seed), CHANGES);
         disk.powerUp();
-        // The power goes once more while the file is mended.
-        disk.dieAt = disk.steps + 1 + at % 3;
+        // Loses power again during the recovery of the file.
+        disk.powerLossAt = disk.steps + 1 + at % 3;
         try {
             RaftStore.open(disk).close();
         } catch (StoreException e) {
-            assertTrue(disk.dead, place);
+            assertTrue(disk.powerLost, context);
         }
         disk.powerUp();
         try (RaftStore store = RaftStore.open(disk)) {
-            assertFalse(store.isCorrupt(), place);
-            String found = text(store.load());
-            assertTrue(allowed.contains(found), () -> place + ": found " + found + " of " + allowed);
+            assertFalse(store.isCorrupt(), context);
+            String recovered = text(store.load());
+            assertTrue(allowed.contains(recovered), () -> context + ": found " + recovered + " of " + allowed);
         }
-        // What was found is found again, and goes on from there.
+        // Reopening finds the same state, and further writes continue from it.
         try (RaftStore store = RaftStore.open(disk)) {
             PersistedState stored = store.load();
-            assertTrue(allowed.contains(text(stored)), place);
+            assertTrue(allowed.contains(text(stored)), context);
             if (stored == null) {
                 assertNull(stored);
                 store.initialize(SELF);
                 return;
             }
             Model model = new Model();
-            model.begun = true;
+            model.initialized = true;
             model.snapshot = stored.snapshot();
             model.entries.addAll(stored.entries());
             for (int i = 1; i <= 4; i++) {
-                WriteBatch change = next(model, i, new Random(at + i));
-                model.apply(change);
-                store.write(change);
+                WriteBatch batch = randomBatch(model, i, new Random(at + i));
+                model.apply(batch);
+                store.write(batch);
             }
-            assertEquals(model.text(), text(store.load()), place);
+            assertEquals(model.text(), text(store.load()), context);
         }
     }
 }
--- a/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
+++ b/src/test/java/sablehinge/controlplane/node/RaftStoreTest.java
@@ -24,7 +24,7 @@
     private static final Member SELF = Member.founder("10.0.0.1:7000", "10.0.0.1:7001");
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private static Entry entry(long index, int size) {
         byte[] data = new byte[size];
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void holdsWhatItWasGivenAcrossOpenings() {
-        try (RaftStore store = RaftStore.open(folder.resolve("a/b"))) {
+    void keepsStateAcrossReopening() {
+        try (RaftStore store = RaftStore.open(directory.resolve("a/b"))) {
             assertNull(store.load());
             assertFalse(store.isCorrupt());
             store.initialize(SELF);
             store.write(new WriteBatch(1, 7, 42, 0, List.of(entry(1, 10), entry(2, 300_000)), null));
         }
-        try (RaftStore store = RaftStore.open(folder.resolve("a/b"))) {
+        try (RaftStore store = RaftStore.open(directory.resolve("a/b"))) {
             PersistedState stored = store.load();
             assertEquals(SELF, stored.self());
             assertEquals(7, stored.term());
@@ -57,13 +57,13 @@
             assertArrayEquals(entry(2, 300_000).data(), stored.entries().get(1).data());
             assertEquals(
                     StoreException.Code.LOCKED,
-                    assertThrows(StoreException.class, () -> RaftStore.open(folder.resolve("a/b")))
+                    assertThrows(StoreException.class, () -> RaftStore.open(directory.resolve("a/b")))
                             .code());
         }
     }
 
     @Test
-    void truncatesAndTakesASnapshotInPlaceOfEntries() {
+    void truncatesAndReplacesEntriesBySnapshot() {
         CrashDisk disk = new CrashDisk(1);
         try (RaftStore store = RaftStore.open(disk)) {
             store.initialize(SELF);
@@ -72,7 +72,7 @@
             assertEquals(List.of(1L, 2L, 3L, 4L), indexes(store));
             store.write(new WriteBatch(3, 1, 0, 0, List.of(), new Snapshot(2, 1, List.of(SELF), new byte[] {1})));
             assertEquals(List.of(3L, 4L), indexes(store));
-            // One that reaches beyond the log, with what follows it.
+            // A snapshot beyond the end of the log, with an entry after it.
             store.write(new WriteBatch(
                     4, 1, 0, 3, List.of(entry(11, 5)), new Snapshot(10, 1, List.of(SELF), new byte[] {2})));
         }
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void refusesWhatDoesNotFollowAndStaysOpen() {
+    void rejectsBatchOutOfOrderAndStaysOpen() {
         try (RaftStore store = RaftStore.open(new CrashDisk(1))) {
             assertEquals(
                     StoreException.Code.ORDER,
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aDamagedFileIsMovedAsideAndToldOfUntilSomeoneBegins() {
+    void corruptFileIsRenamedAndReportedUntilMemberIsStored() {
         for (int kind = 0; kind < 4; kind++) {
             CrashDisk disk = new CrashDisk(kind);
             try (RaftStore store = RaftStore.open(disk)) {
@@ -122,12 +122,12 @@
             } else if (kind == 2) {
                 bytes = Arrays.copyOf(bytes, 9000);
             } else {
-                for (int at = 0; at < bytes.length; at++) {
-                    bytes[at] ^= at % 4096 == 2000 ? 1 : 0;
+                for (int position = 0; position < bytes.length; position++) {
+                    bytes[position] ^= position % 4096 == 2000 ? 1 : 0;
                 }
             }
             disk.bytes(RaftStore.FILE, bytes);
-            for (int opening = 0; opening < 2; opening++) {
+            for (int attempt = 0; attempt < 2; attempt++) {
                 try (RaftStore store = RaftStore.open(disk)) {
                     assertTrue(store.isCorrupt(), "kind " + kind);
                     assertNull(store.load());
@@ -143,9 +143,9 @@
         }
     }
 
-    /** A header that was lost with the power, or points to a chunk that is not there, is made anew. */
+    /** The header may be lost in a power loss, or point to a missing chunk; the store rewrites it. */
     @Test
-    void doesWithoutTheHeader() {
+    void recoversFromLostHeader() {
         CrashDisk disk = new CrashDisk(1);
         try (RaftStore store = RaftStore.open(disk)) {
             store.initialize(SELF);
@@ -159,28 +159,28 @@
     }
 
     @Test
-    void aRefusedWriteClosesItForGood() {
+    void failedWriteClosesStorePermanently() {
         CrashDisk disk = new CrashDisk(1);
         RaftStore store = RaftStore.open(disk);
         store.initialize(SELF);
         store.write(append(1, 2));
-        disk.room = disk.bytes(RaftStore.FILE).length + 20_000;
+        disk.capacityBytes = disk.bytes(RaftStore.FILE).length + 20_000;
         StoreException full = assertThrows(
                 StoreException.class, () -> store.write(new WriteBatch(2, 9, 9, 2, List.of(entry(2, 90_000)), null)));
         assertEquals(StoreException.Code.REFUSED, full.code());
         assertEquals(
                 StoreException.Code.CLOSED,
                 assertThrows(StoreException.class, () -> store.write(append(3))).code());
-        disk.room = Long.MAX_VALUE;
-        try (RaftStore again = RaftStore.open(disk)) {
-            assertEquals(List.of(1L, 2L), indexes(again));
-            assertEquals(1, again.load().term());
+        disk.capacityBytes = Long.MAX_VALUE;
+        try (RaftStore reopened = RaftStore.open(disk)) {
+            assertEquals(List.of(1L, 2L), indexes(reopened));
+            assertEquals(1, reopened.load().term());
         }
     }
 
-    /** A write that was refused or cut short may end anywhere, with older bytes behind it. */
+    /** A failed or torn write may end at any byte, with older bytes after it. */
     @Test
-    void aCommitWhoseLastBytesAreOlderOnesIsTorn() {
+    void commitThatEndsInOlderBytesIsTorn() {
         CrashDisk disk = new CrashDisk(1);
         RaftStore store = RaftStore.open(disk);
         store.initialize(SELF);
@@ -191,40 +191,40 @@
         store.close();
         int end = after.length;
         assertEquals(before.length + ChunkFooter.BLOCK_BYTES, end, "the last commit is the last block");
-        for (int older = 1; older <= ChunkFooter.LENGTH_BYTES; older++) {
+        for (int olderBytes = 1; olderBytes <= ChunkFooter.LENGTH_BYTES; olderBytes++) {
             byte[] torn = after.clone();
-            Arrays.fill(torn, end - older, end, (byte) 'x');
+            Arrays.fill(torn, end - olderBytes, end, (byte) 'x');
             disk.bytes(RaftStore.FILE, torn);
-            try (RaftStore found = RaftStore.open(disk)) {
-                assertFalse(found.isCorrupt(), older + " bytes");
-                assertEquals(List.of(1L), indexes(found), older + " bytes");
+            try (RaftStore recovered = RaftStore.open(disk)) {
+                assertFalse(recovered.isCorrupt(), olderBytes + " bytes");
+                assertEquals(List.of(1L), indexes(recovered), olderBytes + " bytes");
             }
         }
     }
 
     @Test
-    void spaceIsUsedAgain() throws Exception {
+    void reusesFileSpace() throws Exception {
         int count = 2000;
         CrashDisk disk = new CrashDisk(1);
-        long longest = 0;
+        long maxFileLength = 0;
         try (RaftStore store = RaftStore.open(disk)) {
             store.initialize(SELF);
             int forces = disk.forces;
             for (int i = 1; i <= count; i++) {
                 Snapshot snapshot = i % 64 == 0 ? new Snapshot(i - 8, 1, List.of(SELF), new byte[200_000]) : null;
                 store.write(new WriteBatch(i, 1, 0, 0, List.of(entry(i, 50_000)), snapshot));
-                longest = Math.max(longest, disk.bytes(RaftStore.FILE).length);
+                maxFileLength = Math.max(maxFileLength, disk.bytes(RaftStore.FILE).length);
             }
             assertTrue(disk.forces - forces <= count * 5 / 4, "syncs: " + (disk.forces - forces));
         }
-        assertTrue(longest < 16L << 20, "longest: " + longest);
+        assertTrue(maxFileLength < 16L << 20, "longest file: " + maxFileLength);
     }
 
     @Test
-    void anEmptyFolderStaysWithoutThreads() {
-        RaftStore.open(folder).close();
-        assertTrue(Files.exists(folder.resolve(RaftStore.FILE)));
-        assertFalse(Files.exists(folder.resolve(RaftStore.NEW_FILE)));
+    void newStoreLeavesNoThreadBehind() {
+        RaftStore.open(directory).close();
+        assertTrue(Files.exists(directory.resolve(RaftStore.FILE)));
+        assertFalse(Files.exists(directory.resolve(RaftStore.NEW_FILE)));
         assertTrue(Thread.getAllStackTraces().keySet().stream()
                 .noneMatch(t -> t.getName().contains("MVStore")));
     }
--- a/src/test/java/sablehinge/controlplane/node/StateMachineTest.java
+++ b/src/test/java/sablehinge/controlplane/node/StateMachineTest.java
@@ -9,7 +9,7 @@
 import sablehinge.controlplane.raft.Entry;
 import sablehinge.controlplane.state.ConfigurationState;
 
-/** How committed entries become state, and when the log is cut to a snapshot. */
+/** The application of committed entries, and the triggers of snapshots. */
 class StateMachineTest {
 
     private static final int MAX_LOG_ENTRIES = 48;
@@ -24,7 +24,7 @@
             (index, state) -> events.add("snapshot at " + index));
 
     @Test
-    void whenAConfigurationIsCommittedThenItIsInForceAndTold() {
+    void appliesCommittedConfigurationAndNotifies() {
         machine.apply(command(1, 0, 5));
 
         assertEquals(5, configurations.edition());
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whenAConfigurationIsBasedOnAnOlderOneThenNothingChanges() {
+    void ignoresConfigurationOnStaleBase() {
         machine.apply(command(1, 0, 5));
         events.clear();
 
@@ -43,14 +43,14 @@
     }
 
     @Test
-    void whenAnEntryCannotBeAppliedThenTheProcessEnds() {
+    void haltsOnEntryThatCannotBeApplied() {
         machine.apply(new Entry(1, 1, Entry.Kind.COMMAND, new byte[] {99}));
 
         assertEquals(List.of("halt"), events);
     }
 
     @Test
-    void whenEnoughEntriesHaveComeThenASnapshotIsAskedForAtTheLastOfThem() {
+    void compactsAfterMaximumNumberOfEntries() {
         for (int index = 1; index <= 2 * MAX_LOG_ENTRIES; index++) {
             machine.apply(new Entry(index, 1, Entry.Kind.NOOP, new byte[0]));
         }
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void whenEntriesHaveEnoughBytesThenASnapshotIsAskedForSooner() {
+    void compactsAfterMaximumSizeOfEntries() {
         machine.apply(new Entry(1, 1, Entry.Kind.MEMBERS, new byte[MAX_LOG_BYTES - 1]));
         machine.apply(new Entry(2, 1, Entry.Kind.MEMBERS, new byte[1]));
 
--- a/src/test/java/sablehinge/controlplane/node/StoredDataTest.java
+++ b/src/test/java/sablehinge/controlplane/node/StoredDataTest.java
@@ -20,8 +20,8 @@
 import sablehinge.controlplane.state.ConfigurationState;
 
 /**
- * Reads a store that the code before the renaming of its classes wrote (commit 8d0919f): the names of classes and of
- * their parts are no part of what is on disk.
+ * Reads a store that an earlier version wrote (commit 8d0919f), before its classes were renamed: the stored format must
+ * not depend on the names of classes or of their members.
  */
 class StoredDataTest {
 
@@ -32,20 +32,20 @@
     private static final Member FOUR = Member.later(42, "10.0.0.4:7780", "10.0.0.4:8367");
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private RaftStore open() throws Exception {
-        Path file = folder.resolve("log.mv.db");
+        Path file = directory.resolve("log.mv.db");
         if (!Files.exists(file)) {
             try (InputStream in = StoredDataTest.class.getResourceAsStream(STORE)) {
                 Files.copy(in, file);
             }
         }
-        return RaftStore.open(folder);
+        return RaftStore.open(directory);
     }
 
     @Test
-    void aStoreOfTheVersionBeforeIsReadCompletely() throws Exception {
+    void readsStoreOfEarlierVersion() throws Exception {
         try (RaftStore store = open()) {
             assertFalse(store.isCorrupt());
             PersistedState stored = store.load();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void itsSnapshotAndCommandsAreAppliedWithTheirHistory() throws Exception {
+    void appliesSnapshotAndCommandsOfEarlierVersionWithHistory() throws Exception {
         try (RaftStore store = open()) {
             PersistedState stored = store.load();
             ConfigurationState state = new ConfigurationState();
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void whatIsWrittenToItIsThereAfterAnotherOpening() throws Exception {
+    void writesToStoreOfEarlierVersionSurviveReopening() throws Exception {
         Entry next = new Entry(24, 6, Entry.Kind.NOOP, new byte[0]);
         try (RaftStore store = open()) {
             store.write(new WriteBatch(1, 6, ONE.id(), 0, List.of(next), null));
--- a/src/test/java/sablehinge/controlplane/node/WireFormatTest.java
+++ b/src/test/java/sablehinge/controlplane/node/WireFormatTest.java
@@ -13,7 +13,7 @@
 import sablehinge.controlplane.raft.Message;
 import sablehinge.controlplane.raft.Snapshot;
 
-/** What goes between control nodes has the form that commit 8d0919f wrote; these bytes are its own. */
+/** The wire format between control nodes; the expected bytes were written by commit 8d0919f. */
 class WireFormatTest {
 
     private static final Member ONE = Member.founder("10.0.0.1:7780", "10.0.0.1:8367");
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void eachMessageHasItsBytes() throws IOException {
+    void encodesEachMessage() throws IOException {
         assertBytes(
                 new Message.VoteRequest(7, 8, 6, true, false),
                 "010000000000000007000000000000000800000000000000060100");
@@ -63,9 +63,9 @@
         assertBytes(new Message.LeaveResponse(7), "0b0000000000000007");
     }
 
-    /** A record's kind goes by its place in the list. */
+    /** The number of a frame's kind on the wire is its ordinal. */
     @Test
-    void eachKindOfRecordHasItsNumber() {
+    void frameKindsKeepTheirOrdinals() {
         assertEquals(
                 List.of("HELLO", "PING", "PONG", "RAFT", "ASK", "UPDATE", "REDIRECT", "TOKENS", "SHARES", "PULL"),
                 Stream.of(Frame.Kind.values()).map(Enum::name).toList());
