--- a/src/main/java/sablehinge/controlplane/node/RaftStore.java
+++ b/src/main/java/sablehinge/controlplane/node/RaftStore.java
@@ -257,7 +257,7 @@
 
     private void requireUninitialized() {
         if (self != null) {
-            throw orderException("the store already belongs to member " + self.id());
+            throw orderException("member " + self.id() + " is stored already");
         }
     }
 
