--- a/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/CutOffFaults.java
@@ -18,7 +18,7 @@
                     "a lease counts from the answer's arrival",
                     ROUNDS,
                     "void extendLease(",
-                    "sentAt[(int) (answered % REMEMBERED)]",
+                    "sentAt[(int) (answered % ROUND_HISTORY_SIZE)]",
                     "peers.values().stream().mapToDouble(one -> one.lastResponseAt).max().orElse(0)"),
             new Mutant(
                     "a lease is as long as voters wait", ROUNDS, "void extendLease(", "LEASE_SHARE * state", "state"),
@@ -26,19 +26,19 @@
                     "who hears a leader votes for another",
                     CANDIDATE,
                     "void handleVoteRequest(",
-                    "led && !(request.leadershipTransfer() && known)",
-                    "led && !known"),
+                    "hasLeader && !(request.leadershipTransfer() && fromVoter)",
+                    "hasLeader && !fromVoter"),
             new Mutant(
                     "who starts again forgets that it answered a leader",
                     NODE,
                     "public void start(",
-                    "state.leaderHeardAt = processStartedAt;",
+                    "state.lastLeaderContactAt = processStartedAt;",
                     ""),
             new Mutant(
                     "a follower does not note that it heard its leader",
                     FOLLOWER,
                     "private boolean acceptLeader(",
-                    "state.leaderHeardAt = now;",
+                    "state.lastLeaderContactAt = now;",
                     ""),
             new Mutant(
                     "a barrier counts answers to an older round",
@@ -87,7 +87,7 @@
                     "who has handed over takes a lease again",
                     ROUNDS,
                     "void extendLease(",
-                    "if (!leaseGivenUp) {",
+                    "if (!leaseRevoked) {",
                     "if (latest >= 0) {"));
 
     private CutOffFaults() {}
--- a/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
+++ b/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
@@ -54,8 +54,9 @@
             machine.begin(machine.self, founders);
             return;
         }
-        Member name =
-                first ? machine.self : Member.nonFounder(cluster.dice(machine), machine.address, machine.self.control());
+        Member name = first
+                ? machine.self
+                : Member.nonFounder(cluster.dice(machine), machine.address, machine.self.control());
         machine.incarnation++;
         machine.self = name;
         names.put(machine.address, name);
--- a/bench/src/sablehinge/controlplane/raft/LogFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/LogFaults.java
@@ -58,8 +58,8 @@
                     "what is truncated counts as synced",
                     QUEUE,
                     "private void limitSyncedTo(long from)",
-                    "one.end = Math.min(one.end, from - 1);",
-                    "one.end += 0;"),
+                    "batch.lastIndex = Math.min(batch.lastIndex, from - 1);",
+                    "batch.lastIndex += 0;"),
             new Mutant(
                     "an election does not compare logs",
                     CANDIDATE,
--- a/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/MembershipFaults.java
@@ -60,34 +60,34 @@
                     "all who wait are let in in one step",
                     VOTER_CHANGES,
                     "void appendNext(",
-                    "due.get().applied(state.log.members())",
-                    "java.util.stream.Stream.concat(due.get().applied(state.log.members()).stream(), "
+                    "nextChange.get().applied(state.log.members())",
+                    "java.util.stream.Stream.concat(nextChange.get().applied(state.log.members()).stream(), "
                             + "learners.stream().map(MembershipPlanner.Replica::member)).distinct().toList()"),
             new Mutant(
                     "the core does not grow",
                     PLANNER,
-                    "private Optional<VoterChange> due(",
+                    "private Optional<VoterChange> nextDue(",
                     "voters.size() < targetVoters && ready.size() >= 2",
                     "voters.size() < 0"),
             new Mutant(
                     "a voter that lost its disk is not replaced",
                     PLANNER,
-                    "private Optional<Replica> departing(",
-                    "Replica goes = null;",
-                    "Replica goes = null;\n        if (!voters.isEmpty()) {\n"
+                    "private Optional<Replica> voterToRemove(",
+                    "Replica longestSilent = null;",
+                    "Replica longestSilent = null;\n        if (!voters.isEmpty()) {\n"
                             + "            return Optional.empty();\n        }"),
             new Mutant(
                     "an even core stays even",
                     PLANNER,
-                    "private Optional<VoterChange> due(",
+                    "private Optional<VoterChange> nextDue(",
                     "voters.size() % 2 == 0",
                     "voters.size() < 0"),
             new Mutant(
                     "who does not answer is let in",
                     PLANNER,
                     "private boolean hasMajorityAfter(",
-                    "sound >= list.size() / 2 + 1",
-                    "sound >= 0"));
+                    "readyCount >= nextVoters.size() / 2 + 1",
+                    "readyCount >= 0"));
 
     private MembershipFaults() {}
 }
--- a/bench/src/sablehinge/controlplane/raft/OrderFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/OrderFaults.java
@@ -32,19 +32,19 @@
                     "an order is known by its edition alone",
                     STATE,
                     "public Outcome evaluate(",
-                    "known.isOrder(basedOn, nextBody)",
+                    "known.matches(basedOn, nextBody)",
                     "known.length >= 0"),
             new Mutant(
                     "bodies of one length are taken for one",
                     STATE,
-                    "boolean isOrder(",
-                    " && digest.matches(sent)",
+                    "boolean matches(",
+                    " && digest.matches(otherBody)",
                     ""),
             new Mutant(
                     "an order on another version is taken for the same",
                     STATE,
-                    "boolean isOrder(",
-                    "(basedOn == base || basedOn == UNKNOWN)",
+                    "boolean matches(",
+                    "(basedOn == otherBase || basedOn == UNKNOWN)",
                     "basedOn >= UNKNOWN"),
             new Mutant(
                     "an edition that is not above is taken",
@@ -68,7 +68,7 @@
                     "a state tells no editions that were taken",
                     STATE,
                     "public byte[] state()",
-                    "out.writeInt(taken.size());",
+                    "out.writeInt(accepted.size());",
                     "out.writeInt(0);"),
             new Mutant(
                     "a state's body is lost",
--- a/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
+++ b/bench/src/sablehinge/controlplane/raft/SnapshotFaults.java
@@ -20,20 +20,20 @@
                     "a snapshot's term is forgotten",
                     LOG,
                     "void install(Snapshot snapshot)",
-                    "rebase(snapshot, follows",
-                    "rebase(new Snapshot(snapshot.index(), 0, " + "snapshot.members(), snapshot.state()), follows"),
+                    "rebase(snapshot, matches",
+                    "rebase(new Snapshot(snapshot.index(), 0, " + "snapshot.members(), snapshot.state()), matches"),
             new Mutant(
                     "a snapshot's members are forgotten",
                     LOG,
                     "void install(Snapshot snapshot)",
-                    "rebase(snapshot, follows",
+                    "rebase(snapshot, matches",
                     "rebase(isEmpty() ? snapshot : new Snapshot(snapshot.index(), "
-                            + "snapshot.term(), base.members(), snapshot.state()), follows"),
+                            + "snapshot.term(), base.members(), snapshot.state()), matches"),
             new Mutant(
                     "entries that differ stay behind a snapshot",
                     LOG,
                     "void install(Snapshot snapshot)",
-                    "holdsEntry(snapshot.index(), snapshot.term())",
+                    "containsEntry(snapshot.index(), snapshot.term())",
                     "snapshot.index() >= base.index() && snapshot.index() <= lastIndex()"),
             new Mutant(
                     "members of entries that a snapshot drops stay",
@@ -56,8 +56,8 @@
             new Mutant(
                     "entries in a snapshot are written behind it",
                     QUEUE,
-                    "void snapshot(Snapshot taken)",
-                    "append.removeIf(entry -> entry.index() <= taken.index());",
+                    "void snapshot(Snapshot newSnapshot)",
+                    "newEntries.removeIf(entry -> entry.index() <= newSnapshot.index());",
                     ""),
             new Mutant(
                     "a host's older state takes the place of a newer snapshot",
@@ -86,13 +86,13 @@
             new Mutant(
                     "a lost chunk is never sent again",
                     SENDER,
-                    "Message.InstallSnapshotRequest next(",
+                    "Message.InstallSnapshotRequest nextChunk(",
                     "sentAt = now;\n        sentRound = round;",
                     "sentAt = Double.MAX_VALUE;\n        sentRound = Long.MAX_VALUE;"),
             new Mutant(
                     "a chunk counts for another snapshot",
                     RECEIVER,
-                    "private boolean isOf(",
+                    "private boolean isPartOfCurrent(",
                     "leaderTerm == request.term() && index == request.chunk().index()",
                     "leaderTerm > 0"),
             new Mutant(
@@ -117,8 +117,8 @@
                     "entries are sent behind one that is not kept",
                     LOG,
                     "boolean canReadFrom(",
-                    "recent.holds(index - 1)",
-                    "recent.holds(index)"),
+                    "recent.contains(index - 1)",
+                    "recent.contains(index)"),
             new Mutant(
                     "who has nothing is sent entries only",
                     REPLICATOR,
--- a/src/main/java/sablehinge/controlplane/raft/CandidateState.java
+++ b/src/main/java/sablehinge/controlplane/raft/CandidateState.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * Elections, from both sides: pre-votes and votes that this replica requests, and those that are requested of it.
+ * Elections: requests votes and pre-votes for this replica, and answers those of other candidates.
  *
- * <p>A pre-vote only asks whether the vote would be given; nothing follows from it, so that a replica that was cut off
- * disturbs nobody when it returns (Ongaro, "Consensus: Bridging Theory and Practice", 9.6). A vote leaves once it is on
- * disk.
+ * <p>A pre-vote only asks whether the receiver would grant its vote and changes no state, so that a replica that was
+ * partitioned does not disrupt the leader when it returns (Ongaro, "Consensus: Bridging Theory and Practice", 9.6). A
+ * vote is sent once it is on disk.
  */
 final class CandidateState {
 
     private final ReplicaState state;
     private final QuorumState quorum;
     private boolean preVoting;
-    /** Who has granted a vote, or a pre-vote while {@link #preVoting}. */
+    /** Ids of the members that granted a vote, or a pre-vote while {@link #preVoting}. */
     private final Set<Long> votes = new HashSet<>();
 
     private double electionStartedAt = Double.NEGATIVE_INFINITY;
@@ -25,7 +25,7 @@
         this.quorum = quorum;
     }
 
-    /** When this replica requested the votes of its latest term, ms. */
+    /** When this replica requested the votes of its latest election, ms. */
     double electionStartedAt() {
         return electionStartedAt;
     }
@@ -35,15 +35,15 @@
     }
 
     /**
-     * Whether this replica may stand for election. A list that leaves it out counts only once it is committed: until
-     * then it may be the only one that holds that entry, and nobody with a shorter log gets its vote. It asks the
-     * voters of that list, and its own vote counts for nothing.
+     * Whether this replica may start an election. A member list without this replica matters only once it is committed:
+     * until then this replica may be the only one that has the entry, and it would deny its vote to every candidate
+     * with a shorter log. It requests the votes of the members in that list, and its own vote does not count.
      */
     boolean isElectable() {
         return state.isVoter() || state.log.wasVoterAt(state.self.id(), state.commitIndex);
     }
 
-    /** Requests pre-votes, and starts the election at once where there is no other voter. */
+    /** Requests pre-votes, or starts the election at once if there is no other voter. */
     void requestPreVotes(double now) {
         state.role = RaftStatus.Role.FOLLOWER;
         state.leader = null;
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Asks for the votes of the current term; called by {@link QuorumState#startElection}. */
+    /** Requests votes in the current term; called by {@link QuorumState#startElection}. */
     void requestVotes(double now, boolean leadershipTransfer) {
         electionStartedAt = now;
         votes.clear();
@@ -73,13 +73,13 @@
                 state.term, state.log.lastIndex(), state.log.lastTerm(), false, leadershipTransfer);
         for (Member member : state.log.members()) {
             if (!state.isSelf(member)) {
-                // Waits until the own vote is on disk, and with it all of the log that the request names.
+                // Waits until this replica's own vote and the log that the request refers to are on disk.
                 state.queue.sendWhenSynced(member, request);
             }
         }
     }
 
-    /** Counts the own vote once it is on disk. */
+    /** Counts this replica's own vote once it is on disk. */
     void countOwnVote(double now) {
         if (state.queue.syncedTerm() == state.term && state.votedFor == state.self.id() && votes.add(state.self.id())) {
             countVotes(now);
@@ -93,13 +93,11 @@
     }
 
     void handleVoteRequest(double now, Member from, Message.VoteRequest request) {
-        boolean known = state.log.isVoter(from.id());
-        boolean led = state.isLeader() || now - state.leaderHeardAt < state.config.minElectionTimeoutMs();
-        // A replica that is in contact with a leader votes for nobody, except for a successor that the leader itself
-        // chose:
-        // else a
-        // lease might outlast the leadership.
-        boolean refused = led && !(request.leadershipTransfer() && known);
+        boolean fromVoter = state.log.isVoter(from.id());
+        boolean hasLeader = state.isLeader() || now - state.lastLeaderContactAt < state.config.minElectionTimeoutMs();
+        // A replica in contact with a leader grants no vote, except to the successor that the leader itself chose:
+        // otherwise a lease could outlast the leadership.
+        boolean refused = hasLeader && !(request.leadershipTransfer() && fromVoter);
         boolean upToDate = isUpToDate(request);
         if (request.preVote()) {
             boolean granted = !refused && upToDate && request.term() > state.term && !state.isDiskStalled(now);
@@ -127,7 +125,7 @@
         state.queue.sendWhenSynced(from, new Message.VoteResponse(state.term, true, false));
     }
 
-    /** Whether a candidate's log is at least as complete as the own one (Raft, 5.4.1). */
+    /** Whether a candidate's log is at least as up to date as this replica's (Raft, 5.4.1). */
     private boolean isUpToDate(Message.VoteRequest request) {
         long lastTerm = state.log.lastTerm();
         return request.lastTerm() > lastTerm
--- a/src/main/java/sablehinge/controlplane/raft/CoreDiscovery.java
+++ b/src/main/java/sablehinge/controlplane/raft/CoreDiscovery.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /**
- * How a replica finds the leader where none finds it: one that is no voter, or has not heard of a leader for long and
- * may have been removed, asks members and known addresses to be let in.
+ * Finds the leader when no leader contacts this replica: a replica that is not a voter, or that has had no contact with
+ * a leader for some time and may have been removed, sends join requests to members and known addresses.
  */
 final class CoreDiscovery {
 
-    /** Between two requests to join, ms. */
+    /** Time between two join requests, ms. */
     static final double JOIN_INTERVAL_MS = 300;
-    /** Addresses that are remembered. */
+    /** Maximum number of known addresses. */
     private static final int MAX_CONTACTS = 64;
 
     private final ReplicaState state;
@@ -26,7 +26,7 @@
         this.leader = leader;
     }
 
-    /** Addresses of machines that may be members. */
+    /** Adds addresses of machines that may be members. */
     void addContacts(List<String> addresses) {
         for (String address : addresses) {
             if (contacts.size() < MAX_CONTACTS) {
@@ -35,19 +35,19 @@
         }
     }
 
-    /** Begins to take part; a voter gives a leader the time to reach it first. */
+    /** Called when this replica starts to take part; a voter first waits for a leader to contact it. */
     void begin(double now) {
         nextJoinAt = state.isVoter() ? now + ReplicaState.LEADER_LOST_MS : now;
     }
 
     /**
-     * Asks to join if that is due.
+     * Sends join requests if they are due.
      *
      * @param voter whether this replica was a voter when the tick began
      */
     void tick(double now, boolean voter) {
-        boolean lost = !voter || now - state.leaderHeardAt > ReplicaState.LEADER_LOST_MS;
-        if (lost && now >= nextJoinAt) {
+        boolean leaderUnknown = !voter || now - state.lastLeaderContactAt > ReplicaState.LEADER_LOST_MS;
+        if (leaderUnknown && now >= nextJoinAt) {
             nextJoinAt = now + JOIN_INTERVAL_MS;
             requestJoin();
         }
@@ -73,7 +73,7 @@
         }
     }
 
-    /** A leader takes the sender as a learner; any other replica names the leader that it knows. */
+    /** A leader accepts the sender as a learner; any other replica answers with the leader that it knows. */
     void handleJoinRequest(double now, Message.JoinRequest request) {
         Member sender = request.self();
         if (state.isSelf(sender) || sender.id() == 0) {
@@ -87,8 +87,8 @@
     }
 
     void handleLeaderHint(double now, Message.LeaderHint hint) {
-        boolean led = state.isVoter() && now - state.leaderHeardAt < ReplicaState.LEADER_LOST_MS;
-        if (state.isLeader() || led) {
+        boolean hasLeader = state.isVoter() && now - state.lastLeaderContactAt < ReplicaState.LEADER_LOST_MS;
+        if (state.isLeader() || hasLeader) {
             return;
         }
         hint.members().forEach(member -> addContacts(List.of(member.address())));
--- a/src/main/java/sablehinge/controlplane/raft/Departure.java
+++ b/src/main/java/sablehinge/controlplane/raft/Departure.java
@@ -1,24 +1,24 @@
 package sablehinge.controlplane.raft;
 
 /**
- * Processes that are about to end: this one, and peers that have announced it to the leader.
+ * Graceful shutdown, of this process and of peers that have announced theirs to the leader.
  *
- * <p>The leaving process announces itself to the leader until it is released, which means that a majority of those that
- * stay has everything committed on disk and that, where a learner waits, it has taken the place. A leader that leaves
- * transfers its leadership first.
+ * <p>The leaving process announces its shutdown to the leader until it is released: a majority of the remaining voters
+ * then has all committed entries on disk, and if a learner was waiting, the learner has replaced this replica. A
+ * leaving leader transfers its leadership first.
  */
 final class Departure {
 
-    /** Between two announcements to the leader, ms. */
+    /** Time between two announcements to the leader, ms. */
     private static final double ANNOUNCE_INTERVAL_MS = 100;
-    /** For so long a leaving leader waits for a successor that has all of its log, ms. */
+    /** Time that a leaving leader waits for a successor that has its complete log, ms. */
     private static final double COMPLETE_SUCCESSOR_WAIT_MS = 300;
-    /** After so long all learners have sent a new leader their request to become voters, ms. */
-    private static final double ALL_JOINED_MS = CoreDiscovery.JOIN_INTERVAL_MS + 100;
+    /** Time within which all learners have sent their join requests to a new leader, ms. */
+    private static final double JOIN_REQUEST_WAIT_MS = CoreDiscovery.JOIN_INTERVAL_MS + 100;
 
     private final ReplicaState state;
     private final LeaderState leader;
-    /** Since when this process is about to end, ms; infinity while it is not. */
+    /** When this process began to shut down, ms; infinite until then. */
     private double leavingSince = Double.POSITIVE_INFINITY;
 
     private double nextAnnouncementAt;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Goes on with leaving; called with each tick after {@link #begin}. */
+    /** Continues the shutdown; called with each tick after {@link #begin}. */
     void tick(double now) {
         if (state.isLeader()) {
             leaveAsLeader(now);
@@ -70,7 +70,7 @@
         }
         if (transfer.successor(now, 0) == null
                 && state.log.lastIndex() == state.commitIndex
-                && isHeldWithout(now, state.self.id())) {
+                && isReplicatedWithout(now, state.self.id())) {
             release();
         }
     }
@@ -82,7 +82,7 @@
         }
     }
 
-    /** A peer is about to end: as leader, its place is given to a learner and it is released. */
+    /** Handles the announced shutdown of a peer: the leader replaces the peer by a learner, if any, and releases it. */
     void handleLeaveRequest(double now, Message.LeaveRequest request) {
         if (!state.isLeader() || state.commitIndex < leader.firstIndexOfTerm()) {
             return;
@@ -94,12 +94,12 @@
             leader.changeVoters(now);
         }
         if (isLeaving()) {
-            // It may be the one that was to take over.
+            // The leaving peer may be the chosen successor of this leader.
             leader.transfer.retryNow(now);
         }
         boolean replaceable = state.log.isVoter(leaving.id())
-                && (leader.hasLearner(now) || now - leader.electedAt() <= ALL_JOINED_MS);
-        if (state.log.membersIndex() <= state.commitIndex && !replaceable && isHeldWithout(now, leaving.id())) {
+                && (leader.hasLearner(now) || now - leader.electedAt() <= JOIN_REQUEST_WAIT_MS);
+        if (state.log.membersIndex() <= state.commitIndex && !replaceable && isReplicatedWithout(now, leaving.id())) {
             state.actions.send(leaving, new Message.LeaveResponse(state.term));
         }
     }
@@ -111,20 +111,20 @@
     }
 
     /**
-     * Whether a majority of the voters that stay without one has everything that is committed. Where those that stay
-     * are no majority all of the core is being stopped, and nobody has to wait for it.
+     * Whether a majority of the voters that remain without the given one has all committed entries on disk. If the
+     * remaining voters are no majority, the entire core is being stopped and no process needs to wait.
      */
-    private boolean isHeldWithout(double now, long id) {
-        int staying = 0;
-        int complete = 0;
+    private boolean isReplicatedWithout(double now, long id) {
+        int remaining = 0;
+        int caughtUp = 0;
         for (Member member : state.log.members()) {
-            boolean own = state.isSelf(member);
+            boolean isSelf = state.isSelf(member);
             ReplicaProgress peer = leader.peers.get(member.id());
-            if (member.id() != id && !(own ? isLeaving() : peer.isLeaving(now, state.config))) {
-                staying++;
-                complete += (own ? state.queue.syncedIndex() : peer.matchIndex) >= state.commitIndex ? 1 : 0;
+            if (member.id() != id && !(isSelf ? isLeaving() : peer.isLeaving(now, state.config))) {
+                remaining++;
+                caughtUp += (isSelf ? state.queue.syncedIndex() : peer.matchIndex) >= state.commitIndex ? 1 : 0;
             }
         }
-        return staying < state.majority() || complete >= staying / 2 + 1;
+        return remaining < state.majority() || caughtUp >= remaining / 2 + 1;
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/Entry.java
+++ b/src/main/java/sablehinge/controlplane/raft/Entry.java
@@ -3,19 +3,19 @@
 /**
  * One entry of the log.
  *
- * @param index its place, from 1 on without gaps
- * @param term of the leader that made it
- * @param data what the kind says; not to be changed
+ * @param index position in the log, from 1 on without gaps
+ * @param term term of the leader that appended the entry
+ * @param data payload, whose format depends on the kind; must not be modified
  */
 public record Entry(long index, long term, Kind kind, byte[] data) {
 
-    /** What an entry is. */
+    /** The kind of an entry. */
     public enum Kind {
-        /** Nothing; by its commit a new leader learns what was committed before it. */
+        /** Empty; its commit tells a new leader which earlier entries are committed. */
         NOOP,
-        /** The members of the core from here on, as {@link MemberListCodec} writes them. */
+        /** The members of the core from this entry on, in the format of {@link MemberListCodec}. */
         MEMBERS,
-        /** A command to the state machine. */
+        /** A command for the state machine. */
         COMMAND
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/FollowerState.java
+++ b/src/main/java/sablehinge/controlplane/raft/FollowerState.java
@@ -1,19 +1,19 @@
 package sablehinge.controlplane.raft;
 
 /**
- * What a follower holds of its leader, and how it takes entries and snapshots from it.
+ * The follower role: replicates entries and snapshots from the leader.
  *
- * <p>It acknowledges entries only as far as its disk has them and its log is known to be the leader's: an entry that it
- * holds behind that may be one of a deposed leader.
+ * <p>A follower acknowledges entries only up to the index that its disk has synced and up to which its log is known to
+ * match the leader's: entries after that index may stem from a deposed leader.
  */
 final class FollowerState {
 
     private final ReplicaState state;
     private final QuorumState quorum;
     private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
-    /** Up to this index the log is the leader's. */
+    /** The index up to which the log is known to match the leader's. */
     private long verifiedIndex;
-    /** The highest heartbeat round of the leader that was seen in this term. */
+    /** The highest heartbeat round of the leader that this replica has seen in this term. */
     private long lastRound;
 
     FollowerState(ReplicaState state, QuorumState quorum) {
@@ -21,7 +21,7 @@
         this.quorum = quorum;
     }
 
-    /** Another leader may come in a later term: nothing is verified by it, and its rounds begin anew. */
+    /** A later term may have another leader: the log is unverified against it, and rounds restart from 1. */
     void resetForTerm() {
         resetVerifiedIndex();
         lastRound = 0;
@@ -35,9 +35,9 @@
         snapshotReceiver.clear();
     }
 
-    /** Forgets a leader that sends nothing any more, and starts an election when the timer has run out. */
+    /** Clears a leader that no longer sends messages, and requests pre-votes when the election timer has expired. */
     void tick(double now) {
-        if (state.leader != null && now - state.leaderHeardAt > ReplicaState.LEADER_LOST_MS) {
+        if (state.leader != null && now - state.lastLeaderContactAt > ReplicaState.LEADER_LOST_MS) {
             state.leader = null;
         }
         if (now >= state.electionDeadline) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The disk has more than before: the leader may commit by it. */
+    /** The disk has synced more entries: acknowledges them, so that the leader can commit them. */
     void onPersisted() {
         if (state.leader != null && state.queue.syncedTerm() == state.term) {
             state.actions.send(state.leader, response(true, verifiedIndex));
@@ -57,22 +57,22 @@
     }
 
     private Message.AppendResponse response(boolean success, long hint) {
-        // Entries count for a term only if the disk knows the term: else an older leader could undo them.
+        // Entries count in a term only once the term is on disk: otherwise an older leader could truncate them.
         long match = success && state.queue.syncedTerm() == state.term
                 ? Math.min(state.queue.syncedIndex(), verifiedIndex)
                 : 0;
         return new Message.AppendResponse(state.term, success, match, hint, lastRound);
     }
 
-    /** Whether a leader's message is of the latest term; notes that the leader was heard then. */
+    /** Whether a leader's message is of the latest term; if so, records the contact with the leader. */
     private boolean acceptLeader(double now, Member from, long leaderTerm, long round) {
         if (leaderTerm < state.term || leaderTerm == state.term && state.isLeader()) {
-            // Its sender may lead a later term by now, where a round of this number is another.
+            // Answers round 0: the sender may lead a later term by now, in which the same number is another round.
             state.actions.send(from, new Message.AppendResponse(state.term, false, 0, 0, 0));
             return false;
         }
         quorum.becomeFollower(now, leaderTerm, from);
-        state.leaderHeardAt = now;
+        state.lastLeaderContactAt = now;
         lastRound = Math.max(lastRound, round);
         state.resetElectionTimer(now);
         return true;
@@ -91,13 +91,13 @@
             state.actions.send(from, response(false, state.log.lastIndex()));
             return;
         }
-        // What lies before the commit index is the same in all logs.
+        // Up to the commit index all logs are identical.
         if (previous > state.commitIndex && state.log.termAt(previous) != request.prevTerm()) {
             state.actions.send(from, response(false, beforeTermOf(previous)));
             return;
         }
         if (!request.entries().isEmpty() && state.queue.isFull()) {
-            // The leader sends them again with its next heartbeat, or when the disk has taken something.
+            // The leader resends them with its next heartbeat, or when the disk has synced a batch.
             verifiedIndex = Math.max(verifiedIndex, previous);
             state.commitTo(now, Math.min(request.commit(), verifiedIndex));
             state.actions.send(from, response(false, verifiedIndex));
@@ -114,7 +114,10 @@
         state.actions.send(from, response(true, verifiedIndex));
     }
 
-    /** The last index before all entries of the term of the entry at {@code index}: they may all differ. */
+    /**
+     * The last index before all entries with the same term as the entry at {@code index}, as all of them may differ
+     * from the leader's.
+     */
     private long beforeTermOf(long index) {
         long hint = index - 1;
         while (hint > state.commitIndex && state.log.termAt(hint) == state.log.termAt(index)) {
@@ -133,7 +136,7 @@
             }
             if (entry.index() <= state.commitIndex) {
                 throw new IllegalStateException(
-                        "entry " + entry.index() + " of term " + entry.term() + " differs from a committed one");
+                        "entry " + entry.index() + " of term " + entry.term() + " conflicts with a committed entry");
             }
             state.log.truncate(entry.index());
             state.queue.truncate(entry.index());
@@ -168,7 +171,7 @@
 
     private void install(Snapshot snapshot) {
         RaftLog log = state.log;
-        if (!log.holdsEntry(snapshot.index(), snapshot.term())
+        if (!log.containsEntry(snapshot.index(), snapshot.term())
                 && log.lastIndex() > log.base().index()) {
             state.queue.truncate(log.base().index() + 1);
         }
--- a/src/main/java/sablehinge/controlplane/raft/HeartbeatRounds.java
+++ b/src/main/java/sablehinge/controlplane/raft/HeartbeatRounds.java
@@ -5,31 +5,33 @@
 import java.util.Map;
 
 /**
- * The numbered rounds in which a leader asks its peers whether it still leads, and the lease that their answers give.
+ * The numbered heartbeat rounds by which a leader confirms its leadership, and the lease that it gains from the
+ * answers.
  *
- * <p>The lease lasts for {@value #LEASE_SHARE} of the shortest election timeout from when a round was <em>sent</em>
- * that a majority has answered: none of that majority votes for another before the timeout is over. It counts from the
- * sending, since an answer may have waited in a buffer, and is shorter than voters wait, since clocks differ in speed.
+ * <p>The lease lasts for {@value #LEASE_SHARE} of the minimum election timeout, counted from when a round was
+ * <em>sent</em> that a majority has answered: no member of that majority votes for another candidate before the timeout
+ * has passed. It counts from the sending, since answers may have waited in a buffer, and is shorter than the timeout of
+ * the voters, since clocks run at different speeds.
  */
 final class HeartbeatRounds {
 
-    /** Rounds whose time of sending is remembered. */
-    private static final int REMEMBERED = 64;
-    /** The share of the shortest election timeout for which a lease lasts. */
+    /** Number of latest rounds whose send times are retained. */
+    private static final int ROUND_HISTORY_SIZE = 64;
+    /** Duration of the lease as a fraction of the minimum election timeout. */
     private static final double LEASE_SHARE = 0.8;
 
     private final ReplicaState state;
     private final Map<Long, ReplicaProgress> peers;
     private long latest;
-    /** When each of the last rounds was sent, ms, by the round's number modulo {@link #REMEMBERED}. */
-    private final double[] sentAt = new double[REMEMBERED];
-    /** The commit index when each of the last rounds was sent. */
-    private final long[] commitIndexAt = new long[REMEMBERED];
+    /** When each of the latest rounds was sent, ms, indexed by round number modulo {@link #ROUND_HISTORY_SIZE}. */
+    private final double[] sentAt = new double[ROUND_HISTORY_SIZE];
+    /** The commit index when each of the latest rounds was sent, indexed likewise. */
+    private final long[] commitIndexAt = new long[ROUND_HISTORY_SIZE];
 
     private double leaseUntil = Double.NEGATIVE_INFINITY;
-    /** Whether leadership was transferred in this term: from then on there is no lease. */
-    private boolean leaseGivenUp;
-    /** When the latest round was sent that a majority has answered; or when the votes were requested, ms. */
+    /** Whether this leader has transferred its leadership in this term, after which it has no lease. */
+    private boolean leaseRevoked;
+    /** When the latest round that a majority has answered was sent, initially when the votes were requested; ms. */
     private double majorityContactAt = Double.NEGATIVE_INFINITY;
 
     HeartbeatRounds(ReplicaState state, Map<Long, ReplicaProgress> peers) {
@@ -37,19 +39,19 @@
         this.peers = peers;
     }
 
-    /** Begins a term. */
+    /** Resets the rounds at the start of a term. */
     void reset(double electionStartedAt) {
         latest = 0;
-        leaseGivenUp = false;
+        leaseRevoked = false;
         leaseUntil = Double.NEGATIVE_INFINITY;
         majorityContactAt = electionStartedAt;
     }
 
-    /** Begins the next round. */
+    /** Starts the next round. */
     void begin(double now) {
         latest++;
-        sentAt[(int) (latest % REMEMBERED)] = now;
-        commitIndexAt[(int) (latest % REMEMBERED)] = state.commitIndex;
+        sentAt[(int) (latest % ROUND_HISTORY_SIZE)] = now;
+        commitIndexAt[(int) (latest % ROUND_HISTORY_SIZE)] = state.commitIndex;
     }
 
     /** The number of the latest round; 0 before the first. */
@@ -62,7 +64,7 @@
         return answeredByMajorityOf(state.log.members());
     }
 
-    /** The latest round that a majority of a list has answered. */
+    /** The latest round that a majority of the given members has answered. */
     long answeredByMajorityOf(List<Member> members) {
         long[] rounds = new long[members.size()];
         for (int i = 0; i < rounds.length; i++) {
@@ -74,31 +76,31 @@
         return rounds[rounds.length - (members.size() / 2 + 1)];
     }
 
-    /** A peer has answered a later round than before. */
+    /** Extends the lease after a peer has answered a later round than before. */
     void extendLease() {
         long answered = answeredByMajority();
-        if (answered <= Math.max(0, latest - REMEMBERED)) {
+        if (answered <= Math.max(0, latest - ROUND_HISTORY_SIZE)) {
             return;
         }
-        majorityContactAt = Math.max(majorityContactAt, sentAt[(int) (answered % REMEMBERED)]);
-        if (!leaseGivenUp) {
+        majorityContactAt = Math.max(majorityContactAt, sentAt[(int) (answered % ROUND_HISTORY_SIZE)]);
+        if (!leaseRevoked) {
             leaseUntil = Math.max(leaseUntil, majorityContactAt + LEASE_SHARE * state.config.minElectionTimeoutMs());
         }
     }
 
-    /** Another may lead from now on; in this term there is no lease any more. */
-    void giveUpLease() {
-        leaseGivenUp = true;
+    /** Ends the lease for the rest of this term, as another replica may become the leader. */
+    void revokeLease() {
+        leaseRevoked = true;
         leaseUntil = Double.NEGATIVE_INFINITY;
     }
 
     boolean hasLease(double now) {
-        // A sole member has nobody to ask, and nobody else can be voted for.
+        // A sole member needs no answers, and no other replica can be elected.
         return state.running && state.isLeader() && (now < leaseUntil || state.majority() == 1);
     }
 
-    /** For how long the lease lasts, ms; 0 where there is none. */
-    double leaseLeftMs(double now) {
+    /** Remaining time of the lease, ms; 0 if there is none. */
+    double remainingLeaseMs(double now) {
         return hasLease(now) ? leaseUntil - now : 0;
     }
 
@@ -111,13 +113,14 @@
     }
 
     /**
-     * Whether a peer's disk has all that is committed, or had all when the latest round was sent or the one before it,
-     * which it has answered: under load, what is committed now is newer than any answer.
+     * Whether a peer's disk has all committed entries, or had all entries that were committed when the latest round
+     * that the peer has answered was sent, if that was the latest round or the one before it. Under load the latest
+     * commits are newer than any answer.
      */
     boolean isCaughtUp(ReplicaProgress peer) {
         boolean hadAll = peer.answeredRound > 0
                 && peer.answeredRound >= latest - 1
-                && peer.matchIndex >= commitIndexAt[(int) (peer.answeredRound % REMEMBERED)];
+                && peer.matchIndex >= commitIndexAt[(int) (peer.answeredRound % ROUND_HISTORY_SIZE)];
         return hadAll || peer.matchIndex >= state.commitIndex;
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/LeaderState.java
+++ b/src/main/java/sablehinge/controlplane/raft/LeaderState.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 
 /**
- * What a leader holds for its term: the progress of each peer, the heartbeat rounds with the lease, barriers, changes
- * of the voters. It begins with {@link #begin} and ends with {@link #resign}; both are called by {@link QuorumState}.
+ * The leader role: the progress of each peer, heartbeat rounds and lease, read barriers, and membership changes.
+ * {@link QuorumState} calls {@link #begin} at the start of a leader's term and {@link #resign} at its end.
  *
- * <p>An entry is committed once a majority of the voters has it on disk, the leader's own disk counting like any other:
- * so a stalled disk, be it the leader's, delays nobody.
+ * <p>An entry is committed once a majority of the voters has it on disk. The leader's own disk counts like any other,
+ * so that a stalled disk delays no commit, even if it is the leader's.
  */
 final class LeaderState {
 
-    /** A peer that is no voter and has sent nothing for so long is dropped, ms. */
+    /** Time without a message after which a peer that is not a voter is removed, ms. */
     private static final double PEER_EXPIRY_MS = 10_000;
-    /** Learners that are replicated to at a time. */
+    /** Maximum number of learners to which the leader replicates at a time. */
     private static final int MAX_LEARNERS = 8;
 
     private final ReplicaState state;
     private final QuorumState quorum;
-    /** By the id of the member; voters, and learners that ask to become voters. */
+    /** Progress by member id: of voters, and of learners that request to become voters. */
     final Map<Long, ReplicaProgress> peers = new LinkedHashMap<>();
 
     final HeartbeatRounds rounds;
@@ -29,7 +29,7 @@
     final LeadershipTransfer transfer;
     private final Replicator replicator;
     private final VoterChanges voterChanges;
-    /** Whether this process is about to end; see {@link Departure}. */
+    /** Whether this process is shutting down; see {@link Departure}. */
     private boolean leaving;
 
     private long firstIndexOfTerm;
@@ -46,7 +46,7 @@
         voterChanges = new VoterChanges(state, this, planner);
     }
 
-    /** Begins a term: its first entry commits all entries of earlier terms. */
+    /** Starts a leader's term; the commit of its first entry also commits all entries of earlier terms. */
     void begin(double now, double electionStartedAt) {
         peers.clear();
         rounds.reset(electionStartedAt);
@@ -58,7 +58,7 @@
         firstIndexOfTerm = append(now, Entry.Kind.NOOP, new byte[0]);
     }
 
-    /** Ends the term: nothing is known of the peers any more, and barriers are rejected. */
+    /** Ends the leadership: discards the progress of the peers and rejects all barriers. */
     void resign() {
         peers.clear();
         barriers.rejectAll();
@@ -69,7 +69,7 @@
         return firstIndexOfTerm;
     }
 
-    /** Since when it has led, ms. */
+    /** When this replica became the leader, ms. */
     double electedAt() {
         return electedAt;
     }
@@ -78,7 +78,7 @@
         return leaving;
     }
 
-    /** This process is about to end: voters are not changed any more. */
+    /** Notes that this process is shutting down: it makes no more membership changes. */
     void markLeaving() {
         leaving = true;
     }
@@ -101,7 +101,7 @@
         changeVoters(now);
     }
 
-    /** Whether a majority has answered lately enough to lead on. */
+    /** Whether a majority has answered within the quorum timeout. */
     private boolean hasMajorityContact(double now) {
         int count = 0;
         for (Member member : state.log.members()) {
@@ -113,7 +113,7 @@
         return count >= state.majority();
     }
 
-    /** Asks all peers whether this replica still leads, with the entries that they lack. */
+    /** Starts a heartbeat round: sends each peer a heartbeat with the entries that it lacks. */
     void startRound(double now) {
         rounds.begin(now);
         nextHeartbeatAt = now + state.config.heartbeatIntervalMs();
@@ -131,7 +131,8 @@
             addVoters(now);
         }
         for (ReplicaProgress peer : peers.values()) {
-            // At the start of a term the guessed index is tried once; later only an answer confirms it.
+            // A peer that is still probed is sent the first entry of the term, as its assumed next index may be right;
+            // later entries wait until an answer confirms the index.
             if (!peer.probing || entry.index() == peer.nextIndex && kind == Entry.Kind.NOOP) {
                 replicator.sendPending(now, peer);
             }
@@ -139,7 +140,7 @@
         return entry.index();
     }
 
-    /** Every voter is a peer; one that is a voter no more stays a peer for a while, so that it learns of it. */
+    /** Adds each voter as a peer. A removed voter remains a peer for some time, so that it learns of its removal. */
     private void addVoters(double now) {
         for (Member member : state.log.members()) {
             if (!state.isSelf(member) && !peers.containsKey(member.id())) {
@@ -152,10 +153,11 @@
         voterChanges.appendNext(now);
     }
 
-    /** Commits what a majority has on disk, and confirms barriers that waited for it. */
+    /** Commits the entries that a majority has on disk, and confirms the barriers that waited for them. */
     void advanceCommitIndex(double now) {
         long index = majorityMatchIndex();
-        // An entry of an older term may be on most disks and yet be undone; one of this term may not (Raft, 5.4.2).
+        // An entry of an older term may still be overwritten although a majority has it; an entry of this term cannot
+        // be (Raft, 5.4.2).
         if (index > state.commitIndex && state.log.termAt(index) == state.term) {
             boolean votersChanged = state.log.membersIndex() > state.commitIndex && state.log.membersIndex() <= index;
             state.commitTo(now, index);
@@ -164,7 +166,8 @@
                 return;
             }
             if (votersChanged) {
-                // A removal makes the core weaker until the newcomer is in: the next tick would be late.
+                // After a removal the core tolerates fewer failures until the replacement is added, so the next change
+                // does not wait for the next tick.
                 changeVoters(now);
             }
         }
@@ -184,7 +187,7 @@
         return matches.length == 0 ? 0 : matches[matches.length - state.majority()];
     }
 
-    /** Notes a response of this term; null if it is none, or from nobody that is replicated to. */
+    /** Records a response of this term; returns null if it is of another term or its sender is not a peer. */
     private ReplicaProgress noteResponse(double now, Member from, long responseTerm, long round) {
         ReplicaProgress peer = state.isLeader() ? peers.get(from.id()) : null;
         if (peer == null || responseTerm < state.term) {
@@ -194,7 +197,7 @@
             if (state.log.isVoter(from.id())) {
                 quorum.becomeFollower(now, responseTerm, null);
             } else {
-                // A learner can follow only a later term than its own: so it gets one, from the same leader.
+                // A learner follows no leader of an earlier term than its own, so this leader moves to a later term.
                 quorum.startElection(now, responseTerm + 1, true);
             }
             return null;
@@ -214,8 +217,10 @@
         }
         replicator.onAppendResponse(now, peer, response);
         advanceCommitIndex(now);
-        if (state.isLeader() && (voterChanges.isAwaiting() || isLearner(now, peer))) {
-            // A voter's place may be free, and the core is weaker until it is filled: the next tick is late.
+        if (state.isLeader() && (voterChanges.hasPendingChange() || isLearner(now, peer))) {
+            // A membership change may have become possible. Until it is made the core may tolerate fewer failures, so
+            // it
+            // does not wait for the next tick.
             changeVoters(now);
         }
     }
@@ -229,7 +234,7 @@
         barriers.confirm(now);
     }
 
-    /** Replicates to a learner that asks to become a voter, as far as {@link #MAX_LEARNERS} allows. */
+    /** Starts to replicate to a learner that requests to become a voter, up to {@link #MAX_LEARNERS} learners. */
     void handleJoinRequest(double now, Message.JoinRequest request) {
         Member learner = request.self();
         ReplicaProgress peer = peers.get(learner.id());
@@ -245,14 +250,14 @@
         peer.joinRequestedAt = now;
     }
 
-    /** Whether a peer is no voter and has lately requested to become one. */
+    /** Whether a peer is not a voter and has recently requested to become one. */
     boolean isLearner(double now, ReplicaProgress peer) {
         return !state.log.isVoter(peer.member.id())
                 && now - peer.joinRequestedAt <= ReplicaState.LEADER_LOST_MS
                 && !peer.isLeaving(now, state.config);
     }
 
-    /** Whether a learner answers. */
+    /** Whether there is a learner that has answered recently. */
     boolean hasLearner(double now) {
         return peers.values().stream().anyMatch(peer -> isLearner(now, peer) && peer.isAlive(now, state.config));
     }
--- a/src/main/java/sablehinge/controlplane/raft/LeadershipTransfer.java
+++ b/src/main/java/sablehinge/controlplane/raft/LeadershipTransfer.java
@@ -1,13 +1,13 @@
 package sablehinge.controlplane.raft;
 
 /**
- * Hands leadership to a peer: where the own disk stalls, and where this process is about to end. The peer is notified
- * by {@link Message.TimeoutNowRequest} to start an election at once (Ongaro's thesis, 3.10); it need not succeed, and
- * the transfer is tried again later.
+ * Transfers the leadership to a peer, when the leader's disk stalls or its process is shutting down. A
+ * {@link Message.TimeoutNowRequest} requests the peer to start an election at once (Ongaro's thesis, 3.10). The peer
+ * may fail to win it; the leader then retries later.
  */
 final class LeadershipTransfer {
 
-    /** Between two attempts, ms. */
+    /** Time between two attempts, ms. */
     private static final double RETRY_INTERVAL_MS = 500;
 
     private final ReplicaState state;
@@ -19,7 +19,7 @@
         this.leader = leader;
     }
 
-    /** Begins a term. */
+    /** Resets the state at the start of a term. */
     void reset(double now) {
         nextAttemptAt = now;
     }
@@ -28,12 +28,15 @@
         return now >= nextAttemptAt;
     }
 
-    /** The successor may be gone: the transfer may be tried again at once. */
+    /** Allows the next attempt at once, as the successor may be leaving too. */
     void retryNow(double now) {
         nextAttemptAt = Math.min(nextAttemptAt, now);
     }
 
-    /** The own disk stalls: whoever answers, and has on disk what this one could not write, leads better. */
+    /**
+     * Transfers the leadership away from this replica, whose disk is stalled, to a peer that answers and has entries on
+     * disk that this replica could not write.
+     */
     void transferFromStalledDisk(double now) {
         ReplicaProgress successor = successor(now, Math.max(state.commitIndex, state.queue.syncedIndex() + 1));
         if (successor != null) {
@@ -41,7 +44,10 @@
         }
     }
 
-    /** The peer that answers, stays and has most on disk, at least up to an index; null if there is none. */
+    /**
+     * Returns the voter with the highest match index, which is at least {@code minMatchIndex}, among those that answer
+     * and are not leaving; null if there is none.
+     */
     ReplicaProgress successor(double now, long minMatchIndex) {
         ReplicaProgress best = null;
         for (ReplicaProgress peer : leader.peers.values()) {
@@ -56,10 +62,10 @@
         return best;
     }
 
-    /** Asks a peer to take over; without a lease from now on, as both may lead for a moment. */
+    /** Requests a peer to take over, and ends the lease, as both replicas may be leader for a moment. */
     void transferTo(double now, ReplicaProgress successor) {
         nextAttemptAt = now + RETRY_INTERVAL_MS;
-        leader.rounds.giveUpLease();
+        leader.rounds.revokeLease();
         state.actions.send(successor.member, new Message.TimeoutNowRequest(state.term));
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/Member.java
+++ b/src/main/java/sablehinge/controlplane/raft/Member.java
@@ -1,12 +1,12 @@
 package sablehinge.controlplane.raft;
 
 /**
- * A machine of the core with one incarnation of its disk. A machine that loses its disk comes back as another member:
- * it has forgotten what it voted for, so no promise of the member before binds it or counts for it.
+ * A machine of the core with one incarnation of its disk. A machine that loses its disk returns as a new member: it no
+ * longer knows its votes, so promises of the former member neither bind it nor count in its favour.
  *
- * @param id differs for each incarnation; never 0
- * @param address where it takes records from its peers, {@code ip:port}
- * @param control where operators call it, {@code ip:port}
+ * @param id unique for each incarnation; never 0
+ * @param address address for messages of its peers, {@code ip:port}
+ * @param control address for operator calls, {@code ip:port}
  */
 public record Member(long id, String address, String control) {
 
@@ -14,8 +14,8 @@
     private static final long FNV_PRIME = 0x100000001b3L;
 
     /**
-     * A member of the very first core, whose id all who found it reckon alike from its address. The lowest bit is set
-     * in founders' ids and clear in all others.
+     * Returns a founder of the core. Every founder derives the same id from the address. The lowest bit is set in the
+     * ids of founders and clear in all others.
      */
     public static Member founder(String address, String control) {
         long hash = FNV_OFFSET;
@@ -25,7 +25,7 @@
         return new Member(hash | 1, address, control);
     }
 
-    /** A member whose disk began empty after the founding; {@code random} tells it from all others. */
+    /** Returns a member whose disk was empty after the founding of the core; {@code random} makes its id unique. */
     public static Member nonFounder(long random, String address, String control) {
         long even = random & ~1L;
         return new Member(even == 0 ? 2 : even, address, control);
--- a/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
+++ b/src/main/java/sablehinge/controlplane/raft/MembershipPlanner.java
@@ -5,69 +5,73 @@
 import java.util.Optional;
 
 /**
- * Decides which voter comes or goes next. A leader asks it whenever the last change of the voters is committed, so that
- * voters change one at a time and any two successive majorities share a member.
+ * Decides which voter is added or removed next. A leader calls it when the previous membership change is committed, so
+ * that voters change one at a time and any two successive majorities share a member.
  *
- * <p>A core of {@code targetVoters} voters, an odd number, bears the losses that the deployment states. One below it
- * grows, one above it shrinks, and a voter that is lost or leaves goes only when a learner whose disk has everything
- * committed is ready to take its place. Between two steps the core never bears fewer losses than before the first:
+ * <p>A core of {@code targetVoters} voters, an odd number, tolerates the failures that the deployment specifies. A
+ * smaller core grows, a larger one shrinks, and a voter that is lost or leaving is removed only when a learner that has
+ * all committed entries on disk is ready to replace it. Between two steps the core never tolerates fewer failures than
+ * before the first:
  *
  * <ul>
- *   <li>An odd core takes a voter that makes it even only if all its voters answer and the learner that makes it odd
- *       again is ready too: an even core needs one vote more than the odd one below it and bears no more.
- *   <li>A voter that does not answer goes before its successor comes. The other order would need the successor for each
- *       commit in between, and a successor that dies then would take the majority with it.
- *   <li>A voter that leaves and still answers goes after its successor has come.
+ *   <li>An odd core adds a voter, which makes it even, only if all its voters answer and the learner that makes it odd
+ *       again is ready too: an even core needs one vote more than the next smaller odd core and tolerates no more
+ *       failures.
+ *   <li>A voter that does not answer is removed before its replacement is added. In the reverse order each commit in
+ *       between would need the replacement, whose failure would then cost the majority.
+ *   <li>A voter that is leaving and still answers is removed after its replacement has been added.
  * </ul>
  *
- * <p>It has no state, no clock and no I/O.
+ * <p>The planner has no state, clock or I/O.
  */
 final class MembershipPlanner {
 
-    /** Where three machines serve the core it has three voters, whatever losses are stated. */
+    /** The core grows to three voters if it has the machines, even if the deployment specifies fewer failures. */
     private static final int MIN_VOTERS = 3;
 
     /**
-     * What the leader knows of a voter or a learner.
+     * The leader's view of a voter or a learner.
      *
-     * @param member who it is
-     * @param sinceLastMessageMs since its last answer, ms; 0 for the leader itself
-     * @param caughtUp whether its disk has everything that is committed
-     * @param leaving whether it has announced lately that it is about to end
+     * @param member the voter or learner
+     * @param sinceLastMessageMs time since its last answer, ms; 0 for the leader itself
+     * @param caughtUp whether its disk has all committed entries
+     * @param leaving whether it has recently announced its shutdown
      */
     record Replica(Member member, double sinceLastMessageMs, boolean caughtUp, boolean leaving) {}
 
     private final int targetVoters;
-    private final double freshMs;
-    private final double sinceLastMessageMs;
+    private final double aliveMs;
+    private final double lostMs;
 
     /**
-     * A planner for one deployment.
+     * Creates a planner for one deployment.
      *
-     * @param losses how many members may be lost at once while the core goes on, from 0 on
-     * @param timing when a member counts as alive, and when as lost
+     * @param toleratedFailures number of members that may fail at the same time without making the core unavailable,
+     *     from 0 on
+     * @param timing times after which a member no longer counts as alive, and counts as lost
      */
-    MembershipPlanner(int losses, RaftConfig timing) {
-        targetVoters = Math.max(MIN_VOTERS, 2 * losses + 1);
-        freshMs = timing.peerAliveMs();
-        sinceLastMessageMs = timing.voterLostMs();
+    MembershipPlanner(int toleratedFailures, RaftConfig timing) {
+        targetVoters = Math.max(MIN_VOTERS, 2 * toleratedFailures + 1);
+        aliveMs = timing.peerAliveMs();
+        lostMs = timing.voterLostMs();
     }
 
     /**
-     * The next step, if one is due and if a majority of the voters after it answers and has everything.
+     * Returns the next change, if one is due and a majority of the resulting voters answers and has all committed
+     * entries.
      *
-     * @param voters the committed list, the leader among them
-     * @param learners who asks to become a voter and is fed, the one that has waited longest first
+     * @param voters the committed voters, including the leader
+     * @param learners the replicas that request to become voters and are replicated to, the longest waiting first
      */
     Optional<VoterChange> next(List<Replica> voters, List<Replica> learners) {
         List<Replica> ready = learners.stream().filter(this::isReady).toList();
-        return due(voters, ready).filter(change -> hasMajorityAfter(change, voters, ready));
+        return nextDue(voters, ready).filter(change -> hasMajorityAfter(change, voters, ready));
     }
 
-    private Optional<VoterChange> due(List<Replica> voters, List<Replica> ready) {
-        Optional<Replica> departing = departing(voters, ready);
+    private Optional<VoterChange> nextDue(List<Replica> voters, List<Replica> ready) {
+        Optional<Replica> voterToRemove = voterToRemove(voters, ready);
         if (voters.size() > targetVoters) {
-            return departing.map(MembershipPlanner::remove);
+            return voterToRemove.map(MembershipPlanner::remove);
         }
         if (ready.isEmpty()) {
             return Optional.empty();
@@ -76,17 +80,17 @@
         if (voters.size() % 2 == 0) {
             return Optional.of(add);
         }
-        boolean allSound = voters.stream().allMatch(this::isReady);
-        if (voters.size() < targetVoters && ready.size() >= 2 && allSound) {
+        boolean allReady = voters.stream().allMatch(this::isReady);
+        if (voters.size() < targetVoters && ready.size() >= 2 && allReady) {
             return Optional.of(add);
         }
-        if (departing.isEmpty() || voters.size() < MIN_VOTERS) {
+        if (voterToRemove.isEmpty() || voters.size() < MIN_VOTERS) {
             return Optional.empty();
         }
-        if (voters.size() == targetVoters && allSound) {
+        if (voters.size() == targetVoters && allReady) {
             return Optional.of(add);
         }
-        return departing.map(MembershipPlanner::remove);
+        return voterToRemove.map(MembershipPlanner::remove);
     }
 
     private static VoterChange remove(Replica voter) {
@@ -94,49 +98,50 @@
     }
 
     /**
-     * Whose place may be taken: a former incarnation of a learner, then a voter that leaves, then the one that has not
-     * answered for longest.
+     * Returns the voter to remove first: a former incarnation of a learner, else a voter that is leaving, else the lost
+     * voter that has not answered for the longest time.
      */
-    private Optional<Replica> departing(List<Replica> voters, List<Replica> ready) {
+    private Optional<Replica> voterToRemove(List<Replica> voters, List<Replica> ready) {
         for (Replica voter : voters) {
-            // Two incarnations of one disk can't both answer: the one before need not be waited for.
-            if (!isFresh(voter) && ready.stream().anyMatch(one -> isSameMachine(one, voter))) {
+            // Two incarnations of one machine cannot both answer, so the former one is removed without waiting.
+            if (!isAlive(voter) && ready.stream().anyMatch(learner -> isSameMachine(learner, voter))) {
                 return Optional.of(voter);
             }
         }
-        Replica goes = null;
+        Replica longestSilent = null;
         for (Replica voter : voters) {
             if (voter.leaving()) {
                 return Optional.of(voter);
             }
-            if (voter.sinceLastMessageMs() > sinceLastMessageMs
-                    && (goes == null || voter.sinceLastMessageMs() > goes.sinceLastMessageMs())) {
-                goes = voter;
+            if (voter.sinceLastMessageMs() > lostMs
+                    && (longestSilent == null || voter.sinceLastMessageMs() > longestSilent.sinceLastMessageMs())) {
+                longestSilent = voter;
             }
         }
-        return Optional.ofNullable(goes);
+        return Optional.ofNullable(longestSilent);
     }
 
-    private static boolean isSameMachine(Replica one, Replica other) {
-        return one.member().address().equals(other.member().address());
+    private static boolean isSameMachine(Replica a, Replica b) {
+        return a.member().address().equals(b.member().address());
     }
 
-    private boolean isFresh(Replica replica) {
-        return replica.sinceLastMessageMs() <= freshMs;
+    private boolean isAlive(Replica replica) {
+        return replica.sinceLastMessageMs() <= aliveMs;
     }
 
     private boolean isReady(Replica replica) {
-        return isFresh(replica) && replica.caughtUp();
+        return isAlive(replica) && replica.caughtUp();
     }
 
-    /** Whether a majority of the voters after a step answers and has everything that is committed. */
+    /** Whether a majority of the voters after a change answers and has all committed entries. */
     private boolean hasMajorityAfter(VoterChange change, List<Replica> voters, List<Replica> ready) {
-        List<Replica> next = new ArrayList<>(voters);
-        next.addAll(ready);
-        List<Member> list = change.applied(voters.stream().map(Replica::member).toList());
-        long sound = next.stream()
-                .filter(one -> list.contains(one.member()) && isReady(one))
+        List<Replica> replicas = new ArrayList<>(voters);
+        replicas.addAll(ready);
+        List<Member> nextVoters =
+                change.applied(voters.stream().map(Replica::member).toList());
+        long readyCount = replicas.stream()
+                .filter(replica -> nextVoters.contains(replica.member()) && isReady(replica))
                 .count();
-        return sound >= list.size() / 2 + 1;
+        return readyCount >= nextVoters.size() / 2 + 1;
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/Message.java
+++ b/src/main/java/sablehinge/controlplane/raft/Message.java
@@ -3,64 +3,64 @@
 import java.util.List;
 
 /**
- * What replicas send to each other. Each message may be lost, duplicated or overtaken by a later one.
- * {@code RaftMessageCodec} holds their form on the wire.
+ * The messages between replicas. Messages may be lost, duplicated and reordered. {@code RaftMessageCodec} implements
+ * their wire format.
  */
 public sealed interface Message {
 
-    /** Hands this message to the method of a visitor that takes its type. */
+    /** Calls the visitor's method for this type of message. */
     <E extends Exception> void accept(Visitor<E> visitor) throws E;
 
     /**
      * One method for each type of message.
      *
-     * @param <E> what a visitor may throw
+     * @param <E> the checked exception that a visitor may throw
      */
     interface Visitor<E extends Exception> {
 
-        /** A {@link VoteRequest}. */
+        /** Visits a {@link VoteRequest}. */
         void visit(VoteRequest request) throws E;
 
-        /** A {@link VoteResponse}. */
+        /** Visits a {@link VoteResponse}. */
         void visit(VoteResponse response) throws E;
 
-        /** An {@link AppendRequest}. */
+        /** Visits an {@link AppendRequest}. */
         void visit(AppendRequest request) throws E;
 
-        /** An {@link AppendResponse}. */
+        /** Visits an {@link AppendResponse}. */
         void visit(AppendResponse response) throws E;
 
-        /** An {@link InstallSnapshotRequest}. */
+        /** Visits an {@link InstallSnapshotRequest}. */
         void visit(InstallSnapshotRequest request) throws E;
 
-        /** An {@link InstallSnapshotResponse}. */
+        /** Visits an {@link InstallSnapshotResponse}. */
         void visit(InstallSnapshotResponse response) throws E;
 
-        /** A {@link JoinRequest}. */
+        /** Visits a {@link JoinRequest}. */
         void visit(JoinRequest request) throws E;
 
-        /** A {@link LeaderHint}. */
+        /** Visits a {@link LeaderHint}. */
         void visit(LeaderHint hint) throws E;
 
-        /** A {@link TimeoutNowRequest}. */
+        /** Visits a {@link TimeoutNowRequest}. */
         void visit(TimeoutNowRequest request) throws E;
 
-        /** A {@link LeaveRequest}. */
+        /** Visits a {@link LeaveRequest}. */
         void visit(LeaveRequest request) throws E;
 
-        /** A {@link LeaveResponse}. */
+        /** Visits a {@link LeaveResponse}. */
         void visit(LeaveResponse response) throws E;
     }
 
     /**
-     * Asks for a vote.
+     * Requests a vote or a pre-vote.
      *
-     * @param term in which the sender stands for election, or would stand
-     * @param lastIndex of the sender's log
-     * @param lastTerm of the entry there
-     * @param preVote only asks whether the vote would be given; nothing follows from it
-     * @param leadershipTransfer the leader has requested the election, so that having heard of a leader is no reason to
-     *     refuse
+     * @param term term of the election, or for a pre-vote the term in which the sender would start one
+     * @param lastIndex index of the last entry in the sender's log
+     * @param lastTerm term of that entry
+     * @param preVote whether the sender only asks if the receiver would grant its vote, which changes no state
+     * @param leadershipTransfer whether the leader has requested the election, so that contact with a leader is no
+     *     reason to reject the request
      */
     record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote, boolean leadershipTransfer)
             implements Message {
@@ -73,8 +73,8 @@
     /**
      * Answers {@link VoteRequest}.
      *
-     * @param term the requested one if granted, else the latest that the sender has seen
-     * @param granted whether the vote is given
+     * @param term the requested term if granted, else the latest term that the sender has seen
+     * @param granted whether the vote is granted
      * @param preVote as in the request
      */
     record VoteResponse(long term, boolean granted, boolean preVote) implements Message {
@@ -85,19 +85,19 @@
     }
 
     /**
-     * A leader's entries, or its heartbeat where there are none.
+     * Replicates entries of the leader's log; a heartbeat if there are no entries.
      *
-     * @param term of the leader
-     * @param prevIndex the index before the first entry
-     * @param prevTerm of the entry there
-     * @param entries in order; may be empty
+     * @param term term of the leader
+     * @param prevIndex index before the first entry
+     * @param prevTerm term of the entry at {@code prevIndex}
+     * @param entries entries in index order; may be empty
      * @param commit the leader's commit index
      * @param round the latest heartbeat round of the leader, see {@link HeartbeatRounds}
      */
     record AppendRequest(long term, long prevIndex, long prevTerm, List<Entry> entries, long commit, long round)
             implements Message {
 
-        /** A message whose list can't be changed. */
+        /** Copies the list, so that it is unmodifiable. */
         public AppendRequest {
             entries = List.copyOf(entries);
         }
@@ -111,11 +111,11 @@
     /**
      * Answers {@link AppendRequest}, and the {@link InstallSnapshotRequest} that completes a snapshot.
      *
-     * @param term the latest that the sender has seen
-     * @param success whether the sender's log holds the entry before the sent ones
-     * @param matchIndex up to here the sender's disk surely holds what the leader's log holds
-     * @param hint if success, up to here its memory does; else the last index that may match, and -1 if only a snapshot
-     *     will do
+     * @param term the latest term that the sender has seen
+     * @param success whether the sender's log has the entry that precedes the sent entries
+     * @param matchIndex the index up to which the sender's disk is known to match the leader's log
+     * @param hint on success, the index up to which the sender's log in memory matches; on failure, the last index that
+     *     may match, or -1 if the sender needs a snapshot
      * @param round the highest heartbeat round of this leader that the sender has seen
      */
     record AppendResponse(long term, boolean success, long matchIndex, long hint, long round) implements Message {
@@ -126,22 +126,22 @@
     }
 
     /**
-     * A chunk of a snapshot, for a peer whose log ends before the leader's begins.
+     * Sends a chunk of a snapshot to a peer that lacks entries which the leader's log no longer has.
      *
-     * @param term of the leader
-     * @param chunk the snapshot; of its state only the bytes from {@code offset} on that are in this chunk
-     * @param offset of the chunk's first byte in the state
-     * @param total bytes of the complete state
+     * @param term term of the leader
+     * @param chunk the snapshot, with only the bytes of this chunk as its state
+     * @param offset offset of the chunk's first byte in the state
+     * @param total size of the complete state in bytes
      * @param round as in {@link AppendRequest}
      */
     record InstallSnapshotRequest(long term, Snapshot chunk, int offset, int total, long round) implements Message {
 
-        /** A complete snapshot in one chunk. */
+        /** Creates a request with a complete snapshot in one chunk. */
         public InstallSnapshotRequest(long term, Snapshot snapshot, long round) {
             this(term, snapshot, 0, snapshot.state().length, round);
         }
 
-        /** Whether this chunk is all of the snapshot. */
+        /** Whether this chunk contains the complete snapshot. */
         public boolean isComplete() {
             return offset == 0 && chunk.state().length == total;
         }
@@ -155,9 +155,9 @@
     /**
      * Answers an {@link InstallSnapshotRequest} that does not complete the snapshot.
      *
-     * @param term the latest that the sender has seen
-     * @param index of the snapshot's last entry
-     * @param receivedBytes up to this byte the sender has the snapshot's state
+     * @param term the latest term that the sender has seen
+     * @param index index of the last entry that the snapshot covers
+     * @param receivedBytes number of bytes of the state that the sender has received
      * @param round the highest heartbeat round of this leader that the sender has seen
      */
     record InstallSnapshotResponse(long term, long index, int receivedBytes, long round) implements Message {
@@ -168,10 +168,10 @@
     }
 
     /**
-     * Asks to become a voter, or to hear of the leader.
+     * Requests to become a voter; a receiver that is not the leader answers with a {@link LeaderHint}.
      *
      * @param self the sender
-     * @param lastIndex of the sender's log
+     * @param lastIndex index of the last entry in the sender's log
      */
     record JoinRequest(Member self, long lastIndex) implements Message {
         @Override
@@ -181,15 +181,15 @@
     }
 
     /**
-     * Answers {@link JoinRequest} where the receiver does not lead.
+     * Answers a {@link JoinRequest} that was sent to a replica other than the leader.
      *
-     * @param term the latest that the sender has seen
-     * @param leader null where none is known
-     * @param members the latest list of the sender
+     * @param term the latest term that the sender has seen
+     * @param leader the leader; null if unknown
+     * @param members the latest member list of the sender
      */
     record LeaderHint(long term, Member leader, List<Member> members) implements Message {
 
-        /** A message whose list can't be changed. */
+        /** Copies the list, so that it is unmodifiable. */
         public LeaderHint {
             members = List.copyOf(members);
         }
@@ -201,9 +201,9 @@
     }
 
     /**
-     * The leader asks a voter to start an election at once.
+     * The leader requests a voter to start an election at once.
      *
-     * @param term of the leader
+     * @param term term of the leader
      */
     record TimeoutNowRequest(long term) implements Message {
         @Override
@@ -213,8 +213,8 @@
     }
 
     /**
-     * The sender's process is about to end, perhaps for good. Sent to the leader again and again until it answers with
-     * {@link LeaveResponse}.
+     * Announces the shutdown of the sender's process, which may be permanent. Sent to the leader repeatedly until it
+     * answers with {@link LeaveResponse}.
      *
      * @param self the sender
      */
@@ -226,10 +226,10 @@
     }
 
     /**
-     * Answers {@link LeaveRequest}: a majority of those that stay has everything on disk that is committed, and the one
-     * that leaves is no voter any more or has no successor yet.
+     * Answers {@link LeaveRequest}: a majority of the remaining voters has all committed entries on disk, and the
+     * leaving replica is no longer a voter or no learner can replace it.
      *
-     * @param term of the leader
+     * @param term term of the leader
      */
     record LeaveResponse(long term) implements Message {
         @Override
--- a/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
+++ b/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
@@ -5,28 +5,30 @@
 import java.util.Deque;
 import java.util.List;
 
-/** What goes to the disk, what has arrived there, and the messages that wait for it. */
+/** Passes changes to the disk in batches, tracks what is synced, and holds back messages until their changes are. */
 final class PersistQueue {
 
-    /** Changes that the disk is given at a time; what is decided while it has them goes in one after them. */
+    /** Maximum number of outstanding batches; changes that arrive in the meantime are combined into the next batch. */
     private static final int MAX_BATCHES = 8;
-    /** Bytes of entries and states that wait for the disk, above which no more are to be taken. */
+    /** Pending bytes of entries and snapshots above which the queue is full. */
     private static final long MAX_PENDING_BYTES = 8 << 20;
-    /** Messages that wait for the disk; of more, the oldest is lost, as any message may be. */
+    /**
+     * Maximum number of messages that wait for the disk; beyond it the oldest is dropped, as any message may be lost.
+     */
     private static final int MAX_PENDING_MESSAGES = 256;
 
     private static final class PendingBatch {
         final long number;
         final long term;
-        final double since;
+        final double queuedAt;
         final long bytes;
-        long end;
+        long lastIndex;
 
-        PendingBatch(long number, long term, long end, double since, long bytes) {
+        PendingBatch(long number, long term, long lastIndex, double queuedAt, long bytes) {
             this.number = number;
             this.term = term;
-            this.end = end;
-            this.since = since;
+            this.lastIndex = lastIndex;
+            this.queuedAt = queuedAt;
             this.bytes = bytes;
         }
     }
@@ -36,14 +38,14 @@
     private final Deque<PendingBatch> pendingBatches = new ArrayDeque<>();
     private final Deque<PendingMessage> pendingMessages = new ArrayDeque<>();
     private final List<PendingMessage> newMessages = new ArrayList<>();
-    private final List<Entry> append = new ArrayList<>();
+    private final List<Entry> newEntries = new ArrayList<>();
     private long truncateFrom;
     private Snapshot snapshot;
     private boolean dirty;
-    private long number;
-    /** Up to here the disk holds what the log in memory holds. */
+    private long lastNumber;
+    /** The index up to which the disk matches the log in memory. */
     private long syncedIndex;
-    /** The term that the disk knows. */
+    /** The latest term that is on disk. */
     private long syncedTerm;
 
     void begin(long index, long term) {
@@ -59,78 +61,79 @@
         return syncedTerm;
     }
 
-    /** Since when the oldest change is under way; infinity if none is, ms. */
+    /** When the oldest outstanding batch was passed to the disk, ms; infinite if there is none. */
     double busySince() {
-        return pendingBatches.isEmpty() ? Double.POSITIVE_INFINITY : pendingBatches.peekFirst().since;
+        return pendingBatches.isEmpty() ? Double.POSITIVE_INFINITY : pendingBatches.peekFirst().queuedAt;
     }
 
-    /** Whether so much waits for the disk that no more is to be taken. */
+    /** Whether so many bytes are pending that no more entries should be added. */
     boolean isFull() {
-        long bytes = bytes();
-        for (PendingBatch one : pendingBatches) {
-            bytes += one.bytes;
+        long bytes = nextBatchBytes();
+        for (PendingBatch batch : pendingBatches) {
+            bytes += batch.bytes;
         }
         return bytes > MAX_PENDING_BYTES;
     }
 
-    /** Of what goes into the next change. */
-    private long bytes() {
+    /** Size of the entries and the snapshot for the next batch. */
+    private long nextBatchBytes() {
         long bytes = snapshot == null ? 0 : snapshot.state().length;
-        for (Entry entry : append) {
+        for (Entry entry : newEntries) {
             bytes += entry.data().length;
         }
         return bytes;
     }
 
-    /** The term or the vote has changed. */
+    /** Notes that the term or the vote has changed. */
     void markDirty() {
         dirty = true;
     }
 
     void append(Entry entry) {
         dirty = true;
-        append.add(entry);
+        newEntries.add(entry);
     }
 
     void truncate(long from) {
         dirty = true;
         truncateFrom = truncateFrom == 0 ? from : Math.min(truncateFrom, from);
-        append.removeIf(entry -> entry.index() >= from);
+        newEntries.removeIf(entry -> entry.index() >= from);
         limitSyncedTo(from);
     }
 
-    /** What is on the way to the disk from an index on, or there, does not count any more. */
+    /** Entries from an index on no longer count, whether on disk or in outstanding batches. */
     private void limitSyncedTo(long from) {
         syncedIndex = Math.min(syncedIndex, from - 1);
-        for (PendingBatch one : pendingBatches) {
-            one.end = Math.min(one.end, from - 1);
+        for (PendingBatch batch : pendingBatches) {
+            batch.lastIndex = Math.min(batch.lastIndex, from - 1);
         }
     }
 
-    void snapshot(Snapshot taken) {
+    void snapshot(Snapshot newSnapshot) {
         dirty = true;
-        snapshot = taken;
-        append.removeIf(entry -> entry.index() <= taken.index());
+        snapshot = newSnapshot;
+        newEntries.removeIf(entry -> entry.index() <= newSnapshot.index());
     }
 
-    /** A message that may not leave before all that was decided up to now is synced. */
+    /** Sends a message once all changes up to now are synced. */
     void sendWhenSynced(Member to, Message message) {
         newMessages.add(new PendingMessage(0, to, message));
     }
 
-    /** Makes the next change, if there is any, and sends what need not wait. */
+    /** Passes the next batch to the disk, if there are changes, and sends the messages that need not wait. */
     void flush(double now, long term, long votedFor, long lastIndex, RaftActions actions) {
         WriteBatch batch = null;
         if (dirty && pendingBatches.size() < MAX_BATCHES) {
-            batch = new WriteBatch(++number, term, votedFor, truncateFrom, append, snapshot);
-            pendingBatches.addLast(new PendingBatch(number, term, lastIndex, now, bytes()));
-            append.clear();
+            batch = new WriteBatch(++lastNumber, term, votedFor, truncateFrom, newEntries, snapshot);
+            pendingBatches.addLast(new PendingBatch(lastNumber, term, lastIndex, now, nextBatchBytes()));
+            newEntries.clear();
             truncateFrom = 0;
             snapshot = null;
             dirty = false;
         }
-        for (PendingMessage one : newMessages) {
-            pendingMessages.addLast(new PendingMessage(dirty ? number + 1 : number, one.to, one.message));
+        for (PendingMessage pending : newMessages) {
+            pendingMessages.addLast(
+                    new PendingMessage(dirty ? lastNumber + 1 : lastNumber, pending.to, pending.message));
             if (pendingMessages.size() > MAX_PENDING_MESSAGES) {
                 pendingMessages.removeFirst();
             }
@@ -139,24 +142,24 @@
         if (batch != null) {
             actions.persist(batch);
         }
-        release(actions);
+        sendReady(actions);
     }
 
-    /** The disk holds all changes up to a number. */
+    /** All batches up to a number are on disk. */
     void persisted(long upTo, RaftActions actions) {
         while (!pendingBatches.isEmpty() && pendingBatches.peekFirst().number <= upTo) {
-            PendingBatch one = pendingBatches.removeFirst();
-            syncedIndex = Math.max(syncedIndex, one.end);
-            syncedTerm = one.term;
+            PendingBatch batch = pendingBatches.removeFirst();
+            syncedIndex = Math.max(syncedIndex, batch.lastIndex);
+            syncedTerm = batch.term;
         }
-        release(actions);
+        sendReady(actions);
     }
 
-    private void release(RaftActions actions) {
-        long done = pendingBatches.isEmpty() ? number : pendingBatches.peekFirst().number - 1;
-        while (!pendingMessages.isEmpty() && pendingMessages.peekFirst().number <= done) {
-            PendingMessage one = pendingMessages.removeFirst();
-            actions.send(one.to, one.message);
+    private void sendReady(RaftActions actions) {
+        long syncedNumber = pendingBatches.isEmpty() ? lastNumber : pendingBatches.peekFirst().number - 1;
+        while (!pendingMessages.isEmpty() && pendingMessages.peekFirst().number <= syncedNumber) {
+            PendingMessage pending = pendingMessages.removeFirst();
+            actions.send(pending.to, pending.message);
         }
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/QuorumState.java
+++ b/src/main/java/sablehinge/controlplane/raft/QuorumState.java
@@ -1,15 +1,17 @@
 package sablehinge.controlplane.raft;
 
 /**
- * The role of a replica, and the only place where it changes.
+ * The role of a replica. Only this class changes it.
  *
  * <ul>
- *   <li>Follower to candidate: the election timer ran out, a majority would vote for this replica (by pre-votes, see
- *       {@link CandidateState}), or the leader transfers its leadership to it.
- *   <li>Candidate to leader: a majority has voted for it, its own vote being on disk.
- *   <li>Candidate or leader to follower: a later term was seen, a leader of the same term was heard (candidate only),
- *       or no majority has answered for {@link RaftConfig#quorumTimeoutMs} (leader only).
- *   <li>Leader to candidate of a later term: a learner is of a later term than the leader, which has to get beyond it.
+ *   <li>Follower to candidate: the election timer has expired and a majority has granted pre-votes (see
+ *       {@link CandidateState}), or the leader transfers its leadership to this replica.
+ *   <li>Candidate to leader: a majority has voted for this replica, whose own vote is on disk.
+ *   <li>Candidate or leader to follower: the replica has seen a later term, has received a message of a leader of the
+ *       same term (candidate only), or has had no answers of a majority for {@link RaftConfig#quorumTimeoutMs} (leader
+ *       only).
+ *   <li>Leader to candidate of a later term: a learner has seen a later term than the leader's, so the leader needs a
+ *       term beyond it.
  * </ul>
  */
 final class QuorumState {
@@ -27,9 +29,9 @@
     }
 
     /**
-     * Becomes a follower, of a later term or of the same.
+     * Becomes a follower, in the same term or a later one.
      *
-     * @param newLeader the leader of that term; null where it is not known
+     * @param newLeader the leader of that term; null if unknown
      */
     void becomeFollower(double now, long newTerm, Member newLeader) {
         if (newTerm > state.term) {
@@ -55,7 +57,8 @@
     /**
      * Starts an election in a later term.
      *
-     * @param leadershipTransfer whether the leader has requested it, so that voters do not insist on their leader
+     * @param leadershipTransfer whether the leader has requested the election, so that voters grant their vote although
+     *     they are in contact with a leader
      */
     void startElection(double now, long newTerm, boolean leadershipTransfer) {
         becomeFollower(now, newTerm, null);
@@ -65,7 +68,7 @@
         candidate.requestVotes(now, leadershipTransfer);
     }
 
-    /** Begins to lead the current term, for which a majority has voted. */
+    /** Becomes the leader of the current term, in which a majority has voted for this replica. */
     void becomeLeader(double now) {
         state.role = RaftStatus.Role.LEADER;
         state.leader = state.self;
--- a/src/main/java/sablehinge/controlplane/raft/RaftActions.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftActions.java
@@ -8,37 +8,37 @@
 public interface RaftActions {
 
     /**
-     * Sends a message. It may be lost, duplicated or overtaken by a later one.
+     * Sends a message. Messages may be lost, duplicated and reordered.
      *
-     * @param to the receiver; one whose id is 0 is known by its {@code address} only
+     * @param to the receiver; if its id is 0, only its {@code address} is known
      */
     void send(Member to, Message message);
 
     /**
-     * Writes and syncs a batch; batches are written in the order of their numbers. {@link RaftNode#persisted} is called
-     * once the batch is on disk, never when the disk refuses it: a refusing disk is treated as a slow one. A few
-     * batches are outstanding at a time.
+     * Writes and syncs a batch; batches are written in the order of their numbers. The host calls
+     * {@link RaftNode#persisted} once the batch is on disk, and makes no such call if the write fails: a failing disk
+     * is treated like a slow one. Several batches may be outstanding at a time.
      */
     void persist(WriteBatch batch);
 
-    /** Applies a committed entry. Entries of every kind come in the order of their index, each once per process. */
+    /** Applies a committed entry. Called for entries of every kind in index order, once per process for each entry. */
     void apply(Entry entry);
 
-    /** Replaces everything that was applied by the state of a snapshot. */
+    /** Replaces the applied state by the state of a snapshot. */
     void restore(Snapshot snapshot);
 
-    /** Reports a new status; called whenever it has changed. */
+    /** Called whenever the status has changed. */
     void onStatusChanged(RaftStatus status);
 
     /**
-     * A barrier is confirmed: what was committed before {@link RaftNode#barrier} was called is applied here, and this
-     * member was still the leader.
+     * A barrier is confirmed: every entry that was committed before the call of {@link RaftNode#barrier} is applied
+     * here, and this member was still the leader.
      */
     void barrierConfirmed(long token);
 
-    /** The barrier's outcome is unknown: this member does not lead, lost its leadership, or ran out of time. */
+    /** A barrier is rejected: this member is not the leader, lost its leadership, or the barrier timed out. */
     void barrierRejected(long token);
 
-    /** After {@link RaftNode#leave}: this process may end, nothing committed depends on it any more. */
+    /** After {@link RaftNode#leave}: this process may end; no committed entry depends on it any more. */
     default void released() {}
 }
--- a/src/main/java/sablehinge/controlplane/raft/RaftLog.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftLog.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A member's log in memory: its last snapshot and all entries after it, synced or not. */
+/** The log of a member in memory: the latest snapshot and all entries after it, synced or not. */
 final class RaftLog {
 
-    /** Of one that has nothing yet, not even the founders' list. */
-    private static final Snapshot NOTHING = new Snapshot(0, 0, List.of(), new byte[0]);
+    /** The base of a log that holds nothing yet, not even the list of founders. */
+    private static final Snapshot EMPTY_SNAPSHOT = new Snapshot(0, 0, List.of(), new byte[0]);
 
-    private Snapshot base = NOTHING;
+    private Snapshot base = EMPTY_SNAPSHOT;
     private final List<Entry> entries = new ArrayList<>();
-    /** Entries before the snapshot's end; only ever sent to others. */
+    /** Entries that the snapshot covers; they are only sent to peers. */
     private final RecentEntries recent = new RecentEntries();
-    /** Lists by the index of the entry that they came with; a list holds as soon as it is appended. */
+    /** Member lists by the index of their entry; a list is in effect as soon as it is appended. */
     private final TreeMap<Long, List<Member>> memberLists = new TreeMap<>(Map.of(0L, List.of()));
 
-    /** Whether not even the first list is known, so that only a snapshot can follow. */
+    /** Whether the log holds nothing, not even the first member list, so that it can only install a snapshot. */
     boolean isEmpty() {
-        return base == NOTHING;
+        return base == EMPTY_SNAPSHOT;
     }
 
     Snapshot base() {
@@ -35,7 +35,7 @@
         return termAt(lastIndex());
     }
 
-    /** The term of the entry at an index from the snapshot's to the last, or one that is still kept. */
+    /** The term of the entry at an index between the snapshot's and the last, or of a retained older entry. */
     long termAt(long index) {
         return index == base.index() ? base.term() : entry(index).term();
     }
@@ -44,29 +44,30 @@
         return index <= base.index() ? recent.entry(index) : entries.get((int) (index - base.index() - 1));
     }
 
-    /** Whether entries from an index on, and the term of the one before it, are here. */
+    /** Whether the log has all entries from an index on, and the term of the entry before that index. */
     boolean canReadFrom(long index) {
-        return index > base.index() || recent.holds(index - 1);
+        return index > base.index() || recent.contains(index - 1);
     }
 
-    /** Entries from an index on, up to both bounds, but at least one if there is any. */
-    List<Entry> from(long index, int most, int mostBytes) {
-        List<Entry> found = new ArrayList<>();
+    /** Entries from an index on, within both limits, but at least one entry if there is any. */
+    List<Entry> entriesFrom(long index, int maxEntries, int maxBytes) {
+        List<Entry> result = new ArrayList<>();
         long bytes = 0;
-        for (long next = index; next <= lastIndex() && found.size() < most; next++) {
+        for (long next = index; next <= lastIndex() && result.size() < maxEntries; next++) {
             Entry entry = entry(next);
             bytes += entry.data().length;
-            if (!found.isEmpty() && bytes > mostBytes) {
+            if (!result.isEmpty() && bytes > maxBytes) {
                 break;
             }
-            found.add(entry);
+            result.add(entry);
         }
-        return found;
+        return result;
     }
 
     void append(Entry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalStateException("entry " + entry.index() + " after " + lastIndex());
+            throw new IllegalStateException(
+                    "entry " + entry.index() + " does not follow the last entry " + lastIndex());
         }
         entries.add(entry);
         if (entry.kind() == Entry.Kind.MEMBERS) {
@@ -74,18 +75,18 @@
         }
     }
 
-    /** Forgets all entries from an index on, and the lists that came with them. */
+    /** Removes all entries from an index on, and their member lists. */
     void truncate(long from) {
         entries.subList((int) (from - base.index() - 1), entries.size()).clear();
         memberLists.tailMap(from, true).clear();
     }
 
-    /** The latest list, committed or not. */
+    /** The latest member list, committed or not. */
     List<Member> members() {
         return memberLists.lastEntry().getValue();
     }
 
-    /** The index of the entry that the latest list came with. */
+    /** The index of the entry of the latest member list. */
     long membersIndex() {
         return memberLists.lastKey();
     }
@@ -94,7 +95,7 @@
         return contains(members(), id);
     }
 
-    /** Whether a member is in the list that holds at an index, from the snapshot's on. */
+    /** Whether a member is in the list that is in effect at an index, which is not before the snapshot's. */
     boolean wasVoterAt(long id, long index) {
         Map.Entry<Long, List<Member>> list = memberLists.floorEntry(index);
         return list != null && contains(list.getValue(), id);
@@ -109,34 +110,34 @@
         return false;
     }
 
-    /** Replaces all entries up to an index by a state. */
+    /** Replaces all entries up to an index by a snapshot of the state. */
     void compact(long index, byte[] state) {
         Snapshot snapshot =
                 new Snapshot(index, termAt(index), memberLists.floorEntry(index).getValue(), state);
         rebase(snapshot, (int) (index - base.index()));
     }
 
-    /** Takes over another's snapshot; entries after it stay if the log holds the snapshot's last entry. */
+    /** Installs a snapshot of another replica; later entries remain if the log has the snapshot's last entry. */
     void install(Snapshot snapshot) {
-        boolean follows = holdsEntry(snapshot.index(), snapshot.term());
-        if (!follows) {
+        boolean matches = containsEntry(snapshot.index(), snapshot.term());
+        if (!matches) {
             memberLists.clear();
             recent.clear();
             entries.clear();
         }
-        rebase(snapshot, follows ? (int) (snapshot.index() - base.index()) : 0);
+        rebase(snapshot, matches ? (int) (snapshot.index() - base.index()) : 0);
     }
 
-    /** Whether the entry of this index and term, or a snapshot that ends with it, is here. */
-    boolean holdsEntry(long index, long term) {
+    /** Whether the log has the entry with this index and term, or a snapshot that ends with it. */
+    boolean containsEntry(long index, long term) {
         return index >= base.index() && index <= lastIndex() && termAt(index) == term;
     }
 
-    private void rebase(Snapshot snapshot, int dropped) {
+    private void rebase(Snapshot snapshot, int compactedCount) {
         base = snapshot;
-        List<Entry> gone = entries.subList(0, dropped);
-        recent.add(gone, snapshot.state().length);
-        gone.clear();
+        List<Entry> compacted = entries.subList(0, compactedCount);
+        recent.add(compacted, snapshot.state().length);
+        compacted.clear();
         memberLists.headMap(snapshot.index(), true).clear();
         memberLists.put(snapshot.index(), snapshot.members());
     }
--- a/src/main/java/sablehinge/controlplane/raft/RaftMetrics.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftMetrics.java
@@ -3,15 +3,16 @@
 import java.util.Map;
 
 /**
- * What a member can tell of its part at a moment.
+ * Metrics of a member at one moment.
  *
- * @param commit the index up to which it knows the log to be committed
- * @param leaseMs for how long it may still do what only one may do; 0 where it may not
- * @param sinceLastMessageMs by a member's id, since that one was last heard of: a leader's all others, another's leader
+ * @param commit the commit index of the member
+ * @param leaseMs remaining time of its leader lease; 0 if it holds none
+ * @param sinceLastMessageMs time since the last message of a member, by the member's id: of all peers on a leader, of
+ *     the leader only on any other member
  */
 public record RaftMetrics(long commit, double leaseMs, Map<Long, Double> sinceLastMessageMs) {
 
-    /** A record whose map can't be changed. */
+    /** Copies the map, so that it is unmodifiable. */
     public RaftMetrics {
         sinceLastMessageMs = Map.copyOf(sinceLastMessageMs);
     }
--- a/src/main/java/sablehinge/controlplane/raft/RaftNode.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftNode.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 
 /**
- * One replica of the core's log: Raft with pre-votes, a leader that steps down without contact to a majority, and
- * changes of one voter at a time that are entries of the log.
+ * One replica of the control plane's log: Raft with pre-votes, a leader that steps down when it loses contact with a
+ * majority, and membership changes of one voter at a time, which are entries of the log.
  *
- * <p>It decides only: clock, network and disk are the host's, behind {@link RaftActions}. All calls come from one
- * thread, never from within one of the actions (but {@link #compact} may be called from within
- * {@link RaftActions#apply}), and {@code now} is a steady clock in ms.
+ * <p>This class performs no I/O and reads no clock: the host provides clock, network and disk through
+ * {@link RaftActions}. All calls must be made on one thread and not from within an action, except that {@link #compact}
+ * may be called from within {@link RaftActions#apply}. The parameter {@code now} is a monotonic time in milliseconds.
  *
- * <p>Only what is on disk counts: a vote, and the acknowledgement of entries, leave once the disk has them, and the
- * leader's own copy counts like any other, when its disk has it and not before. So a commit needs a majority of disks,
- * whichever they are, and a replica whose disk stalls delays nobody.
+ * <p>Only synced data counts: a replica sends a vote or acknowledges entries only after its disk has synced them, and
+ * the leader's own copy of an entry likewise counts towards the majority only after it is synced. A commit therefore
+ * needs a majority of disks, which need not include the leader's, and a replica with a stalled disk delays no commit.
  *
- * <p>The parts: {@link ReplicaState} is what every role has, {@link QuorumState} the role and its transitions,
- * {@link FollowerState}, {@link CandidateState} and {@link LeaderState} the roles, {@link CoreDiscovery} and
- * {@link Departure} how replicas come and go.
+ * <p>{@link ReplicaState} holds the state that all roles share, {@link QuorumState} the role and its transitions;
+ * {@link FollowerState}, {@link CandidateState} and {@link LeaderState} implement the roles. {@link CoreDiscovery}
+ * handles joining, and {@link Departure} handles leaving.
  */
 public final class RaftNode {
 
-    /** The share of the usual wait for a leader after which a replica that has just started stands for election. */
-    private static final double FIRST_ELECTION_SHARE = 0.4;
+    /** Fraction of the election timeout after which a replica that has just started may start an election. */
+    private static final double FIRST_ELECTION_TIMEOUT_SHARE = 0.4;
 
     private final ReplicaState state;
     private final QuorumState quorum;
@@ -32,34 +32,35 @@
     private final Departure departure;
 
     /**
-     * A replica that takes part after one of {@link #bootstrap}, {@link #start}, {@link #startAsLearner}.
+     * Creates a replica, which takes part after a call of {@link #bootstrap}, {@link #start} or
+     * {@link #startAsLearner}.
      *
-     * @param losses how many members may be lost at once while the core goes on
-     * @param seed of the random election timeouts
+     * @param toleratedFailures number of members that may fail at the same time without making the core unavailable
+     * @param seed seed of the random election timeouts
      */
-    public RaftNode(RaftActions actions, RaftConfig config, int losses, long seed) {
+    public RaftNode(RaftActions actions, RaftConfig config, int toleratedFailures, long seed) {
         state = new ReplicaState(actions, config, seed);
-        quorum = new QuorumState(state, new MembershipPlanner(losses, config));
+        quorum = new QuorumState(state, new MembershipPlanner(toleratedFailures, config));
         leader = quorum.leader;
         discovery = new CoreDiscovery(state, leader);
         departure = new Departure(state, leader);
     }
 
-    /** The first start of the system: the disk is empty, and all founders name the same founders. */
+    /** Starts a founder of a new core. Its disk is empty, and all founders must pass the same list of founders. */
     public void bootstrap(double now, Member self, List<Member> founders) {
         state.self = self;
-        Snapshot first = new Snapshot(0, 0, founders, new byte[0]);
-        state.log.install(first);
-        state.queue.snapshot(first);
-        // Only persisted() sets it running: one that forgot the founding after a vote would be another member.
+        Snapshot initial = new Snapshot(0, 0, founders, new byte[0]);
+        state.log.install(initial);
+        state.queue.snapshot(initial);
+        // The replica starts to run in persisted(): if it lost this snapshot after it had voted, it would return as
+        // another member.
         state.flush(now);
     }
 
     /**
-     * Goes on with what the disk holds.
+     * Starts from the state on disk.
      *
-     * @param processStartedAt when this process began, ms; whatever the process before promised, it had promised by
-     *     then
+     * @param processStartedAt when this process started, in ms; the previous process made all its promises before then
      */
     public void start(double now, PersistedState stored, double processStartedAt) {
         state.self = stored.self();
@@ -77,44 +78,46 @@
         }
         state.queue.begin(state.log.lastIndex(), state.term);
         if (state.term > 0) {
-            // A leader may hold a lease by an answer of the process before: as if it had been heard at its end.
-            state.leaderHeardAt = processStartedAt;
+            // An answer of the previous process may have given a leader a lease, so the leader counts as heard from at
+            // the latest time at which the previous process can have answered.
+            state.lastLeaderContactAt = processStartedAt;
         }
-        run(now);
+        activate(now);
     }
 
-    /** The disk is empty although the system was founded before: asks to be let in. */
+    /** Starts with an empty disk after the core was founded: the replica requests to join as a learner. */
     public void startAsLearner(double now, Member self, List<String> addresses) {
         state.self = self;
         discovery.addContacts(addresses);
-        run(now);
+        activate(now);
     }
 
-    private void run(double now) {
+    private void activate(double now) {
         state.running = true;
         quorum.follower.resetVerifiedIndex();
         discovery.begin(now);
-        // Where all have just started there is no leader to wait for, only what they may have promised one;
-        // where there is one, its followers refuse.
+        // If all replicas have just started, there is no leader to wait for, only leases that previous processes may
+        // have granted. If there is a leader, its followers reject the vote requests.
         RaftConfig config = state.config;
-        double promisedUntil = state.leaderHeardAt + config.minElectionTimeoutMs();
-        state.electionDeadline = Math.max(promisedUntil, now + FIRST_ELECTION_SHARE * config.minElectionTimeoutMs())
-                + FIRST_ELECTION_SHARE
-                        * state.random.nextDouble()
-                        * (config.maxElectionTimeoutMs() - config.minElectionTimeoutMs());
+        double promiseEndsAt = state.lastLeaderContactAt + config.minElectionTimeoutMs();
+        state.electionDeadline =
+                Math.max(promiseEndsAt, now + FIRST_ELECTION_TIMEOUT_SHARE * config.minElectionTimeoutMs())
+                        + FIRST_ELECTION_TIMEOUT_SHARE
+                                * state.random.nextDouble()
+                                * (config.maxElectionTimeoutMs() - config.minElectionTimeoutMs());
         state.flushAndPublish(now);
     }
 
-    /** Addresses of machines that may be members, for a replica that looks for them. */
+    /** Adds addresses of machines that may be members, which this replica contacts when it looks for the core. */
     public void addContacts(List<String> addresses) {
         discovery.addContacts(addresses);
     }
 
     /**
-     * This process is about to end, perhaps for good: leadership goes to another, and {@link RaftActions#released} is
-     * called once a majority of those that stay has everything on disk that is committed, and, where a learner waits to
-     * take the place, once it has taken it. Without a majority that is never. Nothing may be proposed here any more;
-     * all else goes on until the process ends.
+     * Starts a graceful shutdown of this process, which may be permanent. A leader transfers its leadership.
+     * {@link RaftActions#released} is called once a majority of the remaining voters has all committed entries on disk
+     * and, if a learner is waiting to replace this replica, once the learner has done so. Without a majority it is
+     * never called. This replica rejects proposals from now on and otherwise takes part until the process ends.
      */
     public void leave(double now) {
         if (departure.isLeaving()) {
@@ -126,7 +129,7 @@
         }
     }
 
-    /** Lets time pass; called some ten times per heartbeat or less. */
+    /** Runs time-driven work; to be called up to about ten times per heartbeat interval. */
     public void tick(double now) {
         if (!state.running) {
             return;
@@ -146,11 +149,11 @@
         state.flushAndPublish(now);
     }
 
-    /** The disk holds all batches up to this number. */
+    /** The host reports that all batches up to {@code number} are on disk. */
     public void persisted(double now, long number) {
         state.queue.persisted(number, state.actions);
         if (!state.running) {
-            run(now);
+            activate(now);
             return;
         }
         switch (state.role) {
@@ -162,11 +165,11 @@
     }
 
     /**
-     * Asks for a command to be committed.
+     * Proposes a command.
      *
-     * @return its index, or 0 if this replica does not lead or too many entries wait. It is committed when
-     *     {@link RaftActions#apply} has an entry of that index and of the term in which it was proposed; an entry of
-     *     another term there means that it never will be
+     * @return the index of its entry, or 0 if this replica is not the leader, is leaving or has too many uncommitted
+     *     entries. The command is committed when {@link RaftActions#apply} receives an entry with that index and the
+     *     term of the proposal; an entry of another term at that index means that the command was lost
      */
     public long propose(double now, byte[] command) {
         if (!state.running
@@ -182,8 +185,9 @@
     }
 
     /**
-     * Asks whether all that was committed anywhere before this call is applied here;
-     * {@link RaftActions#barrierConfirmed} or {@link RaftActions#barrierRejected} answers, once.
+     * Requests a read barrier, which is confirmed when every entry that any replica committed before this call is
+     * applied here. Exactly one of {@link RaftActions#barrierConfirmed} and {@link RaftActions#barrierRejected} is
+     * called for it.
      */
     public void barrier(double now, long token) {
         if (!state.running || !state.isLeader()) {
@@ -195,25 +199,26 @@
     }
 
     /**
-     * The host holds the state after entry {@code index}, which was applied: the log before it may go.
+     * Replaces the log up to entry {@code index} by a snapshot of the state after that entry.
      *
-     * @throws IllegalArgumentException if that entry is not applied
+     * @throws IllegalArgumentException if that entry has not been applied
      */
     public void compact(long index, byte[] snapshotState) {
         if (index <= state.log.base().index()) {
             return;
         }
         if (index > state.commitIndex) {
-            throw new IllegalArgumentException("entry " + index + " is not applied; " + state.commitIndex + " is");
+            throw new IllegalArgumentException(
+                    "entry " + index + " is not applied yet; the last applied entry is " + state.commitIndex);
         }
-        // Entries that are to be written first go in a batch of their own.
+        // Entries that are still unwritten must precede the snapshot, in a batch of their own.
         state.flush(state.lastNow);
         state.log.compact(index, snapshotState);
         state.queue.snapshot(state.log.base());
         state.flush(state.lastNow);
     }
 
-    /** A message came in. {@code from} is its sender as it names itself. */
+    /** Handles a received message; {@code from} is the sender as stated by the sender itself. */
     public void handleMessage(double now, Member from, Message message) {
         if (!state.running || state.isSelf(from)) {
             return;
@@ -222,7 +227,7 @@
         state.flushAndPublish(now);
     }
 
-    /** Hands each kind of message to the part that handles it. */
+    /** Passes each type of message to the component that handles it. */
     private final class Dispatcher implements Message.Visitor<RuntimeException> {
 
         private final double now;
@@ -290,7 +295,7 @@
     }
 
     private void handleTimeoutNowRequest(double now, Message.TimeoutNowRequest request) {
-        // Two that leave would transfer leadership to each other for ever.
+        // Two leaving replicas would transfer the leadership to each other endlessly.
         if (request.term() == state.term
                 && state.role == RaftStatus.Role.FOLLOWER
                 && state.isVoter()
@@ -300,40 +305,40 @@
     }
 
     /**
-     * Whether this replica may do what only one may do at a time. A majority has answered a heartbeat round lately
-     * enough that none of it votes for another yet; see {@link HeartbeatRounds}. Not in a term in which it transferred
-     * its leadership. another to take over.
+     * Whether this replica holds the leader lease and so may perform work that only one replica may perform at a time.
+     * A majority has answered a heartbeat round so recently that none of its members votes for another candidate yet;
+     * see {@link HeartbeatRounds}. There is no lease in a term in which this replica has transferred its leadership.
      */
     public boolean hasLease(double now) {
         return leader.rounds.hasLease(now);
     }
 
     /**
-     * How long ago the latest heartbeat round was sent that a majority of the members has answered, ms; infinite where
-     * this replica does not lead. Unlike the time at which an answer was read, it can't be made to look recent by
-     * answers that waited in a buffer while this process stood still.
+     * Time in ms since the latest heartbeat round that a majority of the members has answered was sent; infinite if
+     * this replica is not the leader. The time when an answer was read would be wrong here: answers that waited in a
+     * buffer while this process was paused would look recent.
      */
     public double sinceMajorityMs(double now) {
         return leader.rounds.sinceMajorityMs(now);
     }
 
-    /** How long ago a follower heard of the leader that it names, ms; infinite where it names none. */
+    /** Time in ms since this replica last received a message of its leader; infinite if it knows no leader. */
     public double sinceLeaderMs(double now) {
         if (state.leader == null) {
             return Double.POSITIVE_INFINITY;
         }
-        return state.isLeader() ? 0 : now - state.leaderHeardAt;
+        return state.isLeader() ? 0 : now - state.lastLeaderContactAt;
     }
 
-    /** What this replica can tell of its part at this moment. */
+    /** Returns the current metrics of this replica. */
     public RaftMetrics metrics(double now) {
         Map<Long, Double> sinceLastMessageMs = new HashMap<>();
         if (state.isLeader()) {
             sinceLastMessageMs.put(state.self.id(), 0.0);
             leader.peers.values().forEach(peer -> sinceLastMessageMs.put(peer.member.id(), now - peer.lastResponseAt));
         } else if (state.leader != null) {
-            sinceLastMessageMs.put(state.leader.id(), now - state.leaderHeardAt);
+            sinceLastMessageMs.put(state.leader.id(), now - state.lastLeaderContactAt);
         }
-        return new RaftMetrics(state.commitIndex, leader.rounds.leaseLeftMs(now), sinceLastMessageMs);
+        return new RaftMetrics(state.commitIndex, leader.rounds.remainingLeaseMs(now), sinceLastMessageMs);
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/RaftStatus.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftStatus.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * What a member knows of its place.
+ * The role of a member, and its view of the core.
  *
- * @param role its own
- * @param term the latest that it has seen
- * @param leader of that term; null where none is known
- * @param members the latest list in its log, which need not be committed yet
+ * @param role role of the member itself
+ * @param term the latest term that it has seen
+ * @param leader leader of that term; null if unknown
+ * @param members the latest member list in its log, committed or not
  */
 public record RaftStatus(Role role, long term, Member leader, List<Member> members) {
 
-    /** What a member may be. */
+    /** The role of a member. */
     public enum Role {
-        /** Not in the latest list that it knows; it asks to be let in. */
+        /** Not in the latest member list that it knows; it requests to join. */
         OUTSIDER,
-        /** Takes entries from a leader, or waits for one. */
+        /** Receives entries from a leader, or waits for a leader. */
         FOLLOWER,
-        /** Asks for votes. */
+        /** Requests votes. */
         CANDIDATE,
-        /** Makes the entries of its term. */
+        /** Appends the entries of its term. */
         LEADER
     }
 
-    /** A record whose list can't be changed. */
+    /** Copies the list, so that it is unmodifiable. */
     public RaftStatus {
         members = List.copyOf(members);
     }
--- a/src/main/java/sablehinge/controlplane/raft/ReadBarriers.java
+++ b/src/main/java/sablehinge/controlplane/raft/ReadBarriers.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Linearizable reads (Raft, 8): a barrier is confirmed once a majority has answered a heartbeat round that began after
- * the barrier came, and the first entry of the leader's term is committed.
+ * Linearizable reads (Raft, 8): a barrier is confirmed once a majority has answered a heartbeat round that started
+ * after the barrier was added, and the first entry of the leader's term is committed.
  */
 final class ReadBarriers {
 
@@ -20,22 +20,22 @@
         this.leader = leader;
     }
 
-    /** Takes a barrier; it is confirmed or rejected later, perhaps during this call. */
+    /** Adds a barrier, which is confirmed or rejected later, possibly during this call. */
     void add(double now, long token) {
-        boolean underWay = !barriers.isEmpty();
-        // Only a round that begins after this call counts; barriers that come meanwhile share the next one.
+        boolean hadPendingBarriers = !barriers.isEmpty();
+        // Only a round that starts after this call counts; barriers that arrive during a round share the next one.
         barriers.add(new Barrier(
                 token,
                 leader.rounds.latest() + 1,
                 Math.max(state.commitIndex, leader.firstIndexOfTerm()),
                 now + state.config.barrierTimeoutMs()));
-        if (!underWay) {
+        if (!hadPendingBarriers) {
             leader.startRound(now);
         }
         confirm(now);
     }
 
-    /** Confirms what can be, and begins a round where one is missing and none is on its way. */
+    /** Confirms the barriers that are due, and starts a round if a barrier needs one and none is in flight. */
     void confirm(double now) {
         if (barriers.isEmpty()) {
             return;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Rejects what has waited too long. */
+    /** Rejects the barriers whose deadline has passed. */
     void expire(double now) {
         for (Barrier barrier : List.copyOf(barriers)) {
             if (now >= barrier.deadline()) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Rejects all: this replica leads no more. */
+    /** Rejects all barriers, as this replica is no longer the leader. */
     void rejectAll() {
         barriers.forEach(barrier -> state.actions.barrierRejected(barrier.token()));
         barriers.clear();
--- a/src/main/java/sablehinge/controlplane/raft/ReplicaProgress.java
+++ b/src/main/java/sablehinge/controlplane/raft/ReplicaProgress.java
@@ -1,28 +1,28 @@
 package sablehinge.controlplane.raft;
 
-/** What a leader knows of a peer that it replicates to, be it a voter or a learner. */
+/** The leader's view of a peer to which it replicates, a voter or a learner. */
 final class ReplicaProgress {
 
     final Member member;
     /** The index of the next entry to send. */
     long nextIndex;
-    /** Up to this index the peer's disk surely holds the leader's log. */
+    /** The index up to which the peer's disk is known to match the leader's log. */
     long matchIndex;
-    /** The highest heartbeat round that it has answered. */
+    /** The highest heartbeat round that the peer has answered. */
     long answeredRound;
-    /** When it last answered, ms. */
+    /** When the peer last answered, ms. */
     double lastResponseAt;
-    /** When it last requested to become a voter, ms. */
+    /** When the peer last requested to become a voter, ms. */
     double joinRequestedAt = Double.NEGATIVE_INFINITY;
-    /** When it last announced that its process is about to end, ms. */
+    /** When the peer last announced that its process is shutting down, ms. */
     double leaveAnnouncedAt = Double.NEGATIVE_INFINITY;
-    /** Whether {@link #nextIndex} is a guess: then nothing is sent ahead of answers. */
+    /** Whether {@link #nextIndex} is an assumption; while it is, no entries are sent ahead of answers. */
     boolean probing = true;
-    /** Whether it has nothing to which entries could be appended, so that only a snapshot will do. */
+    /** Whether the peer's log holds nothing to which entries could be appended, so that it needs a snapshot. */
     boolean empty;
-    /** The snapshot that is being sent; null for none. */
+    /** The snapshot transfer in progress; null for none. */
     SnapshotSender snapshot;
-    /** Entries that are in flight. */
+    /** The entries in flight. */
     final SendWindow window = new SendWindow();
 
     ReplicaProgress(Member member, long nextIndex, double lastResponseAt) {
@@ -31,12 +31,12 @@
         this.lastResponseAt = lastResponseAt;
     }
 
-    /** Whether it has answered lately. */
+    /** Whether the peer has answered recently. */
     boolean isAlive(double now, RaftConfig config) {
         return now - lastResponseAt <= config.peerAliveMs();
     }
 
-    /** Whether it has announced lately that it is about to end; one that has come back does so no more. */
+    /** Whether the peer has recently announced its shutdown; a restarted peer sends no such announcements. */
     boolean isLeaving(double now, RaftConfig config) {
         return now - leaveAnnouncedAt <= config.peerAliveMs();
     }
--- a/src/main/java/sablehinge/controlplane/raft/ReplicaState.java
+++ b/src/main/java/sablehinge/controlplane/raft/ReplicaState.java
@@ -5,17 +5,22 @@
 import java.util.Set;
 
 /**
- * What a replica holds whatever its role: identity, term and vote, the log, the commit index and the election timer.
+ * The state of a replica that does not depend on its role: identity, term and vote, log, commit index and election
+ * timer.
  *
- * <p>Term, vote and log count once {@link PersistQueue} has them on disk; this class holds what is decided, which may
- * be ahead of that. Roles change in {@link QuorumState} only. All calls come from one thread.
+ * <p>Term, vote and log take effect once {@link PersistQueue} has them on disk; the values here may be ahead of the
+ * disk. Only {@link QuorumState} changes the role. All calls are made on one thread.
  */
 final class ReplicaState {
 
-    /** A leader that was not heard of for so long is forgotten, ms; the replica may have been removed meanwhile. */
+    /**
+     * Time without a message of the leader after which a replica regards the leader as unknown, ms. The replica may
+     * have been removed from the core in the meantime.
+     */
     static final double LEADER_LOST_MS = 1500;
     /**
-     * A disk that has been busy for longer is stalled, ms: its owner neither stands for election nor changes voters.
+     * A disk that has been busy for longer than this is stalled, ms. A replica with a stalled disk starts no election
+     * and changes no voters.
      */
     static final double DISK_BUSY_MS = 200;
 
@@ -26,22 +31,22 @@
     final PersistQueue queue = new PersistQueue();
 
     Member self;
-    /** The time of the latest call, ms. */
+    /** Time of the latest call, ms. */
     double lastNow;
-    /** Whether this replica takes part; one that bootstraps does once its founding is on disk. */
+    /** Whether this replica takes part in the protocol; after a bootstrap, once the initial snapshot is on disk. */
     boolean running;
 
     long term;
-    /** The id of the candidate that has this replica's vote in {@link #term}; 0 for none. */
+    /** The id of the candidate that this replica voted for in {@link #term}; 0 for none. */
     long votedFor;
     /** Every entry up to this index is committed and applied. */
     long commitIndex;
 
     RaftStatus.Role role = RaftStatus.Role.FOLLOWER;
-    /** The leader of {@link #term} as far as known; null for none. */
+    /** The leader of {@link #term}; null if unknown. */
     Member leader;
 
-    double leaderHeardAt = Double.NEGATIVE_INFINITY;
+    double lastLeaderContactAt = Double.NEGATIVE_INFINITY;
     double electionDeadline;
     private RaftStatus published;
 
@@ -55,7 +60,7 @@
         return role == RaftStatus.Role.LEADER;
     }
 
-    /** Whether this replica is in the latest list of voters of its log, committed or not. */
+    /** Whether this replica is in the latest member list of its log, committed or not. */
     boolean isVoter() {
         return log.isVoter(self.id());
     }
@@ -68,7 +73,7 @@
         return log.members().size() / 2 + 1;
     }
 
-    /** Whether a majority of the voters is among some ids. */
+    /** Whether the ids include a majority of the voters. */
     boolean hasMajority(Set<Long> ids) {
         int count = 0;
         for (Member member : log.members()) {
@@ -79,7 +84,7 @@
         return count >= majority();
     }
 
-    /** Whether the own disk is so slow that a vote of this replica would come late, or never. */
+    /** Whether this replica's disk is so slow that its vote would be late, or never be sent. */
     boolean isDiskStalled(double now) {
         return now - queue.busySince() > DISK_BUSY_MS;
     }
@@ -90,7 +95,7 @@
                 + random.nextDouble() * (config.maxElectionTimeoutMs() - config.minElectionTimeoutMs());
     }
 
-    /** Applies the entries up to an index. */
+    /** Commits and applies the entries up to an index. */
     void commitTo(double now, long index) {
         while (commitIndex < index) {
             commitIndex++;
@@ -99,23 +104,23 @@
         }
     }
 
-    /** Hands to the disk what was decided since the last call, and sends the messages that need not wait for it. */
+    /** Passes the changes since the last call to the disk, and sends the messages that need not wait for the disk. */
     void flush(double now) {
         lastNow = now;
         queue.flush(now, term, votedFor, log.lastIndex(), actions);
     }
 
-    /** Ends each call of the node: flushes, and reports the status if it has changed. */
+    /** Called at the end of each call of the node: flushes, and reports the status if it has changed. */
     void flushAndPublish(double now) {
         flush(now);
-        RaftStatus.Role shown = isLeader() || isVoter() ? role : RaftStatus.Role.OUTSIDER;
-        // Lists are never changed, so the same one is an equal one; this runs with every message.
+        RaftStatus.Role visibleRole = isLeader() || isVoter() ? role : RaftStatus.Role.OUTSIDER;
+        // Member lists are immutable, so comparing references suffices; this runs for every message.
         if (published == null
-                || published.role() != shown
+                || published.role() != visibleRole
                 || published.term() != term
                 || published.members() != log.members()
                 || !Objects.equals(published.leader(), leader)) {
-            published = new RaftStatus(shown, term, leader, log.members());
+            published = new RaftStatus(visibleRole, term, leader, log.members());
             actions.onStatusChanged(published);
         }
     }
--- a/src/main/java/sablehinge/controlplane/raft/Replicator.java
+++ b/src/main/java/sablehinge/controlplane/raft/Replicator.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Sends a leader's log to its peers: entries, a snapshot in chunks where the log begins too late for a peer, or an
- * empty request as a heartbeat.
+ * Replicates the leader's log to its peers: by entries, by a snapshot in chunks if the log no longer has the entries
+ * that a peer needs, or by an empty request as a heartbeat.
  *
- * <p>A peer is probed, with one request at a time, until it has accepted an entry; then entries are pipelined ahead of
- * its answers, within {@link SendWindow} and {@link #MAX_ENTRIES_AHEAD}.
+ * <p>A peer is probed with one request at a time until it has accepted an append request. From then on entries are
+ * pipelined without waiting for answers, within {@link SendWindow} and {@link #MAX_ENTRIES_AHEAD}.
  */
 final class Replicator {
 
-    /** How far ahead of what a peer has on disk entries are sent. */
+    /** Maximum number of entries that are sent beyond those that a peer has on disk. */
     private static final int MAX_ENTRIES_AHEAD = 256;
 
     private final ReplicaState state;
@@ -22,7 +22,7 @@
         this.rounds = rounds;
     }
 
-    /** Sends what a peer is to have next, or a heartbeat. */
+    /** Sends a peer the next entries or the next chunk of a snapshot, or a heartbeat. */
     void send(double now, ReplicaProgress peer, boolean withEntries) {
         if (peer.snapshot == null && (peer.empty || !state.log.canReadFrom(peer.nextIndex))) {
             beginSnapshot(peer);
@@ -39,7 +39,7 @@
                 new Message.AppendRequest(
                         state.term, previous, state.log.termAt(previous), entries, state.commitIndex, rounds.latest()));
         if (!entries.isEmpty()) {
-            peer.window.sent(now, rounds.latest(), previous + entries.size(), bytes(entries));
+            peer.window.onSent(now, rounds.latest(), previous + entries.size(), bytes(entries));
         }
         if (!peer.probing) {
             peer.nextIndex += entries.size();
@@ -48,7 +48,7 @@
 
     private List<Entry> nextEntries(ReplicaProgress peer) {
         int maxBytes = Math.min(state.config.maxBytesPerMessage(), peer.window.limit());
-        return state.log.from(peer.nextIndex, state.config.maxEntriesPerMessage(), maxBytes);
+        return state.log.entriesFrom(peer.nextIndex, state.config.maxEntriesPerMessage(), maxBytes);
     }
 
     private void beginSnapshot(ReplicaProgress peer) {
@@ -60,12 +60,12 @@
     }
 
     private void sendSnapshot(double now, ReplicaProgress peer) {
-        peer.snapshot.renew(now, state.log.base());
-        // What lies at 0 is the same in all logs, so the empty request is a heartbeat only.
+        peer.snapshot.switchTo(now, state.log.base());
+        // All logs agree at index 0, so an empty request for that index is only a heartbeat.
         state.actions.send(
                 peer.member,
                 peer.snapshot.isDue(now)
-                        ? peer.snapshot.next(now, state.term, rounds.latest())
+                        ? peer.snapshot.nextChunk(now, state.term, rounds.latest())
                         : new Message.AppendRequest(state.term, 0, 0, List.of(), 0, rounds.latest()));
     }
 
@@ -83,7 +83,7 @@
                 : peer.window.isOpen() && peer.nextIndex - 1 - peer.matchIndex < MAX_ENTRIES_AHEAD;
     }
 
-    /** Sends all entries that a peer lacks, as far as its window allows. */
+    /** Sends the entries that a peer lacks, up to the limit of its window. */
     void sendPending(double now, ReplicaProgress peer) {
         while (peer.nextIndex <= state.log.lastIndex()
                 && peer.snapshot == null
@@ -93,9 +93,9 @@
         }
     }
 
-    /** A peer holds a snapshot up to some byte. */
+    /** A peer has acknowledged a part of a snapshot. */
     void onSnapshotProgress(double now, ReplicaProgress peer, Message.InstallSnapshotResponse response) {
-        if (peer.snapshot != null && peer.snapshot.received(now, response.index(), response.receivedBytes())) {
+        if (peer.snapshot != null && peer.snapshot.onAcknowledged(now, response.index(), response.receivedBytes())) {
             sendSnapshot(now, peer);
         }
     }
@@ -113,7 +113,7 @@
 
     private void onRejected(double now, ReplicaProgress peer, Message.AppendResponse response) {
         long next = Math.max(peer.matchIndex + 1, Math.min(response.hint(), state.log.lastIndex()) + 1);
-        peer.window.passed(response.round());
+        peer.window.onRoundSeen(response.round());
         if (next < peer.nextIndex || response.hint() < 0) {
             peer.empty = response.hint() < 0;
             peer.probing = true;
@@ -123,16 +123,16 @@
         }
     }
 
-    /** A peer that was away does not mention a chunk that was sent to it meanwhile. */
+    /** Sends a chunk again if the peer has answered a later round without acknowledging the chunk. */
     private void resendLostChunk(double now, ReplicaProgress peer, Message.AppendResponse response) {
-        if (peer.snapshot.passed(response.round())) {
+        if (peer.snapshot.onRoundSeen(response.round())) {
             sendSnapshot(now, peer);
         }
     }
 
     private void onAccepted(double now, ReplicaProgress peer, Message.AppendResponse response) {
         peer.matchIndex = Math.max(peer.matchIndex, response.matchIndex());
-        peer.window.received(now, response.hint(), response.round());
+        peer.window.onAcknowledged(now, response.hint(), response.round());
         boolean needsMore = peer.snapshot != null && response.hint() < peer.snapshot.index();
         if (needsMore && !state.log.canReadFrom(response.hint() + 1)) {
             resendLostChunk(now, peer, response);
@@ -145,7 +145,7 @@
         peer.probing = false;
         peer.nextIndex = Math.min(Math.max(peer.nextIndex, response.hint() + 1), state.log.lastIndex() + 1);
         if (!state.log.canReadFrom(peer.nextIndex)) {
-            // The log was compacted again while the snapshot was under way.
+            // The log was compacted again during the transfer of the snapshot.
             send(now, peer, false);
         }
         sendPending(now, peer);
--- a/src/main/java/sablehinge/controlplane/raft/SendWindow.java
+++ b/src/main/java/sablehinge/controlplane/raft/SendWindow.java
@@ -4,26 +4,27 @@
 import java.util.Deque;
 
 /**
- * How many bytes of entries may be on their way to a peer: as many as it answers within some tenths of a second, so
- * that on a slow link neither heartbeats nor their answers wait long behind entries. One message may always be on its
- * way, however large it is.
+ * Limits the bytes of entries in flight to a peer to what the peer acknowledges within some tenths of a second, so that
+ * heartbeats and their answers do not wait long behind entries on a slow link. One message of any size may always be in
+ * flight.
  */
 final class SendWindow {
 
-    /** Bounds of the window, bytes. */
+    /** Limits of the window size, bytes. */
     static final int MIN_BYTES = 16 << 10;
 
     static final int INITIAL_BYTES = 64 << 10;
     static final int MAX_BYTES = 4 << 20;
-    /** Messages that are on their way at most. */
+    /** Maximum number of messages in flight. */
     static final int MAX_MESSAGES = 256;
-    /** Answered sooner, the window grows; answered later, it shrinks, ms. */
+    /** The window grows if a message is acknowledged faster than this, ms. */
     private static final double FAST_RESPONSE_MS = 100;
 
+    /** The window shrinks if a message is acknowledged slower than this, ms. */
     private static final double SLOW_RESPONSE_MS = 300;
     /**
-     * Bounds of the time, in ms, after which what has no answer is taken for lost: twice what the last answer took, and
-     * twice as long after each time that none came.
+     * Limits of the time, in ms, after which unacknowledged messages count as lost. The timeout is twice the latest
+     * response time, and doubles each time it expires.
      */
     static final double INITIAL_TIMEOUT_MS = 1000;
 
@@ -41,27 +42,27 @@
         return inFlight.isEmpty() || bytes < limit && inFlight.size() < MAX_MESSAGES;
     }
 
-    /** How many bytes may be on their way, and so how many a message is to have if it can. */
+    /** Maximum bytes in flight, which is also the target size of one message. */
     int limit() {
         return limit;
     }
 
-    /** Whether nothing is on its way. */
+    /** Whether nothing is in flight. */
     boolean isEmpty() {
         return inFlight.isEmpty();
     }
 
-    /** Entries up to an index were sent, in a round of the leader's questions. */
-    void sent(double now, long round, long lastIndex, long sentBytes) {
+    /** Records a message with entries up to an index, sent during a heartbeat round. */
+    void onSent(double now, long round, long lastIndex, long sentBytes) {
         inFlight.addLast(new InFlight(round, lastIndex, sentBytes, now));
         bytes += sentBytes;
     }
 
     /**
-     * The peer holds the entries up to an index, and has heard a round. What was sent before that round and is not
-     * there is lost, or was overtaken, which is as good.
+     * The peer has acknowledged the entries up to an index, and has seen a heartbeat round. Messages that were sent
+     * before that round and are not acknowledged count as lost, even if they were only overtaken.
      */
-    void received(double now, long index, long round) {
+    void onAcknowledged(double now, long index, long round) {
         InFlight newest = null;
         while (!inFlight.isEmpty() && inFlight.peekFirst().lastIndex <= index) {
             newest = inFlight.removeFirst();
@@ -70,26 +71,26 @@
         if (newest != null) {
             adapt(now - newest.sentAt);
         }
-        passed(round);
+        onRoundSeen(round);
     }
 
-    /** The peer has heard a round: what was sent before it and has not been answered is lost. */
-    void passed(long round) {
+    /** The peer has seen a heartbeat round: unacknowledged messages that were sent before it count as lost. */
+    void onRoundSeen(long round) {
         if (!inFlight.isEmpty() && inFlight.peekFirst().round < round) {
             clear();
         }
     }
 
-    private void adapt(double took) {
-        timeoutMs = Math.max(INITIAL_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, 2 * took));
-        if (took > SLOW_RESPONSE_MS) {
+    private void adapt(double responseMs) {
+        timeoutMs = Math.max(INITIAL_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, 2 * responseMs));
+        if (responseMs > SLOW_RESPONSE_MS) {
             limit = Math.max(MIN_BYTES, limit / 2);
-        } else if (took < FAST_RESPONSE_MS) {
+        } else if (responseMs < FAST_RESPONSE_MS) {
             limit = Math.min(MAX_BYTES, limit * 2);
         }
     }
 
-    /** Gives up what has been on its way for too long. */
+    /** Discards the messages in flight after a timeout. */
     void expire(double now) {
         if (!inFlight.isEmpty() && now - inFlight.peekFirst().sentAt >= timeoutMs) {
             clear();
@@ -98,7 +99,7 @@
         }
     }
 
-    /** What was on its way did not arrive, or does not follow on what the peer holds. */
+    /** Discards the messages in flight, as they were lost or do not follow on from the peer's log. */
     void clear() {
         inFlight.clear();
         bytes = 0;
--- a/src/main/java/sablehinge/controlplane/raft/Snapshot.java
+++ b/src/main/java/sablehinge/controlplane/raft/Snapshot.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * The state after all entries up to an index, in place of them.
+ * The state after all entries up to an index, which replaces these entries.
  *
- * @param index of the last entry that is in it
- * @param term of that entry
- * @param members of the core at that entry
- * @param state of the state machine; not to be changed
+ * @param index index of the last entry that the snapshot covers
+ * @param term term of that entry
+ * @param members members of the core at that entry
+ * @param state state of the state machine; must not be modified
  */
 public record Snapshot(long index, long term, List<Member> members, byte[] state) {
 
-    /** A snapshot whose list can't be changed. */
+    /** Copies the list, so that it is unmodifiable. */
     public Snapshot {
         members = List.copyOf(members);
     }
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotReceiver.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /**
- * Assembles the chunks of a leader's snapshot, in memory: nothing of it counts before it is complete, so nothing of it
- * is on disk either. It holds one snapshot at a time, that of the latest leader that sent one; its memory grows with
- * the bytes that came, not with the length that was named.
+ * Assembles the chunks of a leader's snapshot in memory; an incomplete snapshot is neither used nor written to disk. It
+ * assembles one snapshot at a time, of the latest leader that sent one. The buffer grows with the received bytes and
+ * not by the announced length.
  */
 final class SnapshotReceiver {
 
-    /** The largest state that is put together, bytes. */
+    /** Maximum size of a state that is assembled, bytes. */
     static final int MAX_BYTES = 64 << 20;
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
 
     private long leaderTerm;
     private long index;
     private long term;
     private int total;
-    private byte[] bytes = NOTHING;
+    private byte[] bytes = EMPTY;
     private int receivedBytes;
 
     /**
-     * Takes a chunk.
+     * Receives a chunk.
      *
      * @return the snapshot if this chunk completes it, else null
      */
@@ -36,10 +36,10 @@
         if (request.total() > MAX_BYTES || request.offset() + chunk.state().length > request.total()) {
             return null;
         }
-        if (!isOf(request)) {
+        if (!isPartOfCurrent(request)) {
             begin(request);
         }
-        // One that comes twice, or before the one that it follows, brings nothing.
+        // A duplicate chunk, or one that arrives before its predecessor, is ignored.
         if (request.offset() == receivedBytes) {
             append(chunk.state());
         }
@@ -52,21 +52,21 @@
         return complete;
     }
 
-    /** Up to which byte the state of this chunk's snapshot is here. */
+    /** Number of bytes received so far of the snapshot that this chunk belongs to. */
     int receivedBytes(Message.InstallSnapshotRequest request) {
-        return isOf(request) ? receivedBytes : 0;
+        return isPartOfCurrent(request) ? receivedBytes : 0;
     }
 
-    /** Forgets what came so far. */
+    /** Discards the chunks received so far. */
     void clear() {
         leaderTerm = 0;
         index = 0;
         total = 0;
-        bytes = NOTHING;
+        bytes = EMPTY;
         receivedBytes = 0;
     }
 
-    private boolean isOf(Message.InstallSnapshotRequest request) {
+    private boolean isPartOfCurrent(Message.InstallSnapshotRequest request) {
         return leaderTerm == request.term() && index == request.chunk().index() && total == request.total();
     }
 
@@ -78,11 +78,11 @@
         total = request.total();
     }
 
-    private void append(byte[] more) {
-        if (receivedBytes + more.length > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.min(total, Math.max(2 * bytes.length, receivedBytes + more.length)));
+    private void append(byte[] data) {
+        if (receivedBytes + data.length > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.min(total, Math.max(2 * bytes.length, receivedBytes + data.length)));
         }
-        System.arraycopy(more, 0, bytes, receivedBytes, more.length);
-        receivedBytes += more.length;
+        System.arraycopy(data, 0, bytes, receivedBytes, data.length);
+        receivedBytes += data.length;
     }
 }
--- a/src/main/java/sablehinge/controlplane/raft/SnapshotSender.java
+++ b/src/main/java/sablehinge/controlplane/raft/SnapshotSender.java
@@ -3,25 +3,26 @@
 import java.util.Arrays;
 
 /**
- * Sends one snapshot to one peer in chunks, one at a time: the next leaves when the peer has acknowledged up to which
- * byte it holds the state, so that at most one chunk lies before a heartbeat. A chunk is as large as the link and the
- * peer carry in some tenths of a second. Once the peer holds some of it, the snapshot stays the same to its end,
- * whatever the leader compacts meanwhile; whoever lost what it had names a lower offset and gets it from there.
+ * Sends one snapshot to one peer in chunks. The next chunk is sent after the peer has acknowledged the bytes that it
+ * has received, so that a heartbeat waits behind one chunk at most. The size of a chunk adapts to what the link and the
+ * peer process in some tenths of a second. Once the peer has received a part, the transfer continues with the same
+ * snapshot even if the leader compacts its log again. A peer that has lost its part acknowledges a lower offset, and
+ * the transfer resumes there.
  */
 final class SnapshotSender {
 
-    /** Sizes of a chunk, bytes. */
+    /** Limits of the chunk size, bytes. */
     static final int MIN_CHUNK_BYTES = 16 << 10;
 
     static final int INITIAL_CHUNK_BYTES = 64 << 10;
     static final int MAX_CHUNK_BYTES = 1 << 20;
-    /** A chunk that was answered sooner may be followed by a larger one, ms. */
+    /** The chunk size grows if a chunk is acknowledged faster than this, ms. */
     private static final double FAST_RESPONSE_MS = 100;
-    /** One that was answered later is followed by a smaller one, ms: heartbeats wait behind it. */
+    /** The chunk size shrinks if a chunk is acknowledged slower than this, ms, as heartbeats wait behind chunks. */
     private static final double SLOW_RESPONSE_MS = 300;
     /**
-     * Bounds of the time, in ms, after which a chunk that has no answer is sent again: twice what the last answer took,
-     * and twice as long after each time that none came.
+     * Limits of the time, in ms, after which an unacknowledged chunk is sent again. The timeout is twice the latest
+     * response time, and doubles each time it expires.
      */
     static final double INITIAL_TIMEOUT_MS = 500;
 
@@ -30,7 +31,7 @@
     private Snapshot snapshot;
     private int offset;
     private int chunkBytes = INITIAL_CHUNK_BYTES;
-    private boolean waiting;
+    private boolean chunkInFlight;
     private double sentAt;
     private long sentRound;
     private double timeoutMs = INITIAL_TIMEOUT_MS;
@@ -39,30 +40,32 @@
         this.snapshot = snapshot;
     }
 
-    /** Index of the last entry that is in the snapshot. */
+    /** Index of the last entry that the snapshot covers. */
     long index() {
         return snapshot.index();
     }
 
-    /** Whether a chunk is to be sent: none is on its way, or the last one is taken for lost. */
+    /** Whether a chunk is due: none is in flight, or the last one counts as lost. */
     boolean isDue(double now) {
-        return !waiting || now - sentAt >= timeoutMs;
+        return !chunkInFlight || now - sentAt >= timeoutMs;
     }
 
-    /** Takes the leader's newest snapshot, unless the peer holds some of the one before, or may soon. */
-    void renew(double now, Snapshot newest) {
+    /**
+     * Switches to the leader's latest snapshot, unless the peer has a part of the current one or a chunk is in flight.
+     */
+    void switchTo(double now, Snapshot latest) {
         if (offset == 0 && isDue(now)) {
-            snapshot = newest;
+            snapshot = latest;
         }
     }
 
-    /** The chunk to send, which counts as sent now. */
-    Message.InstallSnapshotRequest next(double now, long term, long round) {
-        if (waiting) {
+    /** Returns the next chunk and records it as sent. */
+    Message.InstallSnapshotRequest nextChunk(double now, long term, long round) {
+        if (chunkInFlight) {
             chunkBytes = Math.max(MIN_CHUNK_BYTES, chunkBytes / 2);
             timeoutMs = Math.min(MAX_TIMEOUT_MS, timeoutMs * 2);
         }
-        waiting = true;
+        chunkInFlight = true;
         sentAt = now;
         sentRound = round;
         int total = snapshot.state().length;
@@ -76,12 +79,12 @@
     }
 
     /**
-     * The peer holds the state up to an offset.
+     * The peer has acknowledged the state up to an offset.
      *
-     * @param index of the snapshot that it tells of
-     * @return whether that was not known, so that the next chunk is due
+     * @param index index of the snapshot that the peer acknowledges
+     * @return whether the acknowledgement is new, so that the next chunk is due
      */
-    boolean received(double now, long index, int receivedBytes) {
+    boolean onAcknowledged(double now, long index, int receivedBytes) {
         if (index != snapshot.index()
                 || receivedBytes == offset
                 || receivedBytes < 0
@@ -92,29 +95,29 @@
             adapt(now - sentAt);
         }
         offset = receivedBytes;
-        waiting = false;
+        chunkInFlight = false;
         return true;
     }
 
     /**
-     * The peer has answered a round and not mentioned the chunk.
+     * The peer has answered a heartbeat round without acknowledging the chunk in flight.
      *
-     * @return whether the chunk left before that round, so that it is lost and due again
+     * @return whether the chunk was sent before that round, so that it counts as lost and is due again
      */
-    boolean passed(long round) {
-        if (!waiting || round <= sentRound) {
+    boolean onRoundSeen(long round) {
+        if (!chunkInFlight || round <= sentRound) {
             return false;
         }
-        waiting = false;
+        chunkInFlight = false;
         timeoutMs = INITIAL_TIMEOUT_MS;
         return true;
     }
 
-    private void adapt(double took) {
-        timeoutMs = Math.max(INITIAL_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, 2 * took));
-        if (took > SLOW_RESPONSE_MS) {
+    private void adapt(double responseMs) {
+        timeoutMs = Math.max(INITIAL_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, 2 * responseMs));
+        if (responseMs > SLOW_RESPONSE_MS) {
             chunkBytes = Math.max(MIN_CHUNK_BYTES, chunkBytes / 2);
-        } else if (took < FAST_RESPONSE_MS) {
+        } else if (responseMs < FAST_RESPONSE_MS) {
             chunkBytes = Math.min(MAX_CHUNK_BYTES, chunkBytes * 2);
         }
     }
--- a/src/main/java/sablehinge/controlplane/raft/VoterChange.java
+++ b/src/main/java/sablehinge/controlplane/raft/VoterChange.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /**
- * One step from a list of voters to the next one.
+ * A change of the list of voters by one member.
  *
- * @param kind whether the member comes or goes
- * @param member who does
+ * @param kind whether the member is added or removed
+ * @param member the member that is added or removed
  */
 record VoterChange(Kind kind, Member member) {
 
-    /** What happens to the member. */
+    /** The kind of change. */
     enum Kind {
         /** A learner becomes a voter. */
         ADD,
-        /** A voter becomes none. */
+        /** A voter is removed from the list. */
         REMOVE
     }
 
-    /** The list after this step. */
+    /** The list of voters after this change. */
     List<Member> applied(List<Member> voters) {
         List<Member> next = new ArrayList<>(voters);
         if (kind == Kind.ADD) {
--- a/src/main/java/sablehinge/controlplane/raft/VoterChanges.java
+++ b/src/main/java/sablehinge/controlplane/raft/VoterChanges.java
@@ -5,18 +5,18 @@
 import java.util.Optional;
 
 /**
- * Executes what {@link MembershipPlanner} decides: one change of one voter at a time, as an entry of the log, the next
- * only after the last is committed.
+ * Executes the decisions of {@link MembershipPlanner}: appends one change of one voter at a time to the log, each only
+ * after the previous one is committed.
  */
 final class VoterChanges {
 
     private final ReplicaState state;
     private final LeaderState leader;
     private final MembershipPlanner planner;
-    /** The change that waits for answers to {@link #awaitedRound}; null for none. */
-    private VoterChange awaited;
+    /** The change that waits for answers to {@link #pendingRound}; null for none. */
+    private VoterChange pendingChange;
 
-    private long awaitedRound;
+    private long pendingRound;
 
     VoterChanges(ReplicaState state, LeaderState leader, MembershipPlanner planner) {
         this.state = state;
@@ -24,17 +24,17 @@
         this.planner = planner;
     }
 
-    /** Begins a term. */
+    /** Resets the state at the start of a term. */
     void reset() {
-        awaited = null;
+        pendingChange = null;
     }
 
-    /** Whether a change waits for a majority of the voters after it to answer. */
-    boolean isAwaiting() {
-        return awaited != null;
+    /** Whether a change waits for answers of a majority of the resulting voters. */
+    boolean hasPendingChange() {
+        return pendingChange != null;
     }
 
-    /** Appends the next change of the voters if one is due. */
+    /** Appends the next membership change if one is due. */
     void appendNext(double now) {
         if (state.commitIndex < leader.firstIndexOfTerm()
                 || state.log.membersIndex() > state.commitIndex
@@ -52,33 +52,36 @@
                 learners.add(replica(now, peer.member));
             }
         }
-        Optional<VoterChange> due = planner.next(voters, learners);
-        if (due.isEmpty()) {
-            // If it is due again later, answers of before say nothing of who is there then.
-            awaited = null;
+        Optional<VoterChange> nextChange = planner.next(voters, learners);
+        if (nextChange.isEmpty()) {
+            // If the same change is due again later, the earlier answers do not show which voters are alive then.
+            pendingChange = null;
         }
-        if (due.isPresent() && isConfirmed(now, due.get())) {
-            awaited = null;
+        if (nextChange.isPresent() && isConfirmed(now, nextChange.get())) {
+            pendingChange = null;
             leader.append(
-                    now, Entry.Kind.MEMBERS, MemberListCodec.write(due.get().applied(state.log.members())));
+                    now,
+                    Entry.Kind.MEMBERS,
+                    MemberListCodec.write(nextChange.get().applied(state.log.members())));
         }
     }
 
     /**
-     * Whether a majority of the voters after a change is there at this moment. While a core is even it needs more of
-     * its voters than before or after, and who answered some time ago may be lost by now.
+     * Whether a change may be appended. If it leads to an even number of voters, a majority of them must first answer a
+     * heartbeat round that starts after the change became due: an even core needs a larger share of its voters than the
+     * core before or after it, and a voter that answered some time ago may be lost by now.
      */
     private boolean isConfirmed(double now, VoterChange change) {
         List<Member> next = change.applied(state.log.members());
         if (next.size() % 2 == 1) {
             return true;
         }
-        if (!change.equals(awaited)) {
-            awaited = change;
-            awaitedRound = leader.rounds.latest() + 1;
+        if (!change.equals(pendingChange)) {
+            pendingChange = change;
+            pendingRound = leader.rounds.latest() + 1;
             leader.startRound(now);
         }
-        return leader.rounds.answeredByMajorityOf(next) >= awaitedRound;
+        return leader.rounds.answeredByMajorityOf(next) >= pendingRound;
     }
 
     private MembershipPlanner.Replica replica(double now, Member member) {
--- a/src/main/java/sablehinge/controlplane/state/BodyDigest.java
+++ b/src/main/java/sablehinge/controlplane/state/BodyDigest.java
@@ -10,8 +10,8 @@
 import java.util.Locale;
 
 /**
- * Tells the body of one configuration from all others: SHA-256, or, for what was taken under a state format before the
- * third, the two checksums that were kept then.
+ * Identifies the body of a configuration: by SHA-256, or by two checksums for a configuration that was accepted under
+ * state format 1 or 2.
  */
 public final class BodyDigest {
 
@@ -21,7 +21,7 @@
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    /** Null where the checksums below stand in its place. */
+    /** Null if only the checksums below are known. */
     private final byte[] sha256;
 
     private final long fnv;
@@ -33,19 +33,19 @@
         this.hash = hash;
     }
 
-    /** The SHA-256 digest of a body. */
+    /** Returns the SHA-256 digest of a body. */
     public static BodyDigest of(byte[] body) {
         try {
             return new BodyDigest(MessageDigest.getInstance("SHA-256").digest(body), 0, 0);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is required on every Java platform", e);
         }
     }
 
     /**
-     * What states of formats 1 and 2 kept.
+     * Returns the checksums that state formats 1 and 2 store.
      *
-     * @param fnv FNV-1a of 64 bits
+     * @param fnv 64-bit FNV-1a hash
      * @param hash {@link Arrays#hashCode(byte[])}
      */
     static BodyDigest checksums(long fnv, int hash) {
@@ -65,7 +65,7 @@
         return sum;
     }
 
-    /** In hexadecimal digits: 64 of SHA-256, or 16 of FNV-1a where no more is known. */
+    /** Hexadecimal form: 64 digits of SHA-256, or 16 digits of FNV-1a if only the checksums are known. */
     public String hex() {
         return sha256 == null
                 ? String.format(Locale.ROOT, "%016x", fnv)
@@ -89,7 +89,7 @@
             return checksums(in.readLong(), in.readInt());
         }
         if (kind != SHA_256) {
-            throw new IOException("a digest of kind " + kind);
+            throw new IOException("unknown kind of digest: " + kind);
         }
         byte[] sha256 = new byte[SHA_256_BYTES];
         in.readFully(sha256);
--- a/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
+++ b/src/main/java/sablehinge/controlplane/state/ConfigurationState.java
@@ -10,58 +10,60 @@
 import java.util.Map;
 
 /**
- * The state that the core agrees upon: the newest configuration and which ones were taken before it. It changes by
- * committed commands only, alike on every member.
+ * The replicated state machine: the current configuration and the history of accepted configurations. Only committed
+ * commands change it, identically on every member.
  */
 public final class ConfigurationState {
 
-    /** Editions that are remembered, so that an order that is repeated late still has its true answer. */
+    /** Maximum number of accepted editions in the history, by which a late repetition of a command is recognised. */
     private static final int MAX_ACCEPTED = 2_000;
 
     private static final int FORMAT = 3;
-    /** States of this format have checksums of bodies in the place of digests. */
+    /** States of this format contain checksums of bodies, not digests. */
     private static final int FORMAT_2 = 2;
-    /** States of this format do not tell either what an edition was based on, nor when it was taken. */
+    /** States of this format contain checksums, and neither the base of an edition nor when it was accepted. */
     private static final int FORMAT_1 = 1;
 
     private static final int COMMAND_FORMAT = 1;
-    /** What is not known of an edition that was taken under the bare format. */
+    /** Base or time of an edition for which the stored format has none. */
     private static final long UNKNOWN = -1;
 
-    /** What became of a command. Nothing that was {@link #STALE} or {@link #OLD} is ever taken later. */
+    /** The outcome of a command. A command that was {@link #STALE} or {@link #OLD} is never accepted later. */
     public enum Outcome {
-        /** The configuration is in force. */
+        /** The configuration was accepted and is now the current one. */
         TAKEN,
-        /** That very order, on the same base, had been taken before. */
+        /** The same command, on the same base, was accepted before. */
         REPEATED,
-        /** It is based on a version that was current before; another one is now. */
+        /** The command is based on an edition that is no longer the current one. */
         STALE,
-        /** Its edition is not above the current one. */
+        /** The edition of the command is not above the current one. */
         OLD,
-        /** It is based on a version that is not there yet: the same order may be taken later. */
+        /** The command is based on an edition that does not exist yet; the same command may be accepted later. */
         AHEAD,
-        /** So many editions have been accepted since that it is unknown whether it was one of them. */
+        /** So many editions have been accepted since then that it is unknown whether this one was accepted. */
         FORGOTTEN
     }
 
-    private final Map<Long, AcceptedChange> taken = new LinkedHashMap<>();
+    private final Map<Long, AcceptedChange> accepted = new LinkedHashMap<>();
     private long edition;
     private byte[] body = new byte[0];
-    /** Editions up to this one may have been taken and are no longer remembered; 0 for none. */
+    /** Editions up to this one may have been accepted and are no longer in the history; 0 for none. */
     private long forgottenUpTo;
 
     /**
-     * A configuration that was taken.
+     * An accepted configuration.
      *
-     * @param length of its body in bytes
-     * @param basedOn the edition that it took the place of; -1 where that is not known
-     * @param at when it was proposed, by the time of day of whoever proposed it, in ms since 1970; -1 where that is not
-     *     known. It is only reported, and nothing is decided by it
+     * @param length size of its body in bytes
+     * @param basedOn the edition that it replaced; -1 if unknown
+     * @param proposedAt when it was proposed, in ms since 1970 by the proposer's wall clock; -1 if unknown. The time is
+     *     only reported and affects no decision
      */
-    private record AcceptedChange(int length, BodyDigest digest, long basedOn, long at) {
+    private record AcceptedChange(int length, BodyDigest digest, long basedOn, long proposedAt) {
 
-        boolean isOrder(long base, byte[] sent) {
-            return (basedOn == base || basedOn == UNKNOWN) && length == sent.length && digest.matches(sent);
+        boolean matches(long otherBase, byte[] otherBody) {
+            return (basedOn == otherBase || basedOn == UNKNOWN)
+                    && length == otherBody.length
+                    && digest.matches(otherBody);
         }
     }
 
@@ -69,41 +71,42 @@
     public interface HistoryReader {
 
         /**
-         * One of them.
+         * Receives one accepted edition.
          *
-         * @param basedOn the edition that it took the place of; -1 where that is not known
-         * @param at when it was proposed, in ms since 1970 by the proposer's time of day; -1 where that is not known
-         * @param length of the configuration in bytes
+         * @param basedOn the edition that it replaced; -1 if unknown
+         * @param proposedAt when it was proposed, in ms since 1970 by the proposer's wall clock; -1 if unknown
+         * @param length size of the configuration in bytes
          */
-        void taken(long edition, long basedOn, long at, int length, BodyDigest digest);
+        void onAccepted(long edition, long basedOn, long proposedAt, int length, BodyDigest digest);
     }
 
-    /** Tells the editions that were taken, the oldest that is kept first, at most 2,000. */
+    /** Reads the history of accepted editions, oldest first, at most 2,000. */
     public void read(HistoryReader reader) {
-        taken.forEach((one, what) -> reader.taken(one, what.basedOn, what.at, what.length, what.digest));
+        accepted.forEach((acceptedEdition, change) ->
+                reader.onAccepted(acceptedEdition, change.basedOn, change.proposedAt, change.length, change.digest));
     }
 
     /**
-     * A command that replaces one configuration by another.
+     * Encodes a command that replaces one configuration by another.
      *
-     * @param at ms since 1970; it comes with the command, as all members must keep the same
+     * @param proposedAt proposal time in ms since 1970; part of the command, as all members must store the same time
      */
-    public static byte[] replace(long basedOn, long edition, byte[] body, long at) {
-        return bytes(out -> {
+    public static byte[] replace(long basedOn, long edition, byte[] body, long proposedAt) {
+        return encode(out -> {
             out.writeByte(COMMAND_FORMAT);
             out.writeLong(basedOn);
             out.writeLong(edition);
             out.writeInt(body.length);
             out.write(body);
-            // Behind what members of before read, who pass it over.
-            out.writeLong(at);
+            // At the end, so that members of an older version ignore it.
+            out.writeLong(proposedAt);
         });
     }
 
-    /** What a command would come to if it were committed now. An order is its base, edition and body. */
+    /** Returns the outcome of a command if it were committed now. Base, edition and body identify a command. */
     public Outcome evaluate(long basedOn, long next, byte[] nextBody) {
-        AcceptedChange known = taken.get(next);
-        if (known != null && known.isOrder(basedOn, nextBody)) {
+        AcceptedChange known = accepted.get(next);
+        if (known != null && known.matches(basedOn, nextBody)) {
             return Outcome.REPEATED;
         }
         if (next <= forgottenUpTo) {
@@ -123,12 +126,12 @@
             long next = in.readLong();
             byte[] nextBody = new byte[in.readInt()];
             in.readFully(nextBody);
-            long at = in.available() >= Long.BYTES ? in.readLong() : UNKNOWN;
+            long proposedAt = in.available() >= Long.BYTES ? in.readLong() : UNKNOWN;
             Outcome outcome = evaluate(basedOn, next, nextBody);
             if (outcome == Outcome.TAKEN) {
                 edition = next;
                 body = nextBody;
-                record(next, new AcceptedChange(nextBody.length, BodyDigest.of(nextBody), basedOn, at));
+                addAccepted(next, new AcceptedChange(nextBody.length, BodyDigest.of(nextBody), basedOn, proposedAt));
             }
             return outcome;
         } catch (IOException e) {
@@ -136,46 +139,46 @@
         }
     }
 
-    private void record(long one, AcceptedChange what) {
-        taken.put(one, what);
-        if (taken.size() > MAX_ACCEPTED) {
-            forgottenUpTo = taken.keySet().iterator().next();
-            taken.remove(forgottenUpTo);
+    private void addAccepted(long acceptedEdition, AcceptedChange change) {
+        accepted.put(acceptedEdition, change);
+        if (accepted.size() > MAX_ACCEPTED) {
+            forgottenUpTo = accepted.keySet().iterator().next();
+            accepted.remove(forgottenUpTo);
         }
     }
 
-    /** The edition in force; 0 where there is none. */
+    /** The current edition; 0 if there is none. */
     public long edition() {
         return edition;
     }
 
-    /** The configuration in force as it was sent; not to be changed. */
+    /** The current configuration as it was sent; must not be modified. */
     public byte[] body() {
         return body;
     }
 
-    /** The complete state as bytes. */
+    /** Encodes the complete state. */
     public byte[] state() {
-        return bytes(out -> {
+        return encode(out -> {
             out.writeByte(FORMAT);
             out.writeLong(edition);
             out.writeInt(body.length);
             out.write(body);
             out.writeLong(forgottenUpTo);
-            out.writeInt(taken.size());
-            for (Map.Entry<Long, AcceptedChange> one : taken.entrySet()) {
-                out.writeLong(one.getKey());
-                out.writeInt(one.getValue().length);
-                one.getValue().digest.write(out);
-                out.writeLong(one.getValue().basedOn);
-                out.writeLong(one.getValue().at);
+            out.writeInt(accepted.size());
+            for (Map.Entry<Long, AcceptedChange> entry : accepted.entrySet()) {
+                out.writeLong(entry.getKey());
+                out.writeInt(entry.getValue().length);
+                entry.getValue().digest.write(out);
+                out.writeLong(entry.getValue().basedOn);
+                out.writeLong(entry.getValue().proposedAt);
             }
         });
     }
 
-    /** Takes a state in the place of this one; no bytes are the state before any configuration. */
+    /** Replaces this state by an encoded one; an empty array is the state before any configuration. */
     public void restore(byte[] state) {
-        taken.clear();
+        accepted.clear();
         edition = 0;
         body = new byte[0];
         forgottenUpTo = 0;
@@ -186,7 +189,7 @@
             int format = in.readByte();
             if (format < FORMAT_1 || format > FORMAT) {
                 throw new IllegalArgumentException(
-                        "a state of format " + format + "; " + FORMAT_1 + " to " + FORMAT + " are expected");
+                        "unsupported state format " + format + "; expected " + FORMAT_1 + " to " + FORMAT);
             }
             edition = in.readLong();
             body = new byte[in.readInt()];
@@ -194,15 +197,15 @@
             long forgotten = format >= FORMAT ? in.readLong() : UNKNOWN;
             int count = in.readInt();
             for (int i = 0; i < count; i++) {
-                taken.put(in.readLong(), readTaken(format, in));
+                accepted.put(in.readLong(), readAccepted(format, in));
             }
-            forgottenUpTo = forgotten == UNKNOWN ? mayBeForgotten() : forgotten;
+            forgottenUpTo = forgotten == UNKNOWN ? inferForgottenUpTo() : forgotten;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static AcceptedChange readTaken(int format, DataInputStream in) throws IOException {
+    private static AcceptedChange readAccepted(int format, DataInputStream in) throws IOException {
         int length = in.readInt();
         BodyDigest digest =
                 format <= FORMAT_2 ? BodyDigest.checksums(in.readLong(), in.readInt()) : BodyDigest.read(in);
@@ -211,19 +214,19 @@
                 : new AcceptedChange(length, digest, in.readLong(), in.readLong());
     }
 
-    /** The formats before the third don't tell; where they are full, one may have been dropped. */
-    private long mayBeForgotten() {
-        return taken.size() < MAX_ACCEPTED ? 0 : taken.keySet().iterator().next() - 1;
+    /** Formats 1 and 2 do not store this; if their history is full, an edition may have been dropped from it. */
+    private long inferForgottenUpTo() {
+        return accepted.size() < MAX_ACCEPTED ? 0 : accepted.keySet().iterator().next() - 1;
     }
 
-    private interface Writing {
-        void to(DataOutputStream out) throws IOException;
+    private interface Encoder {
+        void writeTo(DataOutputStream out) throws IOException;
     }
 
-    private static byte[] bytes(Writing writing) {
+    private static byte[] encode(Encoder encoder) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            writing.to(out);
+            encoder.writeTo(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/sablehinge/controlplane/state/Registry.java
+++ b/src/main/java/sablehinge/controlplane/state/Registry.java
@@ -8,10 +8,10 @@
 import sablehinge.mesh.watch.Registration;
 
 /**
- * Which data-plane balancers there are, and what is beside them: as they last registered with the leader. It is neither
- * replicated nor on disk, since each of them registers anew with the next leader. Each entry has the stamp of its last
- * change, so that a reader of all up to a stamp gets what came after. An ejected balancer is published as not ready
- * until it registers again.
+ * The data-plane balancers with their upstreams, as last registered with the leader. The registry is neither replicated
+ * nor on disk, since all balancers register again with the next leader. Each entry has the stamp of its last change, so
+ * that a reader that knows the changes up to a stamp can request the later ones. An ejected balancer is published as
+ * not ready until it registers again.
  */
 public final class Registry {
 
@@ -19,14 +19,14 @@
     private final double completeAfterMs;
     private final Map<String, Row> rows = new HashMap<>();
     private long stamp;
-    private double beganAt = Double.NaN;
+    private double resetAt = Double.NaN;
 
     private static final class Row {
         Registration registration;
         long stamp;
-        double heardAt;
+        double lastContactAt;
         boolean ejected;
-        /** Whether it stopped registering while it took new requests, and has not announced that it leaves. */
+        /** Whether the balancer stopped registering while it was ready, without having announced that it leaves. */
         boolean lost;
 
         Registration published() {
@@ -45,27 +45,27 @@
     }
 
     /**
-     * An empty registry.
+     * Creates an empty registry.
      *
-     * @param completeAfterMs ms after its reset until which every live balancer has registered
-     * @param expiryMs ms without a word after which one counts as gone
+     * @param completeAfterMs time after a reset, in ms, within which every live balancer has registered
+     * @param expiryMs time without a registration, in ms, after which a balancer counts as gone
      */
     public Registry(double completeAfterMs, double expiryMs) {
         this.completeAfterMs = completeAfterMs;
         this.expiryMs = expiryMs;
     }
 
-    /** Forgets all, and is kept anew from now on. */
+    /** Removes all entries and restarts the time until the registry is complete. */
     public void reset(double now) {
         rows.clear();
         stamp = 0;
-        beganAt = now;
+        resetAt = now;
     }
 
-    /** A balancer registers; true if that changes something. */
+    /** Registers a balancer; returns whether its entry has changed. */
     public boolean register(double now, Registration registration) {
         Row row = rows.computeIfAbsent(registration.node(), node -> new Row());
-        row.heardAt = now;
+        row.lastContactAt = now;
         boolean changed =
                 row.ejected || row.registration == null || !equalsIgnoringWarmUp(row.registration, registration);
         row.ejected = false;
@@ -77,27 +77,30 @@
         return changed;
     }
 
-    /** The rest of the warm-up passes by itself, and is no change. */
-    private static boolean equalsIgnoringWarmUp(Registration one, Registration other) {
-        return one.upstream().equals(other.upstream())
-                && one.ready() == other.ready()
-                && one.inbound().equals(other.inbound())
-                && one.service().equals(other.service())
-                && one.berths() == other.berths()
-                && one.zone().equals(other.zone());
+    /** Compares without the remaining warm-up time, which runs down by itself and counts as no change. */
+    private static boolean equalsIgnoringWarmUp(Registration a, Registration b) {
+        return a.upstream().equals(b.upstream())
+                && a.ready() == b.ready()
+                && a.inbound().equals(b.inbound())
+                && a.service().equals(b.service())
+                && a.berths() == b.berths()
+                && a.zone().equals(b.zone());
     }
 
-    /** Peers hear a balancer that does not register here: it stays, as they know it where it never registered. */
+    /**
+     * Records that peers receive messages of a balancer that does not register here, so that its entry does not expire.
+     * If the balancer has never registered, it is added as its peers know it.
+     */
     public void recordPeerReport(double now, Registration registration) {
         Row row = rows.computeIfAbsent(registration.node(), node -> new Row());
-        row.heardAt = now;
+        row.lastContactAt = now;
         if (row.registration == null) {
             row.registration = registration;
             row.stamp = ++stamp;
         }
     }
 
-    /** Ejects a balancer, or takes that back: nothing new is sent to an ejected one, whatever it registered. */
+    /** Ejects a balancer or revokes its ejection: an ejected balancer gets no new requests, whatever it registered. */
     public void setEjected(String node, boolean ejected) {
         Row row = rows.get(node);
         if (row != null && row.ejected != ejected) {
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Those whose upstream is known, as they registered. */
+    /** The balancers whose upstream is known, as they registered. */
     public List<Registration> withUpstream() {
         List<Registration> withUpstream = new ArrayList<>(rows.size());
         for (Row row : rows.values()) {
@@ -118,19 +121,19 @@
     }
 
     /**
-     * This process stood still for some ms until now: what was sent to it meanwhile waits in its buffers, so that this
-     * time counts against nobody.
+     * This process was paused for some time until now. Registrations that were sent in the meantime are still in its
+     * buffers, so the pause does not count towards the expiry of any balancer.
      */
-    public void processPaused(double now, double ms) {
-        rows.values().forEach(row -> row.heardAt = Math.min(now, row.heardAt + ms));
+    public void processPaused(double now, double pausedMs) {
+        rows.values().forEach(row -> row.lastContactAt = Math.min(now, row.lastContactAt + pausedMs));
     }
 
-    /** Drops the upstreams of balancers that have not registered for long; true if there was one. */
+    /** Removes the upstreams of balancers whose registration has expired; returns whether there was one. */
     public boolean expire(double now) {
         boolean changed = false;
         for (Row row : rows.values()) {
             Registration known = row.registration;
-            if (now - row.heardAt > expiryMs && !known.upstream().isEmpty()) {
+            if (now - row.lastContactAt > expiryMs && !known.upstream().isEmpty()) {
                 row.registration =
                         new Registration(known.node(), known.zone(), known.inbound(), known.service(), "", false, 0, 0);
                 row.lost = known.ready();
@@ -138,7 +141,7 @@
                 changed = true;
             }
         }
-        rows.values().removeIf(row -> now - row.heardAt > 4 * expiryMs);
+        rows.values().removeIf(row -> now - row.lastContactAt > 4 * expiryMs);
         return changed;
     }
 
@@ -147,46 +150,47 @@
         return stamp;
     }
 
-    /** Whether every live balancer has had the time to register: one that is not in it is gone. */
+    /** Whether every live balancer has had time to register, so that a balancer without an entry is gone. */
     public boolean isComplete(double now) {
-        return now - beganAt >= completeAfterMs;
+        return now - resetAt >= completeAfterMs;
     }
 
-    /** What changed after a stamp, in the order of the changes. */
-    public List<Registration> since(long known) {
-        List<Row> later = new ArrayList<>();
+    /** The registrations that changed after a stamp, in the order of the changes. */
+    public List<Registration> since(long knownStamp) {
+        List<Row> changed = new ArrayList<>();
         for (Row row : rows.values()) {
-            if (row.stamp > known) {
-                later.add(row);
+            if (row.stamp > knownStamp) {
+                changed.add(row);
             }
         }
-        later.sort(Comparator.comparingLong(row -> row.stamp));
-        List<Registration> changes = new ArrayList<>(later.size());
-        later.forEach(row -> changes.add(row.published()));
+        changed.sort(Comparator.comparingLong(row -> row.stamp));
+        List<Registration> changes = new ArrayList<>(changed.size());
+        changed.forEach(row -> changes.add(row.published()));
         return changes;
     }
 
     /**
      * A balancer in the registry.
      *
-     * @param sinceLastMessageMs since it last registered
-     * @param gone whether that is so long that it counts as gone
+     * @param sinceLastMessageMs time since its last registration
+     * @param gone whether the registration has expired
      */
     public record Entry(Registration registration, double sinceLastMessageMs, boolean gone) {}
 
-    /** All balancers, in the order of the nodes' names. */
+    /** All balancers, ordered by the name of the node. */
     public List<Entry> entries(double now) {
-        List<Entry> lines = new ArrayList<>(rows.size());
+        List<Entry> entries = new ArrayList<>(rows.size());
         rows.values()
-                .forEach(
-                        row -> lines.add(new Entry(row.registration, now - row.heardAt, now - row.heardAt > expiryMs)));
-        lines.sort(Comparator.comparing(line -> line.registration().node()));
-        return lines;
+                .forEach(row -> entries.add(
+                        new Entry(row.registration, now - row.lastContactAt, now - row.lastContactAt > expiryMs)));
+        entries.sort(Comparator.comparing(entry -> entry.registration().node()));
+        return entries;
     }
 
     /**
-     * Balancers among which a quota is divided: also those that stopped registering without having left, until they are
-     * forgotten. One that is cut off goes on with its part, which nobody else may have meanwhile.
+     * The number of balancers among which a quota is divided. It includes those that stopped registering without having
+     * left, until their entries are removed: a balancer that is cut off still uses its share, so that no other balancer
+     * may have it in the meantime.
      */
     public int quotaSharers() {
         int quotaSharers = 0;
@@ -196,7 +200,7 @@
         return Math.max(1, quotaSharers);
     }
 
-    /** Balancers that were heard of lately. */
+    /** The number of balancers whose registration has not expired, at least 1. */
     public int size() {
         int alive = 0;
         for (Row row : rows.values()) {
--- a/src/main/java/sablehinge/controlplane/state/package-info.java
+++ b/src/main/java/sablehinge/controlplane/state/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The replicated configuration state, and the registry of balancers, which the leader keeps in memory. One thread each.
+ * The replicated configuration state, and the in-memory registry of balancers on the leader. Each must be used by one
+ * thread.
  */
 package sablehinge.controlplane.state;
--- a/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
@@ -35,7 +35,7 @@
     @Test
     void aSmallOneGoesAsOneChunk() {
         Snapshot small = snapshot(9, 100);
-        Message.InstallSnapshotRequest only = new SnapshotSender(small).next(0, 3, 1);
+        Message.InstallSnapshotRequest only = new SnapshotSender(small).nextChunk(0, 3, 1);
         assertTrue(only.isComplete());
         assertSame(small, receiver.receive(only));
     }
@@ -44,21 +44,21 @@
     void theNextChunkLeavesWhenTheLastIsAnswered() {
         Snapshot large = snapshot(9, 3 * CHUNK);
         SnapshotSender sender = new SnapshotSender(large);
-        Message.InstallSnapshotRequest first = sender.next(0, 3, 1);
+        Message.InstallSnapshotRequest first = sender.nextChunk(0, 3, 1);
         assertEquals(CHUNK, first.chunk().state().length);
         assertFalse(sender.isDue(1));
         assertNull(receiver.receive(first));
-        assertTrue(sender.received(200, 9, receiver.receivedBytes(first)));
+        assertTrue(sender.onAcknowledged(200, 9, receiver.receivedBytes(first)));
         assertTrue(sender.isDue(200));
-        Message.InstallSnapshotRequest second = sender.next(200, 3, 1);
+        Message.InstallSnapshotRequest second = sender.nextChunk(200, 3, 1);
         assertEquals(CHUNK, second.offset());
-        assertFalse(sender.received(210, 9, CHUNK), "an old answer is no news");
-        assertFalse(sender.received(210, 8, 2 * CHUNK), "of another snapshot");
-        assertFalse(sender.received(210, 9, 3 * CHUNK + 1), "more than there is");
+        assertFalse(sender.onAcknowledged(210, 9, CHUNK), "an old answer is no news");
+        assertFalse(sender.onAcknowledged(210, 8, 2 * CHUNK), "of another snapshot");
+        assertFalse(sender.onAcknowledged(210, 9, 3 * CHUNK + 1), "more than there is");
         assertFalse(sender.isDue(210));
         assertNull(receiver.receive(second));
-        assertTrue(sender.received(400, 9, 2 * CHUNK));
-        assertSame(large, receiver.receive(sender.next(400, 3, 1)));
+        assertTrue(sender.onAcknowledged(400, 9, 2 * CHUNK));
+        assertSame(large, receiver.receive(sender.nextChunk(400, 3, 1)));
     }
 
     @Test
@@ -68,29 +68,30 @@
         int held = 0;
         int largest = 0;
         for (int i = 0; i < 10; i++) {
-            int sent = sender.next(now, 3, 1).chunk().state().length;
+            int sent = sender.nextChunk(now, 3, 1).chunk().state().length;
             largest = Math.max(largest, sent);
             held += sent;
             now += 1;
-            sender.received(now, 9, held);
+            sender.onAcknowledged(now, 9, held);
         }
         assertEquals(SnapshotSender.MAX_CHUNK_BYTES, largest);
         for (int i = 0; i < 10; i++) {
-            held += sender.next(now, 3, 1).chunk().state().length;
+            held += sender.nextChunk(now, 3, 1).chunk().state().length;
             now += 450;
-            sender.received(now, 9, held);
+            sender.onAcknowledged(now, 9, held);
         }
         assertEquals(
-                SnapshotSender.MIN_CHUNK_BYTES, sender.next(now, 3, 1).chunk().state().length);
+                SnapshotSender.MIN_CHUNK_BYTES,
+                sender.nextChunk(now, 3, 1).chunk().state().length);
     }
 
     @Test
     void aLostChunkIsSentAgainSmallerAndEverLater() {
         SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
-        sender.next(0, 3, 1);
+        sender.nextChunk(0, 3, 1);
         assertFalse(sender.isDue(SnapshotSender.INITIAL_TIMEOUT_MS - 1));
         assertTrue(sender.isDue(SnapshotSender.INITIAL_TIMEOUT_MS));
-        Message.InstallSnapshotRequest again = sender.next(SnapshotSender.INITIAL_TIMEOUT_MS, 3, 1);
+        Message.InstallSnapshotRequest again = sender.nextChunk(SnapshotSender.INITIAL_TIMEOUT_MS, 3, 1);
         assertEquals(0, again.offset());
         assertEquals(CHUNK / 2, again.chunk().state().length);
         assertFalse(sender.isDue(3 * SnapshotSender.INITIAL_TIMEOUT_MS - 1));
@@ -103,45 +104,45 @@
                     SnapshotSender.MIN_CHUNK_BYTES,
                     Math.min(
                             SnapshotSender.MIN_CHUNK_BYTES,
-                            sender.next(now, 3, 1).chunk().state().length));
+                            sender.nextChunk(now, 3, 1).chunk().state().length));
         }
     }
 
     @Test
     void whoAnswersALaterRoundAndSaysNothingOfAChunkHasNotGotIt() {
         SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
-        sender.next(0, 3, 7);
-        assertFalse(sender.passed(7), "it may be on its way");
+        sender.nextChunk(0, 3, 7);
+        assertFalse(sender.onRoundSeen(7), "it may be on its way");
         assertFalse(sender.isDue(1));
-        assertTrue(sender.passed(8));
+        assertTrue(sender.onRoundSeen(8));
         assertTrue(sender.isDue(1));
-        assertFalse(sender.passed(9), "nothing is on its way");
+        assertFalse(sender.onRoundSeen(9), "nothing is on its way");
     }
 
     @Test
     void whoLostWhatItHadGetsItFromThere() {
         SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
-        sender.next(0, 3, 1);
-        sender.received(10, 9, CHUNK);
-        Message.InstallSnapshotRequest second = sender.next(10, 3, 1);
+        sender.nextChunk(0, 3, 1);
+        sender.onAcknowledged(10, 9, CHUNK);
+        Message.InstallSnapshotRequest second = sender.nextChunk(10, 3, 1);
         assertNull(receiver.receive(second));
         assertEquals(0, receiver.receivedBytes(second), "the first is not here");
-        assertTrue(sender.received(20, 9, 0));
-        assertEquals(0, sender.next(20, 3, 1).offset());
+        assertTrue(sender.onAcknowledged(20, 9, 0));
+        assertEquals(0, sender.nextChunk(20, 3, 1).offset());
     }
 
     @Test
     void onlyOneOfWhichNothingIsHeldGivesWayToANewer() {
         Snapshot newer = snapshot(19, 5 * CHUNK);
         SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
-        sender.next(0, 3, 1);
-        sender.renew(100, newer);
+        sender.nextChunk(0, 3, 1);
+        sender.switchTo(100, newer);
         assertEquals(9, sender.index(), "the first chunk may be there");
-        sender.renew(SnapshotSender.INITIAL_TIMEOUT_MS, newer);
+        sender.switchTo(SnapshotSender.INITIAL_TIMEOUT_MS, newer);
         assertEquals(19, sender.index());
-        sender.next(600, 3, 1);
-        sender.received(700, 19, CHUNK / 2);
-        sender.renew(5000, snapshot(29, 10));
+        sender.nextChunk(600, 3, 1);
+        sender.onAcknowledged(700, 19, CHUNK / 2);
+        sender.switchTo(5000, snapshot(29, 10));
         assertEquals(19, sender.index());
     }
 
@@ -150,16 +151,16 @@
         SnapshotSender of9 = new SnapshotSender(snapshot(9, 2 * CHUNK));
         Snapshot second = snapshot(19, 2 * CHUNK);
         SnapshotSender of19 = new SnapshotSender(second);
-        assertNull(receiver.receive(of9.next(0, 3, 1)));
-        Message.InstallSnapshotRequest other = of19.next(0, 3, 1);
+        assertNull(receiver.receive(of9.nextChunk(0, 3, 1)));
+        Message.InstallSnapshotRequest other = of19.nextChunk(0, 3, 1);
         assertNull(receiver.receive(other));
         assertEquals(CHUNK, receiver.receivedBytes(other));
-        of9.received(1, 9, CHUNK);
-        assertNull(receiver.receive(of9.next(1, 3, 1)), "the beginning of 9 is gone");
+        of9.onAcknowledged(1, 9, CHUNK);
+        assertNull(receiver.receive(of9.nextChunk(1, 3, 1)), "the beginning of 9 is gone");
         SnapshotSender later = new SnapshotSender(second);
-        later.next(2, 4, 1);
-        later.received(2, 19, CHUNK);
-        Message.InstallSnapshotRequest ofLater = later.next(2, 4, 1);
+        later.nextChunk(2, 4, 1);
+        later.onAcknowledged(2, 19, CHUNK);
+        Message.InstallSnapshotRequest ofLater = later.nextChunk(2, 4, 1);
         assertNull(receiver.receive(ofLater), "of a leader of another term");
         assertEquals(0, receiver.receivedBytes(ofLater));
     }
@@ -191,7 +192,7 @@
         List<Message.InstallSnapshotRequest> onTheWay = new ArrayList<>();
         for (double now = 0; now < 200_000; now += 50) {
             if (sender.isDue(now)) {
-                Message.InstallSnapshotRequest chunk = sender.next(now, 3, 1);
+                Message.InstallSnapshotRequest chunk = sender.nextChunk(now, 3, 1);
                 for (int copies = random.nextInt(3); copies > 0; copies--) {
                     onTheWay.add(chunk);
                 }
@@ -203,7 +204,7 @@
                     return complete;
                 }
                 if (random.nextInt(4) > 0) {
-                    sender.received(now, chunk.chunk().index(), receiver.receivedBytes(chunk));
+                    sender.onAcknowledged(now, chunk.chunk().index(), receiver.receivedBytes(chunk));
                 }
                 if (random.nextInt(40) == 0) {
                     receiver.clear();
