--- a/bench/src/sablehinge/controlplane/raft/AgreementBench.java
+++ b/bench/src/sablehinge/controlplane/raft/AgreementBench.java
@@ -33,7 +33,7 @@
             try {
                 SimulatedCluster cluster = RaftNodeRandomTest.play(seed);
                 committed.add(cluster.committed.size());
-                changes.add(cluster.changes);
+                changes.add(cluster.memberChanges);
                 events.add(cluster.events);
             } catch (AssertionError e) {
                 breaches.add("seed " + seed + ": " + e.getMessage());
--- a/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
+++ b/bench/src/sablehinge/controlplane/raft/DeploymentStart.java
@@ -38,8 +38,8 @@
             unstarted.add(member.address());
             cluster.add(member.address()).self = member;
         }
-        cluster.list = List.copyOf(founders);
-        cluster.founding = cluster.list;
+        cluster.committedMembers = List.copyOf(founders);
+        cluster.foundingMembers = cluster.committedMembers;
     }
 
     /** Whether a machine's name is on the way to its disk. */
@@ -51,12 +51,12 @@
     void start(Machine machine) {
         boolean first = unstarted.remove(machine.address);
         if (first && founders.contains(machine.self)) {
-            machine.begin(machine.self, founders);
+            machine.bootstrapAs(machine.self, founders);
             return;
         }
         Member name = first
                 ? machine.self
-                : Member.nonFounder(cluster.dice(machine), machine.address, machine.self.control());
+                : Member.nonFounder(cluster.randomLong(machine), machine.address, machine.self.control());
         machine.incarnation++;
         machine.self = name;
         names.put(machine.address, name);
@@ -66,7 +66,7 @@
     boolean take(Machine machine, Step step) {
         Member name = names.remove(machine.address);
         if (step.kind() == Step.Kind.SYNC) {
-            machine.begin(name);
+            machine.startAs(name);
         } else if (step.n() > 0) {
             machine.disk.self = name;
         } else {
--- a/bench/src/sablehinge/controlplane/raft/EveryOrder.java
+++ b/bench/src/sablehinge/controlplane/raft/EveryOrder.java
@@ -133,7 +133,7 @@
                 .add(cluster.committed)
                 .add(cluster.leaders)
                 .add(cluster.lostDisks)
-                .add(cluster.made)
+                .add(cluster.createdEntries)
                 .add(cluster.claims)
                 .add(cluster.carried());
         for (int i = 0; i < cluster.size(); i++) {
@@ -229,9 +229,9 @@
             take(Step.of(Step.Kind.COMPACT, leader));
             take(Step.of(Step.Kind.WIPE, lost));
             take(Step.of(Step.Kind.START, lost));
-            for (int i = 0; i < CALM_ROUNDS && cluster.changes == 0; i++) {
+            for (int i = 0; i < CALM_ROUNDS && cluster.memberChanges == 0; i++) {
                 take(Step.pass(CALM_STEP_MS));
-                if (cluster.changes == 0) {
+                if (cluster.memberChanges == 0) {
                     flow();
                 }
             }
--- a/bench/src/sablehinge/controlplane/raft/LeaderLoss.java
+++ b/bench/src/sablehinge/controlplane/raft/LeaderLoss.java
@@ -117,7 +117,7 @@
                 late.forEach(Runnable::run);
             }
             case CUT -> cuts.clear();
-            case WIPE -> struck.outside();
+            case WIPE -> struck.startAsNewMember();
             case POWER_ALL -> machines.values().forEach(Machine::start);
             default -> {
                 // A stall ends by itself.
@@ -141,7 +141,7 @@
 
     /** The process has begun: it has its ticks, but for those of while it stands still. */
     @Override
-    void booted(Machine machine) {
+    void onNodeCreated(Machine machine) {
         tick(machine, machine.incarnation);
     }
 
@@ -158,11 +158,11 @@
 
     /** What arrives at a process that stands still waits in its buffers. */
     @Override
-    void carry(Member from, String to, Message message) {
+    void transmit(Member from, String to, Message message) {
         if (frozen.contains(machines.get(to))) {
-            held.add(() -> super.carry(from, to, message));
+            held.add(() -> super.transmit(from, to, message));
         } else {
-            super.carry(from, to, message);
+            super.transmit(from, to, message);
         }
     }
 }
--- a/bench/src/sablehinge/controlplane/raft/LostChange.java
+++ b/bench/src/sablehinge/controlplane/raft/LostChange.java
@@ -69,7 +69,7 @@
         for (int i = 0; i < commands; i++) {
             player.take(Step.of(Step.Kind.PROPOSE, first));
         }
-        int before = cluster.list.size();
+        int before = cluster.committedMembers.size();
         for (int i = 0;
                 i < WAITS && leader.leads() && leader.raftStatus.members().size() == before;
                 i++) {
--- a/bench/src/sablehinge/controlplane/raft/ScheduleTotals.java
+++ b/bench/src/sablehinge/controlplane/raft/ScheduleTotals.java
@@ -19,7 +19,7 @@
         steps.add(cluster.done());
         committed.add(cluster.committed.size());
         acknowledged.add(cluster.claims.acknowledged());
-        changes.add(cluster.changes);
+        changes.add(cluster.memberChanges);
         timing.add(cluster.leaders.size());
         beyond.add(cluster.isBeyond() ? 1 : 0);
     }
--- a/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
+++ b/bench/src/sablehinge/controlplane/raft/SteppedCluster.java
@@ -96,18 +96,18 @@
         if (dice < FOUNDED_BY_THREE) {
             deployment = null;
             tolerates = dice == 0 ? 2 : 1;
-            found(dice == 0 ? 5 : 4, tolerates);
+            bootstrap(dice == 0 ? 5 : 4, tolerates);
         } else if (dice < STARTED) {
             deployment = null;
             tolerates = 1;
-            found(SEEDS, tolerates);
+            bootstrap(SEEDS, tolerates);
         } else {
             deployment = new DeploymentStart(this);
             tolerates = dice < GROWING ? 1 : 2;
-            losses = tolerates;
+            toleratedFailures = tolerates;
             deployment.machines(SEEDS, dice < GROWING ? SEEDS + dice % 2 : 2 * tolerates + 1);
         }
-        founders = list;
+        founders = committedMembers;
     }
 
     int tolerates() {
@@ -140,20 +140,20 @@
     Machine add(String address) {
         Machine machine = super.add(address);
         int place = byPlace.size();
-        machine.rate = rates[place];
-        machine.offset = (place + 1) * APART;
+        machine.clockRate = rates[place];
+        machine.clockOffset = (place + 1) * APART;
         places.put(address, place);
         byPlace.add(machine);
         return machine;
     }
 
     @Override
-    long dice(Machine machine) {
+    long randomLong(Machine machine) {
         return new Random(seed * 31 + places.get(machine.address) * 1009L + machine.incarnation).nextLong();
     }
 
     @Override
-    void booted(Machine machine) {
+    void onNodeCreated(Machine machine) {
         // Its ticks are steps.
     }
 
@@ -163,7 +163,7 @@
     }
 
     @Override
-    void made(Machine machine, Entry entry) {
+    void onEntryCreated(Machine machine, Entry entry) {
         if (entry.kind() == Entry.Kind.MEMBERS && machine.leads() && machine.raftStatus.term() == entry.term()) {
             carried.check(this, machine, MemberListCodec.read(entry.data()));
         }
@@ -175,12 +175,12 @@
     }
 
     @Override
-    boolean compactsByItself() {
+    boolean compactsAutomatically() {
         return false;
     }
 
     @Override
-    void carry(Member from, String to, Message message) {
+    void transmit(Member from, String to, Message message) {
         Integer place = places.get(to);
         if (place != null) {
             List<InFlight> link = link(places.get(from.address()), place);
@@ -282,7 +282,7 @@
             case BARRIER -> a.barrier();
             case CAPTURE -> captured[step.a()] = new Captured(a.incarnation, a.applied, a.state());
             case LEAVE -> {
-                beyond |= lost() >= bearable();
+                beyond |= lostMembers() >= bearable();
                 a.raft.leave(a.clock());
                 leaving[step.a()] = a.incarnation;
             }
@@ -325,7 +325,7 @@
         if (machine.disk.self == null && deployment != null) {
             deployment.start(machine);
         } else if (machine.disk.self == null) {
-            machine.outside();
+            machine.startAsNewMember();
         } else {
             machine.start();
         }
@@ -337,7 +337,7 @@
         if (place < byPlace.size() || byPlace.size() == MAX) {
             return false;
         }
-        add("10.0.1." + byPlace.size() + ":1").outside();
+        add("10.0.1." + byPlace.size() + ":1").startAsNewMember();
         return true;
     }
 
@@ -362,7 +362,7 @@
 
     /** A machine loses its disk, if the core may bear it. */
     private boolean lose(Machine machine) {
-        boolean may = machine.disk.self != null && knowSameList() && lost() < bearable();
+        boolean may = machine.disk.self != null && allKnowCommittedMembers() && lostMembers() < bearable();
         if (may) {
             beyond |= lostOrUnresponsive(machine) >= bearable();
             machine.wipe();
@@ -405,19 +405,19 @@
 
     /** Members that the core of now may lose. */
     private int bearable() {
-        return (list.size() - 1) / 2;
+        return (committedMembers.size() - 1) / 2;
     }
 
     /** Other members whose disks are lost, or from whom the leader has not heard of late. */
     private int lostOrUnresponsive(Machine but) {
         Machine leader = leader();
         if (leader == null) {
-            return list.size();
+            return committedMembers.size();
         }
         Map<Long, Double> sinceLastMessageMs =
                 leader.raft.metrics(leader.clock()).sinceLastMessageMs();
         int count = 0;
-        for (Member member : list) {
+        for (Member member : committedMembers) {
             RaftStatus its = machines.get(member.address()).raftStatus;
             int place = places.get(member.address());
             boolean lost = lostDisks.containsKey(member.id()) || leaving[place] == byPlace.get(place).incarnation;
--- a/src/main/java/sablehinge/controlplane/raft/RaftNode.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftNode.java
@@ -209,7 +209,7 @@
         }
         if (index > state.commitIndex) {
             throw new IllegalArgumentException(
-                    "entry " + index + " is not applied yet; the last applied entry is " + state.commitIndex);
+                    "entry " + index + " is not applied yet (last applied: " + state.commitIndex + ")");
         }
         // Entries that are still unwritten must precede the snapshot, in a batch of their own.
         state.flush(state.lastNow);
--- a/src/test/java/sablehinge/controlplane/raft/CatchUpRandomTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpRandomTest.java
@@ -34,17 +34,17 @@
         SlowLinkCluster cluster = new SlowLinkCluster(seed, seed % 4 == 0 ? 5 : 3);
         cluster.awaitLeader();
         cluster.claims.bodyBytes = BODIES[random.nextInt(BODIES.length)];
-        cluster.compactsEvery = 5 + random.nextInt(40);
-        cluster.loss = random.nextInt(3) == 0 ? 0.02 : 0;
+        cluster.compactionInterval = 5 + random.nextInt(40);
+        cluster.lossRate = random.nextInt(3) == 0 ? 0.02 : 0;
         List<Machine> all = List.copyOf(cluster.machines.values());
         Machine slow = all.get(random.nextInt(all.size()));
         double speed = SPEEDS[random.nextInt(SPEEDS.length)];
-        cluster.slow(slow, speed);
+        cluster.setBandwidth(slow, speed);
         Machine away = all.get(random.nextInt(all.size()));
         cluster.after(random.nextDouble() * STORM / 2, () -> away.kill(random.nextBoolean()));
         double end = cluster.now + STORM;
         while (cluster.now < end) {
-            cluster.storm(random.nextDouble() * 1500, 8);
+            cluster.runWithLoad(random.nextDouble() * 1500, 8);
             fault(cluster, all.get(random.nextInt(all.size())), away, random);
         }
         calm(cluster, away, speed);
@@ -76,7 +76,7 @@
 
     private static void calm(SlowLinkCluster cluster, Machine away, double speed) {
         cluster.cuts.clear();
-        cluster.loss = 0;
+        cluster.lossRate = 0;
         for (Machine machine : cluster.machines.values()) {
             machine.stalledUntil = 0;
             start(machine);
@@ -84,21 +84,21 @@
         start(away);
         int large = cluster.claims.bodyBytes;
         // What is under way as calm begins, of a log that nobody has cut yet, is of the storm's size.
-        double atMost = CALM + 2.0 * large * cluster.compactsEvery / speed;
+        double atMost = CALM + 2.0 * large * cluster.compactionInterval / speed;
         cluster.claims.bodyBytes = Long.BYTES;
         for (double end = cluster.now + atMost; cluster.now < end; ) {
-            cluster.storm(20, 1);
+            cluster.runWithLoad(20, 1);
             cluster.runAndCompact(BETWEEN_ORDERS);
         }
         for (Machine machine : cluster.machines.values()) {
             cluster.check(
-                    cluster.behind(machine) <= cluster.compactsEvery,
+                    cluster.lag(machine) <= cluster.compactionInterval,
                     machine,
-                    () -> cluster.behind(machine) + " entries behind after " + atMost + " ms of calm, cut every "
-                            + cluster.compactsEvery + ", " + cluster.describe());
+                    () -> cluster.lag(machine) + " entries behind after " + atMost + " ms of calm, cut every "
+                            + cluster.compactionInterval + ", " + cluster.describe());
         }
         for (Machine machine : cluster.machines.values()) {
-            cluster.catchUp(machine, CALM);
+            cluster.awaitCaughtUp(machine, CALM);
         }
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
@@ -34,28 +34,28 @@
     void whoIsOnASlowLinkCatchesUpAfterAStormAndHearsTheLeaderInIt() {
         SlowLinkCluster cluster = cluster(LARGE);
         Machine slow = follower(cluster);
-        cluster.slow(slow, SLOW);
+        cluster.setBandwidth(slow, SLOW);
         long requested = cluster.votesRequested;
-        cluster.storm(STORM, ORDERS);
+        cluster.runWithLoad(STORM, ORDERS);
         assertTrue(cluster.committed.size() > 100, cluster.committed.size() + " entries");
-        assertEquals(0, cluster.broken, "connections broke as too much waited");
-        assertTrue(cluster.longestWait < 1000, cluster.longestWait + " ms a message waited for others");
+        assertEquals(0, cluster.brokenConnections, "connections broke as too much waited");
+        assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms a message waited for others");
         assertEquals(0, cluster.votesRequested - requested, "questions for votes");
-        double took = cluster.catchUp(slow, 3000);
-        System.out.printf("slow link: longest wait %.0f ms, caught up after %.0f ms%n", cluster.longestWait, took);
+        double took = cluster.awaitCaughtUp(slow, 3000);
+        System.out.printf("slow link: longest wait %.0f ms, caught up after %.0f ms%n", cluster.longestWaitMs, took);
     }
 
     @Test
     void aCoreOnSlowLinksKeepsItsLeader() {
         SlowLinkCluster cluster = cluster(LARGE);
         Machine leader = cluster.leader();
-        cluster.machines.values().forEach(machine -> cluster.slow(machine, SLOW));
+        cluster.machines.values().forEach(machine -> cluster.setBandwidth(machine, SLOW));
         long term = leader.raftStatus.term();
-        cluster.storm(STORM, ORDERS);
+        cluster.runWithLoad(STORM, ORDERS);
         assertEquals(term, cluster.leader().raftStatus.term());
         assertTrue(cluster.committed.size() > 12, cluster.committed.size() + " entries");
         for (Machine machine : cluster.others(leader)) {
-            cluster.catchUp(machine, 5000);
+            cluster.awaitCaughtUp(machine, 5000);
         }
     }
 
@@ -64,15 +64,15 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.storm(STORM, ORDERS);
-        cluster.slow(away, SLOW / 10);
+        cluster.runWithLoad(STORM, ORDERS);
+        cluster.setBandwidth(away, SLOW / 10);
         away.start();
         // One state takes 4 s on its link; the log is cut some ten times meanwhile.
-        cluster.storm(STORM, ORDERS);
+        cluster.runWithLoad(STORM, ORDERS);
         assertTrue(away.applied > 100, "it has nothing newer than entry " + away.applied);
-        assertEquals(0, cluster.broken, "connections broke as too much waited");
-        cluster.slow(away, SLOW);
-        cluster.catchUp(away, 8000);
+        assertEquals(0, cluster.brokenConnections, "connections broke as too much waited");
+        cluster.setBandwidth(away, SLOW);
+        cluster.awaitCaughtUp(away, 8000);
     }
 
     @Test
@@ -80,13 +80,13 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW / 10);
+        cluster.runWithLoad(2000, ORDERS);
+        cluster.setBandwidth(away, SLOW / 10);
         away.start();
         long before = cluster.snapshotBytes;
         double start = cluster.now;
         while (away.applied == 0) {
-            cluster.storm(100, ORDERS);
+            cluster.runWithLoad(100, ORDERS);
             cluster.check(cluster.now - start < 10_000, away, () -> "no snapshot for 10 s");
         }
         long state = LARGE + 100_000;
@@ -100,17 +100,17 @@
         SlowLinkCluster cluster = cluster(12_000_000);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.storm(500, 1);
+        cluster.runWithLoad(500, 1);
         cluster.runAndCompact(500);
         cluster.leader().compact();
-        cluster.slow(away, SLOW);
-        cluster.largest = 0;
-        cluster.longestWait = 0;
+        cluster.setBandwidth(away, SLOW);
+        cluster.largestMessageBytes = 0;
+        cluster.longestWaitMs = 0;
         long requested = cluster.votesRequested;
         away.start();
-        cluster.catchUp(away, 30_000);
-        assertTrue(cluster.largest < 1_100_000, "a message of " + cluster.largest + " bytes");
-        assertTrue(cluster.longestWait < 1000, cluster.longestWait + " ms a message waited for others");
+        cluster.awaitCaughtUp(away, 30_000);
+        assertTrue(cluster.largestMessageBytes < 1_100_000, "a message of " + cluster.largestMessageBytes + " bytes");
+        assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms a message waited for others");
         assertEquals(requested, cluster.votesRequested, "questions for votes");
     }
 
@@ -119,15 +119,15 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW / 2);
+        cluster.runWithLoad(2000, ORDERS);
+        cluster.setBandwidth(away, SLOW / 2);
         for (int i = 1; i <= 20; i++) {
             away.start();
-            cluster.storm(i * 40, 1);
+            cluster.runWithLoad(i * 40, 1);
             away.powerLoss();
         }
         away.start();
-        cluster.catchUp(away, 6000);
+        cluster.awaitCaughtUp(away, 6000);
     }
 
     @Test
@@ -135,8 +135,8 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW / 2);
+        cluster.runWithLoad(2000, ORDERS);
+        cluster.setBandwidth(away, SLOW / 2);
         away.start();
         cluster.runAndCompact(400);
         Machine first = cluster.leader();
@@ -148,24 +148,24 @@
             cluster.runAndCompact(20);
             cluster.check(cluster.now - start < 5000, second, cluster::describe);
         }
-        cluster.catchUp(away, 5000);
+        cluster.awaitCaughtUp(away, 5000);
         first.start();
-        cluster.catchUp(first, 5000);
+        cluster.awaitCaughtUp(first, 5000);
     }
 
     @Test
     void whoWasAwayForAMomentNeedsNoSnapshot() {
         SlowLinkCluster cluster = cluster(Long.BYTES);
         Machine away = follower(cluster);
-        cluster.storm(1000, ORDERS);
+        cluster.runWithLoad(1000, ORDERS);
         cluster.runAndCompact(500);
         long before = cluster.snapshotMessages;
         away.kill(true);
         long gone = cluster.committed.size();
-        cluster.storm(1000, ORDERS);
-        assertTrue(cluster.committed.size() - gone > 3 * cluster.compactsEvery, "the log was cut");
+        cluster.runWithLoad(1000, ORDERS);
+        assertTrue(cluster.committed.size() - gone > 3 * cluster.compactionInterval, "the log was cut");
         away.start();
-        cluster.catchUp(away, 1000);
+        cluster.awaitCaughtUp(away, 1000);
         assertEquals(before, cluster.snapshotMessages, "messages of snapshots");
     }
 
@@ -174,14 +174,14 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.storm(STORM, ORDERS);
+        cluster.runWithLoad(STORM, ORDERS);
         cluster.runAndCompact(1000);
         for (int i = 0; i < 20; i++) {
             away.start();
             // At most a heartbeat, and the time that the state takes on a fast link.
-            cluster.catchUp(away, 300);
+            cluster.awaitCaughtUp(away, 300);
             away.kill(true);
-            cluster.storm(1000, 2);
+            cluster.runWithLoad(1000, 2);
             cluster.runAndCompact(600 + 150 * i);
         }
     }
@@ -191,14 +191,14 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW);
+        cluster.runWithLoad(2000, ORDERS);
+        cluster.setBandwidth(away, SLOW);
         away.start();
         cluster.runAndCompact(150);
         away.stall(STORM);
-        cluster.storm(STORM, ORDERS);
-        assertEquals(0, cluster.broken, "connections broke as too much waited");
-        cluster.catchUp(away, 5000);
+        cluster.runWithLoad(STORM, ORDERS);
+        assertEquals(0, cluster.brokenConnections, "connections broke as too much waited");
+        cluster.awaitCaughtUp(away, 5000);
     }
 
     @Test
@@ -206,13 +206,13 @@
         SlowLinkCluster cluster = cluster(LARGE);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW);
-        cluster.loss = 0.2;
+        cluster.runWithLoad(2000, ORDERS);
+        cluster.setBandwidth(away, SLOW);
+        cluster.lossRate = 0.2;
         away.start();
-        cluster.storm(3000, 2);
+        cluster.runWithLoad(3000, 2);
         for (Machine machine : cluster.machines.values()) {
-            cluster.catchUp(machine, 15_000);
+            cluster.awaitCaughtUp(machine, 15_000);
         }
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/Claims.java
+++ b/src/test/java/sablehinge/controlplane/raft/Claims.java
@@ -11,43 +11,44 @@
 import sablehinge.controlplane.state.BodyDigest;
 import sablehinge.controlplane.state.ConfigurationState;
 
-/** What operators were answered about configurations, held against every state that a machine comes to. */
+/** Checks the answers that operators received about configurations against every state that a machine reaches. */
 final class Claims {
 
-    /** An operator's call; the term in which it was proposed is 0 in one that is only repeated. */
+    /** A call of an operator; its term is that of the proposal, or 0 if the call is only retained to be sent again. */
     record Call(long basedOn, long edition, byte[] body, long term) {}
 
-    /** A confirmed order; its digest is made once, as it is looked for in every state that comes after. */
+    /** A confirmed call; its digest is computed once, as every later state is checked for it. */
     private record Acknowledged(long index, Call call, BodyDigest digest) {}
 
-    /** One that a state has taken. */
-    private record Taken(long basedOn, int length, BodyDigest digest) {}
+    /** An edition that a state has accepted. */
+    private record AcceptedEdition(long basedOn, int length, BodyDigest digest) {}
 
-    /** Orders that operators remember, to send them again: the latest ones. */
-    private static final int REMEMBERED = 8;
-    /** By how much each edition makes a state longer, besides its body. */
+    /** Number of latest calls that are retained, so that operators can send them again. */
+    private static final int MAX_RECENT_CALLS = 8;
+    /** Size that each edition adds to a state, besides its body. */
     private static final int EDITION_BYTES = editionBytes();
 
     private final SimulatedCluster cluster;
     private final List<Acknowledged> acknowledged = new ArrayList<>();
-    /** The index of the entry by which an edition was followed by another. */
+    /** For each edition, the index of the entry that replaced it. */
     private final Map<Long, Long> successors = new HashMap<>();
-    /** What came of each entry, by its index. */
+    /** The outcome of each entry, by its index. */
     private final Map<Long, String> outcomes = new HashMap<>();
-    /** Orders that came into force, and those whose operators were answered that they never will. */
-    private final List<Call> inForce = new ArrayList<>();
+    /** Calls that were accepted. */
+    private final List<Call> accepted = new ArrayList<>();
 
+    /** Calls whose operators were answered that they will never be accepted. */
     private final List<Call> refused = new ArrayList<>();
-    /** The latest orders, the newest last. */
-    private final List<Call> sent = new ArrayList<>();
+    /** The latest calls, the newest last. */
+    private final List<Call> recentCalls = new ArrayList<>();
 
     private Call latest;
-    private long proposed;
-    /** Length of the configurations that are proposed; at least 8, so that they differ. */
+    private long proposedCount;
+    /** Size of the proposed configurations; at least 8, so that they differ. */
     int bodyBytes = Long.BYTES;
     /**
-     * Length to which configurations fill the state; 0 where their own length is given. States of one length and
-     * another content are those whose chunks could be mixed unseen.
+     * Size of the state that each proposed configuration is padded to; 0 if {@link #bodyBytes} applies. Chunks of two
+     * states with the same size and different content could be mixed without being noticed.
      */
     int stateBytes;
 
@@ -66,156 +67,157 @@
         return acknowledged.size();
     }
 
-    /** Proposes a configuration, which differs from all others, to who may lead; whether it was taken on. */
-    boolean propose(Machine at) {
-        long edition = at.configurations.edition();
-        // Not each edition is the next number, so that two on one may differ in theirs.
-        return propose(at, new Call(edition, edition + 1 + proposed % 2, body(at), 0));
+    /** Proposes a unique configuration to a machine; returns whether the machine accepted the proposal. */
+    boolean propose(Machine machine) {
+        long edition = machine.configurations.edition();
+        // Some editions skip a number, so that two calls on the same base may have different editions.
+        return propose(machine, new Call(edition, edition + 1 + proposedCount % 2, body(machine), 0));
     }
 
-    /** A configuration that differs from all others in each of its parts. */
-    private byte[] body(Machine at) {
+    /** A configuration that differs from all others in each 8-byte word. */
+    private byte[] body(Machine machine) {
         int length = bodyBytes;
         if (stateBytes > 0) {
-            int others = at.configurations.state().length - at.configurations.body().length;
-            length = Math.max(bodyBytes, stateBytes - others - EDITION_BYTES);
+            int otherBytes = machine.configurations.state().length - machine.configurations.body().length;
+            length = Math.max(bodyBytes, stateBytes - otherBytes - EDITION_BYTES);
         }
         byte[] body = new byte[length];
-        byte[] number = ByteBuffer.allocate(Long.BYTES).putLong(proposed).array();
+        byte[] number = ByteBuffer.allocate(Long.BYTES).putLong(proposedCount).array();
         for (int i = 0; i < length; i++) {
             body[i] = number[i % Long.BYTES];
         }
         return body;
     }
 
-    /** Proposes the latest configuration again, perhaps to another. */
-    boolean repeat(Machine at) {
-        return latest != null && propose(at, latest);
+    /** Proposes the latest call again, possibly to another machine. */
+    boolean repeat(Machine machine) {
+        return latest != null && propose(machine, latest);
     }
 
-    /** Sends one of the latest orders once more, as an operator does who had no answer. */
-    boolean resend(Machine at, int which) {
-        return which < sent.size() && propose(at, sent.get(sent.size() - 1 - which));
+    /** Sends one of the latest calls again, as an operator does that received no answer. */
+    boolean resend(Machine machine, int age) {
+        return age < recentCalls.size() && propose(machine, recentCalls.get(recentCalls.size() - 1 - age));
     }
 
-    /** Another operator's order that has something in common with one of the latest. */
-    boolean vary(Machine at, int which) {
-        if (which >= sent.size()) {
+    /** Proposes a call of another operator that shares its base, edition or body with one of the latest calls. */
+    boolean vary(Machine machine, int age) {
+        if (age >= recentCalls.size()) {
             return false;
         }
-        Call like = sent.get(sent.size() - 1 - which);
-        byte[] other = ByteBuffer.allocate(Long.BYTES).putLong(-1 - proposed).array();
-        long edition = at.configurations.edition();
+        Call original = recentCalls.get(recentCalls.size() - 1 - age);
+        byte[] otherBody =
+                ByteBuffer.allocate(Long.BYTES).putLong(-1 - proposedCount).array();
+        long edition = machine.configurations.edition();
         return propose(
-                at,
-                switch ((int) (proposed % 5)) {
-                    case 0 -> new Call(like.basedOn, like.edition, other, 0);
-                    case 1 -> new Call(like.basedOn, like.edition + 1, like.body, 0);
-                    case 2 -> new Call(edition, Math.max(edition, like.edition) + 1, like.body, 0);
-                    case 3 -> new Call(edition, like.edition, other, 0);
-                    default -> new Call(edition, like.edition, like.body, 0);
+                machine,
+                switch ((int) (proposedCount % 5)) {
+                    case 0 -> new Call(original.basedOn, original.edition, otherBody, 0);
+                    case 1 -> new Call(original.basedOn, original.edition + 1, original.body, 0);
+                    case 2 -> new Call(edition, Math.max(edition, original.edition) + 1, original.body, 0);
+                    case 3 -> new Call(edition, original.edition, otherBody, 0);
+                    default -> new Call(edition, original.edition, original.body, 0);
                 });
     }
 
-    private boolean propose(Machine at, Call call) {
-        double now = at.clock();
-        long index =
-                at.raft.propose(now, ConfigurationState.replace(call.basedOn, call.edition, call.body, (long) now));
+    private boolean propose(Machine machine, Call call) {
+        double now = machine.clock();
+        long index = machine.raft.propose(
+                now, ConfigurationState.replace(call.basedOn, call.edition, call.body, (long) now));
         if (index > 0) {
-            proposed++;
+            proposedCount++;
             latest = call;
             remember(call);
-            at.calls.put(index, new Call(call.basedOn, call.edition, call.body, at.raftStatus.term()));
+            machine.calls.put(index, new Call(call.basedOn, call.edition, call.body, machine.raftStatus.term()));
         }
         return index > 0;
     }
 
     private void remember(Call call) {
-        if (sent.stream().noneMatch(one -> isSame(one, call))) {
-            sent.add(call);
-            if (sent.size() > REMEMBERED) {
-                sent.remove(0);
+        if (recentCalls.stream().noneMatch(recent -> isSame(recent, call))) {
+            recentCalls.add(call);
+            if (recentCalls.size() > MAX_RECENT_CALLS) {
+                recentCalls.remove(0);
             }
         }
     }
 
-    private static boolean isSame(Call one, Call other) {
-        return one.basedOn == other.basedOn && one.edition == other.edition && Arrays.equals(one.body, other.body);
+    private static boolean isSame(Call a, Call b) {
+        return a.basedOn == b.basedOn && a.edition == b.edition && Arrays.equals(a.body, b.body);
     }
 
     /** Executes a committed entry. */
-    void applied(Machine at, Entry entry) {
-        ConfigurationState.Outcome outcome = entry.kind() == Entry.Kind.COMMAND ? command(at, entry) : null;
-        if (at.leads() && entry.term() == at.raftStatus.term()) {
-            holds(at, one -> one.call.term < entry.term());
+    void applied(Machine machine, Entry entry) {
+        ConfigurationState.Outcome outcome = entry.kind() == Entry.Kind.COMMAND ? applyCommand(machine, entry) : null;
+        if (machine.leads() && entry.term() == machine.raftStatus.term()) {
+            checkAcknowledged(machine, acknowledgement -> acknowledgement.call.term < entry.term());
         }
-        Call call = at.calls.remove(entry.index());
+        Call call = machine.calls.remove(entry.index());
         if (call != null && call.term == entry.term() && outcome != null) {
-            answer(at, entry, call, outcome);
+            answer(machine, entry, call, outcome);
         }
     }
 
-    /** The operator is answered that its order is in force or was, or that it never will be. */
-    private void answer(Machine at, Entry entry, Call call, ConfigurationState.Outcome outcome) {
+    /** Answers the operator that its call is or was accepted, or that it never will be. */
+    private void answer(Machine machine, Entry entry, Call call, ConfigurationState.Outcome outcome) {
         if (outcome == ConfigurationState.Outcome.TAKEN || outcome == ConfigurationState.Outcome.REPEATED) {
-            for (Acknowledged one : acknowledged) {
+            for (Acknowledged earlier : acknowledged) {
                 cluster.check(
-                        one.call.edition != call.edition || Arrays.equals(one.call.body, call.body),
-                        at,
-                        () -> "two orders were confirmed as edition " + call.edition);
+                        earlier.call.edition != call.edition || Arrays.equals(earlier.call.body, call.body),
+                        machine,
+                        () -> "two different calls were confirmed as edition " + call.edition);
             }
             cluster.check(
-                    inForce.stream().anyMatch(one -> isSame(one, call)),
-                    at,
-                    () -> "the order of edition " + call.edition + " is confirmed and was never in force");
+                    accepted.stream().anyMatch(other -> isSame(other, call)),
+                    machine,
+                    () -> "the call for edition " + call.edition + " is confirmed and was never accepted");
             acknowledged.add(new Acknowledged(entry.index(), call, BodyDigest.of(call.body)));
         } else if (outcome == ConfigurationState.Outcome.STALE || outcome == ConfigurationState.Outcome.OLD) {
             cluster.check(
-                    inForce.stream().noneMatch(one -> isSame(one, call)),
-                    at,
-                    () -> "the order of edition " + call.edition + " is refused and was in force");
+                    accepted.stream().noneMatch(other -> isSame(other, call)),
+                    machine,
+                    () -> "the call for edition " + call.edition + " is refused and was accepted");
             refused.add(call);
         }
     }
 
-    private void tookForce(Machine at, Call call) {
-        inForce.add(call);
+    private void onAccepted(Machine machine, Call call) {
+        accepted.add(call);
         cluster.check(
-                refused.stream().noneMatch(one -> isSame(one, call)),
-                at,
-                () -> "the order of edition " + call.edition + " comes into force and was refused");
+                refused.stream().noneMatch(other -> isSame(other, call)),
+                machine,
+                () -> "the call for edition " + call.edition + " is accepted and was refused");
     }
 
-    /** What a committed command comes to. */
-    private ConfigurationState.Outcome command(Machine at, Entry entry) {
-        long before = at.configurations.edition();
-        ConfigurationState.Outcome outcome = at.configurations.apply(entry.data());
+    /** Applies a committed command and checks its outcome. */
+    private ConfigurationState.Outcome applyCommand(Machine machine, Entry entry) {
+        long before = machine.configurations.edition();
+        ConfigurationState.Outcome outcome = machine.configurations.apply(entry.data());
         cluster.check(
-                at.configurations.edition() >= before,
-                at,
-                () -> "edition " + at.configurations.edition() + " after " + before);
-        String came = outcome + " " + at.configurations.edition();
-        String other = outcomes.putIfAbsent(entry.index(), came);
+                machine.configurations.edition() >= before,
+                machine,
+                () -> "edition " + machine.configurations.edition() + " after " + before);
+        String result = outcome + " " + machine.configurations.edition();
+        String other = outcomes.putIfAbsent(entry.index(), result);
         cluster.check(
-                other == null || other.equals(came),
-                at,
-                () -> "entry " + entry.index() + " comes to " + came + ", elsewhere to " + other);
+                other == null || other.equals(result),
+                machine,
+                () -> "entry " + entry.index() + " results in " + result + ", on another machine in " + other);
         if (outcome == ConfigurationState.Outcome.TAKEN) {
             Call call = call(entry.data());
             long basedOn = call.basedOn;
             Long index = successors.putIfAbsent(basedOn, entry.index());
             cluster.check(
                     index == null || index == entry.index(),
-                    at,
-                    () -> "edition " + basedOn + " is followed by entry " + index + " and by " + entry.index());
+                    machine,
+                    () -> "edition " + basedOn + " is replaced by entry " + index + " and by " + entry.index());
             if (index == null) {
-                tookForce(at, call);
+                onAccepted(machine, call);
             }
         }
         return outcome;
     }
 
-    /** Reads what {@link ConfigurationState#replace} has written. */
+    /** Decodes a command of {@link ConfigurationState#replace}. */
     private static Call call(byte[] command) {
         ByteBuffer in = ByteBuffer.wrap(command).position(1);
         long basedOn = in.getLong();
@@ -225,61 +227,66 @@
         return new Call(basedOn, edition, body, 0);
     }
 
-    /** Takes a snapshot's state over. */
-    void restored(Machine at, long index, byte[] state) {
-        long before = at.configurations.edition();
-        at.configurations.restore(state);
+    /** Restores the state of a snapshot and checks it. */
+    void restored(Machine machine, long index, byte[] state) {
+        long before = machine.configurations.edition();
+        machine.configurations.restore(state);
         cluster.check(
-                inForce.stream()
-                                .anyMatch(one -> one.edition == at.configurations.edition()
-                                        && Arrays.equals(one.body, at.configurations.body()))
-                        || at.configurations.edition() == 0,
-                at,
-                () -> "edition " + at.configurations.edition() + " is restored with another body");
+                accepted.stream()
+                                .anyMatch(call -> call.edition == machine.configurations.edition()
+                                        && Arrays.equals(call.body, machine.configurations.body()))
+                        || machine.configurations.edition() == 0,
+                machine,
+                () -> "edition " + machine.configurations.edition() + " is restored with a different body");
         cluster.check(
-                at.configurations.edition() >= before,
-                at,
-                () -> "edition " + at.configurations.edition() + " restored over " + before);
-        holds(at, one -> one.index <= index);
+                machine.configurations.edition() >= before,
+                machine,
+                () -> "edition " + machine.configurations.edition() + " restored over " + before);
+        checkAcknowledged(machine, acknowledgement -> acknowledgement.index <= index);
     }
 
-    /** What was acknowledged must be known: to a leader of a later term, and where the entry is applied. */
-    private void holds(Machine at, Predicate<Acknowledged> which) {
-        List<Acknowledged> known = acknowledged.stream().filter(which).toList();
+    /**
+     * Checks that a machine knows acknowledged calls: those of earlier terms on a leader, and those of applied entries.
+     */
+    private void checkAcknowledged(Machine machine, Predicate<Acknowledged> filter) {
+        List<Acknowledged> known = acknowledged.stream().filter(filter).toList();
         if (known.isEmpty()) {
             return;
         }
-        Map<Long, Taken> taken = taken(at);
-        for (Acknowledged one : known) {
+        Map<Long, AcceptedEdition> history = history(machine);
+        for (Acknowledged expected : known) {
             cluster.check(
-                    isTaken(one, taken.get(one.call.edition)),
-                    at,
-                    () -> "acknowledged edition " + one.call.edition + " of entry " + one.index + " is lost");
+                    isAccepted(expected, history.get(expected.call.edition)),
+                    machine,
+                    () -> "acknowledged edition " + expected.call.edition + " of entry " + expected.index + " is lost");
         }
         Acknowledged newest = known.get(known.size() - 1);
         cluster.check(
-                repeats(at, newest.call),
-                at,
+                isRepeated(machine, newest.call),
+                machine,
                 () -> "edition " + newest.call.edition + " of entry " + newest.index
-                        + " is kept, and not known when it is sent again");
+                        + " is in the history, but not recognised when it is sent again");
     }
 
-    private static boolean repeats(Machine at, Call call) {
-        return at.configurations.evaluate(call.basedOn, call.edition, call.body) == ConfigurationState.Outcome.REPEATED;
+    private static boolean isRepeated(Machine machine, Call call) {
+        return machine.configurations.evaluate(call.basedOn, call.edition, call.body)
+                == ConfigurationState.Outcome.REPEATED;
     }
 
-    private static Map<Long, Taken> taken(Machine at) {
-        Map<Long, Taken> all = new HashMap<>();
-        at.configurations.read(
-                (edition, basedOn, time, length, digest) -> all.put(edition, new Taken(basedOn, length, digest)));
-        return all;
+    private static Map<Long, AcceptedEdition> history(Machine machine) {
+        Map<Long, AcceptedEdition> history = new HashMap<>();
+        machine.configurations.read((edition, basedOn, time, length, digest) ->
+                history.put(edition, new AcceptedEdition(basedOn, length, digest)));
+        return history;
     }
 
-    /** By what {@link ConfigurationState#evaluate} says REPEATED, without a digest of the body each time. */
-    private static boolean isTaken(Acknowledged one, Taken taken) {
-        return taken != null
-                && taken.basedOn == one.call.basedOn
-                && taken.length == one.call.body.length
-                && taken.digest.equals(one.digest);
+    /**
+     * The same criteria as for REPEATED in {@link ConfigurationState#evaluate}, without computing a digest each time.
+     */
+    private static boolean isAccepted(Acknowledged expected, AcceptedEdition edition) {
+        return edition != null
+                && edition.basedOn == expected.call.basedOn
+                && edition.length == expected.call.body.length
+                && edition.digest.equals(expected.digest);
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
@@ -171,9 +171,9 @@
     void aCoreGrowsFromItsFoundersToAll() {
         SteppedCluster cluster = new SteppedCluster(FIVE_START);
         assertEquals(5, cluster.size());
-        assertEquals(3, cluster.list.size());
+        assertEquals(3, cluster.committedMembers.size());
         cluster.take(Step.of(Step.Kind.CALM, 0));
-        assertEquals(5, cluster.list.size());
+        assertEquals(5, cluster.committedMembers.size());
     }
 
     @Test
@@ -191,7 +191,7 @@
         SteppedCluster cluster = new SteppedCluster(FIVE_START);
         script.steps().forEach(cluster::take);
         assertFalse(cluster.isBeyond());
-        assertTrue(cluster.list.contains(cluster.machine(0).self));
+        assertTrue(cluster.committedMembers.contains(cluster.machine(0).self));
         assertNotEquals(
                 Member.founder(cluster.machine(0).address, "").id(),
                 cluster.machine(0).self.id());
@@ -214,8 +214,8 @@
         SteppedCluster cluster = new SteppedCluster(FIVE_START);
         script.steps().forEach(cluster::take);
         assertFalse(cluster.isBeyond());
-        assertEquals(5, cluster.list.size());
-        assertTrue(cluster.list.contains(Member.founder(cluster.machine(0).address, "c0")), cluster.line());
+        assertEquals(5, cluster.committedMembers.size());
+        assertTrue(cluster.committedMembers.contains(Member.founder(cluster.machine(0).address, "c0")), cluster.line());
     }
 
     /** Found among a million schedules: a leader ended while it removed a voter, which alone heard of it. */
@@ -262,8 +262,8 @@
         player.take(Step.of(Step.Kind.CALM, 0));
         assertTrue(cluster.isBeyond(), "two of three were lost at once");
         player.elect();
-        assertTrue(cluster.list.contains(cluster.machine(lost).self), cluster.line());
-        assertTrue(cluster.list.contains(cluster.machine(away).self), cluster.line());
+        assertTrue(cluster.committedMembers.contains(cluster.machine(lost).self), cluster.line());
+        assertTrue(cluster.committedMembers.contains(cluster.machine(away).self), cluster.line());
     }
 
     /** Answers to the round count for the change that it was started for, not for the same one later. */
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -28,7 +28,7 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 3, losses);
             for (int i = 3; i < 2 * losses + 1; i++) {
-                cluster.add("10.0.0." + i + ":1").outside();
+                cluster.add("10.0.0." + i + ":1").startAsNewMember();
             }
             awaitVoters(cluster, 2 * losses + 1, 5000);
             play.on(cluster);
@@ -45,27 +45,27 @@
         while (!isFull(cluster, count)) {
             assertTrue(
                     cluster.now - start < atMost,
-                    "seed " + cluster.seed + ": " + cluster.list + "\n" + cluster.describe());
+                    "seed " + cluster.seed + ": " + cluster.committedMembers + "\n" + cluster.describe());
             cluster.run(5);
         }
         return cluster.now - start;
     }
 
     private static boolean isFull(SimulatedCluster cluster, int count) {
-        return cluster.list.size() == count
+        return cluster.committedMembers.size() == count
                 && cluster.leader() != null
-                && cluster.list.stream().allMatch(member -> cluster.machines.values().stream()
+                && cluster.committedMembers.stream().allMatch(member -> cluster.machines.values().stream()
                         .anyMatch(machine -> machine.up() && machine.self.equals(member)));
     }
 
     private static List<Machine> voting(SimulatedCluster cluster) {
         return cluster.machines.values().stream()
-                .filter(one -> cluster.list.contains(one.self))
+                .filter(one -> cluster.committedMembers.contains(one.self))
                 .toList();
     }
 
     private static boolean listed(SimulatedCluster cluster, Machine machine) {
-        return cluster.list.contains(machine.self);
+        return cluster.committedMembers.contains(machine.self);
     }
 
     @Test
@@ -73,12 +73,12 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 3, 2);
             cluster.run(300 * (seed % 3));
-            cluster.add("10.0.0.3:1").outside();
+            cluster.add("10.0.0.3:1").startAsNewMember();
             cluster.run(300 * (seed % 2));
-            cluster.add("10.0.0.4:1").outside();
+            cluster.add("10.0.0.4:1").startAsNewMember();
             double took = awaitVoters(cluster, 5, 5000);
             assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + seed);
-            assertEquals(2, cluster.changes);
+            assertEquals(2, cluster.memberChanges);
         }
     }
 
@@ -93,7 +93,7 @@
             all.get(first).wipe();
             all.get(second).powerLoss();
             cluster.commitOne(4000);
-            all.get(first).outside();
+            all.get(first).startAsNewMember();
             all.get(second).start();
             awaitVoters(cluster, 5, COMPLETE_WITHIN);
         });
@@ -104,13 +104,13 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 3, 2);
             Machine learner = cluster.add("10.0.0.3:1");
-            learner.outside();
+            learner.startAsNewMember();
             cluster.run(5000);
-            assertEquals(3, cluster.list.size());
+            assertEquals(3, cluster.committedMembers.size());
             cluster.commitOne(100);
             cluster.run(200);
             assertEquals(cluster.committed.size(), learner.applied, "it is fed");
-            cluster.add("10.0.0.4:1").outside();
+            cluster.add("10.0.0.4:1").startAsNewMember();
             awaitVoters(cluster, 5, COMPLETE_WITHIN);
         }
     }
@@ -119,7 +119,7 @@
     void aLearnerTakesTheLostOnesPlaceWithinTwoSeconds() {
         play(2, cluster -> {
             Machine spare = cluster.add("10.0.1.1:1");
-            spare.outside();
+            spare.startAsNewMember();
             cluster.run(3000);
             assertFalse(listed(cluster, spare));
             Machine lost = cluster.others(cluster.leader(), spare).get((int) (cluster.seed % 4));
@@ -140,7 +140,7 @@
                 List<Machine> hit = lost(cluster, stated);
                 hit.forEach(Machine::wipe);
                 cluster.run(1000);
-                hit.forEach(Machine::outside);
+                hit.forEach(Machine::startAsNewMember);
                 double took = awaitVoters(cluster, voters(stated), 5000);
                 assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + cluster.seed);
                 cluster.others(hit.toArray(Machine[]::new)).subList(0, stated).forEach(Machine::powerLoss);
@@ -166,11 +166,11 @@
                 Machine hit = lost(cluster, 1).get(0);
                 hit.wipe();
                 cluster.run(700);
-                hit.outside();
+                hit.startAsNewMember();
                 cluster.run(cluster.seed * 40);
                 hit.wipe();
                 cluster.run(700);
-                hit.outside();
+                hit.startAsNewMember();
                 double took = awaitVoters(cluster, voters(stated), 5000);
                 assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + cluster.seed);
                 cluster.commitOne(200);
@@ -187,23 +187,23 @@
                 int moves = step;
                 SimulatedCluster cluster = new SimulatedCluster(step, 3, losses);
                 for (int i = 3; i < voters(stated); i++) {
-                    cluster.add("10.0.0." + i + ":1").outside();
+                    cluster.add("10.0.0." + i + ":1").startAsNewMember();
                 }
                 awaitVoters(cluster, voters(stated), 5000);
                 Machine dead = cluster.others(cluster.leader()).get(0);
                 dead.kill(true);
                 Machine newcomer = cluster.add("10.0.1.1:1");
-                newcomer.outside();
-                long before = cluster.changes;
+                newcomer.startAsNewMember();
+                long before = cluster.memberChanges;
                 while (cluster.leader().raftStatus.members().contains(dead.self)) {
                     cluster.run(1);
                 }
                 cluster.run(moves * 0.2);
                 newcomer.kill(true);
                 cluster.commitOne(2500);
-                assertTrue(cluster.changes > before);
+                assertTrue(cluster.memberChanges > before);
                 Machine next = cluster.add("10.0.1.2:1");
-                next.outside();
+                next.startAsNewMember();
                 awaitVoters(cluster, voters(stated), 4000);
             }
         }
@@ -218,7 +218,7 @@
                 Machine gone = lost(cluster, 1).get(0);
                 gone.kill(true);
                 cluster.run(1000);
-                cluster.add("10.0.1.1:1").outside();
+                cluster.add("10.0.1.1:1").startAsNewMember();
                 cluster.run(4000 + cluster.seed * 50);
                 assertTrue(isFull(cluster, voters(stated)), cluster.describe());
                 cluster.machines.remove(gone.address);
@@ -233,13 +233,13 @@
     void aSecondLossOfFiveWhileTheFirstIsReplaced() {
         for (int step = 0; step < 80; step++) {
             SimulatedCluster cluster = new SimulatedCluster(step, 3, 2);
-            cluster.add("10.0.0.3:1").outside();
-            cluster.add("10.0.0.4:1").outside();
+            cluster.add("10.0.0.3:1").startAsNewMember();
+            cluster.add("10.0.0.4:1").startAsNewMember();
             awaitVoters(cluster, 5, 5000);
             Machine first = cluster.others(cluster.leader()).get(0);
             first.wipe();
             cluster.run(900);
-            first.outside();
+            first.startAsNewMember();
             cluster.run(step * 5);
             Machine second = step % 2 == 0
                     ? cluster.awaitLeader()
@@ -247,7 +247,7 @@
             second.wipe();
             cluster.commitOne(4000);
             cluster.run(500);
-            second.outside();
+            second.startAsNewMember();
             awaitVoters(cluster, 5, 4000);
         }
     }
@@ -258,7 +258,7 @@
             Machine away = cluster.others(cluster.leader()).get(0);
             away.kill(false);
             Machine newcomer = cluster.add("10.0.1.1:1");
-            newcomer.outside();
+            newcomer.startAsNewMember();
             awaitVoters(cluster, 5, 5000);
             long term = cluster.leader().raftStatus.term();
             away.start();
@@ -281,7 +281,7 @@
                 Machine hit = cluster.others(cluster.leader()).get(0);
                 hit.wipe();
                 cluster.run(700);
-                hit.outside();
+                hit.startAsNewMember();
                 Machine leader = cluster.leader();
                 List<Member> before = leader.raftStatus.members();
                 for (int i = 0; i < 4000 && leader.raftStatus.members().equals(before); i++) {
@@ -330,7 +330,7 @@
     @Test
     void aRestartInOrderChangesNoVoters() {
         play(1, cluster -> {
-            List<Member> before = cluster.list;
+            List<Member> before = cluster.committedMembers;
             // A new leader waits until all that may want the place have sent it a request.
             cluster.run(500);
             for (Machine machine : List.copyOf(cluster.machines.values())) {
@@ -341,10 +341,10 @@
                 cluster.run(1500);
                 cluster.commitOne(100);
             }
-            assertEquals(before, cluster.list);
-            assertEquals(0, cluster.changes);
+            assertEquals(before, cluster.committedMembers);
+            assertEquals(0, cluster.memberChanges);
             Machine spare = cluster.add("10.0.1.1:1");
-            spare.outside();
+            spare.startAsNewMember();
             cluster.run(2000);
             assertFalse(listed(cluster, spare), "nobody leaves any more");
         });
@@ -359,13 +359,13 @@
                 cluster.commitOne(100);
                 Machine leaver = lost(cluster, 1).get(0);
                 Machine successor = cluster.add("10.0.1.1:1");
-                successor.outside();
+                successor.startAsNewMember();
                 // By then it asks to be let in, and need not have caught up.
                 cluster.run(5 + cluster.seed * 20);
                 leave(cluster, leaver, 3000);
-                assertTrue(listed(cluster, successor), cluster.list.toString());
-                assertFalse(listed(cluster, leaver), cluster.list.toString());
-                assertEquals(voters(stated), cluster.list.size());
+                assertTrue(listed(cluster, successor), cluster.committedMembers.toString());
+                assertFalse(listed(cluster, leaver), cluster.committedMembers.toString());
+                assertEquals(voters(stated), cluster.committedMembers.size());
                 leaver.wipe();
                 cluster.machines.remove(leaver.address);
                 cluster.awaitLeader();
@@ -381,8 +381,8 @@
             cluster.commitOne(100);
             Machine leader = cluster.leader();
             Machine other = cluster.others(leader).get(0);
-            cluster.add("10.0.1.1:1").outside();
-            cluster.add("10.0.1.2:1").outside();
+            cluster.add("10.0.1.1:1").startAsNewMember();
+            cluster.add("10.0.1.2:1").startAsNewMember();
             cluster.run(1000);
             other.raft.leave(other.clock());
             leave(cluster, leader, 3000);
@@ -410,7 +410,7 @@
             cluster.commitOne(100);
             int committed = cluster.committed.size();
             Entry last = cluster.committed.get(committed - 1);
-            assertFalse(slow.disk.holds(last.index(), last.term()));
+            assertFalse(slow.disk.contains(last.index(), last.term()));
             Machine leaver = cluster.seed % 2 == 0
                     ? leader
                     : cluster.others(leader, slow).get(0);
@@ -422,7 +422,7 @@
             }
             assertTrue(leaver.released, cluster.describe());
             for (Machine stays : cluster.others(leaver)) {
-                assertTrue(stays.disk.holds(last.index(), last.term()));
+                assertTrue(stays.disk.contains(last.index(), last.term()));
             }
         });
     }
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeRandomTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRandomTest.java
@@ -24,7 +24,7 @@
                 .parallel()
                 .mapToObj(seed -> {
                     SimulatedCluster cluster = play(seed);
-                    return new long[] {cluster.committed.size(), cluster.changes, cluster.events};
+                    return new long[] {cluster.committed.size(), cluster.memberChanges, cluster.events};
                 })
                 .reduce(new long[3], (a, b) -> new long[] {a[0] + b[0], a[1] + b[1], a[2] + b[2]});
         long commands = sums[0];
@@ -39,10 +39,10 @@
     static SimulatedCluster play(long seed) {
         Random random = new Random(seed * 7919);
         SimulatedCluster cluster = new SimulatedCluster(seed, seed % 10 == 0 ? 5 : 3);
-        cluster.loss = random.nextInt(3) * 0.03;
-        cluster.doubling = random.nextInt(3) * 0.05;
-        cluster.strays = random.nextInt(3) * 0.02;
-        cluster.jitter = 1 + random.nextInt(3) * 5;
+        cluster.lossRate = random.nextInt(3) * 0.03;
+        cluster.duplicationRate = random.nextInt(3) * 0.05;
+        cluster.longDelayRate = random.nextInt(3) * 0.02;
+        cluster.jitterMs = 1 + random.nextInt(3) * 5;
         double faultAt = 1500;
         int added = 0;
         try {
@@ -99,13 +99,13 @@
             case 7, 8 -> {
                 if (cluster.isComplete() && hit.self != null) {
                     hit.wipe();
-                    cluster.after(length, hit::outside);
+                    cluster.after(length, hit::startAsNewMember);
                 }
             }
             case 9 -> {
                 if (added < 4 && cluster.isComplete()) {
                     hit.kill(true);
-                    cluster.add("10.0.1." + added + ":1").outside();
+                    cluster.add("10.0.1." + added + ":1").startAsNewMember();
                     cluster.after(length * 3, () -> up(hit));
                     return 1;
                 }
@@ -134,24 +134,24 @@
     private static void heal(SimulatedCluster cluster) {
         cluster.run(3000);
         cluster.cuts.clear();
-        cluster.loss = 0;
-        cluster.doubling = 0;
-        cluster.strays = 0;
+        cluster.lossRate = 0;
+        cluster.duplicationRate = 0;
+        cluster.longDelayRate = 0;
         for (Machine machine : cluster.machines.values()) {
             machine.stalledUntil = 0;
             up(machine);
             if (!machine.up()) {
-                machine.outside();
+                machine.startAsNewMember();
             }
         }
         cluster.run(7000);
         cluster.commitOne(4000);
         cluster.run(2000);
         if (!cluster.isComplete()) {
-            throw new AssertionError(
-                    "seed " + cluster.seed + ": not whole again, " + cluster.list + "\n" + cluster.describe());
+            throw new AssertionError("seed " + cluster.seed + ": not whole again, " + cluster.committedMembers + "\n"
+                    + cluster.describe());
         }
-        for (Member member : cluster.list) {
+        for (Member member : cluster.committedMembers) {
             Machine machine = cluster.machines.get(member.address());
             cluster.check(cluster.committed.size() == machine.applied, machine, cluster::describe);
         }
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
@@ -28,7 +28,7 @@
     }
 
     private static boolean listed(SimulatedCluster cluster, Machine machine) {
-        return cluster.list.contains(machine.self);
+        return cluster.committedMembers.contains(machine.self);
     }
 
     /** The clusters' own claim: it must not hold by mere want of a change of members. */
@@ -36,11 +36,11 @@
     void aClusterDoesNotBearALeaderThatNeverWasAVoter() {
         SimulatedCluster cluster = new SimulatedCluster(1, 3);
         Machine newcomer = cluster.add("10.0.1.1:1");
-        newcomer.outside();
-        RaftStatus leads = new RaftStatus(RaftStatus.Role.LEADER, 1_000, newcomer.self, cluster.list);
+        newcomer.startAsNewMember();
+        RaftStatus leads = new RaftStatus(RaftStatus.Role.LEADER, 1_000, newcomer.self, cluster.committedMembers);
         assertThrows(AssertionError.class, () -> newcomer.onStatusChanged(leads));
         Machine founder = cluster.machines.values().iterator().next();
-        founder.onStatusChanged(new RaftStatus(RaftStatus.Role.LEADER, 1_001, founder.self, cluster.list));
+        founder.onStatusChanged(new RaftStatus(RaftStatus.Role.LEADER, 1_001, founder.self, cluster.committedMembers));
     }
 
     @Test
@@ -87,12 +87,12 @@
                 other.powerLoss();
             }
             cluster.others(wiped).forEach(Machine::start);
-            wiped.outside();
+            wiped.startAsNewMember();
             cluster.awaitLeader();
             cluster.commitOne(2000);
             cluster.run(6000);
             assertTrue(listed(cluster, wiped), "the wiped one is let in again");
-            assertEquals(3, cluster.list.size());
+            assertEquals(3, cluster.committedMembers.size());
             assertEquals(cluster.committed.size(), wiped.applied);
         });
     }
@@ -108,7 +108,7 @@
             int size = cluster.committed.size();
             leader.kill(false);
             others.get(0).wipe();
-            others.get(0).outside();
+            others.get(0).startAsNewMember();
             cluster.cuts.clear();
             cluster.run(20_000);
             assertEquals(size, cluster.committed.size(), "a wiped disk made up a majority");
@@ -125,7 +125,7 @@
                     : cluster.others(cluster.leader()).get(0);
             dead.kill(true);
             Machine newcomer = cluster.add("10.0.1.1:1");
-            newcomer.outside();
+            newcomer.startAsNewMember();
             cluster.run(9000);
             assertTrue(listed(cluster, newcomer));
             assertFalse(listed(cluster, dead));
@@ -139,11 +139,11 @@
     @Test
     void anEmptyMachineWaitsWhileAllAreThereAndTakesThePlaceOfOneThatIsLostLater() {
         play(cluster -> {
-            List<Member> before = cluster.list;
+            List<Member> before = cluster.committedMembers;
             Machine newcomer = cluster.add("10.0.1.1:1");
-            newcomer.outside();
+            newcomer.startAsNewMember();
             cluster.run(8000);
-            assertEquals(before, cluster.list);
+            assertEquals(before, cluster.committedMembers);
             assertEquals(RaftStatus.Role.OUTSIDER, newcomer.raftStatus.role());
             assertEquals(cluster.leader().self, newcomer.raftStatus.leader());
             Machine dead = cluster.others(newcomer, cluster.leader()).get(0);
@@ -159,7 +159,7 @@
             Machine dead = cluster.others(cluster.leader()).get(0);
             dead.kill(false);
             Machine newcomer = cluster.add("10.0.1.1:1");
-            newcomer.outside();
+            newcomer.startAsNewMember();
             cluster.run(9000);
             long term = cluster.leader().raftStatus.term();
             dead.start();
@@ -184,7 +184,7 @@
                 cluster.run(20);
             }
             assertTrue(cluster.leader() != leader, "it has handed over");
-            assertEquals(3, cluster.list.size());
+            assertEquals(3, cluster.committedMembers.size());
         });
     }
 
@@ -192,16 +192,16 @@
     void aFollowerWhoseDiskStallsDelaysNobodyAndStaysAMember() {
         play(cluster -> {
             Machine follower = cluster.others(cluster.leader()).get(0);
-            List<Member> before = cluster.list;
+            List<Member> before = cluster.committedMembers;
             Machine waiting = cluster.add("10.0.1.1:1");
-            waiting.outside();
+            waiting.startAsNewMember();
             follower.stall(6000);
             for (int i = 0; i < 200; i++) {
                 double took = cluster.commitOne(300);
                 assertTrue(took <= 10, took + " ms at " + i);
                 cluster.run(20);
             }
-            assertEquals(before, cluster.list);
+            assertEquals(before, cluster.committedMembers);
             cluster.run(3000);
             assertEquals(cluster.committed.size(), follower.applied);
         });
@@ -254,7 +254,7 @@
             leader.barrier();
             assertTrue(leader.propose());
             cluster.run(2500);
-            assertEquals(1, leader.denied.size());
+            assertEquals(1, leader.rejected.size());
             assertFalse(leader.propose());
             cluster.commitOne(100);
             Machine next = cluster.leader();
@@ -322,10 +322,10 @@
             leader.wipe();
             cluster.others(leader).get(0).kill(true);
             cluster.commitOne(4000);
-            leader.outside();
+            leader.startAsNewMember();
             cluster.run(6000);
             assertTrue(listed(cluster, leader));
-            assertEquals(5, cluster.list.size());
+            assertEquals(5, cluster.committedMembers.size());
         }
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SimulatedCluster.java
@@ -18,14 +18,15 @@
 import sablehinge.controlplane.state.ConfigurationState;
 
 /**
- * Machines, disks and a network on a made-up clock, around the real {@link RaftNode} and {@link ConfigurationState}.
- * What they must keep is checked as it happens; a breach is an {@link AssertionError} that names the seed and the time.
+ * Simulated machines, disks and network in virtual time, around the real {@link RaftNode} and
+ * {@link ConfigurationState}. The safety properties are checked at each event; a violation is an {@link AssertionError}
+ * that states the seed and the time.
  */
 class SimulatedCluster {
 
-    private record Event(double at, long order, Runnable what) {}
+    private record Event(double at, long sequence, Runnable action) {}
 
-    /** What outlives a process, and its power if synced. */
+    /** The synced data of a machine, which survives the end of its process and a power loss. */
     static final class Disk {
         Member self;
         long term;
@@ -33,17 +34,17 @@
         Snapshot snapshot;
         List<Entry> entries = new ArrayList<>();
 
-        void write(WriteBatch change) {
-            term = change.term();
-            votedFor = change.votedFor();
-            if (change.truncateFrom() > 0) {
-                entries.removeIf(entry -> entry.index() >= change.truncateFrom());
+        void write(WriteBatch batch) {
+            term = batch.term();
+            votedFor = batch.votedFor();
+            if (batch.truncateFrom() > 0) {
+                entries.removeIf(entry -> entry.index() >= batch.truncateFrom());
             }
-            if (change.snapshot() != null) {
-                snapshot = change.snapshot();
+            if (batch.snapshot() != null) {
+                snapshot = batch.snapshot();
                 entries.removeIf(entry -> entry.index() <= snapshot.index());
             }
-            for (Entry entry : change.append()) {
+            for (Entry entry : batch.append()) {
                 long last = entries.isEmpty()
                         ? snapshot == null ? 0 : snapshot.index()
                         : entries.get(entries.size() - 1).index();
@@ -54,7 +55,7 @@
             }
         }
 
-        boolean holds(long index, long entryTerm) {
+        boolean contains(long index, long entryTerm) {
             if (snapshot != null && snapshot.index() >= index) {
                 return true;
             }
@@ -67,7 +68,7 @@
         }
     }
 
-    /** One machine at its address; its process and its disk may go and come. */
+    /** A machine with its address; its process and its disk may be replaced. */
     final class Machine implements RaftActions {
         final String address;
         Member self;
@@ -80,18 +81,20 @@
         ConfigurationState configurations;
         double stalledUntil;
         double diskFreeAt;
-        /** What its steady clock counts in a ms, and what it showed at the beginning. */
-        double rate = 1;
+        /** Rate of the machine's monotonic clock relative to virtual time. */
+        double clockRate = 1;
+
+        /** Reading of the machine's monotonic clock at virtual time 0. */
+        double clockOffset;
 
-        double offset;
         List<WriteBatch> unsynced = new ArrayList<>();
-        /** What operators wait for here, by the index of its entry. */
+        /** Operator calls that wait for an answer of this machine, by the index of their entry. */
         final Map<Long, Claims.Call> calls = new HashMap<>();
 
         final Map<Long, Long> barriers = new HashMap<>();
         final List<Long> confirmed = new ArrayList<>();
-        final List<Long> denied = new ArrayList<>();
-        /** Whether this incarnation, which is to end, may. */
+        final List<Long> rejected = new ArrayList<>();
+        /** Whether this incarnation, which is shutting down, has been released. */
         boolean released;
 
         Machine(String address) {
@@ -99,7 +102,7 @@
         }
 
         double clock() {
-            return offset + now * rate;
+            return clockOffset + now * clockRate;
         }
 
         boolean up() {
@@ -110,7 +113,7 @@
             return up() && raftStatus != null && raftStatus.role() == RaftStatus.Role.LEADER;
         }
 
-        private void boot() {
+        private void createNode() {
             incarnation++;
             applied = 0;
             chain = 0;
@@ -121,72 +124,72 @@
             barriers.clear();
             released = false;
             diskFreeAt = now;
-            raft = new RaftNode(this, timing, losses, dice(this));
-            booted(this);
+            raft = new RaftNode(this, timing, toleratedFailures, randomLong(this));
+            onNodeCreated(this);
         }
 
-        void found(List<Member> founders) {
+        void bootstrap(List<Member> founders) {
             self = founders.stream()
-                    .filter(one -> one.address().equals(address))
+                    .filter(founder -> founder.address().equals(address))
                     .findAny()
                     .orElseThrow();
             disk.self = self;
-            boot();
+            createNode();
             raft.bootstrap(clock(), self, founders);
         }
 
         void start() {
-            boot();
+            createNode();
             raft.addContacts(addresses());
             raft.start(
                     clock(), new PersistedState(self, disk.term, disk.votedFor, disk.snapshot, disk.entries), clock());
         }
 
-        /** Begins as a member whose name is all that its disk holds: it asks to be let in. */
-        void begin(Member me) {
-            self = me;
-            disk.self = me;
-            boot();
-            raft.startAsLearner(clock(), me, addresses());
+        /** Starts as a member whose disk holds only its identity: it requests to join. */
+        void startAs(Member member) {
+            self = member;
+            disk.self = member;
+            createNode();
+            raft.startAsLearner(clock(), member, addresses());
         }
 
-        /** Begins as a founder whose name comes to its empty disk with its first change. */
-        void begin(Member me, List<Member> founders) {
-            self = me;
-            boot();
+        /** Starts as a founder whose identity is written to its empty disk with its first batch. */
+        void bootstrapAs(Member member, List<Member> founders) {
+            self = member;
+            createNode();
             raft.addContacts(addresses());
-            raft.bootstrap(clock(), me, founders);
+            raft.bootstrap(clock(), member, founders);
         }
 
-        /** A change arrives on the disk, the first one with the member's name. */
-        private void store(WriteBatch change) {
+        /** A batch reaches the disk; the first one includes the member's identity. */
+        private void store(WriteBatch batch) {
             disk.self = self;
-            disk.write(change);
+            disk.write(batch);
         }
 
-        /** Starts with an empty disk long after the founding. */
-        void outside() {
-            self = Member.nonFounder(dice(this), address, "c" + address);
+        /** Starts with an empty disk after the founding of the core, as a new member that requests to join. */
+        void startAsNewMember() {
+            self = Member.nonFounder(randomLong(this), address, "c" + address);
             disk = new Disk();
             disk.self = self;
-            boot();
+            createNode();
             raft.startAsLearner(clock(), self, addresses());
         }
 
-        /** Ends the process; with {@code power}, some of what was not synced is lost. */
-        void kill(boolean power) {
+        /** Ends the process; with {@code losePower}, the disk loses some of the unsynced batches. */
+        void kill(boolean losePower) {
             if (up()) {
-                end(power ? random.nextInt(unsynced.size() + 1) : unsynced.size());
+                end(losePower ? random.nextInt(unsynced.size() + 1) : unsynced.size());
             }
         }
 
-        /** Ends the process; the disk has the first {@code kept} of the changes that were under way. */
-        void end(int kept) {
+        /** Ends the process; the first {@code writtenBatches} of the outstanding batches reach the disk. */
+        void end(int writtenBatches) {
             raft = null;
             raftStatus = null;
             incarnation++;
-            for (WriteBatch change : unsynced.subList(0, kept)) {
-                store(change);
+            for (WriteBatch batch : unsynced.subList(0, writtenBatches)) {
+                store(batch);
             }
             if (disk.self == null) {
                 lostDisks.put(self.id(), disk);
@@ -196,7 +199,7 @@
             unsynced = new ArrayList<>();
         }
 
-        /** Loses power and all that was not synced. */
+        /** Loses power and all unsynced batches. */
         void powerLoss() {
             unsynced.clear();
             kill(true);
@@ -209,10 +212,10 @@
             disk = new Disk();
         }
 
-        private void tick(long mine) {
-            if (incarnation == mine) {
+        private void tick(long startedIncarnation) {
+            if (incarnation == startedIncarnation) {
                 raft.tick(clock());
-                after(TICK, () -> tick(mine));
+                after(TICK_MS, () -> tick(startedIncarnation));
             }
         }
 
@@ -220,66 +223,71 @@
         public void send(Member to, Message message) {
             sent++;
             if (cuts.isEmpty() || !cuts.contains(address + ">" + to.address())) {
-                carry(self, to.address(), message);
+                transmit(self, to.address(), message);
             }
         }
 
         @Override
-        public void persist(WriteBatch change) {
-            for (Entry entry : change.append()) {
-                Entry other = made.putIfAbsent(entry.index() << Integer.SIZE | entry.term(), entry);
+        public void persist(WriteBatch batch) {
+            for (Entry entry : batch.append()) {
+                Entry other = createdEntries.putIfAbsent(entry.index() << Integer.SIZE | entry.term(), entry);
                 check(
                         other == null || Arrays.equals(other.data(), entry.data()),
                         this,
-                        () -> "another entry " + entry.index() + " of term " + entry.term());
+                        () -> "conflicting entry " + entry.index() + " of term " + entry.term());
                 if (other == null) {
-                    made(this, entry);
+                    onEntryCreated(this, entry);
                 }
             }
-            unsynced.add(change);
-            write(this, change);
+            unsynced.add(batch);
+            write(this, batch);
         }
 
-        private void waitForDisk(WriteBatch change) {
-            double starts = Math.max(Math.max(now, diskFreeAt), stalledUntil);
-            diskFreeAt = starts + 1 + random.nextDouble() * 0.5;
-            long mine = incarnation;
+        private void scheduleSync(WriteBatch batch) {
+            double startsAt = Math.max(Math.max(now, diskFreeAt), stalledUntil);
+            diskFreeAt = startsAt + 1 + random.nextDouble() * 0.5;
+            long writer = incarnation;
             after(diskFreeAt - now, () -> {
-                if (incarnation != mine || unsynced.isEmpty() || unsynced.get(0).number() > change.number()) {
+                if (incarnation != writer
+                        || unsynced.isEmpty()
+                        || unsynced.get(0).number() > batch.number()) {
                     return;
                 }
                 if (now < stalledUntil) {
-                    after(stalledUntil - now + 1, () -> synced(mine, change));
+                    after(stalledUntil - now + 1, () -> synced(writer, batch));
                 } else {
-                    synced(mine, change);
+                    synced(writer, batch);
                 }
             });
         }
 
-        /** The oldest change that is under way arrives on the disk. */
+        /** The oldest outstanding batch reaches the disk. */
         void syncOne() {
-            WriteBatch change = unsynced.remove(0);
-            store(change);
-            raft.persisted(clock(), change.number());
+            WriteBatch batch = unsynced.remove(0);
+            store(batch);
+            raft.persisted(clock(), batch.number());
         }
 
-        private void synced(long mine, WriteBatch change) {
-            if (incarnation != mine) {
+        private void synced(long writer, WriteBatch batch) {
+            if (incarnation != writer) {
                 return;
             }
             if (now < stalledUntil) {
-                after(stalledUntil - now + 1, () -> synced(mine, change));
+                after(stalledUntil - now + 1, () -> synced(writer, batch));
                 return;
             }
-            while (!unsynced.isEmpty() && unsynced.get(0).number() <= change.number()) {
+            while (!unsynced.isEmpty() && unsynced.get(0).number() <= batch.number()) {
                 store(unsynced.remove(0));
             }
-            raft.persisted(clock(), change.number());
+            raft.persisted(clock(), batch.number());
         }
 
         @Override
         public void apply(Entry entry) {
-            check(entry.index() == applied + 1, this, () -> "entry " + entry.index() + " after " + applied);
+            check(
+                    entry.index() == applied + 1,
+                    this,
+                    () -> "applies entry " + entry.index() + " after entry " + applied);
             applied = entry.index();
             chain = next(chain, entry);
             if (applied > committed.size()) {
@@ -287,18 +295,20 @@
                 chains.add(chain);
                 checkDurable(entry);
                 if (entry.kind() == Entry.Kind.MEMBERS) {
-                    list = MemberListCodec.read(entry.data());
-                    changes++;
+                    committedMembers = MemberListCodec.read(entry.data());
+                    memberChanges++;
                 }
             }
-            check(chains.get((int) applied - 1) == chain, this, () -> "another entry " + applied);
+            check(chains.get((int) applied - 1) == chain, this, () -> "applies a conflicting entry " + applied);
             claims.applied(this, entry);
-            if (applied % 40 == 0 && compactsByItself()) {
+            if (applied % 40 == 0 && compactsAutomatically()) {
                 compact();
             }
         }
 
-        /** Whether it is a member by the last list that it has applied, or by the founding before any. */
+        /**
+         * Whether the machine is a member by the last list that it has applied, or initially by the list of founders.
+         */
         private boolean isMemberAsApplied() {
             for (int i = (int) applied - 1; i >= 0; i--) {
                 Entry entry = committed.get(i);
@@ -306,14 +316,14 @@
                     return MemberListCodec.read(entry.data()).contains(self);
                 }
             }
-            return founding.contains(self);
+            return foundingMembers.contains(self);
         }
 
         void compact() {
             raft.compact(applied, state());
         }
 
-        /** The state after all that was applied, as a snapshot holds it. */
+        /** The encoded state after all applied entries, as stored in a snapshot. */
         byte[] state() {
             byte[] state = configurations.state();
             return ByteBuffer.allocate(Long.BYTES + state.length)
@@ -322,53 +332,60 @@
                     .array();
         }
 
-        /** A commit stands on the disks of a majority, of which some may have been wiped since. */
+        /** Checks that a committed entry is on a majority of disks, some of which may have been wiped since. */
         private void checkDurable(Entry entry) {
-            int on = disksWith(entry, raftStatus.members());
+            int copies = disksWith(entry, raftStatus.members());
             check(
-                    on > raftStatus.members().size() / 2,
+                    copies > raftStatus.members().size() / 2,
                     this,
-                    () -> "entry " + entry.index() + " committed on " + on + " disks of "
+                    () -> "entry " + entry.index() + " committed on " + copies + " disks of "
                             + raftStatus.members().size());
         }
 
         @Override
         public void restore(Snapshot snapshot) {
-            check(snapshot.index() > applied, this, () -> "restored " + snapshot.index() + " over " + applied);
+            check(
+                    snapshot.index() > applied,
+                    this,
+                    () -> "restored snapshot " + snapshot.index() + " over entry " + applied);
             applied = snapshot.index();
             ByteBuffer state = ByteBuffer.wrap(snapshot.state());
             chain = state.getLong();
             check(
                     applied <= committed.size() && chains.get((int) applied - 1) == chain,
                     this,
-                    () -> "another snapshot at " + applied);
+                    () -> "conflicting snapshot at entry " + applied);
             byte[] configurations = new byte[state.remaining()];
             state.get(configurations);
             claims.restored(this, applied, configurations);
         }
 
         @Override
-        public void onStatusChanged(RaftStatus now) {
-            if (now.role() == RaftStatus.Role.LEADER) {
-                Long other = leaders.putIfAbsent(now.term(), self.id());
-                check(other == null || other == self.id(), this, () -> "a second leader of term " + now.term());
-                // A list that leaves it out counts as soon as it has applied it; who is on none never leads.
-                check(now.members().contains(self) || isMemberAsApplied(), this, () -> "leads as an outsider");
+        public void onStatusChanged(RaftStatus status) {
+            if (status.role() == RaftStatus.Role.LEADER) {
+                Long other = leaders.putIfAbsent(status.term(), self.id());
+                check(other == null || other == self.id(), this, () -> "a second leader of term " + status.term());
+                // A list without this machine matters once the machine has applied it; an outsider never becomes
+                // leader.
+                check(status.members().contains(self) || isMemberAsApplied(), this, () -> "leads as an outsider");
             }
-            raftStatus = now;
+            raftStatus = status;
         }
 
         @Override
         public void barrierConfirmed(long token) {
-            long needed = barriers.remove(token);
-            check(applied >= needed, this, () -> "barrier confirmed at " + applied + ", " + needed + " was committed");
+            long required = barriers.remove(token);
+            check(
+                    applied >= required,
+                    this,
+                    () -> "barrier confirmed at " + applied + ", " + required + " was committed");
             confirmed.add(token);
         }
 
         @Override
         public void barrierRejected(long token) {
-            check(barriers.remove(token) != null, this, () -> "a barrier ended twice");
-            denied.add(token);
+            check(barriers.remove(token) != null, this, () -> "a barrier was answered twice");
+            rejected.add(token);
         }
 
         @Override
@@ -382,7 +399,7 @@
             raft.barrier(clock(), token);
         }
 
-        /** An operator replaces the configuration that it has read here by another. */
+        /** An operator replaces the configuration that it has read from this machine. */
         boolean propose() {
             return up() && claims.propose(this);
         }
@@ -392,76 +409,80 @@
         }
     }
 
-    private static final double TICK = 20;
+    private static final double TICK_MS = 20;
 
     final long seed;
     final Random random;
     double now;
-    double loss;
-    double doubling;
-    double strays;
-    double jitter = 1;
+    double lossRate;
+    double duplicationRate;
+    double longDelayRate;
+    double jitterMs = 1;
     long sent;
     long events;
     long tokens;
-    long changes;
+    long memberChanges;
     final Set<String> cuts = new HashSet<>();
     final Map<String, Machine> machines = new LinkedHashMap<>();
     final Map<Long, Disk> lostDisks = new HashMap<>();
-    /** Members whose process ended before anything of them was on a disk. */
+    /** Members whose process ended before its first batch was on a disk. */
     final Set<Long> unwritten = new HashSet<>();
 
     final List<Entry> committed = new ArrayList<>();
+    /** Hash over all entries up to each index, by which the logs of machines are compared. */
     final List<Long> chains = new ArrayList<>();
+
     final Map<Long, Long> leaders = new HashMap<>();
-    /** All entries that ever were to be written, by index and term. */
-    final Map<Long, Entry> made = new HashMap<>();
+    /** All entries that were ever passed to a disk, by index and term. */
+    final Map<Long, Entry> createdEntries = new HashMap<>();
 
     final Claims claims = new Claims(this);
     RaftConfig timing = RaftConfig.defaults();
-    /** How many members may be lost at once, as the deployment states it. */
-    int losses;
-    /** The last list that was committed. */
-    List<Member> list;
-    /** Who founded it. */
-    List<Member> founding = List.of();
+    /** Number of members that may fail at the same time, as specified by the deployment. */
+    int toleratedFailures;
+    /** The member list that was committed last. */
+    List<Member> committedMembers;
+    /** The founders of the core. */
+    List<Member> foundingMembers = List.of();
 
     private final PriorityQueue<Event> queue = new PriorityQueue<>(
-            (a, b) -> a.at() == b.at() ? Long.compare(a.order(), b.order()) : Double.compare(a.at(), b.at()));
-    private long order;
+            (a, b) -> a.at() == b.at() ? Long.compare(a.sequence(), b.sequence()) : Double.compare(a.at(), b.at()));
+    private long lastSequence;
 
-    /** One that its founders alone make up: it bears the loss of as many as an odd core of them. */
+    /** Creates a cluster of founders only, which tolerates as many failures as an odd core of this size. */
     SimulatedCluster(long seed, int founders) {
         this(seed);
-        found(founders);
+        bootstrap(founders);
     }
 
-    /** One of a deployment that bears {@code losses} and names {@code founders} machines as its seeds. */
-    SimulatedCluster(long seed, int founders, int losses) {
+    /**
+     * Creates a cluster of a deployment that tolerates some failures and has {@code founders} machines as its seeds.
+     */
+    SimulatedCluster(long seed, int founders, int toleratedFailures) {
         this(seed);
-        found(founders, losses);
+        bootstrap(founders, toleratedFailures);
     }
 
-    /** An empty one. */
+    /** Creates an empty cluster. */
     SimulatedCluster(long seed) {
         this.seed = seed;
         this.random = new Random(seed);
     }
 
-    final void found(int founders) {
-        found(founders, founders / 2);
+    final void bootstrap(int founders) {
+        bootstrap(founders, founders / 2);
     }
 
-    final void found(int founders, int bears) {
-        losses = bears;
+    final void bootstrap(int founders, int failures) {
+        toleratedFailures = failures;
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < founders; i++) {
             members.add(Member.founder("10.0.0." + i + ":1", "c" + i));
         }
-        list = List.copyOf(members);
-        founding = list;
+        committedMembers = List.copyOf(members);
+        foundingMembers = committedMembers;
         for (Member member : members) {
-            add(member.address()).found(members);
+            add(member.address()).bootstrap(members);
         }
     }
 
@@ -481,55 +502,55 @@
                 + entry.kind().ordinal();
     }
 
-    void check(boolean good, Machine at, Supplier<String> text) {
-        if (!good) {
-            throw new AssertionError("seed " + seed + ", " + now + " ms, " + at.address + ": " + text.get());
+    void check(boolean condition, Machine machine, Supplier<String> message) {
+        if (!condition) {
+            throw new AssertionError("seed " + seed + ", " + now + " ms, " + machine.address + ": " + message.get());
         }
     }
 
-    void after(double delay, Runnable what) {
-        queue.add(new Event(now + delay, ++order, what));
+    void after(double delay, Runnable action) {
+        queue.add(new Event(now + delay, ++lastSequence, action));
     }
 
-    // How time, network and disks go on; another valley may have all of it wait for its orders.
+    // Hooks for time, network and disks, which a subclass may override to control each event.
 
-    /** A number for what a machine draws by chance. */
-    long dice(Machine machine) {
+    /** A random number for a machine. */
+    long randomLong(Machine machine) {
         return random.nextLong();
     }
 
-    /** How many members of a list have an entry on disk, or had it when they lost that. */
+    /** Number of members that have an entry on disk, or had it when they lost their disk. */
     final int disksWith(Entry entry, List<Member> members) {
-        int found = 0;
+        int count = 0;
         for (Member member : members) {
-            Disk its = lostDisks.get(member.id());
+            Disk disk = lostDisks.get(member.id());
             for (Machine machine : machines.values()) {
-                if (machine.self != null && machine.self.id() == member.id() && its == null) {
-                    its = machine.disk;
+                if (machine.self != null && machine.self.id() == member.id() && disk == null) {
+                    disk = machine.disk;
                 }
             }
-            found += its != null && its.holds(entry.index(), entry.term()) ? 1 : 0;
+            count += disk != null && disk.contains(entry.index(), entry.term()) ? 1 : 0;
         }
-        return found;
+        return count;
     }
 
-    /** An entry goes to a disk for the first time. */
-    void made(Machine machine, Entry entry) {}
+    /** Called when an entry is passed to a disk for the first time. */
+    void onEntryCreated(Machine machine, Entry entry) {}
 
-    /** A machine's process has begun, and is to have its ticks. */
-    void booted(Machine machine) {
-        long mine = machine.incarnation;
-        after(random.nextDouble() * TICK, () -> machine.tick(mine));
+    /** Called when a machine's process has started; schedules its ticks. */
+    void onNodeCreated(Machine machine) {
+        long incarnation = machine.incarnation;
+        after(random.nextDouble() * TICK_MS, () -> machine.tick(incarnation));
     }
 
-    /** A message is on its way to an address. */
-    void carry(Member from, String to, Message message) {
+    /** Transmits a message to an address. */
+    void transmit(Member from, String to, Message message) {
         byte[] bytes = RaftMessageCodec.write(message);
-        int copies = random.nextDouble() < doubling ? 2 : 1;
+        int copies = random.nextDouble() < duplicationRate ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            if (random.nextDouble() >= loss) {
-                double delay = 0.2 + random.nextDouble() * jitter;
-                if (random.nextDouble() < strays) {
+            if (random.nextDouble() >= lossRate) {
+                double delay = 0.2 + random.nextDouble() * jitterMs;
+                if (random.nextDouble() < longDelayRate) {
                     delay += random.nextDouble() * 300;
                 }
                 after(delay, () -> deliver(to, from, bytes));
@@ -537,12 +558,12 @@
         }
     }
 
-    /** The last of a machine's changes is under way. */
-    void write(Machine machine, WriteBatch change) {
-        machine.waitForDisk(change);
+    /** Writes the latest batch of a machine. */
+    void write(Machine machine, WriteBatch batch) {
+        machine.scheduleSync(batch);
     }
 
-    boolean compactsByItself() {
+    boolean compactsAutomatically() {
         return random.nextBoolean();
     }
 
@@ -564,20 +585,20 @@
             Event event = queue.remove();
             now = event.at();
             events++;
-            event.what().run();
+            event.action().run();
             checkLease();
         }
         now = end;
     }
 
-    /** Who does what only one may do does it alone, however many think that they lead. */
+    /** Checks that at most one machine holds a lease, even if several machines regard themselves as the leader. */
     final void checkLease() {
-        Machine allocator = null;
+        Machine leaseHolder = null;
         for (Machine machine : machines.values()) {
             if (machine.up() && machine.leads() && machine.raft.hasLease(machine.clock())) {
-                Machine other = allocator;
-                check(other == null, machine, () -> "a lease beside that of " + other.address);
-                allocator = machine;
+                Machine other = leaseHolder;
+                check(other == null, machine, () -> "holds a lease at the same time as " + other.address);
+                leaseHolder = machine;
             }
         }
     }
@@ -606,13 +627,13 @@
         throw new AssertionError("seed " + seed + ", " + now + " ms: no leader");
     }
 
-    /** Proposes at whoever leads until something is committed; the ms that it took. */
-    double commitOne(double atMost) {
+    /** Proposes to the leaders until a command is committed; returns the time in ms that it took. */
+    double commitOne(double timeoutMs) {
         double start = now;
         long before = committed.stream()
-                .filter(one -> one.kind() == Entry.Kind.COMMAND)
+                .filter(entry -> entry.kind() == Entry.Kind.COMMAND)
                 .count();
-        while (now - start < atMost) {
+        while (now - start < timeoutMs) {
             for (Machine machine : machines.values()) {
                 if (machine.leads()) {
                     machine.propose();
@@ -620,25 +641,25 @@
             }
             run(5);
             if (committed.stream()
-                            .filter(one -> one.kind() == Entry.Kind.COMMAND)
+                            .filter(entry -> entry.kind() == Entry.Kind.COMMAND)
                             .count()
                     > before) {
                 return now - start;
             }
         }
         throw new AssertionError(
-                "seed " + seed + ", " + now + " ms: nothing committed for " + atMost + " ms, " + describe());
+                "seed " + seed + ", " + now + " ms: nothing committed for " + timeoutMs + " ms, " + describe());
     }
 
     String describe() {
         StringBuilder text = new StringBuilder();
-        machines.values().forEach(one -> text.append(one.address)
+        machines.values().forEach(machine -> text.append(machine.address)
                 .append(' ')
-                .append(one.self.id())
-                .append(one.up() ? " up " : " down ")
-                .append(one.raftStatus)
+                .append(machine.self.id())
+                .append(machine.up() ? " up " : " down ")
+                .append(machine.raftStatus)
                 .append(" applied ")
-                .append(one.applied)
+                .append(machine.applied)
                 .append('\n'));
         return text.toString();
     }
@@ -647,28 +668,28 @@
         cuts.add(from.address + ">" + to.address);
     }
 
-    void cutOff(Machine one) {
+    void cutOff(Machine machine) {
         for (Machine other : machines.values()) {
-            cut(one, other);
-            cut(other, one);
+            cut(machine, other);
+            cut(other, machine);
         }
     }
 
-    List<Machine> others(Machine... not) {
+    List<Machine> others(Machine... excluded) {
         List<Machine> others = new ArrayList<>(machines.values());
-        others.removeAll(Arrays.asList(not));
+        others.removeAll(Arrays.asList(excluded));
         return others;
     }
 
-    /** Whether all listed members live with their disks, and all that are up know of that list. */
+    /** Whether all committed members have their disks, and all running machines know the committed member list. */
     boolean isComplete() {
-        return list.size() >= 3 && lost() == 0 && knowSameList();
+        return committedMembers.size() >= 3 && lostMembers() == 0 && allKnowCommittedMembers();
     }
 
-    /** Members of the last committed list whose disks are lost. */
-    final int lost() {
+    /** Number of committed members whose disks are lost. */
+    final int lostMembers() {
         int lost = 0;
-        for (Member member : list) {
+        for (Member member : committedMembers) {
             Machine machine = machines.get(member.address());
             if (machine == null || machine.self.id() != member.id() || lostDisks.containsKey(member.id())) {
                 lost++;
@@ -677,12 +698,12 @@
         return lost;
     }
 
-    /** Whether all machines that are up know of the list that was committed last, and of no later one. */
-    final boolean knowSameList() {
+    /** Whether all running machines know the member list that was committed last, and no later one. */
+    final boolean allKnowCommittedMembers() {
         for (Machine machine : machines.values()) {
             if (machine.up()
                     && machine.raftStatus != null
-                    && !machine.raftStatus.members().equals(list)
+                    && !machine.raftStatus.members().equals(committedMembers)
                     && !machine.raftStatus.members().isEmpty()) {
                 return false;
             }
--- a/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
+++ b/src/test/java/sablehinge/controlplane/raft/SlowLinkCluster.java
@@ -6,20 +6,20 @@
 import sablehinge.controlplane.node.RaftMessageCodec;
 
 /**
- * A cluster whose links carry so many bytes per ms, in order, as one connection between two machines does: what is sent
- * waits behind what was sent before it. A connection with more waiting bytes than {@link Connection} lets wait breaks,
- * and all that waits is lost.
+ * A cluster whose links have a limited bandwidth and deliver in order, like one connection between two machines: each
+ * message waits behind those sent before it. A connection with more waiting bytes than {@link Connection} permits
+ * breaks, and all its waiting messages are lost.
  */
 final class SlowLinkCluster extends SimulatedCluster {
 
-    /** As in {@link Connection}: what waits at most, bytes. */
-    private static final long MAX_WAITING = 2L * Connection.MAX_BYTES;
+    /** Maximum number of waiting bytes, as in {@link Connection}. */
+    private static final long MAX_WAITING_BYTES = 2L * Connection.MAX_BYTES;
 
-    private static final double LATENCY = 0.5;
-    private static final double FAST = 100_000;
+    private static final double LATENCY_MS = 0.5;
+    private static final double FAST_BYTES_PER_MS = 100_000;
 
     private static final class Link {
-        double bytesPerMs = FAST;
+        double bytesPerMs = FAST_BYTES_PER_MS;
         double freeAt;
         int incarnation;
         long messages;
@@ -27,20 +27,20 @@
 
     private final Map<String, Link> links = new HashMap<>();
     private final Map<String, Long> compactedAt = new HashMap<>();
-    /** After so many entries a machine cuts its log. */
-    int compactsEvery = 10;
-    /** All bytes of snapshots that were sent. */
+    /** Number of applied entries after which a machine compacts its log. */
+    int compactionInterval = 10;
+    /** Bytes sent in snapshot messages. */
     long snapshotBytes;
-    /** Messages of snapshots that were sent. */
+    /** Number of snapshot messages sent. */
     long snapshotMessages;
-    /** Questions for votes that were sent. */
+    /** Number of vote requests sent. */
     long votesRequested;
-    /** Connections that broke as too much waited. */
-    long broken;
-    /** The largest message, bytes. */
-    long largest;
-    /** The longest that a message waited for those before it, ms. */
-    double longestWait;
+    /** Number of connections that broke because too many bytes were waiting. */
+    long brokenConnections;
+    /** Size of the largest message, bytes. */
+    long largestMessageBytes;
+    /** Longest time that a message waited for those sent before it, ms. */
+    double longestWaitMs;
 
     SlowLinkCluster(long seed, int founders) {
         super(seed, founders);
@@ -50,8 +50,8 @@
         return links.computeIfAbsent(from + ">" + to, none -> new Link());
     }
 
-    /** What all links from and to a machine carry, bytes per ms. */
-    void slow(Machine machine, double bytesPerMs) {
+    /** Sets the bandwidth of all links from and to a machine, bytes per ms. */
+    void setBandwidth(Machine machine, double bytesPerMs) {
         for (Machine other : others(machine)) {
             link(machine.address, other.address).bytesPerMs = bytesPerMs;
             link(other.address, machine.address).bytesPerMs = bytesPerMs;
@@ -59,29 +59,29 @@
     }
 
     @Override
-    void carry(Member from, String to, Message message) {
+    void transmit(Member from, String to, Message message) {
         long size = RaftMessageCodec.write(message).length;
-        largest = Math.max(largest, size);
+        largestMessageBytes = Math.max(largestMessageBytes, size);
         votesRequested += message instanceof Message.VoteRequest ? 1 : 0;
         if (message instanceof Message.InstallSnapshotRequest) {
             snapshotBytes += size;
             snapshotMessages++;
         }
-        if (random.nextDouble() < loss) {
+        if (random.nextDouble() < lossRate) {
             return;
         }
         Link link = link(from.address(), to);
-        double begins = Math.max(now, link.freeAt);
-        longestWait = Math.max(longestWait, begins - now);
-        if ((begins - now) * link.bytesPerMs > MAX_WAITING) {
-            broken++;
+        double startsAt = Math.max(now, link.freeAt);
+        longestWaitMs = Math.max(longestWaitMs, startsAt - now);
+        if ((startsAt - now) * link.bytesPerMs > MAX_WAITING_BYTES) {
+            brokenConnections++;
             link.incarnation++;
             link.freeAt = now;
             return;
         }
-        link.freeAt = begins + size / link.bytesPerMs;
+        link.freeAt = startsAt + size / link.bytesPerMs;
         int incarnation = link.incarnation;
-        after(link.freeAt - now + LATENCY, () -> {
+        after(link.freeAt - now + LATENCY_MS, () -> {
             Machine machine = machines.get(to);
             if (link.incarnation == incarnation && machine != null && machine.up()) {
                 machine.raft.handleMessage(machine.clock(), from, message);
@@ -90,18 +90,18 @@
     }
 
     @Override
-    boolean compactsByItself() {
+    boolean compactsAutomatically() {
         return false;
     }
 
-    /** Lets time pass; whoever has applied enough since it last did so cuts its log. */
+    /** Runs for some time; a machine compacts its log after each {@link #compactionInterval} applied entries. */
     void runAndCompact(double ms) {
         double end = now + ms;
         while (now < end) {
             run(Math.min(5, end - now));
             for (Machine machine : machines.values()) {
                 long last = compactedAt.getOrDefault(machine.address, 0L);
-                if (machine.up() && machine.applied >= last + compactsEvery) {
+                if (machine.up() && machine.applied >= last + compactionInterval) {
                     compactedAt.put(machine.address, machine.applied);
                     machine.compact();
                 } else if (machine.applied < last) {
@@ -111,31 +111,31 @@
         }
     }
 
-    /** Operators keep up to {@code underWay} orders under way for some ms. */
-    void storm(double ms, int underWay) {
+    /** Runs for some time with up to {@code maxConcurrent} calls of operators in progress. */
+    void runWithLoad(double ms, int maxConcurrent) {
         double end = now + ms;
         while (now < end) {
             Machine leader = leader();
-            if (leader != null && leader.calls.size() < underWay) {
+            if (leader != null && leader.calls.size() < maxConcurrent) {
                 leader.propose();
             }
             runAndCompact(20);
         }
     }
 
-    /** How many entries a machine is behind the last that was committed. */
-    long behind(Machine machine) {
+    /** Number of committed entries that a machine has not applied. */
+    long lag(Machine machine) {
         return committed.size() - machine.applied;
     }
 
-    /** Lets time pass in calm until a machine has all that was committed; the ms that it took. */
-    double catchUp(Machine machine, double atMost) {
+    /** Runs without load until a machine has applied all committed entries; returns the time in ms that it took. */
+    double awaitCaughtUp(Machine machine, double timeoutMs) {
         double start = now;
-        while (behind(machine) > 0) {
+        while (lag(machine) > 0) {
             check(
-                    now - start < atMost,
+                    now - start < timeoutMs,
                     machine,
-                    () -> "still " + behind(machine) + " entries behind after " + atMost + " ms of calm, "
+                    () -> "still lags by " + lag(machine) + " entries after " + timeoutMs + " ms without load, "
                             + describe());
             runAndCompact(20);
         }
