--- a/bench/src/sablehinge/controlplane/raft/AgreementBench.java
+++ b/bench/src/sablehinge/controlplane/raft/AgreementBench.java
@@ -53,6 +53,6 @@
                 changes.sum(),
                 breaches.size(),
                 seconds,
-                seeds * RaftNodeRandomTest.LENGTH / MS_PER_H);
+                seeds * RaftNodeRandomTest.DURATION_MS / MS_PER_H);
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
@@ -7,17 +7,17 @@
 import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
- * Storms of large orders, logs that are cut all the time, slow links and members that were away: in calm, each member
- * has all that was committed after a bounded time.
+ * Load of large configurations, frequent compaction, slow links and members that were down: once the load ends, each
+ * member has all committed entries within a bounded time.
  */
 class CatchUpTest {
 
-    private static final int LARGE = 400_000;
-    /** Bytes per ms: 1 MB/s. */
-    private static final double SLOW = 1_000;
+    private static final int LARGE_BYTES = 400_000;
+    /** 1 MB/s. */
+    private static final double SLOW_BYTES_PER_MS = 1_000;
 
-    private static final double STORM = 10_000;
-    private static final int ORDERS = 8;
+    private static final double LOAD_MS = 10_000;
+    private static final int CONCURRENT_CALLS = 8;
 
     private static SlowLinkCluster cluster(int bodyBytes) {
         SlowLinkCluster cluster = new SlowLinkCluster(1, 3);
@@ -31,27 +31,27 @@
     }
 
     @Test
-    void whoIsOnASlowLinkCatchesUpAfterAStormAndHearsTheLeaderInIt() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void slowFollowerStaysInContactUnderLoadAndCatchesUpAfterwards() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine slow = follower(cluster);
-        cluster.setBandwidth(slow, SLOW);
+        cluster.setBandwidth(slow, SLOW_BYTES_PER_MS);
         long requested = cluster.votesRequested;
-        cluster.runWithLoad(STORM, ORDERS);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
         assertTrue(cluster.committed.size() > 100, cluster.committed.size() + " entries");
-        assertEquals(0, cluster.brokenConnections, "connections broke as too much waited");
-        assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms a message waited for others");
-        assertEquals(0, cluster.votesRequested - requested, "questions for votes");
-        double took = cluster.awaitCaughtUp(slow, 3000);
-        System.out.printf("slow link: longest wait %.0f ms, caught up after %.0f ms%n", cluster.longestWaitMs, took);
+        assertEquals(0, cluster.brokenConnections, "connections broke because too many bytes were waiting");
+        assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms that a message waited for others");
+        assertEquals(0, cluster.votesRequested - requested, "vote requests");
+        double tookMs = cluster.awaitCaughtUp(slow, 3000);
+        System.out.printf("slow link: longest wait %.0f ms, caught up after %.0f ms%n", cluster.longestWaitMs, tookMs);
     }
 
     @Test
-    void aCoreOnSlowLinksKeepsItsLeader() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void keepsLeaderOnSlowLinksUnderLoad() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine leader = cluster.leader();
-        cluster.machines.values().forEach(machine -> cluster.setBandwidth(machine, SLOW));
+        cluster.machines.values().forEach(machine -> cluster.setBandwidth(machine, SLOW_BYTES_PER_MS));
         long term = leader.raftStatus.term();
-        cluster.runWithLoad(STORM, ORDERS);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
         assertEquals(term, cluster.leader().raftStatus.term());
         assertTrue(cluster.committed.size() > 12, cluster.committed.size() + " entries");
         for (Machine machine : cluster.others(leader)) {
@@ -60,67 +60,67 @@
     }
 
     @Test
-    void whoWasAwayForTheWholeStormCatchesUpOnASlowLinkWhileTheLogIsCut() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void returningFollowerCatchesUpOnSlowLinkDespiteFrequentCompaction() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.runWithLoad(STORM, ORDERS);
-        cluster.setBandwidth(away, SLOW / 10);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
+        cluster.setBandwidth(away, SLOW_BYTES_PER_MS / 10);
         away.start();
-        // One state takes 4 s on its link; the log is cut some ten times meanwhile.
-        cluster.runWithLoad(STORM, ORDERS);
-        assertTrue(away.applied > 100, "it has nothing newer than entry " + away.applied);
-        assertEquals(0, cluster.brokenConnections, "connections broke as too much waited");
-        cluster.setBandwidth(away, SLOW);
+        // The transfer of one state takes 4 s on its link; the log is compacted some ten times in the meantime.
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
+        assertTrue(away.applied > 100, "it has applied nothing after entry " + away.applied);
+        assertEquals(0, cluster.brokenConnections, "connections broke because too many bytes were waiting");
+        cluster.setBandwidth(away, SLOW_BYTES_PER_MS);
         cluster.awaitCaughtUp(away, 8000);
     }
 
     @Test
-    void aSnapshotUnderWayIsFinishedThoughTheLogIsCutAgain() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void finishesSnapshotTransferAlthoughLogIsCompactedAgain() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.runWithLoad(2000, ORDERS);
-        cluster.setBandwidth(away, SLOW / 10);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(away, SLOW_BYTES_PER_MS / 10);
         away.start();
         long before = cluster.snapshotBytes;
         double start = cluster.now;
         while (away.applied == 0) {
-            cluster.runWithLoad(100, ORDERS);
-            cluster.check(cluster.now - start < 10_000, away, () -> "no snapshot for 10 s");
+            cluster.runWithLoad(100, CONCURRENT_CALLS);
+            cluster.check(cluster.now - start < 10_000, away, () -> "no snapshot installed within 10 s");
         }
-        long state = LARGE + 100_000;
+        long stateBytes = LARGE_BYTES + 100_000;
         assertTrue(
-                cluster.snapshotBytes - before < 2 * state,
-                cluster.snapshotBytes - before + " bytes sent for a state of " + state);
+                cluster.snapshotBytes - before < 2 * stateBytes,
+                cluster.snapshotBytes - before + " bytes sent for a state of " + stateBytes);
     }
 
     @Test
-    void aSnapshotIsSentInPartsThatLetHeartbeatsThrough() {
+    void heartbeatsPassBetweenSnapshotChunks() {
         SlowLinkCluster cluster = cluster(12_000_000);
         Machine away = follower(cluster);
         away.kill(true);
         cluster.runWithLoad(500, 1);
         cluster.runAndCompact(500);
         cluster.leader().compact();
-        cluster.setBandwidth(away, SLOW);
+        cluster.setBandwidth(away, SLOW_BYTES_PER_MS);
         cluster.largestMessageBytes = 0;
         cluster.longestWaitMs = 0;
         long requested = cluster.votesRequested;
         away.start();
         cluster.awaitCaughtUp(away, 30_000);
         assertTrue(cluster.largestMessageBytes < 1_100_000, "a message of " + cluster.largestMessageBytes + " bytes");
-        assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms a message waited for others");
-        assertEquals(requested, cluster.votesRequested, "questions for votes");
+        assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms that a message waited for others");
+        assertEquals(requested, cluster.votesRequested, "vote requests");
     }
 
     @Test
-    void whoLosesPowerAmidASnapshotGetsItFromTheStart() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void restartsSnapshotTransferAfterReceiverLosesPower() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.runWithLoad(2000, ORDERS);
-        cluster.setBandwidth(away, SLOW / 2);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(away, SLOW_BYTES_PER_MS / 2);
         for (int i = 1; i <= 20; i++) {
             away.start();
             cluster.runWithLoad(i * 40, 1);
@@ -131,17 +131,17 @@
     }
 
     @Test
-    void aLeaderThatEndsAmidASnapshotIsFollowedByOneThatSendsItsOwn() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void newLeaderSendsItsOwnSnapshotAfterLeaderEndsDuringTransfer() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.runWithLoad(2000, ORDERS);
-        cluster.setBandwidth(away, SLOW / 2);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(away, SLOW_BYTES_PER_MS / 2);
         away.start();
         cluster.runAndCompact(400);
         Machine first = cluster.leader();
         first.kill(true);
-        // Only with the one on the slow link is there a majority.
+        // The follower on the slow link is needed for a majority.
         Machine second = cluster.others(first, away).get(0);
         double start = cluster.now;
         while (!second.leads()) {
@@ -154,31 +154,32 @@
     }
 
     @Test
-    void whoWasAwayForAMomentNeedsNoSnapshot() {
+    void sendsNoSnapshotAfterShortOutage() {
         SlowLinkCluster cluster = cluster(Long.BYTES);
         Machine away = follower(cluster);
-        cluster.runWithLoad(1000, ORDERS);
+        cluster.runWithLoad(1000, CONCURRENT_CALLS);
         cluster.runAndCompact(500);
         long before = cluster.snapshotMessages;
         away.kill(true);
-        long gone = cluster.committed.size();
-        cluster.runWithLoad(1000, ORDERS);
-        assertTrue(cluster.committed.size() - gone > 3 * cluster.compactionInterval, "the log was cut");
+        long committedBefore = cluster.committed.size();
+        cluster.runWithLoad(1000, CONCURRENT_CALLS);
+        assertTrue(
+                cluster.committed.size() - committedBefore > 3 * cluster.compactionInterval, "the log was compacted");
         away.start();
         cluster.awaitCaughtUp(away, 1000);
-        assertEquals(before, cluster.snapshotMessages, "messages of snapshots");
+        assertEquals(before, cluster.snapshotMessages, "snapshot messages");
     }
 
     @Test
-    void whoComesBackAfterLongIsSentTheNewestStateAtOnce() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void sendsLatestSnapshotAtOnceAfterLongOutage() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.runWithLoad(STORM, ORDERS);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
         cluster.runAndCompact(1000);
         for (int i = 0; i < 20; i++) {
             away.start();
-            // At most a heartbeat, and the time that the state takes on a fast link.
+            // At most one heartbeat interval, and the transfer time of the state on a fast link.
             cluster.awaitCaughtUp(away, 300);
             away.kill(true);
             cluster.runWithLoad(1000, 2);
@@ -187,27 +188,27 @@
     }
 
     @Test
-    void whoseDiskHangsAmidASnapshotGoesOnWhenItAnswers() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void resumesSnapshotTransferAfterReceiverDiskStall() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.runWithLoad(2000, ORDERS);
-        cluster.setBandwidth(away, SLOW);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(away, SLOW_BYTES_PER_MS);
         away.start();
         cluster.runAndCompact(150);
-        away.stall(STORM);
-        cluster.runWithLoad(STORM, ORDERS);
-        assertEquals(0, cluster.brokenConnections, "connections broke as too much waited");
+        away.stall(LOAD_MS);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
+        assertEquals(0, cluster.brokenConnections, "connections broke because too many bytes were waiting");
         cluster.awaitCaughtUp(away, 5000);
     }
 
     @Test
-    void lostMessagesDelayButDoNotStop() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void catchesUpDespiteMessageLoss() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine away = follower(cluster);
         away.kill(true);
-        cluster.runWithLoad(2000, ORDERS);
-        cluster.setBandwidth(away, SLOW);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(away, SLOW_BYTES_PER_MS);
         cluster.lossRate = 0.2;
         away.start();
         cluster.runWithLoad(3000, 2);
--- a/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/MembershipPlannerTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.controlplane.raft.MembershipPlanner.Replica;
 
-/** What the planner does next, for each state of voters and learners that a core of three or five meets. */
+/** The planner's next change for each state of voters and learners in a core of three or five. */
 class MembershipPlannerTest {
 
     private static final RaftConfig TIMING = RaftConfig.defaults();
-    private static final double STALE = TIMING.peerAliveMs() + 1;
-    private static final double LOST = TIMING.voterLostMs() + 1;
+    private static final double STALE_MS = TIMING.peerAliveMs() + 1;
+    private static final double LOST_MS = TIMING.voterLostMs() + 1;
 
     private final MembershipPlanner three = new MembershipPlanner(1, TIMING);
     private final MembershipPlanner five = new MembershipPlanner(2, TIMING);
@@ -23,7 +23,7 @@
         return Member.nonFounder(name.hashCode(), name + ":1", "c" + name);
     }
 
-    private static Replica well(String name) {
+    private static Replica healthy(String name) {
         return new Replica(member(name), 0, true, false);
     }
 
@@ -31,7 +31,7 @@
         return new Replica(member(name), ms, true, false);
     }
 
-    private static Replica behind(String name) {
+    private static Replica lagging(String name) {
         return new Replica(member(name), 0, false, false);
     }
 
@@ -39,13 +39,13 @@
         return new Replica(member(name), 0, true, true);
     }
 
-    private static List<Replica> list(String... names) {
-        return List.of(names).stream().map(name -> well(name)).toList();
+    private static List<Replica> healthyReplicas(String... names) {
+        return List.of(names).stream().map(name -> healthy(name)).toList();
     }
 
-    private static List<Replica> with(List<Replica> some, Replica... more) {
-        List<Replica> all = new ArrayList<>(some);
-        all.addAll(List.of(more));
+    private static List<Replica> with(List<Replica> replicas, Replica... others) {
+        List<Replica> all = new ArrayList<>(replicas);
+        all.addAll(List.of(others));
         return all;
     }
 
@@ -62,51 +62,63 @@
     }
 
     @Test
-    void aFullCoreOfSoundVotersStaysAsItIs() {
-        assertNone(three.next(list("a", "b", "c"), List.of()));
-        assertNone(three.next(list("a", "b", "c"), list("d", "e")));
-        assertNone(five.next(list("a", "b", "c", "d", "e"), list("f", "g")));
+    void completeHealthyCoreIsNotChanged() {
+        assertNone(three.next(healthyReplicas("a", "b", "c"), List.of()));
+        assertNone(three.next(healthyReplicas("a", "b", "c"), healthyReplicas("d", "e")));
+        assertNone(five.next(healthyReplicas("a", "b", "c", "d", "e"), healthyReplicas("f", "g")));
     }
 
     @Test
-    void threeGrowToFiveOnceTwoLearnersAreReady() {
-        assertAdds("d", five.next(list("a", "b", "c"), list("d", "e")));
-        assertAdds("e", five.next(list("a", "b", "c", "d"), list("e")));
-        assertNone(five.next(list("a", "b", "c"), list("d")));
-        assertNone(five.next(list("a", "b", "c"), with(list("d"), behind("e"))));
-        assertNone(five.next(list("a", "b", "c"), with(list("d"), unresponsive("e", STALE))));
+    void growsFromThreeToFiveOnceTwoLearnersAreReady() {
+        assertAdds("d", five.next(healthyReplicas("a", "b", "c"), healthyReplicas("d", "e")));
+        assertAdds("e", five.next(healthyReplicas("a", "b", "c", "d"), healthyReplicas("e")));
+        assertNone(five.next(healthyReplicas("a", "b", "c"), healthyReplicas("d")));
+        assertNone(five.next(healthyReplicas("a", "b", "c"), with(healthyReplicas("d"), lagging("e"))));
+        assertNone(five.next(healthyReplicas("a", "b", "c"), with(healthyReplicas("d"), unresponsive("e", STALE_MS))));
     }
 
-    /** With a fourth voter three must answer: were one unresponsive, the loss of the newcomer would end it. */
+    /**
+     * Four voters need three answers: with one voter unresponsive, a failure of the new voter would cost the majority.
+     */
     @Test
-    void threeDoNotBecomeFourWhileOneOfThemDoesNotAnswer() {
-        assertNone(five.next(with(list("a", "b"), unresponsive("c", STALE)), list("d", "e")));
-        assertNone(five.next(with(list("a", "b"), behind("c")), list("d", "e")));
-        assertRemoves("c", five.next(with(list("a", "b"), unresponsive("c", LOST)), list("d", "e")));
+    void doesNotGrowToFourWhileAVoterIsUnresponsive() {
+        assertNone(five.next(with(healthyReplicas("a", "b"), unresponsive("c", STALE_MS)), healthyReplicas("d", "e")));
+        assertNone(five.next(with(healthyReplicas("a", "b"), lagging("c")), healthyReplicas("d", "e")));
+        assertRemoves(
+                "c", five.next(with(healthyReplicas("a", "b"), unresponsive("c", LOST_MS)), healthyReplicas("d", "e")));
     }
 
     @Test
-    void aLearnerComesOnlyWithEverythingOnItsDisk() {
-        assertNone(three.next(list("a", "b"), List.of(behind("d"))));
-        assertAdds("d", three.next(list("a", "b"), List.of(behind("e"), well("d"))));
-        assertNone(three.next(with(list("a", "b"), unresponsive("c", LOST)), List.of(behind("d"))));
+    void addsLearnerOnlyWhenCaughtUp() {
+        assertNone(three.next(healthyReplicas("a", "b"), List.of(lagging("d"))));
+        assertAdds("d", three.next(healthyReplicas("a", "b"), List.of(lagging("e"), healthy("d"))));
+        assertNone(three.next(with(healthyReplicas("a", "b"), unresponsive("c", LOST_MS)), List.of(lagging("d"))));
     }
 
     @Test
-    void aVoterThatIsLostGoesWhenALearnerIsReadyAndNotBefore() {
-        assertNone(three.next(with(list("a", "b"), unresponsive("c", LOST)), List.of()));
-        assertNone(three.next(with(list("a", "b"), unresponsive("c", LOST - 2)), list("d")));
-        assertRemoves("c", three.next(with(list("a", "b"), unresponsive("c", LOST)), list("d")));
-        assertAdds("d", three.next(list("a", "b"), list("d")));
+    void removesLostVoterOnlyWhenALearnerIsReady() {
+        assertNone(three.next(with(healthyReplicas("a", "b"), unresponsive("c", LOST_MS)), List.of()));
+        assertNone(three.next(with(healthyReplicas("a", "b"), unresponsive("c", LOST_MS - 2)), healthyReplicas("d")));
+        assertRemoves(
+                "c", three.next(with(healthyReplicas("a", "b"), unresponsive("c", LOST_MS)), healthyReplicas("d")));
+        assertAdds("d", three.next(healthyReplicas("a", "b"), healthyReplicas("d")));
     }
 
     @Test
-    void theFormerLifeOfAWipedVoterGoesAtOnceAndBeforeAnother() {
-        Replica formerIncarnation = new Replica(Member.nonFounder(7, "d:1", "cd"), STALE, true, false);
-        assertRemoves(formerIncarnation, three.next(with(list("a", "b"), formerIncarnation), list("d")));
+    void removesFormerIncarnationOfLearnerFirstAndWithoutDelay() {
+        Replica formerIncarnation = new Replica(Member.nonFounder(7, "d:1", "cd"), STALE_MS, true, false);
         assertRemoves(
                 formerIncarnation,
-                five.next(with(list("a", "b"), unresponsive("c", 2 * LOST), formerIncarnation, well("e")), list("d")));
+                three.next(with(healthyReplicas("a", "b"), formerIncarnation), healthyReplicas("d")));
+        assertRemoves(
+                formerIncarnation,
+                five.next(
+                        with(
+                                healthyReplicas("a", "b"),
+                                unresponsive("c", 2 * LOST_MS),
+                                formerIncarnation,
+                                healthy("e")),
+                        healthyReplicas("d")));
     }
 
     private static void assertRemoves(Replica voter, Optional<VoterChange> change) {
@@ -114,61 +126,71 @@
     }
 
     @Test
-    void twoOfFiveAreReplacedOneAfterTheOther() {
-        List<Replica> lost = List.of(unresponsive("d", LOST), unresponsive("e", LOST + 1));
-        List<Replica> voters = with(list("a", "b", "c"), lost.get(0), lost.get(1));
-        assertRemoves("e", five.next(voters, list("f", "g")));
-        assertAdds("f", five.next(with(list("a", "b", "c"), lost.get(0)), list("f", "g")));
-        assertRemoves("d", five.next(with(list("a", "b", "c", "f"), lost.get(0)), list("g")));
-        assertAdds("g", five.next(list("a", "b", "c", "f"), list("g")));
+    void replacesTwoOfFiveOneAfterTheOther() {
+        List<Replica> lost = List.of(unresponsive("d", LOST_MS), unresponsive("e", LOST_MS + 1));
+        List<Replica> voters = with(healthyReplicas("a", "b", "c"), lost.get(0), lost.get(1));
+        assertRemoves("e", five.next(voters, healthyReplicas("f", "g")));
+        assertAdds("f", five.next(with(healthyReplicas("a", "b", "c"), lost.get(0)), healthyReplicas("f", "g")));
+        assertRemoves("d", five.next(with(healthyReplicas("a", "b", "c", "f"), lost.get(0)), healthyReplicas("g")));
+        assertAdds("g", five.next(healthyReplicas("a", "b", "c", "f"), healthyReplicas("g")));
     }
 
     @Test
-    void whoLeavesIsReplacedByOneThatComesFirst() {
-        assertNone(three.next(with(list("a", "b"), leaving("c")), List.of()));
-        assertAdds("d", three.next(with(list("a", "b"), leaving("c")), list("d")));
-        assertRemoves("c", three.next(with(list("a", "b"), leaving("c"), well("d")), List.of()));
+    void addsReplacementBeforeRemovingLeavingVoter() {
+        assertNone(three.next(with(healthyReplicas("a", "b"), leaving("c")), List.of()));
+        assertAdds("d", three.next(with(healthyReplicas("a", "b"), leaving("c")), healthyReplicas("d")));
+        assertRemoves("c", three.next(with(healthyReplicas("a", "b"), leaving("c"), healthy("d")), List.of()));
     }
 
-    /** A fourth voter beside an unresponsive one would leave no loss to be borne. */
+    /** An additional voter beside an unresponsive one would leave the core without failure tolerance. */
     @Test
-    void whoLeavesGoesFirstWhileAnotherIsSilent() {
-        assertRemoves("c", five.next(with(list("a", "b", "d"), leaving("c"), unresponsive("e", STALE)), list("f")));
+    void removesLeavingVoterFirstWhileAnotherIsUnresponsive() {
+        assertRemoves(
+                "c",
+                five.next(
+                        with(healthyReplicas("a", "b", "d"), leaving("c"), unresponsive("e", STALE_MS)),
+                        healthyReplicas("f")));
     }
 
     @Test
-    void aCoreAboveItsSizeShrinksByWhoIsLost() {
-        assertRemoves("c", three.next(with(list("a", "b"), unresponsive("c", LOST), well("d")), List.of()));
-        assertNone(three.next(list("a", "b", "c", "d"), list("e")));
+    void oversizedCoreRemovesLostVoter() {
+        assertRemoves(
+                "c", three.next(with(healthyReplicas("a", "b"), unresponsive("c", LOST_MS), healthy("d")), List.of()));
+        assertNone(three.next(healthyReplicas("a", "b", "c", "d"), healthyReplicas("e")));
     }
 
     @Test
-    void nothingChangesWithoutASoundMajorityAfterIt() {
-        assertNone(three.next(List.of(well("a"), unresponsive("b", STALE), unresponsive("c", LOST)), list("d")));
-        assertNone(three.next(List.of(well("a"), behind("b"), unresponsive("c", LOST)), list("d")));
+    void makesNoChangeWithoutHealthyMajorityAfterwards() {
+        assertNone(three.next(
+                List.of(healthy("a"), unresponsive("b", STALE_MS), unresponsive("c", LOST_MS)), healthyReplicas("d")));
+        assertNone(three.next(List.of(healthy("a"), lagging("b"), unresponsive("c", LOST_MS)), healthyReplicas("d")));
         assertNone(five.next(
-                with(list("a", "b"), unresponsive("c", STALE), unresponsive("d", LOST), unresponsive("e", LOST)),
-                list("f")));
+                with(
+                        healthyReplicas("a", "b"),
+                        unresponsive("c", STALE_MS),
+                        unresponsive("d", LOST_MS),
+                        unresponsive("e", LOST_MS)),
+                healthyReplicas("f")));
     }
 
     /**
-     * All states of up to six voters and two learners, each well, stale, behind, lost or leaving: a step never takes
-     * away the last loss that is borne, and none changes a core that is as it should be.
+     * All states of up to six voters and two learners, each healthy, stale, lagging, lost or leaving: no change removes
+     * the last failure that the core tolerates.
      */
     @Test
-    void noStepEndsACoreThatBoreALoss() {
+    void noChangeRemovesLastToleratedFailure() {
         int steps = 0;
         for (int size = 1; size <= 6; size++) {
             for (int state = 0; state < Math.pow(KINDS, size + 1); state++) {
                 List<Replica> all = replicas(size + 1, state);
                 List<Replica> voters =
-                        with(List.of(well("leader")), all.subList(1, size).toArray(Replica[]::new));
-                List<Replica> learners = List.of(all.get(0), well("l"));
+                        with(List.of(healthy("leader")), all.subList(1, size).toArray(Replica[]::new));
+                List<Replica> learners = List.of(all.get(0), healthy("l"));
                 for (MembershipPlanner planner : List.of(three, five)) {
                     Optional<VoterChange> change = planner.next(voters, learners);
                     if (change.isPresent()) {
                         steps++;
-                        assertBears(voters, learners, change.get());
+                        assertToleranceKept(voters, learners, change.get());
                     }
                 }
             }
@@ -180,50 +202,58 @@
 
     private static List<Replica> replicas(int count, int state) {
         List<Replica> replicas = new ArrayList<>();
-        int left = state;
+        int remaining = state;
         for (int i = 0; i < count; i++) {
             String name = "v" + i;
             replicas.add(
-                    switch (left % KINDS) {
-                        case 0 -> well(name);
-                        case 1 -> unresponsive(name, STALE);
-                        case 2 -> unresponsive(name, LOST);
-                        case 3 -> behind(name);
+                    switch (remaining % KINDS) {
+                        case 0 -> healthy(name);
+                        case 1 -> unresponsive(name, STALE_MS);
+                        case 2 -> unresponsive(name, LOST_MS);
+                        case 3 -> lagging(name);
                         default -> leaving(name);
                     });
-            left /= KINDS;
+            remaining /= KINDS;
         }
         return replicas;
     }
 
-    private static void assertBears(List<Replica> voters, List<Replica> learners, VoterChange change) {
+    private static void assertToleranceKept(List<Replica> voters, List<Replica> learners, VoterChange change) {
         List<Member> before = voters.stream().map(Replica::member).toList();
         List<Member> after = change.applied(before);
         List<Replica> all = with(voters, learners.toArray(Replica[]::new));
-        int margin = margin(all, after);
-        int was = margin(all, before);
+        int tolerance = tolerance(all, after);
+        int toleranceBefore = tolerance(all, before);
         String description = all + " " + change;
-        assertTrue(margin >= 0, description);
-        boolean goes = voters.stream().anyMatch(one -> one.member().equals(change.member()) && sound(one));
-        // Who leaves of itself is lost soon, whether it is still counted or not.
-        assertTrue(margin >= was || goes && margin >= was - 1, description);
-        assertTrue(change.kind() == VoterChange.Kind.REMOVE || sound(replica(all, change.member())), description);
+        assertTrue(tolerance >= 0, description);
+        boolean removesHealthy =
+                voters.stream().anyMatch(voter -> voter.member().equals(change.member()) && isHealthy(voter));
+        // A leaving voter is lost soon, whether it still counts as a voter or not.
+        assertTrue(tolerance >= toleranceBefore || removesHealthy && tolerance >= toleranceBefore - 1, description);
+        assertTrue(change.kind() == VoterChange.Kind.REMOVE || isHealthy(replica(all, change.member())), description);
         assertTrue(
-                before.size() == 1 || after.size() % 2 == 1 || change.kind() == VoterChange.Kind.REMOVE || margin >= 1,
+                before.size() == 1
+                        || after.size() % 2 == 1
+                        || change.kind() == VoterChange.Kind.REMOVE
+                        || tolerance >= 1,
                 description);
     }
 
     private static Replica replica(List<Replica> all, Member member) {
-        return all.stream().filter(one -> one.member().equals(member)).findAny().orElseThrow();
+        return all.stream()
+                .filter(replica -> replica.member().equals(member))
+                .findAny()
+                .orElseThrow();
     }
 
-    private static boolean sound(Replica one) {
-        return one.sinceLastMessageMs() <= TIMING.peerAliveMs() && one.caughtUp();
+    private static boolean isHealthy(Replica replica) {
+        return replica.sinceLastMessageMs() <= TIMING.peerAliveMs() && replica.caughtUp();
     }
 
-    /** How many of the sound voters of a list may be lost while the rest is a majority. */
-    private static int margin(List<Replica> all, List<Member> list) {
-        int sound = (int) list.stream().filter(one -> sound(replica(all, one))).count();
-        return sound - list.size() / 2 - 1;
+    /** How many healthy voters may fail so that the remaining ones are still a majority. */
+    private static int tolerance(List<Replica> all, List<Member> voters) {
+        int healthy = (int)
+                voters.stream().filter(voter -> isHealthy(replica(all, voter))).count();
+        return healthy - voters.size() / 2 - 1;
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
@@ -20,17 +20,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sablehinge.torture.MutantLoader;
 
-/** The checker of the agreement: that it is quiet on what is right, and finds and tells what is not. */
+/** The Raft model checker: it reports no violation for the correct code, and finds and reports faults. */
 class QuorumTest {
 
     private static final int MAX_LENGTH = 60;
-    /** A seed by which five machines start, three of which found. */
-    private static final long FIVE_START = 7;
-    /** Faults of each of the points that can go wrong. */
+    /** A seed with which five machines start, three of them as founders. */
+    private static final long FIVE_MACHINES_SEED = 7;
+    /** Minimum number of faults for each category. */
     private static final int MIN_FAULTS = 8;
 
-    /** A founder that lost its founding, votes, loses power, and gets a vote request of another in the same term. */
-    private static final String NAME_ONLY =
+    /**
+     * A founder that lost its initial snapshot votes, loses power, and receives another vote request in the same term.
+     */
+    private static final String IDENTITY_ONLY =
             """
             seed 0
             sync b
@@ -56,10 +58,10 @@
             """;
 
     /**
-     * A leader starts a heartbeat round on whether an unresponsive voter may go, receives from it again and gives that
-     * up; a voter that has answered that round is wiped, and then the first one leaves.
+     * A leader starts a heartbeat round to confirm the removal of an unresponsive voter, and drops the removal as the
+     * voter answers again; a voter that has answered that round is wiped, and then the first voter leaves.
      */
-    private static final String OLD_ROUND =
+    private static final String OUTDATED_ROUND =
             """
             seed 140379
             sync a
@@ -109,13 +111,13 @@
             """;
 
     @Test
-    void nothingBreaksAndThereIsWork() {
+    void findsNoViolationInCorrectCodeWithSufficientCoverage() {
         ScheduleTotals totals = new ScheduleTotals();
         assertEquals(List.of(), Hunt.byChance(1, 400, 1, totals));
         assertEquals(List.of(), EveryOrder.all(1, totals));
         assertTrue(totals.schedules.sum() > 600, totals.schedules + " schedules");
-        assertTrue(totals.acknowledged.sum() > 1000, totals.acknowledged + " promises");
-        assertTrue(totals.changes.sum() > 30, totals.changes + " changes of members");
+        assertTrue(totals.acknowledged.sum() > 1000, totals.acknowledged + " acknowledged calls");
+        assertTrue(totals.changes.sum() > 30, totals.changes + " membership changes");
     }
 
     @ParameterizedTest
@@ -125,17 +127,17 @@
                 "entries are acknowledged before their sync",
                 "who lost its disk comes back as its old self"
             })
-    void aFaultIsFoundAndCutShort(String name) throws Exception {
+    void findsFaultAndMinimizesSchedule(String name) throws Exception {
         String[] first = hunt(fault(name));
-        assertArrayEquals(first, hunt(fault(name)), "another verdict");
+        assertArrayEquals(first, hunt(fault(name)), "result is not reproducible");
         Script script = Script.parse(first[0].lines().toList());
         assertEquals(first[0], script.toString());
         assertTrue(script.steps().size() <= MAX_LENGTH, first[0]);
-        assertNull(script.breach(), "the fault, not the checker, broke it");
+        assertNull(script.breach(), "the schedule must pass on the correct code");
     }
 
     @Test
-    void everyFaultHasItsPlaceAndEveryPointItsFaults() throws Exception {
+    void everyFaultAppliesAndEveryCategoryHasFaults() throws Exception {
         Map<Fault.Point, Integer> counts = new EnumMap<>(Fault.Point.class);
         for (Fault fault : Faults.ALL) {
             Path file = Path.of("src/main/java/sablehinge/" + fault.mutant().in() + ".java");
@@ -154,7 +156,7 @@
 
     private static Fault fault(String name) {
         return Faults.ALL.stream()
-                .filter(one -> one.name().equals(name))
+                .filter(fault -> fault.name().equals(name))
                 .findAny()
                 .orElseThrow();
     }
@@ -166,10 +168,10 @@
                 .invoke(null, fault.point().focus().name(), 100, 0);
     }
 
-    /** Five machines of which the deployment names three start, and all that happens is calm. */
+    /** Five machines start, three of them seeds of the deployment, and no fault occurs. */
     @Test
-    void aCoreGrowsFromItsFoundersToAll() {
-        SteppedCluster cluster = new SteppedCluster(FIVE_START);
+    void coreGrowsFromFoundersToAllMachines() {
+        SteppedCluster cluster = new SteppedCluster(FIVE_MACHINES_SEED);
         assertEquals(5, cluster.size());
         assertEquals(3, cluster.committedMembers.size());
         cluster.take(Step.of(Step.Kind.CALM, 0));
@@ -177,18 +179,18 @@
     }
 
     @Test
-    void whatDoesNotHealIsToldAsLiveness() throws Exception {
+    void reportsLivenessViolationWhenCoreDoesNotRecover() throws Exception {
         String[] found = hunt(fault("the core does not grow"));
         assertTrue(found[1].contains(Calm.LIVENESS + "3 voters of 5"), found[1]);
     }
 
-    /** One founder loses power before its name is on its disk: it comes back as another and is let in. */
+    /** One founder loses power before its identity is on disk: it returns as a new member and joins. */
     @Test
-    void aFounderThatNeverWasIsReplaced() {
-        Script script =
-                Script.parse(List.of("seed " + FIVE_START, "start a", "start b", "start c", "power a 0", "calm"));
+    void founderWithoutPersistedIdentityIsReplaced() {
+        Script script = Script.parse(
+                List.of("seed " + FIVE_MACHINES_SEED, "start a", "start b", "start c", "power a 0", "calm"));
         assertNull(script.breach());
-        SteppedCluster cluster = new SteppedCluster(FIVE_START);
+        SteppedCluster cluster = new SteppedCluster(FIVE_MACHINES_SEED);
         script.steps().forEach(cluster::take);
         assertFalse(cluster.isBeyond());
         assertTrue(cluster.committedMembers.contains(cluster.machine(0).self));
@@ -197,11 +199,11 @@
                 cluster.machine(0).self.id());
     }
 
-    /** Two of three founders lose power as soon as their names are on their disks: so is their founding. */
+    /** Two of three founders lose power once their identities are on disk, and so are their initial snapshots. */
     @Test
-    void foundersThatLosePowerAfterTheirFirstWriteHaveFounded() {
+    void coreIsFoundedAlthoughFoundersLosePowerAfterFirstWrite() {
         Script script = Script.parse(List.of(
-                "seed " + FIVE_START,
+                "seed " + FIVE_MACHINES_SEED,
                 "start a",
                 "start b",
                 "start c",
@@ -211,24 +213,24 @@
                 "power b 0",
                 "calm"));
         assertNull(script.breach());
-        SteppedCluster cluster = new SteppedCluster(FIVE_START);
+        SteppedCluster cluster = new SteppedCluster(FIVE_MACHINES_SEED);
         script.steps().forEach(cluster::take);
         assertFalse(cluster.isBeyond());
         assertEquals(5, cluster.committedMembers.size());
         assertTrue(cluster.committedMembers.contains(Member.founder(cluster.machine(0).address, "c0")), cluster.line());
     }
 
-    /** Found among a million schedules: a leader ended while it removed a voter, which alone heard of it. */
+    /** A leader ended while it removed a voter, which alone had received the entry (found in a million schedules). */
     @Test
-    void aVoterThatIsLeftOutByAnEntryOnlyItHoldsDoesNotEndTheCore() throws Exception {
+    void coreSurvivesWhenOnlyRemovedVoterHasTheRemovalEntry() throws Exception {
         Path file = Path.of("src/test/resources/sablehinge/controlplane/raft/left-out-voter.script");
         assertNull(Script.parse(Files.readAllLines(file)).breach());
     }
 
-    /** Two of three founders are more than the core bears, so nothing is required of the calm after it. */
+    /** The core does not tolerate the loss of two of three founders, so it need not recover afterwards. */
     @Test
-    void whatIsBeyondTheBoundsIsSetAside() {
-        SteppedCluster cluster = new SteppedCluster(FIVE_START);
+    void ignoresSchedulesBeyondFailureTolerance() {
+        SteppedCluster cluster = new SteppedCluster(FIVE_MACHINES_SEED);
         for (String step : List.of("start a", "start b", "power a 0", "power b 0", "calm")) {
             cluster.take(Step.parse(step));
         }
@@ -236,12 +238,12 @@
     }
 
     /**
-     * One of three is cut off for long, and the other follower loses its disk just after it was heard. Its successor is
-     * ready before the leader can know that the former incarnation is gone: if the unresponsive one went for it, the
-     * membership that is left could never agree to anything again.
+     * One of three members is cut off for a long time, and the other follower loses its disk just after it answered.
+     * Its new incarnation is ready before the leader can know that the former one is lost. If the leader removed the
+     * unresponsive member, the remaining members could never commit anything again.
      */
     @Test
-    void whoIsSilentDoesNotGoForOneThatIsLostForGood() {
+    void doesNotRemoveUnresponsiveMemberWhileAnotherIsPermanentlyLost() {
         Player player = new Player(SteppedCluster.PLAIN);
         SteppedCluster cluster = player.cluster;
         player.elect();
@@ -266,17 +268,17 @@
         assertTrue(cluster.committedMembers.contains(cluster.machine(away).self), cluster.line());
     }
 
-    /** Answers to the round count for the change that it was started for, not for the same one later. */
+    /** Answers to a round confirm only the change for which it was started, not the same change at a later time. */
     @Test
-    void aChangeThatWasDroppedIsAskedForAnew() {
-        Script script = Script.parse(OLD_ROUND.lines().toList());
+    void confirmsDroppedChangeAgainBeforeMakingIt() {
+        Script script = Script.parse(OUTDATED_ROUND.lines().toList());
         SteppedCluster cluster = new SteppedCluster(script.seed());
         script.steps().forEach(cluster::take);
         assertNotNull(cluster.leader(), cluster.line());
     }
 
     @Test
-    void seedsHaveTheirFocus() {
+    void seedsMapToTheirFocus() {
         for (Focus focus : Focus.values()) {
             assertEquals(focus, Focus.of(focus.seed(0)));
             assertEquals(focus, Focus.of(focus.seed(12_345)));
@@ -284,7 +286,7 @@
     }
 
     @Test
-    void anOrderIsSentAgainAndVaried() {
+    void resendsAndVariesCalls() {
         SteppedCluster cluster = new SteppedCluster(SteppedCluster.PLAIN);
         cluster.take(Step.of(Step.Kind.CALM, 0));
         int leader = IntStream.range(0, 3)
@@ -295,17 +297,19 @@
         assertTrue(cluster.take(new Step(Step.Kind.RESEND, leader, 0, 0)));
         assertTrue(cluster.take(new Step(Step.Kind.VARY, leader, 0, 0)));
         cluster.take(Step.of(Step.Kind.CALM, 0));
-        assertTrue(cluster.claims.acknowledged() >= before + 2, "the order sent again, and that of the calm");
-        assertFalse(cluster.take(new Step(Step.Kind.RESEND, leader, 0, 7)), "there are not so many");
+        assertTrue(
+                cluster.claims.acknowledged() >= before + 2,
+                "the call that was sent again, and that of the calm phase");
+        assertFalse(cluster.take(new Step(Step.Kind.RESEND, leader, 0, 7)), "there are fewer calls");
     }
 
     @Test
-    void whoHasNoLogKeepsItsVote() {
-        assertNull(Script.parse(NAME_ONLY.lines().toList()).breach());
+    void memberWithoutLogKeepsItsVote() {
+        assertNull(Script.parse(IDENTITY_ONLY.lines().toList()).breach());
     }
 
     @Test
-    void aLineThatIsNoStepIsNamed() {
+    void reportsLineThatIsNoStep() {
         assertEquals(
                 "line 2: no step is called 'syncs'",
                 assertThrows(IllegalArgumentException.class, () -> Script.parse(List.of("seed 1", "syncs a")))
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeCodecTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeCodecTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.controlplane.node.RaftMessageCodec;
 
-/** Messages as bytes: what is written reads the same, and nothing else brings the reader down. */
+/** Wire format of messages: round trips, and rejection of invalid input. */
 class RaftNodeCodecTest {
 
     private static final List<Member> MEMBERS =
@@ -44,7 +44,7 @@
             new Message.LeaveResponse(8));
 
     @Test
-    void whatIsWrittenReadsTheSame() throws IOException {
+    void readsWrittenMessages() throws IOException {
         for (Message message : MESSAGES) {
             byte[] bytes = RaftMessageCodec.write(message);
             assertArrayEquals(bytes, RaftMessageCodec.write(RaftMessageCodec.read(bytes)));
@@ -60,15 +60,15 @@
     }
 
     @Test
-    void whatEndsEarlyOrGoesOnIsRefused() {
+    void rejectsTruncatedAndOverlongMessages() {
         for (Message message : MESSAGES) {
             byte[] bytes = RaftMessageCodec.write(message);
             for (int length = 0; length < bytes.length; length++) {
-                byte[] part = Arrays.copyOf(bytes, length);
-                assertThrows(IOException.class, () -> RaftMessageCodec.read(part), message.toString());
+                byte[] truncated = Arrays.copyOf(bytes, length);
+                assertThrows(IOException.class, () -> RaftMessageCodec.read(truncated), message.toString());
             }
-            byte[] more = Arrays.copyOf(bytes, bytes.length + 1);
-            assertThrows(IOException.class, () -> RaftMessageCodec.read(more));
+            byte[] overlong = Arrays.copyOf(bytes, bytes.length + 1);
+            assertThrows(IOException.class, () -> RaftMessageCodec.read(overlong));
         }
         assertThrows(IOException.class, () -> RaftMessageCodec.read(new byte[] {99}));
         assertThrows(IllegalArgumentException.class, () -> MemberListCodec.read(new byte[] {0, 65}));
@@ -76,20 +76,20 @@
     }
 
     @Test
-    void spoiltBytesAreReadOrRefused() {
+    void readsOrRejectsCorruptedMessages() {
         Random random = new Random(5);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = RaftMessageCodec.write(MESSAGES.get(i % MESSAGES.size()));
-            for (int spoilt = 1 + random.nextInt(3); spoilt > 0; spoilt--) {
+            for (int corrupted = 1 + random.nextInt(3); corrupted > 0; corrupted--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
             try {
                 RaftMessageCodec.write(RaftMessageCodec.read(bytes));
             } catch (IOException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 200, refused + " refused");
+        assertTrue(rejected > 200, rejected + " rejected");
     }
 }
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -10,82 +10,84 @@
 import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
- * The voters of the core as deployments bring them about: founded by the machines that {@code seeds} names, grown to
- * all, replaced, wiped, restarted and lost again.
+ * Membership changes as deployments cause them: the core is founded by the seed machines, grows to all machines, and
+ * has members replaced, wiped, restarted and lost.
  */
 class RaftNodeMembershipTest {
 
     private static final int SEEDS = 20;
-    /** By when the core must be as strong as stated once all its machines run, ms; deployments say 4 s. */
-    private static final double COMPLETE_WITHIN = 2500;
+    /** Time within which the core must have all its voters once all machines run, ms; deployments permit 4 s. */
+    private static final double COMPLETE_WITHIN_MS = 2500;
 
-    private interface Play {
-        void on(SimulatedCluster cluster);
+    private interface Scenario {
+        void run(SimulatedCluster cluster);
     }
 
-    /** Plays on a core of three founders and, where two losses are to be borne, two machines more. */
-    private static void play(int losses, Play play) {
+    /** Runs a scenario on a core of three founders, with two more machines if it must tolerate two failures. */
+    private static void forEachSeed(int failures, Scenario scenario) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SimulatedCluster cluster = new SimulatedCluster(seed, 3, losses);
-            for (int i = 3; i < 2 * losses + 1; i++) {
+            SimulatedCluster cluster = new SimulatedCluster(seed, 3, failures);
+            for (int i = 3; i < 2 * failures + 1; i++) {
                 cluster.add("10.0.0." + i + ":1").startAsNewMember();
             }
-            awaitVoters(cluster, 2 * losses + 1, 5000);
-            play.on(cluster);
+            awaitVoters(cluster, 2 * failures + 1, 5000);
+            scenario.run(cluster);
         }
     }
 
-    private static int voters(int losses) {
-        return 2 * losses + 1;
+    private static int voters(int failures) {
+        return 2 * failures + 1;
     }
 
-    /** Lets time pass until the committed list has so many voters, all of them machines that run; the ms. */
-    private static double awaitVoters(SimulatedCluster cluster, int count, double atMost) {
+    /**
+     * Runs until there are so many committed voters, all on running machines; returns the time in ms that it tookMs.
+     */
+    private static double awaitVoters(SimulatedCluster cluster, int count, double timeoutMs) {
         double start = cluster.now;
-        while (!isFull(cluster, count)) {
+        while (!isComplete(cluster, count)) {
             assertTrue(
-                    cluster.now - start < atMost,
+                    cluster.now - start < timeoutMs,
                     "seed " + cluster.seed + ": " + cluster.committedMembers + "\n" + cluster.describe());
             cluster.run(5);
         }
         return cluster.now - start;
     }
 
-    private static boolean isFull(SimulatedCluster cluster, int count) {
+    private static boolean isComplete(SimulatedCluster cluster, int count) {
         return cluster.committedMembers.size() == count
                 && cluster.leader() != null
                 && cluster.committedMembers.stream().allMatch(member -> cluster.machines.values().stream()
                         .anyMatch(machine -> machine.up() && machine.self.equals(member)));
     }
 
-    private static List<Machine> voting(SimulatedCluster cluster) {
+    private static List<Machine> voterMachines(SimulatedCluster cluster) {
         return cluster.machines.values().stream()
-                .filter(one -> cluster.committedMembers.contains(one.self))
+                .filter(machine -> cluster.committedMembers.contains(machine.self))
                 .toList();
     }
 
-    private static boolean listed(SimulatedCluster cluster, Machine machine) {
+    private static boolean isCommittedMember(SimulatedCluster cluster, Machine machine) {
         return cluster.committedMembers.contains(machine.self);
     }
 
     @Test
-    void threeFoundersGrowToAllFiveAtOnce() {
+    void growsFromThreeFoundersToFive() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 3, 2);
             cluster.run(300 * (seed % 3));
             cluster.add("10.0.0.3:1").startAsNewMember();
             cluster.run(300 * (seed % 2));
             cluster.add("10.0.0.4:1").startAsNewMember();
-            double took = awaitVoters(cluster, 5, 5000);
-            assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + seed);
+            double tookMs = awaitVoters(cluster, 5, 5000);
+            assertTrue(tookMs < COMPLETE_WITHIN_MS, tookMs + " ms with seed " + seed);
             assertEquals(2, cluster.memberChanges);
         }
     }
 
-    /** Two of the founders lose their power: three of five remain, with two disks that came later. */
+    /** Two founders may fail: three of five remain, two of them with disks that were added later. */
     @Test
-    void theGrownCoreBearsTheLossOfAnyTwo() {
-        play(2, cluster -> {
+    void grownCoreToleratesFailureOfAnyTwo() {
+        forEachSeed(2, cluster -> {
             cluster.commitOne(100);
             List<Machine> all = new ArrayList<>(cluster.machines.values());
             int first = (int) (cluster.seed % all.size());
@@ -95,12 +97,12 @@
             cluster.commitOne(4000);
             all.get(first).startAsNewMember();
             all.get(second).start();
-            awaitVoters(cluster, 5, COMPLETE_WITHIN);
+            awaitVoters(cluster, 5, COMPLETE_WITHIN_MS);
         });
     }
 
     @Test
-    void aLoneNewcomerLearnsUntilThereAreTwo() {
+    void singleLearnerIsNotPromotedUntilThereAreTwo() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 3, 2);
             Machine learner = cluster.add("10.0.0.3:1");
@@ -109,61 +111,63 @@
             assertEquals(3, cluster.committedMembers.size());
             cluster.commitOne(100);
             cluster.run(200);
-            assertEquals(cluster.committed.size(), learner.applied, "it is fed");
+            assertEquals(cluster.committed.size(), learner.applied, "the learner is replicated to");
             cluster.add("10.0.0.4:1").startAsNewMember();
-            awaitVoters(cluster, 5, COMPLETE_WITHIN);
+            awaitVoters(cluster, 5, COMPLETE_WITHIN_MS);
         }
     }
 
     @Test
-    void aLearnerTakesTheLostOnesPlaceWithinTwoSeconds() {
-        play(2, cluster -> {
+    void learnerReplacesLostVoterWithinTwoSeconds() {
+        forEachSeed(2, cluster -> {
             Machine spare = cluster.add("10.0.1.1:1");
             spare.startAsNewMember();
             cluster.run(3000);
-            assertFalse(listed(cluster, spare));
+            assertFalse(isCommittedMember(cluster, spare));
             Machine lost = cluster.others(cluster.leader(), spare).get((int) (cluster.seed % 4));
             lost.kill(true);
-            double took = awaitVoters(cluster, 5, 4000);
-            assertTrue(took < 2000, took + " ms with seed " + cluster.seed);
-            assertTrue(listed(cluster, spare));
+            double tookMs = awaitVoters(cluster, 5, 4000);
+            assertTrue(tookMs < 2000, tookMs + " ms with seed " + cluster.seed);
+            assertTrue(isCommittedMember(cluster, spare));
         });
     }
 
-    /** One of three, or two of five, come back with empty disks; then as many others go. */
+    /** One of three machines, or two of five, return with empty disks; then as many others fail. */
     @Test
-    void theWipedAreReplacedAndAsManyMoreMayGoAtOnce() {
-        for (int losses = 1; losses <= 2; losses++) {
-            int stated = losses;
-            play(losses, cluster -> {
+    void toleratesFurtherFailuresAfterWipedMembersAreReplaced() {
+        for (int failures = 1; failures <= 2; failures++) {
+            int toleratedFailures = failures;
+            forEachSeed(failures, cluster -> {
                 cluster.commitOne(100);
-                List<Machine> hit = lost(cluster, stated);
-                hit.forEach(Machine::wipe);
+                List<Machine> wiped = machinesToFail(cluster, toleratedFailures);
+                wiped.forEach(Machine::wipe);
                 cluster.run(1000);
-                hit.forEach(Machine::startAsNewMember);
-                double took = awaitVoters(cluster, voters(stated), 5000);
-                assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + cluster.seed);
-                cluster.others(hit.toArray(Machine[]::new)).subList(0, stated).forEach(Machine::powerLoss);
+                wiped.forEach(Machine::startAsNewMember);
+                double tookMs = awaitVoters(cluster, voters(toleratedFailures), 5000);
+                assertTrue(tookMs < COMPLETE_WITHIN_MS, tookMs + " ms with seed " + cluster.seed);
+                cluster.others(wiped.toArray(Machine[]::new))
+                        .subList(0, toleratedFailures)
+                        .forEach(Machine::powerLoss);
                 cluster.commitOne(4000);
             });
         }
     }
 
-    /** The leader among them with every second seed. */
-    private static List<Machine> lost(SimulatedCluster cluster, int count) {
+    /** The machines that are to fail; they include the leader with every second seed. */
+    private static List<Machine> machinesToFail(SimulatedCluster cluster, int count) {
         Machine leader = cluster.leader();
         List<Machine> order = new ArrayList<>(cluster.others(leader));
         order.add((int) (cluster.seed % 2) * (order.size() - 1), leader);
         return order.subList(0, count);
     }
 
-    /** The same machine loses its disk again as soon as it is back in the list, or just before. */
+    /** The same machine loses its disk again about when it is a member again. */
     @Test
-    void aMemberWipedTwiceInARowComesBack() {
-        for (int losses = 1; losses <= 2; losses++) {
-            int stated = losses;
-            play(losses, cluster -> {
-                Machine hit = lost(cluster, 1).get(0);
+    void memberRejoinsAfterTwoWipes() {
+        for (int failures = 1; failures <= 2; failures++) {
+            int toleratedFailures = failures;
+            forEachSeed(failures, cluster -> {
+                Machine hit = machinesToFail(cluster, 1).get(0);
                 hit.wipe();
                 cluster.run(700);
                 hit.startAsNewMember();
@@ -171,25 +175,25 @@
                 hit.wipe();
                 cluster.run(700);
                 hit.startAsNewMember();
-                double took = awaitVoters(cluster, voters(stated), 5000);
-                assertTrue(took < COMPLETE_WITHIN, took + " ms with seed " + cluster.seed);
+                double tookMs = awaitVoters(cluster, voters(toleratedFailures), 5000);
+                assertTrue(tookMs < COMPLETE_WITHIN_MS, tookMs + " ms with seed " + cluster.seed);
                 cluster.commitOne(200);
             });
         }
     }
 
-    /** A newcomer dies at any moment while it takes a lost one's place, for good. */
+    /** A new member fails permanently at any moment while it replaces a lost one. */
     @Test
-    void aNewcomerThatDiesWhileItIsLetInEndsNothing() {
-        for (int losses = 1; losses <= 2; losses++) {
-            int stated = losses;
+    void survivesFailureOfNewMemberDuringReplacement() {
+        for (int failures = 1; failures <= 2; failures++) {
+            int toleratedFailures = failures;
             for (int step = 0; step < 60; step++) {
-                int moves = step;
-                SimulatedCluster cluster = new SimulatedCluster(step, 3, losses);
-                for (int i = 3; i < voters(stated); i++) {
+                int delaySteps = step;
+                SimulatedCluster cluster = new SimulatedCluster(step, 3, failures);
+                for (int i = 3; i < voters(toleratedFailures); i++) {
                     cluster.add("10.0.0." + i + ":1").startAsNewMember();
                 }
-                awaitVoters(cluster, voters(stated), 5000);
+                awaitVoters(cluster, voters(toleratedFailures), 5000);
                 Machine dead = cluster.others(cluster.leader()).get(0);
                 dead.kill(true);
                 Machine newcomer = cluster.add("10.0.1.1:1");
@@ -198,39 +202,39 @@
                 while (cluster.leader().raftStatus.members().contains(dead.self)) {
                     cluster.run(1);
                 }
-                cluster.run(moves * 0.2);
+                cluster.run(delaySteps * 0.2);
                 newcomer.kill(true);
                 cluster.commitOne(2500);
                 assertTrue(cluster.memberChanges > before);
                 Machine next = cluster.add("10.0.1.2:1");
                 next.startAsNewMember();
-                awaitVoters(cluster, voters(stated), 4000);
+                awaitVoters(cluster, voters(toleratedFailures), 4000);
             }
         }
     }
 
-    /** A machine goes for good and one at another address comes a second later; then another goes. */
+    /** A machine fails permanently, a machine at another address is added a second later, then other machines fail. */
     @Test
-    void afterAReplacementTheNextMayGoAtAnyMomentPastOnboarding() {
-        for (int losses = 1; losses <= 2; losses++) {
-            int stated = losses;
-            play(losses, cluster -> {
-                Machine gone = lost(cluster, 1).get(0);
-                gone.kill(true);
+    void toleratesFailuresAfterReplacementIsOnboarded() {
+        for (int failures = 1; failures <= 2; failures++) {
+            int toleratedFailures = failures;
+            forEachSeed(failures, cluster -> {
+                Machine failed = machinesToFail(cluster, 1).get(0);
+                failed.kill(true);
                 cluster.run(1000);
                 cluster.add("10.0.1.1:1").startAsNewMember();
                 cluster.run(4000 + cluster.seed * 50);
-                assertTrue(isFull(cluster, voters(stated)), cluster.describe());
-                cluster.machines.remove(gone.address);
-                lost(cluster, stated).forEach(Machine::powerLoss);
+                assertTrue(isComplete(cluster, voters(toleratedFailures)), cluster.describe());
+                cluster.machines.remove(failed.address);
+                machinesToFail(cluster, toleratedFailures).forEach(Machine::powerLoss);
                 cluster.commitOne(4000);
             });
         }
     }
 
-    /** In a core of five another may go while the first one is being replaced. */
+    /** In a core of five a second machine may fail while the first one is being replaced. */
     @Test
-    void aSecondLossOfFiveWhileTheFirstIsReplaced() {
+    void coreOfFiveToleratesSecondFailureDuringReplacement() {
         for (int step = 0; step < 80; step++) {
             SimulatedCluster cluster = new SimulatedCluster(step, 3, 2);
             cluster.add("10.0.0.3:1").startAsNewMember();
@@ -253,8 +257,8 @@
     }
 
     @Test
-    void theRemovedOneReturnsAsALearnerAndDisturbsNobody() {
-        play(2, cluster -> {
+    void removedMemberReturnsAsLearnerWithoutDisruption() {
+        forEachSeed(2, cluster -> {
             Machine away = cluster.others(cluster.leader()).get(0);
             away.kill(false);
             Machine newcomer = cluster.add("10.0.1.1:1");
@@ -271,12 +275,12 @@
         });
     }
 
-    /** All lose power when a change of the voters is appended, on some disks, or committed. */
+    /** All machines lose power when a membership change is appended, on some disks, or committed. */
     @Test
-    void aChangeOfVotersOutlivesOrIsUndoneByAJointLossOfPower() {
-        for (int losses = 1; losses <= 2; losses++) {
-            int stated = losses;
-            play(losses, cluster -> {
+    void membershipChangeIsCompletedOrUndoneAfterPowerLossOfAll() {
+        for (int failures = 1; failures <= 2; failures++) {
+            int toleratedFailures = failures;
+            forEachSeed(failures, cluster -> {
                 cluster.commitOne(100);
                 Machine hit = cluster.others(cluster.leader()).get(0);
                 hit.wipe();
@@ -291,28 +295,29 @@
                 cluster.run(cluster.seed * 0.3);
                 cluster.machines.values().forEach(Machine::powerLoss);
                 cluster.machines.values().forEach(Machine::start);
-                awaitVoters(cluster, voters(stated), 5000);
+                awaitVoters(cluster, voters(toleratedFailures), 5000);
                 cluster.commitOne(500);
             });
         }
     }
 
-    /** SIGTERM to a machine; the ms until it may end. */
-    private static double leave(SimulatedCluster cluster, Machine machine, double atMost) {
+    /** Sends SIGTERM to a machine; returns the time in ms until it is released. */
+    private static double leave(SimulatedCluster cluster, Machine machine, double timeoutMs) {
         double start = cluster.now;
         machine.raft.leave(machine.clock());
         while (!machine.released) {
-            assertTrue(cluster.now - start < atMost, "seed " + cluster.seed + ": not released\n" + cluster.describe());
+            assertTrue(
+                    cluster.now - start < timeoutMs, "seed " + cluster.seed + ": not released\n" + cluster.describe());
             cluster.run(1);
         }
         return cluster.now - start;
     }
 
-    /** A kill of the leader leaves the core without one for half a second at least. */
+    /** Without the transfer the core has no leader for at least half a second. */
     @Test
-    void aLeaderThatLeavesHandsOverAtOnce() {
-        for (int losses = 1; losses <= 2; losses++) {
-            play(losses, cluster -> {
+    void leavingLeaderTransfersLeadershipAtOnce() {
+        for (int failures = 1; failures <= 2; failures++) {
+            forEachSeed(failures, cluster -> {
                 cluster.commitOne(100);
                 Machine leader = cluster.leader();
                 leader.raft.leave(leader.clock());
@@ -326,12 +331,12 @@
         }
     }
 
-    /** The machine comes back with its disk: to change the voters for it would make the core weaker twice. */
+    /** The machine returns with its disk: replacing it would reduce the failure tolerance of the core twice. */
     @Test
-    void aRestartInOrderChangesNoVoters() {
-        play(1, cluster -> {
+    void rollingRestartChangesNoVoters() {
+        forEachSeed(1, cluster -> {
             List<Member> before = cluster.committedMembers;
-            // A new leader waits until all that may want the place have sent it a request.
+            // A new leader waits until all learners may have sent their join requests.
             cluster.run(500);
             for (Machine machine : List.copyOf(cluster.machines.values())) {
                 leave(cluster, machine, machine.leads() ? 600 : 100);
@@ -346,38 +351,38 @@
             Machine spare = cluster.add("10.0.1.1:1");
             spare.startAsNewMember();
             cluster.run(2000);
-            assertFalse(listed(cluster, spare), "nobody leaves any more");
+            assertFalse(isCommittedMember(cluster, spare), "no machine is leaving any more");
         });
     }
 
-    /** The new machine first, then SIGTERM of the old one, as operators replace a machine. */
+    /** Operators replace a machine by starting the new machine first, and then sending SIGTERM to the old one. */
     @Test
-    void whoLeavesEndsWhenItsSuccessorHasItsPlace() {
-        for (int losses = 1; losses <= 2; losses++) {
-            int stated = losses;
-            play(losses, cluster -> {
+    void leavingMemberIsReleasedOnceReplaced() {
+        for (int failures = 1; failures <= 2; failures++) {
+            int toleratedFailures = failures;
+            forEachSeed(failures, cluster -> {
                 cluster.commitOne(100);
-                Machine leaver = lost(cluster, 1).get(0);
+                Machine leaving = machinesToFail(cluster, 1).get(0);
                 Machine successor = cluster.add("10.0.1.1:1");
                 successor.startAsNewMember();
-                // By then it asks to be let in, and need not have caught up.
+                // By then the replacement has requested to join, and need not have caught up.
                 cluster.run(5 + cluster.seed * 20);
-                leave(cluster, leaver, 3000);
-                assertTrue(listed(cluster, successor), cluster.committedMembers.toString());
-                assertFalse(listed(cluster, leaver), cluster.committedMembers.toString());
-                assertEquals(voters(stated), cluster.committedMembers.size());
-                leaver.wipe();
-                cluster.machines.remove(leaver.address);
+                leave(cluster, leaving, 3000);
+                assertTrue(isCommittedMember(cluster, successor), cluster.committedMembers.toString());
+                assertFalse(isCommittedMember(cluster, leaving), cluster.committedMembers.toString());
+                assertEquals(voters(toleratedFailures), cluster.committedMembers.size());
+                leaving.wipe();
+                cluster.machines.remove(leaving.address);
                 cluster.awaitLeader();
-                lost(cluster, stated).forEach(Machine::powerLoss);
+                machinesToFail(cluster, toleratedFailures).forEach(Machine::powerLoss);
                 cluster.commitOne(4000);
             });
         }
     }
 
     @Test
-    void twoOfFiveLeaveTogetherForTwoOthers() {
-        play(2, cluster -> {
+    void twoOfFiveLeaveAndAreReplacedTogether() {
+        forEachSeed(2, cluster -> {
             cluster.commitOne(100);
             Machine leader = cluster.leader();
             Machine other = cluster.others(leader).get(0);
@@ -395,15 +400,15 @@
             other.wipe();
             cluster.machines.remove(other.address);
             awaitVoters(cluster, 5, 100);
-            voting(cluster).subList(0, 2).forEach(Machine::powerLoss);
+            voterMachines(cluster).subList(0, 2).forEach(Machine::powerLoss);
             cluster.commitOne(4000);
         });
     }
 
-    /** What only the leaver and one more have: it stays until the third has it too. */
+    /** The leaving member and one other have an entry: the member is not released until the third has it too. */
     @Test
-    void whoLeavesWaitsUntilThoseThatStayHaveWhatItHas() {
-        play(1, cluster -> {
+    void leavingMemberWaitsUntilRemainingMembersHaveItsEntries() {
+        forEachSeed(1, cluster -> {
             Machine leader = cluster.leader();
             Machine slow = cluster.others(leader).get((int) (cluster.seed / 2 % 2));
             slow.stall(1500);
@@ -411,35 +416,35 @@
             int committed = cluster.committed.size();
             Entry last = cluster.committed.get(committed - 1);
             assertFalse(slow.disk.contains(last.index(), last.term()));
-            Machine leaver = cluster.seed % 2 == 0
+            Machine leaving = cluster.seed % 2 == 0
                     ? leader
                     : cluster.others(leader, slow).get(0);
-            leaver.raft.leave(leaver.clock());
+            leaving.raft.leave(leaving.clock());
             cluster.run(1000);
-            assertFalse(leaver.released);
-            for (int i = 0; i < 2000 && !leaver.released; i++) {
+            assertFalse(leaving.released);
+            for (int i = 0; i < 2000 && !leaving.released; i++) {
                 cluster.run(1);
             }
-            assertTrue(leaver.released, cluster.describe());
-            for (Machine stays : cluster.others(leaver)) {
-                assertTrue(stays.disk.contains(last.index(), last.term()));
+            assertTrue(leaving.released, cluster.describe());
+            for (Machine remaining : cluster.others(leaving)) {
+                assertTrue(remaining.disk.contains(last.index(), last.term()));
             }
         });
     }
 
-    /** Nobody stays to whom anything could be left: nobody waits. */
+    /** If all machines leave, none of them waits for the others. */
     @Test
-    void aCoreThatIsStoppedAsAWholeStops() {
-        for (int losses = 1; losses <= 2; losses++) {
-            play(losses, cluster -> {
+    void allMembersAreReleasedWhenEntireCoreStops() {
+        for (int failures = 1; failures <= 2; failures++) {
+            forEachSeed(failures, cluster -> {
                 cluster.commitOne(100);
                 cluster.run(300);
-                cluster.machines.values().forEach(one -> one.raft.leave(one.clock()));
+                cluster.machines.values().forEach(machine -> machine.raft.leave(machine.clock()));
                 double start = cluster.now;
                 while (cluster.machines.values().stream().anyMatch(Machine::up)) {
                     cluster.machines.values().stream()
-                            .filter(one -> one.up() && one.released)
-                            .forEach(one -> one.kill(false));
+                            .filter(machine -> machine.up() && machine.released)
+                            .forEach(machine -> machine.kill(false));
                     assertTrue(cluster.now - start < 4000, cluster.describe());
                     cluster.run(1);
                 }
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeRandomTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeRandomTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
-/** Faults at random, several at a time; what must never break is checked by {@link SimulatedCluster} at each step. */
+/** Random concurrent faults; {@link SimulatedCluster} checks the safety properties at each event. */
 class RaftNodeRandomTest {
 
     private static final int SEEDS = Integer.getInteger("watermaster.seeds", 300);
-    private static final long FIRST = Long.getLong("watermaster.first", 1);
-    static final double LENGTH = 10_000;
+    private static final long FIRST_SEED = Long.getLong("watermaster.first", 1);
+    static final double DURATION_MS = 10_000;
 
     @Test
-    void nothingIsLostUnderRandomFaults() {
-        long begun = System.nanoTime();
-        // Each play has all its own, so that they may run beside each other.
-        long[] sums = LongStream.range(FIRST, FIRST + SEEDS)
+    void losesNothingUnderRandomFaults() {
+        long startedAt = System.nanoTime();
+        // The runs share no state, so they may run in parallel.
+        long[] sums = LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS)
                 .parallel()
                 .mapToObj(seed -> {
                     SimulatedCluster cluster = play(seed);
@@ -31,8 +31,8 @@
         long changes = sums[1];
         System.out.printf(
                 "watermaster: %d seeds, %d events, %d entries committed, %d changes of members, " + "%.1f s%n",
-                SEEDS, sums[2], commands, changes, (System.nanoTime() - begun) / 1e9);
-        assertTrue(commands > SEEDS * 100L, commands + " entries only: the faults leave no work to check");
+                SEEDS, sums[2], commands, changes, (System.nanoTime() - startedAt) / 1e9);
+        assertTrue(commands > SEEDS * 100L, commands + " entries only: the faults leave too few commits to check");
         assertTrue(changes > SEEDS, changes + " changes of members only");
     }
 
@@ -46,7 +46,7 @@
         double faultAt = 1500;
         int added = 0;
         try {
-            while (cluster.now < LENGTH) {
+            while (cluster.now < DURATION_MS) {
                 cluster.run(random.nextDouble() * 20);
                 for (Machine machine : List.copyOf(cluster.machines.values())) {
                     if (machine.leads()) {
@@ -72,41 +72,41 @@
 
     private static int fault(SimulatedCluster cluster, Random random, int added) {
         List<Machine> all = new ArrayList<>(cluster.machines.values());
-        Machine one = all.get(random.nextInt(all.size()));
+        Machine target = all.get(random.nextInt(all.size()));
         Machine leader = cluster.leader();
         if (leader != null && random.nextInt(3) == 0) {
-            one = leader;
+            target = leader;
         }
-        Machine hit = one;
+        Machine hit = target;
         Machine other = all.get(random.nextInt(all.size()));
-        double length = 50 + random.nextDouble() * random.nextInt(5000);
+        double durationMs = 50 + random.nextDouble() * random.nextInt(5000);
         switch (random.nextInt(11)) {
             case 0 -> {
                 cluster.cut(hit, other);
-                cluster.after(length, () -> cluster.cuts.remove(hit.address + ">" + other.address));
+                cluster.after(durationMs, () -> cluster.cuts.remove(hit.address + ">" + other.address));
             }
             case 1 -> {
                 cluster.cutOff(hit);
-                cluster.after(length, cluster.cuts::clear);
+                cluster.after(durationMs, cluster.cuts::clear);
             }
-            case 2, 3 -> hit.stall(length);
-            case 4, 5 -> restart(cluster, hit, length, random.nextBoolean());
+            case 2, 3 -> hit.stall(durationMs);
+            case 4, 5 -> restart(cluster, hit, durationMs, random.nextBoolean());
             case 6 ->
                 all.forEach(machine -> {
                     machine.powerLoss();
-                    cluster.after(random.nextDouble() * 300, () -> up(machine));
+                    cluster.after(random.nextDouble() * 300, () -> restartIfDown(machine));
                 });
             case 7, 8 -> {
                 if (cluster.isComplete() && hit.self != null) {
                     hit.wipe();
-                    cluster.after(length, hit::startAsNewMember);
+                    cluster.after(durationMs, hit::startAsNewMember);
                 }
             }
             case 9 -> {
                 if (added < 4 && cluster.isComplete()) {
                     hit.kill(true);
                     cluster.add("10.0.1." + added + ":1").startAsNewMember();
-                    cluster.after(length * 3, () -> up(hit));
+                    cluster.after(durationMs * 3, () -> restartIfDown(hit));
                     return 1;
                 }
             }
@@ -117,15 +117,15 @@
         return 0;
     }
 
-    private static void restart(SimulatedCluster cluster, Machine machine, double length, boolean power) {
+    private static void restart(SimulatedCluster cluster, Machine machine, double downMs, boolean losePower) {
         if (machine.up()) {
-            machine.kill(power);
-            cluster.after(length, () -> up(machine));
+            machine.kill(losePower);
+            cluster.after(downMs, () -> restartIfDown(machine));
         }
     }
 
-    /** Unless it was wiped meanwhile, and comes back as another. */
-    private static void up(Machine machine) {
+    /** Starts a machine, unless it was wiped in the meantime and will return as a new member. */
+    private static void restartIfDown(Machine machine) {
         if (!machine.up() && machine.disk.self != null) {
             machine.start();
         }
@@ -139,7 +139,7 @@
         cluster.longDelayRate = 0;
         for (Machine machine : cluster.machines.values()) {
             machine.stalledUntil = 0;
-            up(machine);
+            restartIfDown(machine);
             if (!machine.up()) {
                 machine.startAsNewMember();
             }
@@ -148,7 +148,7 @@
         cluster.commitOne(4000);
         cluster.run(2000);
         if (!cluster.isComplete()) {
-            throw new AssertionError("seed " + cluster.seed + ": not whole again, " + cluster.committedMembers + "\n"
+            throw new AssertionError("seed " + cluster.seed + ": not complete again, " + cluster.committedMembers + "\n"
                     + cluster.describe());
         }
         for (Member member : cluster.committedMembers) {
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
@@ -10,44 +10,46 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
-/** The losses that the core must bear, one by one, for a few seeds each. */
+/** Failures that the core must tolerate, each with several seeds. */
 class RaftNodeTest {
 
     private static final int SEEDS = 20;
 
-    private interface Play {
-        void on(SimulatedCluster cluster);
+    private interface Scenario {
+        void run(SimulatedCluster cluster);
     }
 
-    private static void play(Play play) {
+    private static void forEachSeed(Scenario scenario) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 3);
             cluster.awaitLeader();
-            play.on(cluster);
+            scenario.run(cluster);
         }
     }
 
-    private static boolean listed(SimulatedCluster cluster, Machine machine) {
+    private static boolean isCommittedMember(SimulatedCluster cluster, Machine machine) {
         return cluster.committedMembers.contains(machine.self);
     }
 
-    /** The clusters' own claim: it must not hold by mere want of a change of members. */
+    /**
+     * Checks the check of {@link SimulatedCluster} itself: it must not pass only because no membership change occurred.
+     */
     @Test
-    void aClusterDoesNotBearALeaderThatNeverWasAVoter() {
+    void simulatedClusterRejectsLeaderThatWasNeverAVoter() {
         SimulatedCluster cluster = new SimulatedCluster(1, 3);
         Machine newcomer = cluster.add("10.0.1.1:1");
         newcomer.startAsNewMember();
-        RaftStatus leads = new RaftStatus(RaftStatus.Role.LEADER, 1_000, newcomer.self, cluster.committedMembers);
-        assertThrows(AssertionError.class, () -> newcomer.onStatusChanged(leads));
+        RaftStatus leading = new RaftStatus(RaftStatus.Role.LEADER, 1_000, newcomer.self, cluster.committedMembers);
+        assertThrows(AssertionError.class, () -> newcomer.onStatusChanged(leading));
         Machine founder = cluster.machines.values().iterator().next();
         founder.onStatusChanged(new RaftStatus(RaftStatus.Role.LEADER, 1_001, founder.self, cluster.committedMembers));
     }
 
     @Test
-    void commitsInAFewMillisecondsAndTellsWhoLeads() {
-        play(cluster -> {
-            double took = cluster.commitOne(100);
-            assertTrue(took <= 10, took + " ms");
+    void commitsInAFewMillisecondsAndAllMembersKnowTheLeader() {
+        forEachSeed(cluster -> {
+            double tookMs = cluster.commitOne(100);
+            assertTrue(tookMs <= 10, tookMs + " ms");
             cluster.run(200);
             Machine leader = cluster.leader();
             for (Machine machine : cluster.machines.values()) {
@@ -58,8 +60,8 @@
     }
 
     @Test
-    void aQuietCoreKeepsItsLeader() {
-        play(cluster -> {
+    void keepsLeaderWithoutFaults() {
+        forEachSeed(cluster -> {
             long term = cluster.leader().raftStatus.term();
             cluster.run(20_000);
             assertEquals(term, cluster.leader().raftStatus.term());
@@ -67,8 +69,8 @@
     }
 
     @Test
-    void aCommitOutlivesAWipeRightAfterItAndTheOthersLossOfPower() {
-        play(cluster -> {
+    void commitSurvivesWipeOfOneDiskAndPowerLossOfTheOthers() {
+        forEachSeed(cluster -> {
             Machine leader = cluster.leader();
             Machine lagging = cluster.others(leader).get(0);
             lagging.stall(1000);
@@ -77,7 +79,7 @@
             while (cluster.committed.size() == before) {
                 cluster.run(0.1);
             }
-            // On two disks only; one of them is wiped now, and both others lose power.
+            // The entry is on two disks only; one of them is wiped now, and both other machines lose power.
             Machine wiped = cluster.seed % 2 == 0
                     ? leader
                     : cluster.others(leader, lagging).get(0);
@@ -91,18 +93,18 @@
             cluster.awaitLeader();
             cluster.commitOne(2000);
             cluster.run(6000);
-            assertTrue(listed(cluster, wiped), "the wiped one is let in again");
+            assertTrue(isCommittedMember(cluster, wiped), "the wiped machine is a member again");
             assertEquals(3, cluster.committedMembers.size());
             assertEquals(cluster.committed.size(), wiped.applied);
         });
     }
 
     @Test
-    void aWipedMemberDoesNotVoteBeforeItIsLetIn() {
-        play(cluster -> {
+    void wipedMemberDoesNotVoteBeforeItRejoins() {
+        forEachSeed(cluster -> {
             Machine leader = cluster.leader();
             List<Machine> others = cluster.others(leader);
-            // The second has nothing of what the first and the leader commit.
+            // The second follower lacks the entry that the first follower and the leader commit.
             cluster.cutOff(others.get(1));
             cluster.commitOne(100);
             int size = cluster.committed.size();
@@ -111,15 +113,15 @@
             others.get(0).startAsNewMember();
             cluster.cuts.clear();
             cluster.run(20_000);
-            assertEquals(size, cluster.committed.size(), "a wiped disk made up a majority");
+            assertEquals(size, cluster.committed.size(), "a wiped member counted towards a majority");
             leader.start();
             cluster.commitOne(5000);
         });
     }
 
     @Test
-    void anEmptyMachineElsewhereTakesTheDeadOnesPlace() {
-        play(cluster -> {
+    void newMachineReplacesDeadMember() {
+        forEachSeed(cluster -> {
             Machine dead = cluster.seed % 2 == 0
                     ? cluster.leader()
                     : cluster.others(cluster.leader()).get(0);
@@ -127,18 +129,18 @@
             Machine newcomer = cluster.add("10.0.1.1:1");
             newcomer.startAsNewMember();
             cluster.run(9000);
-            assertTrue(listed(cluster, newcomer));
-            assertFalse(listed(cluster, dead));
+            assertTrue(isCommittedMember(cluster, newcomer));
+            assertFalse(isCommittedMember(cluster, dead));
             cluster.commitOne(500);
-            // With it the core bears the loss of another.
+            // With the new member the core tolerates another failure.
             cluster.others(dead, newcomer).get(0).kill(true);
             cluster.commitOne(4000);
         });
     }
 
     @Test
-    void anEmptyMachineWaitsWhileAllAreThereAndTakesThePlaceOfOneThatIsLostLater() {
-        play(cluster -> {
+    void newMachineReplacesMemberThatFailsLater() {
+        forEachSeed(cluster -> {
             List<Member> before = cluster.committedMembers;
             Machine newcomer = cluster.add("10.0.1.1:1");
             newcomer.startAsNewMember();
@@ -149,13 +151,13 @@
             Machine dead = cluster.others(newcomer, cluster.leader()).get(0);
             dead.kill(true);
             cluster.run(5000);
-            assertTrue(listed(cluster, newcomer));
+            assertTrue(isCommittedMember(cluster, newcomer));
         });
     }
 
     @Test
-    void theDeadOneComesBackAndFindsThatItWasReplaced() {
-        play(cluster -> {
+    void replacedMemberReturnsAsOutsider() {
+        forEachSeed(cluster -> {
             Machine dead = cluster.others(cluster.leader()).get(0);
             dead.kill(false);
             Machine newcomer = cluster.add("10.0.1.1:1");
@@ -165,40 +167,40 @@
             dead.start();
             cluster.run(5000);
             assertEquals(RaftStatus.Role.OUTSIDER, dead.raftStatus.role());
-            assertEquals(term, cluster.leader().raftStatus.term(), "it disturbed the others");
+            assertEquals(term, cluster.leader().raftStatus.term(), "the returning machine disrupted the leader");
             newcomer.kill(true);
             cluster.run(6000);
-            assertTrue(listed(cluster, dead), "it takes the place of the next that is lost");
+            assertTrue(isCommittedMember(cluster, dead), "it replaces the next member that fails");
             assertEquals(RaftStatus.Role.FOLLOWER, dead.raftStatus.role());
         });
     }
 
     @Test
-    void aLeaderWhoseDiskStallsCommitsOnWithTheOthersDisks() {
-        play(cluster -> {
+    void commitsWithoutStalledLeaderDisk() {
+        forEachSeed(cluster -> {
             Machine leader = cluster.leader();
             leader.stall(5000);
             for (int i = 0; i < 160; i++) {
-                double took = cluster.commitOne(300);
-                assertTrue(took <= 60, took + " ms at " + i);
+                double tookMs = cluster.commitOne(300);
+                assertTrue(tookMs <= 60, tookMs + " ms at " + i);
                 cluster.run(20);
             }
-            assertTrue(cluster.leader() != leader, "it has handed over");
+            assertTrue(cluster.leader() != leader, "it has transferred its leadership");
             assertEquals(3, cluster.committedMembers.size());
         });
     }
 
     @Test
-    void aFollowerWhoseDiskStallsDelaysNobodyAndStaysAMember() {
-        play(cluster -> {
+    void stalledFollowerDiskDelaysNoCommitAndFollowerRemainsMember() {
+        forEachSeed(cluster -> {
             Machine follower = cluster.others(cluster.leader()).get(0);
             List<Member> before = cluster.committedMembers;
-            Machine waiting = cluster.add("10.0.1.1:1");
-            waiting.startAsNewMember();
+            Machine learner = cluster.add("10.0.1.1:1");
+            learner.startAsNewMember();
             follower.stall(6000);
             for (int i = 0; i < 200; i++) {
-                double took = cluster.commitOne(300);
-                assertTrue(took <= 10, took + " ms at " + i);
+                double tookMs = cluster.commitOne(300);
+                assertTrue(tookMs <= 10, tookMs + " ms at " + i);
                 cluster.run(20);
             }
             assertEquals(before, cluster.committedMembers);
@@ -208,8 +210,8 @@
     }
 
     @Test
-    void aLeaderThatCanHearButNotSpeakIsReplaced() {
-        play(cluster -> {
+    void replacesLeaderWhoseOutgoingMessagesAreLost() {
+        forEachSeed(cluster -> {
             Machine leader = cluster.leader();
             cluster.others(leader).forEach(other -> cluster.cut(leader, other));
             cluster.run(3000);
@@ -220,8 +222,8 @@
     }
 
     @Test
-    void aLeaderThatCanSpeakButNotHearIsReplaced() {
-        play(cluster -> {
+    void replacesLeaderWhoseIncomingMessagesAreLost() {
+        forEachSeed(cluster -> {
             Machine leader = cluster.leader();
             cluster.others(leader).forEach(other -> cluster.cut(other, leader));
             cluster.run(4000);
@@ -231,24 +233,24 @@
     }
 
     @Test
-    void aMemberThatHearsNothingDisturbsNobody() {
-        play(cluster -> {
+    void memberWithoutIncomingMessagesDoesNotDisruptLeader() {
+        forEachSeed(cluster -> {
             Machine leader = cluster.leader();
             long term = leader.raftStatus.term();
-            Machine deaf = cluster.others(leader).get(0);
-            cluster.others(deaf).forEach(other -> cluster.cut(other, deaf));
+            Machine isolated = cluster.others(leader).get(0);
+            cluster.others(isolated).forEach(other -> cluster.cut(other, isolated));
             cluster.run(5000);
             assertEquals(term, cluster.leader().raftStatus.term());
             cluster.cuts.clear();
             cluster.run(2000);
             assertEquals(term, cluster.leader().raftStatus.term());
-            assertEquals(cluster.committed.size(), deaf.applied);
+            assertEquals(cluster.committed.size(), isolated.applied);
         });
     }
 
     @Test
-    void aCutOffLeaderNeitherCommitsNorConfirms() {
-        play(cluster -> {
+    void isolatedLeaderNeitherCommitsNorConfirmsBarriers() {
+        forEachSeed(cluster -> {
             Machine leader = cluster.leader();
             cluster.cutOff(leader);
             leader.barrier();
@@ -268,8 +270,8 @@
     }
 
     @Test
-    void allLosePowerAtOnce() {
-        play(cluster -> {
+    void recoversAfterPowerLossOfAllMachines() {
+        forEachSeed(cluster -> {
             for (int i = 0; i < 30; i++) {
                 cluster.leader().propose();
                 cluster.run(0.5);
@@ -282,13 +284,13 @@
             assertTrue(cluster.now - start < 3000);
             assertTrue(cluster.committed.size() > size);
             cluster.run(500);
-            cluster.machines.values().forEach(one -> assertEquals(cluster.committed.size(), one.applied));
+            cluster.machines.values().forEach(machine -> assertEquals(cluster.committed.size(), machine.applied));
         });
     }
 
     @Test
-    void whoWasAwayForLongTakesASnapshot() {
-        play(cluster -> {
+    void returningMemberInstallsSnapshotAfterLongOutage() {
+        forEachSeed(cluster -> {
             Machine away = cluster.others(cluster.leader()).get(0);
             away.kill(false);
             for (int i = 0; i < 400; i++) {
@@ -303,19 +305,19 @@
     }
 
     @Test
-    void tooManyWaitingAreRefused() {
+    void rejectsProposalsBeyondUncommittedLimit() {
         SimulatedCluster cluster = new SimulatedCluster(1, 3);
         Machine leader = cluster.awaitLeader();
         cluster.cutOff(leader);
-        int taken = 0;
+        int accepted = 0;
         while (leader.propose()) {
-            taken++;
+            accepted++;
         }
-        assertEquals(RaftConfig.defaults().maxUncommittedEntries(), taken);
+        assertEquals(RaftConfig.defaults().maxUncommittedEntries(), accepted);
     }
 
     @Test
-    void fiveBearTwoLosses() {
+    void coreOfFiveToleratesTwoFailures() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimulatedCluster cluster = new SimulatedCluster(seed, 5);
             Machine leader = cluster.awaitLeader();
@@ -324,7 +326,7 @@
             cluster.commitOne(4000);
             leader.startAsNewMember();
             cluster.run(6000);
-            assertTrue(listed(cluster, leader));
+            assertTrue(isCommittedMember(cluster, leader));
             assertEquals(5, cluster.committedMembers.size());
         }
     }
--- a/src/test/java/sablehinge/controlplane/raft/SendWindowTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SendWindowTest.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** {@link SendWindow} and {@link RecentEntries}: what bounds them. */
+/** Limits of {@link SendWindow} and {@link RecentEntries}. */
 class SendWindowTest {
 
     private final SendWindow window = new SendWindow();
 
     @Test
-    void oneMessageMayAlwaysBeOnItsWayAndMoreUpToTheWindow() {
+    void permitsOneMessageOfAnySizeAndMoreUpToTheWindow() {
         assertTrue(window.isOpen());
         window.onSent(0, 1, 1, 10 * SendWindow.MAX_BYTES);
         assertFalse(window.isOpen());
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void manySmallMessagesAreBoundedToo() {
+    void limitsNumberOfSmallMessages() {
         for (int i = 1; i <= SendWindow.MAX_MESSAGES; i++) {
             assertTrue(window.isOpen());
             window.onSent(0, 1, i, 0);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theWindowFollowsTheLink() {
+    void adaptsWindowToResponseTime() {
         for (int i = 1; i <= 20; i++) {
             window.onSent(i, 1, i, 1);
             window.onAcknowledged(i + 450, i, 1);
@@ -57,16 +57,16 @@
     }
 
     @Test
-    void whatALaterRoundDoesNotFindIsLost() {
+    void discardsUnacknowledgedMessagesWhenLaterRoundIsSeen() {
         window.onSent(0, 7, 5, SendWindow.MAX_BYTES);
         window.onAcknowledged(10, 4, 7);
-        assertFalse(window.isOpen(), "it may be on its way");
+        assertFalse(window.isOpen(), "it may still be in flight");
         window.onAcknowledged(20, 4, 8);
         assertTrue(window.isEmpty());
     }
 
     @Test
-    void whatIsNotAnsweredIsGivenUpEverLater() {
+    void doublesTimeoutWhenNothingIsAcknowledged() {
         window.onSent(0, 1, 1, SendWindow.MAX_BYTES);
         window.expire(SendWindow.INITIAL_TIMEOUT_MS - 1);
         assertFalse(window.isEmpty());
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void recentEntriesAreBoundedByNumberAndBytes() {
+    void limitsRecentEntriesByNumberAndBytes() {
         RecentEntries recent = new RecentEntries();
         assertFalse(recent.contains(0));
         for (int i = 1; i <= RecentEntries.MAX_ENTRIES + 10; i++) {
--- a/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/SnapshotTransferTest.java
@@ -11,11 +11,11 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** {@link SnapshotSender} and {@link SnapshotReceiver}, step by step and through losses by chance. */
+/** {@link SnapshotSender} and {@link SnapshotReceiver}, step by step and with random message loss. */
 class SnapshotTransferTest {
 
     private static final List<Member> MEMBERS = List.of(Member.founder("a:1", "ca"));
-    private static final int CHUNK = SnapshotSender.INITIAL_CHUNK_BYTES;
+    private static final int CHUNK_BYTES = SnapshotSender.INITIAL_CHUNK_BYTES;
 
     private final SnapshotReceiver receiver = new SnapshotReceiver();
 
@@ -25,60 +25,60 @@
         return new Snapshot(index, 2, MEMBERS, state);
     }
 
-    private static void assertSame(Snapshot expected, Snapshot found) {
-        assertEquals(expected.index(), found.index());
-        assertEquals(expected.term(), found.term());
-        assertEquals(expected.members(), found.members());
-        assertArrayEquals(expected.state(), found.state());
+    private static void assertSame(Snapshot expected, Snapshot actual) {
+        assertEquals(expected.index(), actual.index());
+        assertEquals(expected.term(), actual.term());
+        assertEquals(expected.members(), actual.members());
+        assertArrayEquals(expected.state(), actual.state());
     }
 
     @Test
-    void aSmallOneGoesAsOneChunk() {
+    void sendsSmallSnapshotInOneChunk() {
         Snapshot small = snapshot(9, 100);
-        Message.InstallSnapshotRequest only = new SnapshotSender(small).nextChunk(0, 3, 1);
-        assertTrue(only.isComplete());
-        assertSame(small, receiver.receive(only));
+        Message.InstallSnapshotRequest request = new SnapshotSender(small).nextChunk(0, 3, 1);
+        assertTrue(request.isComplete());
+        assertSame(small, receiver.receive(request));
     }
 
     @Test
-    void theNextChunkLeavesWhenTheLastIsAnswered() {
-        Snapshot large = snapshot(9, 3 * CHUNK);
+    void sendsNextChunkAfterAcknowledgement() {
+        Snapshot large = snapshot(9, 3 * CHUNK_BYTES);
         SnapshotSender sender = new SnapshotSender(large);
         Message.InstallSnapshotRequest first = sender.nextChunk(0, 3, 1);
-        assertEquals(CHUNK, first.chunk().state().length);
+        assertEquals(CHUNK_BYTES, first.chunk().state().length);
         assertFalse(sender.isDue(1));
         assertNull(receiver.receive(first));
         assertTrue(sender.onAcknowledged(200, 9, receiver.receivedBytes(first)));
         assertTrue(sender.isDue(200));
         Message.InstallSnapshotRequest second = sender.nextChunk(200, 3, 1);
-        assertEquals(CHUNK, second.offset());
-        assertFalse(sender.onAcknowledged(210, 9, CHUNK), "an old answer is no news");
-        assertFalse(sender.onAcknowledged(210, 8, 2 * CHUNK), "of another snapshot");
-        assertFalse(sender.onAcknowledged(210, 9, 3 * CHUNK + 1), "more than there is");
+        assertEquals(CHUNK_BYTES, second.offset());
+        assertFalse(sender.onAcknowledged(210, 9, CHUNK_BYTES), "duplicate acknowledgement");
+        assertFalse(sender.onAcknowledged(210, 8, 2 * CHUNK_BYTES), "acknowledges another snapshot");
+        assertFalse(sender.onAcknowledged(210, 9, 3 * CHUNK_BYTES + 1), "beyond the end of the state");
         assertFalse(sender.isDue(210));
         assertNull(receiver.receive(second));
-        assertTrue(sender.onAcknowledged(400, 9, 2 * CHUNK));
+        assertTrue(sender.onAcknowledged(400, 9, 2 * CHUNK_BYTES));
         assertSame(large, receiver.receive(sender.nextChunk(400, 3, 1)));
     }
 
     @Test
-    void theSizeOfAChunkFollowsTheLink() {
+    void adaptsChunkSizeToResponseTime() {
         SnapshotSender sender = new SnapshotSender(snapshot(9, 40 * SnapshotSender.MAX_CHUNK_BYTES));
         double now = 0;
-        int held = 0;
+        int receivedBytes = 0;
         int largest = 0;
         for (int i = 0; i < 10; i++) {
             int sent = sender.nextChunk(now, 3, 1).chunk().state().length;
             largest = Math.max(largest, sent);
-            held += sent;
+            receivedBytes += sent;
             now += 1;
-            sender.onAcknowledged(now, 9, held);
+            sender.onAcknowledged(now, 9, receivedBytes);
         }
         assertEquals(SnapshotSender.MAX_CHUNK_BYTES, largest);
         for (int i = 0; i < 10; i++) {
-            held += sender.nextChunk(now, 3, 1).chunk().state().length;
+            receivedBytes += sender.nextChunk(now, 3, 1).chunk().state().length;
             now += 450;
-            sender.onAcknowledged(now, 9, held);
+            sender.onAcknowledged(now, 9, receivedBytes);
         }
         assertEquals(
                 SnapshotSender.MIN_CHUNK_BYTES,
@@ -86,14 +86,14 @@
     }
 
     @Test
-    void aLostChunkIsSentAgainSmallerAndEverLater() {
-        SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
+    void resendsLostChunkSmallerWithDoublingTimeout() {
+        SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK_BYTES));
         sender.nextChunk(0, 3, 1);
         assertFalse(sender.isDue(SnapshotSender.INITIAL_TIMEOUT_MS - 1));
         assertTrue(sender.isDue(SnapshotSender.INITIAL_TIMEOUT_MS));
-        Message.InstallSnapshotRequest again = sender.nextChunk(SnapshotSender.INITIAL_TIMEOUT_MS, 3, 1);
-        assertEquals(0, again.offset());
-        assertEquals(CHUNK / 2, again.chunk().state().length);
+        Message.InstallSnapshotRequest resent = sender.nextChunk(SnapshotSender.INITIAL_TIMEOUT_MS, 3, 1);
+        assertEquals(0, resent.offset());
+        assertEquals(CHUNK_BYTES / 2, resent.chunk().state().length);
         assertFalse(sender.isDue(3 * SnapshotSender.INITIAL_TIMEOUT_MS - 1));
         assertTrue(sender.isDue(3 * SnapshotSender.INITIAL_TIMEOUT_MS));
         double now = 0;
@@ -109,64 +109,64 @@
     }
 
     @Test
-    void whoAnswersALaterRoundAndSaysNothingOfAChunkHasNotGotIt() {
-        SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
+    void chunkCountsAsLostWhenLaterRoundIsAnsweredWithoutIt() {
+        SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK_BYTES));
         sender.nextChunk(0, 3, 7);
-        assertFalse(sender.onRoundSeen(7), "it may be on its way");
+        assertFalse(sender.onRoundSeen(7), "it may still be in flight");
         assertFalse(sender.isDue(1));
         assertTrue(sender.onRoundSeen(8));
         assertTrue(sender.isDue(1));
-        assertFalse(sender.onRoundSeen(9), "nothing is on its way");
+        assertFalse(sender.onRoundSeen(9), "nothing is in flight");
     }
 
     @Test
-    void whoLostWhatItHadGetsItFromThere() {
-        SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
+    void resumesAtLowerOffsetWhenReceiverLostItsPart() {
+        SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK_BYTES));
         sender.nextChunk(0, 3, 1);
-        sender.onAcknowledged(10, 9, CHUNK);
+        sender.onAcknowledged(10, 9, CHUNK_BYTES);
         Message.InstallSnapshotRequest second = sender.nextChunk(10, 3, 1);
         assertNull(receiver.receive(second));
-        assertEquals(0, receiver.receivedBytes(second), "the first is not here");
+        assertEquals(0, receiver.receivedBytes(second), "the first chunk is missing");
         assertTrue(sender.onAcknowledged(20, 9, 0));
         assertEquals(0, sender.nextChunk(20, 3, 1).offset());
     }
 
     @Test
-    void onlyOneOfWhichNothingIsHeldGivesWayToANewer() {
-        Snapshot newer = snapshot(19, 5 * CHUNK);
-        SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK));
+    void switchesToNewerSnapshotOnlyBeforeAnyPartIsReceived() {
+        Snapshot newer = snapshot(19, 5 * CHUNK_BYTES);
+        SnapshotSender sender = new SnapshotSender(snapshot(9, 3 * CHUNK_BYTES));
         sender.nextChunk(0, 3, 1);
         sender.switchTo(100, newer);
-        assertEquals(9, sender.index(), "the first chunk may be there");
+        assertEquals(9, sender.index(), "the first chunk may have arrived");
         sender.switchTo(SnapshotSender.INITIAL_TIMEOUT_MS, newer);
         assertEquals(19, sender.index());
         sender.nextChunk(600, 3, 1);
-        sender.onAcknowledged(700, 19, CHUNK / 2);
+        sender.onAcknowledged(700, 19, CHUNK_BYTES / 2);
         sender.switchTo(5000, snapshot(29, 10));
         assertEquals(19, sender.index());
     }
 
     @Test
-    void chunksOfAnotherLeaderOrSnapshotAreNotMixed() {
-        SnapshotSender of9 = new SnapshotSender(snapshot(9, 2 * CHUNK));
-        Snapshot second = snapshot(19, 2 * CHUNK);
+    void doesNotMixChunksOfDifferentSnapshotsOrLeaders() {
+        SnapshotSender of9 = new SnapshotSender(snapshot(9, 2 * CHUNK_BYTES));
+        Snapshot second = snapshot(19, 2 * CHUNK_BYTES);
         SnapshotSender of19 = new SnapshotSender(second);
         assertNull(receiver.receive(of9.nextChunk(0, 3, 1)));
-        Message.InstallSnapshotRequest other = of19.nextChunk(0, 3, 1);
-        assertNull(receiver.receive(other));
-        assertEquals(CHUNK, receiver.receivedBytes(other));
-        of9.onAcknowledged(1, 9, CHUNK);
-        assertNull(receiver.receive(of9.nextChunk(1, 3, 1)), "the beginning of 9 is gone");
+        Message.InstallSnapshotRequest ofSecond = of19.nextChunk(0, 3, 1);
+        assertNull(receiver.receive(ofSecond));
+        assertEquals(CHUNK_BYTES, receiver.receivedBytes(ofSecond));
+        of9.onAcknowledged(1, 9, CHUNK_BYTES);
+        assertNull(receiver.receive(of9.nextChunk(1, 3, 1)), "the first chunk of snapshot 9 was discarded");
         SnapshotSender later = new SnapshotSender(second);
         later.nextChunk(2, 4, 1);
-        later.onAcknowledged(2, 19, CHUNK);
+        later.onAcknowledged(2, 19, CHUNK_BYTES);
         Message.InstallSnapshotRequest ofLater = later.nextChunk(2, 4, 1);
-        assertNull(receiver.receive(ofLater), "of a leader of another term");
+        assertNull(receiver.receive(ofLater), "sent by a leader of another term");
         assertEquals(0, receiver.receivedBytes(ofLater));
     }
 
     @Test
-    void aLengthThatIsTooLargeOrDoesNotFitIsNotTaken() {
+    void rejectsChunksWithInvalidTotalSize() {
         Snapshot part = snapshot(9, 100);
         assertNull(receiver.receive(new Message.InstallSnapshotRequest(3, part, 0, SnapshotReceiver.MAX_BYTES + 1, 1)));
         assertNull(receiver.receive(new Message.InstallSnapshotRequest(3, part, 50, 140, 1)));
@@ -178,10 +178,10 @@
     }
 
     @Test
-    void itArrivesThroughLossesDoublingAndOvertaking() {
+    void completesTransferDespiteLossDuplicationAndReordering() {
         for (long seed = 1; seed <= 200; seed++) {
             Random random = new Random(seed);
-            Snapshot sent = snapshot(seed, 1 + random.nextInt(6 * CHUNK));
+            Snapshot sent = snapshot(seed, 1 + random.nextInt(6 * CHUNK_BYTES));
             assertSame(sent, transferred(sent, random));
         }
     }
@@ -189,16 +189,16 @@
     private static Snapshot transferred(Snapshot sent, Random random) {
         SnapshotSender sender = new SnapshotSender(sent);
         SnapshotReceiver receiver = new SnapshotReceiver();
-        List<Message.InstallSnapshotRequest> onTheWay = new ArrayList<>();
+        List<Message.InstallSnapshotRequest> inFlight = new ArrayList<>();
         for (double now = 0; now < 200_000; now += 50) {
             if (sender.isDue(now)) {
                 Message.InstallSnapshotRequest chunk = sender.nextChunk(now, 3, 1);
                 for (int copies = random.nextInt(3); copies > 0; copies--) {
-                    onTheWay.add(chunk);
+                    inFlight.add(chunk);
                 }
             }
-            if (!onTheWay.isEmpty() && random.nextBoolean()) {
-                Message.InstallSnapshotRequest chunk = onTheWay.remove(random.nextInt(onTheWay.size()));
+            if (!inFlight.isEmpty() && random.nextBoolean()) {
+                Message.InstallSnapshotRequest chunk = inFlight.remove(random.nextInt(inFlight.size()));
                 Snapshot complete = receiver.receive(chunk);
                 if (complete != null) {
                     return complete;
@@ -211,6 +211,6 @@
                 }
             }
         }
-        throw new AssertionError("not there after 200 s");
+        throw new AssertionError("transfer not complete after 200 s");
     }
 }
--- a/src/test/java/sablehinge/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/sablehinge/controlplane/state/ConfigurationStateTest.java
@@ -14,20 +14,20 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.controlplane.state.ConfigurationState.Outcome;
 
-/** What becomes of configurations as they are committed, and what of that outlives a snapshot. */
+/** Outcomes of committed commands, the history of accepted editions, and the encoded state. */
 class ConfigurationStateTest {
 
-    private static final long AT = 1_000;
+    private static final long PROPOSED_AT = 1_000;
     private final ConfigurationState configurations = new ConfigurationState();
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Outcome send(ConfigurationState to, long basedOn, long edition, String body) {
-        Outcome foreseen = to.evaluate(basedOn, edition, bytes(body));
-        Outcome outcome = to.apply(ConfigurationState.replace(basedOn, edition, bytes(body), AT + edition));
-        assertEquals(foreseen, outcome);
+    private static Outcome send(ConfigurationState state, long basedOn, long edition, String body) {
+        Outcome expected = state.evaluate(basedOn, edition, bytes(body));
+        Outcome outcome = state.apply(ConfigurationState.replace(basedOn, edition, bytes(body), PROPOSED_AT + edition));
+        assertEquals(expected, outcome);
         return outcome;
     }
 
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void ofTwoOnOneVersionTheFirstIsTakenAndTheOtherStale() {
+    void acceptsFirstOfTwoChangesOnSameBase() {
         assertEquals(Outcome.TAKEN, send(0, 3, "a"));
         assertEquals(Outcome.STALE, send(0, 5, "b"));
         assertEquals(3, configurations.edition());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void theSameEditionWithOtherBytesIsNoRepetition() {
+    void sameEditionWithDifferentBodyIsNotRepeated() {
         send(0, 3, "a");
         assertEquals(Outcome.STALE, send(0, 3, "b"));
         assertEquals(Outcome.OLD, send(3, 3, "b"));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aCallThatWasTakenIsRepeatedHoweverManyCameAfterIt() {
+    void acceptedChangeIsRepeatedAfterLaterChanges() {
         send(0, 3, "a");
         assertEquals(Outcome.REPEATED, send(0, 3, "a"));
         send(3, 8, "b");
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void whatWasRefusedIsNoRepetitionLater() {
+    void rejectedChangeIsNotRepeated() {
         send(0, 3, "a");
         assertEquals(Outcome.STALE, send(0, 5, "b"));
         assertEquals(Outcome.STALE, send(0, 5, "b"));
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void anEditionThatIsNotAboveTheCurrentOneIsOld() {
+    void editionNotAboveCurrentIsOld() {
         send(0, 6, "a");
         assertEquals(Outcome.OLD, send(6, 6, "b"));
         assertEquals(Outcome.OLD, send(6, 2, "b"));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aStateThatIsTakenOverIsTheSameInEachByteAndAnswersAlike() {
+    void restoredStateIsIdenticalAndGivesSameOutcomes() {
         send(0, 3, "a");
         send(3, 8, "bb");
         ConfigurationState other = new ConfigurationState();
@@ -94,22 +94,22 @@
     }
 
     @Test
-    void aSnapshotFromTheMiddleAndTheRestOfTheLogGiveTheSameAnswersAsTheWholeLog() {
+    void snapshotWithRemainingLogEqualsFullLog() {
         send(0, 3, "a");
         send(3, 8, "b");
         byte[] middle = configurations.state();
         send(8, 9, "c");
-        ConfigurationState later = new ConfigurationState();
-        later.restore(middle);
-        assertEquals(Outcome.TAKEN, send(later, 8, 9, "c"));
-        assertArrayEquals(configurations.state(), later.state());
-        assertEquals(Outcome.REPEATED, send(later, 0, 3, "a"));
-        assertEquals(Outcome.REPEATED, send(later, 3, 8, "b"));
-        assertEquals(Outcome.REPEATED, send(later, 8, 9, "c"));
+        ConfigurationState restored = new ConfigurationState();
+        restored.restore(middle);
+        assertEquals(Outcome.TAKEN, send(restored, 8, 9, "c"));
+        assertArrayEquals(configurations.state(), restored.state());
+        assertEquals(Outcome.REPEATED, send(restored, 0, 3, "a"));
+        assertEquals(Outcome.REPEATED, send(restored, 3, 8, "b"));
+        assertEquals(Outcome.REPEATED, send(restored, 8, 9, "c"));
     }
 
     @Test
-    void noBytesAreTheStateBeforeAnyConfiguration() {
+    void emptyStateIsStateBeforeAnyConfiguration() {
         send(0, 3, "a");
         configurations.restore(new byte[0]);
         assertEquals(0, configurations.edition());
@@ -118,26 +118,29 @@
     }
 
     @Test
-    void aStateThatIsCutShortOrOfAnotherFormatIsRefused() {
+    void rejectsTruncatedStateAndUnknownFormat() {
         send(0, 3, "a");
         byte[] state = configurations.state();
         for (int length = 1; length < state.length; length++) {
-            byte[] part = Arrays.copyOf(state, length);
-            assertThrows(RuntimeException.class, () -> new ConfigurationState().restore(part), "of " + length);
+            byte[] truncated = Arrays.copyOf(state, length);
+            assertThrows(
+                    RuntimeException.class,
+                    () -> new ConfigurationState().restore(truncated),
+                    "truncated to " + length);
         }
         state[0]++;
         assertThrows(IllegalArgumentException.class, () -> new ConfigurationState().restore(state));
     }
 
-    private static List<String> history(ConfigurationState of) {
+    private static List<String> history(ConfigurationState state) {
         List<String> history = new ArrayList<>();
-        of.read((edition, basedOn, at, length, digest) ->
-                history.add(edition + " on " + basedOn + " at " + at + ", " + length + " bytes"));
+        state.read((edition, basedOn, proposedAt, length, digest) ->
+                history.add(edition + " on " + basedOn + " at " + proposedAt + ", " + length + " bytes"));
         return history;
     }
 
     @Test
-    void editionsAreToldWithWhatTheyWereBasedOnAndWhenAlsoAfterASnapshot() {
+    void historyHasBaseAndTimeOfEachEditionAlsoAfterRestore() {
         send(0, 3, "a");
         send(0, 5, "refused");
         send(3, 8, "bb");
@@ -147,15 +150,15 @@
         assertEquals(List.of("3 on 0 at 1003, 1 bytes", "8 on 3 at 1008, 2 bytes"), history(other));
     }
 
-    /** What members of before wrote: a command without a time. */
+    /** Members of an older version write commands without a time. */
     @Test
-    void aCommandWithoutATimeIsRead() {
-        byte[] command = ConfigurationState.replace(0, 3, bytes("a"), AT);
+    void appliesCommandWithoutTime() {
+        byte[] command = ConfigurationState.replace(0, 3, bytes("a"), PROPOSED_AT);
         configurations.apply(Arrays.copyOf(command, command.length - Long.BYTES));
         assertEquals(List.of("3 on 0 at -1, 1 bytes"), history(configurations));
     }
 
-    /** FNV-1a of 64 bits over "a", and its hash: what the formats before the third kept of it. */
+    /** 64-bit FNV-1a hash of "a", which state formats 1 and 2 store with {@link Arrays#hashCode(byte[])}. */
     private static final long FNV_OF_A = 0xaf63dc4c8601ec8cL;
 
     private static byte[] stateOf(int format, int editions) throws IOException {
@@ -173,14 +176,14 @@
             out.writeInt(Arrays.hashCode(bytes("a")));
             if (format == 2) {
                 out.writeLong(edition - 1);
-                out.writeLong(AT);
+                out.writeLong(PROPOSED_AT);
             }
         }
         return bytes.toByteArray();
     }
 
     @Test
-    void aStateOfTheFirstFormatIsReadAndSaysNothingOfBasesAndTimes() throws IOException {
+    void readsFormat1WithUnknownBasesAndTimes() throws IOException {
         configurations.restore(stateOf(1, 1));
         assertEquals(List.of("3 on -1 at -1, 1 bytes"), history(configurations));
         assertEquals(Outcome.REPEATED, send(2, 3, "a"));
@@ -189,7 +192,7 @@
     }
 
     @Test
-    void aStateOfTheSecondFormatIsReadAndWrittenAsTheThird() throws IOException {
+    void readsFormat2AndWritesFormat3() throws IOException {
         configurations.restore(stateOf(2, 2));
         assertEquals(4, configurations.edition());
         assertEquals(Outcome.TAKEN, send(4, 6, "c"));
@@ -206,9 +209,9 @@
         assertEquals(Outcome.REPEATED, send(other, 4, 6, "c"));
     }
 
-    /** A state of before that is full may have dropped editions without saying so. */
+    /** A state of format 2 with a full history may have dropped editions without recording it. */
     @Test
-    void whatAFullStateOfBeforeMayHaveDroppedIsNotRefused() throws IOException {
+    void editionPossiblyDroppedByFullFormat2StateIsForgotten() throws IOException {
         configurations.restore(stateOf(2, 2_000));
         assertEquals(Outcome.FORGOTTEN, send(0, 2, "a"));
         assertEquals(Outcome.REPEATED, send(2, 3, "a"));
@@ -217,7 +220,7 @@
     }
 
     @Test
-    void aDigestTellsBodiesApartThatTheFormerChecksumsDidNot() {
+    void digestDistinguishesBodiesWithSameHashCode() {
         assertEquals(
                 "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb",
                 BodyDigest.of(bytes("a")).hex());
@@ -228,9 +231,9 @@
         assertEquals(Outcome.STALE, send(0, 3, "BB"));
     }
 
-    /** Else two changes on the version that follows could both be acknowledged, this one and a later one. */
+    /** Otherwise two changes on the following edition could both be acknowledged: this one and a restored one. */
     @Test
-    void theSameBodyOnAnotherBaseIsAnotherOrder() {
+    void sameBodyOnDifferentBaseIsDifferentChange() {
         send(0, 3, "a");
         assertEquals(Outcome.OLD, send(3, 3, "a"));
         send(3, 8, "b");
@@ -239,16 +242,16 @@
         assertEquals(Outcome.REPEATED, send(0, 3, "a"));
     }
 
-    /** A copy of it that comes late would be in force after it was refused. */
+    /** Otherwise a delayed duplicate could be accepted after the change was rejected. */
     @Test
-    void anOrderOnAVersionThatIsNotThereYetIsNotRefused() {
+    void changeOnFutureEditionIsAhead() {
         assertEquals(Outcome.AHEAD, send(3, 8, "b"));
         send(0, 3, "a");
         assertEquals(Outcome.TAKEN, send(3, 8, "b"));
     }
 
     @Test
-    void whatIsKeptOfTheEditionsOfThePastIsBoundedAndWhatWasDroppedIsNotRefused() {
+    void historyIsLimitedAndDroppedEditionsAreForgotten() {
         for (int i = 1; i <= 2_001; i++) {
             send(i - 1, i, "body");
         }
--- a/src/test/java/sablehinge/controlplane/state/RegistryTest.java
+++ b/src/test/java/sablehinge/controlplane/state/RegistryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.mesh.watch.Registration;
 
-/** What is known of who is there, and what is new. */
+/** Registration, expiry and change tracking of balancers. */
 class RegistryTest {
 
     private final Registry registry = new Registry(2_500, 1_000);
@@ -21,25 +21,25 @@
         return new Registration(node, "monza-a", "127.0.0.1:80", "huvo11a", upstream, ready, 4, warmUpMs);
     }
 
-    private static List<String> incarnations(List<Registration> registrations) {
+    private static List<String> upstreams(List<Registration> registrations) {
         return registrations.stream().map(Registration::upstream).toList();
     }
 
     @Test
-    void whoKnowsAllUpToAStampIsToldWhatCameAfterInItsOrder() {
+    void returnsChangesAfterStampInOrder() {
         assertTrue(registry.register(0, registration("a", "i-1", true, 0)));
         assertTrue(registry.register(0, registration("b", "i-2", true, 0)));
         assertTrue(registry.register(0, registration("c", "i-3", true, 0)));
         assertEquals(3, registry.stamp());
         assertTrue(registry.register(1, registration("a", "i-1", false, 0)));
-        assertEquals(List.of("i-3", "i-1"), incarnations(registry.since(2)));
+        assertEquals(List.of("i-3", "i-1"), upstreams(registry.since(2)));
         assertEquals(List.of(), registry.since(registry.stamp()));
-        assertEquals(List.of("i-2", "i-3", "i-1"), incarnations(registry.since(0)));
+        assertEquals(List.of("i-2", "i-3", "i-1"), upstreams(registry.since(0)));
     }
 
-    /** RULES, QUOTA: counted across all machines, whether in touch or not. */
+    /** A quota is counted across all machines, including those that are cut off. */
     @Test
-    void whoFallsSilentStillHasItsPartOfAQuotaAndWhoLeavesHasNot() {
+    void unresponsiveBalancerRetainsQuotaShareAndLeavingBalancerDoesNot() {
         registry.register(0, registration("a", "i-1", true, 0));
         registry.register(0, registration("b", "i-2", true, 0));
         registry.register(900, registration("c", "i-3", true, 0));
@@ -50,18 +50,18 @@
         assertEquals(1, registry.size());
         assertEquals(2, registry.quotaSharers(), "a may only be cut off");
         registry.register(1_500, registration("a", "", false, 0));
-        assertEquals(1, registry.quotaSharers(), "a has come back without an upstream");
+        assertEquals(1, registry.quotaSharers(), "a has returned without an upstream");
         registry.register(1_600, registration("a", "i-4", true, 0));
         registry.register(5_000, registration("c", "i-3", true, 0));
         registry.expire(5_500);
         assertEquals(2, registry.quotaSharers());
         registry.expire(5_601);
-        assertEquals(1, registry.quotaSharers(), "a is forgotten");
+        assertEquals(1, registry.quotaSharers(), "the entry of a was removed");
     }
 
-    /** Its process ends with its upstream, some moments after that has reported that it leaves. */
+    /** The process of a balancer ends with its upstream, shortly after the upstream has reported that it leaves. */
     @Test
-    void whoSaidThatItsUpstreamLeavesHasNoPartOnceItIsSilent() {
+    void balancerWithLeavingUpstreamLosesQuotaShareOnceUnresponsive() {
         registry.register(0, registration("a", "i-1", true, 0));
         registry.register(0, registration("b", "i-2", true, 0));
         registry.register(100, registration("b", "i-2", false, 0));
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void toBeToldTheSameOrOnlyToWarmUpIsNoNews() {
+    void repeatedRegistrationOrWarmUpProgressIsNoChange() {
         registry.register(0, registration("a", "i-1", true, 900));
         assertFalse(registry.register(1, registration("a", "i-1", true, 900)));
         assertFalse(registry.register(2, registration("a", "i-1", true, 100)));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void whoSaysNothingForLongHasNoUpstreamAndThatIsNews() {
+    void expiryRemovesUpstreamAndIsAChange() {
         registry.register(0, registration("a", "i-1", true, 0));
         registry.register(0, registration("b", "i-2", true, 0));
         registry.register(600, registration("b", "i-2", true, 0));
@@ -99,26 +99,26 @@
     }
 
     @Test
-    void whoIsLongGoneIsForgotten() {
+    void removesEntryLongAfterExpiry() {
         registry.register(0, registration("a", "i-1", true, 0));
         registry.expire(1_001);
         registry.expire(4_001);
         assertEquals(List.of(), registry.since(0));
     }
 
-    /** Else all who are reported would be gone as soon as a machine that was stopped goes on. */
+    /** Otherwise all balancers would expire as soon as a paused leader process resumes. */
     @Test
-    void aTimeInWhichTheKeeperItselfStoodStillIsNobodysSilence() {
+    void pauseOfOwnProcessDoesNotCountTowardsExpiry() {
         registry.register(0, registration("a", "i-1", true, 0));
         registry.register(500, registration("b", "i-2", true, 0));
         registry.processPaused(20_700, 20_000);
         assertFalse(registry.expire(20_900));
         assertTrue(registry.expire(21_050));
-        assertEquals(List.of("i-2", ""), incarnations(registry.since(0)));
+        assertEquals(List.of("i-2", ""), upstreams(registry.since(0)));
     }
 
     @Test
-    void itIsCompleteOnceAllWhoLiveHadTheTimeToTellAndIncompleteAgainWhenKeptAnew() {
+    void isCompleteAfterRegistrationTimeAndIncompleteAfterReset() {
         assertFalse(registry.isComplete(2_499));
         assertTrue(registry.isComplete(2_500));
         registry.register(2_500, registration("a", "i-1", true, 0));
