--- a/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
+++ b/src/main/java/sablehinge/controlplane/raft/PersistQueue.java
@@ -5,7 +5,10 @@
 import java.util.Deque;
 import java.util.List;
 
-/** Passes changes to the disk in batches, tracks what is synced, and holds back messages until their changes are. */
+/**
+ * Passes changes to the disk in batches, tracks what is synced, and delays messages until the changes that they depend
+ * on are synced.
+ */
 final class PersistQueue {
 
     /** Maximum number of outstanding batches; changes that arrive in the meantime are combined into the next batch. */
--- a/src/main/java/sablehinge/controlplane/raft/RaftNode.java
+++ b/src/main/java/sablehinge/controlplane/raft/RaftNode.java
@@ -78,8 +78,9 @@
         }
         state.queue.begin(state.log.lastIndex(), state.term);
         if (state.term > 0) {
-            // An answer of the previous process may have given a leader a lease, so the leader counts as heard from at
-            // the latest time at which the previous process can have answered.
+            // An answer of the previous process may have given a leader a lease. The start of this process, which is
+            // later
+            // than any such answer, therefore counts as the last contact with a leader.
             state.lastLeaderContactAt = processStartedAt;
         }
         activate(now);
@@ -167,9 +168,9 @@
     /**
      * Proposes a command.
      *
-     * @return the index of its entry, or 0 if this replica is not the leader, is leaving or has too many uncommitted
-     *     entries. The command is committed when {@link RaftActions#apply} receives an entry with that index and the
-     *     term of the proposal; an entry of another term at that index means that the command was lost
+     * @return the index of its entry, or 0 if this replica is not the leader, is leaving or has too many uncommitted or
+     *     unwritten entries. The command is committed when {@link RaftActions#apply} receives an entry with that index
+     *     and the term of the proposal; an entry of another term at that index means that the command was lost
      */
     public long propose(double now, byte[] command) {
         if (!state.running
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -39,9 +39,7 @@
         return 2 * failures + 1;
     }
 
-    /**
-     * Runs until there are so many committed voters, all on running machines; returns the time in ms that it tookMs.
-     */
+    /** Runs until there are so many committed voters, all on running machines; returns the time in ms that it took. */
     private static double awaitVoters(SimulatedCluster cluster, int count, double timeoutMs) {
         double start = cluster.now;
         while (!isComplete(cluster, count)) {
@@ -196,14 +194,14 @@
                 awaitVoters(cluster, voters(toleratedFailures), 5000);
                 Machine dead = cluster.others(cluster.leader()).get(0);
                 dead.kill(true);
-                Machine newcomer = cluster.add("10.0.1.1:1");
-                newcomer.startAsNewMember();
+                Machine newMember = cluster.add("10.0.1.1:1");
+                newMember.startAsNewMember();
                 long before = cluster.memberChanges;
                 while (cluster.leader().raftStatus.members().contains(dead.self)) {
                     cluster.run(1);
                 }
                 cluster.run(delaySteps * 0.2);
-                newcomer.kill(true);
+                newMember.kill(true);
                 cluster.commitOne(2500);
                 assertTrue(cluster.memberChanges > before);
                 Machine next = cluster.add("10.0.1.2:1");
@@ -261,8 +259,8 @@
         forEachSeed(2, cluster -> {
             Machine away = cluster.others(cluster.leader()).get(0);
             away.kill(false);
-            Machine newcomer = cluster.add("10.0.1.1:1");
-            newcomer.startAsNewMember();
+            Machine newMember = cluster.add("10.0.1.1:1");
+            newMember.startAsNewMember();
             awaitVoters(cluster, 5, 5000);
             long term = cluster.leader().raftStatus.term();
             away.start();
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
@@ -37,10 +37,10 @@
     @Test
     void simulatedClusterRejectsLeaderThatWasNeverAVoter() {
         SimulatedCluster cluster = new SimulatedCluster(1, 3);
-        Machine newcomer = cluster.add("10.0.1.1:1");
-        newcomer.startAsNewMember();
-        RaftStatus leading = new RaftStatus(RaftStatus.Role.LEADER, 1_000, newcomer.self, cluster.committedMembers);
-        assertThrows(AssertionError.class, () -> newcomer.onStatusChanged(leading));
+        Machine newMember = cluster.add("10.0.1.1:1");
+        newMember.startAsNewMember();
+        RaftStatus leading = new RaftStatus(RaftStatus.Role.LEADER, 1_000, newMember.self, cluster.committedMembers);
+        assertThrows(AssertionError.class, () -> newMember.onStatusChanged(leading));
         Machine founder = cluster.machines.values().iterator().next();
         founder.onStatusChanged(new RaftStatus(RaftStatus.Role.LEADER, 1_001, founder.self, cluster.committedMembers));
     }
@@ -126,14 +126,14 @@
                     ? cluster.leader()
                     : cluster.others(cluster.leader()).get(0);
             dead.kill(true);
-            Machine newcomer = cluster.add("10.0.1.1:1");
-            newcomer.startAsNewMember();
+            Machine newMember = cluster.add("10.0.1.1:1");
+            newMember.startAsNewMember();
             cluster.run(9000);
-            assertTrue(isCommittedMember(cluster, newcomer));
+            assertTrue(isCommittedMember(cluster, newMember));
             assertFalse(isCommittedMember(cluster, dead));
             cluster.commitOne(500);
             // With the new member the core tolerates another failure.
-            cluster.others(dead, newcomer).get(0).kill(true);
+            cluster.others(dead, newMember).get(0).kill(true);
             cluster.commitOne(4000);
         });
     }
@@ -142,16 +142,16 @@
     void newMachineReplacesMemberThatFailsLater() {
         forEachSeed(cluster -> {
             List<Member> before = cluster.committedMembers;
-            Machine newcomer = cluster.add("10.0.1.1:1");
-            newcomer.startAsNewMember();
+            Machine newMember = cluster.add("10.0.1.1:1");
+            newMember.startAsNewMember();
             cluster.run(8000);
             assertEquals(before, cluster.committedMembers);
-            assertEquals(RaftStatus.Role.OUTSIDER, newcomer.raftStatus.role());
-            assertEquals(cluster.leader().self, newcomer.raftStatus.leader());
-            Machine dead = cluster.others(newcomer, cluster.leader()).get(0);
+            assertEquals(RaftStatus.Role.OUTSIDER, newMember.raftStatus.role());
+            assertEquals(cluster.leader().self, newMember.raftStatus.leader());
+            Machine dead = cluster.others(newMember, cluster.leader()).get(0);
             dead.kill(true);
             cluster.run(5000);
-            assertTrue(isCommittedMember(cluster, newcomer));
+            assertTrue(isCommittedMember(cluster, newMember));
         });
     }
 
@@ -160,15 +160,15 @@
         forEachSeed(cluster -> {
             Machine dead = cluster.others(cluster.leader()).get(0);
             dead.kill(false);
-            Machine newcomer = cluster.add("10.0.1.1:1");
-            newcomer.startAsNewMember();
+            Machine newMember = cluster.add("10.0.1.1:1");
+            newMember.startAsNewMember();
             cluster.run(9000);
             long term = cluster.leader().raftStatus.term();
             dead.start();
             cluster.run(5000);
             assertEquals(RaftStatus.Role.OUTSIDER, dead.raftStatus.role());
             assertEquals(term, cluster.leader().raftStatus.term(), "the returning machine disrupted the leader");
-            newcomer.kill(true);
+            newMember.kill(true);
             cluster.run(6000);
             assertTrue(isCommittedMember(cluster, dead), "it replaces the next member that fails");
             assertEquals(RaftStatus.Role.FOLLOWER, dead.raftStatus.role());
--- a/src/test/java/sablehinge/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/sablehinge/controlplane/state/ConfigurationStateTest.java
@@ -231,7 +231,7 @@
         assertEquals(Outcome.STALE, send(0, 3, "BB"));
     }
 
-    /** Otherwise two changes on the following edition could both be acknowledged: this one and a restored one. */
+    /** Otherwise two changes on the following edition could both be acknowledged: this one and a later one. */
     @Test
     void sameBodyOnDifferentBaseIsDifferentChange() {
         send(0, 3, "a");
