--- a/src/test/java/sablehinge/controlplane/raft/CatchUpRandomTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpRandomTest.java
@@ -40,17 +40,17 @@
         Machine slow = all.get(random.nextInt(all.size()));
         double bytesPerMs = BYTES_PER_MS[random.nextInt(BYTES_PER_MS.length)];
         cluster.setBandwidth(slow, bytesPerMs);
-        Machine away = all.get(random.nextInt(all.size()));
-        cluster.after(random.nextDouble() * LOAD_MS / 2, () -> away.kill(random.nextBoolean()));
+        Machine downMember = all.get(random.nextInt(all.size()));
+        cluster.after(random.nextDouble() * LOAD_MS / 2, () -> downMember.kill(random.nextBoolean()));
         double end = cluster.now + LOAD_MS;
         while (cluster.now < end) {
             cluster.runWithLoad(random.nextDouble() * 1500, 8);
-            fault(cluster, all.get(random.nextInt(all.size())), away, random);
+            fault(cluster, all.get(random.nextInt(all.size())), downMember, random);
         }
-        recover(cluster, away, bytesPerMs);
+        recover(cluster, downMember, bytesPerMs);
     }
 
-    private static void fault(SlowLinkCluster cluster, Machine hit, Machine away, Random random) {
+    private static void fault(SlowLinkCluster cluster, Machine hit, Machine downMember, Random random) {
         double durationMs = 50 + random.nextDouble() * 1500;
         switch (random.nextInt(5)) {
             case 0 -> hit.stall(durationMs);
@@ -59,7 +59,7 @@
                 cluster.after(durationMs, cluster.cuts::clear);
             }
             case 2 -> {
-                if (hit != away && hit.up() && away.up()) {
+                if (hit != downMember && hit.up() && downMember.up()) {
                     hit.kill(random.nextBoolean());
                     cluster.after(durationMs, () -> start(hit));
                 }
@@ -74,14 +74,14 @@
         }
     }
 
-    private static void recover(SlowLinkCluster cluster, Machine away, double bytesPerMs) {
+    private static void recover(SlowLinkCluster cluster, Machine downMember, double bytesPerMs) {
         cluster.cuts.clear();
         cluster.lossRate = 0;
         for (Machine machine : cluster.machines.values()) {
             machine.stalledUntil = 0;
             start(machine);
         }
-        start(away);
+        start(downMember);
         int bodyBytes = cluster.claims.bodyBytes;
         // Entries in flight when the recovery starts may still be large, and their log is not compacted yet.
         double timeoutMs = RECOVERY_MS + 2.0 * bodyBytes * cluster.compactionInterval / bytesPerMs;
--- a/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
@@ -62,32 +62,32 @@
     @Test
     void returningFollowerCatchesUpOnSlowLinkDespiteFrequentCompaction() {
         SlowLinkCluster cluster = cluster(LARGE_BYTES);
-        Machine away = follower(cluster);
-        away.kill(true);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
         cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
-        cluster.setBandwidth(away, SLOW_BYTES_PER_MS / 10);
-        away.start();
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS / 10);
+        downMember.start();
         // The transfer of one state takes 4 s on its link; the log is compacted some ten times in the meantime.
         cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
-        assertTrue(away.applied > 100, "it has applied nothing after entry " + away.applied);
+        assertTrue(downMember.applied > 100, "it has applied nothing after entry " + downMember.applied);
         assertEquals(0, cluster.brokenConnections, "connections broke because too many bytes were waiting");
-        cluster.setBandwidth(away, SLOW_BYTES_PER_MS);
-        cluster.awaitCaughtUp(away, 8000);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS);
+        cluster.awaitCaughtUp(downMember, 8000);
     }
 
     @Test
     void finishesSnapshotTransferAlthoughLogIsCompactedAgain() {
         SlowLinkCluster cluster = cluster(LARGE_BYTES);
-        Machine away = follower(cluster);
-        away.kill(true);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
         cluster.runWithLoad(2000, CONCURRENT_CALLS);
-        cluster.setBandwidth(away, SLOW_BYTES_PER_MS / 10);
-        away.start();
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS / 10);
+        downMember.start();
         long before = cluster.snapshotBytes;
         double start = cluster.now;
-        while (away.applied == 0) {
+        while (downMember.applied == 0) {
             cluster.runWithLoad(100, CONCURRENT_CALLS);
-            cluster.check(cluster.now - start < 10_000, away, () -> "no snapshot installed within 10 s");
+            cluster.check(cluster.now - start < 10_000, downMember, () -> "no snapshot installed within 10 s");
         }
         long stateBytes = LARGE_BYTES + 100_000;
         assertTrue(
@@ -98,17 +98,17 @@
     @Test
     void heartbeatsPassBetweenSnapshotChunks() {
         SlowLinkCluster cluster = cluster(12_000_000);
-        Machine away = follower(cluster);
-        away.kill(true);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
         cluster.runWithLoad(500, 1);
         cluster.runAndCompact(500);
         cluster.leader().compact();
-        cluster.setBandwidth(away, SLOW_BYTES_PER_MS);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS);
         cluster.largestMessageBytes = 0;
         cluster.longestWaitMs = 0;
         long requested = cluster.votesRequested;
-        away.start();
-        cluster.awaitCaughtUp(away, 30_000);
+        downMember.start();
+        cluster.awaitCaughtUp(downMember, 30_000);
         assertTrue(cluster.largestMessageBytes < 1_100_000, "a message of " + cluster.largestMessageBytes + " bytes");
         assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms that a message waited for others");
         assertEquals(requested, cluster.votesRequested, "vote requests");
@@ -117,38 +117,38 @@
     @Test
     void restartsSnapshotTransferAfterReceiverLosesPower() {
         SlowLinkCluster cluster = cluster(LARGE_BYTES);
-        Machine away = follower(cluster);
-        away.kill(true);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
         cluster.runWithLoad(2000, CONCURRENT_CALLS);
-        cluster.setBandwidth(away, SLOW_BYTES_PER_MS / 2);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS / 2);
         for (int i = 1; i <= 20; i++) {
-            away.start();
+            downMember.start();
             cluster.runWithLoad(i * 40, 1);
-            away.powerLoss();
+            downMember.powerLoss();
         }
-        away.start();
-        cluster.awaitCaughtUp(away, 6000);
+        downMember.start();
+        cluster.awaitCaughtUp(downMember, 6000);
     }
 
     @Test
     void newLeaderSendsItsOwnSnapshotAfterLeaderEndsDuringTransfer() {
         SlowLinkCluster cluster = cluster(LARGE_BYTES);
-        Machine away = follower(cluster);
-        away.kill(true);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
         cluster.runWithLoad(2000, CONCURRENT_CALLS);
-        cluster.setBandwidth(away, SLOW_BYTES_PER_MS / 2);
-        away.start();
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS / 2);
+        downMember.start();
         cluster.runAndCompact(400);
         Machine first = cluster.leader();
         first.kill(true);
         // The follower on the slow link is needed for a majority.
-        Machine second = cluster.others(first, away).get(0);
+        Machine second = cluster.others(first, downMember).get(0);
         double start = cluster.now;
         while (!second.leads()) {
             cluster.runAndCompact(20);
             cluster.check(cluster.now - start < 5000, second, cluster::describe);
         }
-        cluster.awaitCaughtUp(away, 5000);
+        cluster.awaitCaughtUp(downMember, 5000);
         first.start();
         cluster.awaitCaughtUp(first, 5000);
     }
@@ -156,32 +156,32 @@
     @Test
     void sendsNoSnapshotAfterShortOutage() {
         SlowLinkCluster cluster = cluster(Long.BYTES);
-        Machine away = follower(cluster);
+        Machine downMember = follower(cluster);
         cluster.runWithLoad(1000, CONCURRENT_CALLS);
         cluster.runAndCompact(500);
         long before = cluster.snapshotMessages;
-        away.kill(true);
+        downMember.kill(true);
         long committedBefore = cluster.committed.size();
         cluster.runWithLoad(1000, CONCURRENT_CALLS);
         assertTrue(
                 cluster.committed.size() - committedBefore > 3 * cluster.compactionInterval, "the log was compacted");
-        away.start();
-        cluster.awaitCaughtUp(away, 1000);
+        downMember.start();
+        cluster.awaitCaughtUp(downMember, 1000);
         assertEquals(before, cluster.snapshotMessages, "snapshot messages");
     }
 
     @Test
     void sendsLatestSnapshotAtOnceAfterLongOutage() {
         SlowLinkCluster cluster = cluster(LARGE_BYTES);
-        Machine away = follower(cluster);
-        away.kill(true);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
         cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
         cluster.runAndCompact(1000);
         for (int i = 0; i < 20; i++) {
-            away.start();
+            downMember.start();
             // At most one heartbeat interval, and the transfer time of the state on a fast link.
-            cluster.awaitCaughtUp(away, 300);
-            away.kill(true);
+            cluster.awaitCaughtUp(downMember, 300);
+            downMember.kill(true);
             cluster.runWithLoad(1000, 2);
             cluster.runAndCompact(600 + 150 * i);
         }
@@ -190,27 +190,27 @@
     @Test
     void resumesSnapshotTransferAfterReceiverDiskStall() {
         SlowLinkCluster cluster = cluster(LARGE_BYTES);
-        Machine away = follower(cluster);
-        away.kill(true);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
         cluster.runWithLoad(2000, CONCURRENT_CALLS);
-        cluster.setBandwidth(away, SLOW_BYTES_PER_MS);
-        away.start();
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS);
+        downMember.start();
         cluster.runAndCompact(150);
-        away.stall(LOAD_MS);
+        downMember.stall(LOAD_MS);
         cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
         assertEquals(0, cluster.brokenConnections, "connections broke because too many bytes were waiting");
-        cluster.awaitCaughtUp(away, 5000);
+        cluster.awaitCaughtUp(downMember, 5000);
     }
 
     @Test
     void catchesUpDespiteMessageLoss() {
         SlowLinkCluster cluster = cluster(LARGE_BYTES);
-        Machine away = follower(cluster);
-        away.kill(true);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
         cluster.runWithLoad(2000, CONCURRENT_CALLS);
-        cluster.setBandwidth(away, SLOW_BYTES_PER_MS);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS);
         cluster.lossRate = 0.2;
-        away.start();
+        downMember.start();
         cluster.runWithLoad(3000, 2);
         for (Machine machine : cluster.machines.values()) {
             cluster.awaitCaughtUp(machine, 15_000);
--- a/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/QuorumTest.java
@@ -248,9 +248,9 @@
         SteppedCluster cluster = player.cluster;
         player.elect();
         int leader = player.leader();
-        int away = (leader + 1) % 3;
+        int isolated = (leader + 1) % 3;
         int lost = (leader + 2) % 3;
-        player.ways(Step.Kind.CUT, away);
+        player.ways(Step.Kind.CUT, isolated);
         for (int i = 0; i < 17; i++) {
             player.take(Step.pass(100));
             player.flow();
@@ -265,7 +265,7 @@
         assertTrue(cluster.isBeyond(), "two of three were lost at once");
         player.elect();
         assertTrue(cluster.committedMembers.contains(cluster.machine(lost).self), cluster.line());
-        assertTrue(cluster.committedMembers.contains(cluster.machine(away).self), cluster.line());
+        assertTrue(cluster.committedMembers.contains(cluster.machine(isolated).self), cluster.line());
     }
 
     /** Answers to a round confirm only the change for which it was started, not the same change at a later time. */
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeMembershipTest.java
@@ -257,19 +257,19 @@
     @Test
     void removedMemberReturnsAsLearnerWithoutDisruption() {
         forEachSeed(2, cluster -> {
-            Machine away = cluster.others(cluster.leader()).get(0);
-            away.kill(false);
+            Machine downMember = cluster.others(cluster.leader()).get(0);
+            downMember.kill(false);
             Machine newMember = cluster.add("10.0.1.1:1");
             newMember.startAsNewMember();
             awaitVoters(cluster, 5, 5000);
             long term = cluster.leader().raftStatus.term();
-            away.start();
+            downMember.start();
             cluster.run(5000);
-            assertEquals(RaftStatus.Role.OUTSIDER, away.raftStatus.role());
+            assertEquals(RaftStatus.Role.OUTSIDER, downMember.raftStatus.role());
             assertEquals(term, cluster.leader().raftStatus.term());
             cluster.commitOne(100);
             cluster.run(200);
-            assertEquals(cluster.committed.size(), away.applied);
+            assertEquals(cluster.committed.size(), downMember.applied);
         });
     }
 
--- a/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/RaftNodeTest.java
@@ -291,16 +291,16 @@
     @Test
     void returningMemberInstallsSnapshotAfterLongOutage() {
         forEachSeed(cluster -> {
-            Machine away = cluster.others(cluster.leader()).get(0);
-            away.kill(false);
+            Machine downMember = cluster.others(cluster.leader()).get(0);
+            downMember.kill(false);
             for (int i = 0; i < 400; i++) {
                 cluster.leader().propose();
                 cluster.run(2);
             }
             cluster.run(100);
-            away.start();
+            downMember.start();
             cluster.run(2000);
-            assertEquals(cluster.committed.size(), away.applied);
+            assertEquals(cluster.committed.size(), downMember.applied);
         });
     }
 
