--- a/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
+++ b/src/test/java/sablehinge/controlplane/raft/CatchUpTest.java
@@ -7,17 +7,17 @@
 import sablehinge.controlplane.raft.SimulatedCluster.Machine;
 
 /**
- * Storms of large orders, logs that are cut all the time, slow links and members that were away: in calm, each member
- * has all that was committed after a bounded time.
+ * Load of large configurations, frequent compaction, slow links and members that were down: once the load ends, each
+ * member has all committed entries within a bounded time.
  */
 class CatchUpTest {
 
-    private static final int LARGE = 400_000;
-    /** Bytes per ms: 1 MB/s. */
-    private static final double SLOW = 1_000;
+    private static final int LARGE_BYTES = 400_000;
+    /** 1 MB/s. */
+    private static final double SLOW_BYTES_PER_MS = 1_000;
 
-    private static final double STORM = 10_000;
-    private static final int ORDERS = 8;
+    private static final double LOAD_MS = 10_000;
+    private static final int CONCURRENT_CALLS = 8;
 
     private static SlowLinkCluster cluster(int bodyBytes) {
         SlowLinkCluster cluster = new SlowLinkCluster(1, 3);
@@ -31,188 +31,189 @@
     }
 
     @Test
-    void whoIsOnASlowLinkCatchesUpAfterAStormAndHearsTheLeaderInIt() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void slowFollowerStaysInContactUnderLoadAndCatchesUpAfterwards() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine slow = follower(cluster);
-        cluster.slow(slow, SLOW);
+        cluster.setBandwidth(slow, SLOW_BYTES_PER_MS);
         long requested = cluster.votesRequested;
-        cluster.storm(STORM, ORDERS);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
         assertTrue(cluster.committed.size() > 100, cluster.committed.size() + " entries");
-        assertEquals(0, cluster.broken, "connections broke as too much waited");
-        assertTrue(cluster.longestWait < 1000, cluster.longestWait + " ms a message waited for others");
-        assertEquals(0, cluster.votesRequested - requested, "questions for votes");
-        double took = cluster.catchUp(slow, 3000);
-        System.out.printf("slow link: longest wait %.0f ms, caught up after %.0f ms%n", cluster.longestWait, took);
+        assertEquals(0, cluster.brokenConnections, "connections broke because too many bytes were waiting");
+        assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms that a message waited for others");
+        assertEquals(0, cluster.votesRequested - requested, "vote requests");
+        double tookMs = cluster.awaitCaughtUp(slow, 3000);
+        System.out.printf("slow link: longest wait %.0f ms, caught up after %.0f ms%n", cluster.longestWaitMs, tookMs);
     }
 
     @Test
-    void aCoreOnSlowLinksKeepsItsLeader() {
-        SlowLinkCluster cluster = cluster(LARGE);
+    void keepsLeaderOnSlowLinksUnderLoad() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
         Machine leader = cluster.leader();
-        cluster.machines.values().forEach(machine -> cluster.slow(machine, SLOW));
+        cluster.machines.values().forEach(machine -> cluster.setBandwidth(machine, SLOW_BYTES_PER_MS));
         long term = leader.raftStatus.term();
-        cluster.storm(STORM, ORDERS);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
         assertEquals(term, cluster.leader().raftStatus.term());
         assertTrue(cluster.committed.size() > 12, cluster.committed.size() + " entries");
         for (Machine machine : cluster.others(leader)) {
-            cluster.catchUp(machine, 5000);
+            cluster.awaitCaughtUp(machine, 5000);
         }
     }
 
     @Test
-    void whoWasAwayForTheWholeStormCatchesUpOnASlowLinkWhileTheLogIsCut() {
-        SlowLinkCluster cluster = cluster(LARGE);
-        Machine away = follower(cluster);
-        away.kill(true);
-        cluster.storm(STORM, ORDERS);
-        cluster.slow(away, SLOW / 10);
-        away.start();
-        // One state takes 4 s on its link; the log is cut some ten times meanwhile.
-        cluster.storm(STORM, ORDERS);
-        assertTrue(away.applied > 100, "it has nothing newer than entry " + away.applied);
-        assertEquals(0, cluster.broken, "connections broke as too much waited");
-        cluster.slow(away, SLOW);
-        cluster.catchUp(away, 8000);
+    void returningFollowerCatchesUpOnSlowLinkDespiteFrequentCompaction() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS / 10);
+        downMember.start();
+        // The transfer of one state takes 4 s on its link; the log is compacted some ten times in the meantime.
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
+        assertTrue(downMember.applied > 100, "it has applied nothing after entry " + downMember.applied);
+        assertEquals(0, cluster.brokenConnections, "connections broke because too many bytes were waiting");
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS);
+        cluster.awaitCaughtUp(downMember, 8000);
     }
 
     @Test
-    void aSnapshotUnderWayIsFinishedThoughTheLogIsCutAgain() {
-        SlowLinkCluster cluster = cluster(LARGE);
-        Machine away = follower(cluster);
-        away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW / 10);
-        away.start();
+    void finishesSnapshotTransferAlthoughLogIsCompactedAgain() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS / 10);
+        downMember.start();
         long before = cluster.snapshotBytes;
         double start = cluster.now;
-        while (away.applied == 0) {
-            cluster.storm(100, ORDERS);
-            cluster.check(cluster.now - start < 10_000, away, () -> "no snapshot for 10 s");
+        while (downMember.applied == 0) {
+            cluster.runWithLoad(100, CONCURRENT_CALLS);
+            cluster.check(cluster.now - start < 10_000, downMember, () -> "no snapshot installed within 10 s");
         }
-        long state = LARGE + 100_000;
+        long stateBytes = LARGE_BYTES + 100_000;
         assertTrue(
-                cluster.snapshotBytes - before < 2 * state,
-                cluster.snapshotBytes - before + " bytes sent for a state of " + state);
+                cluster.snapshotBytes - before < 2 * stateBytes,
+                cluster.snapshotBytes - before + " bytes sent for a state of " + stateBytes);
     }
 
     @Test
-    void aSnapshotIsSentInPartsThatLetHeartbeatsThrough() {
+    void heartbeatsPassBetweenSnapshotChunks() {
         SlowLinkCluster cluster = cluster(12_000_000);
-        Machine away = follower(cluster);
-        away.kill(true);
-        cluster.storm(500, 1);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
+        cluster.runWithLoad(500, 1);
         cluster.runAndCompact(500);
         cluster.leader().compact();
-        cluster.slow(away, SLOW);
-        cluster.largest = 0;
-        cluster.longestWait = 0;
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS);
+        cluster.largestMessageBytes = 0;
+        cluster.longestWaitMs = 0;
         long requested = cluster.votesRequested;
-        away.start();
-        cluster.catchUp(away, 30_000);
-        assertTrue(cluster.largest < 1_100_000, "a message of " + cluster.largest + " bytes");
-        assertTrue(cluster.longestWait < 1000, cluster.longestWait + " ms a message waited for others");
-        assertEquals(requested, cluster.votesRequested, "questions for votes");
+        downMember.start();
+        cluster.awaitCaughtUp(downMember, 30_000);
+        assertTrue(cluster.largestMessageBytes < 1_100_000, "a message of " + cluster.largestMessageBytes + " bytes");
+        assertTrue(cluster.longestWaitMs < 1000, cluster.longestWaitMs + " ms that a message waited for others");
+        assertEquals(requested, cluster.votesRequested, "vote requests");
     }
 
     @Test
-    void whoLosesPowerAmidASnapshotGetsItFromTheStart() {
-        SlowLinkCluster cluster = cluster(LARGE);
-        Machine away = follower(cluster);
-        away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW / 2);
+    void restartsSnapshotTransferAfterReceiverLosesPower() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS / 2);
         for (int i = 1; i <= 20; i++) {
-            away.start();
-            cluster.storm(i * 40, 1);
-            away.powerLoss();
+            downMember.start();
+            cluster.runWithLoad(i * 40, 1);
+            downMember.powerLoss();
         }
-        away.start();
-        cluster.catchUp(away, 6000);
+        downMember.start();
+        cluster.awaitCaughtUp(downMember, 6000);
     }
 
     @Test
-    void aLeaderThatEndsAmidASnapshotIsFollowedByOneThatSendsItsOwn() {
-        SlowLinkCluster cluster = cluster(LARGE);
-        Machine away = follower(cluster);
-        away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW / 2);
-        away.start();
+    void newLeaderSendsItsOwnSnapshotAfterLeaderEndsDuringTransfer() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS / 2);
+        downMember.start();
         cluster.runAndCompact(400);
         Machine first = cluster.leader();
         first.kill(true);
-        // Only with the one on the slow link is there a majority.
-        Machine second = cluster.others(first, away).get(0);
+        // The follower on the slow link is needed for a majority.
+        Machine second = cluster.others(first, downMember).get(0);
         double start = cluster.now;
         while (!second.leads()) {
             cluster.runAndCompact(20);
             cluster.check(cluster.now - start < 5000, second, cluster::describe);
         }
-        cluster.catchUp(away, 5000);
+        cluster.awaitCaughtUp(downMember, 5000);
         first.start();
-        cluster.catchUp(first, 5000);
+        cluster.awaitCaughtUp(first, 5000);
     }
 
     @Test
-    void whoWasAwayForAMomentNeedsNoSnapshot() {
+    void sendsNoSnapshotAfterShortOutage() {
         SlowLinkCluster cluster = cluster(Long.BYTES);
-        Machine away = follower(cluster);
-        cluster.storm(1000, ORDERS);
+        Machine downMember = follower(cluster);
+        cluster.runWithLoad(1000, CONCURRENT_CALLS);
         cluster.runAndCompact(500);
         long before = cluster.snapshotMessages;
-        away.kill(true);
-        long gone = cluster.committed.size();
-        cluster.storm(1000, ORDERS);
-        assertTrue(cluster.committed.size() - gone > 3 * cluster.compactsEvery, "the log was cut");
-        away.start();
-        cluster.catchUp(away, 1000);
-        assertEquals(before, cluster.snapshotMessages, "messages of snapshots");
+        downMember.kill(true);
+        long committedBefore = cluster.committed.size();
+        cluster.runWithLoad(1000, CONCURRENT_CALLS);
+        assertTrue(
+                cluster.committed.size() - committedBefore > 3 * cluster.compactionInterval, "the log was compacted");
+        downMember.start();
+        cluster.awaitCaughtUp(downMember, 1000);
+        assertEquals(before, cluster.snapshotMessages, "snapshot messages");
     }
 
     @Test
-    void whoComesBackAfterLongIsSentTheNewestStateAtOnce() {
-        SlowLinkCluster cluster = cluster(LARGE);
-        Machine away = follower(cluster);
-        away.kill(true);
-        cluster.storm(STORM, ORDERS);
+    void sendsLatestSnapshotAtOnceAfterLongOutage() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
         cluster.runAndCompact(1000);
         for (int i = 0; i < 20; i++) {
-            away.start();
-            // At most a heartbeat, and the time that the state takes on a fast link.
-            cluster.catchUp(away, 300);
-            away.kill(true);
-            cluster.storm(1000, 2);
+            downMember.start();
+            // At most one heartbeat interval, and the transfer time of the state on a fast link.
+            cluster.awaitCaughtUp(downMember, 300);
+            downMember.kill(true);
+            cluster.runWithLoad(1000, 2);
             cluster.runAndCompact(600 + 150 * i);
         }
     }
 
     @Test
-    void whoseDiskHangsAmidASnapshotGoesOnWhenItAnswers() {
-        SlowLinkCluster cluster = cluster(LARGE);
-        Machine away = follower(cluster);
-        away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW);
-        away.start();
+    void resumesSnapshotTransferAfterReceiverDiskStall() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS);
+        downMember.start();
         cluster.runAndCompact(150);
-        away.stall(STORM);
-        cluster.storm(STORM, ORDERS);
-        assertEquals(0, cluster.broken, "connections broke as too much waited");
-        cluster.catchUp(away, 5000);
+        downMember.stall(LOAD_MS);
+        cluster.runWithLoad(LOAD_MS, CONCURRENT_CALLS);
+        assertEquals(0, cluster.brokenConnections, "connections broke because too many bytes were waiting");
+        cluster.awaitCaughtUp(downMember, 5000);
     }
 
     @Test
-    void lostMessagesDelayButDoNotStop() {
-        SlowLinkCluster cluster = cluster(LARGE);
-        Machine away = follower(cluster);
-        away.kill(true);
-        cluster.storm(2000, ORDERS);
-        cluster.slow(away, SLOW);
-        cluster.loss = 0.2;
-        away.start();
-        cluster.storm(3000, 2);
+    void catchesUpDespiteMessageLoss() {
+        SlowLinkCluster cluster = cluster(LARGE_BYTES);
+        Machine downMember = follower(cluster);
+        downMember.kill(true);
+        cluster.runWithLoad(2000, CONCURRENT_CALLS);
+        cluster.setBandwidth(downMember, SLOW_BYTES_PER_MS);
+        cluster.lossRate = 0.2;
+        downMember.start();
+        cluster.runWithLoad(3000, 2);
         for (Machine machine : cluster.machines.values()) {
-            cluster.catchUp(machine, 15_000);
+            cluster.awaitCaughtUp(machine, 15_000);
         }
     }
 }
