--- a/src/main/java/sablehinge/controlplane/node/ControlStatus.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -149,7 +149,7 @@
         List<MeshSingletonRoles.Pool> pools = new ArrayList<>();
         for (Pool.Line line : pool.lines(now)) {
             pools.add(new MeshSingletonRoles.Pool(
-                    line.tenant(), line.quota().perSecond(), line.quota().burst(), line.left()));
+                    line.tenant(), line.quota().perSecond(), line.quota().burst(), line.available()));
         }
         return new MeshSingletonRoles(
                 node,
--- a/src/main/java/sablehinge/mesh/failuredetection/Health.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Health.java
@@ -1,23 +1,23 @@
 package sablehinge.mesh.failuredetection;
 
-/** What is known of a balancer, by all who listen to it. */
+/** A balancer's health as seen by the leader and its watchers. */
 public enum Health {
-    /** All hear it. */
+    /** The leader is in contact with it, and no watcher suspects it. */
     WELL,
-    /** The leader doesn't hear it, and most of its watchers do: it serves on. */
+    /** The leader has lost contact, but at least half of its watchers receive its heartbeats: it stays available. */
     CUT_FROM_CORE,
-    /** The leader receives its heartbeats, and a watcher does not: it serves on. */
+    /** The leader is in contact with it, but a watcher does not receive its heartbeats: it stays available. */
     CUT_FROM_SOME,
-    /** The leader doesn't hear it, and no watcher is in touch who could tell more: nothing is concluded. */
+    /** The leader has lost contact and has no conclusive report from watchers: no decision is made. */
     UNSEEN,
-    /** Nobody receives its heartbeats, and its machine accepts connections. */
+    /** No heartbeats are received, but its machine accepts connections. */
     FROZEN,
-    /** Nobody receives its heartbeats, and its machine refuses connections. */
+    /** No heartbeats are received, and its machine refuses connections. */
     DEAD,
-    /** Nobody receives its heartbeats, and nothing answers there. */
+    /** No heartbeats are received, and nothing answers at its address. */
     LOST;
 
-    /** Whether nothing new is to be sent there. */
+    /** Whether no new requests may be sent to it. */
     public boolean isUnavailable() {
         return this == FROZEN || this == DEAD || this == LOST;
     }
--- a/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/HealthView.java
@@ -13,17 +13,17 @@
  * Joins the suspicions of watchers with the heartbeats that the leader receives itself, and decides which balancers are
  * unavailable.
  *
- * <p>It takes both: a balancer is available if the leader is in contact with it, or with half of its watchers, so one
- * that is partitioned ejects nobody. Where more than half of all balancers send nothing and no watcher receives their
- * heartbeats, the fault is likelier with the observers: nothing new is decided then. Nor is ever more than half of a
- * service's ready upstreams ejected. One that is unavailable stays so until the leader is in contact with it again, or
- * none of its watchers suspects it. Times are in ms of a steady clock.
+ * <p>A balancer is available if the leader is in contact with it or if at least half of its watchers receive its
+ * heartbeats, so a partitioned watcher alone ejects no balancer. If more than half of all balancers are silent to the
+ * leader and to their watchers, the fault is more likely with the observers, and no further balancer is ejected. At
+ * most half of a service's ready upstreams are ejected. An unavailable balancer stays unavailable until the leader is
+ * in contact with it again or none of its watchers suspects it. Times are in milliseconds of a monotonic clock.
  */
 public final class HealthView {
 
     /**
-     * After so long without a request the leader has no contact with a balancer: each sends the next when one is
-     * answered, which is after 400 ms at the latest.
+     * The leader has lost contact with a balancer after this time without a request from it. A balancer sends its next
+     * request when the previous one is answered, which takes at most 400 ms.
      */
     static final double PEER_TIMEOUT_MS = 900;
 
@@ -32,43 +32,43 @@
     private HashRing hashRing = new HashRing(Map.of());
     private Map<String, String> zones = Map.of();
 
-    private double begunAt = Double.NEGATIVE_INFINITY;
+    private double termStartedAt = Double.NEGATIVE_INFINITY;
 
-    private record PeerReport(double at, List<Suspicion> suspicions) {}
+    private record PeerReport(double receivedAt, List<Suspicion> suspicions) {}
 
     /**
      * A balancer in the registry whose upstream is known.
      *
-     * @param ready whether it says itself that it takes new requests
+     * @param ready whether the balancer reports that it accepts new requests
      */
     public record Subject(String node, String zone, String service, boolean ready) {}
 
     /**
-     * What is known of one has changed.
+     * A change of a balancer's health.
      *
-     * @param suspecting of its watchers in touch, those who don't hear it
-     * @param watchers of it that the leader is in contact with
+     * @param suspecting watchers in contact with the leader that suspect the balancer
+     * @param watchers watchers of the balancer that the leader is in contact with
      */
     public record HealthChange(String node, Health before, Health health, int suspecting, int watchers) {}
 
-    /** Forgets all: another leader's term has begun, and all balancers have time to be heard by it. */
+    /** Clears all state at the start of a leader's term. Every balancer has the full timeout to make contact. */
     public void startTerm(double now) {
-        begunAt = now;
+        termStartedAt = now;
         reports.clear();
         healthByNode.clear();
     }
 
-    /** The leader has received a heartbeat of a balancer, with the peers that it suspects now. */
+    /** Records a balancer's request to the leader, with the peers that the balancer currently suspects. */
     public void onHeartbeat(double now, String node, List<Suspicion> suspicions) {
         reports.put(node, new PeerReport(now, List.copyOf(suspicions)));
     }
 
-    /** What is known of one. */
+    /** The health of a balancer. */
     public Health health(String node) {
         return healthByNode.getOrDefault(node, Health.WELL);
     }
 
-    /** Evaluates all balancers of the registry; returns what has changed. */
+    /** Evaluates all balancers of the registry and returns the changes. */
     public List<HealthChange> evaluate(double now, Collection<Subject> subjects) {
         Map<String, String> present = new HashMap<>();
         subjects.forEach(subject -> present.put(subject.node(), subject.zone()));
@@ -79,7 +79,7 @@
         }
         Map<String, Set<String>> suspectedBy = new HashMap<>();
         reports.forEach((watcher, report) -> {
-            if (now - report.at() <= PEER_TIMEOUT_MS) {
+            if (now - report.receivedAt() <= PEER_TIMEOUT_MS) {
                 report.suspicions().forEach(suspicion -> suspectedBy
                         .computeIfAbsent(suspicion.node(), node -> new HashSet<>())
                         .add(watcher));
@@ -98,46 +98,48 @@
                 changed.add(change);
             }
         });
-        reports.keySet().removeIf(node -> now - reports.get(node).at() > PEER_TIMEOUT_MS && !present.containsKey(node));
+        reports.keySet()
+                .removeIf(node -> now - reports.get(node).receivedAt() > PEER_TIMEOUT_MS && !present.containsKey(node));
         return changed;
     }
 
-    private boolean isHeard(double now, String node) {
+    private boolean isInContact(double now, String node) {
         PeerReport report = reports.get(node);
-        return now - (report == null ? begunAt : report.at()) <= PEER_TIMEOUT_MS;
+        return now - (report == null ? termStartedAt : report.receivedAt()) <= PEER_TIMEOUT_MS;
     }
 
     private HealthChange assess(double now, String node, Set<String> suspectedBy) {
         Health before = health(node);
-        boolean heard = isHeard(now, node);
-        if (heard && suspectedBy.isEmpty()) {
+        boolean inContact = isInContact(now, node);
+        if (inContact && suspectedBy.isEmpty()) {
             return new HealthChange(node, before, Health.WELL, 0, 0);
         }
         int watchers = 0;
         int suspecting = 0;
-        SuspicionCause gravest = SuspicionCause.SILENT;
+        SuspicionCause worstCause = SuspicionCause.SILENT;
         for (String watcher : hashRing.watchers(node)) {
-            if (isHeard(now, watcher)) {
+            if (isInContact(now, watcher)) {
                 watchers++;
                 if (suspectedBy.contains(watcher)) {
                     suspecting++;
-                    SuspicionCause evidence = evidence(watcher, node);
-                    gravest = evidence.compareTo(gravest) > 0 ? evidence : gravest;
+                    SuspicionCause cause = cause(watcher, node);
+                    worstCause = cause.compareTo(worstCause) > 0 ? cause : worstCause;
                 }
             }
         }
         Health health;
-        if (heard) {
+        if (inContact) {
             health = suspecting == 0 ? Health.WELL : Health.CUT_FROM_SOME;
         } else if (before.isUnavailable() && (watchers == 0 || suspecting > 0)) {
-            // A watcher that is new to it has not had the time to suspect it, and is no evidence that it is up.
+            // A newly assigned watcher has not had time to suspect the balancer, so its silence is no evidence of
+            // health.
             health = before;
         } else if (watchers == 0) {
             health = Health.UNSEEN;
         } else if (2 * suspecting <= watchers) {
             health = Health.CUT_FROM_CORE;
         } else {
-            health = switch (gravest) {
+            health = switch (worstCause) {
                 case RESET -> Health.DEAD;
                 case FROZEN -> Health.FROZEN;
                 case SILENT -> Health.LOST;
@@ -146,7 +148,7 @@
         return new HealthChange(node, before, health, suspecting, watchers);
     }
 
-    private SuspicionCause evidence(String watcher, String node) {
+    private SuspicionCause cause(String watcher, String node) {
         for (Suspicion suspicion : reports.get(watcher).suspicions()) {
             if (suspicion.node().equals(node)) {
                 return suspicion.cause();
@@ -155,11 +157,11 @@
         return SuspicionCause.SILENT;
     }
 
-    /** Takes back what would be ruled anew beyond the bounds. */
+    /** Reverts new ejections that exceed the limits. */
     private static void suppressWhenMany(Collection<Subject> subjects, Map<String, HealthChange> healthChanges) {
         int timedOut = 0;
         Map<String, Integer> ready = new HashMap<>();
-        Map<String, Integer> taken = new HashMap<>();
+        Map<String, Integer> unavailable = new HashMap<>();
         for (Subject subject : subjects) {
             HealthChange change = healthChanges.get(subject.node());
             if (change.health().isUnavailable() || change.health() == Health.UNSEEN) {
@@ -168,16 +170,17 @@
             if (subject.ready()) {
                 ready.merge(subject.service(), 1, Integer::sum);
                 if (change.health().isUnavailable() && change.before().isUnavailable()) {
-                    taken.merge(subject.service(), 1, Integer::sum);
+                    unavailable.merge(subject.service(), 1, Integer::sum);
                 }
             }
         }
-        boolean many = 2 * timedOut > subjects.size();
+        boolean mostTimedOut = 2 * timedOut > subjects.size();
         for (Subject subject : subjects) {
             HealthChange change = healthChanges.get(subject.node());
             if (change.health().isUnavailable() && !change.before().isUnavailable()) {
-                int left = ready.getOrDefault(subject.service(), 0) / 2 - taken.getOrDefault(subject.service(), 0);
-                if (many || subject.ready() && left <= 0) {
+                int allowance =
+                        ready.getOrDefault(subject.service(), 0) / 2 - unavailable.getOrDefault(subject.service(), 0);
+                if (mostTimedOut || subject.ready() && allowance <= 0) {
                     healthChanges.put(
                             subject.node(),
                             new HealthChange(
@@ -187,7 +190,7 @@
                                     change.suspecting(),
                                     change.watchers()));
                 } else if (subject.ready()) {
-                    taken.merge(subject.service(), 1, Integer::sum);
+                    unavailable.merge(subject.service(), 1, Integer::sum);
                 }
             }
         }
--- a/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Monitor.java
@@ -7,101 +7,106 @@
 import java.util.Map;
 
 /**
- * What one watcher makes of the heartbeats that it receives. It suspects a peer that misses about three of them, health
- * checks what answers at its address then, and reports the suspicion once that is known; a heartbeat takes all back at
- * once. Times are in ms of a steady clock.
+ * One watcher's failure detector. It suspects a peer that misses about three heartbeats, has the caller probe the
+ * peer's address, and reports the suspicion when the probe result is known. A heartbeat revokes the suspicion
+ * immediately. Times are in milliseconds of a monotonic clock.
  */
 public final class Monitor {
 
-    /** Between two heartbeats of a peer, ms. */
+    /** Interval between heartbeats of a peer, in milliseconds. */
     public static final double HEARTBEAT_MS = 300;
-    /** A peer is suspected after so long without a heartbeat, ms: three of them, and some of the way. */
+    /** A peer is suspected after this many milliseconds without a heartbeat, about three missed heartbeats. */
     public static final double SUSPECT_MS = 900;
-    /** An own tick that is so late, ms, shows that this process stood still: it can suspect nobody. */
-    static final double LATE_MS = 400;
-    /** One that has just come under watch may take so much longer to speak: it may not know of it yet. */
+    /**
+     * A gap between ticks above this many milliseconds shows that this process was paused, and then it suspects no
+     * peer.
+     */
+    static final double LATE_TICK_MS = 400;
+    /**
+     * Extra time in milliseconds for a newly watched peer, which may not know yet that this watcher expects heartbeats.
+     */
     static final double GRACE_MS = 1_500;
-    /** Most balancers watched over: all the ring can ask for, with some from rings a moment older. */
+    /** Maximum number of watched balancers: all that a ring can assign, plus some assigned by slightly older rings. */
     public static final int MAX_REPORTED = 4 * HashRing.CANDIDATES;
 
-    /** Each suspicion that proved wrong adds this share of the timeout, up to so many times. */
-    private static final double FLAP_PART = 0.5;
+    /** Each false suspicion adds this share of the timeout, up to {@link #MAX_FLAPS} times. */
+    private static final double FLAP_TIMEOUT_SHARE = 0.5;
 
     private static final int MAX_FLAPS = 2;
-    private static final double CALM_MS = 30_000;
+    private static final double FLAP_RESET_MS = 30_000;
 
     private final Map<String, WatchedPeer> watched = new LinkedHashMap<>();
-    private double tickedAt = Double.NaN;
+    private double lastTickAt = Double.NaN;
 
     private static final class WatchedPeer {
         int incarnation;
-        int number;
-        double heardAt;
-        boolean heard;
+        int lastNumber;
+        double lastHeartbeatAt;
+        boolean everHeard;
         boolean suspected;
-        SuspicionCause evidence;
+        SuspicionCause cause;
         int flaps;
-        double flappedAt = Double.NEGATIVE_INFINITY;
+        double lastFlapAt = Double.NEGATIVE_INFINITY;
 
-        double allowed(double now) {
-            if (now - flappedAt > CALM_MS) {
+        double suspectTimeoutMs(double now) {
+            if (now - lastFlapAt > FLAP_RESET_MS) {
                 flaps = 0;
             }
-            return SUSPECT_MS * (1 + FLAP_PART * flaps);
+            return SUSPECT_MS * (1 + FLAP_TIMEOUT_SHARE * flaps);
         }
     }
 
-    /** Whom to watch over from now on; what is known of others is forgotten. */
+    /** Sets the peers to watch and drops the state of all others. */
     public void setWatched(double now, Collection<String> nodes) {
         watched.keySet().retainAll(nodes);
         for (String node : nodes) {
             if (watched.size() < MAX_REPORTED && !watched.containsKey(node)) {
-                WatchedPeer one = new WatchedPeer();
-                one.heardAt = now + GRACE_MS;
-                watched.put(node, one);
+                WatchedPeer peer = new WatchedPeer();
+                peer.lastHeartbeatAt = now + GRACE_MS;
+                watched.put(node, peer);
             }
         }
     }
 
     /**
-     * A heartbeat has come. One that was overtaken by a later one of the same incarnation does not count.
+     * Records a heartbeat. A heartbeat that arrives after a later one of the same incarnation is ignored.
      *
-     * @param incarnation of the process that sent it
-     * @param number of the heartbeat, which counts up in one incarnation
-     * @return whether an accusation is taken back by it
+     * @param incarnation the incarnation of the sending process
+     * @param number the sequence number of the heartbeat within the incarnation
+     * @return whether the heartbeat revokes a reported suspicion
      */
     public boolean onHeartbeat(double now, String node, int incarnation, int number) {
-        WatchedPeer one = watched.get(node);
-        if (one == null || one.incarnation == incarnation && number - one.number <= 0) {
+        WatchedPeer peer = watched.get(node);
+        if (peer == null || peer.incarnation == incarnation && number - peer.lastNumber <= 0) {
             return false;
         }
-        one.incarnation = incarnation;
-        one.number = number;
-        one.heardAt = now;
-        one.heard = true;
-        boolean accused = one.evidence != null;
-        if (one.suspected) {
-            one.suspected = false;
-            one.evidence = null;
-            one.flaps = Math.min(MAX_FLAPS, one.flaps + 1);
-            one.flappedAt = now;
+        peer.incarnation = incarnation;
+        peer.lastNumber = number;
+        peer.lastHeartbeatAt = now;
+        peer.everHeard = true;
+        boolean reported = peer.cause != null;
+        if (peer.suspected) {
+            peer.suspected = false;
+            peer.cause = null;
+            peer.flaps = Math.min(MAX_FLAPS, peer.flaps + 1);
+            peer.lastFlapAt = now;
         }
-        return accused;
+        return reported;
     }
 
-    /** Time passes. Returns who has just come under suspicion: what answers at its address is to be found. */
+    /** Checks the timeouts. Returns the newly suspected peers, whose addresses the caller must probe. */
     public List<String> tick(double now) {
         List<String> suspects = new ArrayList<>();
-        boolean late = now - tickedAt > LATE_MS;
-        tickedAt = now;
-        watched.forEach((node, one) -> {
+        boolean late = now - lastTickAt > LATE_TICK_MS;
+        lastTickAt = now;
+        watched.forEach((node, peer) -> {
             if (late) {
-                // Their heartbeats may wait unread: all start anew.
-                one.heardAt = Math.max(one.heardAt, now);
-                one.suspected = false;
-                one.evidence = null;
-            } else if (!one.suspected && now - one.heardAt > one.allowed(now)) {
-                one.suspected = true;
+                // Their heartbeats may still be unread, so all timeouts restart.
+                peer.lastHeartbeatAt = Math.max(peer.lastHeartbeatAt, now);
+                peer.suspected = false;
+                peer.cause = null;
+            } else if (!peer.suspected && now - peer.lastHeartbeatAt > peer.suspectTimeoutMs(now)) {
+                peer.suspected = true;
                 suspects.add(node);
             }
         });
@@ -109,40 +114,40 @@
     }
 
     /**
-     * What answers at the address of a suspect; true if that is a new accusation. One whose machine is there and that
-     * never spoke here may not know that it should: it is looked at again later.
+     * Records the probe result for a suspected peer; true if it makes a new suspicion to report. A peer whose machine
+     * accepts connections but that has never sent a heartbeat here may not know yet that it must, and gets more time.
      */
-    public boolean onProbeResult(double now, String node, SuspicionCause evidence) {
-        WatchedPeer one = watched.get(node);
-        if (one == null || !one.suspected || one.evidence != null) {
+    public boolean onProbeResult(double now, String node, SuspicionCause cause) {
+        WatchedPeer peer = watched.get(node);
+        if (peer == null || !peer.suspected || peer.cause != null) {
             return false;
         }
-        if (!one.heard && evidence == SuspicionCause.FROZEN) {
-            one.heardAt = now + GRACE_MS;
-            one.suspected = false;
+        if (!peer.everHeard && cause == SuspicionCause.FROZEN) {
+            peer.lastHeartbeatAt = now + GRACE_MS;
+            peer.suspected = false;
             return false;
         }
-        one.evidence = evidence;
+        peer.cause = cause;
         return true;
     }
 
-    /** Who spoke lately. */
+    /** The peers that have sent heartbeats and are not suspected. */
     public List<String> livePeers() {
         List<String> livePeers = new ArrayList<>();
-        watched.forEach((node, one) -> {
-            if (one.heard && !one.suspected) {
+        watched.forEach((node, peer) -> {
+            if (peer.everHeard && !peer.suspected) {
                 livePeers.add(node);
             }
         });
         return livePeers;
     }
 
-    /** Who is accused now, and by what. */
+    /** The suspicions to report now. */
     public List<Suspicion> suspicions() {
         List<Suspicion> suspicions = new ArrayList<>();
-        watched.forEach((node, one) -> {
-            if (one.evidence != null) {
-                suspicions.add(new Suspicion(node, one.evidence));
+        watched.forEach((node, peer) -> {
+            if (peer.cause != null) {
+                suspicions.add(new Suspicion(node, peer.cause));
             }
         });
         return suspicions;
--- a/src/main/java/sablehinge/mesh/failuredetection/Suspicion.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/Suspicion.java
@@ -1,9 +1,9 @@
 package sablehinge.mesh.failuredetection;
 
 /**
- * What a watcher reports of a peer whose heartbeats no longer come.
+ * A watcher's report of a peer that has stopped sending heartbeats.
  *
- * @param node whom it doesn't hear
- * @param cause what it found there
+ * @param node the suspected peer
+ * @param cause what the watcher's probe found
  */
 public record Suspicion(String node, SuspicionCause cause) {}
--- a/src/main/java/sablehinge/mesh/failuredetection/SuspicionCause.java
+++ b/src/main/java/sablehinge/mesh/failuredetection/SuspicionCause.java
@@ -1,11 +1,11 @@
 package sablehinge.mesh.failuredetection;
 
-/** What a watcher has found at a peer that sends no heartbeats; the order is their number on the wire. */
+/** What a watcher's probe found at a peer that sends no heartbeats. The ordinals are written on the wire. */
 public enum SuspicionCause {
-    /** Nothing answers at its address: no power there, or a cut between. */
+    /** No answer from the address: the machine is down, or the network is partitioned. */
     SILENT,
-    /** The machine takes connections, and the process says nothing. */
+    /** The machine accepts connections, but the process sends no heartbeats. */
     FROZEN,
-    /** The machine refuses connections: no process listens. */
+    /** The machine refuses connections: no process is listening. */
     RESET
 }
--- a/src/main/java/sablehinge/mesh/quota/Bucket.java
+++ b/src/main/java/sablehinge/mesh/quota/Bucket.java
@@ -1,71 +1,79 @@
 package sablehinge.mesh.quota;
 
-/** A part of a quota: tokens that come with time, up to a bound. */
+/** A token bucket for a part of a quota. */
 public final class Bucket {
 
     private static final double MS = 1_000;
-    private final double first;
+    private final double initialShare;
     private double tokens = Double.NaN;
     private double perMs;
-    private double most;
-    private double filledAt;
+    private double capacity;
+    private double refilledAt;
 
-    /** A bucket that begins with a part of its bound: its process may have spent the rest before it began. */
-    public Bucket(double first) {
-        this.first = first;
+    /**
+     * Creates a bucket.
+     *
+     * @param initialShare the share of the capacity that is available at first; the rest may have been spent by an
+     *     earlier process
+     */
+    public Bucket(double initialShare) {
+        this.initialShare = initialShare;
     }
 
-    /** Sets its part of the quota; tokens beyond the new bound are lost, and a greater one brings none at once. */
-    public void set(double now, Quota part) {
-        fill(now);
-        perMs = part.perSecond() / MS;
-        most = Math.max(1, part.burst());
-        tokens = Double.isNaN(tokens) ? most * first : Math.min(tokens, most);
+    /**
+     * Sets the bucket's part of the quota. Tokens above a lower capacity are discarded; a higher capacity adds none
+     * immediately.
+     */
+    public void set(double now, Quota quota) {
+        refill(now);
+        perMs = quota.perSecond() / MS;
+        capacity = Math.max(1, quota.burst());
+        tokens = Double.isNaN(tokens) ? capacity * initialShare : Math.min(tokens, capacity);
     }
 
-    private void fill(double now) {
+    private void refill(double now) {
         if (!Double.isNaN(tokens)) {
-            tokens = Math.max(tokens, Math.min(most, tokens + (now - filledAt) * perMs));
+            tokens = Math.max(tokens, Math.min(capacity, tokens + (now - refilledAt) * perMs));
         }
-        filledAt = now;
+        refilledAt = now;
     }
 
-    /** Adds tokens that were taken elsewhere; they may lie above the bound. */
+    /** Adds tokens taken from the pool, which may exceed the capacity. */
     public void add(int count) {
         tokens += count;
     }
 
-    /** Takes up to so many tokens, and tells how many there were. */
+    /** Takes up to the given number of tokens and returns the number taken. */
     public int take(double now, int count) {
-        fill(now);
+        refill(now);
         int taken = (int) Math.max(0, Math.min(count, tokens));
         tokens -= taken;
         return taken;
     }
 
-    /** Gives up what is above so many tokens, for others to have, and tells how many those are. */
-    public int releaseAbove(double now, double kept) {
-        return take(now, (int) Math.max(0, left(now) - kept));
+    /** Releases the tokens above a reserve for other balancers and returns their number. */
+    public int releaseAbove(double now, double reserve) {
+        return take(now, (int) Math.max(0, available(now) - reserve));
     }
 
-    /** Adds tokens that others gave up; what is above the bound is lost. */
+    /** Adds tokens released by other balancers. Tokens above the capacity are discarded. */
     public void restore(double now, int count) {
-        fill(now);
-        tokens = Math.max(tokens, Math.min(most, tokens + count));
+        refill(now);
+        tokens = Math.max(tokens, Math.min(capacity, tokens + count));
     }
 
-    /** Its part of the quota. */
-    Quota part() {
-        return new Quota(perMs * MS, most);
+    /** The bucket's part of the quota. */
+    Quota quota() {
+        return new Quota(perMs * MS, capacity);
     }
 
-    /** How many tokens there are. */
-    double left(double now) {
-        fill(now);
+    /** The number of available tokens. */
+    double available(double now) {
+        refill(now);
         return tokens;
     }
 
-    /** In how many ms there will be a token; infinite where none comes. */
+    /** Milliseconds until a token is available; infinite if the bucket is not refilled. */
     public double msUntilToken() {
         return tokens >= 1 ? 0 : perMs == 0 ? Double.POSITIVE_INFINITY : (1 - tokens) / perMs;
     }
--- a/src/main/java/sablehinge/mesh/quota/Pool.java
+++ b/src/main/java/sablehinge/mesh/quota/Pool.java
@@ -9,22 +9,25 @@
 /** The leader's pools of all tenants' quotas. */
 public final class Pool {
 
-    /** Unused tokens are reclaimed from other balancers again after so many ms, and no answer counts later. */
-    private static final double PULL_MS = 100;
+    /**
+     * Interval in milliseconds between reclaims of unused tokens from balancers, after which returned tokens are
+     * ignored.
+     */
+    private static final double RECLAIM_INTERVAL_MS = 100;
 
     private final Map<String, Bucket> buckets = new HashMap<>();
-    private final Map<String, Double> pulledAt = new HashMap<>();
+    private final Map<String, Double> reclaimedAt = new HashMap<>();
 
-    /** Begins as leader: the one before may have given all out, so every pool begins empty. */
+    /** Starts a term as leader. Every pool starts empty because the previous leader may have granted all tokens. */
     public void begin() {
         buckets.clear();
-        pulledAt.clear();
+        reclaimedAt.clear();
     }
 
-    /** Sets the quotas that are in force, by tenant; those of others are gone. */
+    /** Sets the current quotas by tenant and drops the pools of all other tenants. */
     public void adopt(double now, Map<String, Quota> quotas) {
         buckets.keySet().retainAll(quotas.keySet());
-        pulledAt.keySet().retainAll(quotas.keySet());
+        reclaimedAt.keySet().retainAll(quotas.keySet());
         quotas.forEach((tenant, quota) ->
                 buckets.computeIfAbsent(tenant, name -> new Bucket(0)).set(now, quota.pool()));
     }
@@ -32,39 +35,41 @@
     /**
      * A tenant's pool.
      *
-     * @param quota what comes into it, and the most that it holds
-     * @param left in it
+     * @param quota refill rate and capacity of the pool
+     * @param available number of available tokens
      */
-    public record Line(String tenant, Quota quota, double left) {}
+    public record Line(String tenant, Quota quota, double available) {}
 
-    /** All pools, in the order of the tenants' names. */
+    /** All pools, sorted by tenant name. */
     public List<Line> lines(double now) {
         List<Line> lines = new ArrayList<>(buckets.size());
-        buckets.forEach((tenant, bucket) -> lines.add(new Line(tenant, bucket.part(), bucket.left(now))));
+        buckets.forEach((tenant, bucket) -> lines.add(new Line(tenant, bucket.quota(), bucket.available(now))));
         lines.sort(Comparator.comparing(Line::tenant));
         return lines;
     }
 
-    /** Gives up to so many tokens of a tenant's pool. */
+    /** Takes up to the given number of tokens from a tenant's pool and returns the number taken. */
     public int take(double now, String tenant, int count) {
         Bucket bucket = buckets.get(tenant);
         return bucket == null ? 0 : bucket.take(now, count);
     }
 
-    /** Whether unused tokens of a tenant's quota are to be reclaimed from balancers now. */
+    /**
+     * Starts a reclaim of a tenant's unused tokens from the balancers, unless one started recently; true if started.
+     */
     public boolean startReclaim(double now, String tenant) {
-        Double last = pulledAt.get(tenant);
-        if (!buckets.containsKey(tenant) || last != null && now - last < PULL_MS) {
+        Double lastReclaimAt = reclaimedAt.get(tenant);
+        if (!buckets.containsKey(tenant) || lastReclaimAt != null && now - lastReclaimAt < RECLAIM_INTERVAL_MS) {
             return false;
         }
-        pulledAt.put(tenant, now);
+        reclaimedAt.put(tenant, now);
         return true;
     }
 
-    /** A balancer returns so many tokens; they count only soon after they were reclaimed. */
+    /** Adds tokens that a balancer returns. They are ignored unless a reclaim started recently. */
     public void returnTokens(double now, String tenant, int count) {
-        Double last = pulledAt.get(tenant);
-        if (last != null && now - last < PULL_MS) {
+        Double lastReclaimAt = reclaimedAt.get(tenant);
+        if (lastReclaimAt != null && now - lastReclaimAt < RECLAIM_INTERVAL_MS) {
             buckets.get(tenant).restore(now, count);
         }
     }
--- a/src/main/java/sablehinge/mesh/quota/Quota.java
+++ b/src/main/java/sablehinge/mesh/quota/Quota.java
@@ -1,39 +1,40 @@
 package sablehinge.mesh.quota;
 
 /**
- * How a tenant's quota is divided. One part is divided evenly and held without asking, so that a balancer that is cut
- * off goes on with it; the rest is a pool on the leader, from which a balancer that has run out takes what it needs at
- * once. Where the pool is dry, the leader reclaims unused tokens from all. Tokens only move, so nothing is ever out
- * twice.
+ * The division of a tenant's quota. One part is divided evenly among the balancers and needs no request to the leader,
+ * so a partitioned balancer can continue to use its share. The rest is a pool on the leader, from which a balancer that
+ * has run out of tokens takes what it needs. If the pool is empty, the leader reclaims unused tokens from all
+ * balancers. Tokens are only transferred, so no token is available twice.
  *
- * @param perSecond requests a second over all balancers
- * @param burst requests above that which may come at once, over all balancers
+ * @param perSecond requests per second over all balancers
+ * @param burst additional requests that may arrive at once, over all balancers
  */
 public record Quota(double perSecond, double burst) {
 
-    /** The part that is divided evenly among all balancers. */
+    /** The share of the quota that is divided evenly among all balancers. */
     public static final double EVEN_SHARE = 0.6;
 
     /**
-     * The quota of a tenant under a rule that counts within windows (RULES, QUOTA). Half of what the rule grants above
-     * the tenant's own figures stays unused: what is on its way while parts change, and restarts.
+     * The quota of a tenant under a rule that counts requests in windows (RULES, QUOTA). Half of the rule's tolerance
+     * above the tenant's own limits stays unused, as a reserve for requests in transit while shares change and for
+     * restarts.
      *
-     * @param perS the tenant's requests a second
-     * @param tenantBurst the tenant's requests on top
-     * @param windowS the window
-     * @param excess the share above the figures that is not yet a breach
-     * @param slack likewise in requests
+     * @param perS the tenant's requests per second
+     * @param tenantBurst the tenant's additional requests in a burst
+     * @param windowS the length of the window in seconds
+     * @param excess the tolerated excess over the limits, as a share of them
+     * @param slack the tolerated excess in requests
      */
     public static Quota of(double perS, double tenantBurst, double windowS, double excess, double slack) {
         return new Quota(perS, tenantBurst + (excess * (perS * windowS + tenantBurst) + slack) / 2);
     }
 
-    /** The even part of one of so many balancers. */
+    /** The evenly divided share of one of the given number of balancers. */
     public Quota even(int balancers) {
         return new Quota(perSecond * EVEN_SHARE / balancers, burst * EVEN_SHARE / balancers);
     }
 
-    /** The pool. */
+    /** The part that forms the pool on the leader. */
     public Quota pool() {
         return new Quota(perSecond * (1 - EVEN_SHARE), burst * (1 - EVEN_SHARE));
     }
--- a/src/main/java/sablehinge/mesh/retrybudget/Claim.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/Claim.java
@@ -3,33 +3,33 @@
 import java.util.List;
 
 /**
- * What a balancer reports to the leader's retry budget, and what it wants. Counts only grow, so that one which is lost,
- * doubled or late does no harm.
+ * A balancer's report to the retry budget on the leader and its request for tokens. Counts are cumulative, so lost,
+ * duplicated and late claims do no harm.
  *
- * @param incarnation of the balancer's process
- * @param number counts its claims up
- * @param term of the leader whose share it has; 0 for none
- * @param service beside it, whose runs make the calls that it counts
- * @param lines one for each service of which there is something to tell
+ * @param incarnation the incarnation of the balancer's process
+ * @param number the sequence number of the claim
+ * @param term the term of the leader that granted the balancer's shares; 0 for none
+ * @param service the service of the local upstream, which makes the counted calls
+ * @param lines one for each service with something to report
  */
 public record Claim(long incarnation, int number, long term, String service, List<Line> lines) {
 
-    /** Services that one claim may tell of; further tries of more services are not sent. */
+    /** Maximum number of services in a claim; retries of further services are not sent. */
     public static final int MAX_LINES = 200;
 
-    /** A claim whose list can't be changed. */
+    /** Creates a claim with an unmodifiable list. */
     public Claim {
         lines = List.copyOf(lines);
     }
 
     /**
-     * Of one service.
+     * The report for one service.
      *
-     * @param requests of clients for it, that came here in this incarnation
-     * @param calls of the upstream beside for it, likewise
-     * @param spent of the share, since the term at hand first gave one
-     * @param share up to which it may be spent from now on: what is above has been given back
-     * @param wanted further tokens, 0 to 65,535
+     * @param requests client requests received in this incarnation
+     * @param calls calls from the local upstream in this incarnation
+     * @param spent tokens spent since the first grant of this term
+     * @param share the limit of {@code spent} from now on; the balancer has returned what was above
+     * @param wanted number of further tokens requested, 0 to 65,535
      */
     public record Line(String service, int requests, int calls, int spent, int share, int wanted) {}
 }
--- a/src/main/java/sablehinge/mesh/retrybudget/Grant.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/Grant.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * The answer to a claim: shares up to which its balancer may spend.
+ * The answer to a claim: the shares up to which the balancer may spend.
  *
- * @param number of the claim
- * @param term of the leader; spending counts anew with each
+ * @param number the sequence number of the claim
+ * @param term the term of the leader; spending is counted from 0 in each term
  * @param lines one for each line of the claim
  */
 public record Grant(int number, long term, List<Line> lines) {
 
-    /** A grant whose list can't be changed. */
+    /** Creates a grant with an unmodifiable list. */
     public Grant {
         lines = List.copyOf(lines);
     }
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetAllocator.java
@@ -10,35 +10,36 @@
 import java.util.Set;
 
 /**
- * Allocates the retry budget on the leader, from one pool for each service: a pool earns by the requests that balancers
- * tell of, and gives out shares that follow what they want.
+ * Allocates the retry budget on the leader from one pool for each service. A pool earns tokens from the requests that
+ * balancers report, and grants shares according to what they request.
  *
- * <p>A pool begins empty with each leader, and a request is counted once, by the leader that it is reported to. So it
- * does not matter what a leader before gave out: that was paid by other requests. What is in hand and out together is
- * bounded; a share is out until its balancer tells that it was spent or gives it back, or until its end, when it counts
- * as spent. A run that is repeated makes its calls again, which count as repeats there: a token of a service is only
- * given with as much of the pools that its runs call as they do on the mean.
+ * <p>A pool starts empty in each leader's term, and a request is counted once, by the leader to which it is reported.
+ * So tokens granted by an earlier leader do no harm: other requests paid for them. The sum of available and granted
+ * tokens is bounded. A share stays granted until its balancer reports it as spent, returns it or lets it expire; an
+ * expired share counts as spent. A repeated run makes its calls again, and these count as repeats at the called
+ * services. So a token of a service is granted only together with tokens from the pools of the services that its runs
+ * call, in proportion to the mean number of calls per run.
  */
 public final class RetryBudgetAllocator {
 
-    /** How long a share lasts here from when it was given, in ms; its owner counts less from earlier on. */
+    /** Lifetime of a share in milliseconds from its grant. Its owner counts a shorter time from an earlier start. */
     static final double GRANT_LIFETIME_MS = 1_000;
-    /** How long the counts of a balancer that sends nothing are kept, ms. */
+    /** The counts of a balancer are dropped after this many milliseconds without a claim. */
     private static final double OWNER_EXPIRY_MS = 5_000;
 
     private static final int MAX_OWNERS = 4_096;
-    /** The part of what is in hand that one balancer is given at once: others may want some too. */
-    private static final int PARTS = 2;
-    /** What calls are reckoned for a run, over those that were counted. */
-    private static final double CALLS_MARGIN = 1.1;
-    /** Runs that are reckoned as calling once each before any were seen. */
-    private static final double UNSEEN = 4;
-    /** Counts of runs and calls are halved once there are so many runs. */
-    private static final double MANY = 4_000;
+    /** One claim is granted at most the available tokens divided by this, to leave some for other balancers. */
+    private static final int GRANT_DIVISOR = 2;
+    /** Factor by which the estimated calls per run exceed the counted ones. */
+    private static final double CALL_ESTIMATE_FACTOR = 1.1;
+    /** Number of runs, each with one call, assumed by the estimate before any are counted. */
+    private static final double PRIOR_RUNS = 4;
+    /** Counts of runs and calls are halved above this number of runs. */
+    private static final double MAX_COUNTED_RUNS = 4_000;
 
-    private static final double MIN_CALLS = 0.005;
-    /** How far calls of calls are followed. */
-    private static final int DEPTH = 3;
+    private static final double MIN_CALLS_PER_RUN = 0.005;
+    /** Maximum depth to which nested calls are followed. */
+    private static final int MAX_CALL_DEPTH = 3;
 
     private final RetryBudgetRule rule;
     private final Map<String, Pool> pools = new HashMap<>();
@@ -46,38 +47,38 @@
     private long term;
 
     private static final class Pool {
-        double level;
-        double out;
-        double filledAt;
+        double available;
+        double granted;
+        double refilledAt;
         double runs;
-        /** Calls by the services whose runs make them. */
+        /** Calls to this service, by calling service. */
         final Map<String, Double> callers = new HashMap<>();
     }
 
     private static final class Owner {
         int number;
-        double heardAt;
-        double end;
-        /** Of the present term and incarnation: its spending counts from there. */
-        final Map<String, ServiceGrant> parts = new HashMap<>();
+        double lastClaimAt;
+        double expiresAt;
+        /** Grants of the current term and incarnation; spending is counted from their start. */
+        final Map<String, ServiceGrant> grants = new HashMap<>();
     }
 
-    /** What a balancer has of one service's pool. */
+    /** A balancer's share of one service's pool. */
     private static final class ServiceGrant {
         final String service;
         int requests;
         int calls;
-        boolean known;
+        boolean counted;
         int spent;
         int share;
-        /** What of the pools of called services is out for the share that is not spent. */
-        final Map<String, Double> calling = new HashMap<>();
+        /** Tokens granted from the pools of called services for the unspent part of the share. */
+        final Map<String, Double> calleeTokens = new HashMap<>();
 
         ServiceGrant(String service) {
             this.service = service;
         }
 
-        int open() {
+        int outstanding() {
             return Math.max(0, share - spent);
         }
 
@@ -87,36 +88,36 @@
         }
     }
 
-    /** An allocator whose node does not lead yet. */
+    /** Creates an allocator on a node that is not the leader yet. */
     public RetryBudgetAllocator(RetryBudgetRule rule) {
         this.rule = rule;
     }
 
-    /** Begins as the leader of a term. */
-    public void begin(long asLeaderOf) {
-        term = asLeaderOf;
+    /** Starts a term as leader. */
+    public void begin(long newTerm) {
+        term = newTerm;
         pools.clear();
         owners.clear();
     }
 
-    /** The services whose pools there are; those of others are gone. */
+    /** Sets the services that have pools and drops the pools of all others. */
     public void adopt(double now, Collection<String> services) {
         pools.keySet().retainAll(services);
         pools.values().forEach(pool -> pool.callers.keySet().retainAll(services));
         for (Owner owner : owners.values()) {
-            owner.parts.keySet().retainAll(services);
-            owner.parts.values().forEach(part -> part.calling.keySet().retainAll(services));
+            owner.grants.keySet().retainAll(services);
+            owner.grants.values().forEach(grant -> grant.calleeTokens.keySet().retainAll(services));
         }
         for (String service : services) {
             pools.computeIfAbsent(service, name -> {
                 Pool pool = new Pool();
-                pool.filledAt = now;
+                pool.refilledAt = now;
                 return pool;
             });
         }
     }
 
-    /** Answers a claim; null for one that is late or doubled, or when there are too many balancers. */
+    /** Answers a claim; null if the claim is late or duplicated, or if there are too many balancers. */
     public Grant grant(double now, Claim claim) {
         expire(now);
         Owner owner = owners.get(claim.incarnation());
@@ -128,134 +129,137 @@
             return null;
         }
         owner.number = claim.number();
-        owner.heardAt = now;
+        owner.lastClaimAt = now;
         boolean resetEpoch = claim.term() != term;
         if (resetEpoch) {
-            // It has dropped what it had, and counts its spending anew.
+            // The balancer has dropped its shares and counts its spending from 0.
             forfeit(owner);
-            owner.parts.values().forEach(ServiceGrant::resetEpoch);
+            owner.grants.values().forEach(ServiceGrant::resetEpoch);
         }
-        // What is spent or given back makes room for what is earned.
+        // Settled first, because spent and returned tokens make room for earned ones.
         Set<String> reportedServices = new HashSet<>();
         for (Claim.Line line : claim.lines()) {
             if (pools.containsKey(line.service())) {
                 reportedServices.add(line.service());
                 settle(
-                        owner.parts.computeIfAbsent(line.service(), ServiceGrant::new),
+                        owner.grants.computeIfAbsent(line.service(), ServiceGrant::new),
                         resetEpoch ? 0 : line.spent(),
                         resetEpoch ? 0 : line.share());
             }
         }
-        // Of what it does not tell, nothing was spent since, and nothing is kept.
-        for (ServiceGrant part : owner.parts.values()) {
-            if (!reportedServices.contains(part.service)) {
-                settle(part, part.spent, part.spent);
+        // For services missing in the claim, nothing more was spent and the unspent tokens are returned.
+        for (ServiceGrant grant : owner.grants.values()) {
+            if (!reportedServices.contains(grant.service)) {
+                settle(grant, grant.spent, grant.spent);
             }
         }
         for (Claim.Line line : claim.lines()) {
             if (pools.containsKey(line.service())) {
-                count(owner.parts.get(line.service()), claim.service(), line);
+                count(owner.grants.get(line.service()), claim.service(), line);
             }
         }
         fade();
-        owner.end = now + GRANT_LIFETIME_MS;
-        List<Grant.Line> given = new ArrayList<>();
+        owner.expiresAt = now + GRANT_LIFETIME_MS;
+        List<Grant.Line> allocated = new ArrayList<>();
         for (Claim.Line line : claim.lines()) {
-            ServiceGrant part = owner.parts.get(line.service());
-            if (part != null) {
-                part.share += give(now, line, part);
-                given.add(new Grant.Line(line.service(), part.share));
+            ServiceGrant grant = owner.grants.get(line.service());
+            if (grant != null) {
+                grant.share += allocate(now, line, grant);
+                allocated.add(new Grant.Line(line.service(), grant.share));
             }
         }
-        return new Grant(claim.number(), term, given);
+        return new Grant(claim.number(), term, allocated);
     }
 
     /**
-     * Requests are counted from the second claim of an incarnation on: those before may have been reported to another
+     * Requests are counted from the second claim of an incarnation on. Earlier ones may have been reported to another
      * leader.
      */
-    private void count(ServiceGrant part, String caller, Claim.Line line) {
+    private void count(ServiceGrant grant, String caller, Claim.Line line) {
         Pool pool = pools.get(line.service());
-        if (part.known) {
-            int requests = Math.max(0, line.requests() - part.requests);
-            int calls = Math.max(0, line.calls() - part.calls);
-            earn(pool, requests * rule.income());
+        if (grant.counted) {
+            int requests = Math.max(0, line.requests() - grant.requests);
+            int calls = Math.max(0, line.calls() - grant.calls);
+            earn(pool, requests * rule.tokensPerRequest());
             pool.runs += requests + calls;
             if (calls > 0) {
                 pool.callers.merge(caller, (double) calls, Double::sum);
             }
         }
-        part.known = true;
-        part.requests = Math.max(part.requests, line.requests());
-        part.calls = Math.max(part.calls, line.calls());
+        grant.counted = true;
+        grant.requests = Math.max(grant.requests, line.requests());
+        grant.calls = Math.max(grant.calls, line.calls());
     }
 
     private void earn(Pool pool, double tokens) {
-        pool.level += Math.max(0, Math.min(tokens, rule.bound() - pool.level - pool.out));
+        pool.available += Math.max(0, Math.min(tokens, rule.bound() - pool.available - pool.granted));
     }
 
-    private void settle(ServiceGrant part, int spent, int share) {
-        Pool pool = pools.get(part.service);
-        // Beyond its share: arrivals that were not claimed, such as what an upstream rejected.
-        pool.level = Math.max(-rule.bound(), pool.level - Math.max(0, spent - Math.max(part.share, part.spent)));
-        int open = part.open();
-        int kept = Math.max(0, Math.min(share, part.share) - spent);
-        int used = Math.min(open, Math.max(0, spent - part.spent));
-        int back = Math.max(0, open - used - kept);
-        double of = Math.max(1, open);
-        pool.out -= used + back;
-        pool.level += back;
-        part.calling.replaceAll((callee, tokens) -> {
-            Pool called = pools.get(callee);
-            if (called != null) {
-                called.out -= tokens * (used + back) / of;
-                called.level += tokens * back / of;
+    private void settle(ServiceGrant grant, int spent, int share) {
+        Pool pool = pools.get(grant.service);
+        // Spending above the share: extra arrivals without a token, such as requests rejected by an upstream.
+        pool.available =
+                Math.max(-rule.bound(), pool.available - Math.max(0, spent - Math.max(grant.share, grant.spent)));
+        int outstanding = grant.outstanding();
+        int unspent = Math.max(0, Math.min(share, grant.share) - spent);
+        int used = Math.min(outstanding, Math.max(0, spent - grant.spent));
+        int returned = Math.max(0, outstanding - used - unspent);
+        double divisor = Math.max(1, outstanding);
+        pool.granted -= used + returned;
+        pool.available += returned;
+        grant.calleeTokens.replaceAll((callee, tokens) -> {
+            Pool calleePool = pools.get(callee);
+            if (calleePool != null) {
+                calleePool.granted -= tokens * (used + returned) / divisor;
+                calleePool.available += tokens * returned / divisor;
             }
-            return tokens * (open - used - back) / of;
+            return tokens * (outstanding - used - returned) / divisor;
         });
-        part.spent = spent;
-        part.share = spent + open - used - back;
+        grant.spent = spent;
+        grant.share = spent + outstanding - used - returned;
     }
 
-    /** As many as are wanted, as far as its own pool and those that its runs call have them. */
-    private int give(double now, Claim.Line line, ServiceGrant part) {
+    /**
+     * Grants the requested tokens as far as the service's own pool and the pools of the services that it calls allow.
+     */
+    private int allocate(double now, Claim.Line line, ServiceGrant grant) {
         Map<String, Double> prices = prices(line.service());
-        double most = Double.MAX_VALUE;
+        double limit = Double.MAX_VALUE;
         for (Map.Entry<String, Double> price : prices.entrySet()) {
-            most = Math.min(most, fill(now, price.getKey()).level / price.getValue());
+            limit = Math.min(limit, refill(now, price.getKey()).available / price.getValue());
         }
-        int given = Math.min(line.wanted(), (int) Math.max(Math.min(1, most), most / PARTS));
-        if (given <= 0) {
+        int allocated = Math.min(line.wanted(), (int) Math.max(Math.min(1, limit), limit / GRANT_DIVISOR));
+        if (allocated <= 0) {
             return 0;
         }
         prices.forEach((service, price) -> {
             Pool pool = pools.get(service);
-            pool.level -= given * price;
-            pool.out += given * price;
-            double called = price - (service.equals(line.service()) ? 1 : 0);
-            if (called > 0) {
-                part.calling.merge(service, given * called, Double::sum);
+            pool.available -= allocated * price;
+            pool.granted += allocated * price;
+            double calls = price - (service.equals(line.service()) ? 1 : 0);
+            if (calls > 0) {
+                grant.calleeTokens.merge(service, allocated * calls, Double::sum);
             }
         });
-        return given;
+        return allocated;
     }
 
-    /** What a further try brings as arrivals beyond the first: itself, its calls, and what those call. */
+    /** Extra arrivals that a retry causes by service: itself, its calls and their nested calls. */
     private Map<String, Double> prices(String service) {
         Map<String, Double> prices = new HashMap<>(Map.of(service, 1.0));
         Map<String, Double> runs = prices;
-        for (int depth = 0; depth < DEPTH && !runs.isEmpty(); depth++) {
+        for (int depth = 0; depth < MAX_CALL_DEPTH && !runs.isEmpty(); depth++) {
             Map<String, Double> calls = new HashMap<>();
             for (Map.Entry<String, Double> run : runs.entrySet()) {
                 for (Map.Entry<String, Pool> callee : pools.entrySet()) {
-                    double each = callsOf(run.getKey(), callee.getValue()) * run.getValue();
-                    if (each >= MIN_CALLS) {
-                        calls.merge(callee.getKey(), each, Double::sum);
+                    double callCount = callsOf(run.getKey(), callee.getValue()) * run.getValue();
+                    if (callCount >= MIN_CALLS_PER_RUN) {
+                        calls.merge(callee.getKey(), callCount, Double::sum);
                     }
                 }
             }
             Map<String, Double> sum = new HashMap<>(prices);
-            calls.forEach((callee, each) -> sum.merge(callee, each, Double::sum));
+            calls.forEach((callee, callCount) -> sum.merge(callee, callCount, Double::sum));
             prices = sum;
             runs = calls;
         }
@@ -265,13 +269,13 @@
     private double callsOf(String caller, Pool callee) {
         double calls = callee.callers.getOrDefault(caller, 0.0);
         Pool runs = pools.get(caller);
-        return calls == 0 || runs == null ? 0 : CALLS_MARGIN * (calls + UNSEEN) / (runs.runs + UNSEEN);
+        return calls == 0 || runs == null ? 0 : CALL_ESTIMATE_FACTOR * (calls + PRIOR_RUNS) / (runs.runs + PRIOR_RUNS);
     }
 
-    /** What was counted of runs and their calls long ago weighs less. */
+    /** Halves old counts of runs and their calls so that recent ones weigh more. */
     private void fade() {
         pools.forEach((service, pool) -> {
-            if (pool.runs > MANY) {
+            if (pool.runs > MAX_COUNTED_RUNS) {
                 pool.runs /= 2;
                 pools.values()
                         .forEach(callee -> callee.callers.computeIfPresent(service, (caller, calls) -> calls / 2));
@@ -279,38 +283,38 @@
         });
     }
 
-    private Pool fill(double now, String service) {
+    private Pool refill(double now, String service) {
         Pool pool = pools.get(service);
-        earn(pool, (now - pool.filledAt) * rule.drip());
-        pool.filledAt = now;
+        earn(pool, (now - pool.refilledAt) * rule.dripPerMs());
+        pool.refilledAt = now;
         return pool;
     }
 
     private void forfeit(Owner owner) {
-        owner.parts.forEach((service, part) -> {
+        owner.grants.forEach((service, grant) -> {
             Pool pool = pools.get(service);
             if (pool != null) {
-                pool.out -= part.open();
+                pool.granted -= grant.outstanding();
             }
-            part.calling.forEach((callee, tokens) -> {
-                Pool called = pools.get(callee);
-                if (called != null) {
-                    called.out -= tokens;
+            grant.calleeTokens.forEach((callee, tokens) -> {
+                Pool calleePool = pools.get(callee);
+                if (calleePool != null) {
+                    calleePool.granted -= tokens;
                 }
             });
-            part.calling.clear();
-            part.spent = part.share;
+            grant.calleeTokens.clear();
+            grant.spent = grant.share;
         });
     }
 
     private void expire(double now) {
-        for (Iterator<Owner> each = owners.values().iterator(); each.hasNext(); ) {
-            Owner owner = each.next();
-            if (now >= owner.end) {
+        for (Iterator<Owner> iterator = owners.values().iterator(); iterator.hasNext(); ) {
+            Owner owner = iterator.next();
+            if (now >= owner.expiresAt) {
                 forfeit(owner);
             }
-            if (now - owner.heardAt > OWNER_EXPIRY_MS) {
-                each.remove();
+            if (now - owner.lastClaimAt > OWNER_EXPIRY_MS) {
+                iterator.remove();
             }
         }
     }
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetRule.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetRule.java
@@ -1,54 +1,56 @@
 package sablehinge.mesh.retrybudget;
 
 /**
- * The rule on arrivals beyond the first (RULES, BUDGET), and how what it grants to a service is divided.
+ * The rule for extra arrivals, that is, arrivals of a request after its first one (RULES, BUDGET), and the division of
+ * what the rule grants to a service.
  *
- * <p>Within some window the arrivals beyond the first may be {@code ratio} times the requests of that window, of the
- * one before or of the one half before, whichever holds the most, and {@code slack}. Of the slack, a part is reserved,
- * as integer tokens that each belong to one balancer; one is what the pool may have out and in hand together; one drips
- * into the pool; the rest stays unused. Each request brings the pool half of the ratio: however demand lies, what came
- * in the window and in the half before it is at most twice what the fullest of the three windows holds, so an arrival
- * may lag half a window behind the request that paid it.
+ * <p>In any window, the number of extra arrivals may be at most {@code ratio} times the requests of that window, of the
+ * previous window or of the window half a length earlier, whichever holds the most, plus {@code slack}. One part of the
+ * slack is reserved as whole tokens, each assigned to one balancer. A second part bounds the tokens that the pool holds
+ * and has granted. A third part drips into the pool. The rest stays unused. Each request adds half of the ratio to the
+ * pool: for any distribution of demand, the requests of a window and of the half window before it are at most twice
+ * those of the fullest of the three windows, so an extra arrival may lag half a window behind the request that paid for
+ * it.
  *
- * @param ratio arrivals beyond the first for a request
- * @param windowMs the window
- * @param slack arrivals beyond the first in a window without any request
+ * @param ratio extra arrivals per request
+ * @param windowMs the length of the window in milliseconds
+ * @param slack extra arrivals allowed in a window without any request
  */
 public record RetryBudgetRule(double ratio, double windowMs, double slack) {
 
-    /** The most time from when a further try is granted until it arrives, in ms. */
-    static final double LAG_MS = 2_500;
+    /** Maximum time from the grant of a retry until it arrives, in milliseconds. */
+    static final double MAX_ARRIVAL_LAG_MS = 2_500;
 
-    private static final double RESERVED = 0.15;
-    private static final double BOUND = 0.25;
-    private static final double DRIP = 0.45;
+    private static final double RESERVED_SHARE = 0.15;
+    private static final double BOUND_SHARE = 0.25;
+    private static final double DRIP_SHARE = 0.45;
 
-    /** What a request brings the pool. */
-    double income() {
+    /** Tokens that a request adds to the pool. */
+    double tokensPerRequest() {
         return ratio / 2;
     }
 
-    /** The most that the pool may have in hand and out together. */
+    /** Maximum of the tokens that the pool holds and has granted, together. */
     double bound() {
-        return BOUND * slack;
+        return BOUND_SHARE * slack;
     }
 
-    /** What comes to the pool in a ms without any request. */
-    double drip() {
-        return DRIP * slack / (windowMs + LAG_MS);
+    /** Tokens added to the pool per millisecond, independent of requests. */
+    double dripPerMs() {
+        return DRIP_SHARE * slack / (windowMs + MAX_ARRIVAL_LAG_MS);
     }
 
-    /** For how long a reserved token that was used is out of use, in ms. */
-    double rest() {
-        return windowMs + LAG_MS;
+    /** Time in milliseconds until a used reserved token is available again. */
+    double reservedRecoveryMs() {
+        return windowMs + MAX_ARRIVAL_LAG_MS;
     }
 
     /**
-     * The reserved tokens of one balancer: the parts of all places among so many add up to what is reserved, and where
-     * there are more balancers than tokens some have none.
+     * The number of reserved tokens of one balancer. The shares of all {@code count} balancers add up to the reserved
+     * total; if there are more balancers than tokens, some have none.
      */
-    int reserved(int place, int among) {
-        int all = (int) (RESERVED * slack);
-        return all * (place + 1) / among - all * place / among;
+    int reserved(int index, int count) {
+        int total = (int) (RESERVED_SHARE * slack);
+        return total * (index + 1) / count - total * index / count;
     }
 }
--- a/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/RetryBudgetShares.java
@@ -9,78 +9,82 @@
 import java.util.function.Consumer;
 
 /**
- * What one balancer may send beyond the first try of each request, by services: its share of the pool, which follows
- * what it needs and has an end, and the tokens that are reserved for it, which need no leader.
+ * The retries that one balancer may send, by service: its share of the pool, which follows its demand and expires, and
+ * its reserved tokens, which need no leader.
  */
 public final class RetryBudgetShares {
 
-    /** How long a share lasts, in ms from when it was requested: less than at the leader. */
+    /** Lifetime of a share in milliseconds from its claim. It is shorter than the lifetime at the leader. */
     static final double GRANT_LIFETIME_MS = 900;
-    /** Least time between two claims, where something is wanted and where there is only something to tell. */
-    private static final double URGENT_MS = 15;
+    /** Minimum time in milliseconds between claims if tokens are needed urgently. */
+    private static final double MIN_CLAIM_INTERVAL_MS = 15;
+    /** Minimum time in milliseconds between other claims. */
+    private static final double CLAIM_INTERVAL_MS = 400;
+    /** Time constant in milliseconds of the decaying demand, which counts recent uses and refusals. */
+    private static final double DEMAND_DECAY_MS = 1_000;
 
-    private static final double USUAL_MS = 400;
-    /** What is wanted: what was used or refused of late, for so long ahead. */
-    private static final double FADE_MS = 1_000;
+    /** A claim asks for the demand expected over this many seconds. */
+    private static final double DEMAND_HORIZON_S = 0.6;
 
-    private static final double AHEAD = 0.6;
-    private static final double ROUNDED = 0.5;
+    private static final double ROUNDING = 0.5;
     private static final int MAX_WANTED = 1_000;
-    /** How long a further try waits for an answer, in ms, and how many of a service do. */
+    /** Time in milliseconds for which a retry waits for the answer to a claim. */
     private static final double CLAIM_TIMEOUT_MS = 60;
 
+    /** Maximum number of waiting retries of a service. */
     private static final int MAX_WAITING = 256;
-    /** What must be left for others before a second copy beside one that is out is sent. */
-    private static final int KEPT = 1;
+    /** Tokens that must remain for other retries when a speculative attempt is sent. */
+    private static final int SPECULATIVE_RESERVE = 1;
 
     private final RetryBudgetRule rule;
     private final long incarnation;
     private final String localService;
-    private final Map<String, ServiceShare> parts = new HashMap<>();
-    private int place;
-    private int among = 1;
-    private int number;
-    private int answered;
-    private double requestedAt = Double.NEGATIVE_INFINITY;
+    private final Map<String, ServiceShare> shares = new HashMap<>();
+    private int balancerIndex;
+    private int balancerCount = 1;
+    private int lastClaimNumber;
+    private int answeredClaimNumber;
+    private double claimedAt = Double.NEGATIVE_INFINITY;
     private long term;
-    private double end = Double.NEGATIVE_INFINITY;
-    /** When a leader last answered. */
-    private double touchedAt = Double.NEGATIVE_INFINITY;
+    private double expiresAt = Double.NEGATIVE_INFINITY;
+    /** Time of the last grant by a leader. */
+    private double lastGrantAt = Double.NEGATIVE_INFINITY;
 
     private static final class ServiceShare {
         int requests;
         int calls;
         int spent;
         int share;
-        /** Of both there may be many, one after the other: spending counts from 0 in each. */
+        /** Incremented whenever the share and its spending are reset to 0. */
         int epoch;
-        /** What was last reported of requests and calls, and of spending. */
+        /** The sum of requests and calls in the last report. */
         int reportedRequests;
 
         int reportedSpent;
-        /** Uses and refusals of late, faded. */
-        double need;
+        /** Recent uses and refusals, with exponential decay. */
+        double demand;
 
-        double needAt = Double.NEGATIVE_INFINITY;
+        double demandAt = Double.NEGATIVE_INFINITY;
         boolean urgent;
-        /** What it was to have in hand by the last claim, and whether it got less: then none is spare. */
+        /** Available tokens that the last claim asked for. */
         int target;
 
+        /** Whether the last grant left fewer tokens than the target; speculative attempts then get none. */
         boolean scarce;
-        /** When the reserved tokens that were used are back. */
-        final ArrayDeque<Double> resting = new ArrayDeque<>();
+        /** Times at which used reserved tokens are available again. */
+        final ArrayDeque<Double> reservedRecoveries = new ArrayDeque<>();
 
         final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
 
         Runnable spend() {
-            int of = epoch;
+            int spentEpoch = epoch;
             spent++;
-            return () -> spent -= epoch == of ? 1 : 0;
+            return () -> spent -= epoch == spentEpoch ? 1 : 0;
         }
 
-        void needs(double now) {
-            need = need(now) + 1;
-            needAt = now;
+        void recordDemand(double now) {
+            demand = demand(now) + 1;
+            demandAt = now;
         }
 
         void resetEpoch() {
@@ -90,19 +94,19 @@
             epoch++;
         }
 
-        double need(double now) {
-            return need == 0 ? 0 : need * Math.exp((needAt - now) / FADE_MS);
+        double demand(double now) {
+            return demand == 0 ? 0 : demand * Math.exp((demandAt - now) / DEMAND_DECAY_MS);
         }
     }
 
-    /** Who waits for a token, and until when. */
-    private record Waiting(double until, Consumer<Runnable> then) {}
+    /** A retry that waits for a token until a deadline. */
+    private record Waiting(double deadline, Consumer<Runnable> callback) {}
 
     /**
-     * No shares yet. The reserved tokens are there at once: what a process before may have used of them is covered by
-     * what of the rule's slack is not given out.
+     * Creates an instance without shares. The reserved tokens are available immediately: those that an earlier process
+     * may have used are covered by the unused part of the rule's slack.
      *
-     * @param incarnation names this process among all others
+     * @param incarnation identifies this process among all others
      * @param localService the service of the upstream on this machine
      */
     public RetryBudgetShares(RetryBudgetRule rule, long incarnation, String localService) {
@@ -111,153 +115,164 @@
         this.localService = localService;
     }
 
-    /** The services that there are; what is kept of others is dropped. */
+    /** Sets the services and drops the state of all others. */
     public void adopt(Collection<String> services) {
-        parts.keySet().retainAll(services);
+        shares.keySet().retainAll(services);
         services.stream()
                 .limit(Claim.MAX_LINES)
-                .forEach(service -> parts.computeIfAbsent(service, name -> new ServiceShare()));
+                .forEach(service -> shares.computeIfAbsent(service, name -> new ServiceShare()));
     }
 
-    /** Which of so many balancers this is, from 0, by an order that all of them have. */
-    public void setPosition(int own, int all) {
-        place = own;
-        among = all;
+    /**
+     * Sets the index of this balancer, from 0, in an order that all balancers agree on, and the number of balancers.
+     */
+    public void setPosition(int index, int count) {
+        balancerIndex = index;
+        balancerCount = count;
     }
 
-    /** A client has sent a request for a service here. */
+    /** Records a client request for a service. */
     public void onRequest(String service) {
-        ServiceShare part = parts.get(service);
-        if (part != null) {
-            part.requests++;
+        ServiceShare entry = shares.get(service);
+        if (entry != null) {
+            entry.requests++;
         }
     }
 
-    /** The upstream beside has called a service. */
+    /** Records a call from the local upstream to a service. */
     public void onUpstreamCall(String service) {
-        ServiceShare part = parts.get(service);
-        if (part != null) {
-            part.calls++;
+        ServiceShare entry = shares.get(service);
+        if (entry != null) {
+            entry.calls++;
         }
     }
 
     /**
-     * Takes a token for a further try. Where the share has none it waits for a claim's answer, and then takes one of
-     * those that are reserved; a spare one does neither.
+     * Acquires a token for a retry. If the share has none left, the retry waits for the answer to a claim and takes a
+     * reserved token if the wait times out. A speculative attempt neither waits nor takes a reserved token.
      *
-     * @param spare whether one that is out may yet do: then some must be left
-     * @param then called once, perhaps before this returns, with what gives the token back, or with null
+     * @param speculative whether the attempt is speculative because an earlier one is still in flight; some tokens must
+     *     then remain
+     * @param callback called once, possibly before this method returns, with a function that returns the token, or with
+     *     null if there is none
      */
-    public void acquire(double now, String service, boolean spare, Consumer<Runnable> then) {
-        ServiceShare part = parts.get(service);
-        if (part == null) {
-            then.accept(null);
+    public void acquire(double now, String service, boolean speculative, Consumer<Runnable> callback) {
+        ServiceShare entry = shares.get(service);
+        if (entry == null) {
+            callback.accept(null);
             return;
         }
-        if (!spare || !part.scarce) {
-            part.needs(now);
+        if (!speculative || !entry.scarce) {
+            entry.recordDemand(now);
         }
-        int open = now < end ? part.share - part.spent : 0;
-        part.urgent |= open <= KEPT;
-        if (open > (spare ? KEPT : 0) && !(spare && part.scarce)) {
-            then.accept(part.spend());
-        } else if (spare || part.waiting.size() >= MAX_WAITING) {
-            then.accept(null);
-        } else if (now < touchedAt + GRANT_LIFETIME_MS) {
-            part.waiting.addLast(new Waiting(now + CLAIM_TIMEOUT_MS, then));
+        int available = now < expiresAt ? entry.share - entry.spent : 0;
+        entry.urgent |= available <= SPECULATIVE_RESERVE;
+        if (available > (speculative ? SPECULATIVE_RESERVE : 0) && !(speculative && entry.scarce)) {
+            callback.accept(entry.spend());
+        } else if (speculative || entry.waiting.size() >= MAX_WAITING) {
+            callback.accept(null);
+        } else if (now < lastGrantAt + GRANT_LIFETIME_MS) {
+            entry.waiting.addLast(new Waiting(now + CLAIM_TIMEOUT_MS, callback));
         } else {
-            then.accept(reserved(now, part));
+            callback.accept(takeReserved(now, entry));
         }
     }
 
-    /** What has waited long enough takes what is reserved; to be called some times a second. */
+    /** Gives reserved tokens to the retries whose wait has timed out. Must be called several times a second. */
     public void expireWaiting(double now) {
-        for (ServiceShare part : parts.values()) {
-            while (!part.waiting.isEmpty() && part.waiting.peekFirst().until <= now) {
-                part.waiting.pollFirst().then.accept(reserved(now, part));
+        for (ServiceShare entry : shares.values()) {
+            while (!entry.waiting.isEmpty() && entry.waiting.peekFirst().deadline <= now) {
+                entry.waiting.pollFirst().callback.accept(takeReserved(now, entry));
             }
         }
     }
 
-    private Runnable reserved(double now, ServiceShare part) {
-        while (!part.resting.isEmpty() && part.resting.peekFirst() <= now) {
-            part.resting.pollFirst();
+    private Runnable takeReserved(double now, ServiceShare entry) {
+        while (!entry.reservedRecoveries.isEmpty() && entry.reservedRecoveries.peekFirst() <= now) {
+            entry.reservedRecoveries.pollFirst();
         }
-        if (part.resting.size() >= rule.reserved(place, among)) {
+        if (entry.reservedRecoveries.size() >= rule.reserved(balancerIndex, balancerCount)) {
             return null;
         }
-        double until = now + rule.rest();
-        part.resting.addLast(until);
-        return () -> part.resting.removeFirstOccurrence(until);
+        double recoveredAt = now + rule.reservedRecoveryMs();
+        entry.reservedRecoveries.addLast(recoveredAt);
+        return () -> entry.reservedRecoveries.removeFirstOccurrence(recoveredAt);
     }
 
-    /** Something has arrived beyond the first for which no token was taken. */
+    /** Records an extra arrival for which no token was acquired. */
     public void onExtraArrival(String service) {
-        ServiceShare part = parts.get(service);
-        if (part != null) {
-            part.spent++;
+        ServiceShare entry = shares.get(service);
+        if (entry != null) {
+            entry.spent++;
         }
     }
 
-    /** The claim to send now; null where that can wait. What is not needed is given back. */
+    /** The claim to send now, or null if none is due. It returns tokens that are not needed. */
     public Claim nextClaim(double now) {
-        if (now >= end && term != 0) {
+        if (now >= expiresAt && term != 0) {
             term = 0;
-            parts.values().forEach(ServiceShare::resetEpoch);
+            shares.values().forEach(ServiceShare::resetEpoch);
         }
-        double since = now - requestedAt;
-        boolean urgent = parts.values().stream().anyMatch(part -> part.urgent);
-        if (since < URGENT_MS || since < USUAL_MS && !urgent) {
+        double elapsed = now - claimedAt;
+        boolean urgent = shares.values().stream().anyMatch(entry -> entry.urgent);
+        if (elapsed < MIN_CLAIM_INTERVAL_MS || elapsed < CLAIM_INTERVAL_MS && !urgent) {
             return null;
         }
         List<Claim.Line> lines = new ArrayList<>();
-        parts.forEach((service, part) -> {
-            boolean changed = part.requests + part.calls != part.reportedRequests;
-            int wanted = Math.min(
-                    MAX_WANTED, Math.max(part.waiting.size(), (int) Math.ceil(AHEAD * part.need(now) - ROUNDED)));
-            int open = Math.max(0, part.share - part.spent);
-            part.share -= Math.max(0, open - wanted);
-            if (changed || part.spent != part.reportedSpent || part.share > part.spent || wanted > 0) {
+        shares.forEach((service, entry) -> {
+            boolean changed = entry.requests + entry.calls != entry.reportedRequests;
+            int wanted = Math.min(MAX_WANTED, Math.max(entry.waiting.size(), (int)
+                    Math.ceil(DEMAND_HORIZON_S * entry.demand(now) - ROUNDING)));
+            int available = Math.max(0, entry.share - entry.spent);
+            entry.share -= Math.max(0, available - wanted);
+            if (changed || entry.spent != entry.reportedSpent || entry.share > entry.spent || wanted > 0) {
                 lines.add(new Claim.Line(
-                        service, part.requests, part.calls, part.spent, part.share, Math.max(0, wanted - open)));
-                part.reportedRequests = part.requests + part.calls;
-                part.reportedSpent = part.spent;
+                        service,
+                        entry.requests,
+                        entry.calls,
+                        entry.spent,
+                        entry.share,
+                        Math.max(0, wanted - available)));
+                entry.reportedRequests = entry.requests + entry.calls;
+                entry.reportedSpent = entry.spent;
             }
-            part.target = wanted;
-            part.urgent = false;
+            entry.target = wanted;
+            entry.urgent = false;
         });
         if (lines.isEmpty()) {
             return null;
         }
-        requestedAt = now;
-        return new Claim(incarnation, ++number, term, localService, lines);
+        claimedAt = now;
+        return new Claim(incarnation, ++lastClaimNumber, term, localService, lines);
     }
 
-    /** A leader has answered; an answer to another claim than the last is ignored. */
+    /** Records a leader's grant. An answer to any claim but the last is ignored. */
     public void onGrant(double now, Grant grant) {
-        if (grant.number() != number || number == answered || now >= requestedAt + GRANT_LIFETIME_MS) {
+        if (grant.number() != lastClaimNumber
+                || lastClaimNumber == answeredClaimNumber
+                || now >= claimedAt + GRANT_LIFETIME_MS) {
             return;
         }
-        answered = number;
-        touchedAt = now;
-        end = requestedAt + GRANT_LIFETIME_MS;
+        answeredClaimNumber = lastClaimNumber;
+        lastGrantAt = now;
+        expiresAt = claimedAt + GRANT_LIFETIME_MS;
         if (grant.term() != term) {
             term = grant.term();
-            parts.values().forEach(ServiceShare::resetEpoch);
+            shares.values().forEach(ServiceShare::resetEpoch);
         }
         for (Grant.Line line : grant.lines()) {
-            ServiceShare part = parts.get(line.service());
-            if (part != null) {
-                part.share = line.share();
-                part.scarce = part.share - part.spent < part.target;
+            ServiceShare entry = shares.get(line.service());
+            if (entry != null) {
+                entry.share = line.share();
+                entry.scarce = entry.share - entry.spent < entry.target;
             }
         }
-        // Who is served may come back with more at once, and must find all of the answer taken in.
+        // A callback may acquire more tokens immediately, so the whole answer must be applied before any callback runs.
         for (Grant.Line line : grant.lines()) {
-            ServiceShare part = parts.get(line.service());
-            if (part != null) {
-                while (part.share > part.spent && !part.waiting.isEmpty()) {
-                    part.waiting.pollFirst().then.accept(part.spend());
+            ServiceShare entry = shares.get(line.service());
+            if (entry != null) {
+                while (entry.share > entry.spent && !entry.waiting.isEmpty()) {
+                    entry.waiting.pollFirst().callback.accept(entry.spend());
                 }
             }
         }
--- a/src/main/java/sablehinge/mesh/retrybudget/package-info.java
+++ b/src/main/java/sablehinge/mesh/retrybudget/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The retry budget of each service over all balancers: claims, grants, allocation on the leader. It decides only; both
- * planes use it.
+ * The retry budget of each service over all balancers: claims, grants, and allocation on the leader. The package does
+ * no I/O and is used by both planes.
  */
 package sablehinge.mesh.retrybudget;
--- a/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
+++ b/src/test/java/sablehinge/mesh/retrybudget/SimulatedMesh.java
@@ -9,81 +9,83 @@
 import java.util.SplittableRandom;
 
 /**
- * Balancers and the owner of the pools, in virtual time: records are lost, doubled, late and overtaken, clocks run
- * apart by a hundredth, balancers are cut off, the singleton role changes hands. What arrives beyond the first is
- * judged against the rule by its words, whatever the deciders believe.
+ * A simulation of balancers and the leader that owns the pools, in virtual time. Records are lost, duplicated, delayed
+ * and reordered, clock rates differ by up to one percent, balancers are partitioned, and leadership changes. Extra
+ * arrivals are checked against the text of the rule, independently of the tested classes.
  */
 final class SimulatedMesh {
 
     static final String ATLAS = "atlas";
     static final String RELEVE = "releve";
-    private static final double STEP = 10;
-    private static final double TICK = 100;
-    private static final double GRID = 50;
+    private static final double STEP_MS = 10;
+    private static final double TICK_MS = 100;
+    private static final double GRID_MS = 50;
 
     final RetryBudgetRule rule;
     final SplittableRandom random;
     final Balancer[] sidecars;
-    /** Shares of records that are lost and doubled, and their longest way, in ms. */
-    double loss;
+    /** Shares of records that are lost and duplicated, and their maximum transit time in milliseconds. */
+    double lossRate;
 
-    double doubling;
-    double way = 3;
-    /** The longest time from a token to the arrival, in ms, and the share that never arrives. */
-    double lag = 300;
+    double duplicationRate;
+    double maxTransitMs = 3;
+    /** Maximum time in milliseconds from a token to the arrival, and the share that never arrives. */
+    double maxArrivalLagMs = 300;
 
-    double lost = 0.05;
-    /** How often a request is sent at most, and whether one that was refused goes on asking. */
-    int most = 4;
+    double neverArrivingShare = 0.05;
+    /** Maximum number of attempts per request, and whether a refused retry is requested again. */
+    int maxAttempts = 4;
 
-    boolean stubborn;
-    /** Calls of a run of atlas for releve, on the mean; they are 0 or 1. */
-    double calls;
+    boolean repeatsRefusedRetries;
+    /** Mean number of calls to releve per run of atlas; each run makes 0 or 1. */
+    double callsPerRun;
 
     double now;
     long events;
-    /** Second copies and further tries that were not sent; and those of these that the rule had allowed. */
+    /**
+     * Speculative attempts and retries that were not sent, and the retries among them that the rule would have allowed.
+     */
     int skipped;
 
     int denied;
-    int deniedInside;
-    int trips;
+    int deniedWithinRule;
+    int claims;
     private RetryBudgetAllocator allocator;
-    private double allocatorRate = 1;
+    private double leaderClockRate = 1;
     private long term;
-    private double leaderless;
-    private long serial;
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.<Due>comparingDouble(d -> d.at).thenComparingLong(d -> d.serial));
-    private final Map<String, Times> requests = new HashMap<>();
-    private final Map<String, Times> extras = new HashMap<>();
+    private double nextLeaderAt;
+    private long sequence;
+    private final PriorityQueue<ScheduledTask> scheduled = new PriorityQueue<>(
+            Comparator.<ScheduledTask>comparingDouble(task -> task.at).thenComparingLong(task -> task.sequence));
+    private final Map<String, TimeLog> requests = new HashMap<>();
+    private final Map<String, TimeLog> extraArrivals = new HashMap<>();
 
-    private record Due(double at, long serial, Runnable what) {}
+    private record ScheduledTask(double at, long sequence, Runnable task) {}
 
-    /** Moments, of which some come late. */
-    static final class Times {
+    /** A log of times, which may be added out of order. */
+    static final class TimeLog {
         private double[] at = new double[1_024];
         private int size;
         private boolean sorted = true;
 
-        void add(double moment) {
+        void add(double time) {
             if (size == at.length) {
                 at = Arrays.copyOf(at, 2 * size);
             }
-            sorted &= size == 0 || at[size - 1] <= moment;
-            at[size++] = moment;
+            sorted &= size == 0 || at[size - 1] <= time;
+            at[size++] = time;
         }
 
         int size() {
             return size;
         }
 
-        /** How many lie from one moment to another, both counted. */
-        int within(double from, double to) {
-            return Math.max(0, below(Math.nextUp(to)) - below(from));
+        /** The number of times between two times, both inclusive. */
+        int countBetween(double from, double to) {
+            return Math.max(0, countBelow(Math.nextUp(to)) - countBelow(from));
         }
 
-        private int below(double moment) {
+        private int countBelow(double time) {
             if (!sorted) {
                 Arrays.sort(at, 0, size);
                 sorted = true;
@@ -92,7 +94,7 @@
             int high = size;
             while (low < high) {
                 int middle = (low + high) >>> 1;
-                if (at[middle] < moment) {
+                if (at[middle] < time) {
                     low = middle + 1;
                 } else {
                     high = middle;
@@ -102,124 +104,124 @@
         }
     }
 
-    /** A balancer, with what it meets. */
+    /** A balancer with its demand and faults. */
     final class Balancer {
-        final double rate = 0.99 + random.nextDouble() * 0.02;
-        final double from = random.nextDouble() * 1e6;
-        private final String beside;
-        private final int place;
+        final double clockRate = 0.99 + random.nextDouble() * 0.02;
+        final double clockOffset = random.nextDouble() * 1e6;
+        private final String localService;
+        private final int index;
         private RetryBudgetShares shares;
-        boolean cut;
-        /** Requests a second for each service, and the share of runs that fail. */
+        boolean partitioned;
+        /** Requests per second for each service, and the share of runs that fail. */
         final Map<String, Double> demand = new HashMap<>();
 
-        final Map<String, Double> failing = new HashMap<>();
+        final Map<String, Double> failureRate = new HashMap<>();
         int granted;
-        /** Moments of further tries that were wanted, and of those that had their token. */
-        private final Times wanted = new Times();
+        /** Times of the requested retries, and of those that got a token. */
+        private final TimeLog requested = new TimeLog();
 
-        private final Times met = new Times();
+        private final TimeLog satisfied = new TimeLog();
 
-        Balancer(int place, String beside) {
-            this.place = place;
-            this.beside = beside;
-            startedAt();
+        Balancer(int index, String localService) {
+            this.index = index;
+            this.localService = localService;
+            restart();
         }
 
-        void startedAt() {
-            shares = new RetryBudgetShares(rule, random.nextLong(), beside);
+        void restart() {
+            shares = new RetryBudgetShares(rule, random.nextLong(), localService);
             shares.adopt(List.of(ATLAS, RELEVE));
-            shares.setPosition(place, sidecars.length);
+            shares.setPosition(index, sidecars.length);
         }
 
         double clock() {
-            return from + now * rate;
+            return clockOffset + now * clockRate;
         }
 
-        private void step() {
+        private void generateRequests() {
             demand.forEach((service, perSecond) -> {
-                for (double left = perSecond * STEP / 1_000; random.nextDouble() < left; left--) {
-                    requests.computeIfAbsent(service, name -> new Times()).add(now);
+                for (double left = perSecond * STEP_MS / 1_000; random.nextDouble() < left; left--) {
+                    requests.computeIfAbsent(service, name -> new TimeLog()).add(now);
                     shares.onRequest(service);
                     run(service, false, 1);
                 }
             });
         }
 
-        /** A run makes its calls, which are repeats if it is one; if it fails, another may follow. */
-        private void run(String service, boolean repeat, int tries) {
-            if (service.equals(ATLAS) && random.nextDouble() < calls) {
+        /** Runs a request with its calls, which are repeated if the run is a repeat. A failed run may be retried. */
+        private void run(String service, boolean repeat, int attempt) {
+            if (service.equals(ATLAS) && random.nextDouble() < callsPerRun) {
                 caller().shares.onUpstreamCall(RELEVE);
                 if (repeat) {
-                    extra(RELEVE, now + random.nextDouble() * lag);
+                    recordExtraArrival(RELEVE, now + random.nextDouble() * maxArrivalLagMs);
                 }
             }
-            if (tries < most && random.nextDouble() < failing.getOrDefault(service, 0.0)) {
-                after(random.nextDouble() * lag, () -> again(service, tries));
+            if (attempt < maxAttempts && random.nextDouble() < failureRate.getOrDefault(service, 0.0)) {
+                after(random.nextDouble() * maxArrivalLagMs, () -> retry(service, attempt));
             }
         }
 
-        /** Beside some upstream of atlas. */
+        /** A random balancer whose local upstream belongs to atlas. */
         private Balancer caller() {
             return sidecars[2 * random.nextInt((sidecars.length + 1) / 2)];
         }
 
-        private void again(String service, int tries) {
-            boolean spare = random.nextInt(4) == 0;
+        private void retry(String service, int attempt) {
+            boolean speculative = random.nextInt(4) == 0;
             double requestedAt = now;
-            if (!spare) {
-                wanted.add(requestedAt);
+            if (!speculative) {
+                requested.add(requestedAt);
             }
-            shares.acquire(clock(), service, spare, token -> {
-                if (!spare && token != null) {
-                    met.add(requestedAt);
+            shares.acquire(clock(), service, speculative, token -> {
+                if (!speculative && token != null) {
+                    satisfied.add(requestedAt);
                 }
-                taken(service, tries, spare, token);
+                onToken(service, attempt, speculative, token);
             });
-            claim();
+            sendClaim();
         }
 
-        private void taken(String service, int tries, boolean spare, Runnable token) {
-            if (token == null && spare) {
+        private void onToken(String service, int attempt, boolean speculative, Runnable token) {
+            if (token == null && speculative) {
                 skipped++;
             } else if (token == null) {
                 denied++;
-                if (stubborn && tries < most) {
-                    after(100, () -> again(service, tries + 1));
+                if (repeatsRefusedRetries && attempt < maxAttempts) {
+                    after(100, () -> retry(service, attempt + 1));
                 }
-                deniedInside += inside(service) ? 1 : 0;
-            } else if (random.nextDouble() < lost) {
-                after(random.nextDouble() * lag, token);
+                deniedWithinRule += isWithinRule(service) ? 1 : 0;
+            } else if (random.nextDouble() < neverArrivingShare) {
+                after(random.nextDouble() * maxArrivalLagMs, token);
             } else {
                 granted++;
-                double at = now + random.nextDouble() * lag;
-                extra(service, at);
-                after(at - now, () -> run(service, true, tries + 1));
+                double at = now + random.nextDouble() * maxArrivalLagMs;
+                recordExtraArrival(service, at);
+                after(at - now, () -> run(service, true, attempt + 1));
             }
         }
 
-        /** From when on, in s after a time, nine of ten further tries wanted in a second have their token. */
-        double follows(double from) {
+        /** Seconds after a time until nine of ten retries requested within a second get their token. */
+        double secondsToFollow(double from) {
             double at = from;
-            while (met.within(at, at + 1_000) < 0.9 * wanted.within(at, at + 1_000)) {
-                at += TICK;
+            while (satisfied.countBetween(at, at + 1_000) < 0.9 * requested.countBetween(at, at + 1_000)) {
+                at += TICK_MS;
             }
             return (at - from) / 1_000;
         }
 
-        private void claim() {
+        private void sendClaim() {
             shares.expireWaiting(clock());
             Claim claim = shares.nextClaim(clock());
             if (claim != null) {
-                trips++;
-                carry(
+                claims++;
+                transmit(
                         () -> {
-                            Grant grant = allocator == null ? null : allocator.grant(now * allocatorRate, claim);
+                            Grant grant = allocator == null ? null : allocator.grant(now * leaderClockRate, claim);
                             if (grant != null) {
-                                carry(() -> shares.onGrant(clock(), grant), cut);
+                                transmit(() -> shares.onGrant(clock(), grant), partitioned);
                             }
                         },
-                        cut);
+                        partitioned);
             }
         }
     }
@@ -231,121 +233,123 @@
         for (int i = 0; i < balancers; i++) {
             sidecars[i] = new Balancer(i, i % 2 == 0 ? ATLAS : RELEVE);
         }
-        leads();
+        startLeader();
     }
 
-    /** Another has the singleton role from now on; before, there may be nobody for a while. */
-    void leads() {
+    /** Makes a new leader the owner of the pools. */
+    void startLeader() {
         allocator = new RetryBudgetAllocator(rule);
-        allocatorRate = 0.99 + random.nextDouble() * 0.02;
+        leaderClockRate = 0.99 + random.nextDouble() * 0.02;
         allocator.begin(++term);
-        allocator.adopt(now * allocatorRate, List.of(ATLAS, RELEVE));
+        allocator.adopt(now * leaderClockRate, List.of(ATLAS, RELEVE));
     }
 
-    /** The owner is gone, and another comes after so many ms. */
-    void leaderless(double ms) {
+    /** Removes the leader; a new one starts after the given time in milliseconds. */
+    void loseLeader(double ms) {
         allocator = null;
-        leaderless = now + ms;
+        nextLeaderAt = now + ms;
     }
 
-    /** Each balancer's part of a demand in requests a second, and the share of its runs that fail. */
-    void spread(String service, double perSecond, double failing) {
-        for (Balancer one : sidecars) {
-            one.demand.put(service, perSecond / sidecars.length);
-            one.failing.put(service, failing);
+    /** Spreads a demand in requests per second evenly over the balancers and sets the share of runs that fail. */
+    void spread(String service, double perSecond, double failureRate) {
+        for (Balancer balancer : sidecars) {
+            balancer.demand.put(service, perSecond / sidecars.length);
+            balancer.failureRate.put(service, failureRate);
         }
     }
 
     void run(double ms) {
         double end = now + ms;
         while (now < end) {
-            now += STEP;
-            if (allocator == null && now >= leaderless) {
-                leads();
+            now += STEP_MS;
+            if (allocator == null && now >= nextLeaderAt) {
+                startLeader();
             }
-            while (!due.isEmpty() && due.peek().at <= now) {
-                due.poll().what.run();
+            while (!scheduled.isEmpty() && scheduled.peek().at <= now) {
+                scheduled.poll().task.run();
                 events++;
             }
-            for (Balancer one : sidecars) {
-                one.step();
-                if (Math.floor(now / TICK) > Math.floor((now - STEP) / TICK)) {
-                    one.claim();
+            for (Balancer balancer : sidecars) {
+                balancer.generateRequests();
+                if (Math.floor(now / TICK_MS) > Math.floor((now - STEP_MS) / TICK_MS)) {
+                    balancer.sendClaim();
                 }
             }
         }
     }
 
-    private void after(double ms, Runnable what) {
-        due.add(new Due(now + ms, serial++, what));
+    private void after(double ms, Runnable task) {
+        scheduled.add(new ScheduledTask(now + ms, sequence++, task));
     }
 
-    private void carry(Runnable record, boolean cut) {
-        if (cut || random.nextDouble() < loss) {
+    private void transmit(Runnable record, boolean partitioned) {
+        if (partitioned || random.nextDouble() < lossRate) {
             return;
         }
-        after(random.nextDouble() * way, record);
-        if (random.nextDouble() < doubling) {
-            after(random.nextDouble() * 10 * way, record);
+        after(random.nextDouble() * maxTransitMs, record);
+        if (random.nextDouble() < duplicationRate) {
+            after(random.nextDouble() * 10 * maxTransitMs, record);
         }
     }
 
-    private void extra(String service, double at) {
-        extras.computeIfAbsent(service, name -> new Times()).add(at);
+    private void recordExtraArrival(String service, double at) {
+        extraArrivals.computeIfAbsent(service, name -> new TimeLog()).add(at);
     }
 
-    /** Arrivals beyond the first. */
-    int extras() {
-        return extras.values().stream().mapToInt(Times::size).sum();
+    /** The number of extra arrivals. */
+    int extraArrivals() {
+        return extraArrivals.values().stream().mapToInt(TimeLog::size).sum();
     }
 
     int requests() {
-        return requests.values().stream().mapToInt(Times::size).sum();
+        return requests.values().stream().mapToInt(TimeLog::size).sum();
     }
 
-    /** Further tries that got a token. */
+    /** The number of retries that got a token. */
     int granted() {
-        return Arrays.stream(sidecars).mapToInt(one -> one.granted).sum();
+        return Arrays.stream(sidecars).mapToInt(balancer -> balancer.granted).sum();
     }
 
-    /** Of all windows, the most arrivals beyond the first for what the rule allows. */
-    double fullest() {
-        double most = 0;
+    /** The maximum over all windows of the extra arrivals divided by the rule's limit. */
+    double maxRuleUsage() {
+        double usage = 0;
         for (String service : List.of(ATLAS, RELEVE)) {
-            Times arrived = extras.getOrDefault(service, new Times());
-            for (double begin = 0; begin < now; begin += GRID) {
-                most = Math.max(most, arrived.within(begin, begin + rule.windowMs()) / limit(service, begin));
+            TimeLog arrived = extraArrivals.getOrDefault(service, new TimeLog());
+            for (double begin = 0; begin < now; begin += GRID_MS) {
+                usage = Math.max(
+                        usage, arrived.countBetween(begin, begin + rule.windowMs()) / ruleLimit(service, begin));
             }
         }
-        return most;
+        return usage;
     }
 
-    /** Whether one more arrival now would still be within the rule, as far as the past tells. */
-    private boolean inside(String service) {
-        Times arrived = extras.getOrDefault(service, new Times());
-        return arrived.within(now - rule.windowMs(), now) + 1 <= limit(service, now - rule.windowMs());
+    /** Whether one more extra arrival now would be within the rule, judged by the past. */
+    private boolean isWithinRule(String service) {
+        TimeLog arrived = extraArrivals.getOrDefault(service, new TimeLog());
+        return arrived.countBetween(now - rule.windowMs(), now) + 1 <= ruleLimit(service, now - rule.windowMs());
     }
 
-    /** What the rule allows in the window that begins at a time (RULES, BUDGET). */
-    private double limit(String service, double from) {
-        Times times = requests.getOrDefault(service, new Times());
+    /** The rule's limit for the window that begins at a time (RULES, BUDGET). */
+    private double ruleLimit(String service, double from) {
+        TimeLog times = requests.getOrDefault(service, new TimeLog());
         double window = rule.windowMs();
-        int most = 0;
+        int maxRequests = 0;
         for (double begin : new double[] {from, from - window / 2, from - window}) {
-            most = Math.max(most, times.within(begin, begin + window));
+            maxRequests = Math.max(maxRequests, times.countBetween(begin, begin + window));
         }
-        return rule.ratio() * most + rule.slack();
+        return rule.ratio() * maxRequests + rule.slack();
     }
 
-    /** How far the fullest window of all lies above the rule's limit; below 0 where none does. */
+    /** The maximum over all windows of the extra arrivals above the rule's limit; negative if no window exceeds it. */
     double excess() {
         double worst = Double.NEGATIVE_INFINITY;
         for (String service : List.of(ATLAS, RELEVE)) {
-            Times arrived = extras.getOrDefault(service, new Times());
+            TimeLog arrived = extraArrivals.getOrDefault(service, new TimeLog());
             for (int i = 0; i < arrived.size(); i++) {
-                // A window is fullest that begins with an arrival, or a little before it.
-                for (double begin = arrived.at[i]; begin > arrived.at[i] - 2 * GRID; begin -= GRID) {
-                    worst = Math.max(worst, arrived.within(begin, begin + rule.windowMs()) - limit(service, begin));
+                // The fullest windows begin at an arrival or shortly before it.
+                for (double begin = arrived.at[i]; begin > arrived.at[i] - 2 * GRID_MS; begin -= GRID_MS) {
+                    worst = Math.max(
+                            worst, arrived.countBetween(begin, begin + rule.windowMs()) - ruleLimit(service, begin));
                 }
             }
         }
