--- a/src/main/java/sablehinge/mesh/api/ApiRequest.java
+++ b/src/main/java/sablehinge/mesh/api/ApiRequest.java
@@ -3,9 +3,9 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A call as it came.
+ * A received call.
  *
- * @param name what follows the operation's path; empty for nothing
- * @param body not to be changed
+ * @param name the part of the path after the operation's path; may be empty
+ * @param body the body, which must not be modified
  */
 public record ApiRequest(String name, HttpHeaders headers, byte[] body) {}
--- a/src/main/java/sablehinge/mesh/api/ApiServer.java
+++ b/src/main/java/sablehinge/mesh/api/ApiServer.java
@@ -29,12 +29,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes calls over HTTP/1.1 at an address and hands each to its operation. */
+/** Accepts calls over HTTP/1.1 and dispatches each to its operation. */
 public final class ApiServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(ApiServer.class);
     private static final int MAX_CONNECTIONS = 256;
-    private static final long IDLE_S = 60;
+    private static final long IDLE_TIMEOUT_S = 60;
 
     private final EventLoop loop;
     private final List<Operation<?, ?>> operations;
@@ -42,9 +42,9 @@
     private final Set<Channel> open = new HashSet<>();
 
     /**
-     * A door.
+     * Creates a server.
      *
-     * @param maxBodyBytes of a call's body; a longer one gets 413
+     * @param maxBodyBytes maximum size of a call's body; larger ones are answered with 413
      */
     public ApiServer(EventLoop loop, List<Operation<?, ?>> operations, int maxBodyBytes) {
         this.loop = loop;
@@ -52,16 +52,16 @@
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Takes calls at an address. */
+    /** Accepts calls at an address. */
     public ChannelFuture listen(InetSocketAddress address) {
         return server().channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .bind(address);
     }
 
-    /** Takes calls where the process listens already, those that wait in the backlog first. */
-    public ChannelFuture adopt(ServerSocketChannel listening) {
-        return server().channelFactory(() -> new NioServerSocketChannel(listening))
+    /** Accepts calls on a socket that is already listening, starting with those in its backlog. */
+    public ChannelFuture adopt(ServerSocketChannel serverSocket) {
+        return server().channelFactory(() -> new NioServerSocketChannel(serverSocket))
                 .register();
     }
 
@@ -79,53 +79,56 @@
                         open.add(channel);
                         channel.closeFuture().addListener(closed -> open.remove(channel));
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(maxBodyBytes), new Calls());
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(maxBodyBytes),
+                                        new CallHandler());
                     }
                 });
     }
 
-    /** The calls of one connection, one after the other. */
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles the calls of one connection in sequence. */
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-        private final ArrayDeque<FullHttpRequest> ahead = new ArrayDeque<>();
+        private final ArrayDeque<FullHttpRequest> queuedRequests = new ArrayDeque<>();
         private boolean busy;
-        private long calledAt = System.nanoTime();
+        private long lastCallAt = System.nanoTime();
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            rest(ctx);
+            scheduleIdleCheck(ctx);
         }
 
-        private void rest(ChannelHandlerContext ctx) {
+        private void scheduleIdleCheck(ChannelHandlerContext ctx) {
             loop.schedule(
                     () -> {
                         if (ctx.channel().isOpen()) {
-                            if (!busy && System.nanoTime() - calledAt > TimeUnit.SECONDS.toNanos(IDLE_S)) {
+                            if (!busy && System.nanoTime() - lastCallAt > TimeUnit.SECONDS.toNanos(IDLE_TIMEOUT_S)) {
                                 ctx.close();
                             } else {
-                                rest(ctx);
+                                scheduleIdleCheck(ctx);
                             }
                         }
                     },
-                    IDLE_S,
+                    IDLE_TIMEOUT_S,
                     TimeUnit.SECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            calledAt = System.nanoTime();
+            lastCallAt = System.nanoTime();
             if (busy) {
-                ahead.add(request.retain());
+                queuedRequests.add(request.retain());
                 ctx.channel().config().setAutoRead(false);
             } else {
-                take(ctx, request);
+                handle(ctx, request);
             }
         }
 
-        private void take(ChannelHandlerContext ctx, FullHttpRequest request) {
+        private void handle(ChannelHandlerContext ctx, FullHttpRequest request) {
             busy = true;
-            boolean keep = HttpUtil.isKeepAlive(request);
-            ApiResponse refused = null;
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
+            ApiResponse rejection = null;
             try {
                 if (!request.decoderResult().isSuccess()) {
                     throw new CallException(400, "MALFORMED", "not HTTP/1.1");
@@ -137,24 +140,24 @@
                         ctx,
                         operation,
                         new ApiRequest(path(request).substring(operation.path().length()), request.headers(), body),
-                        keep);
+                        keepAlive);
             } catch (CallException e) {
-                refused = e.reply();
+                rejection = e.reply();
             } catch (RuntimeException e) {
-                LOG.atError().addKeyValue("event", "call-failed").setCause(e).log("a call failed");
-                refused = ApiResponse.error(500, "BROKEN", String.valueOf(e.getMessage()));
+                LOG.atError().addKeyValue("event", "call-failed").setCause(e).log("API call failed");
+                rejection = ApiResponse.error(500, "BROKEN", String.valueOf(e.getMessage()));
             }
-            if (refused != null) {
-                answer(ctx, refused, keep);
+            if (rejection != null) {
+                answer(ctx, rejection, keepAlive);
             }
         }
 
         private <Q, A> void dispatch(
-                ChannelHandlerContext ctx, Operation<Q, A> operation, ApiRequest request, boolean keep) {
-            operation.execute(operation.read(request), answer -> answer(ctx, operation.write(answer), keep));
+                ChannelHandlerContext ctx, Operation<Q, A> operation, ApiRequest request, boolean keepAlive) {
+            operation.execute(operation.read(request), answer -> answer(ctx, operation.write(answer), keepAlive));
         }
 
-        private void answer(ChannelHandlerContext ctx, ApiResponse reply, boolean keep) {
+        private void answer(ChannelHandlerContext ctx, ApiResponse reply, boolean keepAlive) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(reply.status()),
@@ -163,17 +166,17 @@
             if (reply.location() != null) {
                 response.headers().set("Location", reply.location());
             }
-            if (!keep) {
+            if (!keepAlive) {
                 response.headers().set("Connection", "close");
             }
             ChannelFuture written = ctx.writeAndFlush(response);
-            if (!keep) {
+            if (!keepAlive) {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
             busy = false;
-            FullHttpRequest next = ahead.poll();
+            FullHttpRequest next = queuedRequests.poll();
             if (next != null) {
-                take(ctx, next);
+                handle(ctx, next);
                 next.release();
             } else {
                 ctx.channel().config().setAutoRead(true);
@@ -182,8 +185,8 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ahead.forEach(FullHttpRequest::release);
-            ahead.clear();
+            queuedRequests.forEach(FullHttpRequest::release);
+            queuedRequests.clear();
         }
 
         @Override
@@ -199,18 +202,19 @@
 
     private Operation<?, ?> operation(FullHttpRequest request) {
         String path = path(request);
-        boolean known = false;
-        for (Operation<?, ?> one : operations) {
-            if (one.path().endsWith("/")
-                    ? path.startsWith(one.path()) && path.length() > one.path().length()
-                    : path.equals(one.path())) {
-                known = true;
-                if (one.method().equals(request.method().name())) {
-                    return one;
+        boolean pathFound = false;
+        for (Operation<?, ?> operation : operations) {
+            if (operation.path().endsWith("/")
+                    ? path.startsWith(operation.path())
+                            && path.length() > operation.path().length()
+                    : path.equals(operation.path())) {
+                pathFound = true;
+                if (operation.method().equals(request.method().name())) {
+                    return operation;
                 }
             }
         }
-        throw known
+        throw pathFound
                 ? new CallException(405, "METHOD", "this call has another method")
                 : new CallException(404, "UNKNOWN", "no such call");
     }
--- a/src/main/java/sablehinge/mesh/api/CheckException.java
+++ b/src/main/java/sablehinge/mesh/api/CheckException.java
@@ -2,42 +2,45 @@
 
 import java.util.List;
 
-/** A configuration that can't be taken. Its message is that of the first problem, with its place. */
+/** An invalid configuration. The message is that of the first problem, with its place. */
 public final class CheckException extends RuntimeException {
 
     private static final long serialVersionUID = 1;
 
-    /** What is wrong, for callers that tell cases apart. */
+    /** The kind of a problem, for callers that distinguish them. */
     public enum Code {
-        /** No JSON, or not one complete value: cut short, followed by more, nested too deep, a key twice. */
+        /**
+         * Not valid JSON or not one complete value: truncated, followed by more data, nested too deeply, or with a
+         * duplicate key.
+         */
         NOT_JSON,
-        /** A field is missing, of another type, or out of the range that its type has here. */
+        /** A field is missing, has the wrong type, or is out of range. */
         SCHEMA,
         /** A route names a service that the configuration does not have. */
         UNKNOWN_SERVICE,
-        /** Two routes share host and prefix. */
+        /** Two routes have the same host and prefix. */
         SAME_PLACE,
         /** A prefix does not begin and end with a slash. */
         BAD_PREFIX,
         /** A service's share of a route is below 0. */
         BELOW_ZERO,
-        /** A route's time-out is over ten minutes. */
+        /** A route's timeout is over ten minutes. */
         LONG_TIMEOUT,
-        /** A route has no attempts. */
+        /** A route allows no attempts. */
         NO_ATTEMPTS,
         /** Two tenants share a key. */
         SHARED_KEY,
-        /** Two services, or two tenants, share a name. */
+        /** Two services or two tenants have the same name. */
         SAME_NAME,
         /** The edition is not above the current one. */
         OLD_EDITION
     }
 
     /**
-     * One thing that is wrong.
+     * A problem of a configuration.
      *
-     * @param place a JSON pointer, or line, column and byte (all from 1, the byte from 0) in what is no JSON
-     * @param text what was expected there and what was found, in one line; it never tells a tenant's key
+     * @param place a JSON pointer, or line, column (both from 1) and byte (from 0) in malformed JSON
+     * @param text the expected and the actual value, on one line and without tenants' keys
      */
     public record Problem(Code code, String place, String text) {}
 
@@ -47,7 +50,7 @@
 
     private final String place;
 
-    /** Of at least one problem. */
+    /** Creates an exception for at least one problem. */
     public CheckException(List<Problem> problems) {
         super(problems.get(0).place() + ": " + problems.get(0).text());
         this.problems = List.copyOf(problems);
@@ -59,17 +62,17 @@
         this(List.of(new Problem(code, place, text)));
     }
 
-    /** What the first problem is. */
+    /** The code of the first problem. */
     public Code code() {
         return code;
     }
 
-    /** Where the first problem is: a JSON pointer, or line, column and byte in what is no JSON. */
+    /** The place of the first problem: a JSON pointer, or line, column and byte in malformed JSON. */
     public String place() {
         return place;
     }
 
-    /** All problems that were found, at most {@link ConfigurationCheck#MAX_PROBLEMS}; at least one. */
+    /** The found problems: at least one, at most {@link ConfigurationCheck#MAX_PROBLEMS}. */
     public List<Problem> problems() {
         return problems;
     }
--- a/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationCheck.java
@@ -16,15 +16,15 @@
 import sablehinge.mesh.routing.Configuration;
 
 /**
- * Decides whether a configuration that an operator sent can be taken: first that its bytes are one complete JSON value,
- * then its form by a schema, then what holds between its parts. Any thread may call.
+ * Decides whether a configuration sent by an operator is valid. The bytes must be one complete JSON value, which must
+ * match a schema and pass the checks across its parts. Safe for use by any thread.
  */
 public final class ConfigurationCheck {
 
-    /** How many problems are reported at most. */
+    /** Maximum number of reported problems. */
     public static final int MAX_PROBLEMS = 20;
 
-    /** Lists and objects within each other; a configuration has 8. */
+    /** Maximum nesting depth of lists and objects; a configuration has 8 levels. */
     private static final int MAX_NESTING = 64;
 
     private static final String WARM_UP_CONFIGURATION = "{\"edition\":1,\"limits\":{\"headerBytes\":1,\"bodyBytes\":1,"
@@ -38,13 +38,12 @@
     private ConfigurationCheck() {}
 
     /**
-     * The configuration in a body.
+     * Checks and reads the configuration in a body.
      *
-     * @throws CheckException if it is invalid; it names all problems that were found, the first ones of them where
-     *     there are many
+     * @throws CheckException if the configuration is invalid; it lists the first {@link #MAX_PROBLEMS} problems
      */
     public static Configuration check(byte[] body) {
-        JsonNode root = tree(body);
+        JsonNode root = parseTree(body);
         List<Problem> problems = new ArrayList<>(SchemaCheck.problems(root));
         new SemanticCheck(root, problems).check();
         if (!problems.isEmpty()) {
@@ -54,7 +53,7 @@
     }
 
     /**
-     * Refuses an edition that is not above the current one.
+     * Rejects an edition that is not above the current one.
      *
      * @throws CheckException with {@link Code#OLD_EDITION}
      */
@@ -67,29 +66,30 @@
         }
     }
 
-    /** Loads all that a check needs, so that the first real one does not wait for it. */
+    /** Loads all classes that a check needs, so that the first real check is not delayed. */
     public static void warm() {
         check(WARM_UP_CONFIGURATION.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static JsonNode tree(byte[] body) {
+    private static JsonNode parseTree(byte[] body) {
         try {
             JsonNode root = Mapper.JSON.readTree(body);
             if (root == null || root.isMissingNode()) {
                 throw new CheckException(
                         Code.NOT_JSON,
-                        ConfigurationReader.place(null),
+                        ConfigurationReader.locationText(null),
                         "one whole JSON object was expected, found nothing");
             }
             return root;
         } catch (JsonProcessingException e) {
             throw ConfigurationReader.notJson(e);
         } catch (IOException e) {
-            throw new CheckException(Code.NOT_JSON, ConfigurationReader.place(null), String.valueOf(e.getMessage()));
+            throw new CheckException(
+                    Code.NOT_JSON, ConfigurationReader.locationText(null), String.valueOf(e.getMessage()));
         }
     }
 
-    /** Loaded with the first check only. */
+    /** Holder that is loaded with the first check. */
     private static final class Mapper {
 
         static final JsonMapper JSON = JsonMapper.builder(JsonFactory.builder()
--- a/src/main/java/sablehinge/mesh/api/ConfigurationReader.java
+++ b/src/main/java/sablehinge/mesh/api/ConfigurationReader.java
@@ -13,8 +13,8 @@
 import sablehinge.mesh.routing.HostNames;
 
 /**
- * Reads a configuration from bytes that {@link ConfigurationCheck} has passed, token by token: no schema, no mapper, no
- * lambda, little to load at start. Fields that it does not know are skipped.
+ * Reads a configuration from bytes that {@link ConfigurationCheck} has accepted, token by token. It uses no schema,
+ * mapper or lambdas, so that few classes are loaded at start. Unknown fields are skipped.
  */
 public final class ConfigurationReader {
 
@@ -23,11 +23,12 @@
     private ConfigurationReader() {}
 
     /**
-     * The configuration in a body. What may be missing: {@code senders} (no tenants), a tenant's {@code priority} (-1),
-     * {@code perS} and {@code burst} (0), a route's {@code open} (false), {@code priority} (0) and {@code targetMs}
-     * (its time-out). Of what else is missing, the empty value is taken: to refuse it is the check's part.
+     * Reads the configuration in a body. Optional fields and their defaults are {@code senders} (no tenants), a
+     * tenant's {@code priority} (-1), {@code perS} and {@code burst} (0), a route's {@code open} (false),
+     * {@code priority} (0) and {@code targetMs} (its timeout). Any other missing field is read as an empty value;
+     * rejecting it is the task of the check.
      *
-     * @throws CheckException where the bytes can't be read as a configuration at all
+     * @throws CheckException if the bytes cannot be read as a configuration
      */
     public static Configuration read(byte[] body) {
         try (JsonParser parser = JSON.createParser(body)) {
@@ -41,113 +42,115 @@
     }
 
     static CheckException notJson(JsonProcessingException e) {
-        String why = e.getOriginalMessage().lines().findFirst().orElse("");
+        String reason = e.getOriginalMessage().lines().findFirst().orElse("");
         return new CheckException(
-                CheckException.Code.NOT_JSON, place(e.getLocation()), "one whole JSON object was expected: " + why);
+                CheckException.Code.NOT_JSON,
+                locationText(e.getLocation()),
+                "one whole JSON object was expected: " + reason);
     }
 
-    static String place(JsonLocation at) {
-        return at == null
+    static String locationText(JsonLocation location) {
+        return location == null
                 ? "line 1, column 1 (byte 0)"
-                : "line " + at.getLineNr() + ", column " + at.getColumnNr() + " (byte "
-                        + Math.max(0, at.getByteOffset()) + ")";
+                : "line " + location.getLineNr() + ", column " + location.getColumnNr() + " (byte "
+                        + Math.max(0, location.getByteOffset()) + ")";
     }
 
-    private static Configuration configuration(JsonParser in) throws IOException {
+    private static Configuration configuration(JsonParser parser) throws IOException {
         long edition = 0;
         Configuration.Limits limits = new Configuration.Limits(0, 0, 0, 0);
         List<Configuration.Tenant> tenants = new ArrayList<>();
         List<Configuration.Route> routes = new ArrayList<>();
         List<Configuration.Service> services = new ArrayList<>();
-        expect(in, JsonToken.START_OBJECT);
-        for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-            in.nextToken();
+        expect(parser, JsonToken.START_OBJECT);
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            parser.nextToken();
             switch (field) {
-                case "edition" -> edition = in.getLongValue();
-                case "limits" -> limits = limits(in);
+                case "edition" -> edition = parser.getLongValue();
+                case "limits" -> limits = limits(parser);
                 case "senders" -> {
-                    for (boolean more = first(in); more; more = next(in)) {
-                        tenants.add(tenant(in));
+                    for (boolean more = moveToFirst(parser); more; more = moveToNext(parser)) {
+                        tenants.add(tenant(parser));
                     }
                 }
                 case "gates" -> {
-                    for (boolean more = first(in); more; more = next(in)) {
-                        gate(in, routes);
+                    for (boolean more = moveToFirst(parser); more; more = moveToNext(parser)) {
+                        readGate(parser, routes);
                     }
                 }
                 case "fleets" -> {
-                    for (boolean more = first(in); more; more = next(in)) {
-                        services.add(service(in));
+                    for (boolean more = moveToFirst(parser); more; more = moveToNext(parser)) {
+                        services.add(service(parser));
                     }
                 }
-                default -> in.skipChildren();
+                default -> parser.skipChildren();
             }
         }
         return new Configuration(edition, limits, tenants, routes, services);
     }
 
-    private static Configuration.Limits limits(JsonParser in) throws IOException {
+    private static Configuration.Limits limits(JsonParser parser) throws IOException {
         int headerBytes = 0;
         long bodyBytes = 0;
         double headerMs = 0;
         double idleMs = 0;
-        expect(in, JsonToken.START_OBJECT);
-        for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-            in.nextToken();
+        expect(parser, JsonToken.START_OBJECT);
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            parser.nextToken();
             switch (field) {
-                case "headerBytes" -> headerBytes = in.getIntValue();
-                case "bodyBytes" -> bodyBytes = in.getLongValue();
-                case "headerMs" -> headerMs = in.getDoubleValue();
-                case "idleMs" -> idleMs = in.getDoubleValue();
-                default -> in.skipChildren();
+                case "headerBytes" -> headerBytes = parser.getIntValue();
+                case "bodyBytes" -> bodyBytes = parser.getLongValue();
+                case "headerMs" -> headerMs = parser.getDoubleValue();
+                case "idleMs" -> idleMs = parser.getDoubleValue();
+                default -> parser.skipChildren();
             }
         }
         return new Configuration.Limits(headerBytes, bodyBytes, headerMs, idleMs);
     }
 
-    private static Configuration.Tenant tenant(JsonParser in) throws IOException {
+    private static Configuration.Tenant tenant(JsonParser parser) throws IOException {
         String name = "";
         List<String> keys = new ArrayList<>();
         int priority = -1;
         double perSecond = 0;
         double burst = 0;
-        expect(in, JsonToken.START_OBJECT);
-        for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-            boolean none = in.nextToken() == JsonToken.VALUE_NULL;
+        expect(parser, JsonToken.START_OBJECT);
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            boolean isNull = parser.nextToken() == JsonToken.VALUE_NULL;
             switch (field) {
-                case "name" -> name = in.getText();
+                case "name" -> name = parser.getText();
                 case "passes" -> {
-                    for (boolean more = first(in); more; more = next(in)) {
-                        keys.add(in.getText());
+                    for (boolean more = moveToFirst(parser); more; more = moveToNext(parser)) {
+                        keys.add(parser.getText());
                     }
                 }
-                case "priority" -> priority = none ? -1 : in.getIntValue();
-                case "perS" -> perSecond = none ? 0 : in.getDoubleValue();
-                case "burst" -> burst = none ? 0 : in.getDoubleValue();
-                default -> in.skipChildren();
+                case "priority" -> priority = isNull ? -1 : parser.getIntValue();
+                case "perS" -> perSecond = isNull ? 0 : parser.getDoubleValue();
+                case "burst" -> burst = isNull ? 0 : parser.getDoubleValue();
+                default -> parser.skipChildren();
             }
         }
         return new Configuration.Tenant(name, keys, priority, perSecond, burst);
     }
 
     /** The field {@code station} may come after the gate's routes. */
-    private static void gate(JsonParser in, List<Configuration.Route> routes) throws IOException {
+    private static void readGate(JsonParser parser, List<Configuration.Route> routes) throws IOException {
         String[] host = {""};
-        List<Configuration.Route> own = new ArrayList<>();
-        expect(in, JsonToken.START_OBJECT);
-        for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-            in.nextToken();
+        List<Configuration.Route> gateRoutes = new ArrayList<>();
+        expect(parser, JsonToken.START_OBJECT);
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            parser.nextToken();
             switch (field) {
-                case "station" -> host[0] = HostNames.normal(in.getText());
+                case "station" -> host[0] = HostNames.normal(parser.getText());
                 case "regulations" -> {
-                    for (boolean more = first(in); more; more = next(in)) {
-                        own.add(route(in));
+                    for (boolean more = moveToFirst(parser); more; more = moveToNext(parser)) {
+                        gateRoutes.add(route(parser));
                     }
                 }
-                default -> in.skipChildren();
+                default -> parser.skipChildren();
             }
         }
-        for (Configuration.Route route : own) {
+        for (Configuration.Route route : gateRoutes) {
             routes.add(new Configuration.Route(
                     route.name(),
                     host[0],
@@ -162,7 +165,7 @@
         }
     }
 
-    private static Configuration.Route route(JsonParser in) throws IOException {
+    private static Configuration.Route route(JsonParser parser) throws IOException {
         String name = "";
         Configuration.Kind kind = Configuration.Kind.UNSAFE;
         double targetMs = -1;
@@ -170,18 +173,18 @@
         boolean open = false;
         String prefix = "";
         Dispatch dispatch = new Dispatch();
-        expect(in, JsonToken.START_OBJECT);
-        for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-            boolean none = in.nextToken() == JsonToken.VALUE_NULL;
+        expect(parser, JsonToken.START_OBJECT);
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            boolean isNull = parser.nextToken() == JsonToken.VALUE_NULL;
             switch (field) {
-                case "name" -> name = in.getText();
-                case "kind" -> kind = kind(in.getText());
-                case "targetMs" -> targetMs = none ? -1 : in.getDoubleValue();
-                case "priority" -> priority = none ? 0 : in.getIntValue();
-                case "open" -> open = !none && in.getBooleanValue();
-                case "sorting" -> prefix = sorting(in);
-                case "dispatch" -> dispatch.read(in);
-                default -> in.skipChildren();
+                case "name" -> name = parser.getText();
+                case "kind" -> kind = kind(parser.getText());
+                case "targetMs" -> targetMs = isNull ? -1 : parser.getDoubleValue();
+                case "priority" -> priority = isNull ? 0 : parser.getIntValue();
+                case "open" -> open = !isNull && parser.getBooleanValue();
+                case "sorting" -> prefix = readSorting(parser);
+                case "dispatch" -> dispatch.read(parser);
+                default -> parser.skipChildren();
             }
         }
         return new Configuration.Route(
@@ -197,7 +200,7 @@
                 dispatch.attempts);
     }
 
-    /** A kind that this version does not know is not one to repeat. */
+    /** An unknown kind is treated as one that must not be repeated. */
     private static Configuration.Kind kind(String text) {
         return switch (text.toLowerCase(Locale.ROOT)) {
             case "safe" -> Configuration.Kind.SAFE;
@@ -206,61 +209,61 @@
         };
     }
 
-    private static String sorting(JsonParser in) throws IOException {
+    private static String readSorting(JsonParser parser) throws IOException {
         String prefix = "";
-        expect(in, JsonToken.START_OBJECT);
-        for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-            in.nextToken();
+        expect(parser, JsonToken.START_OBJECT);
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            parser.nextToken();
             if (field.equals("lanePrefix")) {
-                prefix = in.getText();
+                prefix = parser.getText();
             } else {
-                in.skipChildren();
+                parser.skipChildren();
             }
         }
         return prefix;
     }
 
-    private static Configuration.Service service(JsonParser in) throws IOException {
+    private static Configuration.Service service(JsonParser parser) throws IOException {
         String name = "";
         String healthPath = "";
         int connCap = 0;
-        expect(in, JsonToken.START_OBJECT);
-        for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-            in.nextToken();
+        expect(parser, JsonToken.START_OBJECT);
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            parser.nextToken();
             switch (field) {
-                case "name" -> name = in.getText();
-                case "healthPath" -> healthPath = in.getText();
-                case "connCap" -> connCap = in.getIntValue();
-                default -> in.skipChildren();
+                case "name" -> name = parser.getText();
+                case "healthPath" -> healthPath = parser.getText();
+                case "connCap" -> connCap = parser.getIntValue();
+                default -> parser.skipChildren();
             }
         }
         return new Configuration.Service(name, healthPath, connCap);
     }
 
-    /** Whether there is a first item in the list that begins here; null stands for an empty list. */
-    private static boolean first(JsonParser in) throws IOException {
-        if (in.currentToken() == JsonToken.VALUE_NULL) {
+    /** Moves to the first item of the list that begins here; false if there is none. Null stands for an empty list. */
+    private static boolean moveToFirst(JsonParser parser) throws IOException {
+        if (parser.currentToken() == JsonToken.VALUE_NULL) {
             return false;
         }
-        expect(in, JsonToken.START_ARRAY);
-        return next(in);
+        expect(parser, JsonToken.START_ARRAY);
+        return moveToNext(parser);
     }
 
-    private static boolean next(JsonParser in) throws IOException {
-        return in.nextToken() != JsonToken.END_ARRAY;
+    private static boolean moveToNext(JsonParser parser) throws IOException {
+        return parser.nextToken() != JsonToken.END_ARRAY;
     }
 
-    private static void expect(JsonParser in, JsonToken token) {
-        if (in.currentToken() != token) {
-            String pointer = in.getParsingContext().pathAsPointer().toString();
+    private static void expect(JsonParser parser, JsonToken token) {
+        if (parser.currentToken() != token) {
+            String pointer = parser.getParsingContext().pathAsPointer().toString();
             throw new CheckException(
                     CheckException.Code.SCHEMA,
                     pointer.isEmpty() ? "/" : pointer,
-                    token + " was expected, found " + in.currentToken());
+                    token + " was expected, found " + parser.currentToken());
         }
     }
 
-    /** Where a route leads; a single service has a share of 1. */
+    /** The services of a route; a single service has a share of 1. */
     private static final class Dispatch {
 
         private List<Configuration.Share> split = List.of();
@@ -269,39 +272,39 @@
 
         private int attempts;
 
-        void read(JsonParser in) throws IOException {
-            expect(in, JsonToken.START_OBJECT);
-            for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-                boolean none = in.nextToken() == JsonToken.VALUE_NULL;
+        void read(JsonParser parser) throws IOException {
+            expect(parser, JsonToken.START_OBJECT);
+            for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+                boolean isNull = parser.nextToken() == JsonToken.VALUE_NULL;
                 switch (field) {
-                    case "depot" -> split = none ? split : List.of(new Configuration.Share(in.getText(), 1));
+                    case "depot" -> split = isNull ? split : List.of(new Configuration.Share(parser.getText(), 1));
                     case "split" -> {
-                        List<Configuration.Share> parts = new ArrayList<>();
-                        for (boolean more = first(in); more; more = next(in)) {
-                            parts.add(share(in));
+                        List<Configuration.Share> shares = new ArrayList<>();
+                        for (boolean more = moveToFirst(parser); more; more = moveToNext(parser)) {
+                            shares.add(share(parser));
                         }
-                        split = none ? split : parts;
+                        split = isNull ? split : shares;
                     }
-                    case "timeoutMs" -> timeoutMs = in.getDoubleValue();
-                    case "attempts" -> attempts = in.getIntValue();
-                    default -> in.skipChildren();
+                    case "timeoutMs" -> timeoutMs = parser.getDoubleValue();
+                    case "attempts" -> attempts = parser.getIntValue();
+                    default -> parser.skipChildren();
                 }
             }
         }
 
-        private static Configuration.Share share(JsonParser in) throws IOException {
+        private static Configuration.Share share(JsonParser parser) throws IOException {
             String service = "";
-            double part = 0;
-            expect(in, JsonToken.START_OBJECT);
-            for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-                in.nextToken();
+            double weight = 0;
+            expect(parser, JsonToken.START_OBJECT);
+            for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+                parser.nextToken();
                 switch (field) {
-                    case "depot" -> service = in.getText();
-                    case "share" -> part = in.getDoubleValue();
-                    default -> in.skipChildren();
+                    case "depot" -> service = parser.getText();
+                    case "share" -> weight = parser.getDoubleValue();
+                    default -> parser.skipChildren();
                 }
             }
-            return new Configuration.Share(service, part);
+            return new Configuration.Share(service, weight);
         }
     }
 }
--- a/src/main/java/sablehinge/mesh/api/HttpOperation.java
+++ b/src/main/java/sablehinge/mesh/api/HttpOperation.java
@@ -11,7 +11,7 @@
     private final String method;
     private final String path;
 
-    /** An operation at a path; one that ends with a slash is followed by a name. */
+    /** Creates an operation at a path. A path that ends with a slash is followed by a name. */
     protected HttpOperation(String method, String path) {
         this.method = method;
         this.path = path;
--- a/src/main/java/sablehinge/mesh/api/Operation.java
+++ b/src/main/java/sablehinge/mesh/api/Operation.java
@@ -3,26 +3,26 @@
 import java.util.function.Consumer;
 
 /**
- * One call that upstreams, operators or the platform make: request and response are a pair of types, and an
- * {@link ApiServer} serves all of them alike.
+ * A call made by upstreams, operators or the platform, with a request type and a response type. An {@link ApiServer}
+ * serves all operations in the same way.
  *
  * @param <Q> the request
  * @param <A> the response
  */
 public interface Operation<Q, A> {
 
-    /** The method of the call. */
+    /** The HTTP method of the call. */
     String method();
 
-    /** The path of the call; one that ends with a slash is followed by a name. */
+    /** The path of the call. A path that ends with a slash is followed by a name. */
     String path();
 
-    /** Reads a call; throws {@link CallException} where it can't be read. */
+    /** Decodes a call; throws {@link CallException} if it is malformed. */
     Q read(ApiRequest request);
 
-    /** Executes it; the response may come later, once, on the thread of the server. */
+    /** Executes the call. The answer is passed exactly once, possibly later, on the thread of the server. */
     void execute(Q call, Consumer<A> answer);
 
-    /** Words the answer. */
+    /** Encodes the answer. */
     ApiResponse write(A answer);
 }
--- a/src/main/java/sablehinge/mesh/api/Query.java
+++ b/src/main/java/sablehinge/mesh/api/Query.java
@@ -3,16 +3,16 @@
 import java.util.function.Consumer;
 
 /**
- * An operation that asks by its path alone.
+ * A GET operation without a request body.
  *
  * @param <A> the response
  */
 public abstract class Query<A> extends HttpOperation<Query.EmptyRequest, A> {
 
-    /** The question, which its path tells. */
+    /** The empty request; the path alone identifies the query. */
     public record EmptyRequest() {}
 
-    /** A GET at a path. */
+    /** Creates a GET operation at a path. */
     protected Query(String path) {
         super("GET", path);
     }
@@ -27,6 +27,6 @@
         answer(answer);
     }
 
-    /** Answers; the answer may come later, once, on the thread of the door. */
+    /** Answers the query. The answer is passed exactly once, possibly later, on the thread of the server. */
     protected abstract void answer(Consumer<A> answer);
 }
--- a/src/main/java/sablehinge/mesh/api/SchemaCheck.java
+++ b/src/main/java/sablehinge/mesh/api/SchemaCheck.java
@@ -16,42 +16,42 @@
 import sablehinge.mesh.api.CheckException.Code;
 import sablehinge.mesh.api.CheckException.Problem;
 
-/** What the schema says about a tree, as this project's problems. The schema is loaded when it is first used. */
+/** Validates a JSON tree against the configuration schema. The schema is loaded on first use. */
 final class SchemaCheck {
 
     private static final String RESOURCE = "/sablehinge/mesh/api/configuration.schema.json";
 
-    private static final int MAX_SHOWN = 60;
+    private static final int MAX_SHOWN_CHARS = 60;
 
-    /** Letters in which a field's name may differ from the one that it was meant to be. */
-    private static final int MISTYPED = 2;
+    /** Maximum edit distance between a field name and a suggested one. */
+    private static final int MAX_TYPO_DISTANCE = 2;
 
     private SchemaCheck() {}
 
     static List<Problem> problems(JsonNode root) {
         List<Problem> problems = new ArrayList<>();
-        for (ValidationMessage message : Loaded.SCHEMA.validate(root)) {
+        for (ValidationMessage message : SchemaHolder.SCHEMA.validate(root)) {
             problems.add(problem(message));
         }
         return problems;
     }
 
     private static Problem problem(ValidationMessage message) {
-        String place = message.getInstanceLocation().toString();
+        String pointer = message.getInstanceLocation().toString();
         if (message.getType().equals("required")) {
-            List<String> there = new ArrayList<>();
-            message.getInstanceNode().fieldNames().forEachRemaining(there::add);
-            String nearest = NearestName.of(message.getProperty(), there, MISTYPED);
+            List<String> present = new ArrayList<>();
+            message.getInstanceNode().fieldNames().forEachRemaining(present::add);
+            String nearest = NearestName.of(message.getProperty(), present, MAX_TYPO_DISTANCE);
             return new Problem(
                     Code.SCHEMA,
-                    place + "/" + message.getProperty(),
+                    pointer + "/" + message.getProperty(),
                     "this field was expected, found none"
                             + (nearest == null ? "" : "; the nearest one there is \"" + nearest + "\""));
         }
         JsonNode bound = message.getSchemaNode();
         String expected =
                 switch (message.getType()) {
-                    case "type" -> words(bound);
+                    case "type" -> typeNames(bound);
                     case "enum" -> "one of " + bound;
                     case "minimum" -> "at least " + bound.asText();
                     case "maximum" -> "at most " + bound.asText();
@@ -61,11 +61,11 @@
                 };
         return new Problem(
                 Code.SCHEMA,
-                place.isEmpty() ? "/" : place,
-                expected + " was expected, found " + found(message.getInstanceNode(), place));
+                pointer.isEmpty() ? "/" : pointer,
+                expected + " was expected, found " + describe(message.getInstanceNode(), pointer));
     }
 
-    private static String words(JsonNode types) {
+    private static String typeNames(JsonNode types) {
         if (types.isTextual()) {
             return types.asText();
         }
@@ -74,17 +74,17 @@
         return String.join(" or ", names);
     }
 
-    /** A value as a message may show it: short, in one line, and no key of a tenant. */
-    static String found(JsonNode value, String place) {
+    /** A short text of a value for a message, on one line and without tenants' keys. */
+    static String describe(JsonNode value, String pointer) {
         String type = value.getNodeType().toString().toLowerCase(Locale.ROOT);
-        if (value.isContainerNode() || place.contains("/passes")) {
+        if (value.isContainerNode() || pointer.contains("/passes")) {
             return type + (value.isContainerNode() ? " of " + value.size() : "");
         }
         String text = value.toString();
-        return text.length() <= MAX_SHOWN ? text : text.substring(0, MAX_SHOWN) + "...";
+        return text.length() <= MAX_SHOWN_CHARS ? text : text.substring(0, MAX_SHOWN_CHARS) + "...";
     }
 
-    private static final class Loaded {
+    private static final class SchemaHolder {
 
         static final JsonSchema SCHEMA = load();
 
--- a/src/main/java/sablehinge/mesh/api/SemanticCheck.java
+++ b/src/main/java/sablehinge/mesh/api/SemanticCheck.java
@@ -9,11 +9,11 @@
 import sablehinge.mesh.api.CheckException.Problem;
 import sablehinge.mesh.routing.HostNames;
 
-/** What must hold between the parts of a configuration. What has not the right form is passed over here. */
+/** Checks the constraints across the parts of a configuration. Parts that do not match the schema are ignored here. */
 final class SemanticCheck {
 
-    /** Ten minutes. */
-    static final double MAX_MS = 600_000;
+    /** Maximum timeout of a route: ten minutes. */
+    static final double MAX_TIMEOUT_MS = 600_000;
 
     private final JsonNode root;
 
@@ -21,7 +21,7 @@
 
     private final Map<String, String> services = new LinkedHashMap<>();
 
-    private final Map<String, String> places = new HashMap<>();
+    private final Map<String, String> placesByPrefix = new HashMap<>();
 
     SemanticCheck(JsonNode root, List<Problem> problems) {
         this.root = root;
@@ -29,16 +29,16 @@
     }
 
     void check() {
-        names("fleets", services);
-        tenants();
-        int at = 0;
+        checkNames("fleets", services);
+        checkTenants();
+        int gateIndex = 0;
         for (JsonNode gate : root.path("gates")) {
             String host = HostNames.normal(gate.path("station").asText(""));
-            String place = "/gates/" + at++ + "/regulations/";
-            int index = 0;
+            String place = "/gates/" + gateIndex++ + "/regulations/";
+            int routeIndex = 0;
             for (JsonNode route : gate.path("regulations")) {
-                prefix(host, route.path("sorting").path("lanePrefix"), place + index + "/sorting/lanePrefix");
-                dispatch(route.path("dispatch"), place + index++ + "/dispatch");
+                checkPrefix(host, route.path("sorting").path("lanePrefix"), place + routeIndex + "/sorting/lanePrefix");
+                checkDispatch(route.path("dispatch"), place + routeIndex++ + "/dispatch");
             }
         }
     }
@@ -49,110 +49,111 @@
         }
     }
 
-    /** Fills in where each name stands. */
-    private void names(String list, Map<String, String> known) {
-        int at = 0;
-        for (JsonNode one : root.path(list)) {
-            String place = "/" + list + "/" + at++ + "/name";
-            JsonNode name = one.path("name");
-            String other = name.isTextual() ? known.putIfAbsent(name.asText(), place) : null;
-            if (other != null) {
+    /** Records the place of each name and reports duplicates. */
+    private void checkNames(String field, Map<String, String> placesByName) {
+        int index = 0;
+        for (JsonNode item : root.path(field)) {
+            String place = "/" + field + "/" + index++ + "/name";
+            JsonNode name = item.path("name");
+            String earlierPlace = name.isTextual() ? placesByName.putIfAbsent(name.asText(), place) : null;
+            if (earlierPlace != null) {
                 add(
                         Code.SAME_NAME,
                         place,
-                        "a name of its own was expected, found " + SchemaCheck.found(name, place) + " as at " + other);
+                        "a name of its own was expected, found " + SchemaCheck.describe(name, place) + " as at "
+                                + earlierPlace);
             }
         }
     }
 
-    /** A key may stand twice with its own tenant. */
-    private void tenants() {
-        names("senders", new HashMap<>());
-        Map<String, Integer> owners = new HashMap<>();
-        int at = 0;
+    /** Checks that no two tenants share a key. A tenant may list a key twice. */
+    private void checkTenants() {
+        checkNames("senders", new HashMap<>());
+        Map<String, Integer> ownersByKey = new HashMap<>();
+        int tenantIndex = 0;
         for (JsonNode tenant : root.path("senders")) {
-            int index = 0;
+            int keyIndex = 0;
             for (JsonNode key : tenant.path("passes")) {
-                Integer owner = key.isTextual() ? owners.putIfAbsent(key.asText(), at) : null;
-                if (owner != null && owner != at) {
+                Integer ownerIndex = key.isTextual() ? ownersByKey.putIfAbsent(key.asText(), tenantIndex) : null;
+                if (ownerIndex != null && ownerIndex != tenantIndex) {
                     add(
                             Code.SHARED_KEY,
-                            "/senders/" + at + "/passes/" + index,
-                            "a key of this tenant alone was expected, found one of /senders/" + owner);
+                            "/senders/" + tenantIndex + "/passes/" + keyIndex,
+                            "a key of this tenant alone was expected, found one of /senders/" + ownerIndex);
                 }
-                index++;
+                keyIndex++;
             }
-            at++;
+            tenantIndex++;
         }
     }
 
-    private void prefix(String host, JsonNode given, String place) {
-        if (!given.isTextual()) {
+    private void checkPrefix(String host, JsonNode value, String place) {
+        if (!value.isTextual()) {
             return;
         }
-        String prefix = given.asText();
+        String prefix = value.asText();
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
             add(
                     Code.BAD_PREFIX,
                     place,
                     "a prefix that begins and ends with a slash was expected, found "
-                            + SchemaCheck.found(given, place));
+                            + SchemaCheck.describe(value, place));
         }
-        String other = places.putIfAbsent(host + " " + prefix, place);
-        if (other != null) {
+        String earlierPlace = placesByPrefix.putIfAbsent(host + " " + prefix, place);
+        if (earlierPlace != null) {
             add(
                     Code.SAME_PLACE,
                     place,
                     "a prefix that no other route of this host has was expected, found "
-                            + SchemaCheck.found(given, place) + " as at " + other);
+                            + SchemaCheck.describe(value, place) + " as at " + earlierPlace);
         }
     }
 
-    private void dispatch(JsonNode dispatch, String place) {
+    private void checkDispatch(JsonNode dispatch, String place) {
         if (!dispatch.isObject()) {
             return;
         }
-        boolean one = dispatch.hasNonNull("depot");
-        if (one == dispatch.hasNonNull("split")) {
-            add(Code.SCHEMA, place, "either depot or split was expected, found " + (one ? "both" : "none"));
+        boolean hasDepot = dispatch.hasNonNull("depot");
+        if (hasDepot == dispatch.hasNonNull("split")) {
+            add(Code.SCHEMA, place, "either depot or split was expected, found " + (hasDepot ? "both" : "none"));
         }
-        service(dispatch.path("depot"), place + "/depot");
-        int at = 0;
-        for (JsonNode part : dispatch.path("split")) {
-            String its = place + "/split/" + at++;
-            service(part.path("depot"), its + "/depot");
-            if (part.path("share").asDouble() < 0) {
+        checkService(dispatch.path("depot"), place + "/depot");
+        int shareIndex = 0;
+        for (JsonNode share : dispatch.path("split")) {
+            String sharePlace = place + "/split/" + shareIndex++;
+            checkService(share.path("depot"), sharePlace + "/depot");
+            if (share.path("share").asDouble() < 0) {
                 add(
                         Code.BELOW_ZERO,
-                        its + "/share",
-                        "0 or more was expected, found " + SchemaCheck.found(part.path("share"), its));
+                        sharePlace + "/share",
+                        "0 or more was expected, found " + SchemaCheck.describe(share.path("share"), sharePlace));
             }
         }
         JsonNode timeout = dispatch.path("timeoutMs");
-        if (timeout.asDouble() > MAX_MS) {
+        if (timeout.asDouble() > MAX_TIMEOUT_MS) {
             add(
                     Code.LONG_TIMEOUT,
                     place + "/timeoutMs",
-                    "600000 ms (ten minutes) or less was expected, found " + SchemaCheck.found(timeout, place));
+                    "600000 ms (ten minutes) or less was expected, found " + SchemaCheck.describe(timeout, place));
         }
         JsonNode attempts = dispatch.path("attempts");
         if (attempts.isNumber() && attempts.asDouble() < 1) {
             add(
                     Code.NO_ATTEMPTS,
                     place + "/attempts",
-                    "1 or more was expected, found " + SchemaCheck.found(attempts, place));
+                    "1 or more was expected, found " + SchemaCheck.describe(attempts, place));
         }
     }
 
-    private void service(JsonNode name, String place) {
-        boolean wanted = problems.size() < ConfigurationCheck.MAX_PROBLEMS;
-        if (wanted && name.isTextual() && !services.containsKey(name.asText())) {
+    private void checkService(JsonNode name, String place) {
+        boolean hasRoom = problems.size() < ConfigurationCheck.MAX_PROBLEMS;
+        if (hasRoom && name.isTextual() && !services.containsKey(name.asText())) {
             String nearest = NearestName.of(name.asText(), services.keySet());
             add(
                     Code.UNKNOWN_SERVICE,
                     place,
                     "a service of /fleets was expected, found "
-                            + SchemaCheck.found(name, place)
+                            + SchemaCheck.describe(name, place)
                             + (nearest == null ? "" : "; the nearest one is \"" + nearest + "\""));
         }
     }
--- a/src/main/java/sablehinge/mesh/routing/Configuration.java
+++ b/src/main/java/sablehinge/mesh/routing/Configuration.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * One version of the mesh's configuration, as the operator sent it (PROTOCOL, "The operator").
+ * One version of the mesh configuration as sent by the operator (PROTOCOL, "The operator").
  *
- * @param edition its number; a later one is higher
- * @param limits what clients may send
- * @param tenants whose keys are known; empty where no request needs a key
+ * @param edition the version number, which increases with each version
+ * @param limits limits on client requests
+ * @param tenants the tenants with known keys; empty if no request needs a key
  */
 public record Configuration(
         long edition, Limits limits, List<Tenant> tenants, List<Route> routes, List<Service> services) {
 
-    /** A configuration whose lists can't be changed. */
+    /** Creates a configuration with unmodifiable lists. */
     public Configuration {
         tenants = List.copyOf(tenants);
         routes = List.copyOf(routes);
@@ -20,32 +20,32 @@
     }
 
     /**
-     * Bounds on clients.
+     * Limits on clients.
      *
-     * @param headerBytes of a request's head
-     * @param bodyBytes of its body
-     * @param headerMs in which a head that has begun must be complete
-     * @param idleMs that a connection may rest between requests
+     * @param headerBytes maximum size of a request head
+     * @param bodyBytes maximum size of a request body
+     * @param headerMs time within which a started request head must be complete
+     * @param idleMs maximum idle time of a connection between requests
      */
     public record Limits(int headerBytes, long bodyBytes, double headerMs, double idleMs) {}
 
     /**
-     * Who sends requests.
+     * A sender of requests.
      *
-     * @param keys any of which tells that a request is this tenant's
-     * @param priority 0 is highest; -1 where the route's holds
-     * @param perSecond requests a second over all balancers; 0 for no limit
-     * @param burst requests on top of that
+     * @param keys keys that identify the tenant's requests
+     * @param priority 0 is highest; -1 to use the route's priority
+     * @param perSecond requests per second over all balancers; 0 for no limit
+     * @param burst additional requests in a burst
      */
     public record Tenant(String name, List<String> keys, int priority, double perSecond, double burst) {
 
-        /** A tenant whose list can't be changed. */
+        /** Creates a tenant with an unmodifiable list. */
         public Tenant {
             keys = List.copyOf(keys);
         }
     }
 
-    /** What may be repeated: {@link #SAFE} requests may run more than once, others once at most. */
+    /** Whether requests may be repeated: {@link #SAFE} requests may run more than once, all others at most once. */
     public enum Kind {
         SAFE,
         UNSAFE,
@@ -56,13 +56,13 @@
      * A route.
      *
      * @param host in lower case
-     * @param prefix of the path, with a slash at both ends
-     * @param targetMs within which an answer has its full value
+     * @param prefix the path prefix, with a slash at both ends
+     * @param targetMs time within which an answer has its full value
      * @param priority 0 is highest
-     * @param open whether it wants no key
-     * @param split over services; a single one with a share of 1 where there is no split
-     * @param timeoutMs for which a try may be held
-     * @param attempts upstreams that one try may go to
+     * @param open whether requests need no key
+     * @param split the shares of services; a single service with a share of 1 if there is no split
+     * @param timeoutMs maximum time for which a request may be held
+     * @param attempts maximum number of upstreams to which a request may be sent
      */
     public record Route(
             String name,
@@ -76,20 +76,20 @@
             double timeoutMs,
             int attempts) {
 
-        /** A route whose list can't be changed. */
+        /** Creates a route with an unmodifiable list. */
         public Route {
             split = List.copyOf(split);
         }
     }
 
-    /** A service's part of a route; parts are relative to each other, and 0 gets nothing. */
-    public record Share(String service, double part) {}
+    /** A service's share of a route. Weights are relative to each other; a service with weight 0 gets no requests. */
+    public record Share(String service, double weight) {}
 
     /**
      * A service.
      *
-     * @param healthPath which its upstreams answer while they are well
-     * @param connCap connections that one upstream takes
+     * @param healthPath the path that healthy upstreams answer
+     * @param connCap maximum number of connections to one upstream
      */
     public record Service(String name, String healthPath, int connCap) {}
 }
--- a/src/main/java/sablehinge/mesh/routing/HostNames.java
+++ b/src/main/java/sablehinge/mesh/routing/HostNames.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** The one form that names of hosts are compared in. */
+/** Normalizes host names for comparison. */
 public final class HostNames {
 
     private HostNames() {}
 
     /**
-     * A host as routes name it.
+     * Normalizes a host to the form used by routes.
      *
-     * @param text what a Host header or a target's authority holds, with or without a port; may be null
-     * @return in lower case, without port, user, blanks around it or a dot at its end; empty for null
+     * @param text a Host header or the authority of a request target, with or without a port; may be null
+     * @return the host in lower case, without port, user, surrounding blanks or trailing dot; empty for null
      */
     public static String normal(String text) {
         if (text == null) {
--- a/src/main/java/sablehinge/mesh/routing/RoutingTable.java
+++ b/src/main/java/sablehinge/mesh/routing/RoutingTable.java
@@ -7,23 +7,23 @@
 import java.util.TreeSet;
 
 /**
- * One configuration, indexed for lookups. Immutable, for any thread.
+ * A configuration indexed for lookups. Immutable and safe for use by any thread.
  *
- * <p>It trusts that the configuration has been checked. What a check would have refused does no harm here: of two
- * routes at one place, and of two owners of one name or key, the first one holds. Written without lambdas and streams,
- * which cost a process's start more than the plan itself does.
+ * <p>The configuration must have been checked, but an invalid one does no harm: of two routes with the same host and
+ * prefix, and of two entries with the same name or key, the first one is used. The class uses no lambdas and streams,
+ * which would delay the start of a process more than building the table does.
  */
 public final class RoutingTable {
 
     private final Configuration configuration;
 
-    private final Map<String, HostRoutes> gates = new HashMap<>();
+    private final Map<String, HostRoutes> routesByHost = new HashMap<>();
 
-    private final Map<String, Configuration.Tenant> tenants = new HashMap<>();
+    private final Map<String, Configuration.Tenant> tenantsByKey = new HashMap<>();
 
     private final Map<String, Configuration.Service> services = new HashMap<>();
 
-    /** The plan of a configuration. */
+    /** Creates the routing table of a configuration. */
     public RoutingTable(Configuration configuration) {
         this.configuration = configuration;
         Map<String, List<RouteMatch>> byHost = new HashMap<>();
@@ -36,11 +36,11 @@
             byHost.get(host).add(new RouteMatch(route, index++));
         }
         for (Map.Entry<String, List<RouteMatch>> entry : byHost.entrySet()) {
-            gates.put(entry.getKey(), new HostRoutes(entry.getValue()));
+            routesByHost.put(entry.getKey(), new HostRoutes(entry.getValue()));
         }
         for (Configuration.Tenant tenant : configuration.tenants()) {
             for (String key : tenant.keys()) {
-                tenants.putIfAbsent(key, tenant);
+                tenantsByKey.putIfAbsent(key, tenant);
             }
         }
         for (Configuration.Service service : configuration.services()) {
@@ -49,25 +49,25 @@
     }
 
     /**
-     * The route that a request takes.
+     * The route of a request.
      *
-     * @param index of the route among those of the configuration, from 0
+     * @param index the index of the route in the configuration, from 0
      */
     public record RouteMatch(Configuration.Route route, int index) {}
 
-    /** What this plan was made from. */
+    /** The configuration of this table. */
     public Configuration configuration() {
         return configuration;
     }
 
     /**
-     * The route of a request: among those of its host the one with the longest prefix that begins its path. The path is
-     * taken byte for byte as sent, up to a question mark or hash: dots and percent signs in it mean nothing. The host
-     * of a target in absolute form counts before the header's (RFC 9112, 3.2.2).
+     * Finds the route of a request: the route of its host with the longest matching path prefix. The path is matched
+     * byte for byte as sent, up to a question mark or hash; dot segments and percent-encoding are not interpreted. The
+     * host of a target in absolute form takes precedence over the Host header (RFC 9112, 3.2.2).
      *
-     * @param hostHeader as sent, with or without a port; may be null
-     * @param target as in the request line
-     * @return null where no route fits
+     * @param hostHeader the Host header as sent, with or without a port; may be null
+     * @param target the target of the request line
+     * @return the match, or null if no route matches
      */
     public RouteMatch find(String hostHeader, String target) {
         int from = 0;
@@ -80,18 +80,18 @@
             from = end(target, authority, true);
             host = target.substring(authority, from);
         }
-        HostRoutes gate = host == null ? null : gates.get(host);
-        if (gate == null) {
-            gate = gates.get(HostNames.normal(host));
+        HostRoutes hostRoutes = host == null ? null : routesByHost.get(host);
+        if (hostRoutes == null) {
+            hostRoutes = routesByHost.get(HostNames.normal(host));
         }
-        if (gate == null) {
+        if (hostRoutes == null) {
             return null;
         }
         int to = end(target, from, false);
-        return from == to ? gate.find("/", 0, 1) : gate.find(target, from, to);
+        return from == to ? hostRoutes.find("/", 0, 1) : hostRoutes.find(target, from, to);
     }
 
-    /** Where the authority of a target in absolute form begins; -1 for one in another form. */
+    /** The start index of the authority in a target in absolute form; -1 for other forms. */
     private static int authority(String target) {
         int scheme = target.regionMatches(true, 0, "http", 0, 4) ? 4 : -1;
         if (scheme == 4 && target.length() > 4 && (target.charAt(4) | 0x20) == 's') {
@@ -100,7 +100,7 @@
         return scheme > 0 && target.startsWith("://", scheme) ? scheme + 3 : -1;
     }
 
-    /** The first place from the given one on where a query or fragment begins, or a path if that counts. */
+    /** The first index, from the given one on, at which a query, a fragment or (if {@code atSlash}) a path begins. */
     private static int end(String target, int from, boolean atSlash) {
         for (int i = from; i < target.length(); i++) {
             char c = target.charAt(i);
@@ -111,26 +111,26 @@
         return target.length();
     }
 
-    /** The tenant that a key belongs to; null for an unknown key, and for none. */
+    /** The tenant of a key; null for an unknown key or for null. */
     public Configuration.Tenant tenant(String key) {
-        return key == null ? null : tenants.get(key);
+        return key == null ? null : tenantsByKey.get(key);
     }
 
-    /** Whether a request needs a key, unless its route is open. */
+    /** Whether requests need a key on routes that are not open. */
     public boolean requiresKeys() {
         return !configuration.tenants().isEmpty();
     }
 
-    /** The service of a name; null for an unknown one. */
+    /** The service with a name; null for an unknown name. */
     public Configuration.Service service(String name) {
         return services.get(name);
     }
 
     /**
-     * The service that a request of a route goes to.
+     * Chooses the service of a request on a route.
      *
-     * @param point at least 0 and below 1; points that are spread evenly give each service its share
-     * @return one whose share is above 0; the first one where none is
+     * @param point at least 0 and below 1; evenly distributed points give each service its share
+     * @return a service with a weight above 0; the first service if there is none
      */
     public String chooseService(Configuration.Route route, double point) {
         List<Configuration.Share> split = route.split();
@@ -140,14 +140,14 @@
         }
         double total = 0;
         for (Configuration.Share share : split) {
-            total += Math.max(0, share.part());
+            total += Math.max(0, share.weight());
         }
-        double left = point * total;
+        double remaining = point * total;
         for (Configuration.Share share : split) {
-            if (share.part() > 0) {
+            if (share.weight() > 0) {
                 last = share.service();
-                left -= share.part();
-                if (left < 0) {
+                remaining -= share.weight();
+                if (remaining < 0) {
                     break;
                 }
             }
@@ -160,29 +160,29 @@
 
         private final Map<String, RouteMatch> byPrefix = new HashMap<>();
 
-        /** The lengths that prefixes have, each one once, the longest first. */
+        /** The distinct lengths of prefixes in descending order. */
         private final int[] lengths;
 
         HostRoutes(List<RouteMatch> routes) {
             TreeSet<Integer> ascending = new TreeSet<>();
-            for (RouteMatch found : routes) {
-                byPrefix.putIfAbsent(found.route().prefix(), found);
-                ascending.add(found.route().prefix().length());
+            for (RouteMatch match : routes) {
+                byPrefix.putIfAbsent(match.route().prefix(), match);
+                ascending.add(match.route().prefix().length());
             }
             lengths = new int[ascending.size()];
-            int at = lengths.length;
+            int next = lengths.length;
             for (int length : ascending) {
-                lengths[--at] = length;
+                lengths[--next] = length;
             }
         }
 
-        /** As many looks as there are lengths of prefixes that end at a slash of the path. */
+        /** Makes one lookup for each prefix length that ends at a slash of the path. */
         RouteMatch find(String target, int from, int to) {
             for (int length : lengths) {
                 if (length > 0 && length <= to - from && target.charAt(from + length - 1) == '/') {
-                    RouteMatch found = byPrefix.get(target.substring(from, from + length));
-                    if (found != null) {
-                        return found;
+                    RouteMatch match = byPrefix.get(target.substring(from, from + length));
+                    if (match != null) {
+                        return match;
                     }
                 }
             }
--- a/src/main/java/sablehinge/mesh/routing/package-info.java
+++ b/src/main/java/sablehinge/mesh/routing/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration as data, and the routing table: host and longest prefix, splits, keys. Immutable. */
+/** The immutable configuration and the routing table: hosts, longest prefixes, splits and keys. */
 package sablehinge.mesh.routing;
--- a/src/main/java/sablehinge/mesh/watch/PackedConfiguration.java
+++ b/src/main/java/sablehinge/mesh/watch/PackedConfiguration.java
@@ -8,13 +8,13 @@
 import sablehinge.common.rpc.Connection;
 
 /**
- * A configuration as it travels to sidecars: one byte for the format, four for the length of the body, and the body
- * deflated (RFC 1950, whose checksum tells what was torn). The leader packs each edition once, whatever the number of
- * sidecars; each of them unpacks it once.
+ * The encoding of a configuration for sidecars: one byte for the format, four for the length of the body, and the
+ * deflated body (RFC 1950, whose checksum detects damaged data). The leader packs each edition once, independent of the
+ * number of sidecars, and each sidecar unpacks it once.
  */
 public final class PackedConfiguration {
 
-    /** The longest body that is unpacked, in bytes. */
+    /** Maximum length of an unpacked body, in bytes. */
     static final int MAX_BYTES = Connection.MAX_BYTES;
 
     private static final int DEFLATED = 1;
@@ -23,7 +23,7 @@
 
     /** Packs the body of a configuration. */
     public static byte[] pack(byte[] body) {
-        return RecordBytes.of(out -> {
+        return RecordBytes.encode(out -> {
             out.writeByte(DEFLATED);
             out.writeInt(body.length);
             try (DeflaterOutputStream deflated = new DeflaterOutputStream(out)) {
@@ -33,19 +33,19 @@
     }
 
     /**
-     * The body that was packed.
+     * Unpacks the body of a configuration.
      *
-     * @throws IOException if the bytes are of another format, torn, too large, or followed by others
+     * @throws IOException if the format is unknown, or if the data is damaged, too large or followed by further bytes
      */
     public static byte[] unpack(byte[] packed) throws IOException {
-        DataInputStream in = RecordBytes.in(packed);
+        DataInputStream in = RecordBytes.input(packed);
         int format = in.readUnsignedByte();
         if (format != DEFLATED) {
-            throw new IOException("a configuration of format " + format + "; " + DEFLATED + " is expected");
+            throw new IOException("configuration has format " + format + "; format " + DEFLATED + " is expected");
         }
         int length = in.readInt();
         if (length < 0 || length > MAX_BYTES) {
-            throw new IOException("a configuration of " + length + " bytes; " + MAX_BYTES + " at most are expected");
+            throw new IOException("configuration has " + length + " bytes; at most " + MAX_BYTES + " are allowed");
         }
         Inflater inflater = new Inflater();
         try {
@@ -57,14 +57,15 @@
 
     private static byte[] inflate(DataInputStream in, Inflater inflater, int length) throws IOException {
         InflaterInputStream inflated = new InflaterInputStream(in, inflater);
-        // Reads as it goes: a length that lies costs no more memory than what the bytes inflate to.
+        // Reads incrementally, so that a false length takes no more memory than the inflated data.
         byte[] body = inflated.readNBytes(length);
-        // The checksum is only looked at where the end is read.
+        // The inflater verifies the checksum only when the end of the stream is read.
         if (body.length < length || inflated.read() >= 0) {
-            throw new IOException("a configuration that has not the " + length + " bytes that it names");
+            throw new IOException(
+                    "inflated configuration does not have the " + length + " bytes that its header states");
         }
         if (inflater.getRemaining() + in.available() > 0) {
-            throw new IOException("bytes behind the end of a configuration");
+            throw new IOException("unexpected bytes after the end of a configuration");
         }
         return body;
     }
--- a/src/main/java/sablehinge/mesh/watch/RecordBytes.java
+++ b/src/main/java/sablehinge/mesh/watch/RecordBytes.java
@@ -7,33 +7,33 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Records as bytes. */
+/** Helpers for encoding and decoding records. */
 final class RecordBytes {
 
     private RecordBytes() {}
 
-    /** What writes a record. */
+    /** Writes a record to a stream. */
     interface RecordWriter {
-        void to(DataOutputStream out) throws IOException;
+        void writeTo(DataOutputStream out) throws IOException;
     }
 
-    static byte[] of(RecordWriter writing) {
+    static byte[] encode(RecordWriter writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            writing.to(out);
+            writer.writeTo(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    static DataInputStream in(byte[] bytes) {
+    static DataInputStream input(byte[] bytes) {
         return new DataInputStream(new ByteArrayInputStream(bytes));
     }
 
-    static int bounded(int count, int most) throws IOException {
-        if (count < 0 || count > most) {
-            throw new IOException("a list of " + count + "; " + most + " at most are expected");
+    static int checkCount(int count, int max) throws IOException {
+        if (count < 0 || count > max) {
+            throw new IOException("value or count " + count + " is out of range; at most " + max + " is allowed");
         }
         return count;
     }
--- a/src/main/java/sablehinge/mesh/watch/Registration.java
+++ b/src/main/java/sablehinge/mesh/watch/Registration.java
@@ -1,16 +1,16 @@
 package sablehinge.mesh.watch;
 
 /**
- * A data-plane balancer and the upstream beside it, as that balancer tells it.
+ * A data-plane balancer and its local upstream, as reported by the balancer.
  *
  * @param node the balancer's name
- * @param zone where it runs
- * @param inbound where it takes requests for its upstream, {@code ip:port}
- * @param service of the upstream
- * @param upstream the id of the upstream's present incarnation; empty where there is none
- * @param ready whether it takes new requests
- * @param berths requests that the upstream works on at once
- * @param warmUpMs how much longer the upstream was warming up, ms, when its incarnation first registered
+ * @param zone the zone of the balancer
+ * @param inbound the address at which it accepts requests for the upstream, {@code ip:port}
+ * @param service the service of the upstream
+ * @param upstream the id of the upstream's current incarnation; empty if there is none
+ * @param ready whether it accepts new requests
+ * @param berths maximum number of concurrent requests of the upstream
+ * @param warmUpMs remaining warm-up time of the upstream, in milliseconds, when its incarnation first registered
  */
 public record Registration(
         String node,
--- a/src/main/java/sablehinge/mesh/watch/Registrations.java
+++ b/src/main/java/sablehinge/mesh/watch/Registrations.java
@@ -4,7 +4,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** Registrations in records. */
+/** Encodes and decodes registrations. */
 final class Registrations {
 
     private Registrations() {}
--- a/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
+++ b/src/main/java/sablehinge/mesh/watch/RetryBudgetCodec.java
@@ -7,14 +7,14 @@
 import sablehinge.mesh.retrybudget.Claim;
 import sablehinge.mesh.retrybudget.Grant;
 
-/** Claims on shares of further tries, and what is granted of them, in records. */
+/** Encodes and decodes claims on and grants of retry budget shares. */
 public final class RetryBudgetCodec {
 
     private RetryBudgetCodec() {}
 
-    /** Writes a claim. */
+    /** Encodes a claim. */
     public static byte[] encode(Claim claim) {
-        return RecordBytes.of(out -> {
+        return RecordBytes.encode(out -> {
             out.writeLong(claim.incarnation());
             out.writeInt(claim.number());
             out.writeLong(claim.term());
@@ -31,26 +31,26 @@
         });
     }
 
-    /** Reads a claim; fails on anything else. */
+    /** Decodes a claim; fails on malformed bytes. */
     public static Claim decodeClaim(byte[] bytes) throws IOException {
-        DataInputStream in = RecordBytes.in(bytes);
+        DataInputStream in = RecordBytes.input(bytes);
         long incarnation = in.readLong();
         int number = in.readInt();
         long term = in.readLong();
         String service = in.readUTF();
-        int count = RecordBytes.bounded(in.readUnsignedByte(), Claim.MAX_LINES);
+        int count = RecordBytes.checkCount(in.readUnsignedByte(), Claim.MAX_LINES);
         List<Claim.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             lines.add(new Claim.Line(
                     in.readUTF(), in.readInt(), in.readInt(), in.readInt(), in.readInt(), in.readUnsignedShort()));
         }
-        ended(in);
+        checkEnd(in);
         return new Claim(incarnation, number, term, service, lines);
     }
 
-    /** Writes a grant. */
+    /** Encodes a grant. */
     public static byte[] encode(Grant grant) {
-        return RecordBytes.of(out -> {
+        return RecordBytes.encode(out -> {
             out.writeInt(grant.number());
             out.writeLong(grant.term());
             out.writeByte(grant.lines().size());
@@ -61,23 +61,23 @@
         });
     }
 
-    /** Reads a grant; fails on anything else. */
+    /** Decodes a grant; fails on malformed bytes. */
     public static Grant decodeGrant(byte[] bytes) throws IOException {
-        DataInputStream in = RecordBytes.in(bytes);
+        DataInputStream in = RecordBytes.input(bytes);
         int number = in.readInt();
         long term = in.readLong();
-        int count = RecordBytes.bounded(in.readUnsignedByte(), Claim.MAX_LINES);
+        int count = RecordBytes.checkCount(in.readUnsignedByte(), Claim.MAX_LINES);
         List<Grant.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             lines.add(new Grant.Line(in.readUTF(), in.readInt()));
         }
-        ended(in);
+        checkEnd(in);
         return new Grant(number, term, lines);
     }
 
-    private static void ended(DataInputStream in) throws IOException {
+    private static void checkEnd(DataInputStream in) throws IOException {
         if (in.available() > 0) {
-            throw new IOException(in.available() + " bytes behind the end of a record");
+            throw new IOException(in.available() + " unexpected bytes after the end of a record");
         }
     }
 }
--- a/src/main/java/sablehinge/mesh/watch/Tokens.java
+++ b/src/main/java/sablehinge/mesh/watch/Tokens.java
@@ -4,23 +4,23 @@
 import java.io.IOException;
 
 /**
- * Asks for tokens of a tenant's pool, and brings them.
+ * A request for tokens of a tenant's pool, or the answer with tokens.
  *
- * @param count wanted, or given; 0 given says that the pool is empty
+ * @param count the number of requested or granted tokens; 0 granted tokens mean that the pool is empty
  */
 public record Tokens(String tenant, int count) {
 
-    /** Writes it. */
+    /** Encodes the tokens. */
     public byte[] bytes() {
-        return RecordBytes.of(out -> {
+        return RecordBytes.encode(out -> {
             out.writeUTF(tenant);
             out.writeShort(count);
         });
     }
 
-    /** Reads what {@link #bytes} wrote; fails on anything else. */
+    /** Decodes the output of {@link #bytes}; fails on malformed bytes. */
     public static Tokens read(byte[] bytes) throws IOException {
-        DataInputStream in = RecordBytes.in(bytes);
+        DataInputStream in = RecordBytes.input(bytes);
         return new Tokens(in.readUTF(), in.readUnsignedShort());
     }
 }
--- a/src/main/java/sablehinge/mesh/watch/Update.java
+++ b/src/main/java/sablehinge/mesh/watch/Update.java
@@ -8,19 +8,19 @@
 import sablehinge.common.rpc.Connection;
 
 /**
- * The answer to an ask.
+ * The answer to a {@link WatchRequest}.
  *
- * @param number of the ask
- * @param confirmed whether nothing newer had been acknowledged when the ask came
- * @param edition of the configuration in force; 0 for none
- * @param body that configuration as {@link PackedConfiguration} packs it; empty where the asker has it
- * @param term of the leader that keeps the registry
- * @param stamp of the registry
- * @param full whether the registrations are all there are, rather than those that changed
- * @param complete whether a balancer that is not in the registry is gone
- * @param size balancers among which quotas are divided
- * @param registrations that changed since the stamp of the ask
- * @param core where the members of the core take records
+ * @param number the number of the request
+ * @param confirmed whether the leader confirmed that nothing newer had been acknowledged when the request arrived
+ * @param edition the edition of the current configuration; 0 for none
+ * @param body the configuration as packed by {@link PackedConfiguration}; empty if the sidecar already has it
+ * @param term the term of the leader that owns the registry
+ * @param stamp the change counter of the registry
+ * @param full whether the registrations are complete rather than only the changed ones
+ * @param complete whether a balancer missing in the registry is known to be gone
+ * @param size the number of balancers among which quotas are divided
+ * @param registrations the registrations, or those changed since the stamp of the request
+ * @param core addresses at which the members of the core accept records
  */
 public record Update(
         int number,
@@ -35,17 +35,17 @@
         List<Registration> registrations,
         List<String> core) {
 
-    private static final int MAX = 10_000;
+    private static final int MAX_REGISTRATIONS = 10_000;
 
-    /** Update whose lists can't be changed. */
+    /** Creates an update with unmodifiable lists. */
     public Update {
         registrations = List.copyOf(registrations);
         core = List.copyOf(core);
     }
 
-    /** Writes them. */
+    /** Encodes the update. */
     public byte[] bytes() {
-        return RecordBytes.of(this::write);
+        return RecordBytes.encode(this::write);
     }
 
     private void write(DataOutputStream out) throws IOException {
@@ -69,20 +69,20 @@
         }
     }
 
-    /** Reads what {@link #bytes} wrote; fails on anything else. */
+    /** Decodes the output of {@link #bytes}; fails on malformed bytes. */
     public static Update read(byte[] bytes) throws IOException {
-        DataInputStream in = RecordBytes.in(bytes);
+        DataInputStream in = RecordBytes.input(bytes);
         int number = in.readInt();
         boolean confirmed = in.readBoolean();
         long edition = in.readLong();
-        byte[] body = new byte[RecordBytes.bounded(in.readInt(), Connection.MAX_BYTES)];
+        byte[] body = new byte[RecordBytes.checkCount(in.readInt(), Connection.MAX_BYTES)];
         in.readFully(body);
         long term = in.readLong();
         long stamp = in.readLong();
         boolean full = in.readBoolean();
         boolean complete = in.readBoolean();
         int size = in.readUnsignedShort();
-        int count = RecordBytes.bounded(in.readUnsignedShort(), MAX);
+        int count = RecordBytes.checkCount(in.readUnsignedShort(), MAX_REGISTRATIONS);
         List<Registration> registrations = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             registrations.add(Registrations.read(in));
--- a/src/main/java/sablehinge/mesh/watch/WatchRequest.java
+++ b/src/main/java/sablehinge/mesh/watch/WatchRequest.java
@@ -12,14 +12,14 @@
 /**
  * A sidecar's long poll for updates: configuration, registry, members of the core.
  *
- * @param number counts the sidecar's requests up; the {@link Update} names it
- * @param registration the sidecar itself and its upstream
- * @param edition of the configuration that it has; 0 for none
- * @param term of the leader whose registry it has; 0 for none
- * @param stamp of that registry
- * @param confirm whether the answer has to be confirmed: nothing newer was acknowledged before the request
- * @param suspicions peers that it monitors and does not hear; {@link Monitor#MAX_REPORTED} at most
- * @param vouched peers whose heartbeats it receives and that the registry does not have; as many at most
+ * @param number the sequence number of the sidecar's request, which the {@link Update} repeats
+ * @param registration the sidecar and its local upstream
+ * @param edition the edition of the sidecar's configuration; 0 for none
+ * @param term the term of the leader that sent the sidecar's registry; 0 for none
+ * @param stamp the change counter of that registry
+ * @param confirm whether the leader must confirm that nothing newer was acknowledged before the request
+ * @param suspicions monitored peers that send no heartbeats; at most {@link Monitor#MAX_REPORTED}
+ * @param vouched peers that send heartbeats and are missing in the registry; at most as many
  */
 public record WatchRequest(
         int number,
@@ -31,17 +31,17 @@
         List<Suspicion> suspicions,
         List<Registration> vouched) {
 
-    private static final SuspicionCause[] EVIDENCE = SuspicionCause.values();
+    private static final SuspicionCause[] CAUSES = SuspicionCause.values();
 
-    /** An ask whose lists can't be changed. */
+    /** Creates a request with unmodifiable lists. */
     public WatchRequest {
         suspicions = List.copyOf(suspicions);
         vouched = List.copyOf(vouched);
     }
 
-    /** Writes it. */
+    /** Encodes the request. */
     public byte[] bytes() {
-        return RecordBytes.of(this::write);
+        return RecordBytes.encode(this::write);
     }
 
     private void write(DataOutputStream out) throws IOException {
@@ -57,27 +57,27 @@
             out.writeByte(suspicion.cause().ordinal());
         }
         out.writeByte(vouched.size());
-        for (Registration other : vouched) {
-            Registrations.write(other, out);
+        for (Registration peer : vouched) {
+            Registrations.write(peer, out);
         }
     }
 
-    /** Reads what {@link #bytes} wrote; fails on anything else. */
+    /** Decodes the output of {@link #bytes}; fails on malformed bytes. */
     public static WatchRequest read(byte[] bytes) throws IOException {
-        DataInputStream in = RecordBytes.in(bytes);
+        DataInputStream in = RecordBytes.input(bytes);
         int number = in.readInt();
         Registration registration = Registrations.read(in);
         long edition = in.readLong();
         long term = in.readLong();
         long stamp = in.readLong();
         boolean confirm = in.readBoolean();
-        int count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MAX_REPORTED);
+        int count = RecordBytes.checkCount(in.readUnsignedByte(), Monitor.MAX_REPORTED);
         List<Suspicion> suspicions = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             suspicions.add(new Suspicion(
-                    in.readUTF(), EVIDENCE[RecordBytes.bounded(in.readUnsignedByte(), EVIDENCE.length - 1)]));
+                    in.readUTF(), CAUSES[RecordBytes.checkCount(in.readUnsignedByte(), CAUSES.length - 1)]));
         }
-        count = RecordBytes.bounded(in.readUnsignedByte(), Monitor.MAX_REPORTED);
+        count = RecordBytes.checkCount(in.readUnsignedByte(), Monitor.MAX_REPORTED);
         List<Registration> vouched = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             vouched.add(Registrations.read(in));
--- a/src/main/java/sablehinge/mesh/watch/package-info.java
+++ b/src/main/java/sablehinge/mesh/watch/package-info.java
@@ -1,2 +1,2 @@
-/** Long polls of sidecars to the leader and the updates that answer them, as records in binary form. */
+/** Binary records of the long polls that sidecars send to the leader and of the updates that answer them. */
 package sablehinge.mesh.watch;
