--- a/bench/src/sablehinge/dataplane/budget/ChainBench.java
+++ b/bench/src/sablehinge/dataplane/budget/ChainBench.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * Run by {@code bench/run chain}: value kept and attempts made at the last tier, with budgets and without, over the
- * same drawn chains of three tiers in virtual time. Its figures don't depend on the machine.
+ * Run by {@code bench/run chain}. Compares the value served in time and the attempts at the last tier with and without
+ * budgets, over the same random chains of three tiers in virtual time. The figures do not depend on the machine.
  */
 public final class ChainBench {
 
@@ -13,21 +13,22 @@
 
     private ChainBench() {}
 
-    private record Sums(double kept, double mean, int most, int dead) {}
+    private record Totals(double keptValueShare, double meanAttempts, int maxAttempts, int sentAfterDeadline) {}
 
-    private static Sums play(boolean budgets, double load, double slow, double errors) {
-        double kept = 0;
-        double mean = 0;
-        int most = 0;
-        int dead = 0;
+    private static Totals simulate(boolean budgets, double load, double slowFactor, double errorRate) {
+        double keptValueShare = 0;
+        double meanAttempts = 0;
+        int maxAttempts = 0;
+        int sentAfterDeadline = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Chain chain = new Chain(new Chain.Plan(seed, 3, 2, budgets, load, slow, errors, 0.01, 0, REQUESTS)).play();
-            kept += chain.kept() / SEEDS;
-            mean += chain.meanLeaves() / SEEDS;
-            most = Math.max(most, chain.mostLeaves());
-            dead += chain.deadSent;
+            Chain chain = new Chain(new Chain.Plan(seed, 3, 2, budgets, load, slowFactor, errorRate, 0.01, 0, REQUESTS))
+                    .run();
+            keptValueShare += chain.keptValueShare() / SEEDS;
+            meanAttempts += chain.meanLastTierAttempts() / SEEDS;
+            maxAttempts = Math.max(maxAttempts, chain.maxLastTierAttempts());
+            sentAfterDeadline += chain.sentAfterDeadline;
         }
-        return new Sums(kept, mean, most, dead);
+        return new Totals(keptValueShare, meanAttempts, maxAttempts, sentAfterDeadline);
     }
 
     public static void main(String[] arguments) {
@@ -45,17 +46,29 @@
                 new StringBuilder("{\"bound\":" + Chain.BOUND + ",\"requests\":" + SEEDS * REQUESTS * cases.length * 2);
         System.out.printf(
                 "%-11s %14s %14s %14s %14s%n", "case", "kept without", "kept with", "attempts w/o", "attempts with");
-        for (Object[] one : cases) {
-            Sums without = play(false, (double) one[1], (double) one[2], (double) one[3]);
-            Sums with = play(true, (double) one[1], (double) one[2], (double) one[3]);
+        for (Object[] parameters : cases) {
+            Totals without = simulate(false, (double) parameters[1], (double) parameters[2], (double) parameters[3]);
+            Totals with = simulate(true, (double) parameters[1], (double) parameters[2], (double) parameters[3]);
             System.out.printf(
                     "%-11s %14.3f %14.3f %8.2f to %2d %8.2f to %2d%n",
-                    one[0], without.kept(), with.kept(), without.mean(), without.most(), with.mean(), with.most());
+                    parameters[0],
+                    without.keptValueShare(),
+                    with.keptValueShare(),
+                    without.meanAttempts(),
+                    without.maxAttempts(),
+                    with.meanAttempts(),
+                    with.maxAttempts());
             json.append(String.format(
                     ",\"%s\":{\"worth_kept_without\":%.4f,\"worth_kept_with\":%.4f,"
                             + "\"amplification_without\":%.3f,\"amplification_with\":%.3f,\"attempts_max\":%d,"
                             + "\"dead_sent\":%d}",
-                    one[0], without.kept(), with.kept(), without.mean(), with.mean(), with.most(), with.dead()));
+                    parameters[0],
+                    without.keptValueShare(),
+                    with.keptValueShare(),
+                    without.meanAttempts(),
+                    with.meanAttempts(),
+                    with.maxAttempts(),
+                    with.sentAfterDeadline()));
         }
         System.out.println(json.append('}'));
     }
--- a/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
+++ b/src/main/java/sablehinge/dataplane/admission/AdmissionController.java
@@ -7,23 +7,26 @@
 import sablehinge.policy.LoadBalancer;
 
 /**
- * Admits requests to the one upstream of its machine: as many at once as it works on, a few that wait, and refuses the
- * rest, which proves that they have not run. All that reaches the upstream passes here, so what is held here holds,
- * however old the knowledge of the balancers elsewhere is: its slots, its incarnation and its drain.
+ * Admits requests to the local upstream. It sends as many concurrent requests as the upstream has slots, queues a few
+ * and refuses the rest, which proves that they have not run. All requests to the upstream pass through this class, so
+ * the limits on slots, incarnation and drain hold even if other balancers have outdated data.
  *
- * <p>A request's {@code cost} is how long it may wait here, in ms; its {@code tenant} the rank, 0 being the highest;
- * its {@code key} the upstream's incarnation that it is meant for.
+ * <p>A request's {@code cost} is the maximum time it may wait here, in milliseconds; its {@code tenant} is the
+ * priority, 0 being the highest; its {@code key} is the upstream's incarnation that it is addressed to.
  */
 public final class AdmissionController implements LoadBalancer {
 
-    /** The number of the one upstream. */
+    /** The number of the only upstream. */
     public static final long UPSTREAM = 1;
-    /** Those that wait, for each slot. */
-    private static final int WAITING_PER_SLOT = 3;
-    /** Advice to those refused as full, in ms: about what a slot takes to be free. */
+    /** Maximum number of waiting requests per slot. */
+    private static final int MAX_WAITING_PER_SLOT = 3;
+    /**
+     * Retry delay in milliseconds for requests refused because the upstream is full: about the time until a slot is
+     * free.
+     */
     private static final double RETRY_AFTER_MS = 40;
 
-    /** The timer at which what waits is refused, as the process is about to end; requests count from 1 on. */
+    /** Token of the timer that refuses waiting requests before the process stops; request ids start at 1. */
     private static final long DRAIN_TIMER = 0;
 
     private final Actions actions;
@@ -33,45 +36,45 @@
     private int slots;
     private int running;
     private double closesAt = Double.POSITIVE_INFINITY;
-    /** Until when a request may go to the upstream before this process ends, ms. */
-    private double startUntil = Double.POSITIVE_INFINITY;
+    /** Time in milliseconds until which requests may be sent to the upstream before this process stops. */
+    private double sendUntil = Double.POSITIVE_INFINITY;
 
     /** A request from its arrival until its outcome. */
     private static final class PendingRequest {
         final Request request;
         boolean sent;
-        boolean over;
+        boolean finished;
 
         PendingRequest(Request request) {
             this.request = request;
         }
     }
 
-    /** A gate that is closed until {@link #open}. */
+    /** Creates a controller that is closed until {@link #open}. */
     public AdmissionController(Actions actions) {
         this.actions = actions;
     }
 
     @Override
     public void start(double now, Settings settings, long seed) {
-        // Nothing here is drawn at random.
+        // Uses no randomness.
     }
 
     @Override
     public void adopt(double now, Settings settings) {
-        // The gate looks at no class.
+        // Admission does not depend on service classes.
     }
 
     @Override
     public void upstreamsChanged(double now, Change change, List<Upstream> upstreams) {
-        // It has one upstream, whose state comes by open and closes.
+        // The state of the only upstream is set by open and closeAt.
     }
 
     /**
-     * The upstream says that it is ready.
+     * Opens admission: the upstream reports that it is ready.
      *
-     * @param upstream its incarnation
-     * @param berths requests that it works on at once
+     * @param upstream the incarnation of the upstream
+     * @param berths maximum number of concurrent requests
      */
     public void open(double now, long upstream, int berths) {
         if (incarnation != upstream) {
@@ -80,12 +83,12 @@
         incarnation = upstream;
         slots = berths;
         if (now < closesAt) {
-            next(now);
+            admitWaiting(now);
         }
     }
 
-    /** An incarnation of the upstream takes nothing new from the given time on. */
-    public void closes(double now, long upstream, double at) {
+    /** Closes admission to an incarnation of the upstream at the given time. */
+    public void closeAt(double now, long upstream, double at) {
         if (incarnation == upstream) {
             closesAt = Math.min(closesAt, at);
             if (now >= closesAt) {
@@ -95,71 +98,72 @@
     }
 
     /**
-     * This process is about to end: it sends the upstream nothing after the given time, which others may send it.
+     * Stops sending requests to the upstream after the given time because this process is about to stop. Other
+     * processes may still send requests to the upstream.
      *
-     * @param until in ms; what still waits then is refused as not run
+     * @param until the time in milliseconds at which waiting requests are refused as not run
      */
     public void drain(double until) {
-        startUntil = until;
+        sendUntil = until;
         actions.setTimer(DRAIN_TIMER, until);
     }
 
-    /** Requests at work there. */
+    /** Number of requests that the upstream is processing. */
     public int running() {
         return running;
     }
 
-    /** Requests that wait. */
+    /** Number of waiting requests. */
     public int waiting() {
         return waiting.size();
     }
 
     @Override
     public void request(double now, Request request) {
-        PendingRequest one = new PendingRequest(request);
-        pending.put(request.id(), one);
+        PendingRequest pendingRequest = new PendingRequest(request);
+        pending.put(request.id(), pendingRequest);
         if (!isOpen(now, request)) {
-            refuse(one, 0);
+            refuse(pendingRequest, 0);
         } else if (running < slots && waiting.isEmpty()) {
-            send(one, now);
-        } else if (waiting.size() < WAITING_PER_SLOT * slots && request.cost() > 0) {
-            waiting.add(one);
+            send(pendingRequest, now);
+        } else if (waiting.size() < MAX_WAITING_PER_SLOT * slots && request.cost() > 0) {
+            waiting.add(pendingRequest);
             actions.setTimer(request.id(), now + request.cost());
         } else {
-            refuse(one, RETRY_AFTER_MS);
+            refuse(pendingRequest, RETRY_AFTER_MS);
         }
     }
 
     private boolean isOpen(double now, Request request) {
-        return incarnation != 0 && request.key() == incarnation && now < Math.min(closesAt, startUntil);
+        return incarnation != 0 && request.key() == incarnation && now < Math.min(closesAt, sendUntil);
     }
 
-    private void send(PendingRequest one, double now) {
-        one.sent = true;
+    private void send(PendingRequest pendingRequest, double now) {
+        pendingRequest.sent = true;
         running++;
-        actions.send(one.request.id(), UPSTREAM, one.request.deadline() - now);
+        actions.send(pendingRequest.request.id(), UPSTREAM, pendingRequest.request.deadline() - now);
     }
 
-    private void refuse(PendingRequest one, double retryAfter) {
-        one.over = true;
-        pending.remove(one.request.id());
-        actions.refuse(one.request.id(), retryAfter);
+    private void refuse(PendingRequest pendingRequest, double retryAfter) {
+        pendingRequest.finished = true;
+        pending.remove(pendingRequest.request.id());
+        actions.refuse(pendingRequest.request.id(), retryAfter);
     }
 
     private void refuseWaiting() {
-        List<PendingRequest> left = new ArrayList<>(waiting);
+        List<PendingRequest> refused = new ArrayList<>(waiting);
         waiting.clear();
-        left.forEach(one -> refuse(one, 0));
+        refused.forEach(pendingRequest -> refuse(pendingRequest, 0));
     }
 
-    /** The highest rank goes first, and of one rank what has the least time left. */
-    private void next(double now) {
+    /** Sends waiting requests while slots are free, ordered by priority and then by deadline. */
+    private void admitWaiting(double now) {
         while (running < slots && !waiting.isEmpty()) {
             PendingRequest best = waiting.get(0);
-            for (PendingRequest one : waiting) {
-                int rank = Integer.compare(one.request.tenant(), best.request.tenant());
-                if (rank < 0 || rank == 0 && one.request.deadline() < best.request.deadline()) {
-                    best = one;
+            for (PendingRequest pendingRequest : waiting) {
+                int rank = Integer.compare(pendingRequest.request.tenant(), best.request.tenant());
+                if (rank < 0 || rank == 0 && pendingRequest.request.deadline() < best.request.deadline()) {
+                    best = pendingRequest;
                 }
             }
             waiting.remove(best);
@@ -173,52 +177,52 @@
 
     @Override
     public void attemptFinished(double now, Outcome outcome) {
-        PendingRequest one = pending.remove(outcome.requestId());
-        if (one == null) {
+        PendingRequest pendingRequest = pending.remove(outcome.requestId());
+        if (pendingRequest == null) {
             return;
         }
         running--;
-        if (!outcome.closed() && !one.over) {
-            one.over = true;
+        if (!outcome.closed() && !pendingRequest.finished) {
+            pendingRequest.finished = true;
             if (outcome.result().neverRan()) {
-                actions.refuse(one.request.id(), RETRY_AFTER_MS);
+                actions.refuse(pendingRequest.request.id(), RETRY_AFTER_MS);
             } else {
-                actions.fail(one.request.id());
+                actions.fail(pendingRequest.request.id());
             }
         }
-        next(now);
+        admitWaiting(now);
     }
 
     @Override
     public void streamStarted(double now, long requestId, int attempt, double elapsed) {
-        // Its slot stays taken until its end.
+        // The slot stays occupied until the attempt ends.
     }
 
     @Override
     public void clientGone(double now, long requestId) {
-        PendingRequest one = pending.get(requestId);
-        if (one == null) {
+        PendingRequest pendingRequest = pending.get(requestId);
+        if (pendingRequest == null) {
             return;
         }
-        one.over = true;
-        if (one.sent) {
+        pendingRequest.finished = true;
+        if (pendingRequest.sent) {
             actions.cancel(requestId, 0);
         } else {
-            waiting.remove(one);
+            waiting.remove(pendingRequest);
             pending.remove(requestId);
         }
     }
 
-    /** A request has waited for as long as it may, or all have. */
+    /** Refuses a request whose wait has timed out, or all waiting requests on drain. */
     @Override
     public void timer(double now, long token) {
         if (token == DRAIN_TIMER) {
             refuseWaiting();
             return;
         }
-        PendingRequest one = pending.get(token);
-        if (one != null && !one.sent && waiting.remove(one)) {
-            refuse(one, RETRY_AFTER_MS);
+        PendingRequest pendingRequest = pending.get(token);
+        if (pendingRequest != null && !pendingRequest.sent && waiting.remove(pendingRequest)) {
+            refuse(pendingRequest, RETRY_AFTER_MS);
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
+++ b/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
@@ -9,56 +9,56 @@
 import java.util.SplittableRandom;
 
 /**
- * The budgets of one hop: which calls are taken in, how much each of their attempts may spend further down, and what is
- * left once it has come back. All calls that a server makes for one attempt of the tier above draw on one budget, so
- * that a fan-out does not multiply what they may spend. An attempt is granted a part of the budget, which is gone until
- * a report says what was spent of it; without a report it is spent. So the attempts at the last tier never exceed what
- * the first hop was given, whatever is lost on the way.
+ * The attempt budgets of one hop. Decides which calls are admitted, how many attempts at lower tiers each of their
+ * attempts may use, and what remains after its report. All calls that a server makes for one attempt of the tier above
+ * share one budget, so a fan-out does not multiply the allowed attempts. An attempt is granted a share of the budget,
+ * which counts as spent until a report states what was used. So the attempts at the last tier never exceed the budget
+ * of the first hop, even if reports are lost.
  */
 public final class AttemptBudgets {
 
-    /** Why a call is not taken in. */
+    /** The reason why a call is refused. */
     public enum Refusal {
-        /** Its time is gone, or would be on the way. */
+        /** Its time has run out, or would run out before the answer arrives. */
         DEAD,
-        /** It has come back to a service on its own path. */
+        /** It has returned to a service on its path. */
         LOOP,
-        /** Nothing is left to spend for it. */
+        /** Its budget has no attempts left. */
         SPENT,
-        /** So many budgets are at work that one more can't be remembered. */
+        /** The table of budgets is full. */
         FULL
     }
 
-    /** What calls of one grant draw on. */
+    /** The budget shared by the calls of one grant. */
     private static final class AttemptBudget {
         final long grant;
         final double deadline;
-        int left;
+        int remaining;
         int spent;
-        /** Calls that are not over. */
-        int open;
-        /** Calls to which a first attempt is still owed, and grants that are out. */
-        int owed;
+        /** Number of calls that are not closed. */
+        int openCalls;
+        /** Number of calls for which a first attempt is still reserved. */
+        int reservedCalls;
+        /** Number of grants whose attempts have not finished. */
+        int outstandingGrants;
 
-        int out;
-
-        AttemptBudget(long grant, double deadline, int left, int calls) {
+        AttemptBudget(long grant, double deadline, int remaining, int expectedCalls) {
             this.grant = grant;
             this.deadline = deadline;
-            this.left = left;
-            owed = calls;
+            this.remaining = remaining;
+            reservedCalls = expectedCalls;
         }
     }
 
-    /** A call that was taken in. */
+    /** An admitted call. */
     public final class Call {
         private final AttemptBudget budget;
         private final double deadline;
         private final double value;
         private final List<Long> path;
-        private boolean first = true;
-        private int tries;
-        private boolean again = true;
+        private boolean firstPending = true;
+        private int attemptsMade;
+        private boolean retryable = true;
         private boolean closed;
 
         private Call(AttemptBudget budget, double deadline, double value, List<Long> path) {
@@ -68,33 +68,36 @@
             this.path = path;
         }
 
-        /** When its answer must have begun its way back, in ms of the caller's clock. */
+        /** Time at which the answer must be on its way back, in milliseconds of the caller's clock. */
         public double deadline() {
             return deadline;
         }
 
-        /** Its value within the operator's bound. */
+        /** The value of the call, bounded by the operator's maximum. */
         public double value() {
             return value;
         }
 
-        /** The most attempts that there can be for it here, if each spends as little as it can. */
+        /** Maximum number of attempts for the call at this hop, if each spends as little as possible. */
         public int maxAttempts() {
-            return Math.max(1, budget.left - Math.max(0, budget.owed - 1) * terms.need());
+            return Math.max(1, budget.remaining - Math.max(0, budget.reservedCalls - 1) * settings.attemptsPerGrant());
         }
 
         /**
-         * Attempts that may still be made for it here: a first one with whatever there is, others with what they may
-         * need, once each of the calls that are still expected has its first.
+         * Number of attempts that may still be made for the call at this hop. A first attempt may use whatever remains;
+         * retries need {@link BudgetSettings#attemptsPerGrant()} each, and a first attempt stays reserved for each
+         * expected call.
          */
         public int attempts() {
-            int others = budget.owed - (first ? 1 : 0);
-            int free = Math.max(0, budget.left - others * terms.need());
-            return !again || budget.left < 1 ? 0 : Math.max(first ? 1 : 0, free / terms.need());
+            int others = budget.reservedCalls - (firstPending ? 1 : 0);
+            int unreserved = Math.max(0, budget.remaining - others * settings.attemptsPerGrant());
+            return !retryable || budget.remaining < 1
+                    ? 0
+                    : Math.max(firstPending ? 1 : 0, unreserved / settings.attemptsPerGrant());
         }
     }
 
-    /** An attempt's part of a budget. */
+    /** An attempt's share of a budget. */
     public final class Grant {
         private final Call call;
         private final int attempts;
@@ -107,122 +110,133 @@
             this.id = id;
         }
 
-        /** How many attempts at the last tier it covers. */
+        /** Number of attempts at the last tier that the grant covers. */
         public int attempts() {
             return attempts;
         }
 
-        /** The budget of the attempt, written at the given time; null if too little time is left for that. */
+        /** The budget to send with the attempt at the given time; null if too little time is left. */
         public Budget budget(double now) {
-            double left = call.deadline - now - terms.wire();
-            return left <= 0 ? null : new Budget(id, attempts, Math.min(Budget.MAX_MS, left), call.value, call.path);
+            double remaining = call.deadline - now - settings.wireMs();
+            return remaining <= 0
+                    ? null
+                    : new Budget(id, attempts, Math.min(Budget.MAX_MS, remaining), call.value, call.path);
         }
     }
 
-    /** What becomes of a call that has come: the call, or why not and what goes back with that. */
+    /** The decision on an arrived call: the call, or the refusal with the report that is sent back. */
     public record Admission(Call call, Refusal refusal, List<Long> path, Report report) {}
 
-    private final BudgetSettings terms;
+    private final BudgetSettings settings;
     private final long service;
     private final SplittableRandom random;
-    /** Those that were granted above, in the order of their last use, the longest ago first. */
+    /** Budgets granted by the tier above, in the order of last use, least recent first. */
     private final Map<Long, AttemptBudget> attemptBudgets = new LinkedHashMap<>();
 
-    private final Map<HeaderText.Kind, Long> read = new LinkedHashMap<>();
+    private final Map<HeaderText.Kind, Long> headerCounts = new LinkedHashMap<>();
 
-    /** The budgets of a hop that stands for a service; the seed names its grants. */
-    public AttemptBudgets(BudgetSettings terms, long service, long seed) {
-        this.terms = terms;
+    /** Creates the budgets of a hop in front of a service. The seed is for the random ids of its grants. */
+    public AttemptBudgets(BudgetSettings settings, long service, long seed) {
+        this.settings = settings;
         this.service = service;
         random = new SplittableRandom(seed);
     }
 
-    /** How many grants are remembered. */
+    /** Number of remembered grants. */
     public int size() {
         return attemptBudgets.size();
     }
 
-    /** How many calls came with a budget that was read, and so on. */
-    public Map<HeaderText.Kind, Long> read() {
-        return Collections.unmodifiableMap(read);
+    /** Number of calls by the kind of their budget header. */
+    public Map<HeaderText.Kind, Long> headerCounts() {
+        return Collections.unmodifiableMap(headerCounts);
     }
 
     /**
-     * A call has come.
+     * Decides whether an arrived call is admitted.
      *
-     * @param now in ms of a clock that never goes back
-     * @param found its header
-     * @param entry whether it is a client's, which has no budget and is not trusted with one
-     * @param remaining time in ms that its caller says it waits
-     * @param waited for how long it may have lain here before it was read: a pause of this process makes no time
-     * @param value of its class, for a call that has none
+     * @param now the time in milliseconds of a monotonic clock
+     * @param header the budget header of the call
+     * @param entry whether the call comes from a client, whose budget header is not trusted
+     * @param remaining time in milliseconds for which the caller waits, as stated by the caller
+     * @param unreadMs time in milliseconds for which the call may have waited unread during a pause of this process
+     * @param value the value of its class, for a call without a budget
      */
     public Admission admit(
-            double now, HeaderText.Found<Budget> found, boolean entry, double remaining, double waited, double value) {
-        read.merge(found.kind(), 1L, Long::sum);
-        Budget carried = entry ? null : found.value();
+            double now,
+            HeaderText.Found<Budget> header,
+            boolean entry,
+            double remaining,
+            double unreadMs,
+            double value) {
+        headerCounts.merge(header.kind(), 1L, Long::sum);
+        Budget carried = entry ? null : header.value();
         List<Long> path = carried == null ? List.of() : carried.path();
-        long passed = path.stream().filter(hop -> hop == service).count();
-        List<Long> here = new ArrayList<>(path);
-        here.add(service);
-        if (passed > terms.reentries() || path.size() >= Budget.MAX_HOPS) {
-            return refuse(Refusal.LOOP, here, carried, null);
+        long visits = path.stream().filter(hop -> hop == service).count();
+        List<Long> extendedPath = new ArrayList<>(path);
+        extendedPath.add(service);
+        if (visits > settings.maxReentries() || path.size() >= Budget.MAX_HOPS) {
+            return refuse(Refusal.LOOP, extendedPath, carried, null);
         }
-        double time = Math.min(remaining, terms.remaining());
+        double timeLeft = Math.min(remaining, settings.maxRemainingMs());
         if (carried != null) {
-            time = Math.min(time, carried.remaining());
+            timeLeft = Math.min(timeLeft, carried.remaining());
         }
-        double deadline = now + time - Math.max(0, waited) - terms.margin();
+        double deadline = now + timeLeft - Math.max(0, unreadMs) - settings.marginMs();
         AttemptBudget budget = carried == null ? null : attemptBudgets.remove(carried.grant());
         if (budget == null) {
             if (deadline <= now) {
-                return refuse(Refusal.DEAD, here, carried, null);
+                return refuse(Refusal.DEAD, extendedPath, carried, null);
             }
-            if (carried != null && attemptBudgets.size() >= terms.attemptBudgets() && !forget(now)) {
-                return refuse(Refusal.FULL, here, carried, null);
+            if (carried != null && attemptBudgets.size() >= settings.maxAttemptBudgets() && !evictOne(now)) {
+                return refuse(Refusal.FULL, extendedPath, carried, null);
             }
-            int given = entry
-                    ? terms.attempts()
-                    : carried == null ? terms.unknown() : Math.min(terms.attempts(), carried.attempts());
+            int grantedAttempts = entry
+                    ? settings.maxAttempts()
+                    : carried == null
+                            ? settings.attemptsWithoutBudget()
+                            : Math.min(settings.maxAttempts(), carried.attempts());
             long grant = carried == null ? random.nextLong() : carried.grant();
-            // Whoever makes one call for each client's request owes no others their first attempt.
-            budget = new AttemptBudget(grant, deadline, given, entry || carried == null ? 1 : terms.calls());
+            // Entry calls and calls without a budget do not share a budget, so no first attempts of other calls are
+            // reserved.
+            budget = new AttemptBudget(
+                    grant, deadline, grantedAttempts, entry || carried == null ? 1 : settings.maxCallsPerRequest());
         } else {
             deadline = Math.min(deadline, budget.deadline);
         }
         if (carried != null) {
-            // Of a call that has none no other can draw on its budget.
+            // Only a carried budget is shared with other calls.
             attemptBudgets.put(budget.grant, budget);
         }
         if (deadline <= now) {
-            return refuse(Refusal.DEAD, here, carried, budget);
+            return refuse(Refusal.DEAD, extendedPath, carried, budget);
         }
-        if (budget.left < 1) {
-            return refuse(Refusal.SPENT, here, carried, budget);
+        if (budget.remaining < 1) {
+            return refuse(Refusal.SPENT, extendedPath, carried, budget);
         }
-        budget.open++;
-        budget.owed = Math.max(1, budget.owed);
-        double bounded = Math.min(terms.value(), carried == null ? value : carried.value());
-        return new Admission(new Call(budget, deadline, bounded, here), null, here, null);
+        budget.openCalls++;
+        budget.reservedCalls = Math.max(1, budget.reservedCalls);
+        double boundedValue = Math.min(settings.maxValue(), carried == null ? value : carried.value());
+        return new Admission(new Call(budget, deadline, boundedValue, extendedPath), null, extendedPath, null);
     }
 
-    private static Admission refuse(Refusal why, List<Long> path, Budget carried, AttemptBudget budget) {
+    private static Admission refuse(Refusal refusal, List<Long> path, Budget carried, AttemptBudget budget) {
         return new Admission(
                 null,
-                why,
+                refusal,
                 path,
                 carried == null
                         ? null
-                        : new Report(carried.grant(), budget == null ? 0 : budget.spent, why == Refusal.FULL));
+                        : new Report(carried.grant(), budget == null ? 0 : budget.spent, refusal == Refusal.FULL));
     }
 
-    /** Makes room by one grant under which no call is open, those that no more can come of first. */
-    private boolean forget(double now) {
-        Iterator<AttemptBudget> all = attemptBudgets.values().iterator();
-        while (all.hasNext()) {
-            AttemptBudget budget = all.next();
-            if (budget.open == 0 && budget.out == 0 && budget.deadline <= now) {
-                all.remove();
+    /** Evicts one expired grant without open calls and outstanding attempts; false if there is none. */
+    private boolean evictOne(double now) {
+        Iterator<AttemptBudget> iterator = attemptBudgets.values().iterator();
+        while (iterator.hasNext()) {
+            AttemptBudget budget = iterator.next();
+            if (budget.openCalls == 0 && budget.outstandingGrants == 0 && budget.deadline <= now) {
+                iterator.remove();
                 return true;
             }
         }
@@ -230,46 +244,51 @@
     }
 
     /**
-     * Takes a part for an attempt; null if there is none, or no time for it to be of use.
+     * Grants a share of the budget to an attempt; null if none is left, or too little time for the attempt to succeed.
      *
-     * @param resendable whether another attempt may follow one that may have run
-     * @param least time in ms that the tier below needs at the least
+     * @param mayRepeat whether another attempt may follow an attempt that may have run
+     * @param minTimeMs minimum time in milliseconds that the tier below needs
      */
-    public Grant grant(Call call, double now, boolean resendable, double least) {
-        if (call.closed || call.attempts() < 1 || call.deadline - now - terms.wire() <= Math.max(0, least)) {
+    public Grant grant(Call call, double now, boolean mayRepeat, double minTimeMs) {
+        if (call.closed || call.attempts() < 1 || call.deadline - now - settings.wireMs() <= Math.max(0, minTimeMs)) {
             return null;
         }
         AttemptBudget budget = call.budget;
-        if (call.first) {
-            call.first = false;
-            budget.owed = Math.max(0, budget.owed - 1);
+        if (call.firstPending) {
+            call.firstPending = false;
+            budget.reservedCalls = Math.max(0, budget.reservedCalls - 1);
         }
-        int need = Math.min(terms.need(), budget.left);
-        int free = Math.max(need, budget.left - budget.owed * terms.need());
-        int part = terms.last() ? 1 : Math.max(need, free - (resendable ? (int) (free * terms.kept()) : 0));
-        call.tries++;
-        budget.left -= part;
-        budget.spent += part;
-        budget.out++;
-        return new Grant(call, part, random.nextLong());
+        int attemptsPerGrant = Math.min(settings.attemptsPerGrant(), budget.remaining);
+        int unreserved =
+                Math.max(attemptsPerGrant, budget.remaining - budget.reservedCalls * settings.attemptsPerGrant());
+        int share = settings.lastTier()
+                ? 1
+                : Math.max(
+                        attemptsPerGrant,
+                        unreserved - (mayRepeat ? (int) (unreserved * settings.retryReserveShare()) : 0));
+        call.attemptsMade++;
+        budget.remaining -= share;
+        budget.spent += share;
+        budget.outstandingGrants++;
+        return new Grant(call, share, random.nextLong());
     }
 
-    /** The attempt never ran: all that it was granted comes back. */
+    /** The attempt never ran: its whole grant is returned. */
     public void onAttemptNeverRan(Grant grant) {
         settle(grant, 0);
     }
 
     /**
-     * The attempt is over, or given up.
+     * The attempt has ended or was cancelled.
      *
-     * @param report what came back; null if nothing did that can be believed
-     * @param served whether it served
+     * @param report the received report; null if there is no trusted one
+     * @param success whether the attempt succeeded
      */
-    public void onAttemptFinished(Grant grant, Report report, boolean served) {
+    public void onAttemptFinished(Grant grant, Report report, boolean success) {
         boolean known = report != null && report.grant() == grant.id;
         settle(grant, known ? Math.min(grant.attempts, report.spent()) : grant.attempts);
-        if (known && !served && !report.again()) {
-            grant.call.again = false;
+        if (known && !success && !report.retryable()) {
+            grant.call.retryable = false;
         }
     }
 
@@ -279,28 +298,28 @@
         }
         grant.settled = true;
         AttemptBudget budget = grant.call.budget;
-        budget.out--;
-        // An attempt at the last tier has run or has not: no report is requested.
-        int used = terms.last() && spent > 0 ? 1 : spent;
-        budget.left += grant.attempts - used;
+        budget.outstandingGrants--;
+        // At the last tier an attempt has either run or not, so no report is needed.
+        int used = settings.lastTier() && spent > 0 ? 1 : spent;
+        budget.remaining += grant.attempts - used;
         budget.spent -= grant.attempts - used;
     }
 
     /**
-     * The call has its answer.
+     * The call is answered.
      *
-     * @param again whether the failure, if it is one, may be tried again at all. It is so at the tier above if it was
-     *     tried once here: where it was tried again, that one tier has done it for all
-     * @return what goes back with it
+     * @param retryable whether a failure may be retried at all. The tier above may retry it only if this tier made no
+     *     retry, so that only one tier retries
+     * @return the report to send back with the answer
      */
-    public Report close(Call call, boolean again) {
+    public Report close(Call call, boolean retryable) {
         if (!call.closed) {
             call.closed = true;
-            call.budget.open--;
-            if (call.first) {
-                call.budget.owed = Math.max(0, call.budget.owed - 1);
+            call.budget.openCalls--;
+            if (call.firstPending) {
+                call.budget.reservedCalls = Math.max(0, call.budget.reservedCalls - 1);
             }
         }
-        return new Report(call.budget.grant, call.budget.spent, again && call.again && call.tries < 2);
+        return new Report(call.budget.grant, call.budget.spent, retryable && call.retryable && call.attemptsMade < 2);
     }
 }
--- a/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
+++ b/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
@@ -1,53 +1,55 @@
 package sablehinge.dataplane.budget;
 
 /**
- * What an operator states for one hop.
+ * The operator's budget settings for one hop.
  *
- * @param attempts the most attempts at the last tier for one client's request, whatever a caller says
- * @param remaining the most time in ms, likewise
- * @param value the most value, likewise
- * @param unknown attempts for a call that has no readable budget where one is expected
- * @param calls the most calls that one server makes for one request; first attempts of these come before retries
- * @param need attempts at the last tier that one attempt here takes without any retry at the most: 1 at the last tier,
- *     elsewhere the product of the calls of the tiers below
- * @param last whether an attempt here is one at the last tier
- * @param margin time in ms that is kept for an answer to travel back over this hop
- * @param wire time in ms that a call takes on the wire to the next hop
- * @param kept share of a grant that is kept for another attempt here while one is out, 0 to below 1
- * @param reentries how often a call may come back to a service that it has passed; 0 where that is a loop
- * @param attemptBudgets grants that are remembered at most
+ * @param maxAttempts maximum number of attempts at the last tier for one client request; limits the values of callers
+ * @param maxRemainingMs maximum remaining time in milliseconds; limits the values of callers
+ * @param maxValue maximum value; limits the values of callers
+ * @param attemptsWithoutBudget number of attempts for a call without a readable budget where one is expected
+ * @param maxCallsPerRequest maximum number of calls that one server makes for one request; their first attempts take
+ *     precedence over retries
+ * @param attemptsPerGrant maximum number of attempts at the last tier that one attempt at this hop needs without
+ *     retries: 1 at the last tier, otherwise the product of the calls of the tiers below
+ * @param lastTier whether attempts at this hop are attempts at the last tier
+ * @param marginMs time in milliseconds reserved for the answer to travel back over this hop
+ * @param wireMs network time in milliseconds of a call to the next hop
+ * @param retryReserveShare share of the remaining budget that is reserved for a retry at this hop while an attempt is
+ *     in flight, 0 to below 1
+ * @param maxReentries how often a call may return to a service on its path; 0 if that is a loop
+ * @param maxAttemptBudgets maximum number of remembered grants
  */
 public record BudgetSettings(
-        int attempts,
-        double remaining,
-        double value,
-        int unknown,
-        int calls,
-        int need,
-        boolean last,
-        double margin,
-        double wire,
-        double kept,
-        int reentries,
-        int attemptBudgets) {
+        int maxAttempts,
+        double maxRemainingMs,
+        double maxValue,
+        int attemptsWithoutBudget,
+        int maxCallsPerRequest,
+        int attemptsPerGrant,
+        boolean lastTier,
+        double marginMs,
+        double wireMs,
+        double retryReserveShare,
+        int maxReentries,
+        int maxAttemptBudgets) {
 
-    /** Throws {@link IllegalArgumentException} for what is out of range. */
+    /** Throws {@link IllegalArgumentException} if a value is out of range. */
     public BudgetSettings {
-        if (attempts < 1
-                || attempts > Budget.MAX_ATTEMPTS
-                || unknown < 0
-                || unknown > attempts
-                || calls < 1
-                || need < 1
-                || last && need > 1
-                || !(remaining > 0)
-                || !(value >= 0)
-                || !(margin >= 0)
-                || !(wire >= 0)
-                || !(kept >= 0 && kept < 1)
-                || reentries < 0
-                || attemptBudgets < 1) {
-            throw new IllegalArgumentException("terms of a budget out of range");
+        if (maxAttempts < 1
+                || maxAttempts > Budget.MAX_ATTEMPTS
+                || attemptsWithoutBudget < 0
+                || attemptsWithoutBudget > maxAttempts
+                || maxCallsPerRequest < 1
+                || attemptsPerGrant < 1
+                || lastTier && attemptsPerGrant > 1
+                || !(maxRemainingMs > 0)
+                || !(maxValue >= 0)
+                || !(marginMs >= 0)
+                || !(wireMs >= 0)
+                || !(retryReserveShare >= 0 && retryReserveShare < 1)
+                || maxReentries < 0
+                || maxAttemptBudgets < 1) {
+            throw new IllegalArgumentException("budget settings out of range");
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/budget/HeaderText.java
+++ b/src/main/java/sablehinge/dataplane/budget/HeaderText.java
@@ -6,22 +6,24 @@
 import java.util.regex.Pattern;
 
 /**
- * The text of the two headers, {@code Sablehinge-Budget} down and {@code Sablehinge-Spent} up. With keys all is signed,
- * and what is not, or not rightly, is forged; without, all that can be read is taken.
+ * Encodes and decodes the headers {@code Sablehinge-Budget} (requests) and {@code Sablehinge-Spent} (responses). With
+ * keys, headers are signed, and a missing or invalid signature makes a header forged. Without keys, any readable header
+ * is accepted.
  */
 public final class HeaderText {
 
-    /** Longer than any that is written; a longer one is not looked at. */
+    /** Longer than any written header; longer headers are rejected without parsing. */
     public static final int MAX_CHARS = 512;
 
     private static final int HEX = 16;
     private static final String NUMBER = "([0-9]{1,10}(?:\\.[0-9]{1,3})?)";
-    private static final Pattern SIGNED = Pattern.compile("([^;]+(?:;[^;]+)*);k=([A-Za-z0-9]{1,16});s=([0-9a-f]{32})");
-    private static final Pattern DOWN = Pattern.compile("v=1;g=([0-9a-f]{16});n=([0-9]{1,5});t=" + NUMBER + ";w="
-            + NUMBER + ";p=((?:[0-9a-f]{12}(?:\\.[0-9a-f]{12}){0,15})?)");
-    private static final Pattern UP = Pattern.compile("v=1;g=([0-9a-f]{16});n=([0-9]{1,5});again=([01])");
+    private static final Pattern SIGNED_PATTERN =
+            Pattern.compile("([^;]+(?:;[^;]+)*);k=([A-Za-z0-9]{1,16});s=([0-9a-f]{32})");
+    private static final Pattern BUDGET_PATTERN = Pattern.compile("v=1;g=([0-9a-f]{16});n=([0-9]{1,5});t=" + NUMBER
+            + ";w=" + NUMBER + ";p=((?:[0-9a-f]{12}(?:\\.[0-9a-f]{12}){0,15})?)");
+    private static final Pattern REPORT_PATTERN = Pattern.compile("v=1;g=([0-9a-f]{16});n=([0-9]{1,5});again=([01])");
 
-    /** How a header was read. */
+    /** The result of reading a header. */
     public enum Kind {
         READ,
         MISSING,
@@ -29,41 +31,41 @@
         FORGED
     }
 
-    /** What was read; {@code value} is null unless it is {@link Kind#READ}. */
+    /** A header that was read; {@code value} is null unless the kind is {@link Kind#READ}. */
     public record Found<T>(Kind kind, T value) {}
 
     private final Keys keys;
 
-    /** With the keys of the zone, or null where zones trust each other. */
+    /** Creates a codec with the keys of the zone, or null if zones trust each other. */
     public HeaderText(Keys keys) {
         this.keys = keys;
     }
 
-    /** The header of a call. */
+    /** Encodes the header of a call. */
     public String write(Budget budget) {
         List<String> path = new ArrayList<>();
         budget.path().forEach(hop -> path.add(hex(hop).substring(HEX - 12)));
-        // Rounded down: nothing on the way adds time or value.
+        // Values are rounded down, so that no hop adds time or value.
         return sign("v=1;g=" + hex(budget.grant()) + ";n=" + budget.attempts() + ";t="
                 + decimal(budget.remaining()) + ";w=" + decimal(budget.value()) + ";p="
                 + String.join(".", path));
     }
 
-    /** The header of an answer. */
+    /** Encodes the header of an answer. */
     public String write(Report report) {
         return sign("v=1;g=" + hex(report.grant()) + ";n=" + Math.min(report.spent(), Budget.MAX_ATTEMPTS) + ";again="
-                + (report.again() ? 1 : 0));
+                + (report.retryable() ? 1 : 0));
     }
 
-    /** Reads the header of a call; null where it has none. */
+    /** Reads the header of a call; {@code text} is null if it is missing. */
     public Found<Budget> readBudget(String text) {
         Found<String> body = verify(text);
-        Matcher read = body.value() == null ? null : DOWN.matcher(body.value());
-        if (read == null || !read.matches()) {
-            return new Found<>(read == null ? body.kind() : Kind.UNREADABLE, null);
+        Matcher matcher = body.value() == null ? null : BUDGET_PATTERN.matcher(body.value());
+        if (matcher == null || !matcher.matches()) {
+            return new Found<>(matcher == null ? body.kind() : Kind.UNREADABLE, null);
         }
         List<Long> path = new ArrayList<>();
-        for (String hop : read.group(5).split("\\.")) {
+        for (String hop : matcher.group(5).split("\\.")) {
             if (!hop.isEmpty()) {
                 path.add(Long.parseLong(hop, HEX));
             }
@@ -72,33 +74,33 @@
             return new Found<>(
                     Kind.READ,
                     new Budget(
-                            Long.parseUnsignedLong(read.group(1), HEX),
-                            Integer.parseInt(read.group(2)),
-                            Double.parseDouble(read.group(3)),
-                            Double.parseDouble(read.group(4)),
+                            Long.parseUnsignedLong(matcher.group(1), HEX),
+                            Integer.parseInt(matcher.group(2)),
+                            Double.parseDouble(matcher.group(3)),
+                            Double.parseDouble(matcher.group(4)),
                             path));
         } catch (IllegalArgumentException e) {
             return new Found<>(Kind.UNREADABLE, null);
         }
     }
 
-    /** Reads the header of an answer; null where it has none. */
+    /** Reads the header of an answer; {@code text} is null if it is missing. */
     public Found<Report> readReport(String text) {
         Found<String> body = verify(text);
-        Matcher read = body.value() == null ? null : UP.matcher(body.value());
-        if (read == null || !read.matches()) {
-            return new Found<>(read == null ? body.kind() : Kind.UNREADABLE, null);
+        Matcher matcher = body.value() == null ? null : REPORT_PATTERN.matcher(body.value());
+        if (matcher == null || !matcher.matches()) {
+            return new Found<>(matcher == null ? body.kind() : Kind.UNREADABLE, null);
         }
         return new Found<>(
                 Kind.READ,
                 new Report(
-                        Long.parseUnsignedLong(read.group(1), HEX),
-                        Integer.parseInt(read.group(2)),
-                        read.group(3).equals("1")));
+                        Long.parseUnsignedLong(matcher.group(1), HEX),
+                        Integer.parseInt(matcher.group(2)),
+                        matcher.group(3).equals("1")));
     }
 
     private String sign(String text) {
-        return keys == null ? text : text + ";k=" + keys.signing() + ";s=" + keys.tag(keys.signing(), text);
+        return keys == null ? text : text + ";k=" + keys.signingKey() + ";s=" + keys.tag(keys.signingKey(), text);
     }
 
     private Found<String> verify(String text) {
@@ -111,8 +113,8 @@
         if (keys == null) {
             return new Found<>(Kind.READ, text);
         }
-        Matcher signed = SIGNED.matcher(text);
-        if (!signed.matches() || !keys.verifies(signed.group(2), signed.group(1), signed.group(3))) {
+        Matcher signed = SIGNED_PATTERN.matcher(text);
+        if (!signed.matches() || !keys.verify(signed.group(2), signed.group(1), signed.group(3))) {
             return new Found<>(Kind.FORGED, null);
         }
         return new Found<>(Kind.READ, signed.group(1));
@@ -125,7 +127,7 @@
 
     private static String decimal(double value) {
         long thousandths = (long) Math.floor(value * 1_000);
-        String rest = Long.toString(thousandths % 1_000);
-        return thousandths / 1_000 + "." + "0".repeat(3 - rest.length()) + rest;
+        String fraction = Long.toString(thousandths % 1_000);
+        return thousandths / 1_000 + "." + "0".repeat(3 - fraction.length()) + fraction;
     }
 }
--- a/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
+++ b/src/main/java/sablehinge/dataplane/budget/MinimumTime.java
@@ -1,36 +1,36 @@
 package sablehinge.dataplane.budget;
 
 /**
- * Learns how little time the tier below can do with: a low quantile of the latency of what it served, by steps that are
- * as likely up as down at the quantile (Robbins and Monro, 1951). While nothing is served it sinks, so that a time when
- * all was slow is not believed for ever.
+ * Estimates the minimum time that the tier below needs: a low quantile of the latency of served calls, by steps whose
+ * expected value at the quantile is zero (Robbins and Monro, 1951). The estimate decays while no call is served, so
+ * that a slow period does not block calls permanently.
  */
 public final class MinimumTime {
 
-    /** Share of calls that are served faster. */
+    /** Share of calls that are faster than the estimate. */
     static final double QUANTILE = 0.05;
 
-    private static final double STEP = 0.05;
-    private static final int FIRST = 20;
-    /** It halves in so many ms without a sample. */
+    private static final double STEP_SHARE = 0.05;
+    private static final int MIN_SAMPLES = 20;
+    /** Half-life of the estimate in milliseconds without a sample. */
     private static final double HALVING_MS = 2_000;
 
     private double value;
-    private int seen;
-    private double at;
+    private int samples;
+    private double lastSampleAt;
 
-    /** A call was served in so many ms. */
-    public void recordServed(double now, double elapsed) {
-        at = now;
-        seen++;
-        if (seen == 1) {
-            value = elapsed;
+    /** Records a served call and its latency in milliseconds. */
+    public void recordServed(double now, double elapsedMs) {
+        lastSampleAt = now;
+        samples++;
+        if (samples == 1) {
+            value = elapsedMs;
         }
-        value *= 1 + STEP * (elapsed > value ? QUANTILE : QUANTILE - 1);
+        value *= 1 + STEP_SHARE * (elapsedMs > value ? QUANTILE : QUANTILE - 1);
     }
 
-    /** The time in ms under which a call is not sent; 0 while too little is known. */
+    /** Time in milliseconds below which a call is not sent; 0 until there are enough samples. */
     public double value(double now) {
-        return seen < FIRST ? 0 : value * Math.pow(0.5, Math.max(0, now - at) / HALVING_MS);
+        return samples < MIN_SAMPLES ? 0 : value * Math.pow(0.5, Math.max(0, now - lastSampleAt) / HALVING_MS);
     }
 }
--- a/src/main/java/sablehinge/dataplane/budget/PauseDetector.java
+++ b/src/main/java/sablehinge/dataplane/budget/PauseDetector.java
@@ -1,38 +1,38 @@
 package sablehinge.dataplane.budget;
 
 /**
- * Tells how long a call may have lain unread because the process stood still, so that a pause makes no time: by a tick
- * that ought to come every so often, and the clock that goes on meanwhile.
+ * Estimates how long a call may have waited unread because the process was paused, so that the pause counts against the
+ * call's time. It detects pauses by late ticks.
  */
 public final class PauseDetector {
 
-    /** What is read so soon after a late tick had been waiting as long as the tick. */
-    private static final double READ_AFTER_MS = 5;
+    /** Calls read within this many milliseconds after a late tick may have waited as long as the tick. */
+    private static final double READ_DELAY_MS = 5;
 
-    private final double period;
-    private double last;
-    private double late;
+    private final double periodMs;
+    private double lastTickAt;
+    private double lastPauseMs;
 
-    /** Ticks are due every so many ms, the first one from the given time on. */
-    public PauseDetector(double period, double now) {
-        this.period = period;
-        last = now;
+    /** Creates a detector for ticks with a period in milliseconds, starting at the given time. */
+    public PauseDetector(double periodMs, double now) {
+        this.periodMs = periodMs;
+        lastTickAt = now;
     }
 
-    /** A tick has come. */
+    /** Records a tick. */
     public void tick(double now) {
-        late = over(now);
-        last = now;
+        lastPauseMs = pauseMs(now);
+        lastTickAt = now;
     }
 
-    /** How long, in ms, what is read now may have waited for it; 0 while all goes on. */
+    /** Time in milliseconds for which a call that is read now may have waited; 0 if there was no pause. */
     public double waitedMs(double now) {
-        return now - last <= READ_AFTER_MS ? Math.max(late, over(now)) : over(now);
+        return now - lastTickAt <= READ_DELAY_MS ? Math.max(lastPauseMs, pauseMs(now)) : pauseMs(now);
     }
 
-    /** Ticks may be as late again as they are apart without anybody standing still. */
-    private double over(double now) {
-        double gap = now - last;
-        return gap > 2 * period ? gap - period : 0;
+    /** A tick that is late by up to one period does not count as a pause. */
+    private double pauseMs(double now) {
+        double gapMs = now - lastTickAt;
+        return gapMs > 2 * periodMs ? gapMs - periodMs : 0;
     }
 }
--- a/src/main/java/sablehinge/dataplane/budget/Report.java
+++ b/src/main/java/sablehinge/dataplane/budget/Report.java
@@ -1,10 +1,10 @@
 package sablehinge.dataplane.budget;
 
 /**
- * What comes back with an answer.
+ * The report of attempts that is sent back with an answer.
  *
- * @param grant what it is about
- * @param spent attempts at the last tier that were made on it so far, 0 and more
- * @param again whether a failure may be retried at the tier above
+ * @param grant the id of the grant
+ * @param spent number of attempts at the last tier made on the grant so far, 0 or more
+ * @param retryable whether a failure may be retried at the tier above
  */
-public record Report(long grant, int spent, boolean again) {}
+public record Report(long grant, int spent, boolean retryable) {}
--- a/src/main/java/sablehinge/dataplane/budget/package-info.java
+++ b/src/main/java/sablehinge/dataplane/budget/package-info.java
@@ -1,2 +1,5 @@
-/** Budgets of attempts and time over a chain of services, loops, and load shedding by value. It decides only. */
+/**
+ * Attempt and time budgets over a chain of services, loop detection, and load shedding by value. The package does no
+ * I/O.
+ */
 package sablehinge.dataplane.budget;
--- a/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
+++ b/src/test/java/sablehinge/dataplane/admission/UpstreamLifecycleTest.java
@@ -13,8 +13,8 @@
 import sablehinge.policy.LoadBalancer.Request;
 
 /**
- * What heartbeats and sign-offs do to the gate (RULES, DRAIN), through ends and starts of the balancer's process: every
- * order of a few events, with requests tried all the while. The time is the test's.
+ * Tests the effect of heartbeats and sign-offs on admission (RULES, DRAIN) across restarts of the balancer's process.
+ * It plays all orders of a few events in virtual time while requests arrive continuously.
  */
 class UpstreamLifecycleTest {
 
@@ -23,14 +23,17 @@
     private static final int BERTHS = 1_000;
     private static final String SERVICE = "huvo11a";
     private static final String INCARNATION = "i-1";
-    private static final String NEXT = "i-2";
-    /** Between two events; together with a start they fit into {@code unloadMs}, alone they may not. */
+    private static final String NEXT_INCARNATION = "i-2";
+    /**
+     * Time between two events in milliseconds. The shorter gaps fit into {@code unloadMs} together with a restart, the
+     * longest does not.
+     */
     private static final double[] GAPS = {150, 1_100, 2_600};
 
-    private static final double TRIED_EVERY_MS = 50;
+    private static final double REQUEST_INTERVAL_MS = 50;
     private static final int STEPS = 5;
 
-    /** What may happen to the balancer beside an upstream. */
+    /** The events at a balancer and its local upstream. */
     private enum Event {
         READY_HEARTBEAT,
         UNLOADING_HEARTBEAT,
@@ -41,106 +44,114 @@
         SIGN_OFF
     }
 
-    /** The balancer's machine: its process, if it runs, and what the upstream beside has seen. */
+    /** The balancer's machine: the process, if it is running, and the state of the local upstream. */
     private static final class Machine implements Actions {
-        private AdmissionController gate;
+        private AdmissionController admission;
         private UpstreamLifecycle lifecycle;
         private double now;
         private long requests;
         private long callCount = 10;
-        private boolean leaves;
-        /** When this machine first acknowledged that the incarnation leaves; it must get nothing so long after. */
-        private double leavesAt = Double.POSITIVE_INFINITY;
+        private boolean draining;
+        /** When this machine first acknowledged the drain; no request may be sent {@code unloadMs} after it. */
+        private double drainAcknowledgedAt = Double.POSITIVE_INFINITY;
 
-        private double latest = Double.NEGATIVE_INFINITY;
+        private double lastSentAt = Double.NEGATIVE_INFINITY;
 
         void start() {
-            gate = new AdmissionController(this);
-            lifecycle = new UpstreamLifecycle(gate, Machine::number, UNLOAD_MS, HEARTBEAT_MS);
+            admission = new AdmissionController(this);
+            lifecycle = new UpstreamLifecycle(admission, Machine::incarnationNumber, UNLOAD_MS, HEARTBEAT_MS);
         }
 
         void kill() {
-            gate = null;
+            admission = null;
             lifecycle = null;
         }
 
-        static long number(String id) {
+        static long incarnationNumber(String id) {
             return id.equals(INCARNATION) ? 1 : 2;
         }
 
-        boolean runs() {
+        boolean isRunning() {
             return lifecycle != null;
         }
 
-        void heartbeats(boolean unloading, long count) {
-            if (runs()) {
+        void heartbeat(boolean unloading, long count) {
+            if (isRunning()) {
                 lifecycle.handleHeartbeat(now, new Heartbeat(INCARNATION, SERVICE, unloading, BERTHS, 0, count));
                 if (unloading) {
-                    leavesAt = Math.min(leavesAt, now);
+                    drainAcknowledgedAt = Math.min(drainAcknowledgedAt, now);
                 }
             }
         }
 
-        void befalls(Event event) {
+        void apply(Event event) {
             switch (event) {
                 case READY_HEARTBEAT -> {
-                    // The upstream itself never takes back that it leaves.
-                    if (!leaves) {
-                        heartbeats(false, ++callCount);
+                    // An upstream never revokes its own drain.
+                    if (!draining) {
+                        heartbeat(false, ++callCount);
                     }
                 }
                 case UNLOADING_HEARTBEAT -> {
-                    leaves = true;
-                    heartbeats(true, ++callCount);
+                    draining = true;
+                    heartbeat(true, ++callCount);
                 }
                 case LATE_READY_HEARTBEAT -> {
-                    // One that has been under way through an end of the process died with it.
-                    if (leavesAt == Double.POSITIVE_INFINITY || runs() && lifecycle.present() != null) {
-                        heartbeats(false, 3);
+                    // A heartbeat in transit is lost if the process stops.
+                    if (drainAcknowledgedAt == Double.POSITIVE_INFINITY || isRunning() && lifecycle.present() != null) {
+                        heartbeat(false, 3);
                     }
                 }
                 case KILL -> kill();
                 case START -> {
-                    if (!runs()) {
+                    if (!isRunning()) {
                         start();
                     }
                 }
                 case SIGN_OFF -> {
-                    leaves = true;
-                    if (runs()) {
+                    draining = true;
+                    if (isRunning()) {
                         lifecycle.handleSignOff(now, INCARNATION);
-                        leavesAt = Math.min(leavesAt, now);
+                        drainAcknowledgedAt = Math.min(drainAcknowledgedAt, now);
                     }
                 }
                 default -> {
-                    // A health answer, true or false, says nothing to the gate.
+                    // Health check responses have no effect on admission.
                 }
             }
         }
 
-        /**
-         * Time passes; other balancers, whose endpoint list is old, send requests for the incarnation all the while.
-         */
-        void passes(double millis) {
+        /** Advances the time while other balancers with outdated endpoints send requests for the incarnation. */
+        void advance(double millis) {
             double end = now + millis;
             while (now < end) {
-                now += TRIED_EVERY_MS;
-                if (runs()) {
+                now += REQUEST_INTERVAL_MS;
+                if (isRunning()) {
                     lifecycle.tick(now);
-                    gate.request(
-                            now, new Request(++requests, 0, 0, number(INCARNATION), now + 10_000, 100, false, true, 0));
+                    admission.request(
+                            now,
+                            new Request(
+                                    ++requests,
+                                    0,
+                                    0,
+                                    incarnationNumber(INCARNATION),
+                                    now + 10_000,
+                                    100,
+                                    false,
+                                    true,
+                                    0));
                 }
             }
         }
 
         @Override
         public void send(long requestId, long upstream, double timeout) {
-            latest = now;
+            lastSentAt = now;
         }
 
         @Override
         public void refuse(long requestId, double retryAfter) {
-            // It has not run.
+            // A refused request has not run.
         }
 
         @Override
@@ -175,7 +186,7 @@
 
         @Override
         public void setTimer(long token, double at) {
-            // What waits is refused by a later call.
+            // Waiting requests are refused by a later call.
         }
 
         @Override
@@ -189,69 +200,71 @@
         }
     }
 
-    /** All orders of five events, each with three gaps between them, behind a first heartbeat. */
+    /** Plays all orders of five events after a first heartbeat, with each of three gaps between events. */
     @Test
-    void noOrderOfEventsLetsARequestThroughAfterTheDrainTime() {
-        List<String> broken = new ArrayList<>();
-        int plays = 0;
-        int drained = 0;
+    void sendsNoRequestAfterTheDrainTimeInAnyOrderOfEvents() {
+        List<String> violations = new ArrayList<>();
+        int runs = 0;
+        int drainedRuns = 0;
         Event[] events = Event.values();
         for (double gap : GAPS) {
-            for (int order = 0; order < Math.pow(events.length, STEPS); order++) {
+            for (int encodedOrder = 0; encodedOrder < Math.pow(events.length, STEPS); encodedOrder++) {
                 Machine machine = new Machine();
                 machine.start();
-                machine.befalls(Event.READY_HEARTBEAT);
-                machine.passes(gap);
+                machine.apply(Event.READY_HEARTBEAT);
+                machine.advance(gap);
                 StringBuilder description = new StringBuilder();
-                for (int step = 0, rest = order; step < STEPS; step++, rest /= events.length) {
-                    Event event = events[rest % events.length];
-                    machine.befalls(event);
-                    machine.passes(gap);
+                for (int step = 0, remaining = encodedOrder; step < STEPS; step++, remaining /= events.length) {
+                    Event event = events[remaining % events.length];
+                    machine.apply(event);
+                    machine.advance(gap);
                     description.append(event).append(' ');
                 }
-                machine.passes(2 * UNLOAD_MS);
-                plays++;
-                drained += machine.leavesAt < Double.POSITIVE_INFINITY ? 1 : 0;
-                if (machine.latest > machine.leavesAt + UNLOAD_MS) {
-                    broken.add(gap + " ms: " + description + "sent " + (machine.latest - machine.leavesAt)
-                            + " ms after it was acknowledged");
+                machine.advance(2 * UNLOAD_MS);
+                runs++;
+                drainedRuns += machine.drainAcknowledgedAt < Double.POSITIVE_INFINITY ? 1 : 0;
+                if (machine.lastSentAt > machine.drainAcknowledgedAt + UNLOAD_MS) {
+                    violations.add(
+                            gap + " ms: " + description + "sent " + (machine.lastSentAt - machine.drainAcknowledgedAt)
+                                    + " ms after the drain was acknowledged");
                 }
             }
         }
-        assertEquals(List.of(), broken.stream().limit(5).toList(), broken.size() + " of " + plays);
-        assertTrue(drained > plays / 2, drained + " of " + plays + " drain at all");
+        assertEquals(List.of(), violations.stream().limit(5).toList(), violations.size() + " of " + runs);
+        assertTrue(drainedRuns > runs / 2, drainedRuns + " of " + runs + " runs drain");
     }
 
-    /** A restarted balancer serves again with the first heartbeat that says ready. */
+    /** A restarted balancer serves again after the first ready heartbeat. */
     @Test
-    void aHeartbeatOpensTheGateOfAProcessThatHasBegunAnew() {
+    void heartbeatReopensAdmissionAfterRestart() {
         Machine machine = new Machine();
         machine.start();
-        machine.befalls(Event.READY_HEARTBEAT);
-        machine.befalls(Event.KILL);
-        machine.passes(500);
-        machine.befalls(Event.START);
-        double before = machine.latest;
-        machine.passes(500);
-        assertEquals(before, machine.latest);
-        machine.befalls(Event.READY_HEARTBEAT);
-        machine.passes(100);
-        assertEquals(machine.now, machine.latest);
+        machine.apply(Event.READY_HEARTBEAT);
+        machine.apply(Event.KILL);
+        machine.advance(500);
+        machine.apply(Event.START);
+        double lastSentBefore = machine.lastSentAt;
+        machine.advance(500);
+        assertEquals(lastSentBefore, machine.lastSentAt);
+        machine.apply(Event.READY_HEARTBEAT);
+        machine.advance(100);
+        assertEquals(machine.now, machine.lastSentAt);
     }
 
-    /** An upstream that this process has known for long serves on for a part of its time. */
+    /** An upstream that this process has known for a long time serves for a part of its unload time. */
     @Test
-    void anUnloadingUpstreamServesOnForAPart() {
+    void unloadingUpstreamServesForAPartOfTheUnloadTime() {
         Machine machine = new Machine();
         machine.start();
-        machine.befalls(Event.READY_HEARTBEAT);
-        machine.passes(10 * UNLOAD_MS);
-        machine.befalls(Event.UNLOADING_HEARTBEAT);
-        double at = machine.now;
-        machine.passes(2 * UNLOAD_MS);
+        machine.apply(Event.READY_HEARTBEAT);
+        machine.advance(10 * UNLOAD_MS);
+        machine.apply(Event.UNLOADING_HEARTBEAT);
+        double drainStartedAt = machine.now;
+        machine.advance(2 * UNLOAD_MS);
         assertTrue(
-                machine.latest > at + UNLOAD_MS / 4 && machine.latest < at + UNLOAD_MS * 3 / 4,
-                "served until " + (machine.latest - at) + " ms after");
+                machine.lastSentAt > drainStartedAt + UNLOAD_MS / 4
+                        && machine.lastSentAt < drainStartedAt + UNLOAD_MS * 3 / 4,
+                "served until " + (machine.lastSentAt - drainStartedAt) + " ms after");
     }
 
     private static Heartbeat heartbeat(String id, long count) {
@@ -260,24 +273,25 @@
 
     private static UpstreamLifecycle lifecycle() {
         Machine machine = new Machine();
-        return new UpstreamLifecycle(new AdmissionController(machine), Machine::number, UNLOAD_MS, HEARTBEAT_MS);
+        return new UpstreamLifecycle(
+                new AdmissionController(machine), Machine::incarnationNumber, UNLOAD_MS, HEARTBEAT_MS);
     }
 
     @Test
-    void aLateHeartbeatChangesNothing() {
+    void ignoresLateHeartbeat() {
         UpstreamLifecycle lifecycle = lifecycle();
         assertTrue(lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5)));
         assertFalse(lifecycle.handleHeartbeat(1, new Heartbeat(INCARNATION, SERVICE, false, 9, 0, 4)));
         assertEquals(4, lifecycle.present().berths());
-        // Nor does it say that the upstream is still alive.
+        // A late heartbeat does not show that the upstream is alive.
         lifecycle.handleHeartbeat(5_000, heartbeat(INCARNATION, 4));
         assertTrue(lifecycle.tick(5_400));
         assertNull(lifecycle.present());
     }
 
-    /** A copy of a heartbeat is no later one, and says that the upstream is alive. */
+    /** A duplicate heartbeat changes nothing, but shows that the upstream is alive. */
     @Test
-    void aHeartbeatThatComesTwiceIsTheSame() {
+    void duplicateHeartbeatChangesNothingButExtendsTheTimeout() {
         UpstreamLifecycle lifecycle = lifecycle();
         lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5));
         assertFalse(lifecycle.handleHeartbeat(5_000, heartbeat(INCARNATION, 5)));
@@ -286,7 +300,7 @@
     }
 
     @Test
-    void aLaterHeartbeatResizesItAndItsColdTimeStays() {
+    void laterHeartbeatUpdatesSlotsButNotTheWarmUpTime() {
         UpstreamLifecycle lifecycle = lifecycle();
         lifecycle.handleHeartbeat(0, new Heartbeat(INCARNATION, SERVICE, false, 4, 3_000, 1));
         assertTrue(lifecycle.handleHeartbeat(1, new Heartbeat(INCARNATION, SERVICE, false, 6, 2_000, 2)));
@@ -296,18 +310,18 @@
     }
 
     @Test
-    void thatItUnloadsIsNotTakenBackButByTheNextLife() {
+    void unloadingIsRevokedOnlyByTheNextIncarnation() {
         UpstreamLifecycle lifecycle = lifecycle();
         lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 1));
         lifecycle.handleHeartbeat(1, new Heartbeat(INCARNATION, SERVICE, true, 4, 0, 2));
         lifecycle.handleHeartbeat(2, heartbeat(INCARNATION, 3));
         assertFalse(lifecycle.isReady());
-        lifecycle.handleHeartbeat(3, heartbeat(NEXT, 1));
+        lifecycle.handleHeartbeat(3, heartbeat(NEXT_INCARNATION, 1));
         assertTrue(lifecycle.isReady());
     }
 
     @Test
-    void aLateHeartbeatThatSaysUnloadingIsAcknowledgedAndSoHolds() {
+    void lateUnloadingHeartbeatTakesEffect() {
         UpstreamLifecycle lifecycle = lifecycle();
         lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5));
         assertTrue(lifecycle.handleHeartbeat(5_000, new Heartbeat(INCARNATION, SERVICE, true, 4, 0, 4)));
@@ -315,20 +329,20 @@
     }
 
     @Test
-    void aLateHeartbeatOfAnEarlierLifeDoesNotBringItBack() {
+    void lateHeartbeatOfAnEarlierIncarnationIsIgnored() {
         UpstreamLifecycle lifecycle = lifecycle();
         lifecycle.handleHeartbeat(0, heartbeat(INCARNATION, 5));
-        lifecycle.handleHeartbeat(1, heartbeat(NEXT, 1));
+        lifecycle.handleHeartbeat(1, heartbeat(NEXT_INCARNATION, 1));
         assertFalse(lifecycle.handleHeartbeat(2, heartbeat(INCARNATION, 5)));
-        assertEquals(NEXT, lifecycle.present().id());
-        // A process that has just begun may hear a late one first: the live one goes on calling.
+        assertEquals(NEXT_INCARNATION, lifecycle.present().id());
+        // A late heartbeat may open admission for the earlier incarnation, until the live one sends its next heartbeat.
         lifecycle.handleHeartbeat(3, heartbeat(INCARNATION, 6));
-        assertTrue(lifecycle.handleHeartbeat(4, heartbeat(NEXT, 2)));
-        assertEquals(NEXT, lifecycle.present().id());
+        assertTrue(lifecycle.handleHeartbeat(4, heartbeat(NEXT_INCARNATION, 2)));
+        assertEquals(NEXT_INCARNATION, lifecycle.present().id());
     }
 
     @Test
-    void aLifeThatHasSignedOffNeverComesBack() {
+    void signedOffIncarnationDoesNotReturn() {
         UpstreamLifecycle lifecycle = lifecycle();
         assertFalse(lifecycle.handleSignOff(0, INCARNATION));
         assertFalse(lifecycle.handleHeartbeat(1, heartbeat(INCARNATION, 50)));
--- a/src/test/java/sablehinge/dataplane/budget/Chain.java
+++ b/src/test/java/sablehinge/dataplane/budget/Chain.java
@@ -7,34 +7,34 @@
 import java.util.SplittableRandom;
 
 /**
- * A chain of tiers in virtual time, drawn by a seed: servers with slots and queues, each with a balancer of its own for
- * its calls to the next tier, which tries again as often as it may. With budgets or without. The balancers here draw
- * servers evenly: what is looked at are the budgets, not the decision module.
+ * A simulated chain of tiers in virtual time, generated from a seed. Servers have slots and queues, and each server has
+ * its own balancer for calls to the next tier, which retries as often as allowed, with or without budgets. The
+ * balancers choose servers at random with equal probability, because the test is about budgets, not load balancing.
  */
 final class Chain {
 
     static final int BOUND = 8;
     private static final int MAX_ATTEMPTS = 4;
 
-    /** What is drawn for a chain, and what is done to it; the load is a share of what the first tier can do. */
+    /** The parameters of a chain and its faults; the load is a share of the capacity of the first tier. */
     record Plan(
             long seed,
             int tiers,
             int calls,
             boolean budgets,
             double load,
-            double slow,
-            double errors,
-            double lost,
-            double strips,
+            double slowFactor,
+            double errorRate,
+            double lostAnswerRate,
+            double stripRate,
             int requests) {}
 
-    /** What became of a client's request, and what it cost. */
+    /** The outcome of a client request and its cost. */
     static final class TestRequest {
         final int number;
         final double value;
         final boolean unsafe;
-        int leaves;
+        int lastTierAttempts;
         double arrivedAt;
         double answeredAt = Double.NaN;
         boolean served;
@@ -50,120 +50,125 @@
 
     private record Event(double at, long order, Runnable run) {}
 
-    /** What goes back: whether it was served, may have run, and what the balancer below reported. */
-    private record Back(boolean served, boolean ran, Report report) {}
+    /** The result of a call: whether it was served, whether it may have run, and the report of the balancer below. */
+    private record Result(boolean served, boolean ran, Report report) {}
 
-    private interface Ending {
-        void done(Back back);
+    private interface Completion {
+        void done(Result result);
     }
 
-    /** One call from a server, or from a client, to the tier that a balancer stands before. */
+    /** A call from a server or a client to the tier behind a balancer. */
     private final class Call {
         final Balancer balancer;
-        final TestRequest requested;
+        final TestRequest request;
         final double deadline;
         final AttemptBudgets.Call budget;
-        final Ending end;
+        final Completion completion;
         int attempts;
         int runs;
-        boolean over;
+        boolean closed;
 
-        Call(Balancer balancer, TestRequest requested, double deadline, AttemptBudgets.Call budget, Ending end) {
+        Call(
+                Balancer balancer,
+                TestRequest request,
+                double deadline,
+                AttemptBudgets.Call budget,
+                Completion completion) {
             this.balancer = balancer;
-            this.requested = requested;
+            this.request = request;
             this.deadline = deadline;
             this.budget = budget;
-            this.end = end;
+            this.completion = completion;
         }
 
         void send() {
-            boolean resendable = !requested.unsafe;
+            boolean resendable = !request.unsafe;
             AttemptBudgets.Grant grant = null;
             Budget attemptBudget = null;
             if (plan.budgets()) {
-                grant = balancer.attemptBudgets.grant(budget, now, resendable, balancer.least.value(now));
+                grant = balancer.attemptBudgets.grant(budget, now, resendable, balancer.minimumTime.value(now));
                 attemptBudget = grant == null ? null : grant.budget(now);
                 if (grant != null && attemptBudget == null) {
                     balancer.attemptBudgets.onAttemptNeverRan(grant);
                 }
                 if (attemptBudget == null) {
-                    close(new Back(false, runs > 0, null));
+                    close(new Result(false, runs > 0, null));
                     return;
                 }
             }
             if (now >= deadline) {
-                deadSent += plan.budgets() ? 1 : 0;
+                sentAfterDeadline += plan.budgets() ? 1 : 0;
             }
             attempts++;
             if (balancer.tier == plan.tiers() - 1) {
-                requested.leaves++;
+                request.lastTierAttempts++;
             }
             Server server = tiers.get(balancer.tier)
                     .get(random.nextInt(tiers.get(balancer.tier).size()));
-            AttemptBudgets.Grant held = grant;
+            AttemptBudgets.Grant attemptGrant = grant;
             double sentAt = now;
             boolean[] ended = new boolean[1];
-            Ending back = result -> {
+            Completion attemptCompletion = result -> {
                 if (!ended[0]) {
                     ended[0] = true;
-                    finished(held, result, sentAt);
+                    finished(attemptGrant, result, sentAt);
                 }
             };
-            // Without budgets a lower tier does not know when its caller's client has given up.
-            at(deadline, () -> back.done(new Back(false, true, null)));
-            server.take(this, attemptBudget, () -> runs++, back);
+            // Without budgets, a lower tier does not know when the client has timed out.
+            schedule(deadline, () -> attemptCompletion.done(new Result(false, true, null)));
+            server.enqueue(this, attemptBudget, () -> runs++, attemptCompletion);
         }
 
-        private void finished(AttemptBudgets.Grant grant, Back back, double sentAt) {
+        private void finished(AttemptBudgets.Grant grant, Result result, double sentAt) {
             if (grant != null) {
-                if (!back.ran()) {
+                if (!result.ran()) {
                     balancer.attemptBudgets.onAttemptNeverRan(grant);
                 } else {
-                    balancer.attemptBudgets.onAttemptFinished(grant, back.report(), back.served());
+                    balancer.attemptBudgets.onAttemptFinished(grant, result.report(), result.served());
                 }
-                if (back.served()) {
-                    balancer.least.recordServed(now, now - sentAt);
+                if (result.served()) {
+                    balancer.minimumTime.recordServed(now, now - sentAt);
                 }
-                // A failure that comes at once indicates an unhealthy server: to give others up would not help.
+                // An immediate failure indicates an unhealthy server; shedding load would not help.
                 boolean late = now - sentAt > 0.8 * (deadline - sentAt);
-                if (late || back.served()) {
+                if (late || result.served()) {
                     balancer.shedder.recordLoad(now, late);
                 }
             }
-            if (over) {
+            if (closed) {
                 return;
             }
-            if (back.served()) {
-                close(back);
-            } else if (requested.unsafe && back.ran() || attempts >= MAX_ATTEMPTS || now >= deadline) {
-                close(new Back(false, runs > 0, null));
+            if (result.served()) {
+                close(result);
+            } else if (request.unsafe && result.ran() || attempts >= MAX_ATTEMPTS || now >= deadline) {
+                close(new Result(false, runs > 0, null));
             } else {
                 send();
             }
         }
 
-        private void close(Back back) {
-            over = true;
-            if (requested.unsafe && runs > 1) {
+        private void close(Result result) {
+            closed = true;
+            if (request.unsafe && runs > 1) {
                 unsafeTwice++;
             }
             Report report = budget == null
                     ? null
-                    : balancer.attemptBudgets.close(budget, !back.served() && !(requested.unsafe && back.ran()));
-            end.done(new Back(back.served(), back.ran(), report));
+                    : balancer.attemptBudgets.close(budget, !result.served() && !(request.unsafe && result.ran()));
+            completion.done(new Result(result.served(), result.ran(), report));
         }
     }
 
     private final class Balancer {
         final int tier;
         final AttemptBudgets attemptBudgets;
-        final MinimumTime least = new MinimumTime();
+        final MinimumTime minimumTime = new MinimumTime();
         final LoadShedder shedder;
 
         Balancer(int tier, long seed) {
             this.tier = tier;
             shedder = new LoadShedder(new LoadShedder.Settings(0.1, 1), seed);
-            boolean last = tier == plan.tiers() - 1;
+            boolean lastTier = tier == plan.tiers() - 1;
             attemptBudgets = new AttemptBudgets(
                     new BudgetSettings(
                             BOUND,
@@ -172,7 +177,7 @@
                             1,
                             tier == 0 ? 1 : plan.calls(),
                             (int) Math.pow(plan.calls(), plan.tiers() - 1 - tier),
-                            last,
+                            lastTier,
                             2,
                             1,
                             0.5,
@@ -182,23 +187,23 @@
                     seed);
         }
 
-        void call(TestRequest requested, HeaderText.Found<Budget> found, double remaining, Ending end) {
+        void call(TestRequest request, HeaderText.Found<Budget> found, double remaining, Completion completion) {
             if (!plan.budgets()) {
-                new Call(this, requested, now + remaining, null, end).send();
+                new Call(this, request, now + remaining, null, completion).send();
                 return;
             }
             AttemptBudgets.Admission admission =
-                    attemptBudgets.admit(now, found, tier == 0, remaining, 0, requested.value);
+                    attemptBudgets.admit(now, found, tier == 0, remaining, 0, request.value);
             if (admission.call() == null) {
-                end.done(new Back(false, false, null));
+                completion.done(new Result(false, false, null));
                 return;
             }
             if (!shedder.admits(now, "all", admission.call().value(), 1)) {
-                shed++;
-                end.done(new Back(false, false, attemptBudgets.close(admission.call(), false)));
+                shedCalls++;
+                completion.done(new Result(false, false, attemptBudgets.close(admission.call(), false)));
                 return;
             }
-            new Call(this, requested, admission.call().deadline(), admission.call(), end).send();
+            new Call(this, request, admission.call().deadline(), admission.call(), completion).send();
         }
     }
 
@@ -213,12 +218,12 @@
             next = tier + 1 < plan.tiers() ? new Balancer(tier + 1, seed) : null;
         }
 
-        void take(Call call, Budget budget, Runnable ran, Ending end) {
+        void enqueue(Call call, Budget budget, Runnable onRun, Completion completion) {
             if (queue.size() >= 400) {
-                end.done(new Back(false, false, null));
+                completion.done(new Result(false, false, null));
                 return;
             }
-            queue.add(() -> begin(call, budget, ran, end));
+            queue.add(() -> begin(call, budget, onRun, completion));
             next();
         }
 
@@ -229,60 +234,62 @@
             }
         }
 
-        private void begin(Call call, Budget budget, Runnable ran, Ending end) {
-            ran.run();
-            double work =
-                    -Math.log(1 - random.nextDouble()) * 8 * (now > slowFrom && now < slowUntil ? plan.slow() : 1);
-            at(now + work, () -> {
+        private void begin(Call call, Budget budget, Runnable onRun, Completion completion) {
+            onRun.run();
+            double work = -Math.log(1 - random.nextDouble())
+                    * 8
+                    * (now > slowFrom && now < slowUntil ? plan.slowFactor() : 1);
+            schedule(now + work, () -> {
                 if (next == null) {
-                    finish(call, true, null, end);
+                    finish(call, true, null, completion);
                 } else {
                     int calls = 1 + random.nextInt(plan.calls());
                     HeaderText.Found<Budget> found = budget == null
                             ? new HeaderText.Found<>(HeaderText.Kind.MISSING, null)
                             : new HeaderText.Found<>(HeaderText.Kind.READ, budget);
-                    if (random.nextDouble() < plan.strips()) {
-                        call.requested.stripped = true;
+                    if (random.nextDouble() < plan.stripRate()) {
+                        call.request.stripped = true;
                         found = new HeaderText.Found<>(HeaderText.Kind.MISSING, null);
                     }
-                    further(call, found, calls, null, end);
+                    callNext(call, found, calls, null, completion);
                 }
             });
         }
 
-        /** One call after another; what the last report contained goes back. */
-        private void further(Call call, HeaderText.Found<Budget> found, int calls, Report last, Ending end) {
+        /** Makes the calls one after another and passes the last report back. */
+        private void callNext(
+                Call call, HeaderText.Found<Budget> found, int calls, Report lastReport, Completion completion) {
             if (calls == 0) {
-                finish(call, true, last, end);
+                finish(call, true, lastReport, completion);
                 return;
             }
-            next.call(call.requested, found, call.deadline - now, back -> {
-                Report report = back.report() == null ? last : back.report();
-                if (back.served()) {
-                    further(call, found, calls - 1, report, end);
+            next.call(call.request, found, call.deadline - now, result -> {
+                Report report = result.report() == null ? lastReport : result.report();
+                if (result.served()) {
+                    callNext(call, found, calls - 1, report, completion);
                 } else {
-                    finish(call, false, report, end);
+                    finish(call, false, report, completion);
                 }
             });
         }
 
-        private void finish(Call call, boolean well, Report report, Ending end) {
+        private void finish(Call call, boolean success, Report report, Completion completion) {
             busy--;
             next();
-            if (random.nextDouble() >= plan.lost()) {
-                end.done(new Back(well && random.nextDouble() >= plan.errors(), true, report));
+            if (random.nextDouble() >= plan.lostAnswerRate()) {
+                completion.done(new Result(success && random.nextDouble() >= plan.errorRate(), true, report));
             } else {
-                // The connection breaks: it has run, and nothing comes back with it.
-                end.done(new Back(false, true, null));
+                // The connection breaks: the call has run, but no report is received.
+                completion.done(new Result(false, true, null));
             }
         }
     }
 
     final Plan plan;
-    final List<TestRequest> requested = new ArrayList<>();
-    int deadSent;
+    final List<TestRequest> requests = new ArrayList<>();
+    int sentAfterDeadline;
     int unsafeTwice;
-    int shed;
+    int shedCalls;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
@@ -296,7 +303,7 @@
         this.plan = plan;
         random = new SplittableRandom(plan.seed());
         for (int tier = 0; tier < plan.tiers(); tier++) {
-            // As many more servers as there are more calls, so that all tiers are loaded alike.
+            // The number of servers grows with the number of calls, so that all tiers have the same load.
             int count = (int) Math.ceil(2 * Math.pow((1 + plan.calls()) / 2.0, tier));
             List<Server> servers = new ArrayList<>();
             for (int i = 0; i < count; i++) {
@@ -306,34 +313,34 @@
         }
     }
 
-    private void at(double time, Runnable run) {
+    private void schedule(double time, Runnable run) {
         events.add(new Event(Math.max(time, now), order++, run));
     }
 
-    /** Plays it to its end. */
-    Chain play() {
+    /** Runs the simulation to its end. */
+    Chain run() {
         Balancer front = new Balancer(0, random.nextLong());
-        // A server of the first tier holds its slot until all that lies below is done.
-        double held = 0;
+        // A server of the first tier holds its slot until all its nested calls have finished.
+        double slotTimeMs = 0;
         for (int tier = 0; tier < plan.tiers(); tier++) {
-            held += 8 * Math.pow((1 + plan.calls()) / 2.0, tier);
+            slotTimeMs += 8 * Math.pow((1 + plan.calls()) / 2.0, tier);
         }
-        double gap = held / (4 * tiers.get(0).size()) / plan.load();
-        double at = 0;
-        double complete = plan.requests() * gap;
-        slowFrom = complete / 3;
-        slowUntil = 2 * complete / 3;
+        double meanGapMs = slotTimeMs / (4 * tiers.get(0).size()) / plan.load();
+        double arrivesAt = 0;
+        double durationMs = plan.requests() * meanGapMs;
+        slowFrom = durationMs / 3;
+        slowUntil = 2 * durationMs / 3;
         for (int i = 0; i < plan.requests(); i++) {
-            at += -Math.log(1 - random.nextDouble()) * gap;
-            TestRequest one = new TestRequest(i, random.nextInt(4) == 0 ? 8 : 1, random.nextInt(3) == 0);
-            requested.add(one);
-            double arrives = at;
-            at(arrives, () -> {
-                one.arrivedAt = now;
-                front.call(one, new HeaderText.Found<>(HeaderText.Kind.MISSING, null), 250, back -> {
-                    one.answers++;
-                    one.served = back.served();
-                    one.answeredAt = now;
+            arrivesAt += -Math.log(1 - random.nextDouble()) * meanGapMs;
+            TestRequest request = new TestRequest(i, random.nextInt(4) == 0 ? 8 : 1, random.nextInt(3) == 0);
+            requests.add(request);
+            double requestAt = arrivesAt;
+            schedule(requestAt, () -> {
+                request.arrivedAt = now;
+                front.call(request, new HeaderText.Found<>(HeaderText.Kind.MISSING, null), 250, result -> {
+                    request.answers++;
+                    request.served = result.served();
+                    request.answeredAt = now;
                 });
             });
         }
@@ -344,21 +351,28 @@
         return this;
     }
 
-    int mostLeaves() {
-        return requested.stream().mapToInt(one -> one.leaves).max().orElse(0);
+    int maxLastTierAttempts() {
+        return requests.stream()
+                .mapToInt(request -> request.lastTierAttempts)
+                .max()
+                .orElse(0);
     }
 
-    double meanLeaves() {
-        return requested.stream().mapToInt(one -> one.leaves).average().orElse(0);
+    double meanLastTierAttempts() {
+        return requests.stream()
+                .mapToInt(request -> request.lastTierAttempts)
+                .average()
+                .orElse(0);
     }
 
-    /** Value served in time, of all that was requested. */
-    double kept() {
-        double all = requested.stream().mapToDouble(one -> one.value).sum();
-        return requested.stream()
-                        .filter(one -> one.served && one.answeredAt <= one.arrivedAt + 250)
-                        .mapToDouble(one -> one.value)
+    /** The share of the requested value that was served in time. */
+    double keptValueShare() {
+        double totalValue =
+                requests.stream().mapToDouble(request -> request.value).sum();
+        return requests.stream()
+                        .filter(request -> request.served && request.answeredAt <= request.arrivedAt + 250)
+                        .mapToDouble(request -> request.value)
                         .sum()
-                / all;
+                / totalValue;
     }
 }
--- a/src/test/java/sablehinge/dataplane/budget/HeaderTextTest.java
+++ b/src/test/java/sablehinge/dataplane/budget/HeaderTextTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sablehinge.dataplane.budget.HeaderText.Kind;
 
-/** Budgets and reports as text, from friends and from others. */
+/** Tests the header encoding of budgets and reports, with valid and forged headers. */
 class HeaderTextTest {
 
     private static final byte[] OLD = "an old secret of some length".getBytes();
@@ -37,18 +37,18 @@
     }
 
     @Property(tries = 500)
-    void whatIsWrittenIsReadAndNothingGrows(
+    void readsWrittenHeadersWithoutIncreasingValues(
             @ForAll long grant,
             @ForAll @IntRange(max = 10_000) int attempts,
             @ForAll @DoubleRange(max = 3_600_000) double remaining,
             @ForAll @DoubleRange(max = 1e9) double value,
             @ForAll @Size(max = 16) List<@LongRange(max = MAX_ID) Long> path,
             @ForAll boolean signed) {
-        HeaderText text = new HeaderText(signed ? keys("a", OLD) : null);
+        HeaderText codec = new HeaderText(signed ? keys("a", OLD) : null);
         Budget budget = new Budget(grant, attempts, remaining, value, path);
-        String written = text.write(budget);
+        String written = codec.write(budget);
         assertTrue(written.length() <= HeaderText.MAX_CHARS, written);
-        HeaderText.Found<Budget> found = text.readBudget(written);
+        HeaderText.Found<Budget> found = codec.readBudget(written);
         assertEquals(Kind.READ, found.kind(), written);
         Budget read = found.value();
         assertEquals(List.of(grant, (long) attempts), List.of(read.grant(), (long) read.attempts()));
@@ -56,7 +56,7 @@
         assertTrue(read.remaining() <= remaining && read.remaining() > remaining - 0.002);
         assertTrue(read.value() <= value && read.value() > value - 0.002);
         Report report = new Report(grant, attempts, attempts % 2 == 0);
-        assertEquals(report, text.readReport(text.write(report)).value());
+        assertEquals(report, codec.readReport(codec.write(report)).value());
     }
 
     @ParameterizedTest
@@ -76,66 +76,66 @@
                 "v=1;g=0000000000000001;n=1;t=1;w=1;p=;x=1",
                 "v=1;g=0000000000000001;n=1;n=99;t=1;w=1;p="
             })
-    void whatCannotBeReadIsNothing(String text) {
+    void rejectsMalformedHeaders(String text) {
         assertEquals(Kind.UNREADABLE, new HeaderText(null).readBudget(text).kind(), text);
         assertEquals(
                 Kind.FORGED, new HeaderText(keys("a", OLD)).readBudget(text).kind(), text);
     }
 
     @Test
-    void tooLongIsNotLookedAtAndNoneIsMissing() {
-        HeaderText text = new HeaderText(null);
+    void rejectsTooLongHeadersAndReportsMissingOnes() {
+        HeaderText codec = new HeaderText(null);
         assertEquals(
                 Kind.UNREADABLE,
-                text.readBudget("v=1;" + "x".repeat(HeaderText.MAX_CHARS)).kind());
-        assertEquals(Kind.MISSING, text.readBudget(null).kind());
-        assertEquals(Kind.MISSING, text.readReport(null).kind());
+                codec.readBudget("v=1;" + "x".repeat(HeaderText.MAX_CHARS)).kind());
+        assertEquals(Kind.MISSING, codec.readBudget(null).kind());
+        assertEquals(Kind.MISSING, codec.readReport(null).kind());
     }
 
-    /** Any one character changed in any signed text. */
+    /** Changes any single character of a signed header. */
     @Test
-    void whatWasChangedOnTheWayIsForged() {
-        HeaderText text = new HeaderText(keys("a", OLD));
+    void detectsModifiedHeaders() {
+        HeaderText codec = new HeaderText(keys("a", OLD));
         Random random = new Random(11);
-        String written = text.write(new Budget(7, 8, 900, 2, List.of(1L, 2L)));
+        String written = codec.write(new Budget(7, 8, 900, 2, List.of(1L, 2L)));
         for (int i = 0; i < 2_000; i++) {
             int at = random.nextInt(written.length());
             char other = "0123456789abcdef;=.ktwp".charAt(random.nextInt(23));
             String changed = written.substring(0, at) + other + written.substring(at + 1);
             if (!changed.equals(written)) {
-                assertEquals(Kind.FORGED, text.readBudget(changed).kind(), changed);
+                assertEquals(Kind.FORGED, codec.readBudget(changed).kind(), changed);
             }
         }
-        // A report is no budget, though the key is the same.
+        // A report is not a valid budget, even though it is signed with the same key.
         assertNotEquals(
-                Kind.READ, text.readBudget(text.write(new Report(7, 8, true))).kind());
+                Kind.READ, codec.readBudget(codec.write(new Report(7, 8, true))).kind());
     }
 
-    /** Zones change keys one after another, and none reads less meanwhile. */
+    /** Zones rotate keys one after another, and all headers stay readable meanwhile. */
     @Test
-    void keysRotate() {
+    void acceptsHeadersDuringKeyRotation() {
         Budget budget = new Budget(7, 8, 900, 2, List.of());
         HeaderText before = new HeaderText(keys("a", OLD));
-        HeaderText learns = new HeaderText(keys("a", OLD, "b", NEW));
-        HeaderText signs = new HeaderText(keys("b", NEW, "a", OLD));
+        HeaderText verifiesNew = new HeaderText(keys("a", OLD, "b", NEW));
+        HeaderText signsNew = new HeaderText(keys("b", NEW, "a", OLD));
         HeaderText after = new HeaderText(keys("b", NEW));
-        assertEquals(Kind.READ, learns.readBudget(before.write(budget)).kind());
-        assertEquals(Kind.READ, signs.readBudget(learns.write(budget)).kind());
-        assertEquals(Kind.READ, learns.readBudget(signs.write(budget)).kind());
-        assertEquals(Kind.READ, after.readBudget(signs.write(budget)).kind());
+        assertEquals(Kind.READ, verifiesNew.readBudget(before.write(budget)).kind());
+        assertEquals(Kind.READ, signsNew.readBudget(verifiesNew.write(budget)).kind());
+        assertEquals(Kind.READ, verifiesNew.readBudget(signsNew.write(budget)).kind());
+        assertEquals(Kind.READ, after.readBudget(signsNew.write(budget)).kind());
         assertEquals(Kind.FORGED, after.readBudget(before.write(budget)).kind());
         assertEquals(Kind.FORGED, before.readBudget(after.write(budget)).kind());
     }
 
     @Test
-    void badKeysAreRefused() {
+    void rejectsInvalidKeys() {
         assertThrows(IllegalArgumentException.class, () -> keys());
         assertThrows(IllegalArgumentException.class, () -> keys("a", new byte[15]));
         assertThrows(IllegalArgumentException.class, () -> keys("a;b", OLD));
     }
 
     @Test
-    void outOfRangeIsNoBudget() {
+    void rejectsBudgetsOutOfRange() {
         List<Long> path = new ArrayList<>(java.util.Collections.nCopies(17, 1L));
         assertThrows(IllegalArgumentException.class, () -> new Budget(1, 1, 1, 1, path));
         assertThrows(IllegalArgumentException.class, () -> new Budget(1, -1, 1, 1, List.of()));
--- a/src/test/java/sablehinge/mesh/api/ConfigurationCheckTest.java
+++ b/src/test/java/sablehinge/mesh/api/ConfigurationCheckTest.java
@@ -18,7 +18,7 @@
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.routing.RoutingTable;
 
-/** The protocol's example, and what makes it invalid. */
+/** Tests the protocol's example configuration and invalid variants of it. */
 class ConfigurationCheckTest {
 
     static final String EXAMPLE = example();
@@ -35,12 +35,12 @@
         return ConfigurationCheck.check(body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String with(String from, String to) {
+    private static String replaceInExample(String from, String to) {
         assertTrue(EXAMPLE.contains(from), from);
         return EXAMPLE.replace(from, to);
     }
 
-    private static CheckException refused(String body) {
+    private static CheckException assertRejected(String body) {
         CheckException e = assertThrows(CheckException.class, () -> check(body));
         assertFalse(e.place().isEmpty());
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
@@ -50,8 +50,8 @@
     }
 
     @Test
-    void aFieldThatIsMistypedIsNamedWhereOneIsMissed() {
-        CheckException e = refused(with("\"lanePrefix\"", "\"lanePrefx\""));
+    void suggestsMistypedFieldForAMissingOne() {
+        CheckException e = assertRejected(replaceInExample("\"lanePrefix\"", "\"lanePrefx\""));
         assertTrue(
                 e.getMessage()
                         .endsWith("/sorting/lanePrefix: this field was expected, found none; "
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void theExampleAsItIs() {
+    void readsExample() {
         Configuration read = check(EXAMPLE);
         assertEquals(read, ConfigurationReader.read(EXAMPLE.getBytes(StandardCharsets.UTF_8)));
         assertEquals(7, read.edition());
@@ -98,9 +98,9 @@
         assertEquals(
                 new Configuration.Service("wuno96b", "/health", 110),
                 read.services().get(1));
-        RoutingTable plan = new RoutingTable(read);
+        RoutingTable table = new RoutingTable(read);
         assertEquals(
-                "r-puxsr7i", plan.find("ficu95.example", "/lohu930/2f").route().name());
+                "r-puxsr7i", table.find("ficu95.example", "/lohu930/2f").route().name());
     }
 
     @ParameterizedTest
@@ -153,8 +153,8 @@
                 "\"headerBytes\":16384 | \"headerBytes\":18446744073709551617 | SCHEMA | /limits/headerBytes",
                 "\"headerBytes\":16384 | \"headerBytes\":-1 | SCHEMA | /limits/headerBytes"
             })
-    void eachKindOfInvalid(String from, String to, CheckException.Code code, String place) {
-        CheckException e = refused(with(from, to));
+    void rejectsInvalidConfigurations(String from, String to, CheckException.Code code, String place) {
+        CheckException e = assertRejected(replaceInExample(from, to));
         assertEquals(code + " " + place, e.code() + " " + e.place(), e.getMessage());
         assertTrue(e.getMessage().startsWith(place + ": "), e.getMessage());
         assertTrue(e.getMessage().contains("expected, found "), e.getMessage());
@@ -176,14 +176,14 @@
                 "\"senders\" | \"unsent\"",
                 "\"wuno96b\" | \"w\\u00fcno\""
             })
-    void whatIsStillValid(String from, String to) {
-        String body = with(from, to);
+    void acceptsValidVariants(String from, String to) {
+        String body = replaceInExample(from, to);
         assertEquals(ConfigurationReader.read(body.getBytes(StandardCharsets.UTF_8)), check(body));
     }
 
     @Test
-    void whatMayBeMissing() {
-        Configuration read = check(with("\"priority\":1,\"perS\":83,\"burst\":83}", "\"x\":1}")
+    void usesDefaultsOfMissingFields() {
+        Configuration read = check(replaceInExample("\"priority\":1,\"perS\":83,\"burst\":83}", "\"x\":1}")
                 .replace("\"targetMs\":600,\"priority\":2,\"open\":false,", "")
                 .replace("ficu95.example", "FICU95.Example"));
         assertEquals(-1, read.tenants().get(0).priority());
@@ -192,12 +192,13 @@
         assertEquals(4_000, read.routes().get(0).targetMs());
         assertFalse(read.routes().get(0).open());
         assertEquals("ficu95.example", read.routes().get(0).host());
-        assertEquals(List.of(), check(with("\"senders\"", "\"others\"")).tenants());
+        assertEquals(
+                List.of(), check(replaceInExample("\"senders\"", "\"others\"")).tenants());
     }
 
     @Test
-    void hostsThatDifferInCaseOnlyAreOne() {
-        CheckException e = refused(with(
+    void treatsHostsAsCaseInsensitive() {
+        CheckException e = assertRejected(replaceInExample(
                 "}],\"fleets\"",
                 "},{\"station\":\"FICU95.example.\",\"regulations\":"
                         + "[{\"name\":\"r\",\"kind\":\"safe\","
@@ -208,16 +209,17 @@
     }
 
     @Test
-    void theNearestServiceIsNamed() {
-        CheckException e = refused(with("{\"depot\":\"wuno96b\"", "{\"depot\":\"wumo69b\""));
+    void suggestsNearestService() {
+        CheckException e = assertRejected(replaceInExample("{\"depot\":\"wuno96b\"", "{\"depot\":\"wumo69b\""));
         assertTrue(e.getMessage().endsWith("found \"wumo69b\"; the nearest one is \"wuno96b\""), e.getMessage());
     }
 
     @Test
-    void allProblemsAreToldUpToTwenty() {
+    void reportsAtMostTwentyProblems() {
         assertEquals(
                 3,
-                refused(with("\"attempts\":2", "\"attempts\":0").replace("10}", "-1}"))
+                assertRejected(replaceInExample("\"attempts\":2", "\"attempts\":0")
+                                .replace("10}", "-1}"))
                         .problems()
                         .size());
         StringBuilder services = new StringBuilder("\"fleets\":[");
@@ -226,12 +228,14 @@
         }
         assertEquals(
                 20,
-                refused(with("\"fleets\":[", services.toString())).problems().size());
+                assertRejected(replaceInExample("\"fleets\":[", services.toString()))
+                        .problems()
+                        .size());
     }
 
     @Test
-    void keysAreNeverTold() {
-        CheckException e = refused(with("\"nu6wsjnbanfqasnmgkcu\"", "[\"secret\"],77777,\"\""));
+    void neverReportsKeys() {
+        CheckException e = assertRejected(replaceInExample("\"nu6wsjnbanfqasnmgkcu\"", "[\"secret\"],77777,\"\""));
         e.problems()
                 .forEach(problem -> assertFalse(
                         problem.text().contains("secret") || problem.text().contains("7777"), problem.text()));
@@ -239,14 +243,14 @@
     }
 
     @Test
-    void cutShortAnywhere() {
+    void rejectsTruncatedBodies() {
         byte[] body = EXAMPLE.getBytes(StandardCharsets.UTF_8);
         for (int end = 0; end < body.length; end += end < 50 ? 1 : 50) {
-            byte[] cut = Arrays.copyOf(body, end);
-            CheckException e = assertThrows(CheckException.class, () -> ConfigurationCheck.check(cut));
+            byte[] truncated = Arrays.copyOf(body, end);
+            CheckException e = assertThrows(CheckException.class, () -> ConfigurationCheck.check(truncated));
             assertEquals(CheckException.Code.NOT_JSON, e.code());
             assertTrue(e.place().matches("line 1, column \\d+ \\(byte \\d+\\)"), e.place());
-            assertThrows(CheckException.class, () -> ConfigurationReader.read(cut));
+            assertThrows(CheckException.class, () -> ConfigurationReader.read(truncated));
         }
     }
 
@@ -267,35 +271,38 @@
                 "nul",
                 "/**/{}"
             })
-    void noJson(String body) {
-        CheckException e = refused(body);
+    void rejectsMalformedJson(String body) {
+        CheckException e = assertRejected(body);
         assertEquals(CheckException.Code.NOT_JSON, e.code(), e.getMessage());
         assertTrue(e.place().startsWith("line "), e.place());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"1", "null", "[]", "\"x\"", "true"})
-    void noObject(String body) {
-        assertEquals(CheckException.Code.SCHEMA, refused(body).code());
+    void rejectsNonObjects(String body) {
+        assertEquals(CheckException.Code.SCHEMA, assertRejected(body).code());
         assertThrows(CheckException.class, () -> ConfigurationReader.read(body.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void tooDeepAndNoUtf8() {
-        assertEquals(CheckException.Code.NOT_JSON, refused("[".repeat(100_000)).code());
+    void rejectsDeepNestingAndInvalidUtf8() {
         assertEquals(
                 CheckException.Code.NOT_JSON,
-                refused("{\"a\":" + "[".repeat(100) + "]".repeat(100) + "}").code());
-        byte[] bad = EXAMPLE.getBytes(StandardCharsets.UTF_8);
-        bad[EXAMPLE.indexOf("huvo")] = (byte) 0xff;
+                assertRejected("[".repeat(100_000)).code());
+        assertEquals(
+                CheckException.Code.NOT_JSON,
+                assertRejected("{\"a\":" + "[".repeat(100) + "]".repeat(100) + "}")
+                        .code());
+        byte[] invalid = EXAMPLE.getBytes(StandardCharsets.UTF_8);
+        invalid[EXAMPLE.indexOf("huvo")] = (byte) 0xff;
         assertEquals(
                 CheckException.Code.NOT_JSON,
-                assertThrows(CheckException.class, () -> ConfigurationCheck.check(bad))
+                assertThrows(CheckException.class, () -> ConfigurationCheck.check(invalid))
                         .code());
     }
 
     @Test
-    void editions() {
+    void rejectsEditionsNotAboveTheCurrentOne() {
         Configuration next = check(EXAMPLE);
         assertDoesNotThrow(() -> ConfigurationCheck.checkEdition(next, 6));
         CheckException e = assertThrows(CheckException.class, () -> ConfigurationCheck.checkEdition(next, 7));
@@ -304,7 +311,7 @@
     }
 
     @Test
-    void warms() {
+    void warmsUp() {
         assertDoesNotThrow(ConfigurationCheck::warm);
     }
 }
--- a/src/test/java/sablehinge/mesh/api/SpoiltPropertyTest.java
+++ b/src/test/java/sablehinge/mesh/api/MalformedConfigurationPropertyTest.java
@@ -10,10 +10,10 @@
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.routing.RoutingTable;
 
-/** Whatever a body holds, the answer is a configuration or a refusal with a place. */
-class SpoiltPropertyTest {
+/** Checks that any modified body is either accepted or rejected with a place. */
+class MalformedConfigurationPropertyTest {
 
-    private static final String[] BITS = {
+    private static final String[] FRAGMENTS = {
         "null", "{}", "[]", "0", "-1", "1e9", "\"\"", "true", ",", "}", "]", "{\"a\":1}", "[[1]]", "\"name\":", "\u00e9"
     };
 
@@ -34,26 +34,26 @@
         }
     }
 
-    /** Takes some bytes out, or a value, and inserts something else. */
+    /** Replaces some bytes or a value with another fragment. */
     @Property(tries = 4_000)
-    void aPieceIsReplaced(
+    void anyModifiedBodyIsAcceptedOrRejectedWithAPlace(
             @ForAll @IntRange(max = 1_500) int from,
             @ForAll @IntRange(max = 12) int length,
-            @ForAll @IntRange(max = 14) int bit,
-            @ForAll boolean complete) {
+            @ForAll @IntRange(max = 14) int fragment,
+            @ForAll boolean replaceValue) {
         String example = ConfigurationCheckTest.EXAMPLE;
         int start = Math.min(from, example.length());
         int end = Math.min(start + length, example.length());
-        if (complete) {
+        if (replaceValue) {
             start = example.indexOf(':', start) + 1;
             end = Math.max(start, example.indexOf(',', start));
         }
-        String spoilt = example.substring(0, start) + BITS[bit] + example.substring(end);
-        byte[] body = spoilt.getBytes(StandardCharsets.UTF_8);
+        String malformed = example.substring(0, start) + FRAGMENTS[fragment] + example.substring(end);
+        byte[] body = malformed.getBytes(StandardCharsets.UTF_8);
         Configuration checked = checked(body);
         Configuration read = read(body);
         if (checked != null) {
-            assertEquals(checked, read, spoilt);
+            assertEquals(checked, read, malformed);
             new RoutingTable(checked).find("ficu95.example", "/lohu930/x");
         }
     }
--- a/src/test/java/sablehinge/mesh/failuredetection/HashRingTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HashRingTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Who watches over whom. */
+/** Tests the assignment of watchers. */
 class HashRingTest {
 
     private static String name(int number) {
@@ -34,18 +34,18 @@
     }
 
     @Test
-    void aNameHasItsPlaceWhoeverElseIsThere() {
+    void positionDependsOnTheNameAlone() {
         HashRing hashRing = new HashRing(zones(Set.of(1, 2, 3)));
         assertEquals("sidecar-2", hashRing.nodeAt(HashRing.positionOf("sidecar-2")));
         assertNull(hashRing.nodeAt(HashRing.positionOf("sidecar-9")));
         assertEquals(List.of(), hashRing.watchers("sidecar-9"));
         assertEquals(List.of(), new HashRing(zones(Set.of(1))).watchers("sidecar-1"));
-        // On the wire between processes, and so never another.
+        // The position is written on the wire between processes, so the hash must never change.
         assertEquals(-574169720292795091L, HashRing.positionOf("sidecar-plateau-1"));
     }
 
     @Property(tries = 500)
-    void eachHasItsWatchersOfAsManyZonesAsCanBeAndNobodyHasTooMany(
+    void assignsWatchersOfDifferentZonesAndBoundsWatchedPeers(
             @ForAll @Size(min = 1, max = 90) Set<@IntRange(max = 5_000) Integer> numbers) {
         Map<String, String> zones = zones(numbers);
         HashRing hashRing = new HashRing(zones);
@@ -56,25 +56,25 @@
             assertTrue(hashRing.watchedBy(node).size() <= HashRing.CANDIDATES);
             watchers.forEach(watcher -> assertTrue(hashRing.watchedBy(watcher).contains(node)));
             hashRing.watchedBy(node)
-                    .forEach(other -> assertTrue(hashRing.watchers(other).contains(node)));
+                    .forEach(peer -> assertTrue(hashRing.watchers(peer).contains(node)));
             if (zones.size() <= HashRing.CANDIDATES + 1) {
-                Set<String> others = new HashSet<>(zones.values());
-                others.remove(zones.get(node));
+                Set<String> otherZones = new HashSet<>(zones.values());
+                otherZones.remove(zones.get(node));
                 Set<String> chosen = new HashSet<>();
                 watchers.forEach(watcher -> chosen.add(zones.get(watcher)));
                 chosen.remove(zones.get(node));
-                assertEquals(Math.min(watchers.size(), others.size()), chosen.size());
+                assertEquals(Math.min(watchers.size(), otherZones.size()), chosen.size());
             }
         }
     }
 
     @Property(tries = 500)
-    void whoComesOrGoesChangesTheWatchersOfAFew(
+    void membershipChangeAffectsTheWatchersOfFewBalancers(
             @ForAll @Size(min = 2, max = 90) Set<@IntRange(max = 5_000) Integer> numbers) {
         Map<String, String> zones = zones(numbers);
-        String one = zones.keySet().iterator().next();
+        String removed = zones.keySet().iterator().next();
         HashRing with = new HashRing(zones);
-        zones.remove(one);
+        zones.remove(removed);
         HashRing without = new HashRing(zones);
         long changed = zones.keySet().stream()
                 .filter(node -> !with.watchers(node).equals(without.watchers(node)))
--- a/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
+++ b/src/test/java/sablehinge/mesh/failuredetection/HealthViewTest.java
@@ -20,7 +20,7 @@
 import sablehinge.mesh.failuredetection.HealthView.HealthChange;
 import sablehinge.mesh.failuredetection.HealthView.Subject;
 
-/** Who is off, by what the leader and the watchers receive. */
+/** Tests the leader's evaluation of contacts and suspicions. */
 class HealthViewTest {
 
     private static final int COUNT = 12;
@@ -37,11 +37,11 @@
             zones.put("n" + i, "z" + i % 4);
         }
         hashRing = new HashRing(zones);
-        asks(Set.of(), Map.of());
+        report(Set.of(), Map.of());
     }
 
-    /** All ask but some, and accuse whom they accuse. */
-    private void asks(Set<String> timedOut, Map<String, List<Suspicion>> suspicions) {
+    /** All balancers but the given ones send a request to the leader with their suspicions. */
+    private void report(Set<String> timedOut, Map<String, List<Suspicion>> suspicions) {
         for (Subject subject : subjects) {
             if (!timedOut.contains(subject.node())) {
                 healthView.onHeartbeat(now, subject.node(), suspicions.getOrDefault(subject.node(), List.of()));
@@ -49,22 +49,22 @@
         }
     }
 
-    private List<HealthChange> later(Set<String> timedOut, Map<String, List<Suspicion>> suspicions) {
+    private List<HealthChange> advanceAndReport(Set<String> timedOut, Map<String, List<Suspicion>> suspicions) {
         now += NO_CONTACT;
-        asks(timedOut, suspicions);
+        report(timedOut, suspicions);
         return healthView.evaluate(now, subjects);
     }
 
-    /** The first so many of its watchers accuse one. */
-    private Map<String, List<Suspicion>> accused(String node, int watchers, SuspicionCause evidence) {
+    /** Suspicions of a balancer by the given number of its watchers. */
+    private Map<String, List<Suspicion>> suspicionsOf(String node, int watchers, SuspicionCause cause) {
         Map<String, List<Suspicion>> suspicions = new HashMap<>();
         hashRing.watchers(node)
                 .subList(0, watchers)
-                .forEach(watcher -> suspicions.put(watcher, List.of(new Suspicion(node, evidence))));
+                .forEach(watcher -> suspicions.put(watcher, List.of(new Suspicion(node, cause))));
         return suspicions;
     }
 
-    private void only(List<HealthChange> healthChanges, Health health) {
+    private void assertOnlyChange(List<HealthChange> healthChanges, Health health) {
         assertEquals(1, healthChanges.size(), healthChanges.toString());
         assertEquals("n1", healthChanges.get(0).node());
         assertEquals(health, healthChanges.get(0).health());
@@ -73,114 +73,114 @@
 
     @ParameterizedTest
     @EnumSource(SuspicionCause.class)
-    void whomNeitherKeeperNorWatchersHearIsOffByWhatTheyFoundUntilItIsHeardAgain(SuspicionCause evidence) {
-        Health health = List.of(Health.LOST, Health.FROZEN, Health.DEAD).get(evidence.ordinal());
-        only(later(Set.of("n1"), accused("n1", 2, evidence)), health);
+    void silentBalancerIsUnavailableByCauseUntilItIsInContactAgain(SuspicionCause cause) {
+        Health health = List.of(Health.LOST, Health.FROZEN, Health.DEAD).get(cause.ordinal());
+        assertOnlyChange(advanceAndReport(Set.of("n1"), suspicionsOf("n1", 2, cause)), health);
         assertTrue(health.isUnavailable());
-        assertEquals(List.of(), later(Set.of("n1"), accused("n1", 3, evidence)));
+        assertEquals(List.of(), advanceAndReport(Set.of("n1"), suspicionsOf("n1", 3, cause)));
         healthView.onHeartbeat(now, "n1", List.of());
-        only(healthView.evaluate(now, subjects), Health.CUT_FROM_SOME);
-        only(later(Set.of(), Map.of()), Health.WELL);
+        assertOnlyChange(healthView.evaluate(now, subjects), Health.CUT_FROM_SOME);
+        assertOnlyChange(advanceAndReport(Set.of(), Map.of()), Health.WELL);
     }
 
     @Test
-    void whomTheWatchersHearIsCutFromTheCoreAndServesOn() {
-        only(later(Set.of("n1"), Map.of()), Health.CUT_FROM_CORE);
-        assertEquals(List.of(), later(Set.of("n1"), accused("n1", 1, SuspicionCause.SILENT)));
+    void balancerInContactWithItsWatchersIsCutFromCoreAndAvailable() {
+        assertOnlyChange(advanceAndReport(Set.of("n1"), Map.of()), Health.CUT_FROM_CORE);
+        assertEquals(List.of(), advanceAndReport(Set.of("n1"), suspicionsOf("n1", 1, SuspicionCause.SILENT)));
         assertFalse(Health.CUT_FROM_CORE.isUnavailable());
     }
 
     @Test
-    void whomTheKeeperHearsIsAtMostCutFromSome() {
-        only(later(Set.of(), accused("n1", 3, SuspicionCause.RESET)), Health.CUT_FROM_SOME);
+    void balancerInContactWithTheLeaderIsAtMostCutFromSome() {
+        assertOnlyChange(advanceAndReport(Set.of(), suspicionsOf("n1", 3, SuspicionCause.RESET)), Health.CUT_FROM_SOME);
         assertFalse(Health.CUT_FROM_SOME.isUnavailable());
     }
 
     @Test
-    void aWatcherThatTheKeeperDoesNotHearAccusesNobody() {
+    void ignoresSuspicionsOfWatchersWithoutContactToTheLeader() {
         List<String> watchers = hashRing.watchers("n1");
         now += 1;
         healthView.onHeartbeat(now, watchers.get(0), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
         healthView.onHeartbeat(now, watchers.get(1), List.of(new Suspicion("n1", SuspicionCause.SILENT)));
         now += NO_CONTACT;
-        asks(Set.of("n1", watchers.get(0), watchers.get(1)), Map.of());
+        report(Set.of("n1", watchers.get(0), watchers.get(1)), Map.of());
         healthView.evaluate(now, subjects);
         assertEquals(Health.CUT_FROM_CORE, healthView.health("n1"));
         now += NO_CONTACT;
-        asks(Set.of("n1", watchers.get(0), watchers.get(1), watchers.get(2)), Map.of());
+        report(Set.of("n1", watchers.get(0), watchers.get(1), watchers.get(2)), Map.of());
         healthView.evaluate(now, subjects);
         assertEquals(Health.UNSEEN, healthView.health("n1"));
     }
 
     @Test
-    void whoIsNoWatcherOfOneCanNotAccuseIt() {
-        Map<String, List<Suspicion>> all = new HashMap<>();
+    void ignoresSuspicionsOfBalancersThatAreNotWatchers() {
+        Map<String, List<Suspicion>> suspicions = new HashMap<>();
         subjects.stream()
-                .filter(other -> !hashRing.watchers("n1").contains(other.node()))
-                .forEach(other -> all.put(other.node(), List.of(new Suspicion("n1", SuspicionCause.RESET))));
-        only(later(Set.of("n1"), all), Health.CUT_FROM_CORE);
+                .filter(subject -> !hashRing.watchers("n1").contains(subject.node()))
+                .forEach(subject -> suspicions.put(subject.node(), List.of(new Suspicion("n1", SuspicionCause.RESET))));
+        assertOnlyChange(advanceAndReport(Set.of("n1"), suspicions), Health.CUT_FROM_CORE);
     }
 
     @Test
-    void whoIsOffStaysSoWhileNobodyCanSayMore() {
-        later(Set.of("n1"), accused("n1", 3, SuspicionCause.SILENT));
-        assertEquals(List.of(), later(Set.of("n1"), accused("n1", 1, SuspicionCause.SILENT)));
-        Set<String> blind = new HashSet<>(hashRing.watchers("n1"));
-        blind.add("n1");
-        later(blind, Map.of());
+    void unavailableBalancerStaysUnavailableWithoutNewEvidence() {
+        advanceAndReport(Set.of("n1"), suspicionsOf("n1", 3, SuspicionCause.SILENT));
+        assertEquals(List.of(), advanceAndReport(Set.of("n1"), suspicionsOf("n1", 1, SuspicionCause.SILENT)));
+        Set<String> silentNodes = new HashSet<>(hashRing.watchers("n1"));
+        silentNodes.add("n1");
+        advanceAndReport(silentNodes, Map.of());
         assertEquals(Health.LOST, healthView.health("n1"));
         now += 1;
-        asks(Set.of("n1"), Map.of());
+        report(Set.of("n1"), Map.of());
         healthView.evaluate(now, subjects);
         assertEquals(Health.CUT_FROM_CORE, healthView.health("n1"));
     }
 
-    /** Those listed are unresponsive, and whoever watches over them reports it. */
-    private void fall(Set<String> fallen) {
+    /** The given balancers are silent, and their watchers report them. */
+    private void reportSilent(Set<String> silent) {
         Map<String, List<Suspicion>> suspicions = new HashMap<>();
-        fallen.forEach(node -> hashRing.watchers(node).forEach(watcher -> suspicions
+        silent.forEach(node -> hashRing.watchers(node).forEach(watcher -> suspicions
                 .computeIfAbsent(watcher, name -> new ArrayList<>())
                 .add(new Suspicion(node, SuspicionCause.SILENT))));
-        later(fallen, suspicions);
+        advanceAndReport(silent, suspicions);
     }
 
-    private long off() {
+    private long unavailableCount() {
         return subjects.stream()
                 .filter(subject -> healthView.health(subject.node()).isUnavailable())
                 .count();
     }
 
     @Test
-    void ofAServiceHalfStayReadyWhateverIsSaid() {
-        // n0, n3, n6 and n9 are all there is of s0.
-        fall(Set.of("n0", "n3", "n6"));
-        assertEquals(2, off());
+    void ejectsAtMostHalfOfTheReadyUpstreamsOfAService() {
+        // n0, n3, n6 and n9 are all balancers of s0.
+        reportSilent(Set.of("n0", "n3", "n6"));
+        assertEquals(2, unavailableCount());
     }
 
     @Test
-    void whereMoreThanHalfAreSilentNothingMoreIsDone() {
-        fall(Set.of("n1"));
-        fall(Set.of("n0", "n1", "n2", "n3", "n4", "n5", "n6"));
-        assertEquals(1, off());
-        fall(Set.of("n0", "n1", "n2", "n3", "n4", "n5"));
-        assertTrue(off() > 1);
+    void ejectsNoFurtherBalancerIfMoreThanHalfAreSilent() {
+        reportSilent(Set.of("n1"));
+        reportSilent(Set.of("n0", "n1", "n2", "n3", "n4", "n5", "n6"));
+        assertEquals(1, unavailableCount());
+        reportSilent(Set.of("n0", "n1", "n2", "n3", "n4", "n5"));
+        assertTrue(unavailableCount() > 1);
     }
 
     @Property(tries = 1_000)
-    void whoIsHeardIsNeverOffAndHalfOfEachServiceStays(
-            @ForAll @Size(max = 40) List<@Size(max = COUNT) Set<@IntRange(max = COUNT - 1) Integer>> story) {
-        for (Set<Integer> fallen : story) {
+    void neverEjectsBalancersInContactNorMoreThanHalfOfAService(
+            @ForAll @Size(max = 40) List<@Size(max = COUNT) Set<@IntRange(max = COUNT - 1) Integer>> rounds) {
+        for (Set<Integer> silent : rounds) {
             Set<String> names = new HashSet<>();
-            fallen.forEach(number -> names.add("n" + number));
-            fall(names);
-            Map<String, Integer> taken = new HashMap<>();
+            silent.forEach(number -> names.add("n" + number));
+            reportSilent(names);
+            Map<String, Integer> unavailable = new HashMap<>();
             for (Subject subject : subjects) {
                 if (healthView.health(subject.node()).isUnavailable()) {
                     assertTrue(names.contains(subject.node()));
-                    taken.merge(subject.service(), 1, Integer::sum);
+                    unavailable.merge(subject.service(), 1, Integer::sum);
                 }
             }
-            taken.forEach((service, count) -> assertTrue(2 * count <= COUNT / 3, service + " " + count));
+            unavailable.forEach((service, count) -> assertTrue(2 * count <= COUNT / 3, service + " " + count));
         }
     }
 }
--- a/src/test/java/sablehinge/mesh/routing/RoutingTablePropertyTest.java
+++ b/src/test/java/sablehinge/mesh/routing/RoutingTablePropertyTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** A plan finds what a search through all routes finds. */
+/** Checks that a routing table finds the same route as a linear search. */
 class RoutingTablePropertyTest {
 
     private static final List<String> HOSTS = List.of("a.example", "b.example");
@@ -30,15 +30,15 @@
         return paths().map(path -> path.endsWith("/") ? path : path + "/")
                 .list()
                 .ofMaxSize(40)
-                .map(RoutingTablePropertyTest::spread);
+                .map(RoutingTablePropertyTest::overHosts);
     }
 
-    private static List<Configuration.Route> spread(List<String> prefixes) {
+    private static List<Configuration.Route> overHosts(List<String> prefixes) {
         List<Configuration.Route> routes = new ArrayList<>();
-        Set<String> taken = new HashSet<>();
+        Set<String> used = new HashSet<>();
         for (String prefix : prefixes) {
             String host = HOSTS.get((prefix.length() + routes.size()) % 2);
-            if (taken.add(host + prefix)) {
+            if (used.add(host + prefix)) {
                 routes.add(RoutingTableTest.route(host, prefix));
             }
         }
@@ -46,8 +46,8 @@
     }
 
     @Property
-    void findsTheLongestPrefix(@ForAll("routes") List<Configuration.Route> routes, @ForAll("paths") String path) {
-        RoutingTable plan = new RoutingTable(
+    void findsLongestPrefix(@ForAll("routes") List<Configuration.Route> routes, @ForAll("paths") String path) {
+        RoutingTable table = new RoutingTable(
                 new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), routes, List.of()));
         for (String host : HOSTS) {
             Configuration.Route best = null;
@@ -60,9 +60,9 @@
                 }
             }
             for (String target : new String[] {path, path + "?/a/b/", "http://" + host + path}) {
-                RoutingTable.RouteMatch found = plan.find(host, target);
-                assertEquals(best, found == null ? null : found.route());
-                assertEquals(best, found == null ? null : routes.get(found.index()));
+                RoutingTable.RouteMatch match = table.find(host, target);
+                assertEquals(best, match == null ? null : match.route());
+                assertEquals(best, match == null ? null : routes.get(match.index()));
             }
         }
     }
--- a/src/test/java/sablehinge/mesh/routing/RoutingTableTest.java
+++ b/src/test/java/sablehinge/mesh/routing/RoutingTableTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Hosts, targets, keys and shares that a plan must tell apart. */
+/** Tests lookups by host, target and key, and the choice of services by share. */
 class RoutingTableTest {
 
     private static final Configuration.Tenant TENANT = new Configuration.Tenant("t", List.of("k1", "k2"), 1, 83, 83);
 
-    private static final RoutingTable PLAN = new RoutingTable(new Configuration(
+    private static final RoutingTable TABLE = new RoutingTable(new Configuration(
             1,
             new Configuration.Limits(1, 1, 1, 1),
             List.of(TENANT),
@@ -29,74 +29,74 @@
                 host + prefix, host, prefix, Configuration.Kind.SAFE, 600, 1, false, List.of(split), 4_000, 2);
     }
 
-    private static String found(String host, String target) {
-        RoutingTable.RouteMatch found = PLAN.find(host, target);
-        return found == null ? null : found.route().name();
+    private static String routeName(String host, String target) {
+        RoutingTable.RouteMatch match = TABLE.find(host, target);
+        return match == null ? null : match.route().name();
     }
 
     @Test
-    void theLongestPrefixThatBeginsThePath() {
-        assertEquals("one.example/abc/", found("one.example", "/abc/"));
-        assertEquals("one.example/abc/", found("one.example", "/abc/d"));
-        assertEquals("one.example/abc/d/", found("one.example", "/abc/d/e?f=/g/"));
-        assertNull(found("one.example", "/abc"));
-        assertNull(found("one.example", "/abc?/"));
-        assertNull(found("one.example", "/ABC/"));
-        assertNull(found("one.example", "/x#/abc/"));
-        assertNull(found("three.example", "/abc/"));
-        assertEquals("two.example/", found("two.example", "/anything"));
-        assertEquals(1, PLAN.find("one.example", "/abc/d/").index());
+    void findsLongestMatchingPrefix() {
+        assertEquals("one.example/abc/", routeName("one.example", "/abc/"));
+        assertEquals("one.example/abc/", routeName("one.example", "/abc/d"));
+        assertEquals("one.example/abc/d/", routeName("one.example", "/abc/d/e?f=/g/"));
+        assertNull(routeName("one.example", "/abc"));
+        assertNull(routeName("one.example", "/abc?/"));
+        assertNull(routeName("one.example", "/ABC/"));
+        assertNull(routeName("one.example", "/x#/abc/"));
+        assertNull(routeName("three.example", "/abc/"));
+        assertEquals("two.example/", routeName("two.example", "/anything"));
+        assertEquals(1, TABLE.find("one.example", "/abc/d/").index());
     }
 
     @Test
-    void nothingInThePathIsInterpreted() {
-        assertEquals("one.example/abc/", found("one.example", "/abc/../x"));
-        assertNull(found("one.example", "/x/../abc/"));
-        assertNull(found("one.example", "/%61bc/"));
-        assertNull(found("one.example", "//abc/"));
+    void doesNotInterpretThePath() {
+        assertEquals("one.example/abc/", routeName("one.example", "/abc/../x"));
+        assertNull(routeName("one.example", "/x/../abc/"));
+        assertNull(routeName("one.example", "/%61bc/"));
+        assertNull(routeName("one.example", "//abc/"));
     }
 
     @Test
-    void hostsInAnyForm() {
+    void normalizesHosts() {
         for (String host :
                 List.of("ONE.example", "one.example:80", "One.Example.:80", "one.example.", " one.example")) {
-            assertEquals("one.example/abc/", found(host, "/abc/x"), host);
+            assertEquals("one.example/abc/", routeName(host, "/abc/x"), host);
         }
-        assertNull(found(null, "/abc/"));
-        assertNull(found("", "/abc/"));
+        assertNull(routeName(null, "/abc/"));
+        assertNull(routeName("", "/abc/"));
         assertEquals("[::1]", HostNames.normal("[::1]:80"));
         assertEquals("[::1", HostNames.normal("[::1"));
         assertEquals("", HostNames.normal(null));
     }
 
     @Test
-    void targetsInAbsoluteForm() {
-        assertEquals("one.example/abc/", found("two.example", "http://one.example:80/abc/?x"));
-        assertEquals("one.example/abc/", found(null, "HTTPS://u@ONE.example/abc/"));
-        assertEquals("two.example/", found(null, "http://two.example"));
-        assertEquals("two.example/", found(null, "http://two.example?x=/abc/"));
-        for (String odd : new String[] {
+    void findsTargetsInAbsoluteForm() {
+        assertEquals("one.example/abc/", routeName("two.example", "http://one.example:80/abc/?x"));
+        assertEquals("one.example/abc/", routeName(null, "HTTPS://u@ONE.example/abc/"));
+        assertEquals("two.example/", routeName(null, "http://two.example"));
+        assertEquals("two.example/", routeName(null, "http://two.example?x=/abc/"));
+        for (String malformed : new String[] {
             "*", "", "http:/two.example/", "ftp://two.example/", "two.example:80", "http://", "http", "https"
         }) {
-            assertNull(found("two.example", odd), odd);
+            assertNull(routeName("two.example", malformed), malformed);
         }
     }
 
     @Test
-    void tenantsAndServices() {
-        assertEquals(TENANT, PLAN.tenant("k2"));
-        assertNull(PLAN.tenant("k3"));
-        assertNull(PLAN.tenant(null));
-        assertTrue(PLAN.requiresKeys());
+    void findsTenantsAndServices() {
+        assertEquals(TENANT, TABLE.tenant("k2"));
+        assertNull(TABLE.tenant("k3"));
+        assertNull(TABLE.tenant(null));
+        assertTrue(TABLE.requiresKeys());
         assertFalse(new RoutingTable(
                         new Configuration(1, new Configuration.Limits(1, 1, 1, 1), List.of(), List.of(), List.of()))
                 .requiresKeys());
-        assertEquals(110, PLAN.service("s").connCap());
-        assertNull(PLAN.service("u"));
+        assertEquals(110, TABLE.service("s").connCap());
+        assertNull(TABLE.service("u"));
     }
 
     @Test
-    void sharesOfASplit() {
+    void choosesServicesByShare() {
         Configuration.Route split = route(
                 "h",
                 "/",
@@ -104,14 +104,14 @@
                 new Configuration.Share("a", 90),
                 new Configuration.Share("b", 10),
                 new Configuration.Share("last", 0));
-        assertEquals("a", PLAN.chooseService(split, 0));
-        assertEquals("a", PLAN.chooseService(split, 0.899999));
-        assertEquals("b", PLAN.chooseService(split, 0.9));
-        assertEquals("b", PLAN.chooseService(split, Math.nextDown(1.0)));
-        assertEquals("b", PLAN.chooseService(split, 1));
+        assertEquals("a", TABLE.chooseService(split, 0));
+        assertEquals("a", TABLE.chooseService(split, 0.899999));
+        assertEquals("b", TABLE.chooseService(split, 0.9));
+        assertEquals("b", TABLE.chooseService(split, Math.nextDown(1.0)));
+        assertEquals("b", TABLE.chooseService(split, 1));
         assertEquals(
                 "x",
-                PLAN.chooseService(
+                TABLE.chooseService(
                         route("h", "/", new Configuration.Share("x", 0), new Configuration.Share("y", 0)), 0.7));
     }
 }
--- a/src/test/java/sablehinge/mesh/watch/PackedConfigurationTest.java
+++ b/src/test/java/sablehinge/mesh/watch/PackedConfigurationTest.java
@@ -12,10 +12,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Configurations as they travel. */
+/** Tests packing and unpacking of configurations. */
 class PackedConfigurationTest {
 
-    private static final int LENGTH_AT = 1;
+    private static final int LENGTH_OFFSET = 1;
 
     private static byte[] routes(int count) {
         StringBuilder text = new StringBuilder();
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aBodyIsUnpackedAsItWasPackedAndIsFarSmallerOnItsWay() throws Exception {
+    void unpacksPackedBodyAndCompressesIt() throws Exception {
         byte[] body = routes(1_000);
         byte[] packed = PackedConfiguration.pack(body);
         assertArrayEquals(body, PackedConfiguration.unpack(packed));
@@ -35,40 +35,40 @@
     }
 
     @Test
-    void whatDoesNotDeflateTravelsToo() throws Exception {
+    void packsIncompressibleBody() throws Exception {
         byte[] body = new byte[100_000];
         new Random(7).nextBytes(body);
         assertArrayEquals(body, PackedConfiguration.unpack(PackedConfiguration.pack(body)));
     }
 
     @Test
-    void whatIsCutShortIsRefused() {
+    void rejectsTruncatedOrExtendedBytes() {
         byte[] packed = PackedConfiguration.pack(routes(3));
         for (int length = 0; length < packed.length; length++) {
-            byte[] part = Arrays.copyOf(packed, length);
-            assertThrows(IOException.class, () -> PackedConfiguration.unpack(part), "cut at " + length);
+            byte[] truncated = Arrays.copyOf(packed, length);
+            assertThrows(IOException.class, () -> PackedConfiguration.unpack(truncated), "truncated at " + length);
         }
         assertThrows(
                 IOException.class,
                 () -> PackedConfiguration.unpack(Arrays.copyOf(packed, packed.length + 1)),
-                "a byte more");
+                "one extra byte");
         assertThrows(
                 IOException.class,
                 () -> PackedConfiguration.unpack(Arrays.copyOf(packed, packed.length + 10_000)),
-                "many more");
+                "many extra bytes");
     }
 
     @Test
-    void aSpoiltByteIsNeverTakenForAnotherBody() {
+    void neverUnpacksCorruptedBytesToAnotherBody() {
         byte[] body = routes(3);
         byte[] packed = PackedConfiguration.pack(body);
         int refused = 0;
-        for (int at = 0; at < packed.length; at++) {
-            byte[] spoilt = packed.clone();
-            spoilt[at] ^= 0x40;
+        for (int offset = 0; offset < packed.length; offset++) {
+            byte[] corrupted = packed.clone();
+            corrupted[offset] ^= 0x40;
             try {
-                // The bits that fill the last byte of the deflated data mean nothing.
-                assertArrayEquals(body, PackedConfiguration.unpack(spoilt), "spoilt at " + at);
+                // The padding bits in the last byte of the deflated data are ignored.
+                assertArrayEquals(body, PackedConfiguration.unpack(corrupted), "corrupted at " + offset);
             } catch (IOException e) {
                 refused++;
             }
@@ -77,24 +77,24 @@
     }
 
     @Test
-    void anotherFormatIsRefused() {
+    void rejectsUnknownFormat() {
         byte[] packed = PackedConfiguration.pack(routes(3));
         packed[0] = 2;
-        IOException why = assertThrows(IOException.class, () -> PackedConfiguration.unpack(packed));
-        assertTrue(why.getMessage().contains("format 2"), why.getMessage());
+        IOException exception = assertThrows(IOException.class, () -> PackedConfiguration.unpack(packed));
+        assertTrue(exception.getMessage().contains("format 2"), exception.getMessage());
     }
 
     @Test
-    void moreThanTheBoundIsRefusedAndSoIsMoreThanIsNamed() {
+    void rejectsBodiesAboveTheLimitOrWithAWrongLength() {
         byte[] large = PackedConfiguration.pack(new byte[PackedConfiguration.MAX_BYTES + 1]);
         assertThrows(IOException.class, () -> PackedConfiguration.unpack(large));
-        // It names less than what it inflates to: no more is inflated than is named.
-        ByteBuffer.wrap(large).putInt(LENGTH_AT, 100);
+        // The stated length is below the inflated size: no more is inflated than stated.
+        ByteBuffer.wrap(large).putInt(LENGTH_OFFSET, 100);
         assertThrows(IOException.class, () -> PackedConfiguration.unpack(large));
         byte[] small = PackedConfiguration.pack(routes(3));
         for (int length : new int[] {-1, PackedConfiguration.MAX_BYTES, Integer.MAX_VALUE}) {
-            ByteBuffer.wrap(small).putInt(LENGTH_AT, length);
-            assertThrows(IOException.class, () -> PackedConfiguration.unpack(small), "it names " + length);
+            ByteBuffer.wrap(small).putInt(LENGTH_OFFSET, length);
+            assertThrows(IOException.class, () -> PackedConfiguration.unpack(small), "stated length " + length);
         }
     }
 }
--- a/src/test/java/sablehinge/mesh/watch/RecordsTest.java
+++ b/src/test/java/sablehinge/mesh/watch/RecordsTest.java
@@ -15,24 +15,24 @@
 import sablehinge.mesh.retrybudget.Claim;
 import sablehinge.mesh.retrybudget.Grant;
 
-/** Requests and updates as bytes. */
+/** Tests encoding and decoding of records. */
 class RecordsTest {
 
-    private static final Registration ONE =
+    private static final Registration READY =
             new Registration("s-1", "monza-a", "127.0.0.1:7000", "huvo11a", "i-7f", true, 60_000, 2_900);
-    private static final Registration NONE =
+    private static final Registration WITHOUT_UPSTREAM =
             new Registration("s-2", "monza-b", "127.0.0.2:7000", "wuno96b", "", false, 0, 0);
 
     private static WatchRequest request() {
         return new WatchRequest(
                 7,
-                ONE,
+                READY,
                 1L << 40,
                 3,
                 12,
                 true,
                 List.of(new Suspicion("s-2", SuspicionCause.FROZEN), new Suspicion("s-9", SuspicionCause.RESET)),
-                List.of(NONE, ONE));
+                List.of(WITHOUT_UPSTREAM, READY));
     }
 
     private static Update update() {
@@ -46,19 +46,19 @@
                 true,
                 true,
                 40_000,
-                List.of(ONE, NONE),
+                List.of(READY, WITHOUT_UPSTREAM),
                 List.of("127.0.0.1:7000"));
     }
 
     @Test
-    void anAskIsReadAsItWasWritten() throws Exception {
+    void decodesEncodedRequest() throws Exception {
         assertEquals(request(), WatchRequest.read(request().bytes()));
-        WatchRequest least = new WatchRequest(0, NONE, 0, 0, 0, false, List.of(), List.of());
-        assertEquals(least, WatchRequest.read(least.bytes()));
+        WatchRequest minimal = new WatchRequest(0, WITHOUT_UPSTREAM, 0, 0, 0, false, List.of(), List.of());
+        assertEquals(minimal, WatchRequest.read(minimal.bytes()));
     }
 
     @Test
-    void newsAreReadAsTheyWereWritten() throws Exception {
+    void decodesEncodedUpdate() throws Exception {
         Update read = Update.read(update().bytes());
         assertArrayEquals(update().body(), read.body());
         assertArrayEquals(update().bytes(), read.bytes());
@@ -69,31 +69,31 @@
     }
 
     @Test
-    void recordsThatAreCutShortAreRefused() {
+    void rejectsTruncatedRecords() {
         byte[] request = request().bytes();
         for (int length = 0; length < request.length; length++) {
-            byte[] part = Arrays.copyOf(request, length);
-            assertThrows(IOException.class, () -> WatchRequest.read(part), "an ask of " + length);
+            byte[] truncated = Arrays.copyOf(request, length);
+            assertThrows(IOException.class, () -> WatchRequest.read(truncated), "a request of " + length);
         }
         byte[] update = update().bytes();
         for (int length = 0; length < update.length; length++) {
-            byte[] part = Arrays.copyOf(update, length);
-            assertThrows(IOException.class, () -> Update.read(part), "news of " + length);
+            byte[] truncated = Arrays.copyOf(update, length);
+            assertThrows(IOException.class, () -> Update.read(truncated), "an update of " + length);
         }
     }
 
     @Test
-    void aBodyWhoseLengthLiesTakesNoMemory() {
+    void rejectsFalseBodyLengthWithoutAllocatingMemory() {
         byte[] update = update().bytes();
-        for (byte spoilt : new byte[] {0x7f, (byte) 0xff}) {
+        for (byte corrupted : new byte[] {0x7f, (byte) 0xff}) {
             // After the number, the confirmation and the edition.
-            update[13] = spoilt;
+            update[13] = corrupted;
             assertThrows(IOException.class, () -> Update.read(update));
         }
     }
 
     @Test
-    void claimsAndGrantsTellOfAsManyServicesAsTheyMay() throws Exception {
+    void encodesClaimsAndGrantsWithTheMaximumNumberOfServices() throws Exception {
         List<Claim.Line> lines = IntStream.range(0, Claim.MAX_LINES)
                 .mapToObj(i -> new Claim.Line("service-" + i, i, 0, 0, 0, 1))
                 .toList();
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void claimsAndGrantsAreReadAsTheyWereWrittenAndNothingElseIs() throws Exception {
+    void decodesEncodedClaimsAndGrantsAndRejectsMalformedOnes() throws Exception {
         Claim claim = new Claim(
                 -3,
                 7,
@@ -119,12 +119,12 @@
         assertEquals(grant, RetryBudgetCodec.decodeGrant(RetryBudgetCodec.encode(grant)));
         byte[] bytes = RetryBudgetCodec.encode(claim);
         for (int length = 0; length <= bytes.length + 1; length++) {
-            byte[] part = Arrays.copyOf(bytes, length);
+            byte[] truncated = Arrays.copyOf(bytes, length);
             if (length != bytes.length) {
-                assertThrows(IOException.class, () -> RetryBudgetCodec.decodeClaim(part), "a claim of " + length);
+                assertThrows(IOException.class, () -> RetryBudgetCodec.decodeClaim(truncated), "a claim of " + length);
             }
         }
-        // After the incarnation, the number, the term and the service: how many lines there are.
+        // The number of lines, after the incarnation, the number, the term and the service.
         bytes[8 + 4 + 8 + 2 + 7] = (byte) (Claim.MAX_LINES + 1);
         assertThrows(IOException.class, () -> RetryBudgetCodec.decodeClaim(bytes));
     }
