--- a/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
+++ b/src/main/java/sablehinge/dataplane/budget/AttemptBudgets.java
@@ -89,8 +89,8 @@
          * expected call.
          */
         public int attempts() {
-            int others = budget.reservedCalls - (firstPending ? 1 : 0);
-            int unreserved = Math.max(0, budget.remaining - others * settings.attemptsPerGrant());
+            int otherReservedCalls = budget.reservedCalls - (firstPending ? 1 : 0);
+            int unreserved = Math.max(0, budget.remaining - otherReservedCalls * settings.attemptsPerGrant());
             return !retryable || budget.remaining < 1
                     ? 0
                     : Math.max(firstPending ? 1 : 0, unreserved / settings.attemptsPerGrant());
--- a/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
+++ b/src/main/java/sablehinge/dataplane/budget/BudgetSettings.java
@@ -3,9 +3,10 @@
 /**
  * The operator's budget settings for one hop.
  *
- * @param maxAttempts maximum number of attempts at the last tier for one client request; limits the values of callers
- * @param maxRemainingMs maximum remaining time in milliseconds; limits the values of callers
- * @param maxValue maximum value; limits the values of callers
+ * @param maxAttempts maximum number of attempts at the last tier for one client request, regardless of the caller's
+ *     value
+ * @param maxRemainingMs maximum remaining time in milliseconds, regardless of the caller's value
+ * @param maxValue maximum value of a call, regardless of the caller's value
  * @param attemptsWithoutBudget number of attempts for a call without a readable budget where one is expected
  * @param maxCallsPerRequest maximum number of calls that one server makes for one request; their first attempts take
  *     precedence over retries
