--- a/src/main/java/sablehinge/controlplane/node/ControlStatus.java
+++ b/src/main/java/sablehinge/controlplane/node/ControlStatus.java
@@ -162,7 +162,7 @@
                     poolLine.tenant(),
                     poolLine.quota().perSecond(),
                     poolLine.quota().burst(),
-                    poolLine.left()));
+                    poolLine.available()));
         }
         return new MeshSingletonRoles(
                 node,
