--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -77,7 +77,7 @@
             new Mutant(
                     "an answer to half a request proves nothing",
                     STATE,
-                    "public AttemptState answerBegins()",
+                    "public AttemptState responseStarted()",
                     "-> ANSWERED_EARLY;",
                     "-> this;"),
             new Mutant(
@@ -209,9 +209,9 @@
             new Mutant(
                     "a try goes to more upstreams than it may",
                     "dataplane/proxy/Exchange",
-                    "boolean isSpent()",
-                    "return attemptsAtMost > 0 && ",
-                    "return attemptsAtMost < 0 && "),
+                    "boolean hasReachedServerLimit()",
+                    "return maxServers > 0 && ",
+                    "return maxServers < 0 && "),
             new Mutant(
                     "what must not run twice is begun before its turn",
                     FRONT,
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -101,7 +101,7 @@
     void start(UpstreamTarget to) {
         target = to;
         if (to == null) {
-            end(state.ends(Event.NO_CONNECTION), Payload.NONE);
+            end(state.resultOf(Event.NO_CONNECTION), Payload.NONE);
             return;
         }
         UpstreamConnection idle = to.takeIdle(context, resendable());
@@ -110,14 +110,14 @@
             begin(idle);
         } else if (!context.sockets.roomForUpstream(context.clock.now())) {
             // A shortage here says nothing of the upstream.
-            end(state.ends(Event.NO_ROOM), Payload.NONE);
+            end(state.resultOf(Event.NO_ROOM), Payload.NONE);
         } else {
             int connectTimeoutMs = (int) Math.max(1, terms.limits().connectTimeout());
             context.bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
             ChannelFuture connect = context.bootstrap.connect(to.member.address());
             if (connect.cause() instanceof ChannelException) {
                 // There is no socket, for want of a descriptor.
-                end(state.ends(Event.NO_ROOM), Payload.NONE);
+                end(state.resultOf(Event.NO_ROOM), Payload.NONE);
                 return;
             }
             channel = connect.channel();
@@ -135,7 +135,7 @@
                     channel.pipeline().get(UpstreamConnection.class).trace(TraceEvent.CONNECTED, 0);
                     begin(channel.pipeline().get(UpstreamConnection.class));
                 } else {
-                    end(state.ends(Event.NO_CONNECTION), Payload.NONE);
+                    end(state.resultOf(Event.NO_CONNECTION), Payload.NONE);
                 }
             });
         }
@@ -158,7 +158,7 @@
                 || now >= until && !isBodyPending()
                 || passing != null && passing.body().isTaken()) {
             connection.release(target);
-            end(state.ends(Event.NO_CONNECTION), Payload.NONE);
+            end(state.resultOf(Event.NO_CONNECTION), Payload.NONE);
             return;
         }
         connection.assign(this);
@@ -220,7 +220,7 @@
     }
 
     void onAnswerBytes() {
-        state = currentState().answerBegins();
+        state = currentState().responseStarted();
     }
 
     @Override
@@ -341,7 +341,7 @@
             if (channel != null) {
                 channel.close();
             }
-            finish(currentState().ends(event), Payload.NONE);
+            finish(currentState().resultOf(event), Payload.NONE);
         }
     }
 
@@ -361,7 +361,7 @@
     void onResponse(HttpResponse head, Payload payload) {
         end(
                 currentState()
-                        .ends(
+                        .resultOf(
                                 switch (context.dialect.judge(head)) {
                                     case OK -> Event.SERVED_ANSWER;
                                     case FULL -> Event.REFUSED_ANSWER;
--- a/src/main/java/sablehinge/dataplane/proxy/Answer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Answer.java
@@ -4,17 +4,17 @@
 import sablehinge.dataplane.budget.Report;
 
 /**
- * The one final answer to a request; a front renders it in its protocol.
+ * The final answer to a request; a front end writes it in its protocol.
  *
- * @param payload what the server answered where it served, otherwise {@link Payload#NONE}; lent for the call in which
- *     it is handed over
- * @param retryAfter when a refused caller ought to come back, in ms from now; 0 for no advice
- * @param spent what goes back of its budget; null for nothing
- * @param path the services that a loop has passed; empty where there is none
+ * @param payload the server's response if it served the request, otherwise {@link Payload#NONE}; valid only during the
+ *     call that passes the answer
+ * @param retryAfter when a rejected client should retry, in ms from now; 0 for no advice
+ * @param spent the budget report for the client; null for none
+ * @param path the services that a call loop has passed; empty if there is no loop
  */
 public record Answer(Kind kind, Payload payload, double retryAfter, Report spent, List<Long> path) {
 
-    /** An answer without a budget report. */
+    /** Creates an answer without a budget report. */
     public Answer(Kind kind, Payload payload, double retryAfter) {
         this(kind, payload, retryAfter, null, List.of());
     }
@@ -23,17 +23,17 @@
         return new Answer(kind, payload, retryAfter, report, path);
     }
 
-    /** The kinds of answer: only {@link #REFUSED} promises that trying again is harmless. */
+    /** The kinds of answer. Only {@link #REFUSED} promises that a retry is safe. */
     public enum Kind {
         SERVED,
         REFUSED,
-        /** The module gave it up; something may have run. */
+        /** The module failed the request; it may have run. */
         FAILED,
-        /** Nobody answered it in time; something may have run. */
+        /** No response arrived in time; the request may have run. */
         UNANSWERED,
-        /** An error of this program struck it; something may have run. */
+        /** An internal error of the proxy interrupted the request; it may have run. */
         BROKEN,
-        /** It has come back to a service that it has passed; nothing of it has run here. */
+        /** The call returned to a service that it had passed already; nothing has run here. */
         LOOP
     }
 
--- a/src/main/java/sablehinge/dataplane/proxy/AttemptState.java
+++ b/src/main/java/sablehinge/dataplane/proxy/AttemptState.java
@@ -3,62 +3,63 @@
 import sablehinge.policy.LoadBalancer.Result;
 
 /**
- * How far an attempt has come on its connection to a server, and what each way in which it can end says of it. This
- * table alone decides whether an attempt may have run ({@link Verdict}); transports report states and events.
+ * The progress of an attempt on its connection to a server, and the result for each way in which it can end. This table
+ * alone decides whether an attempt may have run ({@link Verdict}); transports only report states and events.
  *
- * <p>A server can't run what it has not been sent completely. One that has begun to answer has seen more of the request
- * than we can know, so from then on only its own word proves that nothing has run.
+ * <p>A server can't run a request that was not sent to it completely. A server that has started to respond may have
+ * received more of the request than the proxy can know, so from then on only the server's own response proves that the
+ * request has not run.
  */
 public enum AttemptState {
-    /** No byte of the request has gone to a connection. */
+    /** No byte of the request was written to a connection. */
     UNSENT,
-    /** A part of the request has, and not its last byte. */
+    /** Part of the request was written, but not its last byte. */
     PARTLY_SENT,
-    /** The system has taken its last byte. */
+    /** The kernel accepted the last byte of the request. */
     SENT,
-    /** The first byte of an answer came before the last one of the request had gone. */
+    /** The first byte of the response arrived before the last byte of the request was written. */
     ANSWERED_EARLY,
-    /** The first byte of an answer came after that. */
+    /** The first byte of the response arrived after the last byte of the request was written. */
     ANSWERING;
 
-    /** What ends an attempt. */
+    /** An event that ends an attempt. */
     public enum Event {
-        /** There is no socket, no memory or no time for it on this side. */
+        /** The proxy has no socket, memory or time left for the attempt. */
         NO_ROOM,
-        /** No connection comes up, or its upstream is to be sent nothing more. */
+        /** No connection could be established, or the upstream must not receive further requests. */
         NO_CONNECTION,
-        /** A part of the request can't be written, or nobody takes it. */
+        /** Part of the request can't be written, or the upstream does not read it. */
         WRITE_FAILED,
-        /** The connection has ended, in order or by a reset. */
+        /** The connection was closed or reset. */
         CONNECTION_ENDED,
-        /** What came is no answer, or is none to this request. */
+        /** The received bytes are no valid response, or belong to a different request. */
         MALFORMED_ANSWER,
-        /** Its time is over. */
+        /** The deadline of the attempt has passed. */
         DEADLINE,
-        /** Nobody waits for it any more. */
+        /** The attempt is no longer needed. */
         CANCELLED,
-        /** A complete answer says that the request has not run. */
+        /** A complete response states that the request has not run. */
         REFUSED_ANSWER,
-        /** A complete answer that is no success. */
+        /** A complete response that is not a success. */
         FAILED_ANSWER,
-        /** A success, complete or to be passed on. */
+        /** A successful response, either complete or streamed to the client. */
         SERVED_ANSWER
     }
 
-    /** The state once the first byte of an answer has come. */
-    public AttemptState answerBegins() {
+    /** The state after the first byte of the response. */
+    public AttemptState responseStarted() {
         return switch (this) {
             case UNSENT, PARTLY_SENT, ANSWERED_EARLY -> ANSWERED_EARLY;
             case SENT, ANSWERING -> ANSWERING;
         };
     }
 
-    /** The state once a part of the request has been handed to its connection. */
+    /** The state after part of the request was written to the connection. */
     public AttemptState partSent() {
         return this == UNSENT ? PARTLY_SENT : this;
     }
 
-    /** The state once the last byte of the request has gone. */
+    /** The state after the last byte of the request was written. */
     public AttemptState fullySent() {
         return switch (this) {
             case UNSENT, PARTLY_SENT, SENT -> SENT;
@@ -66,13 +67,13 @@
         };
     }
 
-    /** Whether nothing but its server's word can prove that it has not run. */
+    /** Whether only the server's response can prove that the request has not run. */
     public boolean mayHaveRun() {
         return this != UNSENT && this != PARTLY_SENT;
     }
 
-    /** How an attempt in this state ends by an event. */
-    public Result ends(Event event) {
+    /** The result of an attempt that is ended in this state by an event. */
+    public Result resultOf(Event event) {
         return switch (event) {
             case NO_ROOM -> mayHaveRun() ? Result.ERROR : Result.NOT_SENT;
             case NO_CONNECTION -> mayHaveRun() ? Result.RESET : Result.CONNECT_FAILED;
@@ -82,7 +83,7 @@
             case CANCELLED -> Result.CANCELLED;
             case REFUSED_ANSWER -> Result.FULL;
             case FAILED_ANSWER -> Result.ERROR;
-            // What is served before the request is complete was made for something else.
+            // A success that arrives before the request is sent completely can't belong to this request.
             case SERVED_ANSWER -> this == SENT || this == ANSWERING ? Result.OK : Result.ERROR;
         };
     }
--- a/src/main/java/sablehinge/dataplane/proxy/Caller.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Caller.java
@@ -1,12 +1,12 @@
 package sablehinge.dataplane.proxy;
 
-/** Who waits for the answer to a request. */
+/** The client side of a request, which waits for its answer. */
 public interface Caller {
 
-    /** Takes the answer; called once at most, on the thread that owns the core. */
+    /** Receives the answer; called at most once, on the thread that owns the proxy. */
     void answer(Answer answer);
 
-    /** What the caller calls its request; empty if it has no name for it. Read before the answer. */
+    /** The client's name for its request; empty if it has none. Read before the answer is passed. */
     default String requestName() {
         return "";
     }
--- a/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ChainBudgets.java
@@ -14,21 +14,21 @@
 import sablehinge.policy.LoadBalancer;
 import sablehinge.policy.LoadBalancer.Result;
 
-/** The budgets of a chain of tiers at this hop, where they are switched on. */
+/** Attempt budgets, load shedding and loop detection at one hop of a chain of services. */
 public final class ChainBudgets {
 
     private static final int MAX_LOOPS = 64;
 
     final AttemptBudgets attemptBudgets;
-    final MinimumTime least = new MinimumTime();
-    /** Whether it is clients of outside that call here, whose word on budgets counts for nothing. */
+    final MinimumTime minimumTime = new MinimumTime();
+    /** Whether this hop is the entry of the chain: budgets sent by external clients are ignored. */
     final boolean entry;
 
     private static final double TICK_MS = 20;
-    /** Share of the time of an attempt after which its end is a sign of too much work. */
-    private static final double LATE = 0.8;
+    /** An attempt that ends after more than this share of its time is counted as a sign of overload. */
+    private static final double LATE_SHARE_OF_TIME = 0.8;
 
-    /** Null where no load is shed here. */
+    /** Null if load shedding is off. */
     private final LoadShedder shedder;
 
     private PauseDetector pauses;
@@ -36,20 +36,20 @@
     private final Consumer<String> report;
 
     /**
-     * The budgets of a hop that stands for a service.
+     * Creates the budgets of a hop that represents a service.
      *
-     * @param shed how load is shed by value; null for not at all
-     * @param report takes a line for operators
+     * @param shedding settings of load shedding by value; null to switch it off
+     * @param report receives lines for operators
      */
     public ChainBudgets(
-            BudgetSettings terms,
-            LoadShedder.Settings shed,
+            BudgetSettings settings,
+            LoadShedder.Settings shedding,
             long service,
             boolean entry,
             long seed,
             Consumer<String> report) {
-        shedder = shed == null ? null : new LoadShedder(shed, seed);
-        attemptBudgets = new AttemptBudgets(terms, service, seed);
+        shedder = shedding == null ? null : new LoadShedder(shedding, seed);
+        attemptBudgets = new AttemptBudgets(settings, service, seed);
         this.entry = entry;
         this.report = report;
     }
@@ -64,63 +64,66 @@
         timers.at(clock.now() + TICK_MS, () -> tick(timers, clock));
     }
 
-    double waited(double now) {
+    double pausedMs(double now) {
         return pauses.waited(now);
     }
 
-    /** Whether a call that was taken in may go on, by its value among those of all callers. */
+    /** Whether load shedding lets an admitted call proceed, by its value compared with the calls of all callers. */
     boolean admits(double now, Arrival arrival, AttemptBudgets.Admission admission) {
         if (shedder == null) {
             return true;
         }
-        // Who called last: the service before this one, or at the entry the tenant.
+        // The direct caller: the previous service of the path, or the tenant at the entry.
         String caller = admission.path().size() < 2
                 ? "tenant " + arrival.tenant()
                 : Long.toHexString(admission.path().get(admission.path().size() - 2));
         return shedder.admits(now, caller, admission.call().value(), arrival.cost() > 0 ? arrival.cost() : 1);
     }
 
-    /** How an attempt ended: what is late, or was rejected by a full server, is a sign of overload. */
-    private void ended(double now, double sentAt, double deadline, Result result) {
+    /** Records the end of an attempt: a late end or a rejection by a full server is a sign of overload. */
+    private void recordAttemptEnd(double now, double sentAt, double deadline, Result result) {
         if (result == Result.OK) {
-            least.served(now, now - sentAt);
+            minimumTime.served(now, now - sentAt);
         }
-        boolean late = result == Result.FULL || now - sentAt > LATE * (deadline - sentAt);
+        boolean late = result == Result.FULL || now - sentAt > LATE_SHARE_OF_TIME * (deadline - sentAt);
         if (shedder != null && (late || result == Result.OK)) {
             shedder.felt(now, late);
         }
     }
 
-    /** What the next attempt of a request may take of its budget; null if that is used up. */
-    AttemptBudgets.Grant take(Exchange exchange, double now) {
-        return attemptBudgets.take(exchange.budget, now, mayRepeat(exchange), least.value(now));
+    /** Grants the next attempt a part of the request's budget; null if the budget is used up. */
+    AttemptBudgets.Grant grantAttempt(Exchange exchange, double now) {
+        return attemptBudgets.take(exchange.budget, now, mayRepeat(exchange), minimumTime.value(now));
     }
 
-    /** An attempt is over, whether it went out or not: its grant is settled. */
-    void attemptFinished(double now, SentAttempt sent, AttemptResult end) {
+    /** Settles the grant of an attempt that has ended, whether it was sent or not. */
+    void attemptFinished(double now, SentAttempt sent, AttemptResult result) {
         Exchange exchange = sent.exchange;
         AttemptBudgets.Grant grant = sent.number < exchange.grants.size() ? exchange.grants.get(sent.number) : null;
         if (grant == null) {
             return;
         }
-        if (end.result().neverRan()) {
+        if (result.result().neverRan()) {
             attemptBudgets.neverRan(grant);
         } else {
-            attemptBudgets.over(grant, end.spent(), end.result() == Result.OK);
+            attemptBudgets.over(grant, result.spent(), result.result() == Result.OK);
         }
-        if (end.result() != Result.NOT_SENT && end.result() != Result.CANCELLED) {
-            ended(now, Math.max(sent.at, exchange.endedAt), exchange.deadline, end.result());
+        if (result.result() != Result.NOT_SENT && result.result() != Result.CANCELLED) {
+            recordAttemptEnd(now, Math.max(sent.sentAt, exchange.receivedAt), exchange.deadline, result.result());
         }
     }
 
-    /** A request is answered; what it has spent. A refusal promises that another try is harmless. */
+    /**
+     * Closes the budget of an answered request and returns what it has spent. A rejection promises that a retry is
+     * safe.
+     */
     Report close(Exchange exchange, Answer.Kind kind) {
-        // A failure may be tried again where its class may.
-        boolean again = kind == Answer.Kind.REFUSED || kind != Answer.Kind.SERVED && mayRepeat(exchange);
-        return attemptBudgets.close(exchange.budget, again);
+        // A failed request may be retried if its class allows it.
+        boolean mayRetry = kind == Answer.Kind.REFUSED || kind != Answer.Kind.SERVED && mayRepeat(exchange);
+        return attemptBudgets.close(exchange.budget, mayRetry);
     }
 
-    /** A request is forgotten. */
+    /** Closes the budget of a request that is removed. */
     void close(Exchange exchange) {
         attemptBudgets.close(exchange.budget, false);
     }
@@ -131,16 +134,16 @@
                 != LoadBalancer.Repeat.AT_MOST_ONCE;
     }
 
-    /** A call has come back to this service: logged once a loop. */
-    void looped(List<Long> path) {
+    /** Logs a call that returned to this service, once for each distinct loop. */
+    void reportLoop(List<Long> path) {
         if (loops.isNew(path)) {
-            report.accept("a loop of calls: " + formatPath(path) + "; what "
-                    + (path.size() < 2 ? "came first" : Long.toHexString(path.get(path.size() - 2)))
-                    + " sends to comes back here");
+            report.accept("call loop detected: " + formatPath(path) + "; upstreams of "
+                    + (path.size() < 2 ? "the first service" : Long.toHexString(path.get(path.size() - 2)))
+                    + " call back into this service");
         }
     }
 
-    /** A path as it is shown. */
+    /** Formats a path for logs and headers. */
     public static String formatPath(List<Long> path) {
         return String.join(" > ", path.stream().map(Long::toHexString).toList());
     }
--- a/src/main/java/sablehinge/dataplane/proxy/DeferredAttempt.java
+++ b/src/main/java/sablehinge/dataplane/proxy/DeferredAttempt.java
@@ -3,54 +3,56 @@
 import java.util.function.Consumer;
 import sablehinge.policy.LoadBalancer.Result;
 
-/** An attempt that goes out once the right to it has come; a request that still comes has one only. */
+/**
+ * An attempt that is sent once its permit arrives. A request that is still being received has a single attempt only.
+ */
 final class DeferredAttempt implements Transport.Attempt, Consumer<Runnable> {
 
-    private final RequestProxy core;
+    private final RequestProxy proxy;
     private final SentAttempt sent;
     private final double until;
-    private Transport.Attempt sending;
+    private Transport.Attempt attempt;
     private boolean ended;
 
-    DeferredAttempt(RequestProxy core, SentAttempt sent, double until) {
-        this.core = core;
+    DeferredAttempt(RequestProxy proxy, SentAttempt sent, double until) {
+        this.proxy = proxy;
         this.sent = sent;
         this.until = until;
     }
 
     @Override
-    public void accept(Runnable extra) {
+    public void accept(Runnable returnPermit) {
         Exchange exchange = sent.exchange;
-        if (ended || !exchange.isOpen() || core.now() >= until || !core.mayStart() || !exchange.request.canBeSent()) {
-            if (extra != null) {
-                extra.run();
+        if (ended || !exchange.isOpen() || proxy.now() >= until || !proxy.mayStart() || !exchange.request.canBeSent()) {
+            if (returnPermit != null) {
+                returnPermit.run();
             }
             end(Result.NOT_SENT);
-        } else if (extra == null) {
+        } else if (returnPermit == null) {
             end(Result.NOT_SENT);
         } else {
             ended = true;
-            exchange.reaches(extra);
-            sending = core.sendNow(sent, until, null);
+            exchange.countServer(returnPermit);
+            attempt = proxy.sendNow(sent, until, null);
         }
     }
 
     private void end(Result result) {
         if (!ended) {
             ended = true;
-            core.finished(sent, Double.NaN, AttemptResult.without(result));
+            proxy.onAttemptFinished(sent, Double.NaN, AttemptResult.without(result));
         }
     }
 
     @Override
     public boolean mayHaveRun() {
-        return sending != null && sending.mayHaveRun();
+        return attempt != null && attempt.mayHaveRun();
     }
 
     @Override
     public void cancel() {
-        if (sending != null) {
-            sending.cancel();
+        if (attempt != null) {
+            attempt.cancel();
         } else {
             end(Result.CANCELLED);
         }
--- a/src/main/java/sablehinge/dataplane/proxy/Exchange.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Exchange.java
@@ -6,52 +6,60 @@
 import sablehinge.common.eventloop.Timers;
 import sablehinge.dataplane.budget.AttemptBudgets;
 
-/** A request from its arrival until it has its one answer and none of its attempts is out. */
+/** A request from its arrival until it has its final answer and none of its attempts is in flight. */
 public final class Exchange {
 
     final long id;
     final Version version;
     final Payload request;
-    /** Infinite while the request is still coming, as its time counts from its end. */
+    /** Infinite while the request is still being received, as the timeout counts from the end of the request. */
     double deadline;
 
     final int serviceClass;
     final double arrivedAt;
     final List<Transport.Attempt> attempts = new ArrayList<>(2);
-    /** How many attempts were requested, and how many of them are out; one not sent is null in the list. */
-    int sends;
-
-    int running;
-    /** The numbers of those out whose answer has begun to come. */
-    final List<Integer> begun = new ArrayList<>(0);
-
-    Timers.Timer overdue;
-    /** While the request is still coming: the time that it will have, and what the attempt may take of it. */
-    boolean coming;
-
-    final double remaining;
+    /**
+     * The number of attempts requested by the module, and of those in flight. An attempt that was not sent is null in
+     * the list.
+     */
+    int requestedAttempts;
+
+    int runningAttempts;
+    /** Numbers of the attempts in flight whose response has started to arrive. */
+    final List<Integer> respondingAttempts = new ArrayList<>(0);
+
+    Timers.Timer overdueTimer;
+    /**
+     * Whether the request is still being received; the timeout that starts at its end, and the part of it for its
+     * attempt.
+     */
+    boolean receiving;
+
+    final double timeoutMs;
     double queueTimeoutMs;
-    /** When it had come to its end, before which no attempt is measured. */
-    double endedAt = Double.NEGATIVE_INFINITY;
-    /** Its budget, and what each attempt was granted of it; null where budgets are off. */
+    /** When the request was received completely; the latency of attempts is not measured before that. */
+    double receivedAt = Double.NEGATIVE_INFINITY;
+    /** The attempt budget and what each attempt was granted of it; null if budgets are off. */
     AttemptBudgets.Call budget;
 
     final List<AttemptBudgets.Grant> grants = new ArrayList<>(0);
-    /** The most servers that it may reach, 0 for no bound; how many it may have reached. */
-    private final int attemptsAtMost;
-
-    int reached;
-    /** What was taken for each of those but one. */
-    private final ArrayDeque<Runnable> extras = new ArrayDeque<>(0);
-    /** Timers that the module set about it meanwhile: their tokens, and how long after now. */
-    final List<Wait> waits = new ArrayList<>(0);
-    /** What a server answered that failed it, kept for its caller; nothing where none did. */
-    Payload failure = Payload.NONE;
+    /** How many servers the request may reach, 0 for no limit; how many it may have serversReached. */
+    private final int maxServers;
+
+    int serversReached;
+    /** Actions that return the permits acquired for each serversReached server after the first. */
+    private final ArrayDeque<Runnable> permits = new ArrayDeque<>(0);
+    /** Timers that the module set for the request while it was being received. */
+    final List<DeferredTimer> deferredTimers = new ArrayList<>(0);
+    /**
+     * The response of a server that failed the request, retained for the client; {@link Payload#NONE} if there is none.
+     */
+    Payload failureResponse = Payload.NONE;
 
     private Caller caller;
 
-    /** A timer that is not set yet. */
-    record Wait(long token, double delay) {}
+    /** A timer to be set once the request is received, with its delay from that time. */
+    record DeferredTimer(long token, double delayMs) {}
 
     Exchange(long id, Version version, Arrival arrival, Payload request, double arrivedAt, Caller caller) {
         this.id = id;
@@ -59,18 +67,18 @@
         this.request = request;
         this.arrivedAt = arrivedAt;
         deadline = arrival.deadline();
-        remaining = arrival.deadline() - arrivedAt;
+        timeoutMs = arrival.deadline() - arrivedAt;
         serviceClass = arrival.serviceClass();
-        attemptsAtMost = arrival.maxAttempts();
+        maxServers = arrival.maxAttempts();
         this.caller = caller;
     }
 
-    /** Whether somebody waits for its answer. */
+    /** Whether the client still waits for the answer. */
     public boolean isOpen() {
         return caller != null;
     }
 
-    /** Answers unless that is done already or nobody waits any more; tells whether it did. */
+    /** Answers the client if it still waits; returns whether it did. */
     boolean answer(Answer answer) {
         Caller waiting = caller;
         if (waiting == null) {
@@ -81,48 +89,53 @@
         return true;
     }
 
-    /** Whether an attempt of it was sent completely, or has had a part of an answer, and so may have run. */
+    /** Whether some attempt was sent completely or received part of a response, and so may have run. */
     public boolean mayHaveRun() {
         return attempts.stream().anyMatch(attempt -> attempt != null && attempt.mayHaveRun());
     }
 
-    /** Keeps what a server answered that failed it in place of what was kept before. */
-    void failed(Payload answer) {
-        failure.release();
-        failure = answer;
+    /** Retains the response of a server that failed the request and releases the previous one. */
+    void retainFailure(Payload response) {
+        failureResponse.release();
+        failureResponse = response;
     }
 
-    /** Whether it may reach no more servers. */
-    boolean isSpent() {
-        return attemptsAtMost > 0 && reached >= attemptsAtMost;
+    /** Whether the request must not reach further servers. */
+    boolean hasReachedServerLimit() {
+        return maxServers > 0 && serversReached >= maxServers;
     }
 
-    /** An attempt goes out for which this was taken; null where no other may have reached a server. */
-    void reaches(Runnable extra) {
-        reached++;
-        if (extra != null) {
-            extras.add(extra);
+    /**
+     * Counts an attempt that is sent. {@code returnPermit} is null if no earlier attempt may have serversReached a
+     * server.
+     */
+    void countServer(Runnable returnPermit) {
+        serversReached++;
+        if (returnPermit != null) {
+            permits.add(returnPermit);
         }
     }
 
-    /** An attempt that went out has reached nobody. */
-    void reachedNobody() {
-        reached--;
-        if (reached > 0) {
-            extras.remove().run();
+    /**
+     * Uncounts an attempt that serversReached no server, and returns one permit if other attempts are still counted.
+     */
+    void uncountServer() {
+        serversReached--;
+        if (serversReached > 0) {
+            permits.remove().run();
         }
     }
 
-    /** What its caller calls it. */
+    /** The client's name for the request; empty if there is none. */
     String requestName() {
         return caller == null ? "" : caller.requestName();
     }
 
-    /** Nobody waits for an answer any more. */
+    /** Marks that the client no longer waits for an answer. */
     void close() {
         caller = null;
-        if (overdue != null) {
-            overdue.cancel();
+        if (overdueTimer != null) {
+            overdueTimer.cancel();
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/proxy/LiveVersions.java
+++ b/src/main/java/sablehinge/dataplane/proxy/LiveVersions.java
@@ -3,14 +3,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The versions of the configuration that are in use: by new requests, or by requests that arrived under them. */
+/** The configuration versions in use, either by new requests or by requests that arrived under them. */
 final class LiveVersions {
 
     private static final class Entry {
         final Version version;
-        /** Requests that arrived under it and are not forgotten. */
+        /** Requests that arrived under this version and are not removed yet. */
         int requests;
-        /** Whether no request will arrive under it again. */
+        /** Whether no further request will arrive under this version. */
         boolean released;
 
         Entry(Version version) {
@@ -18,15 +18,15 @@
         }
     }
 
-    /** By the version's number. */
+    /** Keyed by version number. */
     private final Map<Integer, Entry> entries = new HashMap<>();
 
-    /** Requests may arrive under a version, perhaps again. */
+    /** Lets requests arrive under a version, possibly one that was released before. */
     void adopt(Version version) {
         entries.computeIfAbsent(version.number(), number -> new Entry(version)).released = false;
     }
 
-    /** No request will arrive under a version again. */
+    /** Marks a version under which no further request will arrive. */
     void release(int number) {
         Entry entry = entries.get(number);
         if (entry != null) {
@@ -42,7 +42,7 @@
         entries.get(number).requests--;
     }
 
-    /** Drops a released version with its last request; returns it, or null where it is still in use. */
+    /** Removes a released version that has no requests left; returns it, or null if it is still in use. */
     Version removeIfUnused(int number, Version current) {
         Entry entry = entries.get(number);
         if (entry == null || !entry.released || entry.requests > 0 || entry.version == current) {
--- a/src/main/java/sablehinge/dataplane/proxy/MonitoredRelay.java
+++ b/src/main/java/sablehinge/dataplane/proxy/MonitoredRelay.java
@@ -1,29 +1,29 @@
 package sablehinge.dataplane.proxy;
 
-/** Bytes on their way through the process, from one connection to another, as a watch sees them. */
+/** A relay of bytes from one connection to another, as the stall watch sees it. */
 public interface MonitoredRelay {
 
-    /** The number of the connection that they are written to. */
+    /** The number of the connection that is written to. */
     int connection();
 
-    /** Bytes handed to the writer so far. */
+    /** Bytes passed to the writer so far. */
     long bytesForwarded();
 
-    /** Bytes that the writer has and its kernel has not. */
+    /** Bytes buffered in the writer that the kernel has not accepted yet. */
     long unwrittenBytes();
 
-    /** Whether the writer has bytes that were not flushed yet, and none that were. */
+    /** Whether all bytes buffered in the writer are unflushed, and there are some. */
     boolean isUnflushed();
 
-    /** Whether the reader is paused. */
+    /** Whether reading is paused. */
     boolean isPaused();
 
-    /** Whether the writer can take more. */
+    /** Whether the writer accepts more bytes. */
     boolean isWritable();
 
     /**
-     * Reads at once what the kernel holds for the reader, unless it waits, and hands the writer's kernel what it can
-     * take. Where all goes well there is nothing to be done.
+     * Reads the bytes available in the kernel unless reading is paused, and flushes to the kernel as many bytes as it
+     * accepts. Does nothing if no wake-up was lost.
      */
     void resume();
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Observer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Observer.java
@@ -1,15 +1,15 @@
 package sablehinge.dataplane.proxy;
 
-/** Sees every answer that core gives; for records and for deciders beside the requests' own. */
+/** Observes every answer of the proxy, for records and for decisions other than those on single requests. */
 public interface Observer {
 
     /**
-     * An answer was handed to its caller.
+     * Called after an answer was passed to its client.
      *
-     * @param request what its caller calls it; empty if it has no name
+     * @param request the client's name for the request; empty if it has none
      * @param version under which the request arrived
      * @param serviceClass index into the classes of that version
-     * @param attempts how many were requested
+     * @param attempts the number of attempts that the module requested
      * @param elapsed ms since the request arrived
      */
     void answered(String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed);
--- a/src/main/java/sablehinge/dataplane/proxy/Payload.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Payload.java
@@ -1,24 +1,27 @@
 package sablehinge.dataplane.proxy;
 
 /**
- * What a front hands to a transport, or a transport to a front, and core does not look into. It is counted by
- * reference, since it may lie in memory that a pool wants back: whoever holds it releases it once.
+ * A message that the proxy passes between a front end and a transport without reading it. It is reference-counted
+ * because it may occupy pooled memory: each owner of a reference releases it once.
  */
 public interface Payload {
 
-    /** A payload of nothing, which may be released any number of times. */
+    /** The empty payload, which may be released any number of times. */
     Payload NONE = () -> {};
 
-    /** Whether a transport can send it now: what passes through as it comes can be sent once. */
+    /** Whether a transport can send it now. A streamed payload can be sent only once. */
     default boolean canBeSent() {
         return true;
     }
 
-    /** The same, held once more by whoever asks; nothing where it passes through and can't be kept. */
+    /**
+     * The same payload with one more reference for the calling code; {@link #NONE} if it is streamed and can't be
+     * retained.
+     */
     default Payload retain() {
         return NONE;
     }
 
-    /** Gives back what it holds; it is not to be used afterwards. */
+    /** Releases one reference; the owner must not use the payload afterwards. */
     void release();
 }
--- a/src/main/java/sablehinge/dataplane/proxy/ProxyShutdown.java
+++ b/src/main/java/sablehinge/dataplane/proxy/ProxyShutdown.java
@@ -10,8 +10,8 @@
 import sablehinge.common.logging.Log;
 
 /**
- * What the end of the process means for a proxy's requests: until when attempts begin, and what becomes of those that
- * are still open. Belongs to the thread that owns the proxy.
+ * Graceful shutdown of a proxy's requests: decides until when attempts may start, and answers the requests that are
+ * still open at the end. Owned by the thread of the proxy.
  */
 final class ProxyShutdown {
 
@@ -21,14 +21,14 @@
     private final Timers timers;
     private final Collection<Exchange> exchanges;
     private final BiConsumer<Exchange, Answer> abort;
-    /** Null unless the process is about to end. */
+    /** Null unless the process is shutting down. */
     private ShutdownDeadlines deadlines;
 
     /**
-     * Nothing ends yet.
+     * Creates the shutdown of a proxy in normal operation.
      *
-     * @param exchanges those that are not forgotten, as they change
-     * @param abort answers one over the module's head
+     * @param exchanges live view of the requests that are not removed yet
+     * @param abort answers a request without the module
      */
     ProxyShutdown(Clock clock, Timers timers, Collection<Exchange> exchanges, BiConsumer<Exchange, Answer> abort) {
         this.clock = clock;
@@ -37,54 +37,57 @@
         this.abort = abort;
     }
 
-    /** The process is about to end: from now on nothing begins that could not be answered before that. */
-    void begin(ShutdownDeadlines times) {
-        deadlines = times;
-        timers.at(times.startUntil(), this::refuseIncomplete);
+    /** Begins the shutdown: from now on no attempt starts that could not be answered before the process ends. */
+    void begin(ShutdownDeadlines shutdownDeadlines) {
+        deadlines = shutdownDeadlines;
+        timers.at(shutdownDeadlines.startUntil(), this::refuseIncomplete);
     }
 
-    /** Whether an attempt may begin now. */
+    /** Whether an attempt may start now. */
     boolean mayStart() {
         return deadlines == null || deadlines.mayStart(clock.now());
     }
 
-    /** The answer to a request that is not taken; only where one may not start. */
+    /** The answer to a request that is not admitted; valid only after {@link #begin}. */
     Answer refusal() {
         return deadlines.refusal();
     }
 
-    /** A request of which the rest has still to come can't be answered any more; no upstream has had all of it. */
+    /**
+     * Rejects requests that are still being received: they can't be answered in time, and no upstream has received one
+     * completely.
+     */
     private void refuseIncomplete() {
         for (Exchange exchange : List.copyOf(exchanges)) {
-            if (exchange.isOpen() && exchange.coming && !exchange.mayHaveRun()) {
+            if (exchange.isOpen() && exchange.receiving && !exchange.mayHaveRun()) {
                 abort.accept(exchange, deadlines.refusal());
             }
         }
     }
 
     /**
-     * Ends what still waits for an answer: refuses what no upstream can have run, and fails the rest.
+     * Answers all open requests: rejects those that no upstream can have run, and fails the rest.
      *
-     * @return how many requests that were
+     * @return the number of these requests
      */
     int abortAll() {
         List<Exchange> open = exchanges.stream().filter(Exchange::isOpen).toList();
         for (Exchange exchange : open) {
-            logGivenUp(exchange);
+            logAborted(exchange);
             boolean refused = deadlines != null && !exchange.mayHaveRun();
             abort.accept(exchange, refused ? deadlines.refusal() : Answer.of(Answer.Kind.UNANSWERED));
         }
         return open.size();
     }
 
-    private void logGivenUp(Exchange exchange) {
+    private void logAborted(Exchange exchange) {
         Log.warn(LOG, "given-up")
                 .addKeyValue("request", exchange.id)
                 .addKeyValue("age-ms", Math.round(clock.now() - exchange.arrivedAt))
                 .addKeyValue("left-ms", Math.round(exchange.deadline - clock.now()))
-                .addKeyValue("attempts", exchange.sends)
-                .addKeyValue("running", exchange.running)
+                .addKeyValue("attempts", exchange.requestedAttempts)
+                .addKeyValue("running", exchange.runningAttempts)
                 .addKeyValue("may-have-run", exchange.mayHaveRun())
-                .log("a request is given up at the end of the process");
+                .log("request aborted at the end of the shutdown");
     }
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Registry.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Registry.java
@@ -1,11 +1,11 @@
 package sablehinge.dataplane.proxy;
 
-/** Where the list of servers comes from; what it brings goes to {@link RequestProxy#onRosterChanged}. */
+/** The source of server lists, which it passes to {@link RequestProxy#onRosterChanged}. */
 public interface Registry {
 
-    /** Requests the complete list once. */
+    /** Fetches the complete list once. */
     void fetch();
 
-    /** Begins to watch for changes, anew if it does so already, or ends that. */
-    void watch(boolean on);
+    /** Starts or restarts watching for changes, or stops it. */
+    void watch(boolean enabled);
 }
--- a/src/main/java/sablehinge/dataplane/proxy/RequestAdmission.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestAdmission.java
@@ -5,58 +5,61 @@
 import sablehinge.policy.LoadBalancer;
 
 /**
- * Whether a request is taken in, before it reaches the module. What is refused here has not run, so that its caller may
- * try again without harm.
+ * Admission control for requests before they reach the module. A request that is rejected here has not run, so the
+ * client can retry it safely.
  */
 final class RequestAdmission {
 
-    /** Null where budgets are off. */
+    /** Null if budgets are off. */
     private ChainBudgets budgets;
 
     /**
-     * What becomes of an arrival.
+     * The admission decision for a request.
      *
-     * @param arrival as it is taken in, by its budget perhaps with an earlier deadline
-     * @param budget null where budgets are off, or where it is refused
-     * @param refusal null where it is taken in
+     * @param arrival the request as admitted; its budget may have moved its deadline forward
+     * @param budget null if budgets are off or the request is rejected
+     * @param refusal null if the request is admitted
      */
     record Decision(Arrival arrival, AttemptBudgets.Call budget, Answer refusal) {
 
-        private static Decision refused(Arrival arrival, Answer answer) {
+        private static Decision rejected(Arrival arrival, Answer answer) {
             return new Decision(arrival, null, answer);
         }
     }
 
-    /** Switches budgets on for what arrives from now on. */
+    /** Enables budgets for requests that arrive from now on. */
     void setBudgets(ChainBudgets chainBudgets) {
         budgets = chainBudgets;
     }
 
-    /** Decides on an arrival, while so many requests are at work. */
+    /** Decides whether to admit a request while {@code open} requests are in flight. */
     Decision decide(double now, Version version, Arrival arrival, int open) {
         LoadBalancer.Limits limits = version.settings().limits();
         if (open >= limits.maxOpen()) {
-            // So many are at work that the module isn't consulted.
-            return Decision.refused(arrival, new Answer(Answer.Kind.REFUSED, Payload.NONE, retryAfter(limits)));
+            // At the limit of requests in flight, the module is not consulted.
+            return Decision.rejected(arrival, new Answer(Answer.Kind.REFUSED, Payload.NONE, retryAfter(limits)));
         }
         if (budgets == null || arrival.budget() == null) {
             return new Decision(arrival, null, null);
         }
         double value = version.settings().classes().get(arrival.serviceClass()).value();
         AttemptBudgets.Admission admission = budgets.attemptBudgets.arrive(
-                now, arrival.budget(), budgets.entry, arrival.deadline() - now, budgets.waited(now), value);
+                now, arrival.budget(), budgets.entry, arrival.deadline() - now, budgets.pausedMs(now), value);
         AttemptBudgets.Call call = admission.call();
         if (call == null) {
-            return Decision.refused(arrival, withoutBudget(admission, limits));
+            return Decision.rejected(arrival, rejectByBudget(admission, limits));
         }
         if (!budgets.admits(now, arrival, admission)) {
-            return Decision.refused(arrival, shed(call, limits));
+            return Decision.rejected(arrival, rejectByLoadShedding(call, limits));
         }
         return new Decision(arrival.withDeadline(Math.min(arrival.deadline(), call.deadline())), call, null);
     }
 
-    /** What has the least value is refused first, and another attempt elsewhere is no use: all are as busy. */
-    private Answer shed(AttemptBudgets.Call call, LoadBalancer.Limits limits) {
+    /**
+     * Load shedding rejects requests of the least value first. Retrying through another proxy is useless, as all are
+     * equally loaded.
+     */
+    private Answer rejectByLoadShedding(AttemptBudgets.Call call, LoadBalancer.Limits limits) {
         return new Answer(
                 Answer.Kind.REFUSED,
                 Payload.NONE,
@@ -65,9 +68,9 @@
                 List.of());
     }
 
-    private Answer withoutBudget(AttemptBudgets.Admission admission, LoadBalancer.Limits limits) {
+    private Answer rejectByBudget(AttemptBudgets.Admission admission, LoadBalancer.Limits limits) {
         if (admission.refusal() == AttemptBudgets.Refusal.LOOP) {
-            budgets.looped(admission.path());
+            budgets.reportLoop(admission.path());
             return new Answer(Answer.Kind.LOOP, Payload.NONE, 0, admission.report(), admission.path());
         }
         boolean full = admission.refusal() == AttemptBudgets.Refusal.FULL;
@@ -75,7 +78,7 @@
                 Answer.Kind.REFUSED, Payload.NONE, full ? retryAfter(limits) : 0, admission.report(), List.of());
     }
 
-    /** After how many s a caller that is refused may try again; 0 where nothing is said of it. */
+    /** When a rejected client may retry; 0 if the settings give no advice. */
     private static double retryAfter(LoadBalancer.Limits limits) {
         return limits.retryAfter() ? limits.maxRetryAfter() : 0;
     }
--- a/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RequestProxy.java
@@ -18,9 +18,9 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * Owns the decision module: reports events to it, executes its actions, and sees to it that each request has exactly
- * one final answer. It decides nothing itself and knows no protocol. One thread owns it with all that it calls, so
- * nothing is locked.
+ * Owns the decision module: reports events to it, executes its actions, and ensures that each request receives exactly
+ * one final answer. It makes no load-balancing decisions itself and is independent of protocols. A single thread owns
+ * it and everything that it calls, so it needs no locks.
  */
 public final class RequestProxy implements LoadBalancer.Actions {
 
@@ -29,7 +29,7 @@
     private final Timers timers;
     private final LoadBalancer balancer;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final DecisionQueue decisions = new DecisionQueue(this::setDeferredTimers, this::onModuleFailure);
+    private final DecisionQueue decisions = new DecisionQueue(this::setTimersIfNoneInFlight, this::onModuleFailure);
     private final RequestAdmission admission = new RequestAdmission();
     private Transport transport;
     private Registry registry;
@@ -38,13 +38,13 @@
     private Tracer tracer = Tracer.OFF;
     private ChainBudgets budgets;
     private RetryLimiter retryLimiter;
-    /** Versions that are not forgotten yet, by their numbers. */
+    /** The configuration versions in use. */
     private final LiveVersions versions = new LiveVersions();
 
     private long lastId;
     private final ProxyShutdown shutdown;
 
-    /** A core with the given module, which is handed its actions. */
+    /** Creates a proxy; {@code module} creates the decision module from the actions that it may take. */
     public RequestProxy(Clock clock, Timers timers, Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.clock = clock;
         this.timers = timers;
@@ -52,7 +52,7 @@
         shutdown = new ProxyShutdown(clock, timers, exchanges.values(), this::abort);
     }
 
-    /** Begins to decide with a first version and the servers as they were last known. */
+    /** Starts the proxy with a first version and the last known servers. */
     public void start(Version first, long seed, Roster known, Transport attemptTransport, Registry source) {
         version = first;
         versions.adopt(first);
@@ -65,16 +65,16 @@
         decisions.call(null, () -> balancer.upstreamsChanged(clock.now(), Change.CACHED, upstreams));
     }
 
-    /** The version under which a request arrives now. */
+    /** The version under which requests arrive now. */
     public Version version() {
         return version;
     }
 
     /**
-     * Lets requests arrive under another version from now on, or again under one that was not released. Those that have
-     * arrived keep theirs.
+     * Adopts a new version, or one that was not released, for requests that arrive from now on. Earlier requests retain
+     * their version.
      *
-     * @param servers the complete list of the servers of that version
+     * @param servers the complete server list of that version
      */
     public void adopt(Version next, Roster servers) {
         version = next;
@@ -87,13 +87,15 @@
         decisions.call(null, () -> balancer.upstreamsChanged(clock.now(), Change.FULL, upstreams));
     }
 
-    /** Nothing goes back to a version: it is forgotten with the last request that arrived under it. */
+    /**
+     * Releases a version, which will not be adopted again: it is removed with the last request that arrived under it.
+     */
     public void release(int number) {
         versions.release(number);
-        forgetIfUnused(number);
+        removeIfUnused(number);
     }
 
-    private void forgetIfUnused(int number) {
+    private void removeIfUnused(int number) {
         Version unused = versions.removeIfUnused(number, version);
         if (unused != null) {
             decisions.call(null, () -> balancer.forget(clock.now(), unused.settings()));
@@ -101,40 +103,40 @@
     }
 
     /**
-     * Servers that a source which is not the current one's says are draining or gone: requests of an older version must
-     * not go there either.
+     * Reports servers that are draining or have left, from a source other than the current one: requests of older
+     * versions must not be sent there either.
      */
     public void updateDraining(Roster draining) {
         transport.update(draining);
     }
 
-    /** How many versions there are under which requests arrive, may arrive again, or are at work. */
+    /** The number of versions under which requests arrive, may arrive again, or are in flight. */
     public int versions() {
         return versions.size();
     }
 
-    /** Requests that are not forgotten yet. */
+    /** The number of requests that are not removed yet. */
     public int requests() {
         return exchanges.size();
     }
 
-    /** The process is about to end: from now on nothing begins that could not be answered before that. */
+    /** Begins the shutdown: from now on no attempt starts that could not be answered before the process ends. */
     public void drain(ShutdownDeadlines deadlines) {
         shutdown.begin(deadlines);
         transport.drain(deadlines);
     }
 
-    /** Names who sees every answer; null for nobody. */
+    /** Sets the observer of every answer; null for none. */
     public void setObserver(Observer newObserver) {
         observer = newObserver;
     }
 
-    /** Sets the tracer of each step of each request. */
+    /** Sets the tracer, which receives an event for each step of each request. */
     public void setTracer(Tracer newTracer) {
         tracer = newTracer;
     }
 
-    /** Each request that is past its deadline by so many ms and not forgotten yet, by its number. */
+    /** Passes the number of each request that exceeds its deadline by {@code overdueMs} and is not removed yet. */
     public void forEachOverdue(double overdueMs, LongConsumer action) {
         double latest = clock.now() - overdueMs;
         for (Exchange exchange : exchanges.values()) {
@@ -144,53 +146,53 @@
         }
     }
 
-    /** Switches budgets on for what arrives from now on. */
+    /** Enables budgets for requests that arrive from now on. */
     public void setBudgets(ChainBudgets chainBudgets) {
         budgets = chainBudgets;
         admission.setBudgets(chainBudgets);
         chainBudgets.start(timers, clock);
     }
 
-    /** Names who bounds attempts beyond those that reached nobody, for what arrives from now on. */
+    /** Sets the limiter of further attempts, for requests that arrive from now on. */
     public void setRetryLimiter(RetryLimiter limiter) {
         retryLimiter = limiter;
     }
 
-    /** The time, in ms of the clock that all of the program reads. */
+    /** The current time, in ms of the clock shared by the whole program. */
     public double now() {
         return clock.now();
     }
 
-    // ---- What happens ------------------------------------------------------------------------------
+    // ---- Events ------------------------------------------------------------------------------------
 
-    /** While an attempt waits for the rest of its request, so do the timers about it. */
-    private void setDeferredTimers(Exchange about) {
-        if (about != null && !about.waits.isEmpty() && about.running == 0) {
-            setWaiting(about);
+    /** Sets the deferred timers of a request unless an attempt is waiting for the rest of it. */
+    private void setTimersIfNoneInFlight(Exchange exchange) {
+        if (exchange != null && !exchange.deferredTimers.isEmpty() && exchange.runningAttempts == 0) {
+            setDeferredTimers(exchange);
         }
     }
 
-    /** A call of the module broke off: what it was about fails, as nobody knows what has run. */
-    private void onModuleFailure(Exchange about, Throwable cause) {
+    /** The module threw an exception: fails the request concerned, as it is unknown what has run. */
+    private void onModuleFailure(Exchange exchange, Throwable cause) {
         Log.error(LOG, "module-failed").setCause(cause).log("the decision module failed");
-        if (about != null && about.isOpen()) {
-            abort(about, Answer.Kind.BROKEN);
+        if (exchange != null && exchange.isOpen()) {
+            abort(exchange, Answer.Kind.BROKEN);
         }
     }
 
-    /** Answers a request over the module's head and tells it that the client waits no more. */
+    /** Answers a request without the module, and reports to the module that the client is gone. */
     private void abort(Exchange exchange, Answer.Kind kind) {
         abort(exchange, Answer.of(kind));
     }
 
-    private void abort(Exchange exchange, Answer last) {
-        answer(exchange, last);
+    private void abort(Exchange exchange, Answer answer) {
+        answer(exchange, answer);
         exchange.attempts.forEach(RequestProxy::cancel);
         decisions.call(null, () -> balancer.clientGone(clock.now(), exchange.id));
         settle(exchange);
     }
 
-    /** What has become of a call to the registry; the list is null if it failed. */
+    /** Handles the result of a call to the registry; {@code roster} is null if the call failed. */
     public void onRosterChanged(Change change, Roster roster) {
         List<Upstream> upstreams = roster == null ? List.of() : roster.upstreams();
         tracer.note(TraceEvent.SERVERS, 0, 0, roster == null ? -1 : upstreams.size());
@@ -201,39 +203,39 @@
     }
 
     /**
-     * Takes a request in, which from here on is owed exactly one answer.
+     * Accepts a request, which receives exactly one answer.
      *
-     * @param arrivedUnder the version by which the arrival was read, which must not be forgotten
-     * @param payload handed over: released once the request is forgotten
-     * @return the request; its answer may have been given already
+     * @param arrivedUnder the version by which the arrival was read, which must still be in use
+     * @param payload ownership is transferred: released once the request is removed
+     * @return the request; its answer may have been passed already
      */
     public Exchange request(Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         return request(arrivedUnder, arrival, payload, caller, false);
     }
 
     /**
-     * Takes a request in that is still coming, to be sent on meanwhile. Its time, by which its answer, its attempt and
-     * the module's timers about it count, begins with {@link #requestComplete}.
+     * Accepts a request that is still being received, to be streamed to a server meanwhile. The timeouts of its answer,
+     * of its attempt and of the module's timers for it start at {@link #requestComplete}.
      *
-     * @param arrival its deadline is what it would be if the request ended now
+     * @param arrival its deadline is the one that would apply if the request were complete now
      */
     public Exchange requestStreaming(Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         return request(arrivedUnder, arrival, payload, caller, true);
     }
 
-    /** The last of a request that was coming has come. */
+    /** Handles the end of a streamed request. */
     public void requestComplete(Exchange exchange) {
-        if (!exchange.coming) {
+        if (!exchange.receiving) {
             return;
         }
         double now = clock.now();
-        exchange.coming = false;
-        exchange.endedAt = now;
-        exchange.deadline = now + exchange.remaining;
+        exchange.receiving = false;
+        exchange.receivedAt = now;
+        exchange.deadline = now + exchange.timeoutMs;
         if (exchange.isOpen()) {
-            watchOver(exchange);
+            scheduleOverdueCheck(exchange);
         }
-        setWaiting(exchange);
+        setDeferredTimers(exchange);
         for (Transport.Attempt attempt : exchange.attempts) {
             if (attempt != null) {
                 attempt.waitUntil(now + exchange.queueTimeoutMs);
@@ -241,25 +243,26 @@
         }
     }
 
-    private void watchOver(Exchange exchange) {
+    private void scheduleOverdueCheck(Exchange exchange) {
         double latest = exchange.deadline + exchange.version.settings().rules().answerGrace() / 2;
-        exchange.overdue = timers.at(latest, () -> overdue(exchange));
+        exchange.overdueTimer = timers.at(latest, () -> answerOverdue(exchange));
     }
 
-    private void setWaiting(Exchange exchange) {
-        for (Exchange.Wait wait : exchange.waits) {
-            setTimer(exchange.id, wait.token(), clock.now() + wait.delay());
+    private void setDeferredTimers(Exchange exchange) {
+        for (Exchange.DeferredTimer timer : exchange.deferredTimers) {
+            setTimer(exchange.id, timer.token(), clock.now() + timer.delayMs());
         }
-        exchange.waits.clear();
+        exchange.deferredTimers.clear();
     }
 
-    private Exchange request(Version arrivedUnder, Arrival given, Payload payload, Caller caller, boolean coming) {
+    private Exchange request(
+            Version arrivedUnder, Arrival requested, Payload payload, Caller caller, boolean streaming) {
         if (!shutdown.mayStart()) {
-            return refuse(shutdown.refusal(), arrivedUnder, given, payload, caller);
+            return refuse(shutdown.refusal(), arrivedUnder, requested, payload, caller);
         }
-        RequestAdmission.Decision decision = admission.decide(clock.now(), arrivedUnder, given, exchanges.size());
+        RequestAdmission.Decision decision = admission.decide(clock.now(), arrivedUnder, requested, exchanges.size());
         if (decision.refusal() != null) {
-            return refuse(decision.refusal(), arrivedUnder, given, payload, caller);
+            return refuse(decision.refusal(), arrivedUnder, requested, payload, caller);
         }
         Arrival arrival = decision.arrival();
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
@@ -267,17 +270,17 @@
         exchanges.put(exchange.id, exchange);
         tracer.note(TraceEvent.ARRIVED, 0, exchange.id, exchange.serviceClass);
         versions.requestBegan(arrivedUnder.number());
-        if (coming) {
-            exchange.coming = true;
+        if (streaming) {
+            exchange.receiving = true;
             exchange.deadline = Double.POSITIVE_INFINITY;
         } else {
-            watchOver(exchange);
+            scheduleOverdueCheck(exchange);
         }
-        decisions.call(exchange, () -> arrives(exchange, arrival));
+        decisions.call(exchange, () -> passToModule(exchange, arrival));
         return exchange;
     }
 
-    /** Answers at once what is not taken in. */
+    /** Answers a request that is not admitted. */
     private Exchange refuse(Answer refusal, Version arrivedUnder, Arrival arrival, Payload payload, Caller caller) {
         Exchange exchange = new Exchange(++lastId, arrivedUnder, arrival, payload, clock.now(), caller);
         answer(exchange, refusal);
@@ -285,79 +288,83 @@
         return exchange;
     }
 
-    /** The module takes arrivals under the settings that it adopted last, so it goes back for one call. */
-    private void arrives(Exchange exchange, Arrival arrival) {
-        boolean late = exchange.version != version;
-        if (late) {
+    /**
+     * Passes a request to the module. The module reads requests by the settings that it adopted last, so for a request
+     * of an older version those are adopted for this one call.
+     */
+    private void passToModule(Exchange exchange, Arrival arrival) {
+        boolean olderVersion = exchange.version != version;
+        if (olderVersion) {
             balancer.adopt(clock.now(), exchange.version.settings());
         }
         try {
             balancer.request(
                     clock.now(), arrival.withId(exchange.id, exchange.budget == null ? 0 : exchange.budget.most()));
         } finally {
-            if (late) {
+            if (olderVersion) {
                 balancer.adopt(clock.now(), version.settings());
             }
         }
     }
 
-    /** The module has left a request without its answer; it must not stay so. */
-    private void overdue(Exchange exchange) {
+    /** Answers a request that the module left without an answer. */
+    private void answerOverdue(Exchange exchange) {
         if (exchange.isOpen()) {
             Log.warn(LOG, "request-unanswered")
                     .addKeyValue("request", exchange.id)
-                    .log("a request was left without an answer");
+                    .log("the decision module left a request unanswered; answering it as timed out");
             abort(exchange, Answer.Kind.UNANSWERED);
         }
     }
 
-    /** The client has left. */
+    /** Handles the disconnect of a client. */
     public void clientGone(Exchange exchange) {
         if (exchange.isOpen()) {
             exchange.close();
             decisions.call(exchange, () -> balancer.clientGone(clock.now(), exchange.id));
-            cancelBegun(exchange);
+            cancelResponding(exchange);
             settle(exchange);
         }
     }
 
     /**
-     * Ends what still waits for an answer, as the process is about to end: refuses what no upstream can have run, and
-     * fails the rest.
+     * Answers all open requests at the end of the process: rejects those that no upstream can have run, and fails the
+     * rest.
      *
-     * @return how many requests that were
+     * @return the number of these requests
      */
     public int abortAll() {
         return shutdown.abortAll();
     }
 
     /**
-     * The module leaves alone what has begun, as streams are on their way to their callers. These are not: without this
-     * one would go on to its deadline though another has answered, or nobody waits any more.
+     * Cancels attempts whose response has started. The module does not cancel these, as it takes them for responses
+     * that are streamed to the client. Without this, such an attempt would continue to its deadline although another
+     * attempt has answered or the client is gone.
      */
-    private static void cancelBegun(Exchange exchange) {
+    private static void cancelResponding(Exchange exchange) {
         if (!exchange.isOpen() && exchange.version.settings().limits().cancel()) {
-            for (Integer number : List.copyOf(exchange.begun)) {
+            for (Integer number : List.copyOf(exchange.respondingAttempts)) {
                 cancel(exchange.attempts.get(number));
             }
         }
     }
 
-    /** The first byte of an answer has come, after a latency in ms. */
-    void answerBegins(Exchange exchange, int number, double elapsedMs) {
+    /** Handles the first byte of a response. */
+    void onResponseStarted(Exchange exchange, int number, double elapsedMs) {
         decisions.call(exchange, () -> balancer.streamStarted(clock.now(), exchange.id, number, elapsedMs));
-        cancelBegun(exchange);
+        cancelResponding(exchange);
     }
 
-    /** An attempt that went out has ended. */
-    void attemptEnded(SentAttempt sent, double begunAt, AttemptResult result) {
+    /** Handles the end of an attempt that was sent. */
+    void onAttemptEnded(SentAttempt sent, double responseStartedAt, AttemptResult result) {
         if (retryLimiter != null && result.result().neverRan()) {
-            sent.exchange.reachedNobody();
+            sent.exchange.uncountServer();
         }
-        finished(sent, begunAt, result);
+        onAttemptFinished(sent, responseStartedAt, result);
     }
 
-    /** Whether an attempt may begin now, as far as the end of the process lets it. */
+    /** Whether the shutdown, if any, allows an attempt to start now. */
     boolean mayStart() {
         return shutdown.mayStart();
     }
@@ -369,23 +376,23 @@
         return transport.send(exchange.version, sent.upstream, exchange.request, until, grant, sent);
     }
 
-    /** An attempt is over, whether it went out or not. */
-    void finished(SentAttempt sent, double begunAt, AttemptResult end) {
+    /** Handles the end of an attempt, whether it was sent or not. */
+    void onAttemptFinished(SentAttempt sent, double responseStartedAt, AttemptResult result) {
         Exchange exchange = sent.exchange;
         int number = sent.number;
-        exchange.running--;
-        exchange.begun.remove((Integer) number);
-        tracer.note(TraceEvent.ATTEMPT_ENDED, 0, exchange.id, end.result().ordinal());
+        exchange.runningAttempts--;
+        exchange.respondingAttempts.remove((Integer) number);
+        tracer.note(TraceEvent.ATTEMPT_ENDED, 0, exchange.id, result.result().ordinal());
         if (budgets != null) {
-            budgets.attemptFinished(clock.now(), sent, end);
+            budgets.attemptFinished(clock.now(), sent, result);
         }
-        if (end.result() == Result.OK) {
-            answer(exchange, new Answer(Answer.Kind.SERVED, end.payload(), 0));
-        } else if (end.result() == Result.ERROR && exchange.isOpen() && end.payload() != Payload.NONE) {
-            exchange.failed(end.payload().retain());
+        if (result.result() == Result.OK) {
+            answer(exchange, new Answer(Answer.Kind.SERVED, result.payload(), 0));
+        } else if (result.result() == Result.ERROR && exchange.isOpen() && result.payload() != Payload.NONE) {
+            exchange.retainFailure(result.payload().retain());
         }
-        double from = Math.max(sent.at, exchange.endedAt);
-        double until = end.result() == Result.OK && begunAt >= from ? begunAt : clock.now();
+        double from = Math.max(sent.sentAt, exchange.receivedAt);
+        double until = result.result() == Result.OK && responseStartedAt >= from ? responseStartedAt : clock.now();
         decisions.call(
                 exchange,
                 () -> balancer.attemptFinished(
@@ -394,29 +401,29 @@
                                 exchange.id,
                                 number,
                                 sent.upstream,
-                                end.result(),
+                                result.result(),
                                 !exchange.isOpen(),
                                 until - from,
-                                end.report())));
-        cancelBegun(exchange);
+                                result.report())));
+        cancelResponding(exchange);
         settle(exchange);
     }
 
-    /** Forgets a request once nothing more can come of it. */
+    /** Removes a request that is answered and has no attempt in flight. */
     private void settle(Exchange exchange) {
-        if (!exchange.isOpen() && exchange.running == 0 && exchanges.remove(exchange.id) != null) {
+        if (!exchange.isOpen() && exchange.runningAttempts == 0 && exchanges.remove(exchange.id) != null) {
             if (exchange.budget != null) {
                 budgets.close(exchange);
             }
             exchange.request.release();
-            exchange.failed(Payload.NONE);
+            exchange.retainFailure(Payload.NONE);
             int number = exchange.version.number();
             versions.requestEnded(number);
-            forgetIfUnused(number);
+            removeIfUnused(number);
         }
     }
 
-    // ---- What the module asks for ------------------------------------------------------------------
+    // ---- Actions of the module ---------------------------------------------------------------------
 
     @Override
     public void send(long requestId, long upstream, double timeout) {
@@ -425,8 +432,8 @@
             return;
         }
         double now = clock.now();
-        SentAttempt sent = new SentAttempt(this, exchange, exchange.sends++, upstream, now);
-        exchange.running++;
+        SentAttempt sent = new SentAttempt(this, exchange, exchange.requestedAttempts++, upstream, now);
+        exchange.runningAttempts++;
         if (!maySend(sent, now)) {
             exchange.grants.add(null);
             notSent(sent);
@@ -434,27 +441,27 @@
         }
         AttemptBudgets.Grant grant = null;
         if (exchange.budget != null) {
-            grant = budgets.take(exchange, now);
+            grant = budgets.grantAttempt(exchange, now);
             exchange.grants.add(grant);
             if (grant == null) {
                 notSent(sent);
                 return;
             }
         }
-        double deadline = exchange.coming ? now + exchange.remaining : exchange.deadline;
+        double deadline = exchange.receiving ? now + exchange.timeoutMs : exchange.deadline;
         double until = timeout == 0 ? deadline : Math.min(deadline, now + timeout);
         exchange.queueTimeoutMs = until - now;
-        if (retryLimiter != null && exchange.reached > 0) {
+        if (retryLimiter != null && exchange.serversReached > 0) {
             DeferredAttempt waiting = new DeferredAttempt(this, sent, until);
             exchange.attempts.add(waiting);
-            retryLimiter.acquire(exchange.version, exchange.serviceClass, exchange.running > 1, waiting);
+            retryLimiter.acquire(exchange.version, exchange.serviceClass, exchange.runningAttempts > 1, waiting);
             return;
         }
-        exchange.reaches(null);
+        exchange.countServer(null);
         exchange.attempts.add(sendNow(sent, until, grant));
     }
 
-    /** Whether an attempt that the module asks for may go out at all. */
+    /** Whether an attempt that the module requests may be sent at all. */
     private boolean maySend(SentAttempt sent, double now) {
         Exchange exchange = sent.exchange;
         return exchange.isOpen()
@@ -462,13 +469,13 @@
                 && now < exchange.deadline
                 && sent.number < exchange.version.settings().limits().maxAttempts()
                 && exchange.request.canBeSent()
-                && (!exchange.coming || exchange.running == 1)
-                && (retryLimiter == null || !exchange.isSpent());
+                && (!exchange.receiving || exchange.runningAttempts == 1)
+                && (retryLimiter == null || !exchange.hasReachedServerLimit());
     }
 
     private void notSent(SentAttempt sent) {
         sent.exchange.attempts.add(null);
-        finished(sent, Double.NaN, AttemptResult.without(Result.NOT_SENT));
+        onAttemptFinished(sent, Double.NaN, AttemptResult.without(Result.NOT_SENT));
     }
 
     @Override
@@ -494,17 +501,20 @@
         if (exchange.isOpen()) {
             tracer.note(TraceEvent.ANSWERED, 0, exchange.id, answer.kind().ordinal());
         }
-        Answer given = answer.payload() == Payload.NONE && exchange.failure != Payload.NONE
-                ? new Answer(Answer.Kind.FAILED, exchange.failure, 0)
+        Answer finalAnswer = answer.payload() == Payload.NONE && exchange.failureResponse != Payload.NONE
+                ? new Answer(Answer.Kind.FAILED, exchange.failureResponse, 0)
                 : answer;
-        if (exchange.answer(exchange.budget == null ? given : given.with(budgets.close(exchange, answer.kind())))
+        if (exchange.answer(
+                        exchange.budget == null
+                                ? finalAnswer
+                                : finalAnswer.with(budgets.close(exchange, answer.kind())))
                 && observer != null) {
             observer.answered(
                     name,
                     exchange.version,
                     exchange.serviceClass,
                     answer.kind(),
-                    exchange.sends,
+                    exchange.requestedAttempts,
                     clock.now() - exchange.arrivedAt);
         }
     }
@@ -531,10 +541,10 @@
                 version,
                 upstream,
                 sentAt + version.settings().limits().connectTimeout() * 2,
-                end -> decisions.call(
+                result -> decisions.call(
                         null,
                         () -> balancer.healthCheckResult(
-                                clock.now(), upstream, end.result(), clock.now() - sentAt, end.report())));
+                                clock.now(), upstream, result.result(), clock.now() - sentAt, result.report())));
     }
 
     @Override
@@ -555,22 +565,23 @@
     @Override
     public void setTimer(long token, double at) {
         Exchange subject = decisions.subject();
-        if (subject != null && subject.coming) {
-            subject.waits.add(new Exchange.Wait(token, at - clock.now()));
+        if (subject != null && subject.receiving) {
+            subject.deferredTimers.add(new Exchange.DeferredTimer(token, at - clock.now()));
         } else {
             setTimer(subject == null ? 0 : subject.id, token, at);
         }
     }
 
-    /** The number and not the request itself, which the timer would keep in memory until it is due. */
-    private void setTimer(long about, long token, double at) {
-        timers.at(at, () -> decisions.call(exchanges.get(about), () -> balancer.timer(clock.now(), token)));
+    /** Takes the request's number because a reference to the request would keep it in memory until the timer fires. */
+    private void setTimer(long exchangeId, long token, double at) {
+        timers.at(at, () -> decisions.call(exchanges.get(exchangeId), () -> balancer.timer(clock.now(), token)));
     }
 
-    /** Balancers of this deployment have no way to talk to each other. */
+    /** Not supported: proxies of this deployment can't exchange messages. */
     @Override
     public void tell(int peer, byte[] payload) {
-        Log.warn(LOG, "no-peers").log("the module wants to talk to its peers, which it can't here");
+        Log.warn(LOG, "no-peers")
+                .log("the decision module tried to send a message to its peers, which is not supported here");
     }
 
     @Override
--- a/src/main/java/sablehinge/dataplane/proxy/RetryLimiter.java
+++ b/src/main/java/sablehinge/dataplane/proxy/RetryLimiter.java
@@ -2,17 +2,20 @@
 
 import java.util.function.Consumer;
 
-/** Bounds what a request sends beyond what has reached nobody: where others share the right to do so. */
+/**
+ * Limits the further attempts of requests of which an earlier attempt may have reached a server, where several proxies
+ * share that limit.
+ */
 public interface RetryLimiter {
 
     /**
-     * Takes the right to one more attempt of a request of which another may have reached a server.
+     * Acquires a permit for one more attempt of a request of which an earlier attempt may have reached a server.
      *
      * @param version under which the request arrived
      * @param serviceClass index into its classes
-     * @param beside whether another attempt is still out
-     * @param then is called once, perhaps before this returns, with what gives the right back, once it is known that
-     *     nothing was reached; of null where there is none to be had soon
+     * @param concurrent whether another attempt of the request is still in flight
+     * @param callback called once, perhaps before this method returns: with an action that returns the permit, to be
+     *     run if the attempt turns out to have reached no server, or with null if no permit is available soon
      */
-    void acquire(Version version, int serviceClass, boolean beside, Consumer<Runnable> then);
+    void acquire(Version version, int serviceClass, boolean concurrent, Consumer<Runnable> callback);
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Roster.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Roster.java
@@ -6,21 +6,21 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * A list of servers: the complete one, or a delta.
+ * A list of servers, either complete or a delta.
  *
- * @param version as its source counts, which need not be as a configuration counts
+ * @param version the version number of the list's source, unrelated to configuration versions
  */
 public record Roster(long version, boolean full, List<Member> members) {
 
     /**
-     * A server as the module knows it.
+     * A server as the module sees it.
      *
-     * @param address where it listens; null for one that is gone
-     * @param name what it calls itself; empty where nobody asks
+     * @param address where the server listens; null if it has left
+     * @param name the server's own name; empty where it is not needed
      */
     public record Member(Upstream upstream, InetSocketAddress address, String name) {
 
-        /** One whose name nobody asks for. */
+        /** Creates a member whose name is not needed. */
         public Member(Upstream upstream, InetSocketAddress address) {
             this(upstream, address, "");
         }
--- a/src/main/java/sablehinge/dataplane/proxy/SentAttempt.java
+++ b/src/main/java/sablehinge/dataplane/proxy/SentAttempt.java
@@ -1,44 +1,45 @@
 package sablehinge.dataplane.proxy;
 
-/** An attempt that is out, and when its answer began to come; NaN while it hasn't. */
+/** An attempt in flight. Records when its response started to arrive; NaN until then. */
 final class SentAttempt implements Transport.Progress {
 
-    private final RequestProxy core;
+    private final RequestProxy proxy;
     final Exchange exchange;
     final int number;
     final long upstream;
-    final double at;
-    private double begunAt = Double.NaN;
+    final double sentAt;
+    private double responseStartedAt = Double.NaN;
 
-    SentAttempt(RequestProxy core, Exchange exchange, int number, long upstream, double at) {
-        this.core = core;
+    SentAttempt(RequestProxy proxy, Exchange exchange, int number, long upstream, double sentAt) {
+        this.proxy = proxy;
         this.exchange = exchange;
         this.number = number;
         this.upstream = upstream;
-        this.at = at;
+        this.sentAt = sentAt;
     }
 
     /**
-     * The module learns the latency now. With the end of a body that trickles in it would take its sender's slowness
-     * for overload, and refuse others on account of it. An attempt is given up early as the next one may be quicker;
-     * one whose answer comes already has all of its request's time.
+     * Reports the latency to the module at the first byte. Measured at the end of a slow body, the client's or the
+     * network's slowness would look like overload and cause the module to reject other requests. An attempt is timed
+     * out early because the next attempt may be faster; an attempt whose response has started gets all the remaining
+     * time of its request.
      */
     @Override
     public double responseStarted() {
-        begunAt = core.now();
-        exchange.begun.add(number);
-        double elapsed = begunAt - Math.max(at, exchange.endedAt);
-        core.answerBegins(exchange, number, elapsed);
+        responseStartedAt = proxy.now();
+        exchange.respondingAttempts.add(number);
+        double latencyMs = responseStartedAt - Math.max(sentAt, exchange.receivedAt);
+        proxy.onResponseStarted(exchange, number, latencyMs);
         return exchange.deadline;
     }
 
     @Override
     public double requestTimeMs() {
-        return exchange.remaining;
+        return exchange.timeoutMs;
     }
 
     @Override
     public void finished(AttemptResult result) {
-        core.attemptEnded(this, begunAt, result);
+        proxy.onAttemptEnded(this, responseStartedAt, result);
     }
 }
--- a/src/main/java/sablehinge/dataplane/proxy/TraceEvent.java
+++ b/src/main/java/sablehinge/dataplane/proxy/TraceEvent.java
@@ -1,69 +1,69 @@
 package sablehinge.dataplane.proxy;
 
 /**
- * The events of a {@link Tracer}. The name of each is what a dump keeps; its value means what {@link #valueMeaning}
- * says, and 0 where that is empty.
+ * The events of a {@link Tracer}. A dump contains the name of each event. The value of an event is described by
+ * {@link #valueMeaning}, and is 0 if that is empty.
  */
 public enum TraceEvent {
-    /** A caller was let in. */
+    /** A client connection was accepted. */
     CALLER_OPENED(""),
-    /** A caller's connection is gone. */
+    /** A client connection was closed. */
     CALLER_CLOSED(""),
-    /** A request was read on a caller's connection. */
+    /** A request was read on a client connection. */
     REQUEST(""),
-    /** Core has taken a request in. */
+    /** The proxy admitted a request. */
     ARRIVED("class"),
-    /** The module has chosen a server for an attempt. */
+    /** The module selected a server for an attempt. */
     CHOSEN("upstream"),
-    /** The server of a health check. */
+    /** A health check was sent to a server. */
     PROBED("upstream"),
-    /** A connection is opened for an attempt. */
+    /** A connection is being opened for an attempt. */
     CONNECTING("upstream"),
-    /** It is up. */
+    /** The connection was established. */
     CONNECTED(""),
-    /** An idle connection is used for an attempt. */
+    /** An idle connection was reused for an attempt. */
     REUSED("upstream"),
-    /** The last of a request was handed to the kernel, or could not be. */
+    /** The end of a request was written to the kernel, or the write failed. */
     SENT("done"),
-    /** The first byte of an answer has come. */
+    /** The first byte of a response arrived. */
     FIRST_BYTE(""),
-    /** The answer is complete. */
+    /** The response is complete. */
     LAST_BYTE(""),
-    /** An upstream's connection is gone. */
+    /** An upstream connection was closed. */
     UPSTREAM_CLOSED(""),
-    /** An attempt has ended. */
+    /** An attempt ended. */
     ATTEMPT_ENDED("result"),
-    /** The one answer was handed to its front. */
+    /** The final answer was passed to the front end. */
     ANSWERED("kind"),
-    /** The last of an answer is with the kernel, or could not be. */
+    /** The end of an answer was written to the kernel, or the write failed. */
     WRITTEN("done"),
-    /** A connection is not read for now: who takes its bytes can't take more. */
+    /** Reading from a connection was paused because the connection that receives its bytes is not writable. */
     PAUSED(""),
-    /** It is read again. */
+    /** Reading was resumed. */
     RESUMED(""),
-    /** A connection takes no more for now; bytes that wait. */
+    /** A connection became unwritable; the value is the number of buffered bytes. */
     FULL("bytes"),
-    /** It takes more again. */
+    /** The connection became writable again. */
     WRITABLE(""),
-    /** A body that stood still was woken by the sweep: a wake-up was lost. */
+    /** The stall watch resumed a stalled body: a wake-up was lost. */
     WOKEN(""),
-    /** Bytes reserved for long bodies. */
+    /** Bytes reserved for buffered bodies. */
     KEPT("bytes"),
     /** Direct memory in use. */
     MEMORY("bytes"),
-    /** Connections open. */
+    /** Open connections. */
     DESCRIPTORS("count"),
-    /** Requests at work. */
+    /** Requests in flight. */
     REQUESTS("count"),
-    /** The loop's tick was late by this. */
+    /** Delay of a late tick of the event loop. */
     LOOP_LATE("us"),
-    /** CPU time of the loop's thread since the last tick, where a tick was late. */
+    /** CPU time of the event loop's thread since the previous tick, recorded when a tick is late. */
     LOOP_CPU("us"),
-    /** Another version is taken. */
+    /** A configuration version was adopted. */
     VERSION("number"),
-    /** A list of servers has come; -1 for a failed call. */
+    /** A server list arrived; -1 if the call failed. */
     SERVERS("count"),
-    /** The watch has raised an alarm. */
+    /** The stall watch raised an alarm. */
     ALARM("kind");
 
     private final String value;
@@ -72,7 +72,7 @@
         this.value = value;
     }
 
-    /** What its value is; empty where it has none. */
+    /** The meaning of the event's value; empty if it has none. */
     public String valueMeaning() {
         return value;
     }
--- a/src/main/java/sablehinge/dataplane/proxy/Tracer.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Tracer.java
@@ -1,21 +1,21 @@
 package sablehinge.dataplane.proxy;
 
 /**
- * Receives events, on the thread that owns the proxy, as they happen: for a flight recorder. It must neither wait nor
- * allocate, as it is called some twenty times for each request.
+ * Receives events as they happen, on the thread that owns the proxy; used by the flight recorder. Implementations must
+ * neither block nor allocate, as they are called about twenty times per request.
  */
 public interface Tracer {
 
-    /** Keeps nothing. */
+    /** Discards all events. */
     Tracer OFF = (event, connection, exchange, value) -> {};
 
     /**
-     * Notes an event.
+     * Records an event.
      *
-     * @param connection its number among the process's connections; 0 where it is about none, or where the one before
-     *     it says which
-     * @param exchange the request's number in core; 0 likewise
-     * @param value by {@link TraceEvent#valueMeaning}
+     * @param connection the connection's number in this process; 0 if the event concerns no connection, or the same
+     *     connection as the event before
+     * @param exchange the request's number in the proxy; 0 likewise
+     * @param value as described by {@link TraceEvent#valueMeaning}
      */
     void note(TraceEvent event, int connection, long exchange, long value);
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Transport.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Transport.java
@@ -5,58 +5,60 @@
 import sablehinge.dataplane.budget.AttemptBudgets;
 
 /**
- * Sends attempts and health checks to servers, and nothing on its own account: what breaks is a result. All calls are
- * made, and all results come, on the thread that owns the core.
+ * Sends attempts and health checks to servers. It never retries by itself: each failure is reported as a result. All
+ * calls and all results are made on the thread that owns the proxy.
  */
 public interface Transport {
 
-    /** Listens to an attempt that is in flight. */
+    /** Listener of an attempt in flight. */
     interface Progress {
 
         /**
-         * Its answer has begun to come and is not complete yet, at most once: what the body takes from here on depends
-         * on its sender's speed, and not on how long the server had it wait.
+         * Called at most once, when the response has started to arrive and is not complete yet. The duration of the
+         * body from here on depends on the transfer speed and not on the server's load.
          *
-         * @return until when it may come, in ms of the {@link Clock}, in place of the time given to {@code send}
+         * @return the new deadline of the response, in ms of the {@link Clock}, which replaces the one given to
+         *     {@code send}
          */
         double responseStarted();
 
         /**
-         * How long the request has from when it has come completely, in ms; an upstream that takes nothing of a body
-         * for as long is given up.
+         * The timeout of the request from its complete arrival, in ms. An attempt fails if its upstream reads nothing
+         * of the body for this long.
          */
         default double requestTimeMs() {
             return Double.POSITIVE_INFINITY;
         }
 
-        /** It has ended, once. */
+        /** Called once, when the attempt has ended. */
         void finished(AttemptResult result);
     }
 
-    /** An attempt that is out. */
+    /** An attempt in flight. */
     interface Attempt {
 
-        /** Stops waiting; the result comes before this returns, unless it has come already. */
+        /** Cancels the attempt; its result is reported before this method returns, unless it was reported already. */
         void cancel();
 
-        /** Whether nothing but its server's word could prove that it has not run. */
+        /** Whether only the server's response could prove that the attempt has not run. */
         default boolean mayHaveRun() {
             return true;
         }
 
-        /** The request has come to its end only now: from here on waits until the given time. */
+        /** Called when a streamed request was received completely: sets the deadline of the attempt. */
         default void waitUntil(double until) {}
     }
 
     /**
-     * Sends a request to a server and waits until the given time.
+     * Sends a request to a server and waits for the response until a deadline.
      *
-     * @param version whose limits and rules hold for the attempt
-     * @param request lent until the result has come
-     * @param until in ms of the {@link Clock}; of a request that is still coming, the time that it would have if it
-     *     ended now, and {@link Attempt#waitUntil} tells the true one
-     * @param grant its part of the request's budget, read when it is written; null where budgets are off
-     * @param progress is called, perhaps before this returns
+     * @param version the version whose limits and rules apply to the attempt
+     * @param request valid until the result is reported
+     * @param until the deadline in ms of the {@link Clock}; for a request that is still being received, the deadline if
+     *     it were complete now, replaced later by {@link Attempt#waitUntil}
+     * @param grant the attempt's part of the request's budget, read when the request is written; null if budgets are
+     *     off
+     * @param progress listener, possibly called before this method returns
      */
     Attempt send(
             Version version,
@@ -66,21 +68,22 @@
             AttemptBudgets.Grant grant,
             Progress progress);
 
-    /** Asks a server how it does. */
-    void healthCheck(Version version, long upstream, double until, Consumer<AttemptResult> end);
+    /** Sends a health check to a server. */
+    void healthCheck(Version version, long upstream, double until, Consumer<AttemptResult> callback);
 
-    /** Gives back what is kept for a server between attempts. */
+    /** Closes the idle connections to a server. */
     void closeIdle(long upstream);
 
-    /** Takes in a list of servers, complete or a delta. */
+    /** Applies a server list, complete or a delta. */
     void update(Roster roster);
 
     /**
-     * The process is about to end: what has not begun to be written by {@link ShutdownDeadlines#startUntil()} never is,
-     * also where its connection was still being made. Nothing to do for a transport that writes at once.
+     * Begins the shutdown: an attempt whose first byte is not written by {@link ShutdownDeadlines#startUntil()} is
+     * never written, even if its connection is still being established. A transport that writes immediately need not do
+     * anything.
      */
     default void drain(ShutdownDeadlines deadlines) {}
 
-    /** From now on requests arrive under this version; its limits hold for what is kept between attempts. */
+    /** Adopts the version of new requests; its limits apply to idle connections. */
     void adopt(Version version);
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Verdict.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Verdict.java
@@ -3,18 +3,18 @@
 import sablehinge.policy.LoadBalancer.Result;
 
 /**
- * What is known of a request that was sent on. Only {@link #NOT_RUN} lets it go elsewhere where it must not run twice,
- * and only then may its caller be answered that it never will.
+ * What is known about the execution of a request that was sent to a server. Only after {@link #NOT_RUN} may a request
+ * that must not run twice be sent to another server, and only then may the client be told that the request did not run.
  */
 public enum Verdict {
-    /** Proven: nothing of it has run, and nothing will. */
+    /** The request provably has not run and will not run. */
     NOT_RUN,
-    /** It may have run, may be running, or may run yet. */
+    /** The request may have run, may be running, or may still run. */
     MAY_HAVE_RUN,
-    /** A server has answered it. */
+    /** A server has served the request. */
     RAN;
 
-    /** The verdict on an attempt that ended so. */
+    /** The verdict for an attempt with the given result. */
     public static Verdict of(Result result) {
         return result.neverRan() ? NOT_RUN : result == Result.OK ? RAN : MAY_HAVE_RUN;
     }
--- a/src/main/java/sablehinge/dataplane/proxy/package-info.java
+++ b/src/main/java/sablehinge/dataplane/proxy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The proxy between a front and a transport, free of any protocol: owns the decision module, timers and attempts, and
- * gives each request exactly one answer.
+ * The protocol-independent proxy between a front end and a transport: it owns the decision module, the timers and the
+ * attempts, and gives each request exactly one answer.
  */
 package sablehinge.dataplane.proxy;
--- a/src/test/java/sablehinge/dataplane/proxy/AttemptStateTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/AttemptStateTest.java
@@ -41,7 +41,7 @@
             assertEquals(1 + AttemptState.values().length, words.length, line);
             for (AttemptState state : AttemptState.values()) {
                 Verdict expected = Verdict.valueOf(words[1 + state.ordinal()]);
-                Verdict actual = Verdict.of(state.ends(event));
+                Verdict actual = Verdict.of(state.resultOf(event));
                 if (expected != actual) {
                     wrong.add(state + " and " + event + ": " + actual + " instead of " + expected);
                 }
@@ -65,18 +65,18 @@
         "ANSWERED_EARLY,SERVED_ANSWER,ERROR"
     })
     void eachEndHasItsKind(AttemptState state, Event event, Result result) {
-        assertEquals(result, state.ends(event));
+        assertEquals(result, state.resultOf(event));
     }
 
     /** No step leads back to a state from which less may have run. */
     @Test
     void whatMayHaveRunNeverGoesBack() {
         for (AttemptState state : AttemptState.values()) {
-            for (AttemptState next : List.of(state.partSent(), state.fullySent(), state.answerBegins())) {
+            for (AttemptState next : List.of(state.partSent(), state.fullySent(), state.responseStarted())) {
                 assertEquals(state.mayHaveRun() || next.mayHaveRun(), next.mayHaveRun(), state + " " + next);
             }
         }
-        assertEquals(AttemptState.ANSWERED_EARLY, AttemptState.PARTLY_SENT.answerBegins());
+        assertEquals(AttemptState.ANSWERED_EARLY, AttemptState.PARTLY_SENT.responseStarted());
         assertEquals(AttemptState.ANSWERING, AttemptState.ANSWERED_EARLY.fullySent());
     }
 }
