--- a/bench/src/sablehinge/dataplane/sidecar/GateParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/GateParts.java
@@ -17,14 +17,17 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** The real front, gate and transport before an upstream, put together on somebody else's loop and clock. */
+/**
+ * The real front end, admission control and transport of an upstream's sidecar, assembled on a given event loop and
+ * clock.
+ */
 public final class GateParts {
 
-    /** The incarnation to which the gate is open. */
+    /** The incarnation to which requests are admitted. */
     public static final String INCARNATION = "i-1";
 
     private static final int BERTHS = 2;
-    private AdmissionController gate;
+    private AdmissionController admission;
 
     private GateParts(
             EventLoop loop,
@@ -35,34 +38,34 @@
             InetSocketAddress upstream,
             InetSocketAddress at,
             Consumer<String> done) {
-        RequestProxy core = new RequestProxy(clock, timers, actions -> {
-            gate = new AdmissionController(actions);
-            return gate;
+        RequestProxy proxy = new RequestProxy(clock, timers, actions -> {
+            admission = new AdmissionController(actions);
+            return admission;
         });
-        Frontend front = new Frontend(loop, sockets, memory, core, new InboundFront(core));
+        Frontend front = new Frontend(loop, sockets, memory, proxy, new InboundFront(proxy));
         UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, () -> {}));
-        Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
-        core.start(
-                BalancerSettings.gate(),
+        Upstream localUpstream = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
+        proxy.start(
+                BalancerSettings.inboundVersion(),
                 1,
-                new Roster(1, true, List.of(new Roster.Member(own, upstream))),
+                new Roster(1, true, List.of(new Roster.Member(localUpstream, upstream))),
                 transport,
                 new Registry() {
                     @Override
                     public void fetch() {
-                        // The one upstream is known.
+                        // The only upstream is known.
                     }
 
                     @Override
                     public void watch(boolean on) {
-                        // The one upstream is known.
+                        // The only upstream is known.
                     }
                 });
-        gate.open(clock.now(), MeshHeaders.incarnation(INCARNATION), BERTHS);
+        admission.open(clock.now(), MeshHeaders.incarnation(INCARNATION), BERTHS);
         front.open(at, done);
     }
 
-    /** Puts them together, with the gate open; {@code done} gets why they can't listen, or null. */
+    /** Assembles the parts and opens admission; {@code done} receives the reason if they can't listen, or null. */
     public static void start(
             EventLoop loop,
             Clock clock,
--- a/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
+++ b/bench/src/sablehinge/dataplane/sidecar/HollowSidecar.java
@@ -22,23 +22,23 @@
 import sablehinge.tools.standin.mesh.TrafficLog;
 
 /**
- * The control side of a sidecar without its data plane: it polls the control nodes for updates, takes part in the ring
- * of watchers and claims quota tokens and retry shares with the sidecar's own classes. It forwards nothing, and its
- * upstream exists in its registration only. Its event loop owns it.
+ * The control side of a sidecar without its data plane: it polls the control nodes for updates, joins the ring of
+ * watchers, and claims quota tokens and retry shares with the sidecar's own classes. It forwards nothing, and its
+ * upstream exists only in its registration. Owned by its event loop.
  */
 public final class HollowSidecar {
 
     private static final long PING_INTERVAL_MS = 300;
     private static final long CONNECTION_TIMEOUT_MS = 1_200;
     private static final int BERTHS = 12;
-    /** Balancers that are reckoned with until the roster is complete, as in a sidecar. */
+    /** The number of sidecars assumed until the registry is complete, as in a real sidecar. */
     private static final int ASSUMED_BALANCERS = 16;
-    /** How often requests that are due are claimed for, in ms. */
-    private static final long DEMAND_MS = 25;
+    /** The interval at which tokens for due requests are claimed. */
+    private static final long CLAIM_INTERVAL_MS = 25;
 
     private static final double MS_PER_S = 1_000;
-    /** Services that one calls. */
-    private static final int CALLED = 4;
+    /** The number of services that a sidecar calls. */
+    private static final int CALLED_SERVICES = 4;
 
     private final LocalSettings settings;
     private final EventLoop loop;
@@ -50,34 +50,34 @@
     private final Function<Update, Configuration> reader;
     private final RegistryView registry = new RegistryView();
     private final SplittableRandom random;
-    private final List<String> called = new ArrayList<>();
+    private final List<String> calledServices = new ArrayList<>();
     private Configuration configuration;
     private String upstream;
     private long edition;
     private boolean wantsConfirmation = true;
     private boolean closed;
     private double perSecond;
-    private double due;
+    private double dueRequests;
     private long granted;
     private long refused;
     private long requested;
-    private Predicate<View> awaited;
+    private Predicate<View> awaitedCondition;
     private volatile double awaitedAt = Double.NaN;
 
     /**
-     * What a sidecar knows at some moment; its roster is a view.
+     * A sidecar's state at one time; the registry is a live view.
      *
-     * @param edition of the configuration in force; 0 for none
-     * @param term of the leader that sent the roster
-     * @param complete whether that leader has heard of all that live
-     * @param roster by the names of nodes
+     * @param edition edition of the current configuration; 0 for none
+     * @param term term of the leader that sent the registry
+     * @param complete whether that leader's registry contains all live sidecars
+     * @param roster registrations by node
      */
     public record View(long edition, long term, boolean complete, Map<String, Registration> roster) {}
 
     /**
      * Starts a hollow sidecar on a loop.
      *
-     * @param reader parses the configuration of an update; sidecars of one process may share a parsed one
+     * @param reader parses the configuration of an update; the sidecars of a process may share a parsed configuration
      * @throws ConfigException if its address can't be bound
      */
     public static HollowSidecar start(
@@ -92,7 +92,7 @@
         return sidecar;
     }
 
-    /** The same, but that it only receives heartbeats until {@link #begin}. */
+    /** Creates a hollow sidecar that only receives heartbeats until {@link #begin}. */
     public static HollowSidecar prepare(
             LocalSettings settings,
             EventLoop loop,
@@ -123,11 +123,11 @@
                 settings.innerSeeds(),
                 new WatchListener());
         watchers = new PeerMonitor(loop, clock, settings, watchClient::requestNow);
-        quotas = new Quotas(settings.bounds(), (tenant, count) -> watchClient.tokens(new Tokens(tenant, count)));
-        retryBudget = new RetryBudget(clock, settings, watchClient::shares);
+        quotas = new Quotas(settings.bounds(), (tenant, count) -> watchClient.requestTokens(new Tokens(tenant, count)));
+        retryBudget = new RetryBudget(clock, settings, watchClient::claimShares);
     }
 
-    /** Takes part from now on. */
+    /** Starts to poll, to send heartbeats and to claim. */
     public void begin() {
         loop.execute(() -> {
             watchClient.start();
@@ -135,12 +135,12 @@
                 retryBudget.tick();
                 watchers.tick();
             });
-            every(DEMAND_MS, this::claim);
+            every(CLAIM_INTERVAL_MS, this::claim);
         });
     }
 
     private void every(long ms, Runnable work) {
-        // Spread over the period, as sidecars on machines of their own are.
+        // Starts at a random time in the period, like sidecars on separate machines.
         loop.scheduleAtFixedRate(
                 () -> {
                     if (!closed) {
@@ -152,22 +152,22 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** What its heartbeats are sent and received on. */
+    /** The channel on which heartbeats are sent and received. */
     public Channel datagrams() {
         return watchers.channel();
     }
 
-    /** The settings that it was started with. */
+    /** The settings of this sidecar. */
     public LocalSettings settings() {
         return settings;
     }
 
-    /** Awaits that what it knows meets a condition; {@link #awaitedAt} tells when that was first so. */
+    /** Watches for a condition on the sidecar's state; {@link #awaitedAt} is the time at which it was first met. */
     public void await(Predicate<View> condition) {
         awaitedAt = Double.NaN;
         loop.execute(() -> {
-            awaited = condition;
-            look();
+            awaitedCondition = condition;
+            checkCondition();
         });
     }
 
@@ -176,15 +176,15 @@
         return awaitedAt;
     }
 
-    /** From now on so many requests a second arrive here and claim tokens, without being forwarded. */
+    /** Sets the rate of simulated requests, which claim tokens and are not forwarded. */
     public void demand(double requestsPerSecond) {
         loop.execute(() -> {
             perSecond = requestsPerSecond;
-            due = 0;
+            dueRequests = 0;
         });
     }
 
-    /** Its upstream is replaced by another, of which all are notified. */
+    /** Replaces the upstream and publishes the new registration. */
     public void replaceUpstream(String id) {
         loop.execute(() -> {
             upstream = id;
@@ -192,22 +192,22 @@
         });
     }
 
-    /** Requests that had a token; exact once no demand is left. */
+    /** The number of requests that got a token; exact once the demand is 0. */
     public long granted() {
         return granted;
     }
 
-    /** Requests that had none. */
+    /** The number of requests that got no token. */
     public long refused() {
         return refused;
     }
 
-    /** Requests that would have waited for the pool's answer. */
+    /** The number of requests that would have waited for the pool's response. */
     public long requested() {
         return requested;
     }
 
-    /** Ends it as a killed process ends: connections close, heartbeats stop. */
+    /** Stops like a killed process: connections close and heartbeats stop. */
     public void close() {
         loop.execute(() -> {
             closed = true;
@@ -221,7 +221,7 @@
             return;
         }
         double now = clock.now();
-        for (due += perSecond * DEMAND_MS / MS_PER_S; due >= 1; due--) {
+        for (dueRequests += perSecond * CLAIM_INTERVAL_MS / MS_PER_S; dueRequests >= 1; dueRequests--) {
             List<Configuration.Tenant> tenants = configuration.tenants();
             Quotas.Claim claim = quotas.claim(now, tenants.get(random.nextInt(tenants.size())));
             if (claim == Quotas.Claim.GRANTED) {
@@ -231,7 +231,7 @@
             } else {
                 requested++;
             }
-            retryBudget.came(called.get(random.nextInt(called.size())), false);
+            retryBudget.onRequest(calledServices.get(random.nextInt(calledServices.size())), false);
         }
     }
 
@@ -240,15 +240,15 @@
         edition = update.edition();
         quotas.adopt(now, configuration.tenants());
         retryBudget.adopt(configuration);
-        called.clear();
+        calledServices.clear();
         List<Configuration.Service> services = configuration.services();
         int first = Math.floorMod(settings.depot().hashCode(), services.size());
-        for (int i = 0; i < Math.min(CALLED, services.size()); i++) {
-            called.add(services.get((first + i) % services.size()).name());
+        for (int i = 0; i < Math.min(CALLED_SERVICES, services.size()); i++) {
+            calledServices.add(services.get((first + i) % services.size()).name());
         }
     }
 
-    private void enter(Update update) {
+    private void applyRegistry(Update update) {
         RegistryView.Outcome outcome = registry.apply(update);
         if (outcome == RegistryView.Outcome.STALE) {
             return;
@@ -256,14 +256,15 @@
         watchers.onUpdate(update);
         retryBudget.divide(registry.registrations(), registry.isComplete() ? 1 : ASSUMED_BALANCERS);
         if (outcome == RegistryView.Outcome.CHANGED) {
-            watchers.registry(registry.registrations());
+            watchers.setRegistry(registry.registrations());
         }
     }
 
-    private void look() {
-        if (awaited != null
-                && awaited.test(new View(edition, registry.term(), registry.isComplete(), registry.byNode()))) {
-            awaited = null;
+    private void checkCondition() {
+        if (awaitedCondition != null
+                && awaitedCondition.test(
+                        new View(edition, registry.term(), registry.isComplete(), registry.byNode()))) {
+            awaitedCondition = null;
             awaitedAt = TrafficLog.now();
         }
     }
@@ -271,8 +272,8 @@
     private final class WatchListener implements WatchClient.Listener {
 
         @Override
-        public WatchRequest request(int number) {
-            Registration self = new Registration(
+        public WatchRequest createRequest(int number) {
+            Registration ownRegistration = new Registration(
                     settings.node(),
                     settings.zone(),
                     settings.listenOn().inbound(),
@@ -283,7 +284,7 @@
                     0);
             return new WatchRequest(
                     number,
-                    self,
+                    ownRegistration,
                     edition,
                     registry.term(),
                     registry.stamp(),
@@ -293,30 +294,30 @@
         }
 
         @Override
-        public void update(double requestedAt, Update update) {
+        public void onUpdate(double requestedAt, Update update) {
             double now = clock.now();
             quotas.divide(now, update.size(), update.complete());
             if (update.edition() > edition && update.body().length > 0) {
                 adopt(now, update);
             }
             wantsConfirmation &= !update.confirmed();
-            enter(update);
-            look();
+            applyRegistry(update);
+            checkCondition();
         }
 
         @Override
-        public void tokens(Tokens tokens) {
-            quotas.given(clock.now(), tokens.tenant(), tokens.count());
+        public void onTokens(Tokens tokens) {
+            quotas.addTokens(clock.now(), tokens.tenant(), tokens.count());
         }
 
         @Override
-        public int lends(String tenant) {
+        public int lendTokens(String tenant) {
             return quotas.lend(clock.now(), tenant);
         }
 
         @Override
-        public void shares(Grant grant) {
-            retryBudget.granted(grant);
+        public void onShares(Grant grant) {
+            retryBudget.onGrant(grant);
         }
     }
 }
--- a/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
+++ b/bench/src/sablehinge/dataplane/sidecar/OutboundParts.java
@@ -27,14 +27,14 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * The real front, core, decision module and transport of an outbound balancer, put together on somebody else's loop and
- * clock. Further tries are always granted, so that all orders of them are met.
+ * The real front end, proxy, decision module and transport of an outbound sidecar, assembled on a given event loop and
+ * clock. Further attempts are always granted, so that all their orders occur.
  */
 public final class OutboundParts {
 
-    /** The service whose requests begin here. */
+    /** The service whose requests start here. */
     public static final String CALLER = "wuno96b";
-    /** The most upstreams that one try may go to, and the time-out of every route in ms. */
+    /** The number of upstreams that a request may reach, and the timeout of every route in ms. */
     public static final int ATTEMPTS = 2;
 
     public static final int TIMEOUT_MS = 1_500;
@@ -42,20 +42,20 @@
     private static final Registry NO_REGISTRY = new Registry() {
         @Override
         public void fetch() {
-            // All balancers are known.
+            // All sidecars are known.
         }
 
         @Override
         public void watch(boolean on) {
-            // All balancers are known.
+            // All sidecars are known.
         }
     };
 
     private final Clock clock;
     private final List<InetSocketAddress> balancers;
     private final Quotas quotas;
-    private final OutboundFront routes;
-    private final RequestProxy core;
+    private final OutboundFront outboundFront;
+    private final RequestProxy proxy;
 
     private static String route(String name, String kind, String prefix) {
         return """
@@ -103,16 +103,16 @@
                         15));
     }
 
-    /** The name of the upstream's incarnation beside the balancer of that number. */
+    /** The incarnation of the upstream of the sidecar with the given number. */
     public static String incarnation(int balancer) {
         return "i-" + balancer;
     }
 
     /**
-     * Puts them together, without a configuration.
+     * Assembles the parts without a configuration.
      *
-     * @param balancers the inbound ones
-     * @param done gets why they can't listen, or null
+     * @param balancers the addresses of the inbound sidecars
+     * @param done receives the reason if the parts can't listen, or null
      */
     public OutboundParts(
             EventLoop loop,
@@ -127,14 +127,14 @@
         this.balancers = balancers;
         LocalSettings settings = settings(at);
         quotas = new Quotas(settings.bounds(), (tenant, count) -> {});
-        routes = new OutboundFront(
+        outboundFront = new OutboundFront(
                 CALLER,
                 quotas,
                 new RetryBudget(clock, settings, claim -> {}),
                 new OutboundFront.Confirmation() {
                     @Override
-                    public void ask() {
-                        // What is known is the newest.
+                    public void request() {
+                        // The known configuration is always the latest.
                     }
 
                     @Override
@@ -143,26 +143,26 @@
                     }
                 },
                 1);
-        core = new RequestProxy(
+        proxy = new RequestProxy(
                 clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
-        Frontend front = new Frontend(loop, sockets, memory, core, routes);
+        Frontend front = new Frontend(loop, sockets, memory, proxy, outboundFront);
         UpstreamClient transport = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock));
-        core.setRetryLimiter((version, serviceClass, beside, then) -> then.accept(() -> {}));
-        core.start(BalancerSettings.gate(), 1, new Roster(0, true, List.of()), transport, NO_REGISTRY);
+        proxy.setRetryLimiter((version, serviceClass, concurrent, callback) -> callback.accept(() -> {}));
+        proxy.start(BalancerSettings.inboundVersion(), 1, new Roster(0, true, List.of()), transport, NO_REGISTRY);
         front.open(at, done);
     }
 
-    /** The first configuration comes, and with it all that is known of the balancers. */
+    /** Applies the first configuration and the list of all inbound sidecars. */
     public void configure() {
         Configuration configuration = configuration();
-        Map<String, Integer> places = new HashMap<>();
+        Map<String, Integer> classIndexes = new HashMap<>();
         Version version = BalancerSettings.version(
-                core.version().number() + 1,
+                proxy.version().number() + 1,
                 configuration,
                 BalancerSettings.kinds(),
-                places,
-                BalancerSettings.Place.of("s-1", 0, 1));
-        routes.adopt(new RoutingTable(configuration), version, places);
+                classIndexes,
+                BalancerSettings.Placement.of("s-1", 0, 1));
+        outboundFront.adopt(new RoutingTable(configuration), version, classIndexes);
         quotas.adopt(clock.now(), configuration.tenants());
         List<Roster.Member> members = new ArrayList<>();
         for (int i = 0; i < balancers.size(); i++) {
@@ -171,6 +171,6 @@
                     balancers.get(i),
                     incarnation(i)));
         }
-        core.adopt(version, new Roster(1, true, members));
+        proxy.adopt(version, new Roster(1, true, members));
     }
 }
--- a/src/main/java/sablehinge/dataplane/proxy/Exchange.java
+++ b/src/main/java/sablehinge/dataplane/proxy/Exchange.java
@@ -43,12 +43,12 @@
     AttemptBudgets.Call budget;
 
     final List<AttemptBudgets.Grant> grants = new ArrayList<>(0);
-    /** How many servers the request may reach, 0 for no limit; how many it may have serversReached. */
+    /** How many servers the request may reach, 0 for no limit; how many it may have reached. */
     private final int maxServers;
 
     int serversReached;
-    /** Actions that return the permits acquired for each serversReached server after the first. */
-    private final ArrayDeque<Runnable> permits = new ArrayDeque<>(0);
+    /** Actions that return the permits acquired for each reached server after the first. */
+    private final ArrayDeque<Runnable> permitReturns = new ArrayDeque<>(0);
     /** Timers that the module set for the request while it was being received. */
     final List<DeferredTimer> deferredTimers = new ArrayList<>(0);
     /**
@@ -105,24 +105,19 @@
         return maxServers > 0 && serversReached >= maxServers;
     }
 
-    /**
-     * Counts an attempt that is sent. {@code returnPermit} is null if no earlier attempt may have serversReached a
-     * server.
-     */
+    /** Counts an attempt that is sent. {@code returnPermit} is null if no earlier attempt may have reached a server. */
     void countServer(Runnable returnPermit) {
         serversReached++;
         if (returnPermit != null) {
-            permits.add(returnPermit);
+            permitReturns.add(returnPermit);
         }
     }
 
-    /**
-     * Uncounts an attempt that serversReached no server, and returns one permit if other attempts are still counted.
-     */
+    /** Uncounts an attempt that reached no server, and returns one permit if other attempts are still counted. */
     void uncountServer() {
         serversReached--;
         if (serversReached > 0) {
-            permits.remove().run();
+            permitReturns.remove().run();
         }
     }
 
--- a/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/BalancerSettings.java
@@ -19,55 +19,73 @@
 import sablehinge.policy.LoadBalancer.WeightKind;
 
 /**
- * A configuration in the module's terms: each route with each service that it may go to is a class, and each service a
- * machine type, to which its classes are bound.
+ * Maps a configuration to the settings of the decision module: each pair of a route and one of its services becomes a
+ * request class, and each service a machine type to which its classes are restricted.
  */
 final class BalancerSettings {
 
-    /** How long an upstream that has started may be slow, at most; heartbeats say how much of it is left. */
+    /** The maximum warm-up time of an upstream; heartbeats report the remaining time. */
     static final double WARM_UP_MS = 3_000;
 
     private static final double LATE_VALUE = 0.3;
-    /** Growth of l across zones: a body of 60 kB costs more than its way, a small one next to nothing. */
-    private static final double BULKY = 30;
+    /**
+     * Latency growth across zones for uploads and for other requests: transferring a body of 60 kB costs more than the
+     * distance, a small body almost nothing.
+     */
+    private static final double UPLOAD_CROSS_ZONE_GROWTH = 30;
 
-    private static final double SLIM = 0.3;
+    private static final double CROSS_ZONE_GROWTH = 0.3;
     private static final int MAX_ATTEMPTS = 4;
     private static final int MAX_OPEN = 4_000;
-    /** The module's own retry budget never runs out: {@link RetryBudget} bounds what it sends, by services. */
+    /**
+     * The module's own retry budget never runs out: {@link RetryBudget} limits its retries instead, for each service.
+     */
     static final LatencyWeightedBalancer.Extras EXTRAS =
             new LatencyWeightedBalancer.Extras(MAX_ATTEMPTS, MAX_ATTEMPTS * MAX_OPEN, 0, 0.2);
 
-    private static final double CONNECT_MS = 1_000;
+    private static final double CONNECT_TIMEOUT_MS = 1_000;
     private static final long POSITIONS = 1 << 16;
-    private static final double REST_MS = 30_000;
-    private static final double OWN_REST_MS = 9_000;
+    private static final double PEER_IDLE_MS = 30_000;
+    private static final double UPSTREAM_IDLE_MS = 9_000;
     private static final Rules RULES = new Rules(40, 200, 2_000, 0.5, WARM_UP_MS, 3, 0, 0);
 
     /**
-     * Where a balancer stands.
+     * The position of a sidecar among all sidecars.
      *
-     * @param position its number among its siblings, which chooses the few upstreams that it prefers: where all had the
-     *     same one, all would begin with the same few of many
-     * @param zone the number of its zone
-     * @param zones how many there are
+     * @param position a number that determines the few upstreams this sidecar prefers; with equal numbers, all sidecars
+     *     would start with the same few upstreams
+     * @param zone index of the sidecar's zone
+     * @param zones the number of zones
      */
-    record Place(int position, int zone, int zones) {
+    record Placement(int position, int zone, int zones) {
 
-        /** The place of a node: nobody numbers them, so its name does. */
-        static Place of(String node, int zone, int zones) {
-            return new Place((int) Math.floorMod(MeshHeaders.incarnation(node), POSITIONS), zone, zones);
+        /** The placement of a node; its position is a hash of its name, as nodes are not numbered. */
+        static Placement of(String node, int zone, int zones) {
+            return new Placement((int) Math.floorMod(MeshHeaders.incarnation(node), POSITIONS), zone, zones);
         }
     }
 
     private BalancerSettings() {}
 
-    private static Limits limits(boolean copies, double restMs) {
-        return new Limits(MAX_ATTEMPTS, MAX_OPEN, true, copies, false, false, true, 1_000, CONNECT_MS, restMs, 1, 0, 0);
+    private static Limits limits(boolean parallelAttempts, double idleMs) {
+        return new Limits(
+                MAX_ATTEMPTS,
+                MAX_OPEN,
+                true,
+                parallelAttempts,
+                false,
+                false,
+                true,
+                1_000,
+                CONNECT_TIMEOUT_MS,
+                idleMs,
+                1,
+                0,
+                0);
     }
 
-    /** The version of the gate beside an upstream, which knows no classes. */
-    static Version gate() {
+    /** The version of the inbound proxy of an upstream, which has a single class. */
+    static Version inboundVersion() {
         ServiceClass any = new ServiceClass(
                 "any",
                 1_000,
@@ -85,7 +103,7 @@
                 0);
         return new Version(
                 1,
-                settings(List.of(any), new Place(0, 0, 1), 1, limits(false, OWN_REST_MS)),
+                settings(List.of(any), new Placement(0, 0, 1), 1, limits(false, UPSTREAM_IDLE_MS)),
                 List.of("any"),
                 List.of(),
                 false);
@@ -94,17 +112,17 @@
     /**
      * The version of a configuration.
      *
-     * @param number counts up with each
-     * @param kinds the numbers of services, which are given once and for all; new ones are added
-     * @param classes is filled with the places of classes, by {@link #name}
-     * @param place where its balancer stands
+     * @param number version number, increased with each configuration
+     * @param kinds the service numbers, which never change; new services are added
+     * @param classes receives the index of each class by its {@link #name}
+     * @param placement the position of the sidecar
      */
     static Version version(
             int number,
             Configuration configuration,
             Map<String, Integer> kinds,
             Map<String, Integer> classes,
-            Place place) {
+            Placement placement) {
         for (Configuration.Service service : configuration.services()) {
             kinds.computeIfAbsent(service.name(), name -> kinds.size());
         }
@@ -130,31 +148,32 @@
                             false,
                             null,
                             List.of(kinds.get(share.service())),
-                            route.kind() == Configuration.Kind.UPLOAD ? BULKY : SLIM));
+                            route.kind() == Configuration.Kind.UPLOAD ? UPLOAD_CROSS_ZONE_GROWTH : CROSS_ZONE_GROWTH));
                 }
             }
         }
         if (types.isEmpty()) {
-            return new Version(number, gate().settings(), List.of(), List.of(), false);
+            return new Version(number, inboundVersion().settings(), List.of(), List.of(), false);
         }
         return new Version(
-                number, settings(types, place, kinds.size(), limits(true, REST_MS)), names, List.of(), false);
+                number, settings(types, placement, kinds.size(), limits(true, PEER_IDLE_MS)), names, List.of(), false);
     }
 
-    /** The name of the class of a route's requests to a service. */
+    /** The class name for requests of a route to a service. */
     static String name(Configuration.Route route, String service) {
         return route.name() + "\n" + route.host() + route.prefix() + "\n" + service;
     }
 
-    private static Settings settings(List<ServiceClass> types, Place place, int kinds, Limits limits) {
-        // As a tier below the first: the gates beside the upstreams know a jam, so none is guessed here.
+    private static Settings settings(List<ServiceClass> types, Placement placement, int kinds, Limits limits) {
+        // Uses the settings of an inner tier: the inbound proxies of the upstreams detect overload, so it is not
+        // estimated here.
         return new Settings(
-                place.position(),
+                placement.position(),
                 1,
                 1,
                 2,
-                place.zone(),
-                place.zones(),
+                placement.zone(),
+                placement.zones(),
                 kinds,
                 false,
                 true,
@@ -173,7 +192,7 @@
                 new Prices(0, 0, 0, 0, 0, 0, 0, 0));
     }
 
-    /** Numbers of services, to be kept. */
+    /** Creates an empty map of service numbers, to be retained across versions. */
     static Map<String, Integer> kinds() {
         return new HashMap<>();
     }
--- a/src/main/java/sablehinge/dataplane/sidecar/GracefulShutdown.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/GracefulShutdown.java
@@ -8,60 +8,65 @@
 import sablehinge.dataplane.proxy.ShutdownDeadlines;
 
 /**
- * The stages in which a balancer ends after SIGTERM: it says that it is not ready, then that its upstream is to be
- * selected no more, then it takes nothing new and answers what it has, until that is done or its grace is nearly over.
- * When each stage ends is known from the signal on.
+ * The stages of a sidecar's graceful shutdown after SIGTERM: it reports that it is not ready, then withdraws its
+ * upstream from load balancing, then stops admitting requests and answers those in flight, until all are answered or
+ * the grace period is nearly over. The deadline of each stage is known from the time of the signal.
  */
 final class GracefulShutdown {
 
     private static final Logger LOG = LoggerFactory.getLogger(GracefulShutdown.class);
-    /** How long clients may not have heard yet that it is not ready. */
+    /** How long it may take until clients know that this sidecar is not ready. */
     private static final double READINESS_NOTICE_MS = 2_300;
-    /** The share of its time that this may take at most, where the grace is short. */
+    /** Limits the readiness notice to this share of the available time, for short grace periods. */
     private static final double READINESS_NOTICE_SHARE = 0.45;
-    /** The last part of the notice, in which the other balancers are notified to select this upstream no more. */
+    /** The last part of the notice, during which the other sidecars are told not to select this upstream. */
     private static final double DRAIN_NOTICE_SHARE = 500 / READINESS_NOTICE_MS;
-    /** What is kept of the grace to end. */
+    /** The part of the grace period reserved for the end of the process. */
     private static final double SHUTDOWN_RESERVE_MS = 600;
-    /** The part of that which the last answers may take to be written out. */
+    /** The part of the reserve for writing the last answers. */
     private static final double LAST_ANSWERS_MS = 200;
 
     private static final long DRAIN_CHECK_MS = 20;
 
-    /** What the stages do; each returns once it is done. */
+    /** The actions of the stages; each returns when its action is complete. */
     interface Stages {
 
-        /** For how long the process stood still before it saw the signal, which may have come as much earlier; ms. */
+        /**
+         * How long, in ms, the process was paused before it saw the signal: the signal may have arrived that much
+         * earlier.
+         */
         double pausedMs() throws InterruptedException;
 
-        /** Clients are notified to go elsewhere; the times of what follows are known. */
+        /** Reports to clients that this sidecar is not ready, and sets the deadlines of the next stages. */
         void reportNotReady(ShutdownDeadlines deadlines) throws InterruptedException;
 
-        /** The other balancers are notified to select the upstream beside no more. */
+        /** Tells the other sidecars not to select the local upstream any more. */
         void withdrawUpstream() throws InterruptedException;
 
-        /** Nobody is let in any more, and nothing new is taken from those who are. */
+        /** Stops accepting connections and admitting requests on existing connections. */
         void stopAdmitting(ShutdownDeadlines deadlines) throws InterruptedException;
 
-        /** Closes what is idle; whether nothing is left. */
+        /** Closes idle connections; returns whether no connection is left. */
         boolean isDrained() throws InterruptedException;
 
-        /** Gives up what still waits for an answer; how many requests that were. */
+        /** Answers all open requests; returns their number. */
         int abortAll() throws InterruptedException;
 
-        /** Whether every answer that was begun is written out. */
+        /** Whether all answers are written completely. */
         boolean isWrittenOut() throws InterruptedException;
 
-        /** How many requests came to their turn after {@link #stopAdmitting}. */
+        /** The number of requests whose turn came after {@link #stopAdmitting}. */
         int lateRequests() throws InterruptedException;
 
-        /** When the last attempt went out, to another balancer or to the upstream beside, ms; NaN if none ever did. */
+        /** When the last attempt was sent to another sidecar or to the local upstream, in ms; NaN if none was sent. */
         double lastAttemptAt() throws InterruptedException;
     }
 
     private GracefulShutdown() {}
 
-    /** The times for a process that was told to end and is killed after the grace; both in ms. */
+    /**
+     * The deadlines of a process that received SIGTERM and is killed at the end of the grace period; all times in ms.
+     */
     static ShutdownDeadlines deadlines(double signalledAt, double graceMs) {
         double timeMs = Math.max(0, graceMs - SHUTDOWN_RESERVE_MS);
         double noticeMs = Math.min(READINESS_NOTICE_MS, READINESS_NOTICE_SHARE * timeMs);
@@ -69,48 +74,52 @@
     }
 
     /**
-     * Goes through the stages; blocks its thread.
+     * Runs all stages; blocks the calling thread.
      *
-     * @param graceMs how long the process may take to end, ms
-     * @param elapsedMs how much of that is over, ms: it may have been told to end while it started
+     * @param graceMs the grace period in ms
+     * @param elapsedMs the part of the grace period that is over, in ms: the signal may have arrived during the start
+     *     of the process
      */
     static void run(Clock clock, double graceMs, double elapsedMs, Stages stages) throws InterruptedException {
         double pausedMs = stages.pausedMs();
         if (pausedMs > 0) {
-            Log.info(LOG, "paused").addKeyValue("ms", Math.round(pausedMs)).log("it stood still before its signal");
+            Log.info(LOG, "paused")
+                    .addKeyValue("ms", Math.round(pausedMs))
+                    .log("the process was paused before it received the signal");
         }
         double signalledAt = clock.now() - elapsedMs - pausedMs;
         ShutdownDeadlines deadlines = deadlines(signalledAt, graceMs);
         double noticeMs = deadlines.admitUntil() - signalledAt;
         stages.reportNotReady(deadlines);
-        // Its upstream is well: it serves the others until the door is about to shut, since while balancers
-        // are stopped in turn each of them is out for longer than the next one waits.
+        // The upstream is healthy and serves the other sidecars until shortly before admission stops: in a rolling
+        // restart each sidecar is down for longer than the next one waits.
         sleepUntil(clock, signalledAt + noticeMs * (1 - DRAIN_NOTICE_SHARE));
         stages.withdrawUpstream();
         sleepUntil(clock, deadlines.admitUntil());
-        // Whoever comes from here on finds no one, rather than someone who has no time left to answer: where
-        // few balancers of a zone are in, clients keep coming to one that says it is not ready.
+        // Later clients find the port closed instead of a sidecar that has no time left to answer: if few sidecars of a
+        // zone are up, clients keep connecting to one that reports that it is not ready.
         stages.stopAdmitting(deadlines);
         boolean done = await(clock, deadlines.answerUntil(), stages::isDrained);
-        int givenUp = 0;
+        int aborted = 0;
         if (!done) {
-            givenUp = stages.abortAll();
-            // Not for callers that are slow to close: the rest of the grace is the virtual machine's, to end in.
+            aborted = stages.abortAll();
+            // Does not wait for clients that are slow to close: the rest of the grace period is left for the JVM to
+            // exit.
             await(clock, clock.now() + LAST_ANSWERS_MS, stages::isWrittenOut);
         }
         Log.info(LOG, "ends")
                 .addKeyValue("done", done)
                 .addKeyValue("ms", Math.round(clock.now() - signalledAt))
                 .addKeyValue("late", stages.lateRequests())
-                .addKeyValue("given-up", givenUp)
+                .addKeyValue("given-up", aborted)
                 .addKeyValue("last-attempt-ms", Math.round(stages.lastAttemptAt() - signalledAt))
-                .log("ends");
+                .log("graceful shutdown finished");
     }
 
     private static void sleepUntil(Clock clock, double at) throws InterruptedException {
-        double left = at - clock.now();
-        if (left > 0) {
-            TimeUnit.MILLISECONDS.sleep((long) Math.ceil(left));
+        double remainingMs = at - clock.now();
+        if (remainingMs > 0) {
+            TimeUnit.MILLISECONDS.sleep((long) Math.ceil(remainingMs));
         }
     }
 
@@ -119,10 +128,10 @@
         boolean holds() throws InterruptedException;
     }
 
-    /** Looks at a condition until it holds or the time is up; whether it holds. */
-    private static boolean await(Clock clock, double end, Condition condition) throws InterruptedException {
+    /** Polls a condition until it holds or the deadline passes; returns whether it holds. */
+    private static boolean await(Clock clock, double deadline, Condition condition) throws InterruptedException {
         boolean holds = condition.holds();
-        while (!holds && clock.now() < end) {
+        while (!holds && clock.now() < deadline) {
             TimeUnit.MILLISECONDS.sleep(DRAIN_CHECK_MS);
             holds = condition.holds();
         }
--- a/src/main/java/sablehinge/dataplane/sidecar/HeartbeatPacket.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatPacket.java
@@ -8,17 +8,17 @@
 import java.io.UncheckedIOException;
 
 /**
- * A heartbeat of a balancer to one that watches over it.
+ * A heartbeat from a sidecar to one of its watchers.
  *
- * @param place of its name on the ring
- * @param incarnation drawn anew with each start of its process
- * @param number counts up in one incarnation
+ * @param place position of the sender's name on the hash ring
+ * @param incarnation random number chosen at each start of the process
+ * @param number sequence number within the incarnation
  */
 record HeartbeatPacket(long place, int incarnation, int number) {
 
-    /** Of the format, first in each record. */
+    /** The format version, first byte of each packet. */
     private static final int VERSION = 1;
-    /** What one takes, in bytes. */
+    /** The size of a packet. */
     static final int BYTES = 17;
 
     byte[] bytes() {
@@ -34,11 +34,11 @@
         return bytes.toByteArray();
     }
 
-    /** Reads what {@link #bytes} wrote; fails on anything else. */
+    /** Parses the output of {@link #bytes}; fails on anything else. */
     static HeartbeatPacket read(byte[] bytes) throws IOException {
         if (bytes.length != BYTES || bytes[0] != VERSION) {
-            throw new IOException(
-                    bytes.length + " bytes that are no beat; " + BYTES + " of version " + VERSION + " are expected");
+            throw new IOException(bytes.length + " bytes are not a heartbeat; " + BYTES + " bytes of version " + VERSION
+                    + " expected");
         }
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, 1, BYTES - 1));
         return new HeartbeatPacket(in.readLong(), in.readInt(), in.readInt());
--- a/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/HeartbeatReader.java
@@ -8,8 +8,8 @@
 import sablehinge.mesh.api.CallException;
 
 /**
- * Reads heartbeats token by token. A mapper would do it in a line, and takes a tenth of a second to load, in which a
- * process that has just begun could not hear its upstream.
+ * Parses heartbeats with a streaming parser. An object mapper would be shorter, but takes 100 ms to load, during which
+ * a process that has just started could not receive heartbeats of its upstream.
  */
 final class HeartbeatReader {
 
@@ -28,11 +28,12 @@
     private HeartbeatReader() {}
 
     /**
-     * The heartbeat in a body. What may be missing: {@code berths} (1), {@code coldLeftMs} and {@code callCount} (0).
+     * Parses the heartbeat in a body. Optional fields with their defaults: {@code berths} (1), {@code coldLeftMs} and
+     * {@code callCount} (0).
      *
-     * @param id of the incarnation that it is of
-     * @param app the address of the upstream of the own machine, {@code ip:port}
-     * @throws CallException 400 where it can't be read, 421 where it is of an upstream elsewhere
+     * @param id the upstream's incarnation
+     * @param app the address of the local upstream, {@code ip:port}
+     * @throws CallException 400 if the body is malformed, 421 if the upstream is not the local one
      */
     static Heartbeat read(String id, byte[] body, String app) {
         HeartbeatReader reader = new HeartbeatReader();
@@ -59,7 +60,7 @@
                 case "coldLeftMs" -> warmUpMs = in.getValueAsInt(0);
                 case "callCount" -> callCount = in.getValueAsLong(0);
                 default -> {
-                    // What is not known here is skipped.
+                    // Unknown fields are skipped.
                 }
             }
             in.skipChildren();
--- a/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -16,24 +16,32 @@
 import sablehinge.dataplane.proxy.Version;
 
 /**
- * What balancers say to the balancer beside an upstream. It looks at no configuration: the one that drew the upstream
- * names its incarnation, and how long the request may wait here. Each answer of our own has the verdict.
+ * The front end for requests from other sidecars to the local upstream. It needs no configuration: the sending sidecar
+ * names the upstream's incarnation and how long the request may wait here. Each answer contains the verdict.
  */
 final class InboundFront implements FrontDialect {
 
-    private static final int HEADER_BYTES = 64 * 1024;
-    private static final int KEPT = 1024 * 1024;
-    private static final double SLOW_MS = 60_000;
+    private static final int MAX_HEADER_BYTES = 64 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 1024 * 1024;
+    private static final double REQUEST_TIMEOUT_MS = 60_000;
     private static final double IDLE_MS = 40_000;
-    private static final long BODY_BYTES = 1L << 30;
-    private static final int SLOWEST = 10;
-    private static final FrontTerms TERMS =
-            new FrontTerms(HEADER_BYTES, BODY_BYTES, SLOW_MS, SLOWEST, IDLE_MS, IDLE_MS, KEPT, 64 * KEPT, false);
+    private static final long MAX_BODY_BYTES = 1L << 30;
+    private static final int MIN_BYTES_PER_MS = 10;
+    private static final FrontTerms TERMS = new FrontTerms(
+            MAX_HEADER_BYTES,
+            MAX_BODY_BYTES,
+            REQUEST_TIMEOUT_MS,
+            MIN_BYTES_PER_MS,
+            IDLE_MS,
+            IDLE_MS,
+            MAX_BUFFERED_BYTES,
+            64 * MAX_BUFFERED_BYTES,
+            false);
 
-    private final RequestProxy core;
+    private final RequestProxy proxy;
 
-    InboundFront(RequestProxy core) {
-        this.core = core;
+    InboundFront(RequestProxy proxy) {
+        this.proxy = proxy;
     }
 
     @Override
@@ -42,14 +50,14 @@
     }
 
     @Override
-    public CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now)
+    public CheckedRequest read(HttpRequest request, boolean hasBody, double arrivedAt, double now)
             throws BadRequestException {
         HttpHeaders headers = request.headers();
-        String meant = MeshHeaders.single(headers, MeshHeaders.DELIVER);
-        if (meant == null) {
-            throw new BadRequestException(MeshHeaders.DELIVER + " is missing");
+        String incarnation = MeshHeaders.single(headers, MeshHeaders.DELIVER_TO);
+        if (incarnation == null) {
+            throw new BadRequestException(MeshHeaders.DELIVER_TO + " is missing");
         }
-        double left = MeshHeaders.millis(headers, MeshHeaders.LEFT, 0);
+        double remainingMs = MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, 0);
         double queueTimeoutMs = MeshHeaders.millis(headers, MeshHeaders.QUEUE_TIMEOUT, 0);
         int rank = (int) MeshHeaders.millis(headers, MeshHeaders.RANK, 0);
         headers.remove(MeshHeaders.QUEUE_TIMEOUT).remove(MeshHeaders.RANK);
@@ -58,12 +66,12 @@
                 new Arrival(
                         0,
                         rank,
-                        MeshHeaders.incarnation(meant),
-                        cameAt + left,
-                        Math.min(queueTimeoutMs, left),
+                        MeshHeaders.incarnation(incarnation),
+                        arrivedAt + remainingMs,
+                        Math.min(queueTimeoutMs, remainingMs),
                         false,
                         false),
-                core.version());
+                proxy.version());
     }
 
     @Override
@@ -78,15 +86,15 @@
 
     @Override
     public void dress(HttpResponse response, Answer answer, Version version, HttpRequest request) {
-        MeshResponses.dress(response, answer, request);
+        MeshResponses.writeHeaders(response, answer, request);
         response.headers().set(MeshHeaders.VERDICT, verdict(answer));
     }
 
-    /** Whether the request has run, as far as it is known. */
+    /** What is known about the execution of the request. */
     private static String verdict(Answer answer) {
         if (answer == null || answer.kind() == Answer.Kind.REFUSED) {
-            return MeshHeaders.PROVEN;
+            return MeshHeaders.VERDICT_NOT_RUN;
         }
-        return Payloads.head(answer.payload()) != null ? MeshHeaders.RAN : MeshHeaders.DOUBT;
+        return Payloads.head(answer.payload()) != null ? MeshHeaders.VERDICT_RAN : MeshHeaders.VERDICT_MAY_HAVE_RUN;
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/ListeningSockets.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/ListeningSockets.java
@@ -8,21 +8,21 @@
 import sablehinge.common.settings.LocalSettings;
 
 /**
- * The sockets on which a sidecar listens before anything else is loaded: whoever calls waits in the backlog for
- * moments. Clients would else be refused, and use up their few attempts; the upstream's heartbeat would be refused, and
- * the gate before it opens with the first one that is heard.
+ * The sockets on which a sidecar listens before anything else is loaded: early connections wait in the backlog.
+ * Otherwise clients would be refused and use up their few attempts, and the upstream's heartbeat would be refused,
+ * while admission to the upstream starts only with the first heartbeat received.
  *
  * @param outbound for clients
- * @param control for the upstream beside
+ * @param control for the local upstream
  */
 public record ListeningSockets(ServerSocketChannel outbound, ServerSocketChannel control) {
 
     private static final int BACKLOG = 1_024;
 
     /**
-     * Listens at the addresses that the settings name.
+     * Listens on the addresses in the settings.
      *
-     * @throws ConfigException where one of them can't be had
+     * @throws ConfigException if one of the addresses can't be bound
      */
     public static ListeningSockets open(LocalSettings settings) throws ConfigException {
         LocalSettings.ListenOn at = settings.listenOn();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The address that a text, {@code ip:port}, names. */
+    /** Parses an address {@code ip:port}. */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshResponses.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshResponses.java
@@ -11,14 +11,14 @@
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Payload;
 
-/** How answers of the mesh are worded: an upstream's as it came, our own by what is known of the request. */
+/** Writes answers as HTTP responses: an upstream's response as received, the proxy's own by the kind of the answer. */
 final class MeshResponses {
 
     private MeshResponses() {}
 
     static HttpResponseStatus status(Answer answer) {
         if (Payloads.head(answer.payload()) instanceof HttpResponse given) {
-            return promises(given.status()) ? HttpResponseStatus.BAD_GATEWAY : given.status();
+            return claimsNotRun(given.status()) ? HttpResponseStatus.BAD_GATEWAY : given.status();
         }
         return switch (answer.kind()) {
             case SERVED -> HttpResponseStatus.OK;
@@ -29,8 +29,11 @@
         };
     }
 
-    /** These say that the request has not run, which an upstream that has run it must not be let say. */
-    private static boolean promises(HttpResponseStatus status) {
+    /**
+     * Status codes that state that the request has not run. An upstream that has run the request must not send them to
+     * a client.
+     */
+    private static boolean claimsNotRun(HttpResponseStatus status) {
         return switch (status.code()) {
             case 408, 421, 429, 503 -> true;
             default -> false;
@@ -38,25 +41,25 @@
     }
 
     static ByteBuf content(Answer answer) {
-        return Payloads.head(answer.payload()) instanceof HttpResponse given && promises(given.status())
+        return Payloads.head(answer.payload()) instanceof HttpResponse given && claimsNotRun(given.status())
                 ? Unpooled.EMPTY_BUFFER
                 : Payloads.content(answer.payload());
     }
 
-    /** Copies the headers of an upstream's answer; our own names the try, as every answer does. */
-    static void dress(HttpResponse response, Answer answer, HttpRequest request) {
+    /** Copies the headers of an upstream's response. The proxy's own answers get the attempt id, like every answer. */
+    static void writeHeaders(HttpResponse response, Answer answer, HttpRequest request) {
         Payload payload = answer == null ? Payload.NONE : answer.payload();
         HttpMessage given = Payloads.head(payload);
         if (given != null) {
-            // What frames the answer was set before; a copy must not add to it.
+            // The framing headers are set already; the copy must not add to them.
             HopHeaders.copy(given.headers(), response.headers());
             response.headers().remove(MeshHeaders.VERDICT);
-            if (given instanceof HttpResponse answered && promises(answered.status())) {
-                // The stamp is the upstream's word for its own status and body, which it does not get here.
-                response.headers().remove(MeshHeaders.STAMP).remove(MeshHeaders.NOT_RUN);
+            if (given instanceof HttpResponse answered && claimsNotRun(answered.status())) {
+                // The postmark confirms the upstream's own status and body, which are replaced here.
+                response.headers().remove(MeshHeaders.POSTMARK).remove(MeshHeaders.NOT_RUN);
             }
-        } else if (request != null && request.headers().contains(MeshHeaders.TRY)) {
-            response.headers().set(MeshHeaders.TRY, request.headers().get(MeshHeaders.TRY));
+        } else if (request != null && request.headers().contains(MeshHeaders.TRY_ID)) {
+            response.headers().set(MeshHeaders.TRY_ID, request.headers().get(MeshHeaders.TRY_ID));
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
@@ -14,61 +14,65 @@
 import sablehinge.dataplane.proxy.ShutdownDeadlines;
 import sablehinge.policy.LoadBalancer.Result;
 
-/** What a balancer says to another one beside an upstream, and what that says to its upstream. */
+/** The HTTP dialect between sidecars, and between a sidecar and its local upstream. */
 final class MeshUpstream implements UpstreamDialect {
 
-    /** That nothing comes is no reason to end an answer sooner than its deadline, nor is a pause in it. */
-    private static final long STALL_MS = 5_000;
+    /** So long that a response that does not arrive or that stalls is ended by its deadline and not by this timeout. */
+    private static final long RESPONSE_STALL_MS = 5_000;
 
-    private static final double YOUNG_MS = 60_000;
-    private static final long STUCK_MS = 10_000;
-    private static final UpstreamTerms TO_BALANCERS = new UpstreamTerms(STALL_MS, YOUNG_MS, STUCK_MS, true);
-    /** An upstream that breaks off an answer serves on over its other connections. */
-    private static final UpstreamTerms TO_UPSTREAM = new UpstreamTerms(STALL_MS, YOUNG_MS, STUCK_MS, false);
+    private static final double UNSAFE_REUSE_IDLE_MS = 60_000;
+    private static final long BODY_STALL_MS = 10_000;
+    private static final UpstreamTerms TO_SIDECARS =
+            new UpstreamTerms(RESPONSE_STALL_MS, UNSAFE_REUSE_IDLE_MS, BODY_STALL_MS, true);
+    /** An upstream that aborts a response continues to serve on its other connections. */
+    private static final UpstreamTerms TO_UPSTREAM =
+            new UpstreamTerms(RESPONSE_STALL_MS, UNSAFE_REUSE_IDLE_MS, BODY_STALL_MS, false);
 
     private static final int MISDIRECTED = 421;
 
     private final Clock clock;
-    private final boolean toBalancers;
+    private final boolean toSidecars;
     private final Runnable onRejected;
-    /** Until when a request may wait for its upstream, whatever its front says, ms. */
+    /** Limits how long requests may wait for their upstream during shutdown, in ms of the clock. */
     private double startUntil = Double.POSITIVE_INFINITY;
 
-    /** The dialect to other balancers. */
+    /** Creates the dialect to other sidecars. */
     MeshUpstream(Clock clock) {
         this(clock, true, () -> {});
     }
 
-    /** The dialect to the upstream of the own machine; {@code onRejected} is run for each refusal there. */
+    /**
+     * Creates the dialect to the local upstream; {@code onRejected} runs for each request that the upstream rejects.
+     */
     MeshUpstream(Clock clock, Runnable onRejected) {
         this(clock, false, onRejected);
     }
 
-    private MeshUpstream(Clock clock, boolean toBalancers, Runnable onRejected) {
+    private MeshUpstream(Clock clock, boolean toSidecars, Runnable onRejected) {
         this.clock = clock;
-        this.toBalancers = toBalancers;
+        this.toSidecars = toSidecars;
         this.onRejected = onRejected;
     }
 
-    /** The process is about to end: no request waits for its upstream until it is too late to answer it. */
+    /** Begins the shutdown: no request may wait for its upstream until it is too late to answer. */
     void drain(ShutdownDeadlines deadlines) {
         startUntil = deadlines.startUntil();
     }
 
     @Override
     public UpstreamTerms terms() {
-        return toBalancers ? TO_BALANCERS : TO_UPSTREAM;
+        return toSidecars ? TO_SIDECARS : TO_UPSTREAM;
     }
 
-    /** What is not meant to go on was taken out when the request was read. */
+    /** Headers that must not be forwarded were removed when the request was read. */
     @Override
-    public void dress(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget) {
+    public void dress(HttpRequest sent, HttpRequest request, Member to, double remainingMs, Budget budget) {
         HttpHeaders headers = sent.headers();
-        HopHeaders.copy(given.headers(), headers);
-        headers.set(MeshHeaders.LEFT, (long) Math.max(0, left));
-        if (toBalancers) {
-            headers.set(MeshHeaders.DELIVER, to.name());
-            // Kept as the time until which it may wait, as it may be sent more than once.
+        HopHeaders.copy(request.headers(), headers);
+        headers.set(MeshHeaders.TIME_LEFT, (long) Math.max(0, remainingMs));
+        if (toSidecars) {
+            headers.set(MeshHeaders.DELIVER_TO, to.name());
+            // Until here the header contains the absolute time, as the request may be sent more than once.
             double until = Math.min(startUntil, Double.parseDouble(headers.get(MeshHeaders.QUEUE_TIMEOUT)));
             headers.set(MeshHeaders.QUEUE_TIMEOUT, (long) Math.max(0, until - clock.now()));
         }
@@ -81,15 +85,17 @@
 
     @Override
     public boolean answers(HttpRequest request, HttpResponse answer) {
-        String sentTryId = request.headers().get(MeshHeaders.TRY);
-        String given = answer.headers().get(MeshHeaders.TRY);
-        return sentTryId == null || given == null || sentTryId.equals(given);
+        String sentTryId = request.headers().get(MeshHeaders.TRY_ID);
+        String answeredTryId = answer.headers().get(MeshHeaders.TRY_ID);
+        return sentTryId == null || answeredTryId == null || sentTryId.equals(answeredTryId);
     }
 
-    /** Every answer of an upstream, and every one of ours to a request that was read, names its request. */
+    /**
+     * Every response of an upstream, and every answer of a sidecar to a request that it has read, names its request.
+     */
     @Override
     public boolean isNamed(HttpResponse answer) {
-        return answer.headers().contains(MeshHeaders.TRY);
+        return answer.headers().contains(MeshHeaders.TRY_ID);
     }
 
     @Override
@@ -108,25 +114,26 @@
 
     private Result verdict(HttpResponse answer) {
         HttpHeaders headers = answer.headers();
-        if (toBalancers
-                ? MeshHeaders.PROVEN.equals(headers.get(MeshHeaders.VERDICT))
+        if (toSidecars
+                ? MeshHeaders.VERDICT_NOT_RUN.equals(headers.get(MeshHeaders.VERDICT))
                 : headers.contains(MeshHeaders.NOT_RUN) || answer.status().code() == MISDIRECTED) {
             return Result.FULL;
         }
         boolean served = answer.status().codeClass() == HttpStatusClass.SUCCESS
-                && headers.contains(MeshHeaders.STAMP)
-                && headers.contains(MeshHeaders.TRY)
+                && headers.contains(MeshHeaders.POSTMARK)
+                && headers.contains(MeshHeaders.TRY_ID)
                 && !headers.contains("Content-Encoding");
         return served ? Result.OK : Result.ERROR;
     }
 
-    /** A success that lacks its stamp must not reach a client, and neither must what was encoded on the way. */
+    /** A success without its postmark must not reach a client, nor a response whose encoding was changed on the way. */
     @Override
     public boolean keeps(HttpMessage answer) {
         return answer instanceof HttpResponse response
                 && response.status().codeClass() != HttpStatusClass.SUCCESS
                 && response.status().codeClass() != HttpStatusClass.REDIRECTION
                 && !response.headers().contains("Content-Encoding")
-                && (!toBalancers || MeshHeaders.RAN.equals(response.headers().get(MeshHeaders.VERDICT)));
+                && (!toSidecars
+                        || MeshHeaders.VERDICT_RAN.equals(response.headers().get(MeshHeaders.VERDICT)));
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -18,57 +18,71 @@
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.routing.RoutingTable;
 
-/** What the clients of a machine, and its upstream, say to the balancer there (PROTOCOL, "Requests"). */
+/** The front end for requests of local clients and of the local upstream (PROTOCOL, "Requests"). */
 final class OutboundFront implements FrontDialect {
 
     private static final int HEADER_BYTES = 64 * 1024;
-    private static final int KEPT = 1024 * 1024;
-    private static final int KEPT_IN_ALL = 48 * KEPT;
-    private static final int SLOWEST = 10;
-    /** Before any configuration is known. */
-    private static final FrontTerms FIRST =
-            new FrontTerms(HEADER_BYTES, KEPT, 5_000, SLOWEST, 15_000, 15_000, KEPT, KEPT_IN_ALL, true);
-    /** A client sends a body over a link, not from memory: its time is more than that of a head. */
-    private static final double READ_LENIENCY = 1.5;
-    /** The part of its aim that a request may wait for a slot: after that its answer would come late. */
+    private static final int MAX_BUFFERED_BYTES = 1024 * 1024;
+    private static final int MAX_TOTAL_BUFFERED_BYTES = 48 * MAX_BUFFERED_BYTES;
+    private static final int MIN_BYTES_PER_MS = 10;
+    /** Used before the first configuration arrives. */
+    private static final FrontTerms DEFAULT_TERMS = new FrontTerms(
+            HEADER_BYTES,
+            MAX_BUFFERED_BYTES,
+            5_000,
+            MIN_BYTES_PER_MS,
+            15_000,
+            15_000,
+            MAX_BUFFERED_BYTES,
+            MAX_TOTAL_BUFFERED_BYTES,
+            true);
+    /** Extends the header timeout to bodies, which take longer because they are sent over a network link. */
+    private static final double BODY_TIMEOUT_FACTOR = 1.5;
+    /**
+     * The share of its latency target that a request may wait for a concurrency slot: after a longer wait its answer
+     * would be late.
+     */
     private static final double QUEUE_TIME_SHARE = 0.6;
-    /** How long a request waits at most for a configuration that would admit it, ms. */
+    /** How long a request may wait for a configuration that would admit it. */
     private static final double MAX_HOLD_MS = 400;
-    /** The part of its aim for which it may wait so: one that is refused later earns nothing by that. */
-    private static final double HELD_OF_AIM = 0.2;
-    /** The same of its client's time, where its aim is not known: aims are a seventh of that or more. */
-    private static final double HELD_OF_TIME = HELD_OF_AIM / 7;
+    /** The same limit as a share of the latency target: a request that is rejected later gains nothing by waiting. */
+    private static final double MAX_HOLD_TARGET_SHARE = 0.2;
     /**
-     * {@code Retry-After} of a request that was refused for want of a configuration, ms: at least this, at most this
-     * share of its time.
+     * The same limit as a share of the client's timeout, if the target is unknown: targets are at least a seventh of
+     * the timeout.
      */
-    private static final double RETRY_AFTER_MS = 300;
+    private static final double MAX_HOLD_TIMEOUT_SHARE = MAX_HOLD_TARGET_SHARE / 7;
+    /**
+     * The minimum {@code Retry-After} of a request that is rejected because no configuration is known, and its maximum
+     * as a share of the client's timeout.
+     */
+    private static final double MIN_RETRY_AFTER_MS = 300;
 
-    private static final double LATEST_RETURN = 0.3;
+    private static final double MAX_RETRY_AFTER_SHARE = 0.3;
 
     private final String caller;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
     private final Confirmation confirmation;
     private final SplittableRandom random;
-    private FrontTerms terms = FIRST;
+    private FrontTerms terms = DEFAULT_TERMS;
     private RoutingTable routingTable;
     private Version version;
     private Map<String, Integer> classes = new HashMap<>();
-    /** When the first request came, before which nobody has waited; NaN before that. */
-    private double firstCameAt = Double.NaN;
+    /** When the first request arrived; NaN before that. */
+    private double firstArrivedAt = Double.NaN;
 
-    /** Asks whether the configuration at hand is the newest. */
+    /** Confirms that the current configuration is the latest. */
     interface Confirmation {
 
-        /** Requests a confirmed update, unless that is under way. */
-        void ask();
+        /** Requests a confirmed update unless a request is pending. */
+        void request();
 
-        /** When the latest confirmed update was requested, ms; the configuration is no older. */
+        /** When the latest confirmed update was requested, in ms: the configuration was the latest at that time. */
         double confirmedAt();
     }
 
-    /** A front; {@code caller} is the service whose requests begin here. */
+    /** Creates a front end; {@code caller} is the service whose requests start here. */
     OutboundFront(String caller, Quotas quotas, RetryBudget retryBudget, Confirmation confirmation, long seed) {
         this.caller = caller;
         this.quotas = quotas;
@@ -77,21 +91,21 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Reads requests by another configuration from now on. */
-    void adopt(RoutingTable next, Version as, Map<String, Integer> places) {
+    /** Adopts a new configuration for reading requests. */
+    void adopt(RoutingTable next, Version nextVersion, Map<String, Integer> classIndexes) {
         routingTable = next;
-        version = as;
-        classes = places;
+        version = nextVersion;
+        classes = classIndexes;
         Configuration.Limits limits = next.configuration().limits();
         terms = new FrontTerms(
                 Math.max(HEADER_BYTES / 4, limits.headerBytes()),
                 limits.bodyBytes(),
-                limits.headerMs() * READ_LENIENCY,
-                SLOWEST,
+                limits.headerMs() * BODY_TIMEOUT_FACTOR,
+                MIN_BYTES_PER_MS,
                 limits.idleMs(),
                 limits.idleMs(),
-                KEPT,
-                KEPT_IN_ALL,
+                MAX_BUFFERED_BYTES,
+                MAX_TOTAL_BUFFERED_BYTES,
                 true);
     }
 
@@ -114,49 +128,51 @@
     }
 
     @Override
-    public CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now)
+    public CheckedRequest read(HttpRequest request, boolean hasBody, double arrivedAt, double now)
             throws BadRequestException {
         HttpHeaders headers = request.headers();
-        if (Double.isNaN(firstCameAt)) {
-            firstCameAt = cameAt;
+        if (Double.isNaN(firstArrivedAt)) {
+            firstArrivedAt = arrivedAt;
         }
         if (routingTable == null) {
-            throw withoutConfiguration(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs()), now);
+            throw withoutConfiguration(
+                    MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, DEFAULT_TERMS.requestMs()), now);
         }
-        if (MeshHeaders.single(headers, MeshHeaders.TRY) == null) {
-            throw new BadRequestException(MeshHeaders.TRY + " is missing");
+        if (MeshHeaders.single(headers, MeshHeaders.TRY_ID) == null) {
+            throw new BadRequestException(MeshHeaders.TRY_ID + " is missing");
         }
         RoutingTable.RouteMatch match = routingTable.find(MeshHeaders.single(headers, "Host"), request.uri());
         if (match == null) {
             throw BadRequestException.rejected(HttpResponseStatus.NOT_FOUND, "no route")
-                    .heldFor(held(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs())));
+                    .heldFor(maxHoldMs(MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, DEFAULT_TERMS.requestMs())));
         }
         Configuration.Route route = match.route();
         Configuration.Tenant tenant = routingTable.tenant(MeshHeaders.single(headers, MeshHeaders.KEY));
         if (routingTable.wantsKeys() && !route.open() && tenant == null) {
             throw BadRequestException.rejected(HttpResponseStatus.UNAUTHORIZED, "unknown key")
-                    .heldFor(held(route));
+                    .heldFor(maxHoldMs(route));
         }
-        double given = Math.min(route.timeoutMs(), MeshHeaders.millis(headers, MeshHeaders.LEFT, route.timeoutMs()));
-        double left = given - (now - cameAt);
-        if (left <= 0) {
+        double timeoutMs =
+                Math.min(route.timeoutMs(), MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, route.timeoutMs()));
+        double remainingMs = timeoutMs - (now - arrivedAt);
+        if (remainingMs <= 0) {
             throw BadRequestException.rejected(HttpResponseStatus.SERVICE_UNAVAILABLE, "its time is over");
         }
         if (tenant != null) {
-            claim(tenant, route, left, now);
+            claim(tenant, route, remainingMs, now);
         }
         String service = routingTable.choose(route, random.nextDouble());
-        retryBudget.came(service, tenant == null && routingTable.wantsKeys());
+        retryBudget.onRequest(service, tenant == null && routingTable.wantsKeys());
         int rank = tenant != null && tenant.priority() >= 0 ? tenant.priority() : route.priority();
         headers.remove(MeshHeaders.KEY)
                 .remove(MeshHeaders.SENDER)
-                .remove(MeshHeaders.DELIVER)
+                .remove(MeshHeaders.DELIVER_TO)
                 .remove(MeshHeaders.VERDICT);
         headers.set(MeshHeaders.CALLER, caller);
         if (tenant != null) {
             headers.set(MeshHeaders.SENDER, tenant.name());
         }
-        headers.set(MeshHeaders.QUEUE_TIMEOUT, cameAt + QUEUE_TIME_SHARE * Math.min(route.targetMs(), given));
+        headers.set(MeshHeaders.QUEUE_TIMEOUT, arrivedAt + QUEUE_TIME_SHARE * Math.min(route.targetMs(), timeoutMs));
         headers.set(MeshHeaders.RANK, rank);
         return new CheckedRequest(
                 "",
@@ -164,7 +180,7 @@
                                 classes.get(BalancerSettings.name(route, service)),
                                 0,
                                 0,
-                                now + left,
+                                now + remainingMs,
                                 0,
                                 false,
                                 route.kind() != Configuration.Kind.SAFE)
@@ -172,55 +188,58 @@
                 version);
     }
 
-    private void claim(Configuration.Tenant tenant, Configuration.Route route, double left, double now)
+    private void claim(Configuration.Tenant tenant, Configuration.Route route, double remainingMs, double now)
             throws BadRequestException {
         Quotas.Claim claim = quotas.claim(now, tenant);
         if (claim == Quotas.Claim.REQUESTED) {
-            // The answer of the tenant's pool is a round trip away.
-            throw BadRequestException.rejected(HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", RETRY_AFTER_MS)
-                    .heldFor(held(route));
+            // The request waits for the response of the tenant's pool, which takes one round trip.
+            throw BadRequestException.rejected(
+                            HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", MIN_RETRY_AFTER_MS)
+                    .heldFor(maxHoldMs(route));
         } else if (claim == Quotas.Claim.REFUSED) {
             throw BadRequestException.rejected(
-                    HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", Math.min(quotas.next(tenant), left));
+                    HttpResponseStatus.TOO_MANY_REQUESTS,
+                    "beyond the quota",
+                    Math.min(quotas.msUntilNextToken(tenant), remainingMs));
         }
     }
 
-    private static double held(Configuration.Route route) {
-        return Math.min(MAX_HOLD_MS, HELD_OF_AIM * route.targetMs());
+    private static double maxHoldMs(Configuration.Route route) {
+        return Math.min(MAX_HOLD_MS, MAX_HOLD_TARGET_SHARE * route.targetMs());
     }
 
-    private static double held(double time) {
-        return Math.min(MAX_HOLD_MS, HELD_OF_TIME * time);
+    private static double maxHoldMs(double timeoutMs) {
+        return Math.min(MAX_HOLD_MS, MAX_HOLD_TIMEOUT_SHARE * timeoutMs);
     }
 
     /**
-     * Nothing has run, and it may be tried again once there is an update: nobody knows when that will be, and what has
-     * taken long already is likely to take as long again.
+     * The rejection of a request before the first configuration: it has not run and may be retried once an update has
+     * arrived. When that will be is unknown, but the longer it has taken already the longer it is likely to take.
      */
-    private BadRequestException withoutConfiguration(double time, double now) {
-        double comeBack = Math.max(RETRY_AFTER_MS, now - firstCameAt);
+    private BadRequestException withoutConfiguration(double timeoutMs, double now) {
+        double retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, now - firstArrivedAt);
         return BadRequestException.rejected(
                         HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "no configuration yet",
-                        Math.min(comeBack, LATEST_RETURN * time))
-                .heldFor(held(time));
+                        Math.min(retryAfterMs, MAX_RETRY_AFTER_SHARE * timeoutMs))
+                .heldFor(maxHoldMs(timeoutMs));
     }
 
     /**
-     * A key or route that is not known here may be newer than what is known here. Where nobody says in time that it is
-     * not, the request is refused as one that has not run, and not as one that never may.
+     * An unknown key or route may belong to a configuration that has not arrived yet. Unless the current configuration
+     * is confirmed as the latest in time, the request is rejected as retryable instead of as unauthorized or not found.
      */
     @Override
-    public BadRequestException refusal(BadRequestException why, boolean mayWait, double cameAt, double now) {
-        int status = why.status().code();
+    public BadRequestException refusal(BadRequestException rejection, boolean mayWait, double arrivedAt, double now) {
+        int status = rejection.status().code();
         boolean unknown =
                 status == HttpResponseStatus.UNAUTHORIZED.code() || status == HttpResponseStatus.NOT_FOUND.code();
-        if (unknown && confirmation.confirmedAt() >= cameAt) {
-            return why;
+        if (unknown && confirmation.confirmedAt() >= arrivedAt) {
+            return rejection;
         }
-        if (mayWait && now - cameAt < why.maxWaitMs()) {
+        if (mayWait && now - arrivedAt < rejection.maxWaitMs()) {
             if (unknown) {
-                confirmation.ask();
+                confirmation.request();
             }
             return null;
         }
@@ -228,8 +247,8 @@
                 ? BadRequestException.rejected(
                         HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "not known whether this is the newest configuration",
-                        RETRY_AFTER_MS)
-                : why;
+                        MIN_RETRY_AFTER_MS)
+                : rejection;
     }
 
     @Override
@@ -243,7 +262,7 @@
     }
 
     @Override
-    public void dress(HttpResponse response, Answer answer, Version by, HttpRequest request) {
-        MeshResponses.dress(response, answer, request);
+    public void dress(HttpResponse response, Answer answer, Version version, HttpRequest request) {
+        MeshResponses.writeHeaders(response, answer, request);
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/PauseHistory.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PauseHistory.java
@@ -1,49 +1,49 @@
 package sablehinge.dataplane.sidecar;
 
 /**
- * For how long this process stood still of late, by a tick that ought to come every so often: it was stopped, or had no
- * share of a core. Whatever came to it meanwhile, a signal above all, may have come as much earlier than it was seen.
- * Belongs to the event loop.
+ * Detects recent pauses of this process from late periodic ticks: the process was stopped or got no CPU time. An event
+ * that arrived during a pause, in particular a signal, may have arrived up to the length of the pause before the
+ * process saw it. Owned by the event loop.
  */
 final class PauseHistory {
 
-    /** A tick that is late by less says nothing, ms: the loop may have been busy. */
-    private static final double IGNORED_MS = 200;
-    /** For how long a pause counts after its end, ms: the threads of a process don't all go on at once. */
-    private static final double RECENT_MS = 1_000;
-    /** The longest pause that is believed, ms. */
-    private static final double MAX_MS = 2_000;
+    /** A shorter delay of a tick is ignored: the event loop may have been busy. */
+    private static final double MIN_PAUSE_MS = 200;
+    /** For how long a pause counts after its end: the threads of a process don't all resume at the same time. */
+    private static final double RETENTION_MS = 1_000;
+    /** Upper limit of a reported pause. */
+    private static final double MAX_PAUSE_MS = 2_000;
 
     private final double periodMs;
-    /** NaN before the first tick: nothing is late until ticks are due. */
+    /** NaN before the first tick: no tick is due before it. */
     private double lastTickAt = Double.NaN;
 
     private double pauseMs;
     private double pauseEndedAt = Double.NEGATIVE_INFINITY;
 
-    /** Ticks are due every so many ms from the first one on. */
+    /** Creates a history for ticks of the given period, starting with the first tick. */
     PauseHistory(double periodMs) {
         this.periodMs = periodMs;
     }
 
-    /** A tick has come. */
+    /** Records a tick. */
     void tick(double now) {
-        double late = lateMs(now);
+        double delay = tickDelayMs(now);
         lastTickAt = now;
-        if (late > 0) {
-            pauseMs = now - pauseEndedAt > RECENT_MS ? late : Math.max(pauseMs, late);
+        if (delay > 0) {
+            pauseMs = now - pauseEndedAt > RETENTION_MS ? delay : Math.max(pauseMs, delay);
             pauseEndedAt = now;
         }
     }
 
-    /** How much earlier than now something may have come that is seen now, ms; 0 while all goes on. */
-    double recentMs(double now) {
-        double ended = now - pauseEndedAt <= RECENT_MS ? pauseMs : 0;
-        return Math.min(MAX_MS, Math.max(ended, lateMs(now)));
+    /** How much earlier, in ms, an event that is seen now may have arrived; 0 without a recent pause. */
+    double recentPauseMs(double now) {
+        double endedPauseMs = now - pauseEndedAt <= RETENTION_MS ? pauseMs : 0;
+        return Math.min(MAX_PAUSE_MS, Math.max(endedPauseMs, tickDelayMs(now)));
     }
 
-    private double lateMs(double now) {
-        double late = now - lastTickAt - periodMs;
-        return late > IGNORED_MS ? late : 0;
+    private double tickDelayMs(double now) {
+        double delay = now - lastTickAt - periodMs;
+        return delay > MIN_PAUSE_MS ? delay : 0;
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
@@ -39,26 +39,26 @@
 import sablehinge.mesh.watch.Update;
 
 /**
- * Sends heartbeats to those that the ring names as watchers of this balancer, and monitors those that name it.
- * Heartbeats are datagrams to the first of the inner ports, as many ticks apart as make {@link Monitor#HEARTBEAT_MS}.
- * The loop of its balancer owns it.
+ * Sends heartbeats to this sidecar's watchers on the hash ring, and monitors the peers that it watches itself.
+ * Heartbeats are datagrams to the first of the inner ports, sent every {@link Monitor#HEARTBEAT_MS}. Owned by the event
+ * loop of its sidecar.
  */
 final class PeerMonitor {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerMonitor.class);
-    /** How long a suspect's machine has to take a connection or refuse it. */
+    /** How long the machine of a suspected peer has to accept or refuse a connection. */
     private static final int CONNECT_TIMEOUT_MS = 200;
-    /** Of heartbeats that can't be read, the first is logged and then each so many. */
-    private static final long EACH_MALFORMED = 1_000;
+    /** Of malformed heartbeats, the first is logged and then one of this many. */
+    private static final long MALFORMED_LOG_INTERVAL = 1_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final LocalSettings settings;
-    private final Runnable update;
+    private final Runnable onSuspicionsChanged;
     private final Monitor monitor = new Monitor();
-    private final Bootstrap reaching;
+    private final Bootstrap probeBootstrap;
     private final Map<String, Registration> known = new HashMap<>();
-    /** The nodes in the present leader's registry. */
+    /** The nodes in the current leader's registry. */
     private final Set<String> registered = new HashSet<>();
 
     private final long place;
@@ -67,24 +67,24 @@
     private List<InetSocketAddress> heartbeatTargets = List.of();
     private Channel channel;
     private double heartbeatSentAt = Double.NEGATIVE_INFINITY;
-    private int number;
+    private int lastSequenceNumber;
     private long malformed;
 
-    /** A monitor; {@code update} is run when the peers that it suspects have changed. */
-    PeerMonitor(EventLoop loop, Clock clock, LocalSettings settings, Runnable update) {
+    /** Creates a monitor; {@code onSuspicionsChanged} runs when the set of suspected peers has changed. */
+    PeerMonitor(EventLoop loop, Clock clock, LocalSettings settings, Runnable onSuspicionsChanged) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
-        this.update = update;
+        this.onSuspicionsChanged = onSuspicionsChanged;
         place = HashRing.place(settings.node());
-        reaching = new Bootstrap()
+        probeBootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInboundHandlerAdapter());
     }
 
-    /** Receives heartbeats from now on. */
+    /** Starts to receive heartbeats. */
     void listen() throws ConfigException, InterruptedException {
         ChannelFuture bound = new Bootstrap()
                 .group(loop)
@@ -93,24 +93,24 @@
                 .bind(settings.ip(), settings.innerFirst())
                 .await();
         if (!bound.isSuccess()) {
-            throw new ConfigException("cannot hear beats on " + settings.ip() + ":" + settings.innerFirst() + ": "
-                    + bound.cause().getMessage());
+            throw new ConfigException("cannot receive heartbeats on " + settings.ip() + ":" + settings.innerFirst()
+                    + ": " + bound.cause().getMessage());
         }
         channel = bound.channel();
     }
 
-    /** The channel of heartbeats, both ways; handlers may be added before its others. */
+    /** The channel on which heartbeats are sent and received; further handlers may be added in front. */
     Channel channel() {
         return channel;
     }
 
-    /** Sends and receives heartbeats no more. */
+    /** Stops sending and receiving heartbeats. */
     void close() {
         channel.close();
         channel = null;
     }
 
-    /** An update of the leader has come, with some or all balancers of its registry. */
+    /** Handles an update of the leader, with some or all sidecars of its registry. */
     void onUpdate(Update update) {
         if (update.full()) {
             registered.clear();
@@ -118,8 +118,8 @@
         update.registrations().forEach(registration -> registered.add(registration.node()));
     }
 
-    /** The balancers of the registry now. */
-    void registry(Collection<Registration> registry) {
+    /** Sets the sidecars of the current registry. */
+    void setRegistry(Collection<Registration> registry) {
         Map<String, String> zones = new HashMap<>();
         known.clear();
         for (Registration registration : registry) {
@@ -131,40 +131,40 @@
         hashRing = new HashRing(zones);
         heartbeatTargets = new ArrayList<>();
         hashRing.watchers(settings.node())
-                .forEach(watcher ->
-                        heartbeatTargets.add(new InetSocketAddress(at(watcher).getAddress(), settings.innerFirst())));
+                .forEach(watcher -> heartbeatTargets.add(
+                        new InetSocketAddress(inboundAddress(watcher).getAddress(), settings.innerFirst())));
         monitor.over(clock.now(), hashRing.watched(settings.node()));
     }
 
-    private InetSocketAddress at(String node) {
+    private InetSocketAddress inboundAddress(String node) {
         String inbound = known.get(node).inbound();
         int colon = inbound.lastIndexOf(':');
         return new InetSocketAddress(inbound.substring(0, colon), Integer.parseInt(inbound.substring(colon + 1)));
     }
 
-    /** Called often: sends heartbeats when they are due, and looks for peers whose own are missing. */
+    /** Sends heartbeats when they are due, and detects peers whose heartbeats are missing. Called periodically. */
     void tick() {
         double now = clock.now();
-        // A tick may come a little early: half a tick before its time is time enough.
+        // A tick may be slightly early, so heartbeats are sent up to half a tick before they are due.
         if (channel != null && now - heartbeatSentAt >= Monitor.HEARTBEAT_MS - Sidecar.TICK_MS / 2.0) {
             heartbeatSentAt = now;
-            byte[] heartbeat = new HeartbeatPacket(place, incarnation, ++number).bytes();
+            byte[] heartbeat = new HeartbeatPacket(place, incarnation, ++lastSequenceNumber).bytes();
             for (InetSocketAddress to : heartbeatTargets) {
                 channel.write(new DatagramPacket(Unpooled.wrappedBuffer(heartbeat), to));
             }
             channel.flush();
         }
-        monitor.tick(now).forEach(this::reach);
+        monitor.tick(now).forEach(this::probe);
     }
 
-    /** Whom this balancer accuses now. */
+    /** The peers that this sidecar suspects now. */
     List<Suspicion> suspicions() {
         return monitor.suspicions();
     }
 
     /**
-     * Peers that this balancer receives heartbeats from and that are not in the leader's registry: new, or cut off from
-     * it.
+     * Peers that send heartbeats to this sidecar but are not in the leader's registry: they are new, or partitioned
+     * from the leader.
      */
     List<Registration> vouched() {
         List<Registration> vouched = new ArrayList<>();
@@ -176,14 +176,14 @@
         return vouched;
     }
 
-    /** Probes a peer that sends nothing any more: a machine answers even where no process does. */
-    private void reach(String node) {
-        ChannelFuture connect = reaching.connect(at(node));
-        // Where no channel can be made, Netty calls back on another thread than the loop.
-        connect.addListener(up -> loop.execute(() -> reached(node, connect)));
+    /** Probes a silent peer with a TCP connection: its machine responds even if its process does not. */
+    private void probe(String node) {
+        ChannelFuture connect = probeBootstrap.connect(inboundAddress(node));
+        // If no channel can be created, Netty invokes the listener on a thread other than the event loop.
+        connect.addListener(up -> loop.execute(() -> onProbed(node, connect)));
     }
 
-    private void reached(String node, ChannelFuture connect) {
+    private void onProbed(String node, ChannelFuture connect) {
         if (connect.isSuccess()) {
             connect.channel().close();
         }
@@ -192,12 +192,12 @@
             Log.info(LOG, "accuses")
                     .addKeyValue("peer", node)
                     .addKeyValue("evidence", evidence)
-                    .log("a balancer is not heard");
-            update.run();
+                    .log("peer suspected: no heartbeats received");
+            onSuspicionsChanged.run();
         }
     }
 
-    /** What it tells that a connection came up, where there is no cause, or why it did not. */
+    /** The evidence of a connection attempt: {@code cause} is null if it succeeded. */
     static SuspicionCause evidence(Throwable cause) {
         if (cause == null) {
             return SuspicionCause.FROZEN;
@@ -207,7 +207,7 @@
                 : SuspicionCause.SILENT;
     }
 
-    /** Handles heartbeats. */
+    /** Handles received heartbeats. */
     private final class HeartbeatHandler extends SimpleChannelInboundHandler<DatagramPacket> {
 
         @Override
@@ -216,26 +216,28 @@
             byte[] bytes = new byte[content.readableBytes()];
             content.readBytes(bytes);
             try {
-                HeartbeatPacket pulse = HeartbeatPacket.read(bytes);
-                String node = hashRing.at(pulse.place());
-                if (node != null && monitor.heard(clock.now(), node, pulse.incarnation(), pulse.number())) {
-                    Log.info(LOG, "hears-again").addKeyValue("peer", node).log("a balancer is heard again");
-                    update.run();
+                HeartbeatPacket heartbeat = HeartbeatPacket.read(bytes);
+                String node = hashRing.at(heartbeat.place());
+                if (node != null && monitor.heard(clock.now(), node, heartbeat.incarnation(), heartbeat.number())) {
+                    Log.info(LOG, "hears-again")
+                            .addKeyValue("peer", node)
+                            .log("heartbeats of a suspected peer received again");
+                    onSuspicionsChanged.run();
                 }
             } catch (IOException e) {
-                if (malformed++ % EACH_MALFORMED == 0) {
+                if (malformed++ % MALFORMED_LOG_INTERVAL == 0) {
                     Log.warn(LOG, "beat-malformed")
                             .addKeyValue("from", packet.sender())
                             .addKeyValue("dropped", malformed)
                             .addKeyValue("cause", e.getMessage())
-                            .log("a beat can't be read");
+                            .log("malformed heartbeat received");
                 }
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A datagram that could not be sent or read is one that was lost.
+            // A datagram that can't be sent or read counts as lost.
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Quotas.java
@@ -9,40 +9,43 @@
 import sablehinge.mesh.quota.Quota;
 import sablehinge.mesh.routing.Configuration;
 
-/** This balancer's even parts of the tenants' quotas, and what it takes from the pools beside them. */
+/** The tenants' quotas at this sidecar: an even part of each quota, plus tokens requested from the tenant's pool. */
 final class Quotas {
 
-    /** How long an answer from the pool is waited for, and how long an empty pool is not requested again, ms. */
+    /** How long a request waits for the pool's response, and how long an empty pool is not requested again. */
     private static final double POOL_TIMEOUT_MS = 60;
 
-    private static final double EMPTY_MS = 100;
-    private static final double FIRST = 0.5;
-    /** Claims fade over this time, in ms; tokens are requested a share of it ahead, and some are kept. */
-    private static final double FADE_MS = 1_000;
+    private static final double EMPTY_POOL_BACKOFF_MS = 100;
+    private static final double INITIAL_TOKENS_SHARE = 0.5;
+    /**
+     * The time constant of the decaying count of claims; the share of that count requested in advance, and the share
+     * retained when tokens are lent.
+     */
+    private static final double CLAIM_DECAY_MS = 1_000;
 
-    private static final double AHEAD = 0.1;
-    private static final int MAX_AT_ONCE = 20;
-    private static final double KEPT = 0.5;
-    /** Balancers that are assumed until a complete roster shows how many there are. */
+    private static final double PREFETCH_SHARE = 0.1;
+    private static final int MAX_TOKENS_PER_REQUEST = 20;
+    private static final double RETAINED_SHARE = 0.5;
+    /** The number of sidecars assumed until a complete registry shows the actual number. */
     private static final int ASSUMED_BALANCERS = 16;
     /**
-     * For so long after another leader has begun, in ms, no fewer are reckoned with than before it: who is cut off from
-     * it may be on no roster of its, and goes on with its part.
+     * For this time after a leader change the assumed number of sidecars does not decrease: a sidecar that is
+     * partitioned from the new leader may be missing in its registry and still use its part.
      */
-    static final double HELD_MS = 48_000;
+    static final double LEADER_CHANGE_HOLD_MS = 48_000;
 
     private final LocalSettings.Bounds bounds;
     private final ObjIntConsumer<String> pool;
-    private final Map<String, TenantMeter> metered = new HashMap<>();
-    private int least = ASSUMED_BALANCERS;
-    /** Whether the last roster was complete; one that is not begins another leader's. */
+    private final Map<String, TenantMeter> meters = new HashMap<>();
+    private int lastCompleteCount = ASSUMED_BALANCERS;
+    /** Whether the last registry was complete. An incomplete meter after it marks a leader change. */
     private boolean wasComplete;
 
-    private int held = 1;
-    private double heldUntil = Double.NEGATIVE_INFINITY;
+    private int heldCount = 1;
+    private double holdUntil = Double.NEGATIVE_INFINITY;
     private int balancers = ASSUMED_BALANCERS;
 
-    /** What became of a request's claim on its tenant's quota. */
+    /** The result of a request's claim on its tenant's quota. */
     enum Claim {
         GRANTED,
         REQUESTED,
@@ -51,7 +54,7 @@
 
     private static final class TenantMeter {
         Quota quota;
-        final Bucket bucket = new Bucket(FIRST);
+        final Bucket bucket = new Bucket(INITIAL_TOKENS_SHARE);
         double requestedAt = Double.NEGATIVE_INFINITY;
         double emptyUntil = Double.NEGATIVE_INFINITY;
         boolean requested;
@@ -59,106 +62,112 @@
         double claimedAt;
 
         double claims(double now) {
-            return claims * Math.exp((claimedAt - now) / FADE_MS);
+            return claims * Math.exp((claimedAt - now) / CLAIM_DECAY_MS);
         }
     }
 
-    /** Parts within the rule's bounds; {@code pool} asks for tokens, and {@link #given} brings them. */
+    /**
+     * Creates quotas within the bounds of the rule; {@code pool} requests tokens, which arrive through
+     * {@link #addTokens}.
+     */
     Quotas(LocalSettings.Bounds bounds, ObjIntConsumer<String> pool) {
         this.bounds = bounds;
         this.pool = pool;
     }
 
-    /** Takes the tenants of a configuration over. */
+    /** Adopts the tenants of a configuration. */
     void adopt(double now, List<Configuration.Tenant> tenants) {
-        Map<String, TenantMeter> before = new HashMap<>(metered);
-        metered.clear();
+        Map<String, TenantMeter> before = new HashMap<>(meters);
+        meters.clear();
         for (Configuration.Tenant tenant : tenants) {
             if (tenant.perSecond() > 0) {
-                TenantMeter one = before.getOrDefault(tenant.name(), new TenantMeter());
-                one.quota = Quota.of(
+                TenantMeter meter = before.getOrDefault(tenant.name(), new TenantMeter());
+                meter.quota = Quota.of(
                         tenant.perSecond(),
                         tenant.burst(),
                         bounds.quotaWindowS(),
                         bounds.quotaExcess(),
                         bounds.quotaSlack());
-                one.bucket.set(now, one.quota.even(balancers));
-                metered.put(tenant.name(), one);
+                meter.bucket.set(now, meter.quota.even(balancers));
+                meters.put(tenant.name(), meter);
             }
         }
     }
 
     /**
-     * Among how many balancers the even part is divided; to be set before the tenants that come with the same update,
-     * as the first tokens are a part of the even part. A leader that has just begun has heard of few; until its roster
-     * is complete, and for {@link #HELD_MS} at least, no fewer are reckoned with than the last complete one before it
-     * held: all of them may still hold their parts.
+     * Sets the number of sidecars among which the quotas are divided evenly. To be called before {@link #adopt} for the
+     * same update, as the initial tokens are a share of the even part. A new leader knows few sidecars at first: until
+     * its registry is complete, and for at lastCompleteCount {@link #LEADER_CHANGE_HOLD_MS}, the number does not fall
+     * below that of the last complete registry before it, as all those sidecars may still use their parts.
      *
-     * @param size balancers on the roster
-     * @param complete whether all that live are on it
+     * @param size the number of sidecars in the registry
+     * @param complete whether the registry contains all live sidecars
      */
     void divide(double now, int size, boolean complete) {
         if (wasComplete && !complete) {
-            held = now < heldUntil ? Math.max(held, least) : least;
-            heldUntil = now + HELD_MS;
+            heldCount = now < holdUntil ? Math.max(heldCount, lastCompleteCount) : lastCompleteCount;
+            holdUntil = now + LEADER_CHANGE_HOLD_MS;
         }
         wasComplete = complete;
         if (complete) {
-            least = Math.max(1, size);
+            lastCompleteCount = Math.max(1, size);
         }
-        int among = Math.max(now < heldUntil ? Math.max(held, least) : least, size);
-        if (among != balancers) {
-            balancers = among;
-            metered.values().forEach(one -> one.bucket.set(now, one.quota.even(balancers)));
+        int newCount = Math.max(now < holdUntil ? Math.max(heldCount, lastCompleteCount) : lastCompleteCount, size);
+        if (newCount != balancers) {
+            balancers = newCount;
+            meters.values().forEach(meter -> meter.bucket.set(now, meter.quota.even(balancers)));
         }
     }
 
-    /** Claims a request's token; one that was requested is claimed again a little later. */
+    /** Claims a token for a request. After {@link Claim#REQUESTED} the caller repeats the claim a little later. */
     Claim claim(double now, Configuration.Tenant tenant) {
-        TenantMeter one = metered.get(tenant.name());
-        if (one != null) {
-            one.claims = one.claims(now) + (one.requested ? 0 : 1);
-            one.claimedAt = now;
+        TenantMeter meter = meters.get(tenant.name());
+        if (meter != null) {
+            meter.claims = meter.claims(now) + (meter.requested ? 0 : 1);
+            meter.claimedAt = now;
         }
-        if (one == null || one.bucket.take(now, 1) == 1) {
+        if (meter == null || meter.bucket.take(now, 1) == 1) {
             return Claim.GRANTED;
         }
-        if (now < one.emptyUntil) {
+        if (now < meter.emptyUntil) {
             return Claim.REFUSED;
         }
-        if (!one.requested) {
-            one.requested = true;
-            one.requestedAt = now;
-            pool.accept(tenant.name(), (int) Math.max(1, Math.min(MAX_AT_ONCE, AHEAD * one.claims(now))));
-        } else if (now - one.requestedAt > POOL_TIMEOUT_MS) {
-            // Nobody answers: what the even part brings has to do.
-            one.requested = false;
-            one.emptyUntil = now + EMPTY_MS;
+        if (!meter.requested) {
+            meter.requested = true;
+            meter.requestedAt = now;
+            pool.accept(tenant.name(), (int)
+                    Math.max(1, Math.min(MAX_TOKENS_PER_REQUEST, PREFETCH_SHARE * meter.claims(now))));
+        } else if (now - meter.requestedAt > POOL_TIMEOUT_MS) {
+            // The pool does not respond: use only the tokens of the even part.
+            meter.requested = false;
+            meter.emptyUntil = now + EMPTY_POOL_BACKOFF_MS;
             return Claim.REFUSED;
         }
         return Claim.REQUESTED;
     }
 
-    /** In how many ms a token comes by itself. */
-    double next(Configuration.Tenant tenant) {
-        TenantMeter one = metered.get(tenant.name());
-        return one == null ? 0 : Math.max(1, one.bucket.next());
+    /** The time in ms until the even part yields the next token. */
+    double msUntilNextToken(Configuration.Tenant tenant) {
+        TenantMeter meter = meters.get(tenant.name());
+        return meter == null ? 0 : Math.max(1, meter.bucket.next());
     }
 
-    /** Gives up what its own requests are not likely to need of a tenant's quota, for others to have. */
+    /**
+     * Lends the tokens of a tenant that local requests are not likely to need to other sidecars; returns their number.
+     */
     int lend(double now, String tenant) {
-        TenantMeter one = metered.get(tenant);
-        return one == null ? 0 : one.bucket.lend(now, 1 + KEPT * one.claims(now));
+        TenantMeter meter = meters.get(tenant);
+        return meter == null ? 0 : meter.bucket.lend(now, 1 + RETAINED_SHARE * meter.claims(now));
     }
 
-    /** The pool has answered. */
-    void given(double now, String tenant, int count) {
-        TenantMeter one = metered.get(tenant);
-        if (one != null && one.requested) {
-            one.requested = false;
-            one.bucket.add(count);
+    /** Handles the response of a pool. */
+    void addTokens(double now, String tenant, int count) {
+        TenantMeter meter = meters.get(tenant);
+        if (meter != null && meter.requested) {
+            meter.requested = false;
+            meter.bucket.add(count);
             if (count == 0) {
-                one.emptyUntil = now + EMPTY_MS;
+                meter.emptyUntil = now + EMPTY_POOL_BACKOFF_MS;
             }
         }
     }
--- a/src/main/java/sablehinge/dataplane/sidecar/Readiness.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Readiness.java
@@ -5,7 +5,7 @@
 import sablehinge.mesh.api.ApiResponse;
 import sablehinge.mesh.api.Query;
 
-/** The platform asks whether clients may come. */
+/** The readiness probe of the platform: whether clients may connect. */
 final class Readiness extends Query<Readiness.State> {
 
     private final BooleanSupplier ready;
@@ -15,7 +15,7 @@
         this.ready = ready;
     }
 
-    /** Whether they may. */
+    /** Whether clients may connect. */
     record State(boolean ready) {}
 
     @Override
--- a/src/main/java/sablehinge/dataplane/sidecar/RegistryView.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RegistryView.java
@@ -7,16 +7,16 @@
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.Update;
 
-/** The registry of balancers and upstreams as the last updates had it. It belongs to its balancer's event loop. */
+/** The registry of sidecars and upstreams according to the updates received. Owned by the sidecar's event loop. */
 final class RegistryView {
 
-    /** What has become of an update. */
+    /** The result of an update. */
     enum Outcome {
-        /** It came from a leader of an earlier term, and was dropped. */
+        /** The update came from a leader of an earlier term and was ignored. */
         STALE,
-        /** It has changed no registration. */
+        /** The update changed no registration. */
         UNCHANGED,
-        /** Registrations were changed. */
+        /** The update changed registrations. */
         CHANGED
     }
 
@@ -25,17 +25,17 @@
     private long stamp;
     private boolean complete;
 
-    /** The term of the leader whose updates it has. */
+    /** The term of the leader that sent the latest update. */
     long term() {
         return term;
     }
 
-    /** Where in that leader's updates it stands. */
+    /** The position in that leader's sequence of updates. */
     long stamp() {
         return stamp;
     }
 
-    /** Whether that leader has heard of all that live. */
+    /** Whether that leader's registry contains all live sidecars. */
     boolean isComplete() {
         return complete;
     }
@@ -49,7 +49,7 @@
         return Collections.unmodifiableMap(registrations);
     }
 
-    /** Takes an update in. */
+    /** Applies an update. */
     Outcome apply(Update update) {
         if (update.term() < term) {
             return Outcome.STALE;
--- a/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RetryBudget.java
@@ -17,7 +17,10 @@
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.RetryBudgetCodec;
 
-/** Bounds the further tries of this balancer's requests by its shares, which it asks the core for. */
+/**
+ * Limits the further attempts of this sidecar's requests to its shares of the retry budget, which it claims from the
+ * control plane.
+ */
 final class RetryBudget implements RetryLimiter {
 
     private final Clock clock;
@@ -26,7 +29,10 @@
     private final String depot;
     private final Consumer<Frame> claims;
 
-    /** Shares under the rule's figures; {@code claims} takes them to the core, where that can be reached. */
+    /**
+     * Creates a budget by the settings of the retry rule; {@code claims} sends claims to the control plane if it is
+     * reachable.
+     */
     RetryBudget(Clock clock, LocalSettings settings, Consumer<Frame> claims) {
         this.clock = clock;
         this.claims = claims;
@@ -40,28 +46,31 @@
                 depot);
     }
 
-    /** Takes the services of a configuration over. */
+    /** Adopts the services of a configuration. */
     void adopt(Configuration configuration) {
         List<String> services = new ArrayList<>();
         configuration.services().forEach(service -> services.add(service.name()));
         shares.adopt(services);
     }
 
-    /** Which balancers there are, at least so many: the places are by their names. */
+    /**
+     * Divides the budget among the registered sidecars, but at least {@code assumedBalancers}. A sidecar's place is its
+     * position in the order of node names.
+     */
     void divide(Collection<Registration> registry, int assumedBalancers) {
         int place = 0;
-        int among = 0;
+        int balancers = 0;
         for (Registration registration : registry) {
             if (!registration.upstream().isEmpty()) {
-                among++;
+                balancers++;
                 place += registration.node().compareTo(node) < 0 ? 1 : 0;
             }
         }
-        shares.place(place, Math.max(place + 1, Math.max(among, assumedBalancers)));
+        shares.place(place, Math.max(place + 1, Math.max(balancers, assumedBalancers)));
     }
 
-    /** A request has come; where requests need a key, one without any is a call of the upstream beside. */
-    void came(String service, boolean call) {
+    /** Counts a request. {@code call} marks a call of the local upstream, which has no key where clients need one. */
+    void onRequest(String service, boolean call) {
         if (call) {
             shares.called(service);
         } else {
@@ -69,19 +78,19 @@
         }
     }
 
-    /** The local upstream has rejected what had arrived there. */
-    void rejected() {
+    /** Counts a request that the local upstream rejected on arrival. */
+    void onRejected() {
         shares.arrived(depot);
     }
 
     @Override
-    public void acquire(Version version, int serviceClass, boolean beside, Consumer<Runnable> then) {
+    public void acquire(Version version, int serviceClass, boolean concurrent, Consumer<Runnable> callback) {
         String name = version.classes().get(serviceClass);
-        shares.take(clock.now(), name.substring(name.lastIndexOf('\n') + 1), beside, then);
+        shares.take(clock.now(), name.substring(name.lastIndexOf('\n') + 1), concurrent, callback);
         tick();
     }
 
-    /** Claims what is wanted, if that is due; to be called some times a second. */
+    /** Claims the shares needed, if a claim is due; to be called several times a second. */
     void tick() {
         shares.expire(clock.now());
         Claim claim = shares.claim(clock.now());
@@ -90,7 +99,7 @@
         }
     }
 
-    void granted(Grant grant) {
+    void onGrant(Grant grant) {
         shares.granted(clock.now(), grant);
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/RosterBuilder.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/RosterBuilder.java
@@ -11,14 +11,16 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** Makes the list of upstreams that the decision module draws from out of the registry. */
+/** Builds the decision module's list of upstreams from the registry. */
 final class RosterBuilder {
 
-    /** The names of all zones, sorted: the module knows them by their place. */
+    /** The names of all zones, sorted; the module identifies a zone by its index. */
     private final List<String> zones;
-    /** The module's numbers of the services. */
+    /** The module's number for each service. */
     private final Map<String, Integer> kinds;
-    /** When upstreams have warmed up, as first registered, by their incarnations. */
+    /**
+     * The start time of each upstream, by incarnation, derived from the warm-up time left at its first registration.
+     */
     private final Map<String, Double> startedAt = new HashMap<>();
 
     RosterBuilder(List<String> zones, Map<String, Integer> kinds) {
@@ -27,10 +29,10 @@
     }
 
     /**
-     * The upstreams of the registry.
+     * Builds the list of all upstreams in the registry.
      *
      * @param now in ms
-     * @param knownKinds services with numbers from here on are not in the version in force
+     * @param knownKinds number of the first service that is not part of the current version
      */
     Roster build(double now, RegistryView registry, int knownKinds) {
         List<Member> members = new ArrayList<>();
@@ -40,7 +42,7 @@
                 members.add(member(now, registration, kind));
             }
         }
-        // A set: a list would be walked for each of them, of whom there may be hundreds.
+        // A set, because there may be hundreds of upstreams and a list would be searched for each of them.
         startedAt.keySet().retainAll(members.stream().map(Member::name).collect(Collectors.toSet()));
         return new Roster(registry.stamp(), true, members);
     }
--- a/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/Sidecar.java
@@ -46,33 +46,34 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * The balancer of a machine with an upstream. Outbound it takes the requests that begin on its machine, draws an
- * upstream for each and sends it to the balancer there; inbound it admits what others send to the upstream of its own
- * machine. All that it knows can be requested again. One thread owns all of it.
+ * The proxy of a machine with an upstream. Outbound, it accepts requests from local clients, selects an upstream for
+ * each and sends the request to the sidecar of that upstream. Inbound, it applies admission control to requests from
+ * other sidecars to the local upstream. It has no durable state: everything can be fetched again from the control
+ * plane. A single thread owns all of it.
  */
 public final class Sidecar {
 
     private static final Logger LOG = LoggerFactory.getLogger(Sidecar.class);
-    private static final int PAGE = 8_192;
+    private static final int PAGE_BYTES = 8_192;
     private static final int CHUNK_ORDER = 7;
-    private static final int CACHED = 32;
+    private static final int CACHED_BUFFERS = 32;
     private static final long PING_INTERVAL_MS = 300;
     private static final long CONNECTION_TIMEOUT_MS = 1_200;
     static final long TICK_MS = 100;
     private static final double MS_PER_S = 1_000;
     private static final int MAX_HEARTBEAT_BYTES = 64 * 1024;
-    /** Balancers that are assumed for the retry budget until the registry is complete. */
+    /** The number of sidecars assumed for the retry budget until the registry is complete. */
     private static final int ASSUMED_BALANCERS = 16;
 
     private static final Registry NO_REGISTRY = new Registry() {
         @Override
         public void fetch() {
-            // The registry comes by itself.
+            // Updates of the control plane contain the registry.
         }
 
         @Override
         public void watch(boolean on) {
-            // The registry comes by itself.
+            // Updates of the control plane contain the registry.
         }
     };
 
@@ -83,14 +84,14 @@
     private final RequestProxy outbound;
     private final RequestProxy inbound;
     private final MeshUpstream peerDialect;
-    /** The transport to other balancers, and that to the upstream beside. */
+    /** The transport to other sidecars, and the transport to the local upstream. */
     private final UpstreamClient peers;
 
     private final UpstreamClient app;
     private AdmissionController admission;
     private final Frontend outboundFrontend;
     private final Frontend inboundFrontend;
-    private final OutboundFront outboundRoutes;
+    private final OutboundFront outboundFront;
     private final Quotas quotas;
     private final RetryBudget retryBudget;
     private final WatchClient watchClient;
@@ -105,9 +106,9 @@
     private long edition;
     private boolean wantsConfirmation = true;
     private double confirmedAt = Double.NEGATIVE_INFINITY;
-    private boolean leaving;
-    /** Whether the upstream beside is to be drawn no more, as this process is about to end. */
-    private boolean shuts;
+    private boolean shuttingDown;
+    /** Whether the local upstream is withdrawn because this process is shutting down. */
+    private boolean upstreamWithdrawn;
 
     private final UpstreamLifecycle lifecycle;
     private final double startedListeningAt = clock.now();
@@ -120,10 +121,10 @@
         zones.sort(null);
         rosters = new RosterBuilder(zones, kinds);
         PooledByteBufAllocator memory =
-                new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
+                new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, CHUNK_ORDER, CACHED_BUFFERS, CACHED_BUFFERS, false);
         sockets = new Sockets(settings.limits().fds() - 200);
         LoopTimers timers = new LoopTimers(loop, clock);
-        quotas = new Quotas(settings.bounds(), this::askPool);
+        quotas = new Quotas(settings.bounds(), this::requestTokens);
         retryBudget = new RetryBudget(clock, settings, this::claim);
         outbound = new RequestProxy(
                 clock, timers, actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
@@ -133,13 +134,13 @@
         });
         lifecycle = new UpstreamLifecycle(
                 admission, MeshHeaders::incarnation, settings.bounds().unloadMs(), settings.heartbeatMs());
-        outboundRoutes = new OutboundFront(
+        outboundFront = new OutboundFront(
                 settings.depot(),
                 quotas,
                 retryBudget,
                 new OutboundFront.Confirmation() {
                     @Override
-                    public void ask() {
+                    public void request() {
                         if (!wantsConfirmation) {
                             wantsConfirmation = true;
                             watchClient.requestNow();
@@ -152,17 +153,17 @@
                     }
                 },
                 System.nanoTime());
-        outboundFrontend = new Frontend(loop, sockets, memory, outbound, outboundRoutes);
+        outboundFrontend = new Frontend(loop, sockets, memory, outbound, outboundFront);
         inboundFrontend = new Frontend(loop, sockets, memory, inbound, new InboundFront(inbound));
         peerDialect = new MeshUpstream(clock);
         peers = new UpstreamClient(loop, clock, sockets, memory, peerDialect);
-        app = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, retryBudget::rejected));
-        Version first = BalancerSettings.gate();
-        Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
+        app = new UpstreamClient(loop, clock, sockets, memory, new MeshUpstream(clock, retryBudget::onRejected));
+        Version first = BalancerSettings.inboundVersion();
+        Upstream localUpstream = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
         inbound.start(
                 first,
                 1,
-                new Roster(1, true, List.of(new Member(own, ListeningSockets.address(settings.app())))),
+                new Roster(1, true, List.of(new Member(localUpstream, ListeningSockets.address(settings.app())))),
                 app,
                 NO_REGISTRY);
         version = new Version(0, first.settings(), first.classes(), List.of(), false);
@@ -179,16 +180,17 @@
     }
 
     /**
-     * Starts a balancer where nobody listens yet.
+     * Opens the listening sockets and starts a sidecar.
      *
-     * @param onMade gets it before it reads its first request; from then on it can be drained, also while it starts
+     * @param onMade receives the sidecar before it reads its first request; from then on it can be drained, even during
+     *     its start
      */
     public static Sidecar start(LocalSettings settings, Consumer<Sidecar> onMade)
             throws ConfigException, InterruptedException {
         return start(settings, ListeningSockets.open(settings), onMade);
     }
 
-    /** Starts a balancer; it requests an update and reports that it is ready once it has it. */
+    /** Starts a sidecar; it requests an update and reports that it is ready once the update is applied. */
     public static Sidecar start(LocalSettings settings, ListeningSockets listening)
             throws ConfigException, InterruptedException {
         return start(settings, listening, made -> {});
@@ -229,7 +231,7 @@
         Log.info(LOG, "starts")
                 .addKeyValue("node", settings.node())
                 .addKeyValue("service", settings.depot())
-                .log("asks for news");
+                .log("sidecar started; requesting an update");
         return sidecar;
     }
 
@@ -243,10 +245,10 @@
     }
 
     private boolean isReady() {
-        return edition > 0 && confirmedAt > 0 && !leaving;
+        return edition > 0 && confirmedAt > 0 && !shuttingDown;
     }
 
-    // ---- The upstream beside -------------------------------------------------------------------------
+    // ---- Local upstream -------------------------------------------------------------------------
 
     private void handleHeartbeat(UpstreamLifecycle.Heartbeat heartbeat) {
         double now = clock.now();
@@ -261,7 +263,7 @@
                     .addKeyValue("berths", heartbeat.berths())
                     .addKeyValue("unloading", heartbeat.unloading())
                     .addKeyValue("after-ms", (long) (now - startedListeningAt))
-                    .log("an upstream is heard");
+                    .log("first heartbeat of an upstream received");
         }
         if (lifecycle.closesAt() < closed) {
             startDrain(heartbeat.id(), lifecycle.closesAt() - now);
@@ -275,9 +277,12 @@
         }
     }
 
-    /** Those that wait at the gate when it closes are refused then, and not by the next tick. */
+    /**
+     * Schedules a tick for the end of admission, so that waiting requests are rejected then and not at the next regular
+     * tick.
+     */
     private void startDrain(String id, double closesInMs) {
-        Log.info(LOG, "upstream-leaves").addKeyValue("id", id).log("the upstream leaves");
+        Log.info(LOG, "upstream-leaves").addKeyValue("id", id).log("the upstream is shuttingDown");
         loop.schedule(() -> lifecycle.tick(clock.now()), (long) Math.max(0, closesInMs) + 1, TimeUnit.MILLISECONDS);
     }
 
@@ -290,7 +295,7 @@
         }
     }
 
-    private Registration self() {
+    private Registration ownRegistration() {
         UpstreamLifecycle.Heartbeat present = lifecycle.present();
         return new Registration(
                 settings.node(),
@@ -298,17 +303,17 @@
                 settings.listenOn().inbound(),
                 present == null ? settings.depot() : present.service(),
                 present == null ? "" : present.id(),
-                lifecycle.isReady() && !shuts,
+                lifecycle.isReady() && !upstreamWithdrawn,
                 present == null ? 0 : present.berths(),
                 present == null ? 0 : present.warmUpMs());
     }
 
     private void claim(Frame frame) {
-        watchClient.shares(frame);
+        watchClient.claimShares(frame);
     }
 
-    private void askPool(String tenant, int count) {
-        watchClient.tokens(new Tokens(tenant, count));
+    private void requestTokens(String tenant, int count) {
+        watchClient.requestTokens(new Tokens(tenant, count));
     }
 
     // ---- Update ----------------------------------------------------------------------------------------
@@ -316,10 +321,10 @@
     private final class WatchListener implements WatchClient.Listener {
 
         @Override
-        public WatchRequest request(int number) {
+        public WatchRequest createRequest(int number) {
             return new WatchRequest(
                     number,
-                    self(),
+                    ownRegistration(),
                     edition,
                     registry.term(),
                     registry.stamp(),
@@ -329,7 +334,7 @@
         }
 
         @Override
-        public void update(double requestedAt, Update update) throws IOException {
+        public void onUpdate(double requestedAt, Update update) throws IOException {
             double now = clock.now();
             quotas.divide(now, update.size(), update.complete());
             if (update.edition() > edition && update.body().length > 0) {
@@ -343,33 +348,33 @@
         }
 
         @Override
-        public void tokens(Tokens tokens) {
-            quotas.given(clock.now(), tokens.tenant(), tokens.count());
+        public void onTokens(Tokens tokens) {
+            quotas.addTokens(clock.now(), tokens.tenant(), tokens.count());
         }
 
         @Override
-        public int lends(String tenant) {
+        public int lendTokens(String tenant) {
             return quotas.lend(clock.now(), tenant);
         }
 
         @Override
-        public void shares(Grant grant) {
-            retryBudget.granted(grant);
+        public void onShares(Grant grant) {
+            retryBudget.onGrant(grant);
         }
     }
 
     private void adopt(double now, long next, byte[] body) {
         Configuration configuration = ConfigurationReader.read(body);
         edition = next;
-        Map<String, Integer> places = new HashMap<>();
+        Map<String, Integer> classIndexes = new HashMap<>();
         Version before = version;
         version = BalancerSettings.version(
                 before.number() + 1,
                 configuration,
                 kinds,
-                places,
-                BalancerSettings.Place.of(settings.node(), zones.indexOf(settings.zone()), zones.size()));
-        outboundRoutes.adopt(new RoutingTable(configuration), version, places);
+                classIndexes,
+                BalancerSettings.Placement.of(settings.node(), zones.indexOf(settings.zone()), zones.size()));
+        outboundFront.adopt(new RoutingTable(configuration), version, classIndexes);
         quotas.adopt(now, configuration.tenants());
         retryBudget.adopt(configuration);
         outbound.adopt(version, roster(now));
@@ -377,7 +382,7 @@
         Log.info(LOG, "configuration")
                 .addKeyValue("edition", next)
                 .addKeyValue("routes", configuration.routes().size())
-                .log("a configuration is in force here");
+                .log("configuration adopted");
     }
 
     private void applyRegistry(double now, Update update) {
@@ -389,7 +394,7 @@
         retryBudget.divide(registry.registrations(), registry.isComplete() ? 1 : ASSUMED_BALANCERS);
         if (outcome == RegistryView.Outcome.CHANGED) {
             outbound.onRosterChanged(Change.FULL, roster(now));
-            peerMonitor.registry(registry.registrations());
+            peerMonitor.setRegistry(registry.registrations());
         }
     }
 
@@ -397,22 +402,25 @@
         return rosters.build(now, registry, version.settings().kinds());
     }
 
-    /** Takes over what may change while it runs: where the core may be. */
+    /** Reloads the settings that may change at run time: the addresses of control nodes. */
     public void reload(LocalSettings next) {
         loop.execute(() -> {
-            watchClient.seeds(next.innerSeeds());
-            Log.info(LOG, "settings").addKeyValue("seeds", next.seeds().size()).log("the settings were read again");
+            watchClient.setSeeds(next.innerSeeds());
+            Log.info(LOG, "settings").addKeyValue("seeds", next.seeds().size()).log("settings reloaded");
         });
     }
 
-    // ---- The end -------------------------------------------------------------------------------------
+    // ---- Shutdown -------------------------------------------------------------------------------------
 
-    /** Tells all to go elsewhere, serves what still comes, and returns when nothing is left. */
+    /** Shuts down gracefully: withdraws this sidecar, serves the remaining requests, and returns when none is left. */
     void drain() throws InterruptedException {
         drain(0);
     }
 
-    /** Likewise, where so many ms of the grace are over, or more: a process that stood still saw its signal late. */
+    /**
+     * Shuts down gracefully when at least {@code elapsedMs} of the grace period are over; a paused process may have
+     * seen its signal late.
+     */
     public void drain(double elapsedMs) throws InterruptedException {
         GracefulShutdown.run(clock, settings.bounds().graceS() * MS_PER_S, elapsedMs, new ShutdownStages());
     }
@@ -422,25 +430,25 @@
 
         @Override
         public double pausedMs() throws InterruptedException {
-            return loop.submit(() -> pauses.recentMs(clock.now())).sync().getNow();
+            return loop.submit(() -> pauses.recentPauseMs(clock.now())).sync().getNow();
         }
 
         @Override
         public void reportNotReady(ShutdownDeadlines deadlines) throws InterruptedException {
             runOnLoop(() -> {
-                leaving = true;
+                shuttingDown = true;
                 outbound.drain(deadlines);
                 inbound.drain(deadlines);
                 admission.drain(deadlines.startUntil());
                 peerDialect.drain(deadlines);
-                Log.info(LOG, "drain").log("leaves");
+                Log.info(LOG, "drain").log("graceful shutdown started");
             });
         }
 
         @Override
         public void withdrawUpstream() throws InterruptedException {
             runOnLoop(() -> {
-                shuts = true;
+                upstreamWithdrawn = true;
                 watchClient.requestNow();
             });
         }
@@ -488,8 +496,8 @@
                     .getNow();
         }
 
-        private double latest(double one, double other) {
-            return Double.isNaN(one) || other > one ? other : one;
+        private double latest(double first, double second) {
+            return Double.isNaN(first) || second > first ? second : first;
         }
 
         private void runOnLoop(Runnable stage) throws InterruptedException {
@@ -497,7 +505,7 @@
         }
     }
 
-    /** Ends at once, as a process that is killed does; for tests. */
+    /** Stops immediately, like a killed process; for tests. */
     void close() throws InterruptedException {
         loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await();
     }
--- a/src/main/java/sablehinge/dataplane/sidecar/UpdateFilter.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/UpdateFilter.java
@@ -3,33 +3,33 @@
 import sablehinge.mesh.watch.Update;
 
 /**
- * Decides which updates of the core a balancer accepts. A machine that was deposed may still answer, and a process that
- * has just started must not begin with a configuration of which nobody knows whether it is the newest.
+ * Decides which updates of the control plane a sidecar accepts. A former leader may still respond, and a process that
+ * has just started must not begin with a configuration that is not confirmed as the latest.
  */
 final class UpdateFilter {
 
-    /** An update that took longer, ms, waited in a buffer while this process stood still, or the other one. */
+    /** An update that took longer was delayed in a buffer while this process or the control node was paused. */
     static final double MAX_AGE_MS = 1_500;
 
     private long latestTerm;
     private boolean confirmedOnce;
 
-    /** What becomes of an update. */
+    /** The decision on an update. */
     enum Verdict {
-        /** They are taken. */
+        /** The update is applied. */
         TAKE,
-        /** Its sender leads no more: another machine is to be tried. */
+        /** The sender is no longer the leader: the client must connect to a different node. */
         DEPOSED,
-        /** It is old, or the first that comes and not confirmed: it is requested once more. */
+        /** The update is too old, or is the first one and not confirmed: it must be requested again. */
         ASK_AGAIN
     }
 
     /**
-     * Judges an update that has come.
+     * Evaluates an update.
      *
-     * @param ageMs how long ago it was requested, ms: it shows nothing of what was acknowledged since
+     * @param ageMs time since the update was requested, in ms: changes acknowledged since then may be missing in it
      */
-    Verdict judge(double ageMs, Update update) {
+    Verdict evaluate(double ageMs, Update update) {
         if (update.term() < latestTerm && !update.confirmed()) {
             return Verdict.DEPOSED;
         }
--- a/src/main/java/sablehinge/dataplane/sidecar/UpstreamCalls.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/UpstreamCalls.java
@@ -7,21 +7,22 @@
 import sablehinge.mesh.api.HttpOperation;
 import sablehinge.mesh.api.Operation;
 
-/** The calls of the upstream beside a balancer (PROTOCOL, "Which upstreams there are"). */
+/** The API for the local upstream (PROTOCOL, "Which upstreams there are"). */
 final class UpstreamCalls {
 
     private UpstreamCalls() {}
 
-    /** The acknowledgement of a heartbeat. */
+    /** The acknowledgement of a call. */
     record Acknowledgement() {}
 
-    /** An upstream has left. */
+    /** The sign-off of an upstream that leaves. */
     record SignOff(String id) {}
 
     /**
-     * The operation of heartbeats. One of an upstream elsewhere is not acknowledged: the gate before it is not here.
+     * The heartbeat operation. Heartbeats of upstreams on other machines are not acknowledged, as their requests are
+     * not admitted here.
      *
-     * @param app the address of the upstream of the own machine, {@code ip:port}
+     * @param app the address of the local upstream, {@code ip:port}
      */
     static Operation<Heartbeat, Acknowledgement> heartbeats(String app, Consumer<Heartbeat> listener) {
         return new HttpOperation<>("POST", "/sablehinge/Servers.Heartbeat/") {
@@ -31,19 +32,19 @@
             }
 
             @Override
-            public void execute(Heartbeat heartbeat, Consumer<Acknowledgement> answer) {
+            public void execute(Heartbeat heartbeat, Consumer<Acknowledgement> callback) {
                 listener.accept(heartbeat);
-                answer.accept(new Acknowledgement());
+                callback.accept(new Acknowledgement());
             }
 
             @Override
-            public ApiResponse write(Acknowledgement heard) {
+            public ApiResponse write(Acknowledgement acknowledgement) {
                 return ApiResponse.of(200);
             }
         };
     }
 
-    /** The operation of those that leave. */
+    /** The sign-off operation. */
     static Operation<SignOff, Acknowledgement> signOffs(Consumer<SignOff> listener) {
         return new HttpOperation<>("POST", "/sablehinge/Servers.SignOff/") {
             @Override
@@ -52,13 +53,13 @@
             }
 
             @Override
-            public void execute(SignOff call, Consumer<Acknowledgement> answer) {
+            public void execute(SignOff call, Consumer<Acknowledgement> callback) {
                 listener.accept(call);
-                answer.accept(new Acknowledgement());
+                callback.accept(new Acknowledgement());
             }
 
             @Override
-            public ApiResponse write(Acknowledgement heard) {
+            public ApiResponse write(Acknowledgement acknowledgement) {
                 return ApiResponse.of(200);
             }
         };
--- a/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/WatchClient.java
@@ -22,8 +22,8 @@
 import sablehinge.mesh.watch.WatchRequest;
 
 /**
- * Watches the core for updates, one machine of it at a time: one that does not lead names the leader. A request that is
- * not answered in time, or a connection that breaks, leads to the next machine that is known.
+ * Watches the control plane for updates through one control node at a time; a node that is not the leader redirects to
+ * the leader. If a request times out or the connection breaks, the client connects to the next known node.
  */
 final class WatchClient implements Connection.Handler {
 
@@ -40,31 +40,31 @@
     private final UpdateFilter filter = new UpdateFilter();
     private final Set<String> contacts = new LinkedHashSet<>();
     private Connection.Link link;
-    private int number;
+    private int requestNumber;
     private double requestedAt;
-    private int next;
+    private int nextContact;
     private boolean closed;
 
-    /** What is requested, and the listener to the answers. */
+    /** Creates the requests and receives the responses. */
     interface Listener {
 
-        WatchRequest request(int number);
+        WatchRequest createRequest(int number);
 
         /**
-         * An update has come; {@code requestedAt} is when its request left, ms.
+         * Handles an update; {@code requestedAt} is when its request was sent, in ms.
          *
-         * @throws IOException where their configuration can't be read; nothing of them is taken then
+         * @throws IOException if its configuration can't be read; nothing of the update is applied then
          */
-        void update(double requestedAt, Update update) throws IOException;
+        void onUpdate(double requestedAt, Update update) throws IOException;
 
-        /** A part of a pool has come. */
-        void tokens(Tokens tokens);
+        /** Handles tokens granted from a pool. */
+        void onTokens(Tokens tokens);
 
-        /** Others lack tokens of a tenant: gives up so many. */
-        int lends(String tenant);
+        /** Returns the number of a tenant's tokens that are given up for other sidecars. */
+        int lendTokens(String tenant);
 
-        /** Shares of further tries have come. */
-        void shares(Grant grant);
+        /** Handles granted shares of the retry budget. */
+        void onShares(Grant grant);
     }
 
     WatchClient(EventLoop loop, Clock clock, Connection connection, List<String> seeds, Listener listener) {
@@ -74,47 +74,47 @@
         this.seeds = List.copyOf(seeds);
         this.listener = listener;
         contacts.addAll(seeds);
-        // Not all balancers begin with the same machine.
-        next = Math.floorMod(System.nanoTime() / 1_000, Math.max(1, seeds.size()));
+        // Spreads the sidecars over the control nodes.
+        nextContact = Math.floorMod(System.nanoTime() / 1_000, Math.max(1, seeds.size()));
     }
 
-    /** Where else the core may be. */
-    void seeds(List<String> next) {
-        seeds = List.copyOf(next);
-        contacts.addAll(next);
+    /** Sets the addresses of control nodes from the settings. */
+    void setSeeds(List<String> newSeeds) {
+        seeds = List.copyOf(newSeeds);
+        contacts.addAll(newSeeds);
     }
 
     void start() {
         connect(null);
     }
 
-    /** Asks nobody any more. */
+    /** Closes the connection and stops reconnecting. */
     void close() {
         Connection.Link open = link;
         closed = true;
         link = null;
-        number++;
+        requestNumber++;
         if (open != null) {
             open.close();
         }
     }
 
-    /** Requests an update at once, in place of the request before. */
+    /** Requests an update immediately, replacing the pending request. */
     void requestNow() {
         if (link != null && link.isUp()) {
             request();
         }
     }
 
-    /** Requests tokens of a pool; without a connection to the core there is no answer. */
-    void tokens(Tokens wanted) {
+    /** Requests tokens of a pool; without a connection to the control plane there is no response. */
+    void requestTokens(Tokens wanted) {
         if (link != null) {
             link.send(new Frame(Frame.Kind.TOKENS, wanted.bytes()));
         }
     }
 
-    /** Claims shares of the retry budget; without a connection to the core there is no answer. */
-    void shares(Frame claim) {
+    /** Claims shares of the retry budget; without a connection to the control plane there is no response. */
+    void claimShares(Frame claim) {
         if (link != null) {
             link.send(claim);
         }
@@ -122,11 +122,12 @@
 
     private void request() {
         requestedAt = clock.now();
-        link.send(new Frame(Frame.Kind.ASK, listener.request(++number).bytes()));
-        int waitsFor = number;
+        link.send(new Frame(
+                Frame.Kind.ASK, listener.createRequest(++requestNumber).bytes()));
+        int expectedNumber = requestNumber;
         loop.schedule(
                 () -> {
-                    if (number == waitsFor && link != null) {
+                    if (requestNumber == expectedNumber && link != null) {
                         link.close();
                     }
                 },
@@ -134,18 +135,18 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void connect(String at) {
+    private void connect(String address) {
         if (link != null || closed) {
             return;
         }
-        String to = at;
-        if (to == null) {
+        String target = address;
+        if (target == null) {
             List<String> known = new ArrayList<>(contacts);
-            to = known.get(Math.floorMod(next++, known.size()));
+            target = known.get(Math.floorMod(nextContact++, known.size()));
         }
-        int colon = to.lastIndexOf(':');
+        int colon = target.lastIndexOf(':');
         link = connection.connect(
-                new InetSocketAddress(to.substring(0, colon), Integer.parseInt(to.substring(colon + 1))), this);
+                new InetSocketAddress(target.substring(0, colon), Integer.parseInt(target.substring(colon + 1))), this);
     }
 
     @Override
@@ -165,31 +166,33 @@
         try {
             if (frame.kind() == Frame.Kind.UPDATE) {
                 Update update = Update.read(frame.body());
-                if (update.number() == number) {
+                if (update.number() == requestNumber) {
                     handleUpdate(from, update);
                 }
             } else if (frame.kind() == Frame.Kind.TOKENS) {
-                listener.tokens(Tokens.read(frame.body()));
+                listener.onTokens(Tokens.read(frame.body()));
             } else if (frame.kind() == Frame.Kind.PULL) {
                 String tenant = Tokens.read(frame.body()).tenant();
-                int lent = listener.lends(tenant);
+                int lent = listener.lendTokens(tenant);
                 if (lent > 0) {
                     from.send(new Frame(Frame.Kind.PULL, new Tokens(tenant, lent).bytes()));
                 }
             } else if (frame.kind() == Frame.Kind.SHARES) {
-                listener.shares(RetryBudgetCodec.grant(frame.body()));
+                listener.onShares(RetryBudgetCodec.grant(frame.body()));
             } else if (frame.kind() == Frame.Kind.REDIRECT) {
                 String leader = new String(frame.body(), StandardCharsets.UTF_8);
                 redirect(from, leader.isEmpty() ? null : leader);
             }
         } catch (IOException e) {
-            Log.warn(LOG, "news-malformed").addKeyValue("cause", e.getMessage()).log("news can't be read");
+            Log.warn(LOG, "news-malformed")
+                    .addKeyValue("cause", e.getMessage())
+                    .log("malformed frame from the control plane; closing the connection");
             from.close();
         }
     }
 
     private void handleUpdate(Connection.Link from, Update update) throws IOException {
-        UpdateFilter.Verdict verdict = filter.judge(clock.now() - requestedAt, update);
+        UpdateFilter.Verdict verdict = filter.evaluate(clock.now() - requestedAt, update);
         if (verdict == UpdateFilter.Verdict.DEPOSED) {
             redirect(from, null);
             return;
@@ -201,16 +204,16 @@
             while (contacts.size() > MAX_CONTACTS) {
                 contacts.remove(contacts.iterator().next());
             }
-            listener.update(requestedAt, update);
+            listener.onUpdate(requestedAt, update);
         }
         request();
     }
 
-    /** Asks another machine from now on: one that is named, or the next that is known. */
+    /** Reconnects to the given node, or to the next known one if it is null. */
     private void redirect(Connection.Link from, String to) {
         link = null;
         from.close();
-        number++;
+        requestNumber++;
         loop.schedule(() -> connect(to), RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -218,7 +221,7 @@
     public void closed(Connection.Link closed) {
         if (closed == link) {
             link = null;
-            number++;
+            requestNumber++;
             loop.schedule(() -> connect(null), RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
--- a/src/main/java/sablehinge/dataplane/sidecar/package-info.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The sidecar: outbound and inbound balancer beside an upstream, its view of the registry, quotas and retry budgets,
- * and heartbeats with its peers. It keeps nothing on disk.
+ * The sidecar: outbound and inbound proxy of an upstream, its view of the registry, quotas and retry budgets, and
+ * heartbeats with its peers. It stores nothing on disk.
  */
 package sablehinge.dataplane.sidecar;
