--- a/src/test/java/sablehinge/dataplane/proxy/AttemptStateTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/AttemptStateTest.java
@@ -12,10 +12,10 @@
 import sablehinge.dataplane.proxy.AttemptState.Event;
 import sablehinge.policy.LoadBalancer.Result;
 
-/** What may have run: every state of an attempt with every event that can end it. */
+/** The result and verdict of every attempt state for every event that can end the attempt. */
 class AttemptStateTest {
 
-    /** The rows are events; the columns UNSENT, PARTLY_SENT, SENT, ANSWERED_EARLY, ANSWERING. */
+    /** Rows are events; columns are the states UNSENT, PARTLY_SENT, SENT, ANSWERED_EARLY, ANSWERING. */
     private static final String TABLE =
             """
             NO_ROOM           NOT_RUN      NOT_RUN      MAY_HAVE_RUN MAY_HAVE_RUN MAY_HAVE_RUN
@@ -31,27 +31,27 @@
             """;
 
     @Test
-    void everyStateWithEveryEventHasItsVerdict() {
-        Set<Event> walked = new HashSet<>();
-        List<String> wrong = new ArrayList<>();
+    void mapsEveryStateAndEventToVerdict() {
+        Set<Event> checkedEvents = new HashSet<>();
+        List<String> mismatches = new ArrayList<>();
         for (String line : TABLE.split("\n")) {
             String[] words = line.trim().split(" +");
             Event event = Event.valueOf(words[0]);
-            walked.add(event);
+            checkedEvents.add(event);
             assertEquals(1 + AttemptState.values().length, words.length, line);
             for (AttemptState state : AttemptState.values()) {
                 Verdict expected = Verdict.valueOf(words[1 + state.ordinal()]);
                 Verdict actual = Verdict.of(state.resultOf(event));
                 if (expected != actual) {
-                    wrong.add(state + " and " + event + ": " + actual + " instead of " + expected);
+                    mismatches.add(state + " and " + event + ": " + actual + " instead of " + expected);
                 }
             }
         }
-        assertEquals(List.of(), wrong);
-        assertEquals(Set.of(Event.values()), walked);
+        assertEquals(List.of(), mismatches);
+        assertEquals(Set.of(Event.values()), checkedEvents);
     }
 
-    /** The module reckons with kinds of failure beside the verdict. */
+    /** Besides the verdict, the module uses the kind of failure. */
     @ParameterizedTest
     @CsvSource({
         "SENT,DEADLINE,TIMEOUT",
@@ -64,13 +64,13 @@
         "ANSWERING,SERVED_ANSWER,OK",
         "ANSWERED_EARLY,SERVED_ANSWER,ERROR"
     })
-    void eachEndHasItsKind(AttemptState state, Event event, Result result) {
+    void mapsStateAndEventToResult(AttemptState state, Event event, Result result) {
         assertEquals(result, state.resultOf(event));
     }
 
-    /** No step leads back to a state from which less may have run. */
+    /** No transition leads back to a state in which the request can't have run. */
     @Test
-    void whatMayHaveRunNeverGoesBack() {
+    void neverReturnsToStateThatCannotHaveRun() {
         for (AttemptState state : AttemptState.values()) {
             for (AttemptState next : List.of(state.partSent(), state.fullySent(), state.responseStarted())) {
                 assertEquals(state.mayHaveRun() || next.mayHaveRun(), next.mayHaveRun(), state + " " + next);
--- a/src/test/java/sablehinge/dataplane/proxy/DecisionQueueTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/DecisionQueueTest.java
@@ -7,42 +7,47 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order in which the decision module is called. */
+/** The order of calls to the decision module. */
 class DecisionQueueTest {
 
-    private final List<String> done = new ArrayList<>();
-    private final DecisionQueue queue =
-            new DecisionQueue(about -> done.add("after"), (about, cause) -> done.add("failed " + cause.getMessage()));
+    private final List<String> events = new ArrayList<>();
+    private final DecisionQueue queue = new DecisionQueue(
+            exchange -> events.add("after"), (exchange, cause) -> events.add("failed " + cause.getMessage()));
 
     @Test
-    void whenACallCausesAnotherThenThatWaitsForItsEnd() {
+    void runsNestedCallAfterCurrentCall() {
         queue.call(null, () -> {
-            queue.call(null, () -> done.add("second"));
-            done.add("first");
+            queue.call(null, () -> events.add("second"));
+            events.add("first");
         });
 
-        assertEquals(List.of("first", "after", "second", "after"), done);
+        assertEquals(List.of("first", "after", "second", "after"), events);
     }
 
     @Test
-    void whenACallFailsThenTheNextIsMadeForAllThat() {
+    void runsNextCallAfterFailure() {
         queue.call(null, () -> {
-            queue.call(null, () -> done.add("second"));
+            queue.call(null, () -> events.add("second"));
             throw new IllegalStateException("first");
         });
 
-        assertEquals(List.of("failed first", "after", "second", "after"), done);
+        assertEquals(List.of("failed first", "after", "second", "after"), events);
     }
 
     @Test
-    void whenACallHasEndedThenItIsAboutNoRequestAnyMore() {
-        Exchange about = new Exchange(
-                1, null, new Arrival(0, 0, 0, 1_000, 0, false, false), Payload.NONE, 0, answer -> done.add("answered"));
+    void hasNoSubjectAfterCall() {
+        Exchange exchange = new Exchange(
+                1,
+                null,
+                new Arrival(0, 0, 0, 1_000, 0, false, false),
+                Payload.NONE,
+                0,
+                answer -> events.add("answered"));
         List<Exchange> subjects = new ArrayList<>();
 
-        queue.call(about, () -> subjects.add(queue.subject()));
+        queue.call(exchange, () -> subjects.add(queue.subject()));
 
-        assertEquals(List.of(about), subjects);
+        assertEquals(List.of(exchange), subjects);
         assertNull(queue.subject());
     }
 }
--- a/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
+++ b/src/test/java/sablehinge/dataplane/proxy/RequestProxyTest.java
@@ -34,10 +34,10 @@
 import sablehinge.policy.LoadBalancer.WeightKind;
 import sablehinge.testing.Logs;
 
-/** Core in virtual time, between a transport and callers that do anything at random. */
+/** The proxy in virtual time, between a transport and clients that act at random. */
 class RequestProxyTest {
 
-    private static Settings settings(Repeat repeat, int attempts, int mostOpen) {
+    private static Settings settings(Repeat repeat, int attempts, int maxOpen) {
         ServiceClass one =
                 new ServiceClass("one", 500, 0, 1_000, 1, 0.5, repeat, Group.ALL, 1_000, false, false, null, null, 0);
         return new Settings(
@@ -59,7 +59,7 @@
                 List.of(),
                 List.of(one),
                 List.of(),
-                new Limits(attempts, mostOpen, true, true, false, false, true, 500, 100, 30_000, 1, 0, 0),
+                new Limits(attempts, maxOpen, true, true, false, false, true, 500, 100, 30_000, 1, 0, 0),
                 new Rules(20, 500, 10_000, 0.2, 10_000, 3, 1_500, 0),
                 new Goal(1, 0, 0, 0, 0, 0, 0, 0),
                 new Prices(0, 0, 0, 0, 0, 0, 0, 0));
@@ -84,20 +84,20 @@
         return new Roster(1, true, members);
     }
 
-    /** One world: a clock, timers, a transport, and the core in the middle. */
+    /** A simulation with a clock, timers, a transport and a proxy. */
     private static final class World implements Timers, Transport, Registry {
 
-        private record Alarm(double at, long order, Runnable call, boolean[] off) {}
+        private record ScheduledTimer(double at, long order, Runnable call, boolean[] off) {}
 
-        /** An attempt that is out. */
-        private final class Out implements Attempt {
+        /** An attempt in flight. */
+        private final class InFlightAttempt implements Attempt {
             final Version version;
             final Payload request;
             private final Progress progress;
             boolean mayHaveRun = true;
             private boolean over;
 
-            Out(Version version, Payload request, Progress progress) {
+            InFlightAttempt(Version version, Payload request, Progress progress) {
                 this.version = version;
                 this.request = request;
                 this.progress = progress;
@@ -106,7 +106,7 @@
             void finish(Result result) {
                 if (!over) {
                     over = true;
-                    out.remove(this);
+                    inFlight.remove(this);
                     progress.finished(AttemptResult.without(result));
                 }
             }
@@ -127,19 +127,19 @@
             }
         }
 
-        /** A request and what became of it. */
+        /** A request and its outcome. */
         private final class TestRequest implements Caller, Payload {
             final Version version;
             Exchange exchange;
             int answers;
-            Answer last;
+            Answer lastAnswer;
             int released;
-            int sends;
-            boolean gone;
-            /** Whether it is taken in before it has ended, and whether it has. */
-            boolean comes;
+            int attempts;
+            boolean disconnected;
+            /** Whether the request is streamed, and whether it was received completely. */
+            boolean streamed;
 
-            boolean ended;
+            boolean complete;
 
             TestRequest(Version version) {
                 this.version = version;
@@ -147,7 +147,7 @@
 
             @Override
             public void answer(Answer answer) {
-                last = answer;
+                lastAnswer = answer;
                 answers++;
             }
 
@@ -158,38 +158,39 @@
 
             @Override
             public boolean canBeSent() {
-                return !comes || sends == 0;
+                return !streamed || attempts == 0;
             }
         }
 
         final SplittableRandom random;
-        final PriorityQueue<Alarm> alarms =
-                new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::order));
-        final List<Out> out = new ArrayList<>();
+        final PriorityQueue<ScheduledTimer> scheduled = new PriorityQueue<>(
+                Comparator.comparingDouble(ScheduledTimer::at).thenComparingLong(ScheduledTimer::order));
+        final List<InFlightAttempt> inFlight = new ArrayList<>();
         final List<TestRequest> requested = new ArrayList<>();
         final Map<Integer, Integer> forgotten = new HashMap<>();
-        final RequestProxy core;
+        final RequestProxy proxy;
         double now = 1_000;
         private long order;
-        private boolean breaks;
+        private boolean failing;
 
         World(long seed) {
             random = new SplittableRandom(seed);
-            core = new RequestProxy(() -> now, this, actions -> new Breaking(new LatencyWeightedBalancer(actions)));
+            proxy = new RequestProxy(
+                    () -> now, this, actions -> new FailingModule(new LatencyWeightedBalancer(actions)));
         }
 
-        /** The module, which now and then throws in the middle of a call. */
-        private final class Breaking implements LoadBalancer {
+        /** A module that occasionally throws an exception during a call. */
+        private final class FailingModule implements LoadBalancer {
             private final LoadBalancer inner;
             private final Map<Settings, Integer> numbers = new java.util.IdentityHashMap<>();
 
-            Breaking(LoadBalancer inner) {
+            FailingModule(LoadBalancer inner) {
                 this.inner = inner;
             }
 
-            private void maybe() {
-                if (breaks && random.nextInt(40) == 0) {
-                    throw new IllegalStateException("broken on purpose");
+            private void throwSometimes() {
+                if (failing && random.nextInt(40) == 0) {
+                    throw new IllegalStateException("simulated failure");
                 }
             }
 
@@ -205,9 +206,9 @@
 
             @Override
             public void request(double at, Request request) {
-                maybe();
+                throwSometimes();
                 inner.request(at, request);
-                maybe();
+                throwSometimes();
             }
 
             @Override
@@ -223,13 +224,13 @@
 
             @Override
             public void attemptFinished(double at, Outcome outcome) {
-                maybe();
+                throwSometimes();
                 inner.attemptFinished(at, outcome);
             }
 
             @Override
             public void streamStarted(double at, long requestId, int attempt, double elapsed) {
-                throw new AssertionError("nothing is streamed here");
+                throw new AssertionError("unexpected start of a response");
             }
 
             @Override
@@ -245,18 +246,18 @@
 
         @Override
         public Timer at(double time, Runnable call) {
-            Alarm alarm = new Alarm(time, order++, call, new boolean[1]);
-            alarms.add(alarm);
-            return () -> alarm.off()[0] = true;
+            ScheduledTimer timer = new ScheduledTimer(time, order++, call, new boolean[1]);
+            scheduled.add(timer);
+            return () -> timer.off()[0] = true;
         }
 
         void advance(double ms) {
             double until = now + ms;
-            while (!alarms.isEmpty() && alarms.peek().at() <= until) {
-                Alarm alarm = alarms.poll();
-                now = Math.max(now, alarm.at());
-                if (!alarm.off()[0]) {
-                    alarm.call().run();
+            while (!scheduled.isEmpty() && scheduled.peek().at() <= until) {
+                ScheduledTimer timer = scheduled.poll();
+                now = Math.max(now, timer.at());
+                if (!timer.off()[0]) {
+                    timer.call().run();
                 }
             }
             now = until;
@@ -270,15 +271,15 @@
                 double until,
                 AttemptBudgets.Grant grant,
                 Progress progress) {
-            TestRequest own = (TestRequest) request;
-            assertEquals(own.version, version, "an attempt under another version");
-            assertEquals(0, own.released, "an attempt with what was given back");
-            own.sends++;
-            Out one = new Out(version, request, progress);
-            out.add(one);
+            TestRequest testRequest = (TestRequest) request;
+            assertEquals(testRequest.version, version, "an attempt under another version");
+            assertEquals(0, testRequest.released, "an attempt with a released payload");
+            testRequest.attempts++;
+            InFlightAttempt one = new InFlightAttempt(version, request, progress);
+            inFlight.add(one);
             if (random.nextInt(20) == 0) {
                 one.finish(Result.CONNECT_FAILED);
-            } else if (!own.comes || own.ended) {
+            } else if (!testRequest.streamed || testRequest.complete) {
                 at(until, () -> one.finish(Result.TIMEOUT));
             }
             return one;
@@ -286,7 +287,7 @@
 
         @Override
         public void healthCheck(Version version, long upstream, double until, Consumer<AttemptResult> end) {
-            throw new AssertionError("no probes here");
+            throw new AssertionError("unexpected health check");
         }
 
         @Override
@@ -304,29 +305,29 @@
         @Override
         public void watch(boolean on) {}
 
-        /** The rest of a request comes, if it was still coming; whoever has left sends no rest. */
-        void end(int place) {
-            TestRequest one = place < requested.size() ? requested.get(place) : null;
-            if (one != null && one.comes && !one.gone) {
-                one.ended = true;
-                core.requestComplete(one.exchange);
+        /** Completes a streamed request unless its client has disconnected. */
+        void completeRequest(int index) {
+            TestRequest one = index < requested.size() ? requested.get(index) : null;
+            if (one != null && one.streamed && !one.disconnected) {
+                one.complete = true;
+                proxy.requestComplete(one.exchange);
             }
         }
 
-        void ask() {
-            TestRequest one = new TestRequest(core.version());
+        void sendRequest() {
+            TestRequest one = new TestRequest(proxy.version());
             requested.add(one);
-            one.comes = random.nextInt(4) == 0;
+            one.streamed = random.nextInt(4) == 0;
             Arrival arrival = new Arrival(0, 0, 0, now + 1_000, 0, false, true);
-            one.exchange = one.comes
-                    ? core.requestStreaming(one.version, arrival, one, one)
-                    : core.request(one.version, arrival, one, one);
+            one.exchange = one.streamed
+                    ? proxy.requestStreaming(one.version, arrival, one, one)
+                    : proxy.request(one.version, arrival, one, one);
         }
     }
 
     @Test
-    void eachRequestHasOneAnswerAndEachVersionOneEnd() {
-        // The module is broken thousands of times on purpose; nobody wants to read of each.
+    void answersEachRequestOnceAndForgetsEachVersionOnce() {
+        // The module throws thousands of simulated failures, which would flood the log.
         Logs.Undo quiet = Logs.level(Level.OFF);
         try {
             for (long seed = 1; seed <= 400; seed++) {
@@ -340,142 +341,142 @@
     private static void run(long seed) {
         String what = "seed " + seed;
         World world = new World(seed);
-        world.breaks = seed % 2 == 0;
+        world.failing = seed % 2 == 0;
         List<Version> versions = new ArrayList<>(List.of(version(1, world.random)));
-        world.core.start(versions.get(0), seed, roster(world.random), world, world);
+        world.proxy.start(versions.get(0), seed, roster(world.random), world, world);
         for (int step = 0; step < 300; step++) {
             switch (world.random.nextInt(10)) {
                 case 0 -> {
                     Version next = version(versions.size() + 1, world.random);
                     versions.add(next);
-                    int old = world.core.version().number();
-                    world.core.adopt(next, roster(world.random));
-                    world.core.release(old);
+                    int old = world.proxy.version().number();
+                    world.proxy.adopt(next, roster(world.random));
+                    world.proxy.release(old);
                 }
                 case 1 -> {
                     if (!world.requested.isEmpty()) {
                         var one = world.requested.get(world.random.nextInt(world.requested.size()));
-                        one.gone |= one.exchange.isOpen();
-                        world.core.clientGone(one.exchange);
+                        one.disconnected |= one.exchange.isOpen();
+                        world.proxy.clientGone(one.exchange);
                     }
                 }
                 case 2, 3, 4 -> {
-                    if (!world.out.isEmpty()) {
-                        Result[] ends = {Result.OK, Result.OK, Result.ERROR, Result.FULL, Result.RESET};
-                        world.out
-                                .get(world.random.nextInt(world.out.size()))
-                                .finish(ends[world.random.nextInt(ends.length)]);
+                    if (!world.inFlight.isEmpty()) {
+                        Result[] results = {Result.OK, Result.OK, Result.ERROR, Result.FULL, Result.RESET};
+                        world.inFlight
+                                .get(world.random.nextInt(world.inFlight.size()))
+                                .finish(results[world.random.nextInt(results.length)]);
                     }
                 }
-                case 5 -> world.end(world.random.nextInt(world.requested.size() + 1));
-                default -> world.ask();
+                case 5 -> world.completeRequest(world.random.nextInt(world.requested.size() + 1));
+                default -> world.sendRequest();
             }
             world.advance(world.random.nextInt(60));
         }
         for (int i = 0; i < world.requested.size(); i++) {
-            world.end(i);
+            world.completeRequest(i);
         }
         world.advance(5_000);
         for (var one : world.requested) {
-            assertEquals(one.gone ? 0 : 1, one.answers, what);
+            assertEquals(one.disconnected ? 0 : 1, one.answers, what);
             assertEquals(1, one.released, what);
         }
-        assertEquals(0, world.core.requests(), what);
-        assertEquals(1, world.core.versions(), what);
+        assertEquals(0, world.proxy.requests(), what);
+        assertEquals(1, world.proxy.versions(), what);
         assertEquals(versions.size() - 1, world.forgotten.size(), what);
         assertTrue(world.forgotten.values().stream().allMatch(times -> times == 1), what);
     }
 
     @Test
-    void whatIsAtWorkWhenTheProcessEndsIsAnswered() {
+    void answersRequestsInFlightOnAbort() {
         World world = new World(3);
-        world.core.start(version(1, world.random), 3, roster(new SplittableRandom(8)), world, world);
+        world.proxy.start(version(1, world.random), 3, roster(new SplittableRandom(8)), world, world);
         for (int i = 0; i < 20; i++) {
-            world.ask();
+            world.sendRequest();
         }
-        world.core.abortAll();
+        world.proxy.abortAll();
         world.requested.forEach(one -> assertEquals(1, one.answers));
-        assertEquals(0, world.out.size(), "attempts go on for what is answered");
+        assertEquals(0, world.inFlight.size(), "attempts continue for answered requests");
         world.advance(2_000);
         world.requested.forEach(one -> assertEquals(1, one.answers + one.released - 1));
     }
 
     @Test
-    void whenTheProcessIsAboutToEndThenNothingBeginsLate() {
+    void rejectsRequestsAfterStartDeadline() {
         World world = new World(3);
-        world.core.start(version(1, world.random), 3, roster(new SplittableRandom(8)), world, world);
-        world.core.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
+        world.proxy.start(version(1, world.random), 3, roster(new SplittableRandom(8)), world, world);
+        world.proxy.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
         world.advance(99);
-        world.ask();
-        assertEquals(1, world.requested.get(0).sends);
+        world.sendRequest();
+        assertEquals(1, world.requested.get(0).attempts);
         world.advance(1);
-        world.ask();
+        world.sendRequest();
         World.TestRequest late = world.requested.get(1);
-        assertEquals(Answer.Kind.REFUSED, late.last.kind());
-        assertTrue(late.last.retryAfter() > 0);
-        assertEquals(0, late.sends);
+        assertEquals(Answer.Kind.REFUSED, late.lastAnswer.kind());
+        assertTrue(late.lastAnswer.retryAfter() > 0);
+        assertEquals(0, late.attempts);
         assertEquals(1, late.released);
     }
 
     @Test
-    void whenTheProcessIsAboutToEndThenNoAttemptIsRepeatedLate() {
+    void startsNoRetryAfterStartDeadline() {
         World world = new World(3);
         Version repeatable = new Version(1, settings(Repeat.IDEMPOTENT, 3, 1_000), List.of("one"), List.of(), false);
-        world.core.start(repeatable, 3, roster(new SplittableRandom(8)), world, world);
-        world.ask();
-        world.core.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
+        world.proxy.start(repeatable, 3, roster(new SplittableRandom(8)), world, world);
+        world.sendRequest();
+        world.proxy.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
         world.advance(100);
-        world.out.get(0).finish(Result.RESET);
-        assertEquals(1, world.requested.get(0).sends);
+        world.inFlight.get(0).finish(Result.RESET);
+        assertEquals(1, world.requested.get(0).attempts);
         assertEquals(1, world.requested.get(0).answers);
     }
 
     @Test
-    void whenTheRightToRepeatComesLateThenNoAttemptBegins() {
+    void startsNoRetryWhenPermitArrivesAfterStartDeadline() {
         World world = new World(3);
         Version repeatable = new Version(1, settings(Repeat.IDEMPOTENT, 3, 1_000), List.of("one"), List.of(), false);
         List<Consumer<Runnable>> waiting = new ArrayList<>();
         int[] returned = {0};
-        world.core.setRetryLimiter((version, serviceClass, beside, then) -> waiting.add(then));
-        world.core.start(repeatable, 3, roster(new SplittableRandom(8)), world, world);
+        world.proxy.setRetryLimiter((version, serviceClass, concurrent, callback) -> waiting.add(callback));
+        world.proxy.start(repeatable, 3, roster(new SplittableRandom(8)), world, world);
         World.TestRequest one = world.new TestRequest(repeatable);
-        world.core.request(repeatable, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
-        world.core.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
-        world.out.get(0).finish(Result.RESET);
+        world.proxy.request(repeatable, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
+        world.proxy.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
+        world.inFlight.get(0).finish(Result.RESET);
         world.advance(100);
         waiting.get(0).accept(() -> returned[0]++);
-        assertEquals(0, world.out.size());
+        assertEquals(0, world.inFlight.size());
         assertEquals(1, returned[0]);
     }
 
-    /** Its upstream would begin once the rest has come, too late to be answered. */
+    /** The upstream would start the request only after its end arrives, too late to be answered. */
     @Test
-    void whenTheRestOfARequestIsStillToComeAtTheLastStartThenItIsRefused() {
+    void rejectsIncompleteStreamedRequestAtStartDeadline() {
         World world = new World(3);
         Version repeatable = new Version(1, settings(Repeat.AT_MOST_ONCE, 3, 1_000), List.of("one"), List.of(), false);
-        world.core.start(repeatable, 3, roster(new SplittableRandom(8)), world, world);
-        World.TestRequest coming = world.new TestRequest(repeatable);
-        coming.comes = true;
+        world.proxy.start(repeatable, 3, roster(new SplittableRandom(8)), world, world);
+        World.TestRequest incomplete = world.new TestRequest(repeatable);
+        incomplete.streamed = true;
         World.TestRequest answeredEarly = world.new TestRequest(repeatable);
-        answeredEarly.comes = true;
-        for (World.TestRequest one : List.of(coming, answeredEarly)) {
-            world.core.requestStreaming(repeatable, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
+        answeredEarly.streamed = true;
+        for (World.TestRequest one : List.of(incomplete, answeredEarly)) {
+            world.proxy.requestStreaming(repeatable, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
         }
-        world.out.get(0).mayHaveRun = false;
-        world.core.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
+        world.inFlight.get(0).mayHaveRun = false;
+        world.proxy.drain(new ShutdownDeadlines(world.now, world.now + 100, world.now + 500));
         world.advance(99);
-        assertEquals(0, coming.answers);
+        assertEquals(0, incomplete.answers);
         world.advance(1);
-        assertEquals(Answer.Kind.REFUSED, coming.last.kind());
-        assertEquals(1, world.out.size());
+        assertEquals(Answer.Kind.REFUSED, incomplete.lastAnswer.kind());
+        assertEquals(1, world.inFlight.size());
         assertEquals(0, answeredEarly.answers);
     }
 
     @Test
-    void whenTheProcessEndsThenWhatNobodyWasSentIsRefused() {
+    void rejectsUnsentAndFailsSentRequestsOnAbort() {
         World world = new World(7);
         long sent = 2;
-        RequestProxy core = new RequestProxy(
+        RequestProxy proxy = new RequestProxy(
                 () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
                         RequestProxyTest.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
@@ -487,23 +488,23 @@
                             return null;
                         }));
         Version only = version(1, world.random);
-        core.start(only, 7, roster(new SplittableRandom(8)), world, world);
-        List<World.TestRequest> both = List.of(world.new TestRequest(only), world.new TestRequest(only));
-        both.forEach(one -> core.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one));
-        core.drain(new ShutdownDeadlines(world.now, world.now, world.now));
-        assertEquals(2, core.abortAll());
-        assertEquals(Answer.Kind.REFUSED, both.get(0).last.kind());
-        assertEquals(Answer.Kind.UNANSWERED, both.get(1).last.kind());
-        assertEquals(0, world.out.size());
+        proxy.start(only, 7, roster(new SplittableRandom(8)), world, world);
+        List<World.TestRequest> requests = List.of(world.new TestRequest(only), world.new TestRequest(only));
+        requests.forEach(one -> proxy.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one));
+        proxy.drain(new ShutdownDeadlines(world.now, world.now, world.now));
+        assertEquals(2, proxy.abortAll());
+        assertEquals(Answer.Kind.REFUSED, requests.get(0).lastAnswer.kind());
+        assertEquals(Answer.Kind.UNANSWERED, requests.get(1).lastAnswer.kind());
+        assertEquals(0, world.inFlight.size());
     }
 
-    /** The time of a request counts from its end, for the module, for the attempt and for the answer. */
+    /** The timeouts of the module, of the attempt and of the answer start when the request is received completely. */
     @Test
-    void whileARequestComesItsClockStandsStill() {
+    void startsTimeoutsAtEndOfStreamedRequest() {
         World world = new World(9);
         List<Double> fired = new ArrayList<>();
         List<LoadBalancer.Outcome> outcomes = new ArrayList<>();
-        RequestProxy core = new RequestProxy(
+        RequestProxy proxy = new RequestProxy(
                 () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
                         RequestProxyTest.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
@@ -512,7 +513,7 @@
                                 case "request" -> {
                                     actions.setTimer(1, world.now + 100);
                                     actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 400);
-                                    // A second copy of what can't be read twice.
+                                    // A second attempt of a payload that can't be sent twice.
                                     actions.send(((LoadBalancer.Request) arguments[1]).id(), 1, 400);
                                 }
                                 case "timer" -> fired.add(world.now);
@@ -522,20 +523,20 @@
                             return null;
                         }));
         Version only = version(1, world.random);
-        core.start(only, 9, roster(new SplittableRandom(8)), world, world);
+        proxy.start(only, 9, roster(new SplittableRandom(8)), world, world);
         World.TestRequest one = world.new TestRequest(only);
-        one.comes = true;
+        one.streamed = true;
         Exchange exchange =
-                core.requestStreaming(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
+                proxy.requestStreaming(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
         assertEquals(Result.NOT_SENT, outcomes.remove(0).result());
         world.advance(60_000);
         assertEquals(List.of(), fired);
         assertEquals(0, one.answers);
-        one.ended = true;
-        core.requestComplete(exchange);
-        double ended = world.now;
+        one.complete = true;
+        proxy.requestComplete(exchange);
+        double completedAt = world.now;
         world.advance(399);
-        assertEquals(List.of(ended + 100), fired);
+        assertEquals(List.of(completedAt + 100), fired);
         assertEquals(0, outcomes.size());
         world.advance(2);
         assertEquals(Result.TIMEOUT, outcomes.get(0).result());
@@ -543,14 +544,17 @@
         world.advance(500);
         assertEquals(0, one.answers);
         world.advance(200);
-        assertEquals(1, one.answers, "left without an answer by its module");
+        assertEquals(1, one.answers, "the module left the request unanswered");
     }
 
-    /** What has begun is no stream on its way to its caller: it ends with the wait for it. */
+    /**
+     * A response that has started is not streamed to the client yet, so its attempt is cancelled once nobody waits for
+     * it.
+     */
     @Test
-    void whatHasBegunEndsOnceNobodyWaits() {
+    void cancelsRespondingAttemptsOnceNobodyWaits() {
         World world = new World(3);
-        RequestProxy core = new RequestProxy(
+        RequestProxy proxy = new RequestProxy(
                 () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
                         RequestProxyTest.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
@@ -562,30 +566,33 @@
                             return null;
                         }));
         Version only = version(1, world.random);
-        core.start(only, 3, roster(new SplittableRandom(8)), world, world);
+        proxy.start(only, 3, roster(new SplittableRandom(8)), world, world);
         for (boolean leaves : new boolean[] {true, false}) {
             World.TestRequest one = world.new TestRequest(only);
-            Exchange exchange = core.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
-            for (World.Out out : List.copyOf(world.out)) {
-                out.progress.responseStarted();
+            Exchange exchange = proxy.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
+            for (World.InFlightAttempt attempt : List.copyOf(world.inFlight)) {
+                attempt.progress.responseStarted();
             }
             if (leaves) {
-                core.clientGone(exchange);
+                proxy.clientGone(exchange);
             } else {
-                world.out.get(0).finish(Result.OK);
+                world.inFlight.get(0).finish(Result.OK);
             }
-            assertEquals(0, world.out.size());
-            assertEquals(0, core.requests());
+            assertEquals(0, world.inFlight.size());
+            assertEquals(0, proxy.requests());
         }
     }
 
-    /** What a body takes is not the server's latency; of an attempt that fails all of its time counts. */
+    /**
+     * The duration of a response body is not part of the server's latency; for a failed attempt the whole duration
+     * counts.
+     */
     @Test
-    void aBodyThatTricklesInIsNoLatency() {
+    void excludesSlowResponseBodyFromLatency() {
         World world = new World(5);
         List<Double> begun = new ArrayList<>();
         List<LoadBalancer.Outcome> outcomes = new ArrayList<>();
-        RequestProxy core = new RequestProxy(
+        RequestProxy proxy = new RequestProxy(
                 () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
                         RequestProxyTest.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
@@ -599,14 +606,14 @@
                             return null;
                         }));
         Version only = version(1, world.random);
-        core.start(only, 5, roster(new SplittableRandom(8)), world, world);
+        proxy.start(only, 5, roster(new SplittableRandom(8)), world, world);
         for (Result result : new Result[] {Result.OK, Result.RESET}) {
             World.TestRequest one = world.new TestRequest(only);
-            core.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
+            proxy.request(only, new Arrival(0, 0, 0, world.now + 60_000, 0, false, true), one, one);
             world.advance(30);
-            world.out.get(0).progress.responseStarted();
+            world.inFlight.get(0).progress.responseStarted();
             world.advance(900);
-            world.out.get(0).finish(result);
+            world.inFlight.get(0).finish(result);
         }
         assertEquals(List.of(30L, 30L), begun.stream().map(Math::round).toList());
         assertEquals(
@@ -614,11 +621,11 @@
                 outcomes.stream().map(one -> Math.round(one.elapsed())).toList());
     }
 
-    /** Also a module that breaks its word sends nothing for what has its answer. */
+    /** Even a faulty module can't send attempts for an answered request. */
     @Test
-    void nothingIsSentOnceItIsAnswered() {
+    void sendsNothingAfterAnswer() {
         World world = new World(6);
-        RequestProxy core = new RequestProxy(
+        RequestProxy proxy = new RequestProxy(
                 () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
                         RequestProxyTest.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
@@ -633,21 +640,21 @@
                             return null;
                         }));
         Version only = version(1, world.random);
-        core.start(only, 6, roster(new SplittableRandom(8)), world, world);
+        proxy.start(only, 6, roster(new SplittableRandom(8)), world, world);
         World.TestRequest one = world.new TestRequest(only);
-        core.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
-        assertEquals(1, one.sends);
+        proxy.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
+        assertEquals(1, one.attempts);
         assertEquals(1, one.answers);
-        world.out.get(0).finish(Result.OK);
+        world.inFlight.get(0).finish(Result.OK);
         assertEquals(1, one.answers);
         assertEquals(1, one.released);
     }
 
-    /** Core itself ends what is out for a request that it gives up, also where the module doesn't. */
+    /** The proxy cancels the attempts of an aborted request even if the module does not. */
     @Test
-    void nothingIsLeftOutForWhatIsGivenUp() {
+    void cancelsAttemptsOfAbortedRequests() {
         World world = new World(7);
-        RequestProxy core = new RequestProxy(
+        RequestProxy proxy = new RequestProxy(
                 () -> world.now, world, actions -> (LoadBalancer) java.lang.reflect.Proxy.newProxyInstance(
                         RequestProxyTest.class.getClassLoader(),
                         new Class<?>[] {LoadBalancer.class},
@@ -658,44 +665,44 @@
                             return null;
                         }));
         Version only = version(1, world.random);
-        core.start(only, 7, roster(new SplittableRandom(8)), world, world);
+        proxy.start(only, 7, roster(new SplittableRandom(8)), world, world);
         World.TestRequest one = world.new TestRequest(only);
-        core.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
-        core.abortAll();
+        proxy.request(only, new Arrival(0, 0, 0, world.now + 1_000, 0, false, true), one, one);
+        proxy.abortAll();
         assertEquals(1, one.answers);
-        assertEquals(0, world.out.size());
+        assertEquals(0, world.inFlight.size());
         assertEquals(1, one.released);
     }
 
-    /** A version may be gone back to until it is released, whether or not a request holds it. */
+    /** A version may be adopted again until it is released, whether or not it has requests. */
     @Test
-    void aVersionLivesUntilItIsReleasedAndItsRequestsAreForgotten() {
+    void forgetsVersionOnceReleasedAndUnused() {
         World world = new World(4);
         Version first = version(1, world.random);
         Roster servers = roster(new SplittableRandom(8));
-        world.core.start(first, 4, servers, world, world);
-        world.ask();
-        world.core.adopt(version(2, world.random), servers);
-        world.core.release(1);
-        assertEquals(2, world.core.versions());
-        world.out.get(0).finish(Result.OK);
-        assertEquals(1, world.core.versions());
-        world.core.adopt(version(3, world.random), servers);
-        assertEquals(2, world.core.versions());
-        world.core.release(2);
-        assertEquals(1, world.core.versions());
+        world.proxy.start(first, 4, servers, world, world);
+        world.sendRequest();
+        world.proxy.adopt(version(2, world.random), servers);
+        world.proxy.release(1);
+        assertEquals(2, world.proxy.versions());
+        world.inFlight.get(0).finish(Result.OK);
+        assertEquals(1, world.proxy.versions());
+        world.proxy.adopt(version(3, world.random), servers);
+        assertEquals(2, world.proxy.versions());
+        world.proxy.release(2);
+        assertEquals(1, world.proxy.versions());
     }
 
     @Test
-    void whatComesBeyondTheBoundIsRefusedUnasked() {
+    void rejectsRequestsBeyondLimitWithoutModule() {
         World world = new World(5);
         Version tight = new Version(1, settings(Repeat.AT_MOST_ONCE, 1, 3), List.of("one"), List.of(), false);
-        world.core.start(tight, 5, roster(new SplittableRandom(8)), world, world);
+        world.proxy.start(tight, 5, roster(new SplittableRandom(8)), world, world);
         for (int i = 0; i < 5; i++) {
-            world.ask();
+            world.sendRequest();
         }
-        assertEquals(3, world.core.requests());
-        assertEquals(3, world.out.size());
+        assertEquals(3, world.proxy.requests());
+        assertEquals(3, world.inFlight.size());
         assertEquals(
                 List.of(0, 0, 0, 1, 1),
                 world.requested.stream().map(one -> one.answers).toList());
--- a/src/test/java/sablehinge/dataplane/sidecar/AttemptWrittenTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/AttemptWrittenTest.java
@@ -32,20 +32,20 @@
 import sablehinge.testing.Listener;
 import sablehinge.testing.Peer;
 
-/** When an attempt counts as sent completely: from the moment in which the system has taken its last byte. */
+/** An attempt counts as sent completely from the time at which the kernel accepted its last byte. */
 @Timeout(60)
 class AttemptWrittenTest {
 
-    /** So deeply nested, Netty tells listeners only in a later turn of the loop. */
-    private static final int NESTED = 8;
+    /** At this nesting depth Netty notifies listeners only in a later turn of the event loop. */
+    private static final int NESTING_DEPTH = 8;
 
-    private static final double LATER_MS = 60_000;
+    private static final double TIMEOUT_MS = 60_000;
 
     private final EventLoop loop = (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final Clock clock = Clock.system();
 
-    /** Notes how an attempt ended. */
-    private static final class Ended extends CompletableFuture<Result> implements Transport.Progress {
+    /** Completes with the result of an attempt. */
+    private static final class ResultFuture extends CompletableFuture<Result> implements Transport.Progress {
 
         @Override
         public double responseStarted() {
@@ -58,15 +58,15 @@
         }
     }
 
-    private Transport.Attempt send(UpstreamClient client, String id, Ended ended) {
+    private Transport.Attempt send(UpstreamClient client, String id, ResultFuture ended) {
         DefaultFullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/u/x", Unpooled.EMPTY_BUFFER);
-        request.headers().set(MeshHeaders.TRY, id);
+        request.headers().set(MeshHeaders.TRY_ID, id);
         return client.send(
-                BalancerSettings.gate(),
+                BalancerSettings.inboundVersion(),
                 AdmissionController.UPSTREAM,
                 new HttpPayload(request),
-                clock.now() + LATER_MS,
+                clock.now() + TIMEOUT_MS,
                 null,
                 ended);
     }
@@ -77,18 +77,18 @@
         return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    private void nested(int depth, Runnable call) {
+    private void runNested(int depth, Runnable call) {
         if (depth == 0) {
             call.run();
             return;
         }
         DefaultPromise<Void> promise = new DefaultPromise<>(loop);
-        promise.addListener(done -> nested(depth - 1, call));
+        promise.addListener(done -> runNested(depth - 1, call));
         promise.setSuccess(null);
     }
 
     @Test
-    void whatIsWrittenMayHaveRunThoughNobodyHasBeenToldYet() throws Exception {
+    void countsAttemptAsSentBeforeWriteListenerRuns() throws Exception {
         try (Listener upstream = new Listener()) {
             Upstream own = new Upstream(AdmissionController.UPSTREAM, 0, 0, 0, State.READY, 1, 0);
             UpstreamClient client = loop.submit(() -> {
@@ -98,25 +98,25 @@
                                 new Sockets(100),
                                 PooledByteBufAllocator.DEFAULT,
                                 new MeshUpstream(clock, () -> {}));
-                        made.adopt(BalancerSettings.gate());
+                        made.adopt(BalancerSettings.inboundVersion());
                         made.update(new Roster(1, true, List.of(new Roster.Member(own, at(upstream)))));
                         return made;
                     })
                     .get();
-            Ended first = new Ended();
+            ResultFuture first = new ResultFuture();
             loop.submit(() -> send(client, "t-1", first)).get();
             Peer peer = upstream.accept();
             peer.read();
             peer.write(SidecarFixture.ok("t-1", "first"));
             assertEquals(Result.OK, first.get(20, TimeUnit.SECONDS));
-            Ended second = new Ended();
+            ResultFuture second = new ResultFuture();
             boolean[] mayHaveRun = new boolean[1];
-            loop.submit(() -> nested(
-                            NESTED,
+            loop.submit(() -> runNested(
+                            NESTING_DEPTH,
                             () -> mayHaveRun[0] = send(client, "t-2", second).mayHaveRun()))
                     .get();
             assertEquals("t-2", peer.read().header("Sablehinge-Try-Id"));
-            assertTrue(mayHaveRun[0], "it counts as sent in part");
+            assertTrue(mayHaveRun[0], "the attempt counts as partly sent");
             peer.reset();
             assertEquals(Result.RESET, second.get(20, TimeUnit.SECONDS));
         } finally {
--- a/src/test/java/sablehinge/dataplane/sidecar/BalancerSettingsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/BalancerSettingsTest.java
@@ -17,12 +17,12 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** The module under the mesh's terms. */
+/** The decision module with the settings of the mesh. */
 class BalancerSettingsTest {
 
     private record Sent(long request, int number, long upstream) {}
 
-    /** Executes what the module requests, as far as it is sends. */
+    /** Records the attempts that the module sends and ignores its other actions. */
     private static final class Host implements LoadBalancer.Actions {
         private final ArrayDeque<Sent> sent = new ArrayDeque<>();
         private final HashMap<Long, Integer> numbers = new HashMap<>();
@@ -63,7 +63,7 @@
         public void log(String text) {}
     }
 
-    private static Version version(BalancerSettings.Place place) {
+    private static Version version(BalancerSettings.Placement place) {
         return BalancerSettings.version(
                 1,
                 ConfigurationReader.read(SidecarFixture.configuration(4, "", "").getBytes(StandardCharsets.UTF_8)),
@@ -73,18 +73,18 @@
     }
 
     /**
-     * The bench found it (quiet-1 of cos-niamey-grown): balancers that know nothing yet prefer a few of many upstreams,
-     * and all had the same few, which got three times their part.
+     * Sidecars without measurements prefer a few of many upstreams. All preferred the same few, which got three times
+     * their share (found by the bench, quiet-1 of cos-niamey-grown).
      */
     @Test
-    void aFleetOfBalancersThatKnowNothingLoadsManyUpstreamsAlike() {
+    void balancesLoadOverUpstreamsWithoutMeasurements() {
         int upstreams = 40;
-        int balancers = 60;
-        int each = 10;
+        int sidecars = 60;
+        int requestsPerSidecar = 10;
         int zones = 5;
         int[] loads = new int[upstreams + 1];
-        for (int i = 0; i < balancers; i++) {
-            Version version = version(BalancerSettings.Place.of("sidecar-" + i, i % zones, zones));
+        for (int i = 0; i < sidecars; i++) {
+            Version version = version(BalancerSettings.Placement.of("sidecar-" + i, i % zones, zones));
             int kind = version.settings().classes().get(0).kinds().get(0);
             Host host = new Host();
             LatencyWeightedBalancer module = new LatencyWeightedBalancer(host, BalancerSettings.EXTRAS);
@@ -94,13 +94,13 @@
                 list.add(new Upstream(j, j % zones, kind, 0, State.READY, 1, 0));
             }
             module.upstreamsChanged(0, Change.CACHED, list);
-            for (int j = 1; j <= each; j++) {
+            for (int j = 1; j <= requestsPerSidecar; j++) {
                 module.request(j, new LoadBalancer.Request(j, 0, 0, 0, 2_000, 0, false, false, 0));
             }
             host.sent.forEach(sent -> loads[(int) sent.upstream()]++);
         }
         int busiest = Arrays.stream(loads).max().orElseThrow();
-        double mean = (double) balancers * each / upstreams;
+        double mean = (double) sidecars * requestsPerSidecar / upstreams;
         assertTrue(busiest < 2 * mean, "the busiest of " + upstreams + " has " + busiest + ", the mean is " + mean);
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/GracefulShutdownTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/GracefulShutdownTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sablehinge.dataplane.proxy.ShutdownDeadlines;
 
-/** The stages of a shutdown and their times. */
+/** The stages of a graceful shutdown and their deadlines. */
 @Timeout(60)
 class GracefulShutdownTest {
 
     private static final double NOW = 10_000;
     private static final double GRACE_MS = 6_000;
-    private static final double LOOK_MS = 40;
+    private static final double CLOCK_STEP_MS = 40;
 
     @ParameterizedTest
     @CsvSource({"6000, 2300, 3850, 5400", "2000, 630, 1015, 1400", "600, 0, 0, 0", "100, 0, 0, 0"})
-    void whenAProcessIsToldToEndThenEachStageHasItsTime(double graceMs, double admit, double start, double answer) {
+    void derivesStageDeadlinesFromGracePeriod(double graceMs, double admit, double start, double answer) {
         ShutdownDeadlines deadlines = GracefulShutdown.deadlines(NOW, graceMs);
         assertEquals(NOW + admit, deadlines.admitUntil(), 1e-6);
         assertEquals(NOW + start, deadlines.startUntil(), 1e-6);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void whenARequestBeganToComeInTimeThenItIsTakenWhileThereIsTimeForIt() {
+    void admitsRequestByFirstByteTimeWhileTimeRemains() {
         ShutdownDeadlines deadlines = new ShutdownDeadlines(10, 20, 30);
         assertTrue(deadlines.admits(10, 19));
         assertFalse(deadlines.admits(10, 20));
@@ -39,10 +39,13 @@
         assertFalse(deadlines.withAdmissionExtendedTo(21).admits(21, 21));
     }
 
-    /** A process that was paused, or had no share of its core, stops to admit late: not for all who came meanwhile. */
+    /**
+     * A process that was paused or got no CPU time stops admission late, but must not admit all requests that arrived
+     * meanwhile.
+     */
     @ParameterizedTest
     @CsvSource({"6000, 2800", "10000, 2800", "2000, 758"})
-    void whenAFrontStopsToAdmitFarTooLateThenWhatCameLastIsNotTaken(double graceMs, double latest) {
+    void limitsAdmissionExtensionWhenFrontEndStopsLate(double graceMs, double latest) {
         ShutdownDeadlines deadlines = GracefulShutdown.deadlines(NOW, graceMs);
         double stoppedAt = deadlines.startUntil() - 1;
         ShutdownDeadlines late = deadlines.withAdmissionExtendedTo(stoppedAt);
@@ -51,63 +54,62 @@
     }
 
     @Test
-    void whenTimeIsUpThenWhatIsLeftIsGivenUpAfterEveryOtherStage() throws Exception {
-        Shutdown shutdown = new Shutdown();
+    void abortsOpenRequestsAfterAllOtherStages() throws Exception {
+        RecordedStages shutdown = new RecordedStages();
         shutdown.unwrittenChecks = 2;
         shutdown.run();
-        // It was told to end while it started: its times count from then.
+        // The signal arrived during the start: the deadlines count from then.
         assertEquals(GracefulShutdown.deadlines(NOW - GRACE_MS, GRACE_MS), shutdown.deadlines);
         assertEquals(
                 List.of(
                         "not ready",
                         "withdrawn",
-                        "admits nothing",
+                        "admission stopped",
                         "drained?",
-                        "given up",
-                        "written out?",
-                        "written out?",
-                        "written out?"),
+                        "abort",
+                        "written?",
+                        "written?",
+                        "written?"),
                 shutdown.done);
     }
 
-    /** The soak found it: 200 ms of waiting for callers to close took a process beyond its grace. */
+    /** Waiting 200 ms for clients to close exceeded the grace period of a process (found by a soak run). */
     @Test
-    void whenEveryAnswerIsWrittenOutThenItEndsAtOnceThoughCallersAreThere() throws Exception {
-        Shutdown shutdown = new Shutdown();
+    void finishesOnceAllAnswersAreWrittenDespiteOpenConnections() throws Exception {
+        RecordedStages shutdown = new RecordedStages();
         shutdown.run();
         assertEquals(
-                List.of("not ready", "withdrawn", "admits nothing", "drained?", "given up", "written out?"),
-                shutdown.done);
+                List.of("not ready", "withdrawn", "admission stopped", "drained?", "abort", "written?"), shutdown.done);
     }
 
-    /** The soak found it beside load: a process that had no core saw its signal 1.3 s late. */
+    /** A process that got no CPU time under load saw its signal 1.3 s late (found by a soak run). */
     @Test
-    void whenTheProcessStoodStillThenItsTimesCountFromAsMuchEarlier() throws Exception {
-        Shutdown shutdown = new Shutdown();
+    void countsDeadlinesFromBeforePause() throws Exception {
+        RecordedStages shutdown = new RecordedStages();
         shutdown.pausedMs = 1_300;
         shutdown.run();
         assertEquals(GracefulShutdown.deadlines(NOW - GRACE_MS - 1_300, GRACE_MS), shutdown.deadlines);
     }
 
-    /** Stages that note what is done, of a process whose grace is over and whose callers don't leave. */
-    private static final class Shutdown implements GracefulShutdown.Stages {
+    /** Records the stages of a process whose grace period is over and whose clients stay connected. */
+    private static final class RecordedStages implements GracefulShutdown.Stages {
         final List<String> done = new ArrayList<>();
         ShutdownDeadlines deadlines;
-        /** How often an answer is still to be written out. */
+        /** How many checks find an answer that is not written completely. */
         int unwrittenChecks;
 
         double pausedMs;
 
-        /** Each look at the clock takes a while, so that no wait is without end. */
+        /** Each reading of the clock advances it, so that no wait is endless. */
         private double now = NOW;
 
         void run() throws InterruptedException {
-            GracefulShutdown.run(this::passingTime, GRACE_MS, GRACE_MS, this);
+            GracefulShutdown.run(this::advancingTime, GRACE_MS, GRACE_MS, this);
         }
 
-        private double passingTime() {
+        private double advancingTime() {
             double at = now;
-            now += LOOK_MS;
+            now += CLOCK_STEP_MS;
             return at;
         }
 
@@ -117,8 +119,8 @@
         }
 
         @Override
-        public void reportNotReady(ShutdownDeadlines times) {
-            deadlines = times;
+        public void reportNotReady(ShutdownDeadlines newDeadlines) {
+            deadlines = newDeadlines;
             done.add("not ready");
         }
 
@@ -129,7 +131,7 @@
 
         @Override
         public void stopAdmitting(ShutdownDeadlines times) {
-            done.add("admits nothing");
+            done.add("admission stopped");
         }
 
         @Override
@@ -140,13 +142,13 @@
 
         @Override
         public int abortAll() {
-            done.add("given up");
+            done.add("abort");
             return 1;
         }
 
         @Override
         public boolean isWrittenOut() {
-            done.add("written out?");
+            done.add("written?");
             return unwrittenChecks-- <= 0;
         }
 
--- a/src/test/java/sablehinge/dataplane/sidecar/HeartbeatReaderTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/HeartbeatReaderTest.java
@@ -11,7 +11,7 @@
 import sablehinge.dataplane.admission.UpstreamLifecycle.Heartbeat;
 import sablehinge.mesh.api.CallException;
 
-/** What is read from heartbeats, and which are refused. */
+/** Parsing of heartbeats and rejection of malformed ones. */
 class HeartbeatReaderTest {
 
     private static final String APP = "10.1.0.11:8363";
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void allFieldsAreReadAndOthersSkipped() {
+    void readsAllFieldsAndSkipsUnknownOnes() {
         assertEquals(
                 new Heartbeat("i-1", "huvo11a", true, 12, 800, 4),
                 read(
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void figuresMayBeMissingOrOutOfRange() {
+    void appliesDefaultsAndLimitsToNumbers() {
         assertEquals(
                 new Heartbeat("i-1", "a", false, 1, 0, 0),
                 read("""
@@ -59,7 +59,7 @@
                 "{\"address\":\"10.1.0.11:8363\",\"state\":\"ready\"} | 400 | MISSING",
                 "{\"depot\":\"a\",\"address\":\"10.1.0.12:8363\",\"state\":\"unloading\"} | 421 | ELSEWHERE"
             })
-    void whatCannotBeReadIsRefused(String body, int status, String code) {
+    void rejectsMalformedHeartbeat(String body, int status, String code) {
         CallException refused = assertThrows(CallException.class, () -> read(body));
         assertEquals(status, refused.reply().status());
         assertTrue(new String(refused.reply().body(), StandardCharsets.UTF_8).contains(code));
--- a/src/test/java/sablehinge/dataplane/sidecar/HollowSidecarTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/HollowSidecarTest.java
@@ -23,22 +23,22 @@
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.Update;
 
-/** What a sidecar without a data plane says to the core, and learns from it. */
+/** The exchange between a sidecar without a data plane and the control plane. */
 @Timeout(30)
 class HollowSidecarTest {
 
-    /** Of this process alone, as those of {@link SidecarFixture}. */
+    /** Addresses used by this process only, as in {@link SidecarFixture}. */
     private static final long PROCESS = ProcessHandle.current().pid();
 
     private static final String NET = "127." + (1 + PROCESS % 250) + "." + (1 + PROCESS / 250 % 250) + ".";
     private static final String IP = NET + "91";
     private static final String CORE = NET + "92";
-    /** A port for each test: what one has bound may be let go of late. */
-    private static final int FIRST = 7780;
+    /** A separate port for each test, as a bound port may be released late. */
+    private static final int FIRST_PORT = 7780;
 
-    private static final int SECOND = 7800;
+    private static final int SECOND_PORT = 7800;
 
-    private static final class Asks implements Connection.Observer {
+    private static final class TokenRequestCounter implements Connection.Observer {
         private final AtomicInteger tokens = new AtomicInteger();
 
         @Override
@@ -50,38 +50,40 @@
     }
 
     @Test
-    void itTellsOfItselfLearnsTheConfigurationAndTheRosterAndClaimsTokens() throws Exception {
+    void registersReceivesConfigurationAndRegistryAndClaimsTokens() throws Exception {
         EventLoop loop = ClosingEventLoops.single("test");
-        try (StubCore core = new StubCore(CORE, FIRST)) {
-            Asks asks = new Asks();
-            HollowSidecar hollow = HollowSidecar.start(settings(FIRST), loop, "i-1", asks, HollowSidecarTest::read);
-            core.tells(new Registration("other", "z-1", NET + "93:7703", "s", "i-2", true, 4, 0));
-            core.holds(
+        try (StubCore core = new StubCore(CORE, FIRST_PORT)) {
+            TokenRequestCounter asks = new TokenRequestCounter();
+            HollowSidecar hollow =
+                    HollowSidecar.start(settings(FIRST_PORT), loop, "i-1", asks, HollowSidecarTest::read);
+            core.register(new Registration("other", "z-1", NET + "93:7703", "s", "i-2", true, 4, 0));
+            core.setConfiguration(
                     SidecarFixture.configuration(4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":1,\"burst\":1}", ""),
                     4);
             hollow.await(view -> view.edition() == 4 && view.roster().size() == 2);
-            SidecarFixture.await("it knows all", () -> !Double.isNaN(hollow.awaitedAt()));
+            SidecarFixture.await(
+                    "the configuration and the registry have arrived", () -> !Double.isNaN(hollow.awaitedAt()));
             core.awaitKnown("i-1");
             assertEquals(IP + ":7703", core.lastRegistration().inbound());
             hollow.replaceUpstream("i-9");
             core.awaitKnown("i-9");
             assertEquals(0, asks.tokens.get());
             hollow.demand(1_000);
-            SidecarFixture.await("it claims", () -> asks.tokens.get() > 0 && hollow.requested() > 0);
+            SidecarFixture.await("tokens are claimed", () -> asks.tokens.get() > 0 && hollow.requested() > 0);
         } finally {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         }
     }
 
     @Test
-    void onceClosedItHasNoConnectionAndMakesNone() throws Exception {
+    void neverReconnectsAfterClose() throws Exception {
         EventLoop loop = ClosingEventLoops.single("test");
         CountDownLatch requested = new CountDownLatch(1);
         CountDownLatch gone = new CountDownLatch(1);
         AtomicInteger asks = new AtomicInteger();
         try {
             new Connection(loop, 300, 60_000)
-                    .listen(new InetSocketAddress(CORE, SECOND), new Connection.Handler() {
+                    .listen(new InetSocketAddress(CORE, SECOND_PORT), new Connection.Handler() {
                         @Override
                         public void onFrame(Connection.Link link, Frame frame) {
                             if (frame.kind() == Frame.Kind.ASK) {
@@ -97,11 +99,11 @@
                     })
                     .sync();
             HollowSidecar hollow = HollowSidecar.start(
-                    settings(SECOND), loop, "i-1", Connection.Observer.NONE, HollowSidecarTest::read);
+                    settings(SECOND_PORT), loop, "i-1", Connection.Observer.NONE, HollowSidecarTest::read);
             requested.await();
             hollow.close();
             gone.await();
-            // A connection that is lost, and not closed, is made again 60 ms later by this very loop.
+            // A lost connection, unlike a closed one, would be re-established 60 ms later by this event loop.
             loop.schedule(() -> {}, 200, TimeUnit.MILLISECONDS).sync();
             assertEquals(1, asks.get());
         } finally {
--- a/src/test/java/sablehinge/dataplane/sidecar/LateRequestTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/LateRequestTest.java
@@ -14,8 +14,8 @@
 import sablehinge.testing.Listener;
 
 /**
- * Requests that come on open connections to a balancer that was sent SIGTERM (issue 49: one was taken 4 s after SIGTERM
- * and given up 1.4 s later).
+ * Requests on open connections to a sidecar that received SIGTERM (issue 49: a request was admitted 4 s after SIGTERM
+ * and aborted 1.4 s later).
  */
 @Timeout(60)
 class LateRequestTest {
@@ -25,12 +25,12 @@
     private static final String UNSAFE = "/u/x";
 
     @Test
-    void whenItLetsInNobodyThenARequestSentBehindAnotherIsNotTaken() throws Exception {
+    void rejectsPipelinedRequestAfterAdmissionStopped() throws Exception {
         try (Drain drain = new Drain()) {
             PlainConnection client = drain.mesh.client().write(SidecarFixture.get(SAFE, "first"));
             PlainConnection upstream = drain.nextAttempt("first");
             drain.begin();
-            drain.awaitClosedListener();
+            drain.awaitListenerClosed();
             client.write(SidecarFixture.get(SAFE, "late"));
             drain.awaitLoopTurn();
             upstream.write(SidecarFixture.ok("first", "served"));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whenItGivesUpARequestThenNothingBehindItBegins() throws Exception {
+    void startsNoPipelinedRequestAfterAbortedOne() throws Exception {
         try (Drain drain = new Drain()) {
             PlainConnection client = drain.mesh
                     .client()
@@ -56,18 +56,21 @@
         }
     }
 
-    /** The soak found it: a process that starts slowly let clients in that it could not answer any more. */
+    /**
+     * A process that was told to end during a slow start accepted clients that it could not answer any more (found by a
+     * soak run).
+     */
     @Test
-    void whenItIsToldToEndWhileItStartsThenNobodyIsLetIn() throws Exception {
+    void closesListenersWhenDrainedDuringStart() throws Exception {
         try (SidecarFixture mesh = new SidecarFixture(true, early -> {}, made -> drain(made, GRACE_MS))) {
-            // A listener is closed by the next turn of the loop, after the start has returned.
+            // The listeners are closed by the next turn of the event loop, after the start has returned.
             awaitClosed(mesh.at.outbound());
             awaitClosed(mesh.at.inbound());
         }
     }
 
     private static void awaitClosed(String address) {
-        SidecarFixture.await("nobody is let in", () -> {
+        SidecarFixture.await("the listener is closed", () -> {
             try {
                 PlainConnection.to(address).close();
                 return false;
@@ -85,17 +88,17 @@
         }
     }
 
-    /** It has not run, its client knows when to come back, and its connection ends. */
+    /** The request has not run, its client knows when to retry, and the connection is closed. */
     private static void assertIsRefusedAsTheLast(String id, PlainConnection client) throws IOException {
         PlainConnection.Message answer = client.read();
         assertEquals(503, answer.status());
         assertEquals(id, answer.id());
-        assertNotNull(answer.one("Retry-After"));
-        assertEquals("close", answer.one("Connection"));
+        assertNotNull(answer.header("Retry-After"));
+        assertEquals("close", answer.header("Connection"));
         assertNull(client.read());
     }
 
-    /** A balancer that drains, and the balancer beside the one upstream, which the test plays. */
+    /** A draining sidecar, and a peer with the only upstream, simulated by the test. */
     private static final class Drain implements AutoCloseable {
 
         final SidecarFixture mesh = new SidecarFixture();
@@ -106,9 +109,9 @@
         private final Thread drains = new Thread(() -> drain(mesh.sidecar, 0), "drain");
 
         Drain() throws Exception {
-            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
-            other = mesh.other("i-9");
-            SidecarFixture.await("it is ready", this::isReady);
+            mesh.core.setConfiguration(SidecarFixture.configuration(4, "", ""), 4);
+            other = mesh.addPeer("i-9");
+            SidecarFixture.await("the sidecar is ready", this::isReady);
             accepts = new Thread(this::accept, "accept");
             accepts.setDaemon(true);
             accepts.start();
@@ -130,11 +133,11 @@
                     attempts.add(attempt);
                 }
             } catch (Exception | AssertionError e) {
-                // The test is over.
+                // The test has finished.
             }
         }
 
-        /** The connection on which the next attempt has come. */
+        /** The connection of the next attempt. */
         PlainConnection nextAttempt(String id) throws InterruptedException {
             PlainConnection attempt = attempts.take();
             assertEquals(id, arrivedIds.get(arrivedIds.size() - 1));
@@ -149,11 +152,11 @@
             drains.join();
         }
 
-        void awaitClosedListener() {
+        void awaitListenerClosed() {
             awaitClosed(mesh.at.outbound());
         }
 
-        /** What was written before has been read once its loop has answered on a new connection. */
+        /** Waits until the event loop has answered on a new connection: it has then read everything written before. */
         void awaitLoopTurn() throws IOException {
             mesh.ready();
         }
--- a/src/test/java/sablehinge/dataplane/sidecar/MeshUpstreamTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/MeshUpstreamTest.java
@@ -13,7 +13,7 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** What a balancer says to another one; the time is the test's. */
+/** Requests from a sidecar to a peer, with a simulated clock. */
 class MeshUpstreamTest {
 
     private static final double NOW = 1_000;
@@ -22,22 +22,20 @@
 
     private final MeshUpstream dialect = new MeshUpstream(() -> NOW);
 
-    /**
-     * For how long a request may wait at the other balancer that may do so for {@code queueTimeoutMs}, as it is sent.
-     */
-    private String sentWith(double queueTimeoutMs) {
-        HttpRequest given = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
-        given.headers().set(MeshHeaders.QUEUE_TIMEOUT, NOW + queueTimeoutMs);
+    /** The queue timeout that is sent to the peer for a request that may wait for {@code queueTimeoutMs}. */
+    private String forwardedQueueTimeout(double queueTimeoutMs) {
+        HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
+        request.headers().set(MeshHeaders.QUEUE_TIMEOUT, NOW + queueTimeoutMs);
         HttpRequest sent = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
-        dialect.dress(sent, given, MEMBER, 5_000, null);
+        dialect.dress(sent, request, MEMBER, 5_000, null);
         return sent.headers().get(MeshHeaders.QUEUE_TIMEOUT);
     }
 
     @Test
-    void whenTheProcessIsAboutToEndThenNoRequestWaitsForItsUpstreamUntilItIsTooLate() {
-        assertEquals("900", sentWith(900));
+    void limitsQueueTimeoutDuringShutdown() {
+        assertEquals("900", forwardedQueueTimeout(900));
         dialect.drain(new ShutdownDeadlines(NOW, NOW + 400, NOW + 800));
-        assertEquals("400", sentWith(900));
-        assertEquals("300", sentWith(300));
+        assertEquals("400", forwardedQueueTimeout(900));
+        assertEquals("300", forwardedQueueTimeout(300));
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/PauseHistoryTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PauseHistoryTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long a process stood still before it saw its signal. */
+/** Detection of process pauses before a signal. */
 class PauseHistoryTest {
 
     private static final double PERIOD_MS = 100;
@@ -15,42 +15,45 @@
     }
 
     @Test
-    void whenNoTickHasComeYetThenNothingIsLate() {
-        assertEquals(0, new PauseHistory(PERIOD_MS).recentMs(5_000));
+    void reportsNoPauseBeforeFirstTick() {
+        assertEquals(0, new PauseHistory(PERIOD_MS).recentPauseMs(5_000));
     }
 
     @Test
-    void whenTicksComeInTimeThenThereIsNoPause() {
+    void reportsNoPauseWhileTicksAreOnTime() {
         for (double now = 100; now <= 1_000; now += 100) {
             pauses.tick(now);
         }
-        assertEquals(0, pauses.recentMs(1_250));
+        assertEquals(0, pauses.recentPauseMs(1_250));
     }
 
-    /** The soak found it beside load: processes saw SIGTERM up to 1.3 s late, and took requests as much longer. */
+    /**
+     * Under load, processes saw SIGTERM up to 1.3 s late and admitted requests for that much longer (found by a soak
+     * run).
+     */
     @Test
-    void whenTheProcessStoodStillThenItsSignalMayHaveComeAsMuchEarlier() {
+    void reportsPauseDuringAndShortlyAfterIt() {
         pauses.tick(100);
-        assertEquals(1_200, pauses.recentMs(1_400));
+        assertEquals(1_200, pauses.recentPauseMs(1_400));
         pauses.tick(1_400);
         pauses.tick(1_500);
-        assertEquals(1_200, pauses.recentMs(1_600));
+        assertEquals(1_200, pauses.recentPauseMs(1_600));
     }
 
     @Test
-    void whenAPauseIsLongOverThenItNoLongerCounts() {
+    void forgetsOldPause() {
         pauses.tick(1_400);
         for (double now = 1_500; now <= 2_500; now += 100) {
             pauses.tick(now);
         }
-        assertEquals(0, pauses.recentMs(2_500));
+        assertEquals(0, pauses.recentPauseMs(2_500));
     }
 
     @Test
-    void whenPausesFollowOneAnotherThenTheLongestCounts() {
+    void reportsLongestOfRecentPauses() {
         pauses.tick(1_000);
         pauses.tick(1_500);
-        assertEquals(900, pauses.recentMs(1_500));
-        assertEquals(2_000, pauses.recentMs(60_000));
+        assertEquals(900, pauses.recentPauseMs(1_500));
+        assertEquals(2_000, pauses.recentPauseMs(60_000));
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PeerMonitorTest.java
@@ -26,9 +26,7 @@
 import sablehinge.testing.Listener;
 import sablehinge.testing.Peer;
 
-/**
- * Heartbeats on the wire, what a balancer reports of those from which it receives none, and what it does when notified.
- */
+/** Heartbeats between sidecars, the suspicions reported for silent peers, and the reaction to updates about peers. */
 @Timeout(60)
 class PeerMonitorTest {
 
@@ -50,15 +48,15 @@
     }
 
     @Test
-    void aBalancerBeatsToItsWatchersAndAccusesWhomItDoesNotHearUntilItDoes() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()) {
+    void sendsHeartbeatsToWatchersAndSuspectsSilentPeersUntilHeartbeatsResume() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()) {
             String own = host(mesh);
             int last = own.lastIndexOf('.') + 1;
             String peer = own.substring(0, last) + (254 - Integer.parseInt(own.substring(last)));
             try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(peer, SidecarFixture.INNER));
                     Backlog unresponsive = new Backlog()) {
-                mesh.core.tells(registration(peer + ":7001", "i-2", true));
-                mesh.core.tells(new Registration(
+                mesh.core.register(registration(peer + ":7001", "i-2", true));
+                mesh.core.register(new Registration(
                         "s-3", "monza-b", unresponsive.address(), SidecarFixture.SERVICE, "i-3", true, 4, 0));
                 HeartbeatPacket first = read(socket);
                 assertEquals(HashRing.place("s-1"), first.place());
@@ -68,20 +66,22 @@
                 send(socket, mesh, heartbeat.bytes());
                 send(socket, mesh, new HeartbeatPacket(HashRing.place("s-3"), 6, 1).bytes());
                 send(socket, mesh, new byte[3]);
-                SidecarFixture.await("they are accused", () -> accused(mesh).equals(Set.of(OTHER, "s-3")));
+                SidecarFixture.await(
+                        "both peers are suspected", () -> suspectedPeers(mesh).equals(Set.of(OTHER, "s-3")));
                 send(socket, mesh, heartbeat.bytes());
                 send(socket, mesh, new HeartbeatPacket(heartbeat.place(), 5, 2).bytes());
-                SidecarFixture.await("it is heard again", () -> accused(mesh).equals(Set.of("s-3")));
+                SidecarFixture.await("the resumed peer is no longer suspected", () -> suspectedPeers(mesh)
+                        .equals(Set.of("s-3")));
             }
         }
     }
 
-    private static Set<String> accused(SidecarFixture mesh) {
+    private static Set<String> suspectedPeers(SidecarFixture mesh) {
         return mesh.core.suspicions().stream().map(Suspicion::node).collect(Collectors.toSet());
     }
 
     @Test
-    void whatAnswersAtItsAddressTellsWhetherASuspectIsFrozenDeadOrNotToBeFound() {
+    void derivesSuspicionCauseFromConnectionAttempt() {
         assertEquals(SuspicionCause.FROZEN, PeerMonitor.evidence(null));
         assertEquals(SuspicionCause.RESET, PeerMonitor.evidence(new ConnectException()));
         assertEquals(SuspicionCause.SILENT, PeerMonitor.evidence(new ConnectTimeoutException()));
@@ -89,47 +89,48 @@
     }
 
     @Test
-    void aBeatIsReadAsItWasWrittenAndNothingElseIs() throws IOException {
-        HeartbeatPacket pulse = new HeartbeatPacket(1L << 60, -7, 1 << 30);
-        assertEquals(pulse, HeartbeatPacket.read(pulse.bytes()));
-        assertArrayEquals(pulse.bytes(), HeartbeatPacket.read(pulse.bytes()).bytes());
+    void readsHeartbeatAsWrittenAndRejectsMalformedOnes() throws IOException {
+        HeartbeatPacket heartbeat = new HeartbeatPacket(1L << 60, -7, 1 << 30);
+        assertEquals(heartbeat, HeartbeatPacket.read(heartbeat.bytes()));
+        assertArrayEquals(
+                heartbeat.bytes(), HeartbeatPacket.read(heartbeat.bytes()).bytes());
         for (int length = 0; length < HeartbeatPacket.BYTES + 2; length++) {
-            byte[] bytes = Arrays.copyOf(pulse.bytes(), length);
-            bytes = length == HeartbeatPacket.BYTES ? spoilt(bytes) : bytes;
+            byte[] bytes = Arrays.copyOf(heartbeat.bytes(), length);
+            bytes = length == HeartbeatPacket.BYTES ? withWrongVersion(bytes) : bytes;
             byte[] wrong = bytes;
             assertThrows(IOException.class, () -> HeartbeatPacket.read(wrong), "of " + length);
         }
     }
 
-    private static byte[] spoilt(byte[] bytes) {
+    private static byte[] withWrongVersion(byte[] bytes) {
         bytes[0]++;
         return bytes;
     }
 
-    /** Each time anew; one that took as long as a connection may take to come up tells nothing. */
+    /** Repeated with a new sidecar, as an attempt that took as long as a connection timeout proves nothing. */
     @Test
-    void whatWaitsForAConnectionGoesElsewhereOnceItsUpstreamIsToldOff() throws Exception {
+    void retriesElsewhereWhenUpstreamDrainsDuringConnect() throws Exception {
         long took = Long.MAX_VALUE;
         for (int i = 0; i < 20 && took >= 900; i++) {
             try (SidecarFixture mesh = new SidecarFixture();
                     Backlog full = new Backlog()) {
-                mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
-                mesh.core.tells(registration(full.address(), "i-2", true));
+                mesh.core.setConfiguration(SidecarFixture.configuration(4, "", ""), 4);
+                mesh.core.register(registration(full.address(), "i-2", true));
                 mesh.core.awaitKnown("");
                 PlainConnection client = mesh.client();
                 long begun = System.nanoTime();
                 client.write(SidecarFixture.post("/u/x", "t-1", "1"));
-                // Its request is read, and waits, once what came after it is.
-                SidecarFixture.await("it is ready", () -> {
+                // Once a later request is answered, the first one has been read and is waiting.
+                SidecarFixture.await("the sidecar is ready", () -> {
                     try {
                         return mesh.ready() == 200;
                     } catch (IOException e) {
                         return false;
                     }
                 });
-                Listener other = mesh.other("i-3");
-                mesh.answers(other, request -> SidecarFixture.ok(request.id(), "there"));
-                mesh.core.tells(registration(full.address(), "i-2", false));
+                Listener other = mesh.addPeer("i-3");
+                mesh.respond(other, request -> SidecarFixture.ok(request.id(), "there"));
+                mesh.core.register(registration(full.address(), "i-2", false));
                 PlainConnection.Message answer = client.read();
                 took = (System.nanoTime() - begun) / 1_000_000;
                 assertEquals("there", answer.body());
--- a/src/test/java/sablehinge/dataplane/sidecar/PlainConnection.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/PlainConnection.java
@@ -10,22 +10,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One end of a plain HTTP/1.1 connection that reads both framings. */
+/** One end of a plain HTTP/1.1 connection; reads bodies with Content-Length and chunked bodies. */
 final class PlainConnection implements AutoCloseable {
 
     private static final int TIMEOUT_MS = 20_000;
     final Socket socket;
     private final InputStream in;
 
-    /** A message as it came. */
-    record Message(String first, List<String> headers, String body) {
+    /** A received message. */
+    record Message(String startLine, List<String> headers, String body) {
 
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
         /** All values of a header. */
-        List<String> all(String name) {
+        List<String> headerValues(String name) {
             List<String> values = new ArrayList<>();
             for (String header : headers) {
                 if (header.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
@@ -35,9 +35,9 @@
             return values;
         }
 
-        /** The one value of a header, or null. */
-        String one(String name) {
-            List<String> values = all(name);
+        /** The single value of a header, or null. */
+        String header(String name) {
+            List<String> values = headerValues(name);
             if (values.size() > 1) {
                 throw new AssertionError(name + " is repeated: " + values);
             }
@@ -45,7 +45,7 @@
         }
 
         String id() {
-            return one("Sablehinge-Try-Id");
+            return header("Sablehinge-Try-Id");
         }
     }
 
@@ -70,12 +70,12 @@
         return this;
     }
 
-    /** The answer to a request. */
-    Message ask(String request) throws IOException {
+    /** Sends a request and reads its response. */
+    Message request(String request) throws IOException {
         return write(request).read();
     }
 
-    /** The next message, or null where the connection has ended before it; fails if it ends within it. */
+    /** Reads the next message; null at the end of the connection. Fails if the connection ends within a message. */
     Message read() throws IOException {
         String first = line();
         if (first == null) {
@@ -84,16 +84,16 @@
         List<String> headers = new ArrayList<>();
         for (String line = line(); !"".equals(line); line = line()) {
             if (line == null) {
-                throw new EOFException("the head is not whole");
+                throw new EOFException("the head is incomplete");
             }
             headers.add(line);
         }
         Message head = new Message(first, headers, "");
-        String length = head.one("Content-Length");
+        String length = head.header("Content-Length");
         return new Message(
                 first,
                 headers,
-                "chunked".equals(head.one("Transfer-Encoding"))
+                "chunked".equals(head.header("Transfer-Encoding"))
                         ? chunks()
                         : text(length == null ? 0 : Integer.parseInt(length)));
     }
@@ -101,7 +101,7 @@
     private String text(int length) throws IOException {
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
-            throw new EOFException("the body is not whole");
+            throw new EOFException("the body is incomplete");
         }
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
@@ -111,12 +111,12 @@
         while (true) {
             String size = line();
             if (size == null) {
-                throw new EOFException("the body is not whole");
+                throw new EOFException("the body is incomplete");
             }
             int length = Integer.parseInt(size.split(";")[0].strip(), 16);
             body.append(text(length));
             if (!"".equals(line())) {
-                throw new EOFException("a chunk is not whole");
+                throw new EOFException("a chunk is incomplete");
             }
             if (length == 0) {
                 return body.toString();
@@ -137,7 +137,7 @@
         return null;
     }
 
-    /** Breaks the connection off with a reset. */
+    /** Resets the connection. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/QuotasTest.java
@@ -10,11 +10,11 @@
 import sablehinge.mesh.routing.Configuration;
 import sablehinge.mesh.watch.Registration;
 
-/** A balancer's even part of a quota, over changes of the leader; no pool answers. */
+/** A sidecar's even part of a quota across leader changes; no pool responds. */
 @Timeout(60)
 class QuotasTest {
 
-    private static final int FLEET = 60;
+    private static final int SIDECARS = 60;
     private static final int PER_SECOND = 600;
     private static final Configuration.Tenant TENANT = new Configuration.Tenant("t", List.of("k"), -1, PER_SECOND, 60);
     private static final LocalSettings.Bounds BOUNDS = new LocalSettings.Bounds(
@@ -29,25 +29,26 @@
         return granted;
     }
 
-    /** All other balancers may have spent all of the burst before their processes began anew. */
+    /** The other sidecars may have spent the whole burst before they restarted. */
     @Test
-    void aProcessThatBeginsHasHalfOfItsPartOfTheBurst() throws Exception {
+    void startsWithHalfOfItsPartOfTheBurst() throws Exception {
         int balancers = 10;
-        try (SidecarFixture mesh = new SidecarFixture(false).answers(request -> SidecarFixture.ok(request.id(), ""))) {
+        try (SidecarFixture mesh = new SidecarFixture(false).respond(request -> SidecarFixture.ok(request.id(), ""))) {
             for (int i = 2; i <= balancers; i++) {
-                mesh.core.tells(new Registration("s-" + i, "monza-a", "127.0.0.1:" + i, "other", "o-" + i, true, 4, 0));
+                mesh.core.register(
+                        new Registration("s-" + i, "monza-a", "127.0.0.1:" + i, "other", "o-" + i, true, 4, 0));
             }
-            mesh.core.holds(
+            mesh.core.setConfiguration(
                     SidecarFixture.configuration(
                             4, "{\"name\":\"t\",\"passes\":[\"k\"],\"perS\":0.01," + "\"burst\":400}", ""),
                     4);
             mesh.heartbeat("i-1", "ready");
-            SidecarFixture.await("it asks", () -> mesh.core.confirmationsRequested() > 0);
-            mesh.core.confirms(true);
+            SidecarFixture.await("the sidecar requests a confirmation", () -> mesh.core.confirmationsRequested() > 0);
+            mesh.core.setConfirming(true);
             mesh.core.awaitKnown("i-1");
             PlainConnection client = mesh.client();
             int served = 0;
-            while (client.ask(SidecarFixture.get("/s/x", "t-" + served, "Sablehinge-Key: k\r\n"))
+            while (client.request(SidecarFixture.get("/s/x", "t-" + served, "Sablehinge-Key: k\r\n"))
                             .status()
                     == 200) {
                 served++;
@@ -56,51 +57,51 @@
         }
     }
 
-    /** A leader that has just begun has heard of one balancer, and all others still hold their parts. */
+    /** A new leader knows a single sidecar, while all others still use their parts. */
     @Test
-    void aNewLeaderThatHasHeardOfFewGivesNobodyAGreaterPart() {
-        quotas.divide(0, FLEET, true);
+    void keepsPartWhenNewLeaderKnowsFewSidecars() {
+        quotas.divide(0, SIDECARS, true);
         quotas.adopt(0, List.of(TENANT));
         granted(0, 5_000);
-        int calm = granted(5_000, 2_000);
+        int stableGrants = granted(5_000, 2_000);
         quotas.divide(7_000, 1, false);
         quotas.divide(7_010, 3, false);
-        assertEquals(calm, granted(7_010, 2_000), 1);
-        assertTrue(calm <= 2.0 * PER_SECOND / FLEET, "granted " + calm);
+        assertEquals(stableGrants, granted(7_010, 2_000), 1);
+        assertTrue(stableGrants <= 2.0 * PER_SECOND / SIDECARS, "granted " + stableGrants);
     }
 
-    /** RULES, QUOTA: counted across all machines, whether in touch or not. */
+    /** RULES, QUOTA: quotas are counted across all machines, including partitioned ones. */
     @Test
-    void aNewLeaderThatNeverHearsHalfOfThemGivesTheRestNoGreaterPartForAWhile() {
-        quotas.divide(0, FLEET, true);
+    void keepsPartForHoldTimeWhenNewLeaderKnowsHalfOfTheSidecars() {
+        quotas.divide(0, SIDECARS, true);
         quotas.adopt(0, List.of(TENANT));
         granted(0, 5_000);
-        int calm = granted(5_000, 2_000);
+        int stableGrants = granted(5_000, 2_000);
         quotas.divide(7_000, 1, false);
-        quotas.divide(9_500, FLEET / 2, true);
-        assertEquals(calm, granted(9_500, 2_000), 1);
+        quotas.divide(9_500, SIDECARS / 2, true);
+        assertEquals(stableGrants, granted(9_500, 2_000), 1);
         quotas.divide(12_000, 1, false);
-        quotas.divide(14_500, FLEET / 2, true);
-        assertEquals(calm, granted(14_500, 2_000), 1, "nor does another leader soon after");
-        quotas.divide(12_000 + Quotas.HELD_MS, FLEET / 2, true);
-        assertEquals(2 * calm, granted(12_000 + Quotas.HELD_MS, 2_000), 2);
+        quotas.divide(14_500, SIDECARS / 2, true);
+        assertEquals(stableGrants, granted(14_500, 2_000), 1, "a second leader change soon after must not increase it");
+        quotas.divide(12_000 + Quotas.LEADER_CHANGE_HOLD_MS, SIDECARS / 2, true);
+        assertEquals(2 * stableGrants, granted(12_000 + Quotas.LEADER_CHANGE_HOLD_MS, 2_000), 2);
     }
 
     @Test
-    void aCompleteRosterCountsWhetherItHasMoreOrFewer() {
-        quotas.divide(0, FLEET, true);
+    void dividesByCompleteRegistryWhetherLargerOrSmaller() {
+        quotas.divide(0, SIDECARS, true);
         quotas.adopt(0, List.of(TENANT));
         granted(0, 5_000);
-        int calm = granted(5_000, 2_000);
-        quotas.divide(7_000, FLEET / 2, true);
-        assertEquals(2 * calm, granted(7_000, 2_000), 2);
-        quotas.divide(9_000, FLEET, false);
-        assertEquals(calm, granted(9_000, 2_000), 1);
+        int stableGrants = granted(5_000, 2_000);
+        quotas.divide(7_000, SIDECARS / 2, true);
+        assertEquals(2 * stableGrants, granted(7_000, 2_000), 2);
+        quotas.divide(9_000, SIDECARS, false);
+        assertEquals(stableGrants, granted(9_000, 2_000), 1);
     }
 
-    /** It can't know how many there are, and reckons with sixteen. */
+    /** Without a complete registry, sixteen sidecars are assumed. */
     @Test
-    void oneThatHasJustStartedTakesNoMoreThanASixteenthBeforeARosterIsComplete() {
+    void grantsAtMostASixteenthBeforeRegistryIsComplete() {
         quotas.divide(0, 1, false);
         quotas.adopt(0, List.of(TENANT));
         granted(0, 5_000);
--- a/src/test/java/sablehinge/dataplane/sidecar/RegistryViewTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RegistryViewTest.java
@@ -11,13 +11,13 @@
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.Update;
 
-/** What updates make of the registry. */
+/** The effect of updates on the registry. */
 class RegistryViewTest {
 
     private final RegistryView registry = new RegistryView();
 
     @Test
-    void whenAnUpdateIsOfAnEarlierTermThenNothingOfItIsTaken() {
+    void ignoresUpdateOfEarlierTerm() {
         registry.apply(update(2, 7, true, true, "a"));
 
         assertEquals(Outcome.STALE, registry.apply(update(1, 9, true, true, "b")));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void whenALeaderHasHeardOfAllThenWhoIsNotInItsListIsGone() {
+    void removesRegistrationsMissingInCompleteUpdate() {
         registry.apply(update(1, 1, true, true, "a", "b"));
 
         assertEquals(Outcome.CHANGED, registry.apply(update(1, 2, true, true, "b")));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void whenALeaderHasNotHeardOfAllThenNobodyIsGone() {
+    void keepsRegistrationsMissingInIncompleteUpdate() {
         registry.apply(update(1, 1, true, true, "a", "b"));
 
         registry.apply(update(2, 1, true, false, "b"));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void whenNothingHasChangedThenItSaysSo() {
+    void reportsUnchangedUpdate() {
         registry.apply(update(1, 1, true, true, "a"));
 
         assertEquals(Outcome.UNCHANGED, registry.apply(update(1, 1, false, true)));
--- a/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RequestsTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests on their way from a client through a real balancer, twice, to an upstream that the test plays. */
+/**
+ * Requests from a client through the outbound and the inbound side of a real sidecar to an upstream simulated by the
+ * test.
+ */
 @Timeout(60)
 class RequestsTest {
 
@@ -41,16 +44,16 @@
         "POST,/u/x,0",
         "POST,/u/x,1300000"
     })
-    void methodPathQueryAndBodyArriveUnchanged(String method, String path, int length) throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
+    void forwardsMethodPathQueryAndBodyUnchanged(String method, String path, int length) throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream().respond(RequestsTest::echo)) {
             String body = "0123456789".repeat(length / 10 + 1).substring(0, length);
             PlainConnection.Message answer =
-                    mesh.client().ask(SidecarFixture.post(path, "t-1", body).replaceFirst("POST", method));
+                    mesh.client().request(SidecarFixture.post(path, "t-1", body).replaceFirst("POST", method));
             assertEquals(200, answer.status());
             assertEquals(body, answer.body());
             assertEquals("t-1", answer.id());
-            assertEquals("3e1b.t-1", answer.one("Sablehinge-Postmark"));
-            assertEquals(method + " " + path + " HTTP/1.1", mesh.arrived.get(0).first());
+            assertEquals("3e1b.t-1", answer.header("Sablehinge-Postmark"));
+            assertEquals(method + " " + path + " HTTP/1.1", mesh.arrived.get(0).startLine());
             assertEquals(body, mesh.arrived.get(0).body());
             assertEquals(List.of("t-1"), mesh.arrivedIds());
         }
@@ -58,9 +61,9 @@
 
     @ParameterizedTest
     @ValueSource(ints = {10, 40_000, 1_700_000})
-    void anUploadInChunksArrivesWhole(int length) throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()
-                .answers(request ->
+    void forwardsChunkedUploadCompletely(int length) throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()
+                .respond(request ->
                         SidecarFixture.ok(request.id(), "" + request.body().length()))) {
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.get("/u/up", "t-1", lines("Transfer-Encoding: chunked"))
@@ -70,13 +73,13 @@
             client.write(chunk + chunk + "0\r\n\r\n");
             assertEquals("" + 2 * half.length(), client.read().body());
             assertEquals(half + half, mesh.arrived.get(0).body());
-            assertEquals(200, client.ask(SidecarFixture.get("/s/x", "t-2")).status());
+            assertEquals(200, client.request(SidecarFixture.get("/s/x", "t-2")).status());
         }
     }
 
     @Test
-    void anUploadThatIsCutOffArrivesNowhereAsAWholeOne() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
+    void neverForwardsTruncatedUploadAsComplete() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream().respond(RequestsTest::echo)) {
             for (int length : new int[] {1_000, 1_700_000}) {
                 PlainConnection client = mesh.client();
                 client.write(SidecarFixture.get("/u/up", "t-" + length, lines("Transfer-Encoding: chunked"))
@@ -85,15 +88,16 @@
                 client.close();
             }
             assertEquals(
-                    200, mesh.client().ask(SidecarFixture.get("/s/x", "t-2")).status());
+                    200,
+                    mesh.client().request(SidecarFixture.get("/s/x", "t-2")).status());
             assertEquals(List.of("t-2"), mesh.arrivedIds());
         }
     }
 
     @Test
-    void whatConcernsOneConnectionIsDroppedAndAllElsePasses() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()
-                .answers(request -> SidecarFixture.ok(
+    void removesHopByHopHeadersAndForwardsAllOthers() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()
+                .respond(request -> SidecarFixture.ok(
                         request.id(),
                         "",
                         lines(
@@ -104,7 +108,7 @@
                                 "Keep-Alive: timeout=5",
                                 "Sablehinge-Verdict: not-run")))) {
             PlainConnection.Message answer = mesh.client()
-                    .ask(SidecarFixture.get(
+                    .request(SidecarFixture.get(
                             "/s/x",
                             "t-1",
                             lines(
@@ -120,11 +124,11 @@
                                     "Sablehinge-Patience: 1",
                                     "Sablehinge-Rank: 0")));
             PlainConnection.Message request = mesh.arrived.get(0);
-            assertEquals(List.of("a", "b"), request.all("X-Far"));
-            assertEquals("identity", request.one("Accept-Encoding"));
-            assertEquals("c=d", request.one("Cookie"));
-            assertEquals("ficu95.example", request.one("Host"));
-            for (String gone : List.of(
+            assertEquals(List.of("a", "b"), request.headerValues("X-Far"));
+            assertEquals("identity", request.header("Accept-Encoding"));
+            assertEquals("c=d", request.header("Cookie"));
+            assertEquals("ficu95.example", request.header("Host"));
+            for (String removed : List.of(
                     "X-Hop",
                     "Keep-Alive",
                     "TE",
@@ -132,24 +136,26 @@
                     "Sablehinge-Patience",
                     "Sablehinge-Rank",
                     "Transfer-Encoding")) {
-                assertEquals(List.of(), request.all(gone), gone);
+                assertEquals(List.of(), request.headerValues(removed), removed);
             }
             assertEquals(200, answer.status());
-            assertEquals(List.of("a", "b"), answer.all("X-Answer"));
-            for (String gone : List.of("X-Near", "Keep-Alive", "Sablehinge-Verdict")) {
-                assertEquals(List.of(), answer.all(gone), gone);
+            assertEquals(List.of("a", "b"), answer.headerValues("X-Answer"));
+            for (String removed : List.of("X-Near", "Keep-Alive", "Sablehinge-Verdict")) {
+                assertEquals(List.of(), answer.headerValues(removed), removed);
             }
         }
     }
 
-    /** RULES, UNASKED: what is set for an upstream can't be taken out by naming it a connection's own. */
+    /**
+     * RULES, UNASKED: a client can't remove the headers set for an upstream by listing them in its Connection header.
+     */
     @Test
-    void noHeaderOfTheProtocolIsAConnectionsOwn() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served(TENANTS)
-                .answers(request -> SidecarFixture.ok(
+    void ignoresConnectionOptionsThatNameProtocolHeaders() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream(TENANTS)
+                .respond(request -> SidecarFixture.ok(
                         request.id(), "", lines("Connection: Sablehinge-Postmark, Sablehinge-Try-Id")))) {
             PlainConnection.Message answer = mesh.client()
-                    .ask(SidecarFixture.get(
+                    .request(SidecarFixture.get(
                             "/s/x",
                             "t-1",
                             lines(
@@ -158,18 +164,18 @@
                                             + "Sablehinge-Try-Id, Sablehinge-Time-Left, "
                                             + "Sablehinge-Deliver-To, Sablehinge-Rank")));
             assertEquals(200, answer.status());
-            assertEquals("3e1b.t-1", answer.one("Sablehinge-Postmark"));
+            assertEquals("3e1b.t-1", answer.header("Sablehinge-Postmark"));
             PlainConnection.Message request = mesh.arrived.get(0);
-            assertEquals(SidecarFixture.CALLER, request.one("Sablehinge-Caller"));
-            assertEquals("hule930", request.one("Sablehinge-Sender"));
+            assertEquals(SidecarFixture.CALLER, request.header("Sablehinge-Caller"));
+            assertEquals("hule930", request.header("Sablehinge-Sender"));
             assertEquals("t-1", request.id());
-            assertEquals("i-1", request.one("Sablehinge-Deliver-To"));
+            assertEquals("i-1", request.header("Sablehinge-Deliver-To"));
         }
     }
 
     @Test
-    void theKeyStaysHereAndWhoSentWhatIsSetWhateverWasSent() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served(TENANTS).answers(RequestsTest::echo)) {
+    void removesKeyAndOverwritesForgedIdentityHeaders() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream(TENANTS).respond(RequestsTest::echo)) {
             String forged = lines(
                     "Sablehinge-Sender: other",
                     "Sablehinge-Caller: other",
@@ -178,48 +184,51 @@
             assertEquals(
                     200,
                     mesh.client()
-                            .ask(SidecarFixture.get("/s/x", "t-1", forged, lines("Sablehinge-Key: k-2")))
+                            .request(SidecarFixture.get("/s/x", "t-1", forged, lines("Sablehinge-Key: k-2")))
                             .status());
             assertEquals(
                     200,
-                    mesh.client().ask(SidecarFixture.get("/o/x", "t-2", forged)).status());
+                    mesh.client()
+                            .request(SidecarFixture.get("/o/x", "t-2", forged))
+                            .status());
             assertEquals(
                     200,
                     mesh.client()
-                            .ask(SidecarFixture.get("/o/x", "t-3", lines("Sablehinge-Key: wrong")))
+                            .request(SidecarFixture.get("/o/x", "t-3", lines("Sablehinge-Key: wrong")))
                             .status());
             PlainConnection.Message known = mesh.arrived.get(0);
-            assertEquals("hule930", known.one("Sablehinge-Sender"));
-            assertEquals("i-1", known.one("Sablehinge-Deliver-To"));
+            assertEquals("hule930", known.header("Sablehinge-Sender"));
+            assertEquals("i-1", known.header("Sablehinge-Deliver-To"));
             for (PlainConnection.Message request : mesh.arrived) {
-                assertEquals(SidecarFixture.CALLER, request.one("Sablehinge-Caller"));
-                assertEquals(List.of(), request.all("Sablehinge-Key"));
+                assertEquals(SidecarFixture.CALLER, request.header("Sablehinge-Caller"));
+                assertEquals(List.of(), request.headerValues("Sablehinge-Key"));
             }
-            assertEquals(List.of(), mesh.arrived.get(1).all("Sablehinge-Sender"));
-            assertEquals(List.of(), mesh.arrived.get(2).all("Sablehinge-Sender"));
+            assertEquals(List.of(), mesh.arrived.get(1).headerValues("Sablehinge-Sender"));
+            assertEquals(List.of(), mesh.arrived.get(2).headerValues("Sablehinge-Sender"));
         }
     }
 
     @Test
-    void anUnknownKeyNoneAndTwoAreTurnedAway() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served(TENANTS).answers(RequestsTest::echo)) {
+    void rejectsUnknownMissingAndRepeatedKeys() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream(TENANTS).respond(RequestsTest::echo)) {
             assertEquals(
                     401,
                     mesh.client()
-                            .ask(SidecarFixture.get("/s/x", "t-1", lines("Sablehinge-Key: wrong")))
+                            .request(SidecarFixture.get("/s/x", "t-1", lines("Sablehinge-Key: wrong")))
                             .status());
             assertEquals(
-                    401, mesh.client().ask(SidecarFixture.get("/s/x", "t-2")).status());
+                    401,
+                    mesh.client().request(SidecarFixture.get("/s/x", "t-2")).status());
             assertEquals(
                     400,
                     mesh.client()
-                            .ask(SidecarFixture.get(
+                            .request(SidecarFixture.get(
                                     "/s/x", "t-3", lines("Sablehinge-Key: k-1", "Sablehinge-Key: k-few")))
                             .status());
             assertEquals(
                     400,
                     mesh.client()
-                            .ask(SidecarFixture.get("/s/x", "t-4", lines("Sablehinge-Key: k-1"))
+                            .request(SidecarFixture.get("/s/x", "t-4", lines("Sablehinge-Key: k-1"))
                                     .replaceAll("Sablehinge-Try-Id: t-4\r\n", ""))
                             .status());
             assertEquals(List.of(), mesh.arrivedIds());
@@ -227,42 +236,42 @@
     }
 
     @Test
-    void whatIsBeyondATenantsQuotaGetsA429ThatSaysWhenAndOthersGoOn() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served(TENANTS).answers(RequestsTest::echo)) {
+    void rejectsRequestsBeyondTenantQuotaWithRetryAfterAndServesOthers() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream(TENANTS).respond(RequestsTest::echo)) {
             PlainConnection client = mesh.client();
             int served = 0;
             PlainConnection.Message answer =
-                    client.ask(SidecarFixture.get("/s/x", "t-0", lines("Sablehinge-Key: k-few")));
+                    client.request(SidecarFixture.get("/s/x", "t-0", lines("Sablehinge-Key: k-few")));
             while (answer.status() == 200 && served < 30) {
                 served++;
-                answer = client.ask(SidecarFixture.get("/s/x", "t-" + served, lines("Sablehinge-Key: k-few")));
+                answer = client.request(SidecarFixture.get("/s/x", "t-" + served, lines("Sablehinge-Key: k-few")));
             }
             assertEquals(429, answer.status());
             assertTrue(served > 0 && served <= 10, served + " served");
-            double seconds = Double.parseDouble(answer.one("Retry-After"));
+            double seconds = Double.parseDouble(answer.header("Retry-After"));
             assertTrue(seconds > 0 && seconds <= 12, "after " + seconds);
             assertEquals(served, mesh.arrived.size());
             assertEquals(
                     200,
-                    client.ask(SidecarFixture.get("/s/x", "u-1", lines("Sablehinge-Key: k-1")))
+                    client.request(SidecarFixture.get("/s/x", "u-1", lines("Sablehinge-Key: k-1")))
                             .status());
-            assertEquals(200, client.ask(SidecarFixture.get("/o/x", "u-2")).status());
+            assertEquals(200, client.request(SidecarFixture.get("/o/x", "u-2")).status());
         }
     }
 
     @Test
-    void theTimeLeftIsNeverMoreThanTheClientSaidNorThanTheRoutesTimeOut() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
-            mesh.client().ask(SidecarFixture.get("/s/x", "t-1"));
-            mesh.client().ask(SidecarFixture.get("/s/x", "t-2").replace("Left: 12000", "Left: 90000"));
+    void limitsTimeLeftToClientTimeoutAndRouteTimeout() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream().respond(RequestsTest::echo)) {
+            mesh.client().request(SidecarFixture.get("/s/x", "t-1"));
+            mesh.client().request(SidecarFixture.get("/s/x", "t-2").replace("Left: 12000", "Left: 90000"));
             for (int i = 0; i < 2; i++) {
-                int left = Integer.parseInt(mesh.arrived.get(i).one("Sablehinge-Time-Left"));
+                int left = Integer.parseInt(mesh.arrived.get(i).header("Sablehinge-Time-Left"));
                 assertTrue(left > 0 && left <= (i == 0 ? 12_000 : 15_000), "left " + left);
             }
         }
     }
 
-    // ---- Answers -----------------------------------------------------------------------------------
+    // ---- Responses -----------------------------------------------------------------------------------
 
     @ParameterizedTest
     @ValueSource(
@@ -284,14 +293,14 @@
                 "HTTP/1.1 200 OK\r\nSablehinge-Try",
                 ""
             })
-    void whatIsNoWholeSuccessOfTheUpstreamIsNoneForTheClientAndNoPromise(String answer) throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served().answers(request -> answer)) {
+    void answersBadGatewayUnlessUpstreamSuccessIsCompleteAndStamped(String answer) throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream().respond(request -> answer)) {
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.post("/u/x", "t-1", "body"));
-            SidecarFixture.await("it has arrived", () -> mesh.arrived.size() == 1);
+            SidecarFixture.await("the request has arrived", () -> mesh.arrived.size() == 1);
             mesh.app.close();
             if (answer.isEmpty() || !answer.endsWith("\r\n\r\n")) {
-                // What is not complete stays so until the connection ends.
+                // An incomplete response is ended only by the end of the connection.
                 mesh.closeUpstreams();
             }
             PlainConnection.Message response = client.read();
@@ -304,39 +313,39 @@
 
     @ParameterizedTest
     @ValueSource(ints = {500, 504, 404, 409, 400})
-    void anUpstreamsOwnFailureReturnsAsItIs(int status) throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()
-                .answers(request -> "HTTP/1.1 " + status + " Own\r\nX-Own: 1\r\n"
+    void forwardsUpstreamFailureUnchanged(int status) throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()
+                .respond(request -> "HTTP/1.1 " + status + " Own\r\nX-Own: 1\r\n"
                         + "Sablehinge-Try-Id: t-1\r\nContent-Length: 3\r\n\r\nwhy")) {
-            PlainConnection.Message response = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "body"));
+            PlainConnection.Message response = mesh.client().request(SidecarFixture.post("/u/x", "t-1", "body"));
             assertEquals(status, response.status());
             assertEquals("why", response.body());
-            assertEquals("1", response.one("X-Own"));
+            assertEquals("1", response.header("X-Own"));
             assertEquals(1, mesh.arrived.size());
         }
     }
 
-    /** RULES, MIXED: the stamp is the upstream's word for the status that it gave. */
+    /** RULES, MIXED: the postmark confirms the status that the upstream sent. */
     @ParameterizedTest
     @CsvSource({"503 Run,502,0", "429 Run,502,0", "408 Run,502,0", "500 Oh,500,1", "404 Gone,404,1"})
-    void aFailureKeepsItsStampOnlyWithItsStatus(String given, int status, int stamps) throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()
-                .answers(request -> "HTTP/1.1 " + given + "\r\nSablehinge-Try-Id: " + request.id()
+    void forwardsPostmarkOfFailureOnlyWithOriginalStatus(String given, int status, int stamps) throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()
+                .respond(request -> "HTTP/1.1 " + given + "\r\nSablehinge-Try-Id: " + request.id()
                         + "\r\nSablehinge-Postmark: 3e1b.x\r\nContent-Length: 0\r\n\r\n")) {
-            PlainConnection.Message answer = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "b"));
+            PlainConnection.Message answer = mesh.client().request(SidecarFixture.post("/u/x", "t-1", "b"));
             assertEquals(status, answer.status());
-            assertEquals(stamps, answer.all("Sablehinge-Postmark").size());
+            assertEquals(stamps, answer.headerValues("Sablehinge-Postmark").size());
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"503 Full", "429 Many", "400 Bad", "421 Other"})
-    void whatTheUpstreamSaysIsNotRunIsAPromiseForTheClient(String status) throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()
-                .answers(request -> "HTTP/1.1 " + status + "\r\n"
+    void answersNotRunWhenUpstreamStatesNotRun(String status) throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()
+                .respond(request -> "HTTP/1.1 " + status + "\r\n"
                         + (status.startsWith("421") ? "" : "Sablehinge-Not-Run: 1\r\n")
                         + "Sablehinge-Try-Id: t-1\r\nContent-Length: 0\r\n\r\n")) {
-            PlainConnection.Message response = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "body"));
+            PlainConnection.Message response = mesh.client().request(SidecarFixture.post("/u/x", "t-1", "body"));
             assertEquals(503, response.status());
             assertEquals("t-1", response.id());
             assertFalse(mesh.arrived.isEmpty());
@@ -344,8 +353,8 @@
     }
 
     @Test
-    void aSurplusAnswerInThePlaceOfTheNextGoesToNobody() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()) {
+    void discardsSurplusResponseBeforeTheNextOne() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()) {
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.post("/u/1", "t-1", "a"));
             PlainConnection upstream = mesh.upstream();
@@ -366,8 +375,8 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whereOnlyTheSurplusAnswerComesTheClientIsToldNoneOfIt(boolean large) throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()) {
+    void answersBadGatewayIfOnlySurplusResponseArrives(boolean large) throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()) {
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.post("/u/1", "t-1", "a"));
             PlainConnection upstream = mesh.upstream();
@@ -379,7 +388,7 @@
             try {
                 upstream.write(SidecarFixture.ok("t-1", "s".repeat(large ? 200_000 : 7)));
             } catch (SocketException e) {
-                // The balancer may give the connection up while the rest is on its way, as it should.
+                // The sidecar may close the connection before the rest is written, as intended.
                 assertTrue(large, e::toString);
             }
             upstream.close();
@@ -391,14 +400,15 @@
     }
 
     @Test
-    void aSafeRequestInWhosePlaceASurplusAnswerCameIsTriedAgain() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()) {
-            mesh.answers(request -> mesh.arrived.size() > 2
+    void retriesSafeRequestAfterSurplusResponse() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()) {
+            mesh.respond(request -> mesh.arrived.size() > 2
                     ? SidecarFixture.ok(request.id(), "right")
                     : SidecarFixture.ok("t-1", "first", "Connection: close\r\n"));
             PlainConnection client = mesh.client();
-            assertEquals("first", client.ask(SidecarFixture.get("/s/1", "t-1")).body());
-            PlainConnection.Message answer = client.ask(SidecarFixture.get("/s/2", "t-2"));
+            assertEquals(
+                    "first", client.request(SidecarFixture.get("/s/1", "t-1")).body());
+            PlainConnection.Message answer = client.request(SidecarFixture.get("/s/2", "t-2"));
             assertEquals(200, answer.status());
             assertEquals("right", answer.body());
             assertEquals(List.of("t-1", "t-2", "t-2"), mesh.arrivedIds().subList(0, 3));
@@ -406,8 +416,8 @@
     }
 
     @Test
-    void whatComesBehindAWholeAnswerIsNotTakenForTheNext() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()) {
+    void ignoresBytesAfterCompleteResponse() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()) {
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.post("/u/1", "t-1", "a"));
             PlainConnection upstream = mesh.upstream();
@@ -423,8 +433,8 @@
     }
 
     @Test
-    void aLongAnswerPassesWholeAndOneThatBreaksOffDoesNotLookWhole() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()) {
+    void forwardsLongResponseCompletelyAndTruncatedOneNeverAsComplete() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()) {
             String body = "0123456789".repeat(30_000);
             for (boolean complete : new boolean[] {true, false}) {
                 PlainConnection client = mesh.client();
@@ -444,17 +454,17 @@
                 if (complete) {
                     assertEquals(body, answer.body());
                 } else {
-                    assertTrue(answer == null || answer.status() == 502, "it looks whole");
+                    assertTrue(answer == null || answer.status() == 502, "the truncated response looks complete");
                 }
             }
         }
     }
 
-    // ---- Connections of clients ----------------------------------------------------------------------
+    // ---- Client connections ----------------------------------------------------------------------
 
     @Test
-    void requestsThatWereSentAheadAreAnsweredInTheirOrder() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
+    void answersPipelinedRequestsInOrder() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream().respond(RequestsTest::echo)) {
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.post("/s/x", "t-1", "1")
                     + SidecarFixture.post("/s/x", "t-2", "2")
@@ -469,58 +479,60 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"Connection: close\r\n", "Sablehinge-Time-Left: never\r\n"})
-    void whatWasSentBehindARequestWhoseAnswerClosesIsNeverRun(String header) throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
+    void neverRunsPipelinedRequestsAfterClosingAnswer(String header) throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream().respond(RequestsTest::echo)) {
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.post("/u/x", "t-1", "1", header)
                     + SidecarFixture.post("/u/x", "t-2", "2")
                     + SidecarFixture.get("/s/x", "t-3"));
             PlainConnection.Message answer = client.read();
-            assertEquals("close", answer.one("Connection"));
+            assertEquals("close", answer.header("Connection"));
             assertNull(client.read());
             assertEquals(
                     200,
-                    mesh.client().ask(SidecarFixture.post("/u/x", "t-2", "2")).status());
+                    mesh.client()
+                            .request(SidecarFixture.post("/u/x", "t-2", "2"))
+                            .status());
             assertEquals(1, mesh.arrivedIds().stream().filter("t-2"::equals).count());
             assertFalse(mesh.arrivedIds().contains("t-3"));
         }
     }
 
     @Test
-    void anUpstreamThatClosesItsConnectionDoesNotCloseTheClients() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()
-                .answers(request -> SidecarFixture.ok(request.id(), "", "Connection: close\r\n"))) {
+    void keepsClientConnectionOpenWhenUpstreamCloses() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()
+                .respond(request -> SidecarFixture.ok(request.id(), "", "Connection: close\r\n"))) {
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.post("/u/x", "t-1", "1") + SidecarFixture.post("/u/x", "t-2", "2"));
             PlainConnection.Message answer = client.read();
-            assertNull(answer.one("Connection"));
+            assertNull(answer.header("Connection"));
             assertEquals("t-2", client.read().id());
         }
     }
 
-    // ---- Between balancers ---------------------------------------------------------------------------
+    // ---- Between sidecars ---------------------------------------------------------------------------
 
     @Test
-    void whatReachesNoOtherBalancerIsPromisedNotToHaveRun() throws Exception {
+    void answersNotRunIfNoPeerIsReachable() throws Exception {
         try (SidecarFixture mesh = new SidecarFixture()) {
-            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
-            mesh.other("i-8").close();
+            mesh.core.setConfiguration(SidecarFixture.configuration(4, "", ""), 4);
+            mesh.addPeer("i-8").close();
             mesh.core.awaitKnown("");
-            PlainConnection.Message answer = mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "1"));
+            PlainConnection.Message answer = mesh.client().request(SidecarFixture.post("/u/x", "t-1", "1"));
             assertEquals(503, answer.status());
             assertEquals("t-1", answer.id());
         }
     }
 
     @Test
-    void whatBreaksBeforeItsFirstByteMayGoElsewhereAndIsNeverInDoubt() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served().answers(RequestsTest::echo)) {
-            mesh.other("i-8").close();
+    void treatsAttemptThatFailsBeforeFirstByteAsNotRun() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream().respond(RequestsTest::echo)) {
+            mesh.addPeer("i-8").close();
             mesh.core.awaitKnown("i-1");
             int served = 0;
             for (int i = 0; i < 20; i++) {
-                PlainConnection.Message answer = mesh.client().ask(SidecarFixture.post("/u/x", "t-" + i, "1"));
-                assertTrue(answer.status() == 200 || answer.status() == 503, answer.first());
+                PlainConnection.Message answer = mesh.client().request(SidecarFixture.post("/u/x", "t-" + i, "1"));
+                assertTrue(answer.status() == 200 || answer.status() == 503, answer.startLine());
                 served += answer.status() == 200 ? 1 : 0;
             }
             assertEquals(served, mesh.arrived.size());
@@ -530,19 +542,19 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatBreaksAfterItWasSentIsInDoubtAndRunsOnceAtMost(boolean abruptly) throws Exception {
+    void neverRepeatsUnsafeRequestAfterItWasSentCompletely(boolean abruptly) throws Exception {
         try (SidecarFixture mesh = new SidecarFixture()) {
-            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
-            sablehinge.testing.Listener one = mesh.other("i-8");
-            sablehinge.testing.Listener two = mesh.other("i-9");
+            mesh.core.setConfiguration(SidecarFixture.configuration(4, "", ""), 4);
+            sablehinge.testing.Listener one = mesh.addPeer("i-8");
+            sablehinge.testing.Listener two = mesh.addPeer("i-9");
             mesh.core.awaitKnown("");
             PlainConnection client = mesh.client();
             client.write(SidecarFixture.post("/u/x", "t-1", "1"));
-            SidecarFixture.await("one has it", () -> one.waiting() + two.waiting() > 0);
+            SidecarFixture.await("a peer has received the request", () -> one.waiting() + two.waiting() > 0);
             PlainConnection balancer = new PlainConnection((one.waiting() > 0 ? one : two).accept().socket);
             PlainConnection.Message sent = balancer.read();
             assertEquals("t-1", sent.id());
-            assertNotNull(sent.one("Sablehinge-Patience"));
+            assertNotNull(sent.header("Sablehinge-Patience"));
             if (abruptly) {
                 balancer.reset();
             } else {
@@ -555,11 +567,11 @@
 
     @ParameterizedTest
     @CsvSource({"not-run,503", "may-have-run,502", "ran,502", ",502"})
-    void onlyAnotherBalancersProofIsAPromise(String verdict, int expected) throws Exception {
+    void answersNotRunOnlyForNotRunVerdictOfPeer(String verdict, int expected) throws Exception {
         try (SidecarFixture mesh = new SidecarFixture()) {
-            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
-            sablehinge.testing.Listener other = mesh.other("i-8");
-            mesh.answers(
+            mesh.core.setConfiguration(SidecarFixture.configuration(4, "", ""), 4);
+            sablehinge.testing.Listener other = mesh.addPeer("i-8");
+            mesh.respond(
                     other,
                     request -> "HTTP/1.1 503 No\r\nSablehinge-Try-Id: t-1\r\n"
                             + "Content-Length: 0\r\n"
@@ -567,14 +579,16 @@
             mesh.core.awaitKnown("");
             assertEquals(
                     expected,
-                    mesh.client().ask(SidecarFixture.post("/u/x", "t-1", "1")).status());
+                    mesh.client()
+                            .request(SidecarFixture.post("/u/x", "t-1", "1"))
+                            .status());
             assertTrue(expected == 503 || mesh.arrived.size() == 1);
         }
     }
 
     @Test
-    void aConnectionThatWasClosedWhileItRestedCarriesNothing() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()) {
+    void neverReusesIdleConnectionThatUpstreamClosed() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()) {
             PlainConnection client = mesh.client();
             for (int i = 0; i < 3; i++) {
                 client.write(SidecarFixture.post("/u/x", "t-" + i, "1"));
--- a/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/RetryBudgetTest.java
@@ -35,38 +35,41 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** The module and core under the mesh's terms, with shares from a leader that the test plays. */
+/**
+ * The decision module and the proxy with the settings of the mesh, and shares granted by a leader simulated by the
+ * test.
+ */
 class RetryBudgetTest {
 
     private static final double RATIO = 0.2;
     private static final int SLACK = 62;
     private static final int BALANCERS = 11;
 
-    /** Answers each attempt at once, as it is set to. */
+    /** Ends each attempt immediately with the configured result. */
     private static final class World implements Transport, Registry {
         private double now = 1;
         private final RetryBudgetAllocator allocator =
                 new RetryBudgetAllocator(new RetryBudgetRule(RATIO, 10_000, SLACK));
         private boolean reachable = true;
-        private final RetryBudget retryBudget = new RetryBudget(() -> now, settings(), this::claimed);
-        private final RequestProxy core = new RequestProxy(
+        private final RetryBudget retryBudget = new RetryBudget(() -> now, settings(), this::onClaim);
+        private final RequestProxy proxy = new RequestProxy(
                 () -> now,
                 (at, call) -> () -> {},
                 actions -> new LatencyWeightedBalancer(actions, BalancerSettings.EXTRAS));
-        private final Map<String, Integer> places = new HashMap<>();
+        private final Map<String, Integer> classIndexes = new HashMap<>();
         private final Version version;
         private final List<Configuration.Route> routes;
-        private Result answers = Result.OK;
-        private int sends;
-        private Answer.Kind last;
+        private Result attemptResult = Result.OK;
+        private int attempts;
+        private Answer.Kind lastAnswer;
 
-        World(int attempts) {
+        World(int maxAttempts) {
             Configuration configuration = ConfigurationReader.read(SidecarFixture.configuration(4, "", "")
-                    .replaceAll("\"attempts\":[0-9]+", "\"attempts\":" + attempts)
+                    .replaceAll("\"attempts\":[0-9]+", "\"attempts\":" + maxAttempts)
                     .getBytes(StandardCharsets.UTF_8));
             routes = configuration.routes();
             version = BalancerSettings.version(
-                    1, configuration, BalancerSettings.kinds(), places, new BalancerSettings.Place(0, 0, 1));
+                    1, configuration, BalancerSettings.kinds(), classIndexes, new BalancerSettings.Placement(0, 0, 1));
             allocator.begin(1);
             allocator.adopt(now, List.of(SidecarFixture.SERVICE));
             retryBudget.adopt(configuration);
@@ -76,7 +79,7 @@
                         "s-" + i, "monza-a", "127.0.0.1:1", SidecarFixture.SERVICE, "i-" + i, true, 4, 0));
             }
             retryBudget.divide(registry, 1);
-            core.setRetryLimiter(retryBudget);
+            proxy.setRetryLimiter(retryBudget);
             List<Roster.Member> members = new ArrayList<>();
             for (long id = 1; id <= 5; id++) {
                 members.add(new Roster.Member(
@@ -90,13 +93,13 @@
                                 0),
                         new java.net.InetSocketAddress(1)));
             }
-            core.start(version, 3, new Roster(1, true, members), this, this);
+            proxy.start(version, 3, new Roster(1, true, members), this, this);
         }
 
-        private void claimed(Frame frame) {
+        private void onClaim(Frame frame) {
             try {
                 if (reachable) {
-                    retryBudget.granted(RetryBudgetCodec.grant(
+                    retryBudget.onGrant(RetryBudgetCodec.grant(
                             RetryBudgetCodec.bytes(allocator.claimed(now, RetryBudgetCodec.claim(frame.body())))));
                 }
             } catch (IOException e) {
@@ -104,14 +107,14 @@
             }
         }
 
-        /** A request of the first route, which is safe; its attempts end as the consumer says. */
+        /** Sends a request of the first route, which is safe. */
         void request() {
-            retryBudget.came(SidecarFixture.SERVICE, false);
-            Consumer<Answer> caller = answer -> last = answer.kind();
-            core.request(
+            retryBudget.onRequest(SidecarFixture.SERVICE, false);
+            Consumer<Answer> caller = answer -> lastAnswer = answer.kind();
+            proxy.request(
                     version,
                     new Arrival(
-                                    places.get(BalancerSettings.name(routes.get(0), SidecarFixture.SERVICE)),
+                                    classIndexes.get(BalancerSettings.name(routes.get(0), SidecarFixture.SERVICE)),
                                     0,
                                     0,
                                     now + 2_000,
@@ -131,8 +134,8 @@
                 double until,
                 AttemptBudgets.Grant grant,
                 Progress progress) {
-            sends++;
-            progress.finished(AttemptResult.without(answers));
+            attempts++;
+            progress.finished(AttemptResult.without(attemptResult));
             return () -> {};
         }
 
@@ -184,46 +187,46 @@
     }
 
     /**
-     * The bench found it (hunt-ca01-19 of cos-niamey): for each repeat that served one more was granted, so while
-     * upstreams fail four calls of ten there was no bound.
+     * Found by the bench (hunt-ca01-19 of cos-niamey): each successful retry granted one more, so there was no limit
+     * while upstreams failed four of ten calls.
      */
     @Test
-    void repeatsStayWithinTheBudgetOfAllBalancersHoweverOftenTheyServe() {
+    void limitsRetriesToBudgetEvenIfRetriesSucceed() {
         for (double failing : new double[] {0.1, 0.4, 0.9}) {
             SplittableRandom random = new SplittableRandom(7);
             World world = new World(4);
             int requests = 300;
             for (int i = 1; i <= requests; i++) {
                 world.now = i * 30;
-                world.answers = random.nextDouble() < failing ? Result.ERROR : Result.OK;
+                world.attemptResult = random.nextDouble() < failing ? Result.ERROR : Result.OK;
                 world.retryBudget.tick();
                 world.request();
             }
-            int beyond = world.sends - requests;
+            int retries = world.attempts - requests;
             double granted = RATIO * requests + SLACK;
             assertTrue(
-                    beyond <= granted, beyond + " beyond the first of " + requests + ", " + granted + " are granted");
-            assertTrue(beyond > 20, "a failure is worth another try");
+                    retries <= granted, retries + " retries of " + requests + " requests, " + granted + " are granted");
+            assertTrue(retries > 20, "failed attempts are retried");
         }
     }
 
     @Test
-    void whatReachedNobodyCostsNothingAndARoutesAttemptsBoundTheRest() {
+    void chargesOnlyAttemptsThatReachedServerAndLimitsThemByRoute() {
         World world = new World(2);
         world.reachable = false;
-        world.answers = Result.FULL;
+        world.attemptResult = Result.FULL;
         for (int i = 0; i < 50; i++) {
             world.request();
         }
-        assertEquals(200, world.sends, "refused by gates: as often as the module goes on");
-        world.answers = Result.ERROR;
+        assertEquals(200, world.attempts, "attempts rejected by admission are limited only by the module");
+        world.attemptResult = Result.ERROR;
         world.request();
-        assertEquals(202, world.sends, "two upstreams for one try, though the module would go on");
+        assertEquals(202, world.attempts, "a request reaches two upstreams at most, though the module would continue");
         world.request();
-        assertEquals(203, world.sends, "the token that is reserved for this balancer is used");
-        assertEquals(Answer.Kind.REFUSED, world.last);
+        assertEquals(203, world.attempts, "the token reserved for this sidecar is used");
+        assertEquals(Answer.Kind.REFUSED, world.lastAnswer);
         world.now += 12_501;
         world.request();
-        assertEquals(205, world.sends, "and comes back once its window is over");
+        assertEquals(205, world.attempts, "the token is available again after its window");
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/SidecarFixture.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/SidecarFixture.java
@@ -16,7 +16,7 @@
 import sablehinge.testing.Listener;
 import sablehinge.testing.Peer;
 
-/** A balancer on loopback addresses of its own, with a core, an upstream and clients that the test plays. */
+/** A sidecar on separate loopback addresses, with a control plane, an upstream and clients simulated by the test. */
 final class SidecarFixture implements AutoCloseable {
 
     static final String SERVICE = "huvo11a";
@@ -24,7 +24,7 @@
     static final int UNLOAD_MS = 2_400;
     static final int INNER = 7_100;
     private static final long TIMEOUT_NANOS = 20_000_000_000L;
-    private static final AtomicInteger MADE = new AtomicInteger();
+    private static final AtomicInteger FIXTURES = new AtomicInteger();
 
     final StubCore core;
     final Listener app = new Listener();
@@ -39,23 +39,23 @@
         this(true);
     }
 
-    /** One whose core confirms that what it holds is the newest, or does not yet. */
+    /** Creates a mesh whose control plane confirms its configuration as the latest, or does not yet. */
     SidecarFixture(boolean confirms) throws Exception {
         this(confirms, mesh -> {});
     }
 
-    /** Likewise; {@code early} is done when the process listens, before it has loaded anything else. */
-    SidecarFixture(boolean confirms, Work early) throws Exception {
+    /** Likewise; {@code early} runs when the sockets are open, before anything else is loaded. */
+    SidecarFixture(boolean confirms, Setup early) throws Exception {
         this(confirms, early, made -> {});
     }
 
-    /** Likewise; {@code onMade} gets the balancer before it reads its first request. */
-    SidecarFixture(boolean confirms, Work early, Consumer<Sidecar> onMade) throws Exception {
+    /** Likewise; {@code onMade} receives the sidecar before it reads its first request. */
+    SidecarFixture(boolean confirms, Setup early, Consumer<Sidecar> onMade) throws Exception {
         long process = ProcessHandle.current().pid();
         String net = "127." + (1 + process % 250) + "." + (1 + process / 250 % 250) + ".";
-        int number = 2 * MADE.incrementAndGet();
+        int number = 2 * FIXTURES.incrementAndGet();
         core = new StubCore(net + number, INNER);
-        core.confirms(confirms);
+        core.setConfirming(confirms);
         String ip = net + (number + 1);
         at = new LocalSettings.ListenOn(ip + ":7002", ip + ":7001", ip + ":7003", ip + ":7004");
         LocalSettings settings = new LocalSettings(
@@ -88,24 +88,24 @@
         sidecar = Sidecar.start(settings, listening, onMade);
     }
 
-    /** One whose upstream is there, and whose configuration has these tenants. */
-    static SidecarFixture served(String senders) throws Exception {
+    /** Creates a mesh with a ready upstream and a configuration with the given tenants. */
+    static SidecarFixture withUpstream(String senders) throws Exception {
         SidecarFixture mesh = new SidecarFixture();
-        mesh.core.holds(configuration(4, senders, ""), 4);
+        mesh.core.setConfiguration(configuration(4, senders, ""), 4);
         mesh.heartbeat("i-1", "ready");
         mesh.core.awaitKnown("i-1");
         return mesh;
     }
 
-    static SidecarFixture served() throws Exception {
-        return served("");
+    static SidecarFixture withUpstream() throws Exception {
+        return withUpstream("");
     }
 
-    static void await(String what, BooleanSupplier condition) {
+    static void await(String condition, BooleanSupplier isMet) {
         long end = System.nanoTime() + TIMEOUT_NANOS;
-        while (!condition.getAsBoolean()) {
+        while (!isMet.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("in vain: " + what);
+                throw new AssertionError("timed out waiting until " + condition);
             }
             LockSupport.parkNanos(2_000_000);
         }
@@ -119,8 +119,8 @@
                 .formatted(name, kind, open, prefix);
     }
 
-    /** A configuration; the routes that are added begin with a comma. */
-    static String configuration(long edition, String senders, String more) {
+    /** A configuration; additional routes start with a comma. */
+    static String configuration(long edition, String senders, String moreRoutes) {
         return """
                 {"edition":%d,"limits":{"headerBytes":16384,"bodyBytes":67108864,"headerMs":9000,
                  "idleMs":30000},
@@ -132,10 +132,10 @@
                         route("r-safe", "safe", "/s/", false),
                         route("r-unsafe", "unsafe", "/u/", false),
                         route("r-open", "safe", "/o/", true),
-                        more);
+                        moreRoutes);
     }
 
-    /** A request with an id and no body; the headers end with the end of a line. */
+    /** A request with an id and no body; each header ends with a line break. */
     static String get(String path, String id, String... headers) {
         return "GET " + path + " HTTP/1.1\r\nHost: ficu95.example\r\nSablehinge-Try-Id: " + id + "\r\n"
                 + "Sablehinge-Time-Left: 12000\r\n" + String.join("", headers) + "\r\n";
@@ -147,33 +147,33 @@
                 + body;
     }
 
-    /** An upstream's complete success. */
+    /** A complete successful response of an upstream. */
     static String ok(String id, String body, String... headers) {
         return "HTTP/1.1 200 OK\r\nSablehinge-Try-Id: " + id + "\r\nSablehinge-Postmark: 3e1b." + id + "\r\n"
                 + String.join("", headers) + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** The upstream answers each request by this from now on; no answer ends its connection. */
-    SidecarFixture answers(Function<PlainConnection.Message, String> by) {
-        answers(app, by);
+    /** Starts an upstream that responds to each request with the result of the function; null closes the connection. */
+    SidecarFixture respond(Function<PlainConnection.Message, String> responder) {
+        respond(app, responder);
         return this;
     }
 
-    /** Likewise, who listens elsewhere. */
-    void answers(Listener listener, Function<PlainConnection.Message, String> by) {
+    /** Likewise, for a different listener. */
+    void respond(Listener listener, Function<PlainConnection.Message, String> responder) {
         daemon(() -> {
             while (true) {
                 Socket socket = listener.accept().socket;
                 served.add(socket);
-                daemon(() -> serve(new PlainConnection(socket), by));
+                daemon(() -> serve(new PlainConnection(socket), responder));
             }
         });
     }
 
-    private void serve(PlainConnection wire, Function<PlainConnection.Message, String> by) throws IOException {
+    private void serve(PlainConnection wire, Function<PlainConnection.Message, String> responder) throws IOException {
         for (PlainConnection.Message request = wire.read(); request != null; request = wire.read()) {
             arrived.add(request);
-            String answer = by.apply(request);
+            String answer = responder.apply(request);
             if (answer == null) {
                 wire.close();
                 return;
@@ -182,8 +182,8 @@
         }
     }
 
-    /** What a test does with a mesh. */
-    interface Work {
+    /** A test's actions on a mesh. */
+    interface Setup {
         void on(SidecarFixture mesh) throws Exception;
     }
 
@@ -196,61 +196,61 @@
             try {
                 work.run();
             } catch (Exception | AssertionError e) {
-                // The test is over, or its connection.
+                // The test has finished or closed the connection.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** The upstream's side of its next connection. */
+    /** Accepts the upstream's next connection. */
     PlainConnection upstream() throws Exception {
         Peer peer = app.accept();
-        return keep(new PlainConnection(peer.socket));
+        return closeAtEnd(new PlainConnection(peer.socket));
     }
 
-    /** Ends all connections that the upstream has, in order. */
+    /** Closes all connections of the upstream without a reset. */
     void closeUpstreams() throws IOException {
         for (Socket socket : served) {
             socket.close();
         }
     }
 
-    private PlainConnection keep(PlainConnection wire) {
+    private PlainConnection closeAtEnd(PlainConnection wire) {
         open.add(wire);
         return wire;
     }
 
-    /** A new connection of a client. */
+    /** Opens a client connection. */
     PlainConnection client() throws IOException {
-        return keep(PlainConnection.to(at.outbound()));
+        return closeAtEnd(PlainConnection.to(at.outbound()));
     }
 
-    /** A new connection of another balancer. */
-    PlainConnection balancer() throws IOException {
-        return keep(PlainConnection.to(at.inbound()));
+    /** Opens a connection as a peer sidecar. */
+    PlainConnection connectAsPeer() throws IOException {
+        return closeAtEnd(PlainConnection.to(at.inbound()));
     }
 
-    /** What another balancer would say for an incarnation of the upstream. */
-    static String meant(String id, String incarnation, String... headers) {
+    /** A request of a peer sidecar to an incarnation of the upstream. */
+    static String peerRequest(String id, String incarnation, String... headers) {
         return get("/u/x", id, "Sablehinge-Deliver-To: " + incarnation + "\r\n", String.join("", headers));
     }
 
-    /** A balancer beside another upstream of the service, which the test plays. */
-    Listener other(String incarnation) throws IOException {
+    /** Registers a peer sidecar with a further upstream of the service, simulated by the test. */
+    Listener addPeer(String incarnation) throws IOException {
         Listener other = new Listener();
         listeners.add(other);
-        tells(incarnation, other.address());
+        register(incarnation, other.address());
         return other;
     }
 
-    void tells(String incarnation, String inbound) {
-        core.tells(new Registration("s-" + incarnation, "monza-a", inbound, SERVICE, incarnation, true, 8, 0));
+    void register(String incarnation, String inbound) {
+        core.register(new Registration("s-" + incarnation, "monza-a", inbound, SERVICE, incarnation, true, 8, 0));
     }
 
     PlainConnection.Message call(String to, String method, String path, String body) throws IOException {
         try (PlainConnection wire = PlainConnection.to(to)) {
-            return wire.ask(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
+            return wire.request(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
         }
     }
@@ -266,10 +266,10 @@
                 .formatted(app.address(), state);
     }
 
-    /** Calls the balancer as its upstream, and does not wait for the answer. */
-    PlainConnection startsHeartbeats(String id, String state) throws IOException {
+    /** Sends a heartbeat as the local upstream without waiting for the response. */
+    PlainConnection sendHeartbeat(String id, String state) throws IOException {
         String body = heartbeatBody(state);
-        return keep(PlainConnection.to(at.control()))
+        return closeAtEnd(PlainConnection.to(at.control()))
                 .write("POST /sablehinge/Servers.Heartbeat/" + id + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
                         + body.length() + "\r\n\r\n" + body);
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/SidecarShutdownTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/SidecarShutdownTest.java
@@ -13,25 +13,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A balancer that is stopped while its clients go on coming. */
+/** A sidecar that is stopped while clients keep connecting. */
 @Timeout(60)
 class SidecarShutdownTest {
 
     private static final int CLIENTS = 6;
     private static final long WORK_NANOS = 60_000_000;
-    /** The grace is 6 s; a balancer whose clients never stop must not need all of it. */
+    /** The grace period is 6 s; a sidecar whose clients keep connecting must not need all of it. */
     private static final double MAX_MS = 4_500;
 
     private static final double MIN_READY_MS = 1_000;
 
     /**
-     * The bench found it (mix of cos-niamey, seed 171970698965): where too few balancers are in, clients stay with one
-     * that says it is not ready, and one that was taken 5.2 s after SIGTERM was cut off at its end.
+     * Found by the bench (mix of cos-niamey, seed 171970698965): if too few sidecars are up, clients stay with one that
+     * reports that it is not ready; a request admitted 5.2 s after SIGTERM was cut off at the end of the process.
      */
     @Test
-    void whatIsTakenIsAnsweredThoughClientsNeverStopToCome() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served()) {
-            mesh.answers(request -> {
+    void answersAllAdmittedRequestsWhileClientsKeepConnecting() throws Exception {
+        try (SidecarFixture mesh = SidecarFixture.withUpstream()) {
+            mesh.respond(request -> {
                 LockSupport.parkNanos(WORK_NANOS);
                 return SidecarFixture.ok(request.id(), "x");
             });
@@ -39,7 +39,7 @@
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 int number = i;
-                Thread client = new Thread(() -> come(mesh, number, answered));
+                Thread client = new Thread(() -> sendRequests(mesh, number, answered));
                 client.setDaemon(true);
                 client.start();
                 clients.add(client);
@@ -51,11 +51,11 @@
             for (Thread client : clients) {
                 client.join();
             }
-            assertTrue(took < MAX_MS, "it took " + took + " ms");
-            // The bench found it (scale-1 of cos-niamey-grown, where balancers are stopped in turn): an
-            // upstream that is well was drawn no more from SIGTERM on.
+            assertTrue(took < MAX_MS, "the drain took " + took + " ms");
+            // Found by the bench (scale-1 of cos-niamey-grown, a rolling restart of sidecars): from SIGTERM on, a
+            // healthy upstream was not selected any more.
             double ready = (mesh.core.readyAt() - from) / 1e6;
-            assertTrue(ready > MIN_READY_MS, "its upstream was to be drawn for " + ready + " ms");
+            assertTrue(ready > MIN_READY_MS, "the upstream could be selected for only " + ready + " ms");
             Set<String> lost = new TreeSet<>();
             mesh.arrived.forEach(request -> lost.add(request.id()));
             lost.removeAll(answered);
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Sends one request after the other, each on a connection of its own that is made before the answer to the one
-     * before has come, until nobody takes one: so the balancer is never without a client.
+     * Sends requests in sequence until connections are refused. Each request uses a new connection, opened before the
+     * previous answer arrives, so the sidecar always has a client.
      */
-    private static void come(SidecarFixture mesh, int number, Set<String> answered) {
+    private static void sendRequests(SidecarFixture mesh, int number, Set<String> answered) {
         try {
             PlainConnection next = PlainConnection.to(mesh.at.outbound());
             for (int i = 0; ; i++) {
@@ -75,11 +75,11 @@
                     String id = "t-" + number + "-" + i;
                     send(wire, id);
                     next = PlainConnection.to(mesh.at.outbound());
-                    take(wire, id, answered);
+                    readAnswer(wire, id, answered);
                 }
             }
         } catch (IOException e) {
-            // Nobody listens any more.
+            // The listener is closed.
         }
     }
 
@@ -87,17 +87,18 @@
         try {
             wire.write(SidecarFixture.get("/s/x", id));
         } catch (IOException e) {
-            // Closed before it was read.
+            // The connection was closed before the request was read.
         }
     }
 
-    private static void take(PlainConnection wire, String id, Set<String> answered) {
+    private static void readAnswer(PlainConnection wire, String id, Set<String> answered) {
         try {
             if (wire.read() != null) {
                 answered.add(id);
             }
         } catch (IOException e) {
-            // Closed before it was read, or lost: the upstream knows which.
+            // The connection was closed before the request was read, or the answer is lost; the upstream's record shows
+            // which.
         }
     }
 }
--- a/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/StubCore.java
@@ -18,7 +18,7 @@
 import sablehinge.mesh.watch.Registration;
 import sablehinge.mesh.watch.WatchRequest;
 
-/** Plays the core: it holds what the test says, and confirms it when the test lets it. */
+/** Simulates the control plane with a configuration set by the test, and confirms it when the test allows. */
 final class StubCore implements Connection.Handler, AutoCloseable {
 
     private static final long TERM = 3;
@@ -32,7 +32,7 @@
     private byte[] nextBody;
     private WatchRequest last;
     private Connection.Link lastFrom;
-    private boolean confirms = true;
+    private boolean confirming = true;
     private int confirmationsRequested;
     private long readyAt;
     private int connections;
@@ -50,9 +50,9 @@
         loop.scheduleAtFixedRate(this::answer, 10, 10, TimeUnit.MILLISECONDS);
     }
 
-    private <T> T request(Callable<T> what) {
+    private <T> T request(Callable<T> action) {
         try {
-            return loop.submit(what).sync().getNow();
+            return loop.submit(action).sync().getNow();
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
@@ -88,7 +88,7 @@
             nextEdition = 0;
             watchServer.configurationChanged(edition, nextBody, List.of(address));
         }
-        if (last.confirm() && confirms) {
+        if (last.confirm() && confirming) {
             watchServer.confirmed(link, last.number());
         }
         answer();
@@ -99,8 +99,8 @@
         watchServer.removeSubscriber(link);
     }
 
-    /** A configuration is in force. */
-    void holds(String configuration, long next) {
+    /** Sets the current configuration. */
+    void setConfiguration(String configuration, long next) {
         request(() -> {
             edition = next;
             watchServer.configurationChanged(next, packed(configuration), List.of(address));
@@ -109,8 +109,8 @@
         });
     }
 
-    /** What travels as the configuration in force is what the test says. */
-    void holdsAsItTravels(byte[] packed, long next) {
+    /** Sets the packed bytes of the current configuration, which may be corrupt. */
+    void setPackedConfiguration(byte[] packed, long next) {
         request(() -> {
             edition = next;
             watchServer.configurationChanged(next, packed, List.of(address));
@@ -119,13 +119,13 @@
         });
     }
 
-    /** A configuration as it travels. */
+    /** Packs a configuration as it is sent. */
     static byte[] packed(String configuration) {
         return PackedConfiguration.pack(configuration.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A configuration is in force of which nobody is notified before somebody asks whether theirs is the newest. */
-    void holdsUntilRequested(String configuration, long next) {
+    /** Sets a configuration that is not published before a sidecar requests a confirmation. */
+    void setConfigurationOnConfirmation(String configuration, long next) {
         request(() -> {
             nextEdition = next;
             nextBody = packed(configuration);
@@ -133,16 +133,16 @@
         });
     }
 
-    /** A balancer that the test plays is there. */
-    void tells(Registration registration) {
+    /** Registers a sidecar simulated by the test. */
+    void register(Registration registration) {
         request(() -> registry.register(clock.now(), registration));
     }
 
-    /** Confirmations wait from now on, or no more. */
-    void confirms(boolean on) {
+    /** Enables or holds back confirmations. */
+    void setConfirming(boolean enabled) {
         request(() -> {
-            confirms = on;
-            if (on && last != null) {
+            confirming = enabled;
+            if (enabled && last != null) {
                 watchServer.confirmed(lastFrom, last.number());
                 answer();
             }
@@ -150,15 +150,15 @@
         });
     }
 
-    /** How often it was queried whether what it holds is the newest. */
+    /** How many requests asked for a confirmation. */
     int confirmationsRequested() {
         return request(() -> confirmationsRequested);
     }
 
-    /** Waits until whoever asks knows all that is held, and that its upstream is there as reported. */
+    /** Waits until the sidecar has the current configuration and registry and reports the given upstream. */
     void awaitKnown(String upstream) {
         SidecarFixture.await(
-                "the news are known",
+                "the sidecar is up to date",
                 () -> request(() -> last != null
                         && last.edition() == edition
                         && last.term() == TERM
@@ -166,22 +166,22 @@
                         && last.registration().upstream().equals(upstream)));
     }
 
-    /** How often somebody has connected. */
+    /** The number of connections opened. */
     int connections() {
         return request(() -> connections);
     }
 
-    /** What was last reported of who asks. */
+    /** The registration in the last request. */
     Registration lastRegistration() {
         return request(() -> last == null ? null : last.registration());
     }
 
-    /** When it was last notified that the upstream there is to be drawn, by {@link System#nanoTime}. */
+    /** When a registration with a ready upstream was last received, by {@link System#nanoTime}. */
     long readyAt() {
         return request(() -> readyAt);
     }
 
-    /** Whom the last to ask accused. */
+    /** The suspicions in the last request. */
     List<Suspicion> suspicions() {
         return request(() -> last == null ? List.of() : last.suspicions());
     }
--- a/src/test/java/sablehinge/dataplane/sidecar/UpstreamDrainTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/UpstreamDrainTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The gate of a real balancer and the calls of the upstream beside it (RULES, DRAIN); the test of
- * {@code UpstreamLifecycle} has the orders of events.
+ * Admission at a real sidecar and the calls of its local upstream (RULES, DRAIN); the test of {@code UpstreamLifecycle}
+ * covers the orders of events.
  */
 @Timeout(60)
 class UpstreamDrainTest {
@@ -16,39 +16,45 @@
     private static final int MISDIRECTED = 421;
     private static final int REFUSED = 503;
 
-    /** Health answers may be false: only a heartbeat tells whether the upstream leaves. */
+    /** Health checks may be wrong: only a heartbeat states whether the upstream is leaving. */
     @Test
-    void aBalancerThatHasBegunAsksNoHealthPathAndWaitsForAHeartbeat() throws Exception {
+    void waitsForHeartbeatInsteadOfProbingHealthPathAfterStart() throws Exception {
         try (SidecarFixture mesh = new SidecarFixture()) {
-            mesh.answers(request -> request.first().contains("/health")
+            mesh.respond(request -> request.startLine().contains("/health")
                     ? "HTTP/1.1 200 OK\r\nSablehinge-Answered-By: i-1\r\nContent-Length: 0\r\n\r\n"
                     : SidecarFixture.ok(request.id(), "x"));
-            mesh.core.holds(SidecarFixture.configuration(4, "", ""), 4);
+            mesh.core.setConfiguration(SidecarFixture.configuration(4, "", ""), 4);
             mesh.core.awaitKnown("");
-            PlainConnection peer = mesh.balancer();
-            assertEquals(REFUSED, peer.ask(SidecarFixture.meant("t-1", "i-1")).status());
+            PlainConnection peer = mesh.connectAsPeer();
+            assertEquals(
+                    REFUSED,
+                    peer.request(SidecarFixture.peerRequest("t-1", "i-1")).status());
             mesh.heartbeat("i-1", "ready");
-            assertEquals(200, peer.ask(SidecarFixture.meant("t-2", "i-1")).status());
+            assertEquals(
+                    200, peer.request(SidecarFixture.peerRequest("t-2", "i-1")).status());
             assertEquals(List.of("t-2"), mesh.arrivedIds());
         }
     }
 
-    /** The process before may have acknowledged that it leaves any time ago. */
+    /** The previous process may have acknowledged long ago that the upstream is leaving. */
     @Test
-    void anUpstreamThatIsFirstHeardToUnloadGetsNothing() throws Exception {
-        try (SidecarFixture mesh = new SidecarFixture().answers(request -> SidecarFixture.ok(request.id(), "x"))) {
+    void sendsNothingToUpstreamThatIsUnloadingInFirstHeartbeat() throws Exception {
+        try (SidecarFixture mesh = new SidecarFixture().respond(request -> SidecarFixture.ok(request.id(), "x"))) {
             assertEquals(200, mesh.heartbeat("i-1", "unloading").status());
             assertEquals(
                     REFUSED,
-                    mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
+                    mesh.connectAsPeer()
+                            .request(SidecarFixture.peerRequest("t-1", "i-1"))
+                            .status());
             assertEquals(List.of(), mesh.arrivedIds());
         }
     }
 
-    /** An acknowledgement by a balancer that is not beside the upstream would bind nobody. */
+    /** An acknowledgement by a sidecar that is not the upstream's own would have no effect. */
     @Test
-    void anUpstreamElsewhereIsNotAcknowledged() throws Exception {
-        try (SidecarFixture mesh = SidecarFixture.served().answers(request -> SidecarFixture.ok(request.id(), "x"))) {
+    void rejectsHeartbeatOfUpstreamOnOtherMachine() throws Exception {
+        try (SidecarFixture mesh =
+                SidecarFixture.withUpstream().respond(request -> SidecarFixture.ok(request.id(), "x"))) {
             assertEquals(
                     MISDIRECTED,
                     mesh.call(
@@ -60,14 +66,17 @@
                      "state":"unloading","coldLeftMs":0,"callCount":9}""")
                             .status());
             assertEquals(
-                    200, mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
+                    200,
+                    mesh.connectAsPeer()
+                            .request(SidecarFixture.peerRequest("t-1", "i-1"))
+                            .status());
         }
     }
 
-    /** A late heartbeat must not bring it back. */
+    /** A late heartbeat must not reactivate the incarnation. */
     @Test
-    void aLifeThatSignedOffBeforeItWasHeardStaysGone() throws Exception {
-        try (SidecarFixture mesh = new SidecarFixture().answers(request -> SidecarFixture.ok(request.id(), "x"))) {
+    void ignoresHeartbeatOfIncarnationThatSignedOffBefore() throws Exception {
+        try (SidecarFixture mesh = new SidecarFixture().respond(request -> SidecarFixture.ok(request.id(), "x"))) {
             assertEquals(
                     200,
                     mesh.call(mesh.at.control(), "POST", "/sablehinge/Servers.SignOff/i-1", "")
@@ -75,20 +84,25 @@
             assertEquals(200, mesh.heartbeat("i-1", "ready").status());
             assertEquals(
                     REFUSED,
-                    mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
+                    mesh.connectAsPeer()
+                            .request(SidecarFixture.peerRequest("t-1", "i-1"))
+                            .status());
         }
     }
 
-    /** The sockets are there long before the rest: a heartbeat that comes meanwhile opens the gate. */
+    /** The sockets are open long before the rest is loaded: a heartbeat that arrives meanwhile enables admission. */
     @Test
-    void aHeartbeatOfWhileTheProcessLoadsIsHeard() throws Exception {
+    void acceptsHeartbeatSentDuringStart() throws Exception {
         PlainConnection[] upstream = new PlainConnection[1];
         try (SidecarFixture mesh =
-                new SidecarFixture(true, early -> upstream[0] = early.startsHeartbeats("i-1", "ready"))) {
-            mesh.answers(request -> SidecarFixture.ok(request.id(), "x"));
+                new SidecarFixture(true, early -> upstream[0] = early.sendHeartbeat("i-1", "ready"))) {
+            mesh.respond(request -> SidecarFixture.ok(request.id(), "x"));
             assertEquals(200, upstream[0].read().status());
             assertEquals(
-                    200, mesh.balancer().ask(SidecarFixture.meant("t-1", "i-1")).status());
+                    200,
+                    mesh.connectAsPeer()
+                            .request(SidecarFixture.peerRequest("t-1", "i-1"))
+                            .status());
         }
     }
 }
