--- a/src/main/java/sablehinge/gateway/config/PlatformConfig.java
+++ b/src/main/java/sablehinge/gateway/config/PlatformConfig.java
@@ -27,9 +27,9 @@
  *
  * @param sockets how many file descriptors the process may hold
  * @param zones the names of the zones, by the index that the module uses; likewise the others
- * @param known the upstreams as this balancer last had them
+ * @param knownRoster the upstreams as this balancer last had them
  * @param operator where operators call; null where they don't
- * @param scratch a folder that only the processes of this balancer share; null where there is none
+ * @param sharedDirectory a folder that only the processes of this balancer share; null where there is none
  * @param keys the paths of all keys that the file has, those in lists left out
  */
 public record PlatformConfig(
@@ -43,9 +43,9 @@
         List<String> kinds,
         List<String> classes,
         List<String> tenants,
-        Roster known,
+        Roster knownRoster,
         InetSocketAddress operator,
-        Path scratch,
+        Path sharedDirectory,
         Set<String> keys) {
 
     private static final JsonMapper JSON = JsonMapper.builder()
--- a/src/main/java/sablehinge/gateway/config/operator/AdminSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/AdminSection.java
@@ -17,7 +17,7 @@
         if (listen != null && admin.tokenFile() == null) {
             s.problem("token-file", "is missing, expected the file of the token that listen asks for");
         }
-        s.end();
+        s.reportUnknownKeys();
         return admin;
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/BudgetSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/BudgetSection.java
@@ -50,7 +50,7 @@
                 s.problem("key", Section.quote(key[0]) + " stands there twice");
             }
         }
-        s.end();
+        s.reportUnknownKeys();
         return new BudgetPart(service, entry, terms, sheds ? shed : null, keys);
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/ChangeSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/ChangeSection.java
@@ -15,7 +15,7 @@
                 s.number("failed-rise", 0.1, 0.001, 1),
                 s.number("refused-rise", 0.3, 0.001, 1),
                 s.integer("least-count", 100, 10, 1_000_000));
-        s.end();
+        s.reportUnknownKeys();
         return change;
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/LimitsSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/LimitsSection.java
@@ -22,7 +22,7 @@
                 1,
                 0,
                 0);
-        s.end();
+        s.reportUnknownKeys();
         return limits;
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/LogSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/LogSection.java
@@ -28,8 +28,8 @@
                 levels.put(subsystem, single.choice(subsystem, level, LEVELS));
             }
         }
-        single.end();
-        s.end();
+        single.reportUnknownKeys();
+        s.reportUnknownKeys();
         return new LogTerms(format, level, levels, limit);
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/NodeSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/NodeSection.java
@@ -27,7 +27,7 @@
                 s.text("state", "sablehinge-state"),
                 s.flag("version-header", false),
                 s.text("access-log", null));
-        s.end();
+        s.reportUnknownKeys();
         return node;
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
@@ -111,11 +111,11 @@
      *
      * @param service what this balancer's servers are together, by which loops are detected
      * @param entry whether clients of outside call here
-     * @param shed by what terms work is given up by its value here; null for none
+     * @param loadShedding by what terms work is given up by its value here; null for none
      * @param keys the files of the secrets by their names, relative to the operator file; the first one signs
      */
     public record BudgetPart(
-            String service, boolean entry, BudgetSettings terms, LoadShedder.Settings shed, Map<String, String> keys) {}
+            String service, boolean entry, BudgetSettings settings, LoadShedder.Settings loadShedding, Map<String, String> keys) {}
 
     /**
      * The flight recorder; of this nothing changes while the process runs. Times in ms.
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
@@ -118,7 +118,7 @@
             }
             file.problems.addAll(complete.problems());
         }
-        file.problems.sort(Problem.BY_PLACE);
+        file.problems.sort(Problem.BY_LINE);
         return new CheckedReplay(file.problems.isEmpty() ? part : null, classes, List.copyOf(file.problems));
     }
 
@@ -127,7 +127,7 @@
         OperatorFile file = new OperatorFile();
         OperatorConfig config = file.config(bytes);
         List<Problem> sorted = new ArrayList<>(new LinkedHashSet<>(file.problems));
-        sorted.sort(Problem.BY_PLACE);
+        sorted.sort(Problem.BY_LINE);
         if (sorted.size() > MAX_PROBLEMS) {
             int more = sorted.size() - MAX_PROBLEMS;
             sorted = new ArrayList<>(sorted.subList(0, MAX_PROBLEMS));
@@ -159,7 +159,7 @@
         Section goal = root.section("goal");
         double crossZone = goal.number("cross-zone-price", 0.2, 0, 1);
         double worstClass = goal.number("worst-class-weight", 0.3, 0, 1);
-        goal.end();
+        goal.reportUnknownKeys();
         ChangePart change = ChangeSection.read(root.section("change"));
         ReplayPart replay = new ReplaySection(
                         classes.stream()
@@ -174,7 +174,7 @@
         BudgetPart budget = root.has("budget") ? BudgetSection.read(root.section("budget")) : null;
         RecorderPart recorder = root.has("recorder") ? RecorderSection.read(root.section("recorder")) : null;
         LogTerms log = LogSection.read(root.section("log"));
-        root.end();
+        root.reportUnknownKeys();
         if (listeners.isEmpty()) {
             listeners =
                     List.of(new ListenerPart("main", new InetSocketAddress(InetAddress.getLoopbackAddress(), 8080)));
--- a/src/main/java/sablehinge/gateway/config/operator/Problem.java
+++ b/src/main/java/sablehinge/gateway/config/operator/Problem.java
@@ -12,7 +12,7 @@
 public record Problem(int line, String key, String message) {
 
     /** In the order of lines. */
-    public static final Comparator<Problem> BY_PLACE =
+    public static final Comparator<Problem> BY_LINE =
             Comparator.comparingInt(Problem::line).thenComparing(Problem::key).thenComparing(Problem::message);
 
     /** {@code FILE:LINE: key: message}, without what is not known. */
--- a/src/main/java/sablehinge/gateway/config/operator/RecorderSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/RecorderSection.java
@@ -30,7 +30,7 @@
                     "stall",
                     Section.millis(part.stall()) + " is less than two ticks of " + Section.millis(part.tick()));
         }
-        s.end();
+        s.reportUnknownKeys();
         return part;
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/ReplaySection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/ReplaySection.java
@@ -63,9 +63,9 @@
                 map.put(wanted, path);
             }
         }
-        fields.end();
+        fields.reportUnknownKeys();
         List<Rule> rules = s.sections("rule", MAX_RULES, this::rule);
-        s.end();
+        s.reportUnknownKeys();
         return new OperatorConfig.ReplayPart(format, zone, Map.copyOf(map), rules);
     }
 
--- a/src/main/java/sablehinge/gateway/config/operator/RulesSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/RulesSection.java
@@ -20,7 +20,7 @@
                 s.number("fall-multiple", 3, 1, 100),
                 FALL_AFTER_MS,
                 0);
-        s.end();
+        s.reportUnknownKeys();
         return rules;
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/Section.java
+++ b/src/main/java/sablehinge/gateway/config/operator/Section.java
@@ -19,7 +19,7 @@
 /**
  * Reads one table of an operator file. Each key is read once, with its type, range and default; what is amiss is noted
  * with its line and the default goes on in its place, so that one reading finds every error. Once all has been
- * requested, {@link #end} notes the keys that nobody knows.
+ * requested, {@link #reportUnknownKeys} notes the keys that nobody knows.
  */
 public final class Section {
 
@@ -314,7 +314,7 @@
             if (array.get(i) instanceof TomlTable inner) {
                 Section section = new Section(inner, place, at, problems);
                 read.add(reader.apply(section));
-                section.end();
+                section.reportUnknownKeys();
             } else {
                 problems.add(new Problem(
                         at, place, "expected a table [[" + path(key) + "]], found " + describe(array.get(i))));
@@ -324,7 +324,7 @@
     }
 
     /** Notes the keys that nobody has requested. */
-    public void end() {
+    public void reportUnknownKeys() {
         if (table == null) {
             return;
         }
--- a/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
+++ b/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
@@ -35,7 +35,7 @@
     /** The versions whose content is kept, with its hash. */
     private final Map<Integer, String> hashes = new LinkedHashMap<>();
     /** What became of a version that was on trial when the process before this one ended; 0 for none. */
-    private int cutOff;
+    private int interruptedTrial;
 
     /** The store in a directory, made if need be; the error says if another process has it. */
     public static VersionStore in(Path folder) throws IOException {
@@ -69,7 +69,7 @@
         }
         JsonNode state = JSON.readTree(body);
         confirmed = state.path("confirmed").asInt();
-        cutOff = state.path("trial").asInt();
+        interruptedTrial = state.path("trial").asInt();
         last = state.path("last").asInt();
         state.path("hashes")
                 .properties()
@@ -83,8 +83,8 @@
     }
 
     /** The version that was on trial when the process before ended, and is undone by that; 0 for none. */
-    public int cutOff() {
-        return cutOff;
+    public int interruptedTrial() {
+        return interruptedTrial;
     }
 
     /** The content of a version; the error says if it is not what was written. */
@@ -114,7 +114,7 @@
     }
 
     /** Writes that a version is on trial; 0 for none. */
-    public void mark(int version) throws IOException {
+    public void markOnTrial(int version) throws IOException {
         save(confirmed, version);
         trial = version;
     }
--- a/src/main/java/sablehinge/gateway/node/FirstVersion.java
+++ b/src/main/java/sablehinge/gateway/node/FirstVersion.java
@@ -47,17 +47,17 @@
 
     /** A version on whose trial the process before ended is undone. */
     private static void undoTrial(VersionStore store) throws IOException {
-        if (store.cutOff() == 0) {
+        if (store.interruptedTrial() == 0) {
             return;
         }
         Log.warn(LOG, "version-cut-off")
-                .addKeyValue("version", store.cutOff())
+                .addKeyValue("version", store.interruptedTrial())
                 .addKeyValue("current", store.confirmed())
                 .log(
                         "configuration: version {} was on trial when the process ended"
                                 + " and is undone; version {} serves",
-                        store.cutOff(),
+                        store.interruptedTrial(),
                         store.confirmed());
-        store.mark(0);
+        store.markOnTrial(0);
     }
 }
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -101,7 +101,7 @@
         discovery = new Discovery(
                 loop,
                 config.discovery(),
-                config.known().version(),
+                config.knownRoster().version(),
                 new RosterParser(config.zones(), config.kinds(), false),
                 memory,
                 this::onRosterChanged,
@@ -120,8 +120,8 @@
         EventLoop loop = ClosingEventLoops.single("node");
         Node node = new Node(config, loop, module);
         try {
-            if (config.operator() != null && config.scratch() != null) {
-                node.shared = new SharedFiles(config.scratch().resolve("sablehinge"));
+            if (config.operator() != null && config.sharedDirectory() != null) {
+                node.shared = new SharedFiles(config.sharedDirectory().resolve("sablehinge"));
                 loop.submit(node::look).sync();
             }
             node.recordIfRequested();
@@ -158,7 +158,7 @@
     }
 
     private void begin() {
-        core.start(config.version(1), config.seed(), maintenance.take(config.known()), upstreams, discovery);
+        core.start(config.version(1), config.seed(), maintenance.take(config.knownRoster()), upstreams, discovery);
     }
 
     private void onRosterChanged(Change change, Roster roster) {
--- a/src/main/java/sablehinge/gateway/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -110,8 +110,8 @@
         if (part != null) {
             transport.budgets(budgets);
             core.setBudgets(new ChainBudgets(
-                    part.terms(),
-                    part.shed(),
+                    part.settings(),
+                    part.loadShedding(),
                     serviceId(part.service()),
                     part.entry(),
                     ThreadLocalRandom.current().nextLong(),
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -313,7 +313,7 @@
     @Override
     public void mark(int version) {
         files.write(
-                () -> store.mark(version),
+                () -> store.markOnTrial(version),
                 failure -> decider.marked(node.clock().now(), version, failure));
     }
 
@@ -386,7 +386,7 @@
                 .log("configuration: version {} is undone, version {} is current: {}", version, to, reason);
         giveUp(version, to);
         // If the disk fails here too, the mark stays, which says the same to the next start.
-        files.write(() -> store.mark(0), failure -> {});
+        files.write(() -> store.markOnTrial(0), failure -> {});
     }
 
     @Override
--- a/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
@@ -69,7 +69,7 @@
                 .forEach(e -> problems.add(new Problem(
                         e.position() == null ? 0 : e.position().line(), "", Section.plain(e.getMessage(), 200))));
         Scenario scenario = toml.hasErrors() ? null : read(new Section(toml, "", 1, problems));
-        problems.sort(Problem.BY_PLACE);
+        problems.sort(Problem.BY_LINE);
         return new Checked(problems.isEmpty() ? scenario : null, List.copyOf(problems));
     }
 
@@ -99,8 +99,8 @@
                 rules.duration("drain-grace", 2_000, 0, 60_000),
                 rules.number("fall-multiple", 3, 1, 100),
                 rules.duration("fall-after", 1_500, 100, 60_000));
-        rules.end();
-        root.end();
+        rules.reportUnknownKeys();
+        root.reportUnknownKeys();
         if (classes.isEmpty()) {
             root.problem("class", "is missing, expected at least one table [[class]]");
         }
--- a/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
+++ b/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
@@ -165,8 +165,8 @@
         var part = parse(SHORT + "[budget]\nservice = \"store\"\nlast = true\n")
                 .config()
                 .budget();
-        assertEquals(8, part.terms().maxAttempts());
-        assertTrue(part.entry() && part.terms().lastTier() && part.keys().isEmpty());
+        assertEquals(8, part.settings().maxAttempts());
+        assertTrue(part.entry() && part.settings().lastTier() && part.keys().isEmpty());
         only("f:6: budget.service: is missing, expected a name", SHORT + "[budget]\nlast = true\n");
         String named = SHORT + "[budget]\nservice = \"store\"\n";
         only("f:8: budget.need: 9 is more than attempts, which is 8", named + "need = 9\n");
--- a/src/test/java/sablehinge/gateway/config/versions/VersionStoreTest.java
+++ b/src/test/java/sablehinge/gateway/config/versions/VersionStoreTest.java
@@ -135,12 +135,12 @@
         for (int i = 1; i <= 4; i++) {
             int version = store.stage(content(i));
             confirmedAfter.add(store.confirmed());
-            store.mark(version);
+            store.markOnTrial(version);
             confirmedAfter.add(store.confirmed());
             if (i != 3) {
                 store.confirm(version);
             } else {
-                store.mark(0);
+                store.markOnTrial(0);
             }
             confirmedAfter.add(store.confirmed());
         }
@@ -212,10 +212,10 @@
         FailingDisk disk = new FailingDisk();
         VersionStore store = new VersionStore(disk);
         store.confirm(store.stage(content(1)));
-        store.mark(store.stage(content(2)));
+        store.markOnTrial(store.stage(content(2)));
         VersionStore again = new VersionStore(disk.crash(new SplittableRandom(1)));
         assertEquals(1, again.confirmed());
-        assertEquals(2, again.cutOff());
+        assertEquals(2, again.interruptedTrial());
     }
 
     @Test
--- a/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
@@ -164,7 +164,7 @@
             Discovery discovery = new Discovery(
                     loop,
                     config.discovery(),
-                    config.known().version(),
+                    config.knownRoster().version(),
                     new RosterParser(config.zones(), config.kinds(), false),
                     ByteBufAllocator.DEFAULT,
                     (change, roster) -> received.add(change),
