--- a/src/main/java/sablehinge/gateway/config/PlatformConfig.java
+++ b/src/main/java/sablehinge/gateway/config/PlatformConfig.java
@@ -23,14 +23,15 @@
 import sablehinge.policy.LoadBalancer.Settings;
 
 /**
- * What the platform tells a balancer in the file that {@code PROXY_CONFIG} names.
+ * A balancer's configuration, as the platform provides it in the file that {@code PROXY_CONFIG} names.
  *
- * @param sockets how many file descriptors the process may hold
- * @param zones the names of the zones, by the index that the module uses; likewise the others
- * @param knownRoster the upstreams as this balancer last had them
- * @param operator where operators call; null where they don't
- * @param sharedDirectory a folder that only the processes of this balancer share; null where there is none
- * @param keys the paths of all keys that the file has, those in lists left out
+ * @param sockets maximum number of file descriptors of the process
+ * @param zones names of the zones, in the order of the indices that the decision module uses; {@code kinds},
+ *     {@code classes} and {@code tenants} likewise
+ * @param knownRoster the upstreams that this balancer last knew
+ * @param operator address of the operators' listener; null if there is none
+ * @param sharedDirectory directory that only the processes of this balancer share; null if there is none
+ * @param keys paths of all keys in the file, except keys inside lists
  */
 public record PlatformConfig(
         String name,
@@ -52,7 +53,7 @@
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
-    /** Reads the file at a path; the error says in one line what is wrong with it. */
+    /** Reads the file at a path. The exception message describes the error in one line. */
     public static PlatformConfig read(String path) throws ConfigException {
         if (path == null || path.isEmpty()) {
             throw new ConfigException("PROXY_CONFIG names no file; or use serve --operator FILE");
@@ -60,21 +61,21 @@
         try {
             return parse(JSON.readTree(Path.of(path).toFile()));
         } catch (IOException e) {
-            String why = e.getMessage().lines().findFirst().orElse("");
-            throw new ConfigException("cannot read " + path + ": " + why);
+            String reason = e.getMessage().lines().findFirst().orElse("");
+            throw new ConfigException("cannot read " + path + ": " + reason);
         } catch (IllegalArgumentException | MalformedInputException e) {
             throw new ConfigException(path + ": " + e.getMessage());
         }
     }
 
-    /** What holds for requests, as the version of the given number. */
+    /** Returns the settings for requests as the version of the given number. */
     public Version version(int number) {
         return new Version(number, settings, classes, tenants, false);
     }
 
     /**
-     * Reads the file that takes the place of this one while a balancer runs. All that this one has must be there, also
-     * what has a default: a file that lacks it was cut short or is another's.
+     * Reads the file that replaces this one while the balancer runs. It must have all keys of this one, including those
+     * with a default: a file without them was truncated or belongs to another balancer.
      */
     public PlatformConfig successor(String path) throws ConfigException {
         PlatformConfig next = read(path);
@@ -90,13 +91,13 @@
     }
 
     private static PlatformConfig parse(JsonNode root) {
-        JsonNode given = root.path("settings");
+        JsonNode settingsNode = root.path("settings");
         StringBuilder lines = new StringBuilder();
-        flatten("", given, lines);
-        requireBounds(given);
+        flatten("", settingsNode, lines);
+        requireBounds(settingsNode);
         Settings settings = SettingsParser.parse(lines.toString().getBytes(StandardCharsets.UTF_8));
-        List<String> zones = names(given.path("zones"));
-        List<String> kinds = names(given.path("machineTypes"));
+        List<String> zones = names(settingsNode.path("zones"));
+        List<String> kinds = names(settingsNode.path("machineTypes"));
         return new PlatformConfig(
                 root.path("name").asText("balancer"),
                 address(root, "listen"),
@@ -106,25 +107,25 @@
                 settings,
                 zones,
                 kinds,
-                names(given.path("services")),
-                names(given.path("tenants")),
+                names(settingsNode.path("services")),
+                names(settingsNode.path("tenants")),
                 new RosterParser(zones, kinds, false).parse(root.path("known")),
                 operator(root),
-                ownFolder(),
+                temporaryDirectory(),
                 Set.copyOf(keys("", root, new HashSet<>())));
     }
 
-    /** Java's own temporary folder is everybody's. */
-    private static Path ownFolder() {
-        String folder = System.getenv("TMPDIR");
-        return folder == null || folder.isEmpty() ? null : Path.of(folder);
+    /** Returns {@code TMPDIR}, if set. {@code java.io.tmpdir} is no substitute because all processes share it. */
+    private static Path temporaryDirectory() {
+        String directory = System.getenv("TMPDIR");
+        return directory == null || directory.isEmpty() ? null : Path.of(directory);
     }
 
-    /** The environment's word counts: two processes may share a file, and never this address. */
+    /** The environment variable takes precedence: two processes may share a file but not this address. */
     private static InetSocketAddress operator(JsonNode root) {
-        String given = System.getenv("PROXY_OPERATOR");
+        String override = System.getenv("PROXY_OPERATOR");
         String address =
-                given == null || given.isEmpty() ? root.path("operator").asText("") : given;
+                override == null || override.isEmpty() ? root.path("operator").asText("") : override;
         try {
             return address.isEmpty() ? null : Addresses.parse(address);
         } catch (IllegalArgumentException e) {
@@ -132,28 +133,30 @@
         }
     }
 
-    private static Set<String> keys(String path, JsonNode value, Set<String> found) {
+    private static Set<String> keys(String path, JsonNode value, Set<String> paths) {
         for (Map.Entry<String, JsonNode> field : value.properties()) {
             String name = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
-            found.add(name);
+            paths.add(name);
             if (!name.equals("known")) {
-                keys(name, field.getValue(), found);
+                keys(name, field.getValue(), paths);
             }
         }
-        return found;
+        return paths;
     }
 
-    /** What would let a request be lost, or sent without end, is no setting. */
-    private static void requireBounds(JsonNode given) {
+    /**
+     * Requires a deadline for each class and a cap on attempts, so that no request is lost or retried without bound.
+     */
+    private static void requireBounds(JsonNode settings) {
         Set<String> names = new HashSet<>();
-        for (JsonNode service : given.path("services")) {
+        for (JsonNode service : settings.path("services")) {
             String name = service.path("name").asText("");
             if (name.isEmpty() || !names.add(name)) {
-                throw new IllegalArgumentException("settings.services: name '" + name + "' is empty or there twice");
+                throw new IllegalArgumentException("settings.services: name '" + name + "' is empty or a duplicate");
             }
             requirePositive("settings.services." + name + ".deadline", service.path("deadline"));
         }
-        requirePositive("settings.limits.attemptsCap", given.path("limits").path("attemptsCap"));
+        requirePositive("settings.limits.attemptsCap", settings.path("limits").path("attemptsCap"));
     }
 
     private static void requirePositive(String key, JsonNode value) {
@@ -178,7 +181,7 @@
         }
     }
 
-    /** The names in a list, or those of the objects in it. */
+    /** Returns the names in a list, or the names of the objects in it. */
     private static List<String> names(JsonNode list) {
         List<String> names = new ArrayList<>();
         list.forEach(item -> names.add(item.isObject() ? item.path("name").asText() : item.asText()));
--- a/src/main/java/sablehinge/gateway/config/operator/AdminSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/AdminSection.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import sablehinge.gateway.config.operator.OperatorConfig.AdminPart;
 
-/** Reads where operators reach the balancer. */
+/** Reads the addresses of the admin listener. */
 final class AdminSection {
 
     private AdminSection() {}
--- a/src/main/java/sablehinge/gateway/config/operator/BudgetSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/BudgetSection.java
@@ -7,7 +7,7 @@
 import sablehinge.dataplane.budget.LoadShedder;
 import sablehinge.gateway.config.operator.OperatorConfig.BudgetPart;
 
-/** Reads the budgets of a chain of tiers. */
+/** Reads the settings of attempt budgets over a chain of tiers. */
 final class BudgetSection {
 
     private BudgetSection() {}
@@ -25,7 +25,7 @@
         if (need > attempts) {
             s.problem("need", need + " is more than attempts, which is " + attempts);
         }
-        BudgetSettings terms = new BudgetSettings(
+        BudgetSettings settings = new BudgetSettings(
                 attempts,
                 s.duration("remaining", 10_000, 1, Section.HOUR_MS),
                 s.number("worth", 1_000, 0, 1e6),
@@ -38,19 +38,19 @@
                 s.number("kept", 0.5, 0, 0.9),
                 s.integer("reentries", 0, 0, Budget.MAX_HOPS - 1),
                 s.integer("open", 20_000, 1, 1_000_000));
-        // The module sheds already; both together were measured to give up too much.
-        boolean sheds = s.flag("shed", false);
-        LoadShedder.Settings shed =
+        // Off by default: the decision module already sheds load, and both together reject too many requests.
+        boolean shedsLoad = s.flag("shed", false);
+        LoadShedder.Settings loadShedding =
                 new LoadShedder.Settings(s.number("floor", 0.1, 0, 1), s.number("share", 1, 0.001, 1));
         Map<String, String> keys = new LinkedHashMap<>();
         for (String[] key : s.sections("key", 8, k -> new String[] {k.name("name", null), k.text("file", null)})) {
             if (key[1] == null) {
                 s.problem("key", "has no file, expected the file of its secret");
             } else if (key[0] != null && keys.put(key[0], key[1]) != null) {
-                s.problem("key", Section.quote(key[0]) + " stands there twice");
+                s.problem("key", Section.quote(key[0]) + " is listed twice");
             }
         }
         s.reportUnknownKeys();
-        return new BudgetPart(service, entry, terms, sheds ? shed : null, keys);
+        return new BudgetPart(service, entry, settings, shedsLoad ? loadShedding : null, keys);
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/ChangeSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/ChangeSection.java
@@ -2,7 +2,7 @@
 
 import sablehinge.gateway.config.operator.OperatorConfig.ChangePart;
 
-/** Reads by what a change of the configuration is judged. */
+/** Reads the criteria by which a change of the configuration is confirmed or reverted. */
 final class ChangeSection {
 
     private ChangeSection() {}
--- a/src/main/java/sablehinge/gateway/config/operator/ClassSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/ClassSection.java
@@ -6,7 +6,7 @@
 import sablehinge.policy.LoadBalancer.Group;
 import sablehinge.policy.LoadBalancer.Repeat;
 
-/** Reads one class of requests of an operator file. */
+/** Reads one request class of an operator file. */
 final class ClassSection {
 
     private static final Map<String, Repeat> EFFECTS =
--- a/src/main/java/sablehinge/gateway/config/operator/CrossTableChecks.java
+++ b/src/main/java/sablehinge/gateway/config/operator/CrossTableChecks.java
@@ -13,12 +13,12 @@
 import sablehinge.gateway.config.operator.OperatorConfig.TenantPart;
 import sablehinge.gateway.config.operator.OperatorConfig.UpstreamPart;
 
-/** Checks what no single table shows: names and addresses that stand for two things. */
+/** Checks across tables: duplicate names and addresses. */
 final class CrossTableChecks {
 
     private CrossTableChecks() {}
 
-    /** Notes what is amiss with the root section. */
+    /** Adds the problems that are found to the root section. */
     static void check(
             Section root,
             List<ListenerPart> listeners,
@@ -52,25 +52,25 @@
         }
     }
 
-    private static boolean collide(InetSocketAddress one, InetSocketAddress other) {
-        return one.getPort() != 0
-                && one.getPort() == other.getPort()
-                && (one.getAddress().equals(other.getAddress())
-                        || one.getAddress().isAnyLocalAddress()
-                        || other.getAddress().isAnyLocalAddress());
+    private static boolean collide(InetSocketAddress first, InetSocketAddress second) {
+        return first.getPort() != 0
+                && first.getPort() == second.getPort()
+                && (first.getAddress().equals(second.getAddress())
+                        || first.getAddress().isAnyLocalAddress()
+                        || second.getAddress().isAnyLocalAddress());
     }
 
     private static <T> void unique(
             Section root, String list, Collection<T> items, Function<T, Object> name, String key) {
         Map<Object, Integer> seen = new HashMap<>();
-        int place = 0;
+        int index = 0;
         for (T item : items) {
             Object value = name.apply(item);
-            Integer before = value == null ? null : seen.putIfAbsent(value, place);
-            if (before != null && !(value instanceof InetSocketAddress address && address.getPort() == 0)) {
-                root.itemProblem(list, place, key, "is the same as that of " + list + "[" + (before + 1) + "]");
+            Integer firstIndex = value == null ? null : seen.putIfAbsent(value, index);
+            if (firstIndex != null && !(value instanceof InetSocketAddress address && address.getPort() == 0)) {
+                root.itemProblem(list, index, key, "is the same as that of " + list + "[" + (firstIndex + 1) + "]");
             }
-            place++;
+            index++;
         }
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/ListenerSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/ListenerSection.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import sablehinge.gateway.config.operator.OperatorConfig.ListenerPart;
 
-/** Reads where callers reach the balancer. */
+/** Reads one listener for clients. */
 final class ListenerSection {
 
     private ListenerSection() {}
--- a/src/main/java/sablehinge/gateway/config/operator/LogSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/LogSection.java
@@ -5,7 +5,7 @@
 import org.slf4j.event.Level;
 import sablehinge.common.logging.LogTerms;
 
-/** Reads what an operator file says of the log. */
+/** Reads the log settings of an operator file. */
 final class LogSection {
 
     private static final int MAX_LINES = 100_000;
@@ -17,18 +17,18 @@
     private LogSection() {}
 
     static LogTerms read(Section s) {
-        LogTerms usual = LogTerms.USUAL;
-        LogTerms.Format format = s.choice("format", usual.format(), FORMATS);
-        Level level = s.choice("level", usual.level(), LEVELS);
-        int limit = s.integer("limit", usual.limit(), 1, MAX_LINES);
+        LogTerms defaults = LogTerms.USUAL;
+        LogTerms.Format format = s.choice("format", defaults.format(), FORMATS);
+        Level level = s.choice("level", defaults.level(), LEVELS);
+        int limit = s.integer("limit", defaults.limit(), 1, MAX_LINES);
         Map<String, Level> levels = new TreeMap<>();
-        Section single = s.section("levels");
+        Section levelsSection = s.section("levels");
         for (String subsystem : LogTerms.SUBSYSTEMS) {
-            if (single.has(subsystem)) {
-                levels.put(subsystem, single.choice(subsystem, level, LEVELS));
+            if (levelsSection.has(subsystem)) {
+                levels.put(subsystem, levelsSection.choice(subsystem, level, LEVELS));
             }
         }
-        single.reportUnknownKeys();
+        levelsSection.reportUnknownKeys();
         s.reportUnknownKeys();
         return new LogTerms(format, level, levels, limit);
     }
--- a/src/main/java/sablehinge/gateway/config/operator/NodeSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/NodeSection.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import sablehinge.gateway.config.operator.OperatorConfig.NodePart;
 
-/** Reads what an operator file says of the balancer itself. */
+/** Reads the settings of the balancer process in an operator file. */
 final class NodeSection {
 
     private NodeSection() {}
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorConfig.java
@@ -28,11 +28,11 @@
 import sablehinge.policy.LoadBalancer.WeightKind;
 
 /**
- * What an operator file says, checked and with its defaults. Times are ms.
+ * The validated content of an operator file, with defaults applied. Times are in ms.
  *
- * @param discovery where the list of servers comes from; null where the file lists them itself
- * @param budget null where budgets are off
- * @param recorder null where there is no flight recorder
+ * @param discovery address of the discovery service; null if the file lists the servers
+ * @param budget null if attempt budgets are disabled
+ * @param recorder null if the flight recorder is disabled
  */
 public record OperatorConfig(
         NodePart node,
@@ -55,13 +55,14 @@
         LogTerms log) {
 
     /**
-     * The process itself; of this only {@code versionHeader} may change while it runs.
+     * Settings of the process; only {@code versionHeader} may change while it runs.
      *
-     * @param position this balancer's number among the siblings that share the servers
-     * @param descriptors how many file descriptors the process may hold
-     * @param state the directory of the versions, relative to the operator file
-     * @param versionHeader whether answers carry {@code Sablehinge-Version}
-     * @param accessLog the file of a line for each answer, relative to the operator file; null for none
+     * @param position this balancer's index among the siblings that share the servers, from 0
+     * @param descriptors maximum number of file descriptors of the process
+     * @param state directory of the configuration versions, relative to the operator file
+     * @param versionHeader whether responses carry the header {@code Sablehinge-Version}
+     * @param accessLog path of the access log, with one line for each response, relative to the operator file; null for
+     *     none
      */
     public record NodePart(
             String name,
@@ -73,13 +74,15 @@
             boolean versionHeader,
             String accessLog) {}
 
-    /** The admin listener: a Unix socket's path, relative to the state directory, or a port with a token. */
+    /**
+     * The admin listener: the path of a Unix socket, relative to the state directory, or a TCP address with a token.
+     */
     public record AdminPart(String socket, InetSocketAddress listen, String tokenFile) {}
 
-    /** An address where callers are let in. */
+    /** A listener for clients. */
     public record ListenerPart(String name, InetSocketAddress address) {}
 
-    /** A class of requests; {@code zones} and {@code kinds} are null where any will do. */
+    /** A request class; {@code zones} and {@code kinds} are null if any are allowed. */
     public record ClassPart(
             String name,
             Repeat effect,
@@ -92,42 +95,46 @@
             List<String> zones,
             List<String> kinds) {}
 
-    /** A tenant, as callers name it. */
+    /** A tenant, by the name that clients send. */
     public record TenantPart(String name) {}
 
-    /** A server that the file lists. */
+    /** A server listed in the file. */
     public record UpstreamPart(String id, InetSocketAddress address, String zone, String kind, int cell, State state) {}
 
     /**
-     * How logs are written and what their requests are, for the replay; a balancer has no use for it.
+     * Log format and classification rules for the replay command; the balancer does not use them.
      *
-     * @param zone of times that name none
-     * @param fields of lines of JSON; empty for the usual names
+     * @param zone time zone of timestamps without one
+     * @param fields field names for JSON logs; empty for the default names
      */
     public record ReplayPart(String format, ZoneId zone, Map<String, String> fields, List<Rule> rules) {}
 
     /**
-     * Budgets over a chain of tiers, at this hop.
+     * Attempt budgets over a chain of tiers, as configured at this hop.
      *
-     * @param service what this balancer's servers are together, by which loops are detected
-     * @param entry whether clients of outside call here
-     * @param loadShedding by what terms work is given up by its value here; null for none
-     * @param keys the files of the secrets by their names, relative to the operator file; the first one signs
+     * @param service name of the service that this balancer's servers form together; used for loop detection
+     * @param entry whether external clients call this balancer
+     * @param loadShedding settings of load shedding by value; null if it is disabled
+     * @param keys secret files by key name, relative to the operator file; the first key signs
      */
     public record BudgetPart(
-            String service, boolean entry, BudgetSettings settings, LoadShedder.Settings loadShedding, Map<String, String> keys) {}
+            String service,
+            boolean entry,
+            BudgetSettings settings,
+            LoadShedder.Settings loadShedding,
+            Map<String, String> keys) {}
 
     /**
-     * The flight recorder; of this nothing changes while the process runs. Times in ms.
+     * Settings of the flight recorder, which can't change while the process runs. Times are in ms.
      *
-     * @param mib of the ring
-     * @param directory of the dumps, relative to the operator file; null for none
-     * @param keep how many dumps are kept
-     * @param stall how long a body may stand still that could move
-     * @param turn how long the loop may have no turn
-     * @param overdue how long past its deadline a request may be there
-     * @param quiet how long nothing must be at work before all counts must be zero
-     * @param atRestKib of buffers that may be in use then
+     * @param mib size of the ring buffer in MiB
+     * @param directory directory of the dumps, relative to the operator file; null for none
+     * @param keep number of dumps to retain
+     * @param stall maximum time without progress of a body that could be transferred
+     * @param turn maximum time between two turns of the event loop
+     * @param overdue maximum time that a request may remain after its deadline
+     * @param quiet idle time after which all resource counts must be zero
+     * @param atRestKib maximum size of buffers in use when idle, in KiB
      */
     public record RecorderPart(
             double mib,
@@ -141,14 +148,14 @@
             int atRestKib) {}
 
     /**
-     * How a change of the configuration is tried and when it is undone.
+     * How a change of the configuration is tested and when it is reverted.
      *
-     * @param confirmWithin the time after which an unconfirmed change is undone
-     * @param readyWithin the time by which servers must have been reached and lists have come
-     * @param readyLeast how many servers must be reached
-     * @param failedRise by how much the share of failed answers may rise, 0 to 1
-     * @param refusedRise likewise of refused ones
-     * @param leastCount answers below which a share proves nothing
+     * @param confirmWithin time after which an unconfirmed change is reverted
+     * @param readyWithin time within which servers must be reached and server lists received
+     * @param readyLeast minimum number of servers that must be reached
+     * @param failedRise maximum rise of the share of failed responses, 0 to 1
+     * @param refusedRise maximum rise of the share of refused requests, 0 to 1
+     * @param leastCount minimum number of responses for a significant share
      */
     public record ChangePart(
             double confirmWithin,
@@ -159,17 +166,17 @@
             int leastCount) {}
 
     /**
-     * The version that this file is, for core.
+     * Returns the configuration version of this file.
      *
-     * @param zoneNames the names of zones that have a number, to which those of the file are added
-     * @param kindNames likewise of machine types
+     * @param zoneNames names of the zones that already have an index; new zones of the file are appended
+     * @param kindNames names of the machine types that already have an index; new ones are appended
      */
     public Version version(int number, List<String> zoneNames, List<String> kindNames) {
-        zones.forEach(zone -> place(zoneNames, zone));
-        kinds.forEach(kind -> place(kindNames, kind));
-        List<ServiceClass> types = new ArrayList<>();
+        zones.forEach(zone -> indexOf(zoneNames, zone));
+        kinds.forEach(kind -> indexOf(kindNames, kind));
+        List<ServiceClass> serviceClasses = new ArrayList<>();
         for (ClassPart part : classes) {
-            types.add(new ServiceClass(
+            serviceClasses.add(new ServiceClass(
                     part.name,
                     part.aim,
                     0,
@@ -181,11 +188,11 @@
                     part.window,
                     false,
                     false,
-                    places(zoneNames, part.zones),
-                    places(kindNames, part.kinds),
+                    indices(zoneNames, part.zones),
+                    indices(kindNames, part.kinds),
                     0));
         }
-        List<Tenant> shares = tenants.stream()
+        List<Tenant> equalTenants = tenants.stream()
                 .map(t -> new Tenant(t.name, 1.0 / tenants.size(), 0))
                 .toList();
         Settings settings = new Settings(
@@ -193,7 +200,7 @@
                 node.siblings,
                 0,
                 1,
-                place(zoneNames, node.zone),
+                indexOf(zoneNames, node.zone),
                 Math.max(1, zoneNames.size()),
                 Math.max(1, kindNames.size()),
                 discovery != null,
@@ -205,8 +212,8 @@
                 WeightKind.NONE,
                 Reports.NONE,
                 List.of(),
-                types,
-                shares,
+                serviceClasses,
+                equalTenants,
                 limits,
                 rules,
                 new Goal(1 - worstClassWeight, 0, worstClassWeight, 0, 0, 0, 0, 0),
@@ -219,32 +226,40 @@
                 node.versionHeader);
     }
 
-    /** The servers that the file lists, by the same names as {@link #version}; empty under discovery. */
+    /**
+     * Returns the servers that the file lists, with the same indices as {@link #version}; empty if discovery is used.
+     */
     public Roster roster(int number, List<String> zoneNames, List<String> kindNames) {
         List<Member> members = new ArrayList<>();
         for (UpstreamPart part : upstreams) {
-            // The address belongs to what a server is: one that moves is another one, and the old one gone.
+            // The address is part of the id: a server with a new address is a new server, and the old one is removed.
             long id = RosterParser.number(part.id + "@" + part.address);
             members.add(new Member(
                     new Upstream(
-                            id, place(zoneNames, part.zone), place(kindNames, part.kind), part.cell, part.state, 1, 0),
+                            id,
+                            indexOf(zoneNames, part.zone),
+                            indexOf(kindNames, part.kind),
+                            part.cell,
+                            part.state,
+                            1,
+                            0),
                     part.address));
         }
         return new Roster(number, true, members);
     }
 
-    private static List<Integer> places(List<String> names, List<String> wanted) {
-        return wanted == null
+    private static List<Integer> indices(List<String> names, List<String> selected) {
+        return selected == null
                 ? null
-                : wanted.stream().map(name -> place(names, name)).toList();
+                : selected.stream().map(name -> indexOf(names, name)).toList();
     }
 
-    private static int place(List<String> names, String name) {
-        int at = names.indexOf(name);
-        if (at < 0) {
+    private static int indexOf(List<String> names, String name) {
+        int index = names.indexOf(name);
+        if (index < 0) {
             names.add(name);
             return names.size() - 1;
         }
-        return at;
+        return index;
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
+++ b/src/main/java/sablehinge/gateway/config/operator/OperatorFile.java
@@ -29,13 +29,13 @@
 import sablehinge.policy.LoadBalancer.Limits;
 import sablehinge.policy.LoadBalancer.Rules;
 
-/** Reads a complete operator file: either it is right in every part, or all its problems are reported at once. */
+/** Reads a complete operator file. Returns either its configuration or all its problems at once. */
 public final class OperatorFile {
 
-    /** Longest file that is read, in bytes: some ten thousand servers. */
+    /** Maximum size of a file, enough for about ten thousand servers. */
     public static final int MAX_BYTES = 1 << 20;
 
-    /** Servers, tenants or balancers of one file. */
+    /** Maximum number of servers, of tenants and of balancers in one file. */
     static final int MAX_ITEMS = 10_000;
 
     private static final int MAX_CLASSES = 64;
@@ -46,14 +46,14 @@
     private OperatorFile() {}
 
     /**
-     * What a reading has come to.
+     * The result of reading a file.
      *
      * @param config null if there are problems
-     * @param problems in the order of their lines; empty if there is a configuration
+     * @param problems problems ordered by line; empty if there is a configuration
      */
     public record Checked(OperatorConfig config, List<Problem> problems) {}
 
-    /** Reads the file at a path; one that can't be read is a problem too. */
+    /** Reads the file at a path. A file that can't be read is reported as a problem. */
     public static Checked read(Path path) {
         byte[] bytes;
         try {
@@ -64,15 +64,18 @@
         return parse(bytes);
     }
 
-    /** The bytes of a regular file of a size that can be read; the error says why not. */
+    /**
+     * Returns the bytes of a regular file of at most {@link #MAX_BYTES}; otherwise the exception message has the
+     * reason.
+     */
     public static byte[] bytes(Path path) throws IOException {
         if (Files.isSymbolicLink(path) && !Files.exists(path)) {
-            throw new IOException("is a link to nothing, expected a file");
+            throw new IOException("is a broken symbolic link, expected a file");
         }
         if (!Files.exists(path, LinkOption.NOFOLLOW_LINKS)) {
             throw new IOException("there is no such file");
         }
-        // A pipe would be waited for without end.
+        // Reading from a pipe could block forever.
         if (!Files.isRegularFile(path)) {
             throw new IOException("is no regular file");
         }
@@ -88,14 +91,14 @@
     }
 
     /**
-     * What a file says of logs.
+     * The replay settings of a file.
      *
      * @param replay null if there are problems
-     * @param classes those that the file has; a file with nothing but rules has none
+     * @param classes the classes of the file; empty if the file has replay settings only
      */
     public record CheckedReplay(ReplayPart replay, List<ClassPart> classes, List<Problem> problems) {}
 
-    /** Reads what a file says of logs; one that says nothing else needn't be a complete operator file. */
+    /** Reads the replay settings of a file. A file with no other table needn't be a complete operator file. */
     public static CheckedReplay readReplay(Path path) {
         byte[] bytes;
         try {
@@ -122,21 +125,21 @@
         return new CheckedReplay(file.problems.isEmpty() ? part : null, classes, List.copyOf(file.problems));
     }
 
-    /** Reads the content of a file. */
+    /** Parses the content of a file. */
     public static Checked parse(byte[] bytes) {
         OperatorFile file = new OperatorFile();
-        OperatorConfig config = file.config(bytes);
+        OperatorConfig config = file.readConfig(bytes);
         List<Problem> sorted = new ArrayList<>(new LinkedHashSet<>(file.problems));
         sorted.sort(Problem.BY_LINE);
         if (sorted.size() > MAX_PROBLEMS) {
-            int more = sorted.size() - MAX_PROBLEMS;
+            int omitted = sorted.size() - MAX_PROBLEMS;
             sorted = new ArrayList<>(sorted.subList(0, MAX_PROBLEMS));
-            sorted.add(new Problem(0, "", "and " + more + " more"));
+            sorted.add(new Problem(0, "", "and " + omitted + " more"));
         }
         return new Checked(sorted.isEmpty() ? config : null, List.copyOf(sorted));
     }
 
-    private OperatorConfig config(byte[] bytes) {
+    private OperatorConfig readConfig(byte[] bytes) {
         TomlParseResult toml = TomlText.parse(bytes, problems);
         return toml == null ? null : read(new Section(toml, "", 1, problems));
     }
@@ -148,8 +151,8 @@
         List<UpstreamPart> upstreams =
                 root.sections("upstream", MAX_ITEMS, s -> UpstreamSection.read(s, declaredZones, declaredKinds));
         NodePart node = NodeSection.read(root.section("node"), declaredZones);
-        List<String> zones = all(declaredZones, upstreams, UpstreamPart::zone, node.zone());
-        List<String> kinds = all(declaredKinds, upstreams, UpstreamPart::kind, null);
+        List<String> zones = allNames(declaredZones, upstreams, UpstreamPart::zone, node.zone());
+        List<String> kinds = allNames(declaredKinds, upstreams, UpstreamPart::kind, null);
         AdminPart admin = AdminSection.read(root.section("admin"));
         List<ListenerPart> listeners = root.sections("listener", 16, ListenerSection::read);
         List<ClassPart> classes = root.sections("class", MAX_CLASSES, s -> ClassSection.read(s, zones, kinds));
@@ -183,7 +186,7 @@
             root.problem("class", "is missing, expected at least one table [[class]]");
         }
         if (discovery != null && !upstreams.isEmpty()) {
-            root.problem("discovery", "stands beside [[upstream]], expected one source of servers");
+            root.problem("discovery", "cannot be combined with [[upstream]], expected one source of servers");
         }
         if (discovery == null && upstreams.isEmpty() && !root.has("upstream") && !root.has("discovery")) {
             root.problem("upstream", "is missing, expected tables [[upstream]] or discovery = \"HOST:PORT\"");
@@ -210,7 +213,9 @@
                 log);
     }
 
-    /** A list of names that the file declares; null where it leaves that to their first use. */
+    /**
+     * Returns a list of declared names; null if the key is absent, in which case names are defined by their first use.
+     */
     private List<String> declared(Section root, String key) {
         if (!root.has(key)) {
             return null;
@@ -218,17 +223,17 @@
         Set<String> names = new LinkedHashSet<>();
         for (String name : root.texts(key)) {
             if (!names.add(name)) {
-                root.problem(key, Section.quote(name) + " stands there twice");
+                root.problem(key, Section.quote(name) + " is listed twice");
             }
         }
         return List.copyOf(names);
     }
 
-    private static List<String> all(
-            List<String> declared, List<UpstreamPart> upstreams, Function<UpstreamPart, String> name, String own) {
+    private static List<String> allNames(
+            List<String> declared, List<UpstreamPart> upstreams, Function<UpstreamPart, String> name, String nodeName) {
         Set<String> names = new LinkedHashSet<>(declared == null ? List.of() : declared);
-        if (own != null) {
-            names.add(own);
+        if (nodeName != null) {
+            names.add(nodeName);
         }
         upstreams.forEach(upstream -> names.add(name.apply(upstream)));
         return List.copyOf(names);
--- a/src/main/java/sablehinge/gateway/config/operator/RecorderSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/RecorderSection.java
@@ -2,10 +2,10 @@
 
 import sablehinge.gateway.config.operator.OperatorConfig.RecorderPart;
 
-/** Reads what an operator file says of the flight recorder. */
+/** Reads the flight recorder settings of an operator file. */
 final class RecorderSection {
 
-    /** A dump takes some six times the ring in heap while it is made. */
+    /** Limits the heap usage of a dump, which needs about six times the size of the ring. */
     private static final int MAX_MIB = 16;
 
     private RecorderSection() {}
--- a/src/main/java/sablehinge/gateway/config/operator/ReplaySection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/ReplaySection.java
@@ -18,17 +18,17 @@
 import sablehinge.common.mapping.Rule;
 import sablehinge.common.mapping.Template;
 
-/** Reads what an operator file says of logs: how they are written, and what their requests are. */
+/** Reads the replay settings of an operator file: the log format and the rules that classify logged requests. */
 final class ReplaySection {
 
     private static final int MAX_RULES = 1_000;
-    private static final int MAX_BODY = 1 << 16;
-    private static final double HOUR = 3.6e6;
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final double HOUR_MS = 3.6e6;
 
     private final Collection<String> classes;
     private final Collection<String> tenants;
 
-    /** For a file that has the given classes and tenants; empty where it has none and any name will do. */
+    /** Creates a reader for a file that declares these classes and tenants. Empty collections allow any name. */
     ReplaySection(Collection<String> classes, Collection<String> tenants) {
         this.classes = classes;
         this.tenants = tenants;
@@ -57,10 +57,10 @@
         }
         Section fields = s.section("fields");
         Map<String, String> map = new HashMap<>();
-        for (String wanted : LogFields.WANTED) {
-            String path = fields.text(wanted, null);
+        for (String field : LogFields.WANTED) {
+            String path = fields.text(field, null);
             if (path != null) {
-                map.put(wanted, path);
+                map.put(field, path);
             }
         }
         fields.reportUnknownKeys();
@@ -89,11 +89,11 @@
                 serviceClass,
                 template(s, "key", names),
                 tenant,
-                s.duration("deadline", 0, 1, HOUR),
-                s.integer("body", -1, 0, MAX_BODY));
+                s.duration("deadline", 0, 1, HOUR_MS),
+                s.integer("body", -1, 0, MAX_BODY_BYTES));
     }
 
-    /** One method, or several with commas between them. */
+    /** Reads one method or a comma-separated list of methods. */
     private static Set<String> methods(Section s) {
         String text = s.text("method", null);
         if (text == null) {
--- a/src/main/java/sablehinge/gateway/config/operator/RulesSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/RulesSection.java
@@ -2,10 +2,10 @@
 
 import sablehinge.policy.LoadBalancer.Rules;
 
-/** Reads the rules of an operator file that servers and clients keep. */
+/** Reads the rules of an operator file that servers and clients follow. */
 final class RulesSection {
 
-    /** For the record only: no decision of this program rests on it. */
+    /** Informational only; not used by any decision of this program. */
     private static final double FALL_AFTER_MS = 1_500;
 
     private RulesSection() {}
--- a/src/main/java/sablehinge/gateway/config/operator/Section.java
+++ b/src/main/java/sablehinge/gateway/config/operator/Section.java
@@ -17,17 +17,17 @@
 import sablehinge.gateway.settings.Addresses;
 
 /**
- * Reads one table of an operator file. Each key is read once, with its type, range and default; what is amiss is noted
- * with its line and the default goes on in its place, so that one reading finds every error. Once all has been
- * requested, {@link #reportUnknownKeys} notes the keys that nobody knows.
+ * Reads one table of an operator file. Each key is read with its type, range and default. An invalid value is reported
+ * with its line and replaced by the default, so that one pass finds every error. After all keys have been read,
+ * {@link #reportUnknownKeys} reports the remaining ones.
  */
 public final class Section {
 
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)\\s*(ms|s|m|h)");
     private static final Map<String, Double> UNITS = Map.of("ms", 1.0, "s", 1e3, "m", 6e4, "h", 3.6e6);
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
-    private static final int QUOTED = 40;
-    /** The longest time that most keys take, ms. */
+    private static final int MAX_QUOTED_CHARS = 40;
+    /** Upper bound of most durations. */
     static final double HOUR_MS = 3.6e6;
 
     private final TomlTable table;
@@ -36,7 +36,7 @@
     private final List<Problem> problems;
     private final TreeSet<String> known = new TreeSet<>();
 
-    /** A table that stands at a path and a line; what is amiss is added to the problems. */
+    /** Creates a reader for the table at a path and a line, which adds its errors to the problems. */
     public Section(TomlTable table, String path, int line, List<Problem> problems) {
         this.table = table;
         this.path = path;
@@ -44,7 +44,7 @@
         this.problems = problems;
     }
 
-    /** The line of a key, or that of the table where the key is absent. */
+    /** Returns the line of a key, or the line of the table if the key is absent. */
     int line(String key) {
         TomlPosition position = table == null ? null : table.inputPositionOf(List.of(key));
         return position == null ? line : position.line();
@@ -54,12 +54,12 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Notes what is wrong with a key. */
+    /** Reports a problem with a key. */
     public void problem(String key, String message) {
         problems.add(new Problem(line(key), path(key), message));
     }
 
-    /** Whether a key is there. */
+    /** Returns whether a key is present. */
     public boolean has(String key) {
         known.add(key);
         return table != null && table.get(List.of(key)) != null;
@@ -70,7 +70,7 @@
         return table == null ? null : table.get(List.of(key));
     }
 
-    /** A value of a kind; null, with a problem noted if something else stands there. */
+    /** Returns a value of the given type; null if it is absent or, after a problem was reported, of another type. */
     private <T> T typed(String key, Class<T> type, String expected) {
         Object value = raw(key);
         if (value == null || type.isInstance(value)) {
@@ -91,26 +91,26 @@
     }
 
     static String quote(String text) {
-        return "\"" + plain(text, QUOTED) + "\"";
+        return "\"" + plain(text, MAX_QUOTED_CHARS) + "\"";
     }
 
-    /** Text as it may stand in one line of an error. */
-    public static String plain(String text, int most) {
+    /** Returns text without control characters and truncated, for use in a one-line error message. */
+    public static String plain(String text, int maxChars) {
         String shown = text.codePoints()
-                .limit(most)
+                .limit(maxChars)
                 .map(c -> Character.isISOControl(c) ? '?' : c)
                 .collect(StringBuilder::new, StringBuilder::appendCodePoint, StringBuilder::append)
                 .toString();
-        return shown + (text.codePointCount(0, text.length()) > most ? "…" : "");
+        return shown + (text.codePointCount(0, text.length()) > maxChars ? "…" : "");
     }
 
-    /** A text. */
+    /** Reads a string. */
     public String text(String key, String fallback) {
         String value = typed(key, String.class, "text in quotes");
         return value == null ? fallback : value;
     }
 
-    /** A name: letters, digits, dots, dashes and underscores, which may stand anywhere without quoting. */
+    /** Reads a name: letters, digits, dots, dashes and underscores, which never need quoting. */
     public String name(String key, String fallback) {
         String value = typed(key, String.class, "a name in quotes");
         if (value == null) {
@@ -126,27 +126,27 @@
         return value;
     }
 
-    /** True or false. */
+    /** Reads a boolean. */
     public boolean flag(String key, boolean fallback) {
         Boolean value = typed(key, Boolean.class, "true or false");
         return value == null ? fallback : value;
     }
 
-    /** An integer within a range. */
-    public int integer(String key, int fallback, int least, int most) {
+    /** Reads an integer within a range. */
+    public int integer(String key, int fallback, int min, int max) {
         Long value = typed(key, Long.class, "a whole number");
         if (value == null) {
             return fallback;
         }
-        if (value < least || value > most) {
-            problem(key, value + " is out of range, expected " + least + " to " + most);
+        if (value < min || value > max) {
+            problem(key, value + " is out of range, expected " + min + " to " + max);
             return fallback;
         }
         return value.intValue();
     }
 
-    /** A number within a range. */
-    public double number(String key, double fallback, double least, double most) {
+    /** Reads a number within a range. */
+    public double number(String key, double fallback, double min, double max) {
         Object value = raw(key);
         if (value == null) {
             return fallback;
@@ -156,9 +156,9 @@
             return fallback;
         }
         double number = ((Number) value).doubleValue();
-        // NaN compares false.
-        if (!(number >= least && number <= most)) {
-            problem(key, value + " is out of range, expected " + plain(least) + " to " + plain(most));
+        // Rejects NaN too, for which each comparison is false.
+        if (!(number >= min && number <= max)) {
+            problem(key, value + " is out of range, expected " + plain(min) + " to " + plain(max));
             return fallback;
         }
         return number;
@@ -168,8 +168,8 @@
         return new BigDecimal(Double.toString(number)).stripTrailingZeros().toPlainString();
     }
 
-    /** A time in ms; a number without a unit is an error, since it could be meant in any. */
-    public double duration(String key, double fallback, double least, double most) {
+    /** Reads a duration and converts it to ms. A number without a unit is an error, since it is ambiguous. */
+    public double duration(String key, double fallback, double min, double max) {
         Object value = raw(key);
         if (value == null) {
             return fallback;
@@ -182,8 +182,8 @@
             return fallback;
         }
         double millis = Double.parseDouble(parts.group(1)) * UNITS.get(parts.group(2));
-        if (millis < least || millis > most) {
-            problem(key, quote((String) value) + " is out of range, expected " + millis(least) + " to " + millis(most));
+        if (millis < min || millis > max) {
+            problem(key, quote((String) value) + " is out of range, expected " + millis(min) + " to " + millis(max));
             return fallback;
         }
         return millis;
@@ -193,7 +193,7 @@
         return value >= 1_000 ? plain(value / 1_000) + "s" : plain(value) + "ms";
     }
 
-    /** One of some words. */
+    /** Reads one of a fixed set of words. */
     public <T> T choice(String key, T fallback, Map<String, T> choices) {
         String value = typed(key, String.class, "one of " + listed(choices.keySet()));
         if (value == null) {
@@ -207,7 +207,7 @@
         return choice;
     }
 
-    /** A numeric address with its port; null if it is absent or amiss. */
+    /** Reads a numeric address with a port; null if it is absent or invalid. */
     public InetSocketAddress address(String key, boolean required) {
         String value = typed(key, String.class, "an address such as \"127.0.0.1:8080\"");
         if (value == null) {
@@ -227,7 +227,7 @@
         }
     }
 
-    /** The places of names in a list of those that exist; null where the key is absent. */
+    /** Reads a list of existing names; null if the key is absent. */
     List<String> names(String key, Collection<String> existing, String what) {
         TomlArray array = typed(key, TomlArray.class, "a list of names of " + what);
         if (array == null) {
@@ -240,7 +240,7 @@
             } else if (!existing.contains(name)) {
                 problem(key, unknown("no " + what + " " + quote(name), name, existing));
             } else if (names.contains(name)) {
-                problem(key, quote(name) + " stands there twice");
+                problem(key, quote(name) + " is listed twice");
             } else {
                 names.add(name);
             }
@@ -248,7 +248,7 @@
         return names;
     }
 
-    /** A list of names. */
+    /** Reads a list of names. */
     public List<String> texts(String key) {
         TomlArray array = typed(key, TomlArray.class, "a list of names");
         List<String> names = new ArrayList<>();
@@ -262,22 +262,22 @@
         return names;
     }
 
-    /** Notes a problem with a key of one table of a list, which is counted from 0 here. */
-    public void itemProblem(String list, int place, String key, String message) {
+    /** Reports a problem with a key of one table of a list; the index is counted from 0. */
+    public void itemProblem(String list, int index, String key, String message) {
         TomlArray array = table.getArray(List.of(list));
-        Object item = array == null || place >= array.size() ? null : array.get(place);
+        Object item = array == null || index >= array.size() ? null : array.get(index);
         if (item instanceof TomlTable inner) {
-            TomlPosition position = array.inputPositionOf(place);
+            TomlPosition position = array.inputPositionOf(index);
             new Section(
                             inner,
-                            path(list) + "[" + (place + 1) + "]",
+                            path(list) + "[" + (index + 1) + "]",
                             position == null ? line : position.line(),
                             problems)
                     .problem(key, message);
         }
     }
 
-    /** The name of one of those that exist. */
+    /** Reads one of the existing names. */
     String reference(String key, String fallback, Collection<String> existing, String what) {
         String name = typed(key, String.class, "the name of a " + what);
         if (name == null) {
@@ -290,40 +290,40 @@
         return name;
     }
 
-    /** A table within this one; empty if it is absent. */
+    /** Returns a nested table; empty if it is absent. */
     public Section section(String key) {
         TomlTable inner = typed(key, TomlTable.class, "a table [" + path(key) + "]");
         return new Section(inner, path(key), line(key), problems);
     }
 
-    /** A list of tables, each read by {@code reader}; at most so many. */
-    public <T> List<T> sections(String key, int most, Function<Section, T> reader) {
+    /** Reads a list of at most {@code max} tables with {@code reader}. */
+    public <T> List<T> sections(String key, int max, Function<Section, T> reader) {
         TomlArray array = typed(key, TomlArray.class, "tables [[" + path(key) + "]]");
-        List<T> read = new ArrayList<>();
+        List<T> items = new ArrayList<>();
         if (array == null) {
-            return read;
+            return items;
         }
-        if (array.size() > most) {
-            problem(key, array.size() + " of them, expected " + most + " at most");
-            return read;
+        if (array.size() > max) {
+            problem(key, array.size() + " of them, expected " + max + " at most");
+            return items;
         }
         for (int i = 0; i < array.size(); i++) {
-            String place = path(key) + "[" + (i + 1) + "]";
+            String itemPath = path(key) + "[" + (i + 1) + "]";
             TomlPosition position = array.inputPositionOf(i);
-            int at = position == null ? line(key) : position.line();
+            int itemLine = position == null ? line(key) : position.line();
             if (array.get(i) instanceof TomlTable inner) {
-                Section section = new Section(inner, place, at, problems);
-                read.add(reader.apply(section));
+                Section section = new Section(inner, itemPath, itemLine, problems);
+                items.add(reader.apply(section));
                 section.reportUnknownKeys();
             } else {
                 problems.add(new Problem(
-                        at, place, "expected a table [[" + path(key) + "]], found " + describe(array.get(i))));
+                        itemLine, itemPath, "expected a table [[" + path(key) + "]], found " + describe(array.get(i))));
             }
         }
-        return read;
+        return items;
     }
 
-    /** Notes the keys that nobody has requested. */
+    /** Reports each key that was never read. */
     public void reportUnknownKeys() {
         if (table == null) {
             return;
@@ -346,39 +346,42 @@
             return what + ", there are none";
         }
         TreeMap<Integer, String> byDistance = new TreeMap<>();
-        for (String one : new TreeSet<>(valid)) {
-            byDistance.putIfAbsent(distance(name, one), one);
+        for (String candidate : new TreeSet<>(valid)) {
+            byDistance.putIfAbsent(distance(name, candidate), candidate);
         }
-        // Further than that it is another word and no slip.
-        int farthest = Math.max(2, name.length() / 3);
-        String nearest = byDistance.firstKey() <= farthest
+        // A greater distance suggests a different word rather than a typo.
+        int maxTypoDistance = Math.max(2, name.length() / 3);
+        String nearest = byDistance.firstKey() <= maxTypoDistance
                 ? ", did you mean " + byDistance.firstEntry().getValue() + "?"
                 : "";
         return what + nearest + (nearest.isEmpty() ? ", expected one of " + listed(valid) : "");
     }
 
-    /** Optimal string alignment distance: insertions, deletions, substitutions, swaps of neighbours. */
+    /**
+     * Optimal string alignment distance: insertions, deletions, substitutions, transpositions of adjacent characters.
+     */
     static int distance(String from, String to) {
         if (from.length() > 64 || to.length() > 64) {
             return Integer.MAX_VALUE;
         }
-        int[][] d = new int[from.length() + 1][to.length() + 1];
+        int[][] distances = new int[from.length() + 1][to.length() + 1];
         for (int i = 0; i <= from.length(); i++) {
             for (int j = 0; j <= to.length(); j++) {
                 if (i == 0 || j == 0) {
-                    d[i][j] = i + j;
+                    distances[i][j] = i + j;
                     continue;
                 }
                 int cost = from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1;
-                d[i][j] = Math.min(Math.min(d[i - 1][j] + 1, d[i][j - 1] + 1), d[i - 1][j - 1] + cost);
+                distances[i][j] = Math.min(
+                        Math.min(distances[i - 1][j] + 1, distances[i][j - 1] + 1), distances[i - 1][j - 1] + cost);
                 if (i > 1
                         && j > 1
                         && from.charAt(i - 1) == to.charAt(j - 2)
                         && from.charAt(i - 2) == to.charAt(j - 1)) {
-                    d[i][j] = Math.min(d[i][j], d[i - 2][j - 2] + 1);
+                    distances[i][j] = Math.min(distances[i][j], distances[i - 2][j - 2] + 1);
                 }
             }
         }
-        return d[from.length()][to.length()];
+        return distances[from.length()][to.length()];
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/TomlText.java
+++ b/src/main/java/sablehinge/gateway/config/operator/TomlText.java
@@ -8,11 +8,11 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlVersion;
 
-/** Parses the bytes of a file as TOML; what is amiss is noted, and no file ends the process. */
+/** Parses the bytes of a file as TOML. All errors are reported as problems; no input may end the process. */
 final class TomlText {
 
-    /** Brackets within brackets: nothing of this file needs more than 3. */
-    private static final int MAX_NESTED = 32;
+    /** Maximum nesting of brackets; a valid operator file needs at most 3 levels. */
+    private static final int MAX_NESTING_DEPTH = 32;
 
     private final List<Problem> problems;
 
@@ -20,7 +20,7 @@
         this.problems = problems;
     }
 
-    /** Parses a file; null if it is no TOML, with the problems noted. */
+    /** Parses a file. Returns null and adds to the problems if it is not valid TOML. */
     static TomlParseResult parse(byte[] bytes, List<Problem> problems) {
         return new TomlText(problems).parse(bytes);
     }
@@ -42,7 +42,7 @@
         try {
             toml = Toml.parse(text, TomlVersion.V1_0_0);
         } catch (StackOverflowError | RuntimeException e) {
-            // Guards against what the parser's authors have not thought of: a bad file must not end a daemon.
+            // Guards against bugs of the parser: an invalid file must not end the process.
             problem(0, "can't be read as TOML (" + e.getClass().getSimpleName() + ")");
             return null;
         }
@@ -62,60 +62,60 @@
                     .decode(ByteBuffer.wrap(bytes))
                     .toString();
         } catch (CharacterCodingException e) {
-            problem(firstBadLine(bytes), "is not UTF-8 in this line, expected UTF-8 throughout");
+            problem(firstInvalidLine(bytes), "is not UTF-8 in this line, expected UTF-8 throughout");
             return null;
         }
     }
 
-    private static int firstBadLine(byte[] bytes) {
+    private static int firstInvalidLine(byte[] bytes) {
         int line = 1;
-        int from = 0;
+        int lineStart = 0;
         for (int i = 0; i <= bytes.length; i++) {
             if (i == bytes.length || bytes[i] == '\n') {
                 try {
-                    StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, from, i - from));
+                    StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, lineStart, i - lineStart));
                 } catch (CharacterCodingException e) {
                     return line;
                 }
                 line++;
-                from = i + 1;
+                lineStart = i + 1;
             }
         }
         return line;
     }
 
     /**
-     * The parser is recursive, and what ends its stack could leave a class of it half loaded for good: that is refused
-     * before, with a line. Brackets in texts and comments don't count.
+     * Reports deeply nested brackets with their line before parsing. The parser is recursive, and a stack overflow
+     * could leave one of its classes permanently half initialized. Brackets in strings and comments don't count.
      */
     private boolean nestedTooDeep(String text) {
         int depth = 0;
         int line = 1;
-        // What ends the text that i is in: a quote, three of them, or the line for a comment.
-        String ends = null;
+        // The terminator of the current string or comment: one quote, three quotes or a newline; null outside of both.
+        String terminator = null;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             line += c == '\n' ? 1 : 0;
-            if (ends != null) {
-                if (c == '\\' && ends.startsWith("\"")) {
+            if (terminator != null) {
+                if (c == '\\' && terminator.startsWith("\"")) {
                     i++;
-                } else if (text.startsWith(ends, i) || c == '\n' && ends.length() == 1) {
-                    i += ends.length() - 1;
-                    ends = null;
+                } else if (text.startsWith(terminator, i) || c == '\n' && terminator.length() == 1) {
+                    i += terminator.length() - 1;
+                    terminator = null;
                 }
             } else if (c == '#') {
-                ends = "\n";
+                terminator = "\n";
             } else if (c == '"' || c == '\'') {
-                String three = String.valueOf(c).repeat(3);
-                ends = text.startsWith(three, i) ? three : String.valueOf(c);
-                i += ends.length() - 1;
+                String tripleQuote = String.valueOf(c).repeat(3);
+                terminator = text.startsWith(tripleQuote, i) ? tripleQuote : String.valueOf(c);
+                i += terminator.length() - 1;
             } else if (c == '[' || c == '{') {
                 depth++;
             } else if (c == ']' || c == '}') {
                 depth = Math.max(0, depth - 1);
             }
-            if (depth > MAX_NESTED) {
-                problem(line, "brackets are nested more than " + MAX_NESTED + " deep");
+            if (depth > MAX_NESTING_DEPTH) {
+                problem(line, "brackets are nested more than " + MAX_NESTING_DEPTH + " deep");
                 return true;
             }
         }
--- a/src/main/java/sablehinge/gateway/config/operator/UpstreamSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/UpstreamSection.java
@@ -19,7 +19,7 @@
             s.problem("address", "has port 0, expected the port on which the server listens");
         }
         if (address != null && address.getAddress().isAnyLocalAddress()) {
-            s.problem("address", "is the address of any, expected that of one server");
+            s.problem("address", "is a wildcard address, expected the address of one server");
         }
         return new UpstreamPart(
                 s.name("id", null),
--- a/src/main/java/sablehinge/gateway/config/package-info.java
+++ b/src/main/java/sablehinge/gateway/config/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's configuration file of its balancer. */
+/** The configuration file that the platform provides for its balancer. */
 package sablehinge.gateway.config;
--- a/src/main/java/sablehinge/gateway/config/versions/Disk.java
+++ b/src/main/java/sablehinge/gateway/config/versions/Disk.java
@@ -3,20 +3,20 @@
 import java.io.IOException;
 import java.util.List;
 
-/** A directory's files, by the calls that a crash can fall between. Names are plain file names. */
+/** File operations in one directory; the process can crash between any two of them. Names are plain file names. */
 interface Disk {
 
-    /** The names of all files. */
+    /** Returns the names of all files. */
     List<String> names() throws IOException;
 
     byte[] read(String name) throws IOException;
 
-    /** Writes a complete file, anew if there is one. It need not survive a crash before {@link #sync}. */
+    /** Writes a complete file and replaces an existing one. The content is durable only after {@link #sync}. */
     void write(String name, byte[] bytes) throws IOException;
 
     void sync(String name) throws IOException;
 
-    /** Replaces one name by another at once. It need not survive a crash before {@link #syncDirectory}. */
+    /** Renames a file atomically and replaces an existing one. Durable only after {@link #syncDirectory}. */
     void rename(String from, String to) throws IOException;
 
     void syncDirectory() throws IOException;
--- a/src/main/java/sablehinge/gateway/config/versions/SystemDisk.java
+++ b/src/main/java/sablehinge/gateway/config/versions/SystemDisk.java
@@ -13,57 +13,57 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A directory of the system, which one process at a time may have. */
+/** A directory of the file system, locked by one process at a time. */
 final class SystemDisk implements Disk, AutoCloseable {
 
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE_NAME = "lock";
 
-    private final Path folder;
+    private final Path path;
     private final FileChannel lockFile;
 
-    /** Takes a directory, made if need be, for its owner only. */
-    SystemDisk(Path folder) throws IOException {
-        this.folder = folder;
-        if (!Files.isDirectory(folder)) {
+    /** Locks a directory; creates it with access for its owner only if it does not exist. */
+    SystemDisk(Path path) throws IOException {
+        this.path = path;
+        if (!Files.isDirectory(path)) {
             Files.createDirectories(
-                    folder, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
+                    path, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
         }
-        lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lockFile = FileChannel.open(path.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Held in this very process.
+            // This process already holds the lock.
         }
         if (lock == null) {
             lockFile.close();
-            throw new IOException(folder + " is in use by another process");
+            throw new IOException(path + " is in use by another process");
         }
     }
 
     @Override
     public List<String> names() throws IOException {
         List<String> names = new ArrayList<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, Files::isRegularFile)) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(path, Files::isRegularFile)) {
             files.forEach(file -> names.add(file.getFileName().toString()));
         }
-        names.remove(LOCK);
+        names.remove(LOCK_FILE_NAME);
         return names;
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        return Files.readAllBytes(folder.resolve(name));
+        return Files.readAllBytes(path.resolve(name));
     }
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
-        Files.write(folder.resolve(name), bytes);
+        Files.write(path.resolve(name), bytes);
     }
 
     @Override
     public void sync(String name) throws IOException {
-        try (FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
+        try (FileChannel file = FileChannel.open(path.resolve(name), StandardOpenOption.WRITE)) {
             file.force(true);
         }
     }
@@ -71,22 +71,22 @@
     @Override
     public void rename(String from, String to) throws IOException {
         Files.move(
-                folder.resolve(from),
-                folder.resolve(to),
+                path.resolve(from),
+                path.resolve(to),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+        try (FileChannel directory = FileChannel.open(path, StandardOpenOption.READ)) {
             directory.force(true);
         }
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
+        Files.deleteIfExists(path.resolve(name));
     }
 
     @Override
--- a/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
+++ b/src/main/java/sablehinge/gateway/config/versions/VersionStore.java
@@ -15,16 +15,16 @@
 import java.util.Map;
 
 /**
- * Versions of the configuration on disk. Each one's content is a file of its own that is never changed; one small file
- * says which is confirmed and which is on trial, and is replaced atomically by write, sync, rename and sync of the
- * directory. A crash at any point leaves that file as it was or as it was to be.
+ * Versions of the configuration on disk. The content of each version is a separate, immutable file. One small state
+ * file records which version is confirmed and which is on trial; it is replaced atomically by write, sync, rename and
+ * sync of the directory, so that a crash at any point leaves either its old or its new content.
  */
 public final class VersionStore implements AutoCloseable {
 
-    private static final String STATE = "state.json";
-    private static final String NEW = ".new";
-    /** Newest versions that are kept, beside the confirmed one. */
-    private static final int KEPT = 40;
+    private static final String STATE_FILE = "state.json";
+    private static final String NEW_FILE_SUFFIX = ".new";
+    /** Number of newest versions that are retained, in addition to the confirmed version and the one on trial. */
+    private static final int MAX_RETAINED_VERSIONS = 40;
 
     private static final JsonMapper JSON = new JsonMapper();
 
@@ -32,14 +32,14 @@
     private int confirmed;
     private int trial;
     private int last;
-    /** The versions whose content is kept, with its hash. */
+    /** Hash of the content of each retained version. */
     private final Map<Integer, String> hashes = new LinkedHashMap<>();
-    /** What became of a version that was on trial when the process before this one ended; 0 for none. */
+    /** The version that was on trial when the previous process ended; 0 for none. */
     private int interruptedTrial;
 
-    /** The store in a directory, made if need be; the error says if another process has it. */
-    public static VersionStore in(Path folder) throws IOException {
-        return new VersionStore(new SystemDisk(folder));
+    /** Opens the store in a directory, which is created if necessary. Fails if another process uses the directory. */
+    public static VersionStore in(Path directory) throws IOException {
+        return new VersionStore(new SystemDisk(directory));
     }
 
     VersionStore(Disk disk) throws IOException {
@@ -53,19 +53,19 @@
     }
 
     private void load() throws IOException {
-        if (!disk.names().contains(STATE)) {
+        if (!disk.names().contains(STATE_FILE)) {
             return;
         }
-        byte[] file = disk.read(STATE);
+        byte[] file = disk.read(STATE_FILE);
         int end = 0;
         while (end < file.length && file[end] != '\n') {
             end++;
         }
         byte[] body = Arrays.copyOfRange(file, Math.min(file.length, end + 1), file.length);
         if (!hash(body).equals(new String(file, 0, end, StandardCharsets.UTF_8))) {
-            throw new IOException(STATE
-                    + " is damaged: its checksum is another; put back a copy of the directory,"
-                    + " or move it away to begin with the operator file");
+            throw new IOException(STATE_FILE
+                    + " is damaged: checksum mismatch; restore a copy of the directory,"
+                    + " or move it away to start with the operator file");
         }
         JsonNode state = JSON.readTree(body);
         confirmed = state.path("confirmed").asInt();
@@ -77,26 +77,26 @@
                         hashes.put(Integer.parseInt(e.getKey()), e.getValue().asText()));
     }
 
-    /** The version to serve; 0 if none was ever confirmed. */
+    /** Returns the version to serve; 0 if none was ever confirmed. */
     public int confirmed() {
         return confirmed;
     }
 
-    /** The version that was on trial when the process before ended, and is undone by that; 0 for none. */
+    /** Returns the version whose trial ended with the previous process, which reverts it; 0 for none. */
     public int interruptedTrial() {
         return interruptedTrial;
     }
 
-    /** The content of a version; the error says if it is not what was written. */
+    /** Returns the content of a version. Fails if its checksum differs from the one recorded when it was written. */
     public byte[] content(int version) throws IOException {
         byte[] bytes = disk.read(name(version));
         if (!hash(bytes).equals(hashes.get(version))) {
-            throw new IOException(name(version) + " is damaged: its checksum is another");
+            throw new IOException(name(version) + " is damaged: checksum mismatch");
         }
         return bytes;
     }
 
-    /** Writes a version's content for good and gives it its number. */
+    /** Writes the content of a new version durably and returns its number. */
     public int stage(byte[] content) throws IOException {
         int version = last + 1;
         replace(name(version), content);
@@ -113,55 +113,55 @@
         return version;
     }
 
-    /** Writes that a version is on trial; 0 for none. */
+    /** Records durably that a version is on trial; 0 for none. */
     public void markOnTrial(int version) throws IOException {
         save(confirmed, version);
         trial = version;
     }
 
-    /** Writes that a version is the one to serve. */
+    /** Records durably that a version is confirmed, which is then the one to serve. */
     public void confirm(int version) throws IOException {
         save(version, 0);
         confirmed = version;
         trial = 0;
     }
 
-    private void save(int nowConfirmed, int nowTrial) throws IOException {
+    private void save(int newConfirmed, int newTrial) throws IOException {
         ObjectNode state = JSON.createObjectNode()
-                .put("confirmed", nowConfirmed)
-                .put("trial", nowTrial)
+                .put("confirmed", newConfirmed)
+                .put("trial", newTrial)
                 .put("last", last);
-        ObjectNode kept = state.putObject("hashes");
-        hashes.forEach((version, hash) -> kept.put(Integer.toString(version), hash));
+        ObjectNode hashesNode = state.putObject("hashes");
+        hashes.forEach((version, hash) -> hashesNode.put(Integer.toString(version), hash));
         byte[] body = JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(state);
-        byte[] head = (hash(body) + "\n").getBytes(StandardCharsets.UTF_8);
-        byte[] file = Arrays.copyOf(head, head.length + body.length);
-        System.arraycopy(body, 0, file, head.length, body.length);
-        replace(STATE, file);
+        byte[] header = (hash(body) + "\n").getBytes(StandardCharsets.UTF_8);
+        byte[] file = Arrays.copyOf(header, header.length + body.length);
+        System.arraycopy(body, 0, file, header.length, body.length);
+        replace(STATE_FILE, file);
     }
 
     private void replace(String name, byte[] bytes) throws IOException {
         try {
-            disk.write(name + NEW, bytes);
-            disk.sync(name + NEW);
-            disk.rename(name + NEW, name);
+            disk.write(name + NEW_FILE_SUFFIX, bytes);
+            disk.sync(name + NEW_FILE_SUFFIX);
+            disk.rename(name + NEW_FILE_SUFFIX, name);
             disk.syncDirectory();
         } catch (IOException e) {
             throw new IOException(name + " could not be written: " + e.getMessage(), e);
         }
     }
 
-    /** Deletes what no longer can be served; that it fails does no harm. */
+    /** Deletes the versions that are no longer retained. A failed deletion is harmless. */
     private void prune() {
         for (int version : List.copyOf(hashes.keySet())) {
-            if (version > last - KEPT || version == confirmed || version == trial) {
+            if (version > last - MAX_RETAINED_VERSIONS || version == confirmed || version == trial) {
                 continue;
             }
             hashes.remove(version);
             try {
                 disk.delete(name(version));
             } catch (IOException e) {
-                // It takes some room, no more.
+                // The file only occupies disk space.
             }
         }
     }
@@ -180,9 +180,9 @@
 
     @Override
     public void close() throws IOException {
-        if (disk instanceof AutoCloseable open) {
+        if (disk instanceof AutoCloseable closeable) {
             try {
-                open.close();
+                closeable.close();
             } catch (IOException e) {
                 throw e;
             } catch (Exception e) {
--- a/src/main/java/sablehinge/gateway/config/versions/package-info.java
+++ b/src/main/java/sablehinge/gateway/config/versions/package-info.java
@@ -1,2 +1,2 @@
-/** Versions of the operator file on disk; a write is complete or has not happened. */
+/** Durable versions of the operator file; each write is atomic. */
 package sablehinge.gateway.config.versions;
--- a/src/main/java/sablehinge/gateway/settings/Addresses.java
+++ b/src/main/java/sablehinge/gateway/settings/Addresses.java
@@ -5,12 +5,12 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as configurations and lists write them. */
+/** Parses the addresses of configuration files and server lists. */
 public final class Addresses {
 
     private Addresses() {}
 
-    /** A numeric address with its port; there is no DNS to ask for any other. */
+    /** Parses a numeric address with a port. Host names are not supported because no DNS is available. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = NetUtil.createByteArrayFromIpAddressString(colon < 0 ? text : text.substring(0, colon));
--- a/src/main/java/sablehinge/gateway/settings/MalformedInputException.java
+++ b/src/main/java/sablehinge/gateway/settings/MalformedInputException.java
@@ -1,11 +1,11 @@
 package sablehinge.gateway.settings;
 
-/** Input that the wire does not allow; the message says what and where, in one line. */
+/** Thrown for input that violates the protocol. The message describes the error and its position in one line. */
 public final class MalformedInputException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    /** Input that can't be taken, with what is wrong and where. */
+    /** Creates an exception with a one-line description of the error and its position. */
     public MalformedInputException(String message) {
         super(message);
     }
--- a/src/main/java/sablehinge/gateway/settings/SettingsParser.java
+++ b/src/main/java/sablehinge/gateway/settings/SettingsParser.java
@@ -20,7 +20,7 @@
 import sablehinge.policy.LoadBalancer.Tenant;
 import sablehinge.policy.LoadBalancer.WeightKind;
 
-/** Turns the {@code path=value} lines of a start event into {@link Settings}. */
+/** Parses the {@code path=value} lines of a start event into {@link Settings}. */
 public final class SettingsParser {
 
     private static final int MAX_ITEMS = 10_000;
@@ -47,7 +47,7 @@
     /**
      * Parses the settings of the decision module.
      *
-     * @throws MalformedInputException if the text is no settings; the message names the field
+     * @throws MalformedInputException if the text is invalid; the message names the setting
      */
     public static Settings parse(byte[] text) {
         try {
@@ -205,7 +205,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // reported below, like a value that is not finite
+            // Reported below, like a value that is not finite.
         }
         throw invalid(key);
     }
@@ -243,7 +243,7 @@
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    /** Indices of the list; null where the key is absent, which is not the same as an empty list. */
+    /** Parses a list of indices; null if the key is absent, which differs from an empty list. */
     private List<Integer> indices(String key) {
         if (!values.containsKey(key)) {
             return null;
@@ -260,7 +260,7 @@
     }
 
     private <T> List<T> items(String key, Function<String, T> item) {
-        // A site without tenants leaves the complete list out.
+        // Settings without tenants omit the list.
         int count = values.containsKey(key + ".count") ? integer(key + ".count") : 0;
         if (count < 0 || count > MAX_ITEMS) {
             throw invalid(key + ".count");
--- a/src/main/java/sablehinge/gateway/settings/package-info.java
+++ b/src/main/java/sablehinge/gateway/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The text form of the decision module's settings, which the platform's file and the simulator share. */
+/** The text format of the decision module's settings, used by both the platform's file and the simulator. */
 package sablehinge.gateway.settings;
--- a/src/main/java/sablehinge/gateway/wire/LittleEndian.java
+++ b/src/main/java/sablehinge/gateway/wire/LittleEndian.java
@@ -47,7 +47,7 @@
         return (double) DOUBLE.get(bytes, at);
     }
 
-    /** An upstream's four address bytes and port, kept as they came. */
+    /** Returns an upstream's four address bytes and port in their encoded order. */
     static long getUpstream(byte[] bytes, int at) {
         return getUnsignedInt(bytes, at) | (long) getShort(bytes, at + 4) << 32;
     }
--- a/src/main/java/sablehinge/gateway/wire/Main.java
+++ b/src/main/java/sablehinge/gateway/wire/Main.java
@@ -12,14 +12,14 @@
 import sablehinge.gateway.settings.MalformedInputException;
 import sablehinge.policy.LatencyWeightedBalancer;
 
-/** The command line: {@code wire} reads batches on standard input and answers on standard output. */
+/** The command line: {@code wire} reads batches from standard input and writes replies to standard output. */
 public final class Main {
 
     private static final int BUFFER_BYTES = 1 << 16;
 
     private Main() {}
 
-    /** Runs the adapter and exits with its status. */
+    /** Runs the adapter and exits with its status code. */
     public static void main(String[] args) {
         InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES);
         OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES);
--- a/src/main/java/sablehinge/gateway/wire/ReplyWriter.java
+++ b/src/main/java/sablehinge/gateway/wire/ReplyWriter.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import sablehinge.policy.LoadBalancer;
 
-/** Collects one reply: the actions of each instance as fixed records, texts and payloads in the tail. */
+/** Builds one reply: the actions of each instance as fixed-size records, with texts and payloads in the tail. */
 final class ReplyWriter implements LoadBalancer.Actions {
 
     static final int RECORD_BYTES = 32;
@@ -19,7 +19,7 @@
     private int count;
     private int instance;
 
-    /** The instance for which the actions that follow are written. */
+    /** Selects the instance of the subsequent actions. */
     void select(int number) {
         instance = number;
     }
@@ -116,7 +116,10 @@
         count = 0;
     }
 
-    /** Where the new record begins; it may replace {@link #records}, so it is called before they are read. */
+    /**
+     * Appends a record and returns its offset. It may reallocate {@link #records}, so call it before accessing the
+     * array.
+     */
     private int record(int code) {
         int at = used;
         if (at + RECORD_BYTES > records.length) {
--- a/src/main/java/sablehinge/gateway/wire/WireHost.java
+++ b/src/main/java/sablehinge/gateway/wire/WireHost.java
@@ -19,23 +19,23 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** Reads batches of events, hands each to its instance, and answers every batch with one reply. */
+/** Reads batches of events, dispatches each event to its instance and writes one reply for each batch. */
 final class WireHost {
 
     static final int HEADER_BYTES = 16;
     static final int RECORD_BYTES = 48;
     static final int ENTRY_BYTES = 24;
-    /** Far above any batch seen, far below what an array can hold. */
+    /** Far above the size of any real batch and far below the maximum size of an array. */
     private static final long MAX_FRAME_BYTES = 1L << 29;
 
-    private static final int LISTS = 16;
+    private static final int MAX_LISTS = 16;
     private static final int MAX_REPORT_VALUES = 4;
 
     private final Function<LoadBalancer.Actions, LoadBalancer> factory;
     private final ReplyWriter reply = new ReplyWriter();
     /** Looked up by number only, never iterated. */
     private final Map<Integer, Hosted> instances = new HashMap<>();
-    /** Upstream lists belong to the process: the same text for every instance that refers to it. */
+    /** Upstream lists, shared by all instances of the process. */
     private final List<List<Upstream>> lists = new ArrayList<>();
 
     private double clock = Double.NEGATIVE_INFINITY;
@@ -44,12 +44,12 @@
     private byte[] body;
     private int tailAt;
 
-    /** An instance with the settings against which its events are checked. */
+    /** An instance and the settings that validate its events. */
     private record Hosted(LoadBalancer balancer, Settings settings) {}
 
     WireHost(Function<LoadBalancer.Actions, LoadBalancer> factory) {
         this.factory = factory;
-        for (int i = 0; i < LISTS; i++) {
+        for (int i = 0; i < MAX_LISTS; i++) {
             lists.add(null);
         }
     }
@@ -96,8 +96,8 @@
         }
     }
 
-    private MalformedInputException malformed(String what) {
-        return new MalformedInputException("frame " + frame + ": " + what);
+    private MalformedInputException malformed(String message) {
+        return new MalformedInputException("frame " + frame + ": " + message);
     }
 
     private void handleEvent(int at) {
@@ -127,7 +127,7 @@
         decide(instance, event);
     }
 
-    /** Runs one event's decisions; a failure of the decision code is reported, never swallowed. */
+    /** Runs the decision code for one event. Its exceptions are reported to the simulator, never swallowed. */
     private void decide(int instance, Runnable event) {
         reply.select(instance);
         try {
@@ -148,7 +148,7 @@
         decide(instance, () -> balancer.start(now, settings, seed));
     }
 
-    /** Checks an event's fields and binds them to the call that it stands for. */
+    /** Validates the fields of an event and binds them to the corresponding call. */
     private Runnable decode(int code, int at, Hosted hosted) {
         LoadBalancer balancer = hosted.balancer();
         double now = clock;
@@ -161,14 +161,14 @@
             case 3:
                 long streamed = LittleEndian.getLong(body, at + 5);
                 int attempt = LittleEndian.getShort(body, at + 13);
-                double begun = number(at + 21, "elapsed");
-                return () -> balancer.streamStarted(now, streamed, attempt, begun);
+                double elapsedToStart = number(at + 21, "elapsed");
+                return () -> balancer.streamStarted(now, streamed, attempt, elapsedToStart);
             case 4:
                 Outcome outcome = readOutcome(at);
                 return () -> balancer.attemptFinished(now, outcome);
             case 5:
-                long gone = LittleEndian.getLong(body, at + 5);
-                return () -> balancer.clientGone(now, gone);
+                long abandoned = LittleEndian.getLong(body, at + 5);
+                return () -> balancer.clientGone(now, abandoned);
             case 6:
                 long token = LittleEndian.getLong(body, at + 5);
                 return () -> balancer.timer(now, token);
@@ -204,8 +204,8 @@
 
     private int listNumber(int at) {
         int number = LittleEndian.getShort(body, at);
-        if (number >= LISTS) {
-            throw new MalformedInputException("list number " + number + " is over " + (LISTS - 1));
+        if (number >= MAX_LISTS) {
+            throw new MalformedInputException("list number " + number + " is over " + (MAX_LISTS - 1));
         }
         return number;
     }
@@ -317,7 +317,9 @@
         return value;
     }
 
-    /** Where a tail field's content begins in the body, once it is known to lie inside. */
+    /**
+     * Returns the offset of a tail field's content in the body, after checking that the content lies inside the tail.
+     */
     private int tailOffset(int at, int unit) {
         long offset = LittleEndian.getUnsignedInt(body, at);
         long bytes = LittleEndian.getUnsignedInt(body, at + 4) * unit;
--- a/src/main/java/sablehinge/gateway/wire/package-info.java
+++ b/src/main/java/sablehinge/gateway/wire/package-info.java
@@ -1,2 +1,2 @@
-/** The simulator's wire: the decision module as a child process. */
+/** Adapter that runs the decision module as a child process of the simulator. */
 package sablehinge.gateway.wire;
--- a/src/test/java/sablehinge/gateway/config/operator/MutatedFileTest.java
+++ b/src/test/java/sablehinge/gateway/config/operator/MutatedFileTest.java
@@ -15,23 +15,23 @@
 import sablehinge.dataplane.proxy.Version;
 
 /**
- * The example, spoilt in thousands of ways by seed: each is refused with a place, or read without error into a
- * configuration that makes a version. Nothing else may come out, and never an exception.
+ * Parses thousands of seeded mutations of the example. Each must either be rejected with the position of the error or
+ * yield a configuration from which a version can be built; none may throw an exception.
  */
 class MutatedFileTest {
 
-    private static final int FILES = 2_000;
+    private static final int MUTATED_FILES = 2_000;
 
-    /** One way to spoil a file. */
+    /** One kind of mutation of a file. */
     private interface Mutation {
         byte[] apply(List<String> lines, SplittableRandom random);
     }
 
-    private static byte[] text(List<String> lines) {
+    private static byte[] joinLines(List<String> lines) {
         return String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static int setting(List<String> lines, SplittableRandom random) {
+    private static int randomSettingLine(List<String> lines, SplittableRandom random) {
         while (true) {
             int at = random.nextInt(lines.size());
             if (lines.get(at).matches("[a-z-]+ = .*")) {
@@ -40,33 +40,33 @@
         }
     }
 
-    private static byte[] value(List<String> lines, SplittableRandom random, String... values) {
-        int at = setting(lines, random);
+    private static byte[] replaceValue(List<String> lines, SplittableRandom random, String... values) {
+        int at = randomSettingLine(lines, random);
         String key = lines.get(at).split(" = ")[0];
         lines.set(at, key + " = " + values[random.nextInt(values.length)]);
-        return text(lines);
+        return joinLines(lines);
     }
 
-    /** Those of which every one must be refused. */
-    private static final Map<String, Mutation> BAD = new TreeMap<>(Map.of(
+    /** Mutations whose result must always be rejected. */
+    private static final Map<String, Mutation> ALWAYS_INVALID = new TreeMap<>(Map.of(
             "unknown key",
                     (lines, random) -> {
-                        int at = setting(lines, random);
+                        int at = randomSettingLine(lines, random);
                         String line = lines.get(at);
                         int cut = random.nextInt(line.indexOf(' ') + 1);
                         lines.set(at, line.substring(0, cut) + "q" + line.substring(cut));
-                        return text(lines);
+                        return joinLines(lines);
                     },
-            "wrong type", (lines, random) -> value(lines, random, "[[1]]", "{ a = 1 }", "1979-05-27", "[true]"),
+            "wrong type", (lines, random) -> replaceValue(lines, random, "[[1]]", "{ a = 1 }", "1979-05-27", "[true]"),
             "duplicate key",
                     (lines, random) -> {
-                        int at = setting(lines, random);
+                        int at = randomSettingLine(lines, random);
                         lines.add(at, lines.get(at));
-                        return text(lines);
+                        return joinLines(lines);
                     },
             "invalid UTF-8",
                     (lines, random) -> {
-                        byte[] bytes = text(lines);
+                        byte[] bytes = joinLines(lines);
                         bytes[random.nextInt(bytes.length)] = (byte) (0xf8 + random.nextInt(8));
                         return bytes;
                     },
@@ -77,22 +77,22 @@
                             at = random.nextInt(lines.size());
                         } while (!lines.get(at).startsWith("["));
                         lines.set(at, lines.get(at).substring(0, lines.get(at).length() - 1));
-                        return text(lines);
+                        return joinLines(lines);
                     },
             "unclosed text",
                     (lines, random) -> {
                         int at;
                         do {
-                            at = setting(lines, random);
+                            at = randomSettingLine(lines, random);
                         } while (!lines.get(at).matches("[a-z-]+ = \"[^\"]*\".*"));
                         lines.set(at, lines.get(at).replaceFirst("\" *(#.*)?$", ""));
-                        return text(lines);
+                        return joinLines(lines);
                     }));
 
-    /** Those that may happen to be harmless. */
-    private static final Map<String, Mutation> ANY = new TreeMap<>(Map.of(
+    /** Mutations whose result may still be valid. */
+    private static final Map<String, Mutation> POSSIBLY_VALID = new TreeMap<>(Map.of(
             "odd value",
-                    (lines, random) -> value(
+                    (lines, random) -> replaceValue(
                             lines,
                             random,
                             "0",
@@ -115,27 +115,27 @@
             "line lost",
                     (lines, random) -> {
                         lines.remove(random.nextInt(lines.size()));
-                        return text(lines);
+                        return joinLines(lines);
                     },
             "line twice",
                     (lines, random) -> {
                         lines.add(random.nextInt(lines.size()), lines.get(random.nextInt(lines.size())));
-                        return text(lines);
+                        return joinLines(lines);
                     },
             "lines swapped",
                     (lines, random) -> {
-                        int one = random.nextInt(lines.size());
-                        lines.set(one, lines.set(random.nextInt(lines.size()), lines.get(one)));
-                        return text(lines);
+                        int first = random.nextInt(lines.size());
+                        lines.set(first, lines.set(random.nextInt(lines.size()), lines.get(first)));
+                        return joinLines(lines);
                     },
             "cut short",
                     (lines, random) -> {
-                        byte[] bytes = text(lines);
+                        byte[] bytes = joinLines(lines);
                         return java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length));
                     },
             "byte changed",
                     (lines, random) -> {
-                        byte[] bytes = text(lines);
+                        byte[] bytes = joinLines(lines);
                         for (int i = random.nextInt(5); i >= 0; i--) {
                             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
                         }
@@ -146,44 +146,46 @@
                         lines.add(
                                 random.nextInt(lines.size()),
                                 "[{\"'".substring(random.nextInt(4)).repeat(random.nextInt(2_000)));
-                        return text(lines);
+                        return joinLines(lines);
                     }));
 
     @Test
-    void eachIsRefusedWithAPlaceOrHarmless() throws IOException {
+    void rejectsMutatedFilesWithPositionOrBuildsVersion() throws IOException {
         List<String> example = Files.readAllLines(OperatorFileTest.EXAMPLE);
         Map<String, int[]> counts = new TreeMap<>();
-        List<Map.Entry<String, Mutation>> all = new ArrayList<>(BAD.entrySet());
-        all.addAll(ANY.entrySet());
-        for (long seed = 0; seed < FILES; seed++) {
+        List<Map.Entry<String, Mutation>> all = new ArrayList<>(ALWAYS_INVALID.entrySet());
+        all.addAll(POSSIBLY_VALID.entrySet());
+        for (long seed = 0; seed < MUTATED_FILES; seed++) {
             Map.Entry<String, Mutation> mutation = all.get((int) (seed % all.size()));
             byte[] bytes = mutation.getValue().apply(new ArrayList<>(example), new SplittableRandom(seed));
-            String what = "seed " + seed + ", " + mutation.getKey();
+            String context = "seed " + seed + ", " + mutation.getKey();
             OperatorFile.Checked checked = OperatorFile.parse(bytes);
             int[] count = counts.computeIfAbsent(mutation.getKey(), name -> new int[2]);
             if (checked.config() == null) {
                 count[0]++;
-                assertTrue(!checked.problems().isEmpty(), what);
-                checked.problems().forEach(problem -> assertPlain(problem, what));
+                assertTrue(!checked.problems().isEmpty(), context);
+                checked.problems().forEach(problem -> assertOneLineWithPosition(problem, context));
             } else {
                 count[1]++;
-                assertEquals(List.of(), checked.problems(), what);
+                assertEquals(List.of(), checked.problems(), context);
                 List<String> zones = new ArrayList<>();
                 List<String> kinds = new ArrayList<>();
                 Version version = checked.config().version(1, zones, kinds);
                 checked.config().roster(1, zones, kinds);
-                assertTrue(!version.classes().isEmpty(), what);
+                assertTrue(!version.classes().isEmpty(), context);
             }
         }
-        counts.forEach((name, count) -> System.out.printf("%-15s refused %d, harmless %d%n", name, count[0], count[1]));
-        BAD.keySet().forEach(name -> assertEquals(0, counts.get(name)[1], name + " was let through"));
+        counts.forEach((name, count) -> System.out.printf("%-15s rejected %d, valid %d%n", name, count[0], count[1]));
+        ALWAYS_INVALID.keySet().forEach(name -> assertEquals(0, counts.get(name)[1], name + " was accepted"));
     }
 
-    /** One line, with a place unless it counts what is not shown, and nothing of the program's inside. */
-    private static void assertPlain(Problem problem, String what) {
+    /**
+     * Asserts that a message is one line without exception names, with a line number unless it counts omitted problems.
+     */
+    private static void assertOneLineWithPosition(Problem problem, String context) {
         String line = problem.in("f");
-        assertTrue(line.chars().noneMatch(Character::isISOControl), what + ": " + line);
-        assertTrue(line.length() < 1_000 && !line.contains("Exception"), what + ": " + line);
-        assertTrue(problem.line() > 0 || problem.message().startsWith("and "), what + ": " + line);
+        assertTrue(line.chars().noneMatch(Character::isISOControl), context + ": " + line);
+        assertTrue(line.length() < 1_000 && !line.contains("Exception"), context + ": " + line);
+        assertTrue(problem.line() > 0 || problem.message().startsWith("and "), context + ": " + line);
     }
 }
--- a/src/test/java/sablehinge/gateway/config/versions/VersionStoreTest.java
+++ b/src/test/java/sablehinge/gateway/config/versions/VersionStoreTest.java
@@ -18,111 +18,111 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is on disk after a death at any point, and with a disk that fails. */
+/** Tests the stored state after a crash or an I/O error at each disk operation. */
 class VersionStoreTest {
 
-    /** The process has died in the middle of a call. */
-    private static final class Death extends RuntimeException {
+    /** Simulates the end of the process within a disk operation. */
+    private static final class SimulatedCrash extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
     /**
-     * A disk that keeps only what was synced, and of the rest what chance lets through: a name may or may not have
-     * changed, content may be complete, torn, or none.
+     * A disk that guarantees only synced data after a crash. For the rest, a seeded random choice decides whether a
+     * name has changed and whether content is complete, torn or missing.
      */
     private static final class FailingDisk implements Disk {
-        /** What a crash leaves: content by name. */
+        /** Content by name that survives a crash. */
         Map<String, byte[]> durable = new HashMap<>();
-        /** What a process sees. */
-        Map<String, byte[]> seen = new HashMap<>();
-        /** Contents that were synced under their present names or names before. */
+        /** Content by name as the running process reads it. */
+        Map<String, byte[]> visible = new HashMap<>();
+        /** Contents that were synced, regardless of later renames. */
         final List<byte[]> synced = new ArrayList<>();
 
         int calls;
-        int dieAt = Integer.MAX_VALUE;
-        int failAt = Integer.MAX_VALUE;
+        int crashAtCall = Integer.MAX_VALUE;
+        int failAtCall = Integer.MAX_VALUE;
 
         private void step() throws IOException {
             calls++;
-            if (calls == dieAt) {
-                throw new Death();
+            if (calls == crashAtCall) {
+                throw new SimulatedCrash();
             }
-            if (calls == failAt) {
+            if (calls == failAtCall) {
                 throw new IOException("No space left on device");
             }
         }
 
-        /** The power goes: chance decides on each name that was not synced. */
+        /** Simulates a power loss: a random choice decides on each name that was not synced. */
         FailingDisk crash(SplittableRandom random) {
             FailingDisk after = new FailingDisk();
-            for (String name : names(seen, durable)) {
-                byte[] now = random.nextBoolean() ? seen.get(name) : durable.get(name);
-                if (now != null && synced.stream().noneMatch(content -> content == now)) {
-                    // Never synced: any part of it may be there, and the rest be zeros.
-                    byte[] torn = Arrays.copyOf(now, random.nextInt(now.length + 1));
+            for (String name : names(visible, durable)) {
+                byte[] content = random.nextBoolean() ? visible.get(name) : durable.get(name);
+                if (content != null && synced.stream().noneMatch(bytes -> bytes == content)) {
+                    // Never synced: any prefix may be present, and the rest may be zeros.
+                    byte[] torn = Arrays.copyOf(content, random.nextInt(content.length + 1));
                     if (random.nextBoolean()) {
-                        torn = Arrays.copyOf(torn, now.length);
+                        torn = Arrays.copyOf(torn, content.length);
                     }
                     after.durable.put(name, torn);
-                } else if (now != null) {
-                    after.durable.put(name, now);
+                } else if (content != null) {
+                    after.durable.put(name, content);
                 }
             }
             after.durable.values().forEach(after.synced::add);
-            after.seen = new HashMap<>(after.durable);
+            after.visible = new HashMap<>(after.durable);
             return after;
         }
 
-        private static List<String> names(Map<String, byte[]> one, Map<String, byte[]> other) {
-            List<String> names = new ArrayList<>(one.keySet());
-            other.keySet().stream().filter(name -> !one.containsKey(name)).forEach(names::add);
+        private static List<String> names(Map<String, byte[]> first, Map<String, byte[]> second) {
+            List<String> names = new ArrayList<>(first.keySet());
+            second.keySet().stream().filter(name -> !first.containsKey(name)).forEach(names::add);
             names.sort(null);
             return names;
         }
 
         @Override
         public List<String> names() {
-            return new ArrayList<>(seen.keySet());
+            return new ArrayList<>(visible.keySet());
         }
 
         @Override
         public byte[] read(String name) throws IOException {
-            if (!seen.containsKey(name)) {
-                throw new IOException(name + " is not there");
+            if (!visible.containsKey(name)) {
+                throw new IOException(name + " does not exist");
             }
-            return seen.get(name).clone();
+            return visible.get(name).clone();
         }
 
         @Override
         public void write(String name, byte[] bytes) throws IOException {
-            // Dies or fails with a part of it written.
-            seen.put(name, Arrays.copyOf(bytes, bytes.length / 2));
+            // Crashes or fails after half of the content was written.
+            visible.put(name, Arrays.copyOf(bytes, bytes.length / 2));
             step();
-            seen.put(name, bytes.clone());
+            visible.put(name, bytes.clone());
         }
 
         @Override
         public void sync(String name) throws IOException {
             step();
-            synced.add(seen.get(name));
+            synced.add(visible.get(name));
         }
 
         @Override
         public void rename(String from, String to) throws IOException {
             step();
-            seen.put(to, seen.remove(from));
+            visible.put(to, visible.remove(from));
         }
 
         @Override
         public void syncDirectory() throws IOException {
             step();
-            durable = new HashMap<>(seen);
+            durable = new HashMap<>(visible);
         }
 
         @Override
         public void delete(String name) throws IOException {
             step();
-            seen.remove(name);
+            visible.remove(name);
         }
     }
 
@@ -130,8 +130,8 @@
         return ("# version " + number + "\n" + "x".repeat(100)).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The story of a few changes; notes after each step what must now be true. */
-    private static void story(VersionStore store, List<Integer> confirmedAfter) throws IOException {
+    /** Runs a sequence of changes and records the confirmed version after each step. */
+    private static void runChanges(VersionStore store, List<Integer> confirmedAfter) throws IOException {
         for (int i = 1; i <= 4; i++) {
             int version = store.stage(content(i));
             confirmedAfter.add(store.confirmed());
@@ -147,126 +147,126 @@
     }
 
     @Test
-    void aDeathAtAnyCallLeavesTheOldStateOrTheNew() throws IOException {
+    void recoversOldOrNewStateAfterCrashAtAnyCall() throws IOException {
         FailingDisk complete = new FailingDisk();
-        story(new VersionStore(complete), new ArrayList<>());
+        runChanges(new VersionStore(complete), new ArrayList<>());
         int points = complete.calls;
         int recovered = 0;
         for (int point = 1; point <= points; point++) {
             for (long seed = 0; seed < 20; seed++) {
                 FailingDisk disk = new FailingDisk();
-                disk.dieAt = point;
+                disk.crashAtCall = point;
                 List<Integer> confirmedAfter = new ArrayList<>(List.of(0));
-                int tried = 0;
+                int crashedStep = 0;
                 try {
-                    story(new VersionStore(disk), confirmedAfter);
-                } catch (Death e) {
-                    tried = confirmedAfter.size();
+                    runChanges(new VersionStore(disk), confirmedAfter);
+                } catch (SimulatedCrash e) {
+                    crashedStep = confirmedAfter.size();
                 }
                 FailingDisk after = disk.crash(new SplittableRandom(seed));
-                VersionStore again = new VersionStore(after);
+                VersionStore reopened = new VersionStore(after);
                 int before = confirmedAfter.get(confirmedAfter.size() - 1);
-                // The step that died may be a confirmation, in which case the next version is as right.
-                boolean confirming = tried % 3 == 0 && tried != 9;
-                int next = before == 2 && tried > 9 ? 4 : before + 1;
+                // The interrupted step may be a confirmation, in which case the next version is also correct.
+                boolean confirming = crashedStep % 3 == 0 && crashedStep != 9;
+                int next = before == 2 && crashedStep > 9 ? 4 : before + 1;
                 assertTrue(
-                        again.confirmed() == before || confirming && again.confirmed() == next,
-                        "point " + point + " seed " + seed + ": " + again.confirmed() + " after " + before);
-                if (again.confirmed() != 0) {
-                    assertArrayEquals(content(again.confirmed()), again.content(again.confirmed()));
+                        reopened.confirmed() == before || confirming && reopened.confirmed() == next,
+                        "point " + point + " seed " + seed + ": " + reopened.confirmed() + " after " + before);
+                if (reopened.confirmed() != 0) {
+                    assertArrayEquals(content(reopened.confirmed()), reopened.content(reopened.confirmed()));
                 }
-                // And it goes on.
-                int version = again.stage(content(99));
-                assertTrue(version > again.confirmed());
-                again.confirm(version);
+                // The store accepts further changes.
+                int version = reopened.stage(content(99));
+                assertTrue(version > reopened.confirmed());
+                reopened.confirm(version);
                 assertArrayEquals(content(99), new VersionStore(after).content(version));
                 recovered++;
             }
         }
-        System.out.println("version store: " + points + " points of death, " + recovered + " crashes, all recovered");
+        System.out.println("version store: " + points + " crash points, " + recovered + " crashes, all recovered");
         assertTrue(points >= 40, points + " points");
     }
 
     @Test
-    void aDiskThatFailsAtAnyCallRefusesTheStepAndKeepsTheState() throws IOException {
+    void keepsStateWhenDiskFailsAtAnyCall() throws IOException {
         FailingDisk complete = new FailingDisk();
-        story(new VersionStore(complete), new ArrayList<>());
+        runChanges(new VersionStore(complete), new ArrayList<>());
         for (int point = 1; point <= complete.calls; point++) {
             FailingDisk disk = new FailingDisk();
-            disk.failAt = point;
+            disk.failAtCall = point;
             VersionStore store = new VersionStore(disk);
             List<Integer> confirmedAfter = new ArrayList<>(List.of(0));
-            IOException refused = assertThrows(IOException.class, () -> story(store, confirmedAfter));
-            assertTrue(refused.getMessage().contains("could not be written: No space left"), refused::getMessage);
+            IOException failure = assertThrows(IOException.class, () -> runChanges(store, confirmedAfter));
+            assertTrue(failure.getMessage().contains("could not be written: No space left"), failure::getMessage);
             assertEquals(confirmedAfter.get(confirmedAfter.size() - 1), store.confirmed());
-            disk.failAt = Integer.MAX_VALUE;
+            disk.failAtCall = Integer.MAX_VALUE;
             store.confirm(store.stage(content(50)));
-            VersionStore again = new VersionStore(disk);
-            assertEquals(store.confirmed(), again.confirmed());
-            assertArrayEquals(content(50), again.content(again.confirmed()));
+            VersionStore reopened = new VersionStore(disk);
+            assertEquals(store.confirmed(), reopened.confirmed());
+            assertArrayEquals(content(50), reopened.content(reopened.confirmed()));
         }
     }
 
     @Test
-    void whatWasOnTrialAtADeathIsTold() throws IOException {
+    void reportsInterruptedTrialAfterCrash() throws IOException {
         FailingDisk disk = new FailingDisk();
         VersionStore store = new VersionStore(disk);
         store.confirm(store.stage(content(1)));
         store.markOnTrial(store.stage(content(2)));
-        VersionStore again = new VersionStore(disk.crash(new SplittableRandom(1)));
-        assertEquals(1, again.confirmed());
-        assertEquals(2, again.interruptedTrial());
+        VersionStore reopened = new VersionStore(disk.crash(new SplittableRandom(1)));
+        assertEquals(1, reopened.confirmed());
+        assertEquals(2, reopened.interruptedTrial());
     }
 
     @Test
-    void damageIsToldAndNotServed(@TempDir Path folder) throws IOException {
-        try (VersionStore store = VersionStore.in(folder)) {
+    void rejectsDamagedFiles(@TempDir Path directory) throws IOException {
+        try (VersionStore store = VersionStore.in(directory)) {
             store.confirm(store.stage(content(1)));
         }
-        Path version = folder.resolve(VersionStore.name(1));
-        byte[] good = Files.readAllBytes(version);
-        byte[] bad = good.clone();
-        bad[5] ^= 1;
-        Files.write(version, bad);
-        try (VersionStore store = VersionStore.in(folder)) {
+        Path version = directory.resolve(VersionStore.name(1));
+        byte[] intact = Files.readAllBytes(version);
+        byte[] damaged = intact.clone();
+        damaged[5] ^= 1;
+        Files.write(version, damaged);
+        try (VersionStore store = VersionStore.in(directory)) {
             assertTrue(assertThrows(IOException.class, () -> store.content(1))
                     .getMessage()
                     .contains("damaged"));
         }
-        Files.write(version, good);
-        Path state = folder.resolve("state.json");
+        Files.write(version, intact);
+        Path state = directory.resolve("state.json");
         byte[] text = Files.readAllBytes(state);
         for (int at : new int[] {0, 30, 70, text.length - 2}) {
-            byte[] spoilt = text.clone();
-            spoilt[at] ^= 4;
-            Files.write(state, spoilt);
-            assertTrue(assertThrows(IOException.class, () -> VersionStore.in(folder))
+            byte[] damagedState = text.clone();
+            damagedState[at] ^= 4;
+            Files.write(state, damagedState);
+            assertTrue(assertThrows(IOException.class, () -> VersionStore.in(directory))
                     .getMessage()
                     .contains("damaged"));
         }
     }
 
     @Test
-    void oneProcessAtATimeHasADirectory(@TempDir Path folder) throws IOException {
-        try (VersionStore store = VersionStore.in(folder)) {
+    void locksDirectoryExclusively(@TempDir Path directory) throws IOException {
+        try (VersionStore store = VersionStore.in(directory)) {
             assertEquals(0, store.confirmed());
-            assertTrue(assertThrows(IOException.class, () -> VersionStore.in(folder))
+            assertTrue(assertThrows(IOException.class, () -> VersionStore.in(directory))
                     .getMessage()
                     .contains("in use"));
         }
-        VersionStore.in(folder).close();
+        VersionStore.in(directory).close();
     }
 
     @Test
-    void oldVersionsGoAndThePresentOneStays(@TempDir Path folder) throws IOException {
-        try (VersionStore store = VersionStore.in(folder)) {
+    void prunesOldVersionsButRetainsConfirmedVersion(@TempDir Path directory) throws IOException {
+        try (VersionStore store = VersionStore.in(directory)) {
             store.confirm(store.stage(content(1)));
             for (int i = 2; i <= 200; i++) {
                 store.stage(content(i));
             }
             assertArrayEquals(content(1), store.content(1));
             assertThrows(IOException.class, () -> store.content(2));
-            try (var files = Files.list(folder)) {
+            try (var files = Files.list(directory)) {
                 assertTrue(files.count() < 50);
             }
         }
--- a/src/test/java/sablehinge/gateway/settings/SettingsParserTest.java
+++ b/src/test/java/sablehinge/gateway/settings/SettingsParserTest.java
@@ -19,7 +19,7 @@
 
 public class SettingsParserTest {
 
-    /** A site of two classes; every setting that has no default. */
+    /** Settings with two request classes and every key that has no default. */
     public static final String COMPLETE = String.join(
             "\n",
             "position=4",
@@ -87,13 +87,13 @@
         return SettingsParser.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void assertRefused(String message, String text) {
+    private static void assertRejected(String message, String text) {
         MalformedInputException e = assertThrows(MalformedInputException.class, () -> parse(text));
         assertTrue(e.getMessage().contains(message), e.getMessage());
     }
 
     @Test
-    void everySettingLandsInItsPlace() {
+    void parsesCompleteSettings() {
         Settings settings = parse(COMPLETE);
         assertEquals(4, settings.position());
         assertEquals(9, settings.siblings());
@@ -110,14 +110,14 @@
     }
 
     @Test
-    void unknownKeysAreSkippedAndAbsentOnesTakeTheirDefault() {
+    void ignoresUnknownKeysAndAppliesDefaults() {
         Settings settings = parse(COMPLETE + "rules.brandNew=x\nprices.fleet=0.5\n");
         assertEquals(0, settings.classes().get(0).aimStretch());
         assertEquals(false, settings.passesDeadline());
     }
 
     @Test
-    void orderPlacementAndGoalsLandInTheirPlaces() {
+    void parsesOrderingPlacementAndGoals() {
         Settings settings = parse(COMPLETE
                 + String.join(
                         "\n",
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void withoutOrderAndPlacementAClassIsFree() {
+    void leavesClassUnrestrictedWithoutOrderingAndPlacement() {
         Settings settings = parse(COMPLETE);
         assertFalse(settings.classes().get(0).inOrder());
         assertTrue(settings.classes().get(0).admits(new Upstream(1, 7, 9, 0, State.READY, 1, 0)));
@@ -153,33 +153,33 @@
     }
 
     @Test
-    void aBadPlaceIsNamed() {
-        assertRefused("services.0.runsIn has the bad value", COMPLETE + "services.0.runsIn=0,north\n");
-        assertRefused("services.1.boundTo has the bad value", COMPLETE + "services.1.boundTo=-1\n");
-        assertRefused("services.0.byArrival has the bad value", COMPLETE + "services.0.byArrival=1\n");
-        assertRefused("rules.orderSettle has the bad value", COMPLETE + "rules.orderSettle=\n");
+    void rejectsInvalidPlacementWithKey() {
+        assertRejected("services.0.runsIn has the bad value", COMPLETE + "services.0.runsIn=0,north\n");
+        assertRejected("services.1.boundTo has the bad value", COMPLETE + "services.1.boundTo=-1\n");
+        assertRejected("services.0.byArrival has the bad value", COMPLETE + "services.0.byArrival=1\n");
+        assertRejected("rules.orderSettle has the bad value", COMPLETE + "rules.orderSettle=\n");
     }
 
     @Test
-    void aMissingSettingIsNamed() {
-        assertRefused("rules.drainGrace is missing", COMPLETE.replace("rules.drainGrace=500.0\n", ""));
-        assertRefused("services.count is missing", COMPLETE.replace("services.count=2\n", ""));
-        assertRefused("services.1.memorySpan is missing", COMPLETE.replace("services.1.memorySpan=3000.0\n", ""));
+    void rejectsMissingSettingWithKey() {
+        assertRejected("rules.drainGrace is missing", COMPLETE.replace("rules.drainGrace=500.0\n", ""));
+        assertRejected("services.count is missing", COMPLETE.replace("services.count=2\n", ""));
+        assertRejected("services.1.memorySpan is missing", COMPLETE.replace("services.1.memorySpan=3000.0\n", ""));
     }
 
     @Test
-    void aBadValueIsNamed() {
-        assertRefused("rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=soon"));
-        assertRefused("rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=NaN"));
-        assertRefused(
+    void rejectsInvalidValueWithKey() {
+        assertRejected("rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=soon"));
+        assertRejected("rules.warmUp has the bad value", COMPLETE.replace("warmUp=9000.0", "warmUp=NaN"));
+        assertRejected(
                 "services.0.idempotency has the bad value",
                 COMPLETE.replace("services.0.idempotency=idempotent", "services.0.idempotency=maybe"));
-        assertRefused("services.count has the bad value", COMPLETE.replace("services.count=2", "services.count=-1"));
-        assertRefused("settings line 1 is no path=value pair", "nonsense\n" + COMPLETE);
+        assertRejected("services.count has the bad value", COMPLETE.replace("services.count=2", "services.count=-1"));
+        assertRejected("settings line 1 is no path=value pair", "nonsense\n" + COMPLETE);
     }
 
     @Test
-    void settingsThatAreNotTextAreRefused() {
+    void rejectsInvalidUtf8() {
         assertThrows(MalformedInputException.class, () -> SettingsParser.parse(new byte[] {(byte) 0xc3, (byte) 0x28}));
     }
 }
--- a/src/test/java/sablehinge/gateway/wire/WireHostTest.java
+++ b/src/test/java/sablehinge/gateway/wire/WireHostTest.java
@@ -18,7 +18,7 @@
 import sablehinge.gateway.settings.SettingsParserTest;
 import sablehinge.policy.LoadBalancer;
 
-/** The wire, byte for byte: good frames, and what bad input gets. */
+/** Tests the simulator protocol byte by byte, with valid and malformed frames. */
 class WireHostTest {
 
     private static final int INSTANCE = 3;
@@ -45,7 +45,7 @@
         return all.toByteArray();
     }
 
-    /** A frame from records and a tail. */
+    /** Builds a frame from records and a tail. */
     private static byte[] frame(double clock, byte[] tail, byte[]... records) {
         byte[] header = new byte[WireHost.HEADER_BYTES];
         LittleEndian.putInt(header, 0, records.length * WireHost.RECORD_BYTES + tail.length);
@@ -77,7 +77,7 @@
         return entry;
     }
 
-    /** The opening frame: one instance, its settings, a list of one upstream. */
+    /** Builds the first frame: one instance, its settings and a list of one upstream. */
     private static byte[] opening() {
         byte[] text = settings("");
         byte[] provision = record(0, INSTANCE);
@@ -110,7 +110,7 @@
         return record;
     }
 
-    private static void assertRefused(String message, byte[] input) {
+    private static void assertRejected(String message, byte[] input) {
         Run run = run(input);
         assertEquals(1, run.status, run.err);
         assertTrue(run.err.contains(message), run.err);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() {
+    void repliesToEmptyBatchWithEmptyReply() {
         byte[] batch = HexFormat.of().parseHex("000000000000000000000000206ec040");
         Run run = run(batch);
         assertEquals(0, run.status);
@@ -127,25 +127,25 @@
     }
 
     @Test
-    void aRequestIsPlacedOnTheListedUpstream() {
+    void sendsRequestToListedUpstream() {
         Run run = run(concat(opening(), frame(10_005, new byte[0], incoming(0xfa3135d3a91c4L))));
         assertEquals(0, run.status, run.err);
         byte[] reply = run.out;
-        // An empty reply to the opening, then one record: place, instance, request, upstream, timeout.
+        // An empty reply to the first frame, then one record: action code, instance, request, upstream, timeout.
         assertEquals(8 + 8 + 32, reply.length);
         assertEquals(32, LittleEndian.getInt(reply, 8));
         assertEquals(1, LittleEndian.getInt(reply, 12));
         assertEquals(
                 "03" + "03000000" + "c4913a5d13a30f00" + "0a124a072b23",
                 HexFormat.of().formatHex(reply, 16, 35));
-        // Nothing seen yet: twice three times the first guess of a fifth of the aim of 500 ms.
+        // Without samples: 2 * 3 * the initial latency estimate, which is a fifth of the 500 ms aim.
         assertEquals(600, LittleEndian.getDouble(reply, 35), 1e-9);
         assertEquals("0000000000", HexFormat.of().formatHex(reply, 43, 48));
     }
 
     @Test
-    void aReplyOfManyRecordsKeepsEveryOneWhole() {
-        // More finals than fit the writer's first buffer: an id written before it grew must not get lost.
+    void preservesAllRecordsWhenReplyBufferGrows() {
+        // More failures than fit into the writer's initial buffer: ids written before it grows must not get lost.
         byte[][] requests = new byte[1_500][];
         byte[][] failures = new byte[requests.length][];
         for (int i = 0; i < requests.length; i++) {
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void aFailureOfTheDecisionCodeBecomesTheFaultAction() throws IOException {
+    void reportsExceptionOfDecisionCodeAsFaultAction() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         LoadBalancer broken = (LoadBalancer) Proxy.newProxyInstance(
                 LoadBalancer.class.getClassLoader(),
@@ -175,19 +175,19 @@
                     return null;
                 });
         WireHost host = new WireHost(actions -> broken);
-        byte[] ring = frame(10_001, new byte[0], record(6, INSTANCE));
-        host.serve(new ByteArrayInputStream(concat(opening(), ring)), out);
+        byte[] timer = frame(10_001, new byte[0], record(6, INSTANCE));
+        host.serve(new ByteArrayInputStream(concat(opening(), timer)), out);
         byte[] reply = out.toByteArray();
         assertEquals(4, reply[16]);
         assertTrue(new String(reply, 48, reply.length - 48, StandardCharsets.UTF_8).contains("broken on purpose"));
     }
 
     @Test
-    void oddButLegalEventsAreQuiet() {
-        byte[] gone = record(5, INSTANCE);
-        LittleEndian.putLong(gone, 5, 99);
-        byte[] ring = record(6, INSTANCE);
-        LittleEndian.putLong(ring, 5, 12345);
+    void acceptsUnusualButValidEvents() {
+        byte[] clientGone = record(5, INSTANCE);
+        LittleEndian.putLong(clientGone, 5, 99);
+        byte[] timer = record(6, INSTANCE);
+        LittleEndian.putLong(timer, 5, 12345);
         byte[] probed = record(7, INSTANCE);
         probed[11] = 10;
         byte[] headers = record(3, INSTANCE);
@@ -195,56 +195,56 @@
         byte[] message = record(8, INSTANCE);
         byte[] failed = record(1, INSTANCE);
         failed[5] = 3;
-        byte[] late = incoming(5);
-        LittleEndian.putDouble(late, 24, 9_000);
+        byte[] expired = incoming(5);
+        LittleEndian.putDouble(expired, 24, 9_000);
         Run run = run(concat(
                 opening(),
-                frame(10_005, new byte[0], gone, ring, probed, headers, message, finished(97, 40), late),
+                frame(10_005, new byte[0], clientGone, timer, probed, headers, message, finished(97, 40), expired),
                 frame(10_010, new byte[0], record(9, INSTANCE))));
         assertEquals(0, run.status, run.err);
-        // Only the request whose deadline has passed is answered: refused.
+        // The only action refuses the request whose deadline has passed.
         assertEquals(8 + 8 + 32 + 8, run.out.length);
         assertEquals(0, run.out[16]);
     }
 
     @Test
-    void badFramesEndTheRunWithAMessage() {
+    void exitsWithMessageOnMalformedFrame() {
         byte[] none = new byte[0];
-        assertRefused("inside the header", new byte[5]);
-        assertRefused("input ends after", Arrays.copyOf(opening(), 60));
+        assertRejected("inside the header", new byte[5]);
+        assertRejected("input ends after", Arrays.copyOf(opening(), 60));
         byte[] records = new byte[WireHost.HEADER_BYTES];
         LittleEndian.putInt(records, 4, 7);
-        assertRefused("7 records do not fit", records);
+        assertRejected("7 records do not fit", records);
         byte[] huge = new byte[WireHost.HEADER_BYTES];
         LittleEndian.putInt(huge, 0, -1);
-        assertRefused("over the limit", huge);
-        assertRefused("clock NaN", frame(Double.NaN, none));
-        assertRefused("clock 1.0 after 2.0", concat(frame(2, none), frame(1, none)));
+        assertRejected("over the limit", huge);
+        assertRejected("clock NaN", frame(Double.NaN, none));
+        assertRejected("clock 1.0 after 2.0", concat(frame(2, none), frame(1, none)));
     }
 
     @Test
-    void badRecordsEndTheRunWithAMessage() {
+    void exitsWithMessageOnMalformedRecord() {
         byte[] none = new byte[0];
-        assertRefused("unknown event code 11", concat(opening(), frame(10_001, none, record(11, INSTANCE))));
-        assertRefused("unknown instance 4", concat(opening(), frame(10_001, none, record(6, 4))));
+        assertRejected("unknown event code 11", concat(opening(), frame(10_001, none, record(11, INSTANCE))));
+        assertRejected("unknown instance 4", concat(opening(), frame(10_001, none, record(6, 4))));
         byte[] number = record(10, 0);
         LittleEndian.putShort(number, 1, 16);
-        assertRefused("list number 16", frame(1, none, number));
-        byte[] never = record(1, INSTANCE);
-        LittleEndian.putShort(never, 10, 5);
-        assertRefused("list 5 was never given", concat(opening(), frame(10_001, none, never)));
+        assertRejected("list number 16", frame(1, none, number));
+        byte[] unknownList = record(1, INSTANCE);
+        LittleEndian.putShort(unknownList, 10, 5);
+        assertRejected("list 5 was never given", concat(opening(), frame(10_001, none, unknownList)));
         byte[] offset = record(10, 0);
         LittleEndian.putInt(offset, 3, 4);
         LittleEndian.putInt(offset, 7, 1);
-        assertRefused("leaves the tail", frame(1, entry(UPSTREAM), offset));
-        assertRefused("unknown outcome 11", concat(opening(), frame(10_001, none, finished(1, 11))));
+        assertRejected("leaves the tail", frame(1, entry(UPSTREAM), offset));
+        assertRejected("unknown outcome 11", concat(opening(), frame(10_001, none, finished(1, 11))));
         byte[] serviceClass = incoming(1);
         serviceClass[13] = 9;
-        assertRefused("unknown class 9", concat(opening(), frame(10_001, none, serviceClass)));
+        assertRejected("unknown class 9", concat(opening(), frame(10_001, none, serviceClass)));
     }
 
     @Test
-    void anotherCommandLineGetsUsage() {
+    void printsUsageOnInvalidArguments() {
         Run run = run(new byte[0], "serve");
         assertEquals(2, run.status);
         assertTrue(run.err.startsWith("usage: "));
@@ -252,29 +252,29 @@
     }
 
     @Test
-    void mutatedFramesEndInAReplyOrAPlainMessage() throws IOException {
-        byte[] good = concat(
+    void repliesToMutatedFramesOrExitsWithOneLineMessage() throws IOException {
+        byte[] valid = concat(
                 opening(),
                 frame(10_005, new byte[0], incoming(1), incoming(2)),
                 frame(10_025, new byte[0], finished(1, 10), finished(2, 20)));
         SplittableRandom random = new SplittableRandom(20261128);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 4_000; i++) {
-            byte[] bad = good.clone();
+            byte[] mutated = valid.clone();
             for (int flips = random.nextInt(1, 4); flips > 0; flips--) {
-                bad[random.nextInt(bad.length)] = (byte) random.nextInt();
+                mutated[random.nextInt(mutated.length)] = (byte) random.nextInt();
             }
-            byte[] input = random.nextInt(4) == 0 ? Arrays.copyOf(bad, random.nextInt(bad.length)) : bad;
+            byte[] input = random.nextInt(4) == 0 ? Arrays.copyOf(mutated, random.nextInt(mutated.length)) : mutated;
             Run run = run(input);
             assertTrue(run.status == 0 || run.status == 1);
             if (run.status == 1) {
-                refused++;
+                rejected++;
                 assertTrue(run.err.startsWith("sablehinge: "), run.err);
                 assertFalse(run.err.contains("\tat "), run.err);
             } else {
                 assertEquals("", run.err);
             }
         }
-        assertTrue(refused > 500, refused + " refused");
+        assertTrue(rejected > 500, rejected + " rejected");
     }
 }
