--- a/src/main/java/sablehinge/gateway/config/operator/AdminSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/AdminSection.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import sablehinge.gateway.config.operator.OperatorConfig.AdminPart;
 
-/** Reads where operators reach the balancer. */
+/** Reads the addresses of the admin listener. */
 final class AdminSection {
 
     private AdminSection() {}
@@ -17,7 +17,7 @@
         if (listen != null && admin.tokenFile() == null) {
             s.problem("token-file", "is missing, expected the file of the token that listen asks for");
         }
-        s.end();
+        s.reportUnknownKeys();
         return admin;
     }
 }
