--- a/bench/src/sablehinge/controlplane/node/CutControlNode.java
+++ b/bench/src/sablehinge/controlplane/node/CutControlNode.java
@@ -40,7 +40,7 @@
                 () -> RaftStore.open(Path.of(settings.dataDir())),
                 new Connection.Observer() {
                     @Override
-                    public void connects(Channel channel, InetSocketAddress to) {
+                    public void beforeConnect(Channel channel, InetSocketAddress to) {
                         cut.over(channel, to);
                     }
                 });
--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -97,7 +97,7 @@
             }
 
             @Override
-            public void connects(Channel channel, InetSocketAddress to) {
+            public void beforeConnect(Channel channel, InetSocketAddress to) {
                 regions.over(channel, to);
             }
         };
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -83,7 +83,7 @@
             new Mutant(
                     "whatever answer comes is the one",
                     DIALECT,
-                    "public boolean answers(",
+                    "public boolean isResponseTo(",
                     "sentTryId == null || given == null || sentTryId.equals(given)",
                     "true"),
             new Mutant(
@@ -101,7 +101,7 @@
             new Mutant(
                     "an answer that names no request is the one",
                     DIALECT,
-                    "public boolean isNamed(",
+                    "public boolean identifiesRequest(",
                     "answer.headers().contains(MeshHeaders.TRY)",
                     "true"),
             new Mutant(
@@ -125,7 +125,7 @@
             new Mutant(
                     "every answer of our own proves that nothing ran",
                     "dataplane/sidecar/InboundFront",
-                    "public void dress(",
+                    "public void setHeaders(",
                     "answer == null || answer.kind() == Answer.Kind.REFUSED",
                     "answer == null || answer.kind() != Answer.Kind.SERVED"),
             new Mutant(
@@ -161,19 +161,19 @@
             new Mutant(
                     "whatever answer comes is the one",
                     DIALECT,
-                    "public boolean answers(",
+                    "public boolean isResponseTo(",
                     "sentTryId == null || given == null || sentTryId.equals(given)",
                     "true"),
             new Mutant(
                     "an answer that names no request is the one",
                     DIALECT,
-                    "public boolean isNamed(",
+                    "public boolean identifiesRequest(",
                     "answer.headers().contains(MeshHeaders.TRY)",
                     "true"),
             new Mutant(
                     "another upstream is named",
                     DIALECT,
-                    "public void dress(",
+                    "public void setHeaders(",
                     "headers.set(MeshHeaders.DELIVER, to.name());",
                     "headers.set(MeshHeaders.DELIVER, \"i-0\");"),
             new Mutant(
--- a/bench/src/sablehinge/torture/World.java
+++ b/bench/src/sablehinge/torture/World.java
@@ -205,7 +205,7 @@
     /** Has the recorder run, and its watch look at each of its ticks. */
     void watch() {
         recorder = new FlightRecorder(new Ring(1 << 16), () -> (long) (net.now() * 1e6));
-        sockets.trace(recorder);
+        sockets.setTracer(recorder);
         core.setTracer(recorder);
         Watch watch = new Watch(new Watch.Terms(50, 500, 250, 1_000, 5_000, 0));
         Vitals seen = new LoopVitals(core, sockets, () -> List.of(front), memory::used);
@@ -371,7 +371,7 @@
     private void befalls(Event event, Dice own) {
         switch (event) {
             case SETTINGS -> {
-                front.takesLate(3_000);
+                front.acceptPreviousVersion(3_000);
                 core.adopt(version(2), roster(true));
                 net.later(6_000, () -> core.release(1));
             }
@@ -514,7 +514,7 @@
             }
         }
         equal("callers", front.callers(), 0);
-        equal("bytes kept", front.keptBytes(), 0);
+        equal("bytes kept", front.reservedBytes(), 0);
         equal("requests", core.requests(), 0);
         equal("connections", sockets.open(), 0);
         equal("bytes of buffers", memory.used(), 0);
--- a/src/main/java/sablehinge/cli/LocalBalancers.java
+++ b/src/main/java/sablehinge/cli/LocalBalancers.java
@@ -68,7 +68,7 @@
         this.record = record;
         this.module = module;
         // The fleet logs their faults; a line for each balancer that serves would drown those.
-        Logging.quiet(Level.WARN);
+        Logging.setMinimumLevel(Level.WARN);
     }
 
     @Override
--- a/src/main/java/sablehinge/common/logging/LogTerms.java
+++ b/src/main/java/sablehinge/common/logging/LogTerms.java
@@ -38,7 +38,7 @@
             "sidecar", "sablehinge.dataplane.sidecar");
 
     /** Where the settings have none, as on the platform. */
-    public static final LogTerms USUAL = new LogTerms(Format.TEXT, Level.INFO, Map.of(), 10);
+    public static final LogTerms DEFAULT = new LogTerms(Format.TEXT, Level.INFO, Map.of(), 10);
 
     /** Where the mesh's daemons say nothing else: a line of pairs an event. */
     public static final LogTerms MESH = new LogTerms(Format.PAIRS, Level.INFO, Map.of(), 60);
--- a/src/main/java/sablehinge/common/logging/Logging.java
+++ b/src/main/java/sablehinge/common/logging/Logging.java
@@ -30,7 +30,7 @@
 
     @Override
     public ExecutionStatus configure(LoggerContext loggers) {
-        install(loggers, LogTerms.USUAL);
+        install(loggers, LogTerms.DEFAULT);
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** Says nothing below a level of the program itself any more: for those who start many of it in one. */
-    public static void quiet(org.slf4j.event.Level least) {
+    public static void setMinimumLevel(org.slf4j.event.Level least) {
         ((Logger) LoggerFactory.getLogger("sablehinge")).setLevel(level(least));
     }
 
--- a/src/main/java/sablehinge/common/rpc/Connection.java
+++ b/src/main/java/sablehinge/common/rpc/Connection.java
@@ -54,7 +54,7 @@
         default void received(Frame.Kind kind, int bytes) {}
 
         /** A connection is about to be made; handlers may still be put before its others. */
-        default void connects(Channel channel, InetSocketAddress to) {}
+        default void beforeConnect(Channel channel, InetSocketAddress to) {}
     }
 
     /** The events of one end of a connection. */
@@ -127,7 +127,7 @@
         Channel channel = connect.channel();
         Link link = new Link(channel, handler);
         equip(channel, link);
-        observer.connects(channel, address);
+        observer.beforeConnect(channel, address);
         channel.connect(address).addListener(up -> {
             if (!up.isSuccess()) {
                 link.end();
--- a/src/main/java/sablehinge/common/settings/LocalSettings.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettings.java
@@ -115,7 +115,7 @@
     }
 
     /** Whether a part of the rules is in force. */
-    public boolean inForce(String contract) {
+    public boolean isContractEnabled(String contract) {
         return contracts.contains(contract);
     }
 
--- a/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
+++ b/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
@@ -41,7 +41,7 @@
     }
 
     /** The same, which may be put off for so many ms from the time at which its request came. */
-    public BadRequestException heldFor(double millis) {
+    public BadRequestException withMaxWait(double millis) {
         return new BadRequestException(status, getMessage(), last, retryAfter, millis);
     }
 
--- a/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
@@ -131,9 +131,9 @@
     }
 
     /** Shows a watch what passes through, and what is not written out. */
-    void passages(Consumer<MonitoredRelay> each) {
-        responses.passages(each);
-        receiver.passages(each);
+    void forEachRelay(Consumer<MonitoredRelay> each) {
+        responses.forEachRelay(each);
+        receiver.forEachRelay(each);
     }
 
     /** Closes it if it is idle: a request that lies unread in the kernel would be lost with it. */
@@ -163,7 +163,7 @@
 
     private double idleTimeoutMs() {
         FrontTerms terms = context.dialect.terms();
-        return answered > 0 ? terms.idleMs() : terms.firstRequestTimeoutMs();
+        return answered > 0 ? terms.idleTimeoutMs() : terms.firstRequestTimeoutMs();
     }
 
     private void endSlowRequest() {
--- a/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
@@ -58,11 +58,11 @@
      * @param version null where the request was not read
      * @param request that it answers; null where none could be read
      */
-    void dress(HttpResponse response, Answer answer, Version version, HttpRequest request);
+    void setHeaders(HttpResponse response, Answer answer, Version version, HttpRequest request);
 
     /** Switches on the headers of budgets, where there are any. */
-    default void budgets(HeaderText text) {}
+    default void enableBudgets(HeaderText text) {}
 
     /** Lets requests be read by the version that is about to be replaced until the given time. */
-    default void takesLate(double until) {}
+    default void acceptPreviousVersion(double until) {}
 }
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -136,8 +136,8 @@
     }
 
     /** Switches on the headers of budgets. */
-    public void budgets(HeaderText text) {
-        context.dialect.budgets(text);
+    public void enableBudgets(HeaderText text) {
+        context.dialect.enableBudgets(text);
     }
 
     /** Where it listens. */
@@ -151,8 +151,8 @@
     }
 
     /** Bytes that are reserved for bodies of more than 64 KiB, at work or still coming. */
-    public int keptBytes() {
-        return context.keptBytes;
+    public int reservedBytes() {
+        return context.reservedBytes;
     }
 
     /** How many requests wait for an update. */
@@ -172,7 +172,7 @@
     }
 
     /** Connections on which something is at work. */
-    public int busy() {
+    public int busyConnections() {
         int busy = 0;
         for (CallerConnection connection : context.connections) {
             busy += connection.isIdle() ? 0 : 1;
@@ -181,8 +181,8 @@
     }
 
     /** Each body that passes through, and each answer that is not written out. */
-    public void passages(Consumer<MonitoredRelay> each) {
-        context.connections.forEach(connection -> connection.passages(each));
+    public void forEachRelay(Consumer<MonitoredRelay> each) {
+        context.connections.forEach(connection -> connection.forEachRelay(each));
     }
 
     /** From now on every answer asks its caller to leave. */
@@ -210,8 +210,8 @@
      * Before another version is taken: for so many ms a request that the new one can't take may still be read as one of
      * the present one, by which its caller has sent it.
      */
-    public void takesLate(long millis) {
-        context.dialect.takesLate(context.core.now() + millis);
+    public void acceptPreviousVersion(long millis) {
+        context.dialect.acceptPreviousVersion(context.core.now() + millis);
     }
 
     /** Ends what has taken too long by the given time. */
@@ -239,7 +239,7 @@
     }
 
     /** Takes a retirement back; false if it lets in nobody any more. */
-    public boolean stay() {
+    public boolean cancelRetirement() {
         if (!context.listening.isOpen()) {
             return false;
         }
--- a/src/main/java/sablehinge/dataplane/http1/FrontendContext.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontendContext.java
@@ -40,7 +40,7 @@
     /** The requests that came meanwhile. */
     final LateRequestLog lateRequests = new LateRequestLog();
     /** Bytes that are reserved for bodies of more than {@link UpstreamClient#MAX_BODY}. */
-    int keptBytes;
+    int reservedBytes;
     /** Bodies that a sweep had to wake. */
     long wokenBodies;
     /** Requests that wait for a configuration. */
--- a/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void dress(HttpResponse response, Answer answer, Version version, HttpRequest request) {
+    public void setHeaders(HttpResponse response, Answer answer, Version version, HttpRequest request) {
         if (answer != null && answer.spent() != null && budgets != null) {
             response.headers().set(UpstreamClient.SPENT, budgets.write(answer.spent()));
         }
@@ -109,12 +109,12 @@
     }
 
     @Override
-    public void budgets(HeaderText text) {
+    public void enableBudgets(HeaderText text) {
         budgets = text;
     }
 
     @Override
-    public void takesLate(double until) {
+    public void acceptPreviousVersion(double until) {
         late = check();
         lateUntil = until;
     }
--- a/src/main/java/sablehinge/dataplane/http1/PlatformUpstream.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformUpstream.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public void dress(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget) {
+    public void setHeaders(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget) {
         sent.headers().set("Host", to.address().getHostString());
         for (String name : PASSED_ON) {
             String value = given.headers().get(name);
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public boolean passable(HttpResponse answer) {
+    public boolean canRelay(HttpResponse answer) {
         return answer.status().code() == 200;
     }
 
@@ -63,21 +63,21 @@
     }
 
     @Override
-    public double[] report(HttpMessage answer, Settings settings) {
+    public double[] loadReport(HttpMessage answer, Settings settings) {
         return settings.reports() != Reports.PIGGYBACK
                 ? null
                 : LoadReport.parse(answer.headers().get("X-Pressure"), settings.reportFields());
     }
 
     @Override
-    public Report spent(HttpMessage answer) {
+    public Report budgetReport(HttpMessage answer) {
         return budgets == null
                 ? null
                 : budgets.readReport(answer.headers().get(UpstreamClient.SPENT)).value();
     }
 
     @Override
-    public void budgets(HeaderText text) {
+    public void enableBudgets(HeaderText text) {
         budgets = text;
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/RequestAssembler.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestAssembler.java
@@ -11,8 +11,8 @@
 
 /**
  * The request that is coming in on a caller's connection: its head, and its body as long as that is kept. A body of
- * more than {@link UpstreamClient#MAX_BODY} is kept only while {@link FrontTerms#keptInAll} bytes suffice for all
- * connections; its owner has to give the reservation back by {@link #releaseReservation}.
+ * more than {@link UpstreamClient#MAX_BODY} is kept only while {@link FrontTerms#maxBufferedBytes} bytes suffice for
+ * all connections; its owner has to give the reservation back by {@link #releaseReservation}.
  */
 final class RequestAssembler {
 
@@ -51,12 +51,12 @@
         int size = body.readableBytes() + part.readableBytes();
         if (size > UpstreamClient.MAX_BODY
                 && reserved == 0
-                && size <= terms.keptBytes()
-                && HttpUtil.getContentLength(head, 0L) <= terms.keptBytes()
-                && context.keptBytes + terms.keptBytes() <= terms.keptInAll()) {
-            reserved = terms.keptBytes();
-            context.keptBytes += reserved;
-            context.sockets.tracer().note(TraceEvent.KEPT, connection, 0, context.keptBytes);
+                && size <= terms.maxBufferedBodyBytes()
+                && HttpUtil.getContentLength(head, 0L) <= terms.maxBufferedBodyBytes()
+                && context.reservedBytes + terms.maxBufferedBodyBytes() <= terms.maxBufferedBytes()) {
+            reserved = terms.maxBufferedBodyBytes();
+            context.reservedBytes += reserved;
+            context.sockets.tracer().note(TraceEvent.KEPT, connection, 0, context.reservedBytes);
         }
         if (size > (reserved > 0 ? reserved : UpstreamClient.MAX_BODY)) {
             return false;
@@ -64,7 +64,7 @@
         if (part.isReadable()) {
             if (body == Unpooled.EMPTY_BUFFER) {
                 body = context.memory.buffer(
-                        part.readableBytes(), Math.max(terms.keptBytes(), UpstreamClient.MAX_BODY));
+                        part.readableBytes(), Math.max(terms.maxBufferedBodyBytes(), UpstreamClient.MAX_BODY));
             }
             body.writeBytes(part);
         }
@@ -104,7 +104,7 @@
 
     /** The request whose body was kept is answered, or gone. */
     void releaseReservation() {
-        context.keptBytes -= reserved;
+        context.reservedBytes -= reserved;
         reserved = 0;
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
@@ -83,7 +83,7 @@
         // One that is not read from now is not to blame.
         return (!connection.current().isAtWork() || requestRelay != null)
                 && channel.config().isAutoRead()
-                && age > terms.requestMs() + bytesReceived / terms.bytesPerMs();
+                && age > terms.requestTimeoutMs() + bytesReceived / terms.bytesPerMs();
     }
 
     /** Drops bytes that come after the last answer. */
@@ -265,7 +265,7 @@
     }
 
     /** Shows a watch the body that is sent on while it comes. */
-    void passages(Consumer<MonitoredRelay> each) {
+    void forEachRelay(Consumer<MonitoredRelay> each) {
         if (requestRelay != null && requestRelay.isTaken()) {
             each.accept(requestRelay);
         }
--- a/src/main/java/sablehinge/dataplane/http1/ResponseWriter.java
+++ b/src/main/java/sablehinge/dataplane/http1/ResponseWriter.java
@@ -110,7 +110,7 @@
     }
 
     /** Shows a watch what is being written. */
-    void passages(Consumer<MonitoredRelay> each) {
+    void forEachRelay(Consumer<MonitoredRelay> each) {
         if (responseRelay != null) {
             each.accept(responseRelay);
         } else if (unwrittenAnswers > 0) {
@@ -152,7 +152,7 @@
 
     private void setHeaders(HttpResponse response, Answer answer) {
         HttpRequest request = connection.current().request();
-        context.dialect.dress(response, answer, connection.current().version(), request);
+        context.dialect.setHeaders(response, answer, connection.current().version(), request);
         boolean wantsMore = request != null && HttpUtil.isKeepAlive(request);
         closing |= !wantsMore || context.draining && !connection.staysWhileDraining();
         if (closing) {
--- a/src/main/java/sablehinge/dataplane/http1/Sockets.java
+++ b/src/main/java/sablehinge/dataplane/http1/Sockets.java
@@ -44,7 +44,7 @@
     public Sockets(int descriptors, SocketKind kind) {
         this.descriptors = descriptors;
         this.kind = kind;
-        share(1);
+        setProcessCount(1);
     }
 
     /** What its sockets are. */
@@ -53,7 +53,7 @@
     }
 
     /** Sets the tracer of connections that are made from now on. */
-    public void trace(Tracer listener) {
+    public void setTracer(Tracer listener) {
         tracer = listener;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Counts against the part of the descriptors that each of so many processes has. */
-    public void share(int processes) {
+    public void setProcessCount(int processes) {
         limit = Math.max(CALLERS_SHARE, descriptors / processes - OF_THE_PROCESS);
     }
 
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -177,7 +177,7 @@
             channel.write(copy).addListener(this::onPartWritten);
             if (!ended) {
                 lastProgressAt = now;
-                stallTimeoutMs = Math.min(context.dialect.terms().stuckMs(), progress.requestTimeMs());
+                stallTimeoutMs = Math.min(context.dialect.terms().bodyStallTimeoutMs(), progress.requestTimeMs());
                 scheduleProgressCheck(now);
                 passing.body().attach(this);
             }
@@ -194,7 +194,7 @@
     }
 
     private void setHeaders(HttpRequest copy, double now) {
-        context.dialect.dress(copy, request, target.member, until - now, budget);
+        context.dialect.setHeaders(copy, request, target.member, until - now, budget);
     }
 
     /** Writes the last of the request. */
@@ -314,7 +314,7 @@
     }
 
     void connectionEnded() {
-        if (context.dialect.terms().wary()) {
+        if (context.dialect.terms().mayVanishSilently()) {
             // Its process or its machine may be another one by now, which knows nothing of the others.
             target.closeIdle();
         }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
@@ -75,8 +75,8 @@
     }
 
     /** Switches on the headers of budgets. */
-    public void budgets(HeaderText text) {
-        context.dialect.budgets(text);
+    public void enableBudgets(HeaderText text) {
+        context.dialect.enableBudgets(text);
     }
 
     /** When the last attempt began to be written, ms of the clock; NaN before the first one. */
@@ -95,7 +95,7 @@
         settings = version.settings();
         if (before == null
                 || before.limits().connectionIdle() != settings.limits().connectionIdle()) {
-            trustYoung(context.dialect.terms().youngMs());
+            trustYoung(context.dialect.terms().maxIdleForUnsafeMs());
         }
     }
 
@@ -139,7 +139,7 @@
         if (target != null && Double.isNaN(target.drainingSince)) {
             target.drainingSince = now;
             target.closeIdle();
-            if (context.dialect.terms().wary()) {
+            if (context.dialect.terms().mayVanishSilently()) {
                 // It may be gone without a word: what has not been sent goes elsewhere once the module knows.
                 context.loop.execute(
                         () -> List.copyOf(target.waiting).forEach(attempt -> attempt.giveUp(Event.NO_CONNECTION)));
@@ -175,12 +175,12 @@
             return AttemptResult.without(result);
         }
         HttpMessage head = Payloads.head(payload);
-        boolean notified = result == Result.OK || result == Result.ERROR && context.dialect.keeps(head);
+        boolean notified = result == Result.OK || result == Result.ERROR && context.dialect.forwardsFailure(head);
         return new AttemptResult(
                 result,
                 notified ? payload : Payload.NONE,
-                context.dialect.report(head, settings),
-                context.dialect.spent(head));
+                context.dialect.loadReport(head, settings),
+                context.dialect.budgetReport(head));
     }
 
     /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
@@ -234,7 +234,7 @@
     }
 
     /** Tells whether a connection to an address comes up within so many ms, and closes it. */
-    public void reach(InetSocketAddress address, int connectTimeoutMs, Consumer<Boolean> end) {
+    public void checkReachable(InetSocketAddress address, int connectTimeoutMs, Consumer<Boolean> end) {
         if (!context.sockets.roomForUpstream(context.clock.now())) {
             end.accept(false);
             return;
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamConnection.java
@@ -143,15 +143,15 @@
         if (attempt != null
                 && head != null
                 && !responseStartReported
-                && context.dialect.passable(head)
-                && context.dialect.answers(attempt.request, head)) {
+                && context.dialect.canRelay(head)
+                && context.dialect.isResponseTo(attempt.request, head)) {
             responseStartReported = true;
             attempt.onResponseStart();
         }
         if (answerStarted && (attempt != null || relay != null) && stallCheck == null) {
             progressed = false;
             stallCheck = context.loop.schedule(
-                    this::checkProgress, context.dialect.terms().stallMs(), TimeUnit.MILLISECONDS);
+                    this::checkProgress, context.dialect.terms().responseStallTimeoutMs(), TimeUnit.MILLISECONDS);
         }
         if (relay != null) {
             relay.flush();
@@ -172,7 +172,7 @@
         } else {
             progressed = false;
             stallCheck = context.loop.schedule(
-                    this::checkProgress, context.dialect.terms().stallMs(), TimeUnit.MILLISECONDS);
+                    this::checkProgress, context.dialect.terms().responseStallTimeoutMs(), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -241,8 +241,8 @@
                 || relayed.ended
                 || !relayed.isComplete()
                 || !channel.isActive()
-                || !context.dialect.passable(head)
-                || !context.dialect.answers(relayed.request, head)) {
+                || !context.dialect.canRelay(head)
+                || !context.dialect.isResponseTo(relayed.request, head)) {
             failMalformed();
             return;
         }
@@ -337,12 +337,12 @@
             }
             return;
         }
-        if (!context.dialect.isNamed(response)) {
+        if (!context.dialect.identifiesRequest(response)) {
             // It may be anybody's, and what is waited for may still be at work there.
             failMalformed();
             return;
         }
-        if (!context.dialect.answers(attempt.request, response)) {
+        if (!context.dialect.isResponseTo(attempt.request, response)) {
             // A surplus answer in the place of the next: what is waited for may still come behind it.
             if (++skippedResponses > MAX_SKIPPED_RESPONSES || !HttpUtil.isKeepAlive(response)) {
                 failMalformed();
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamContext.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamContext.java
@@ -45,7 +45,7 @@
                         channel.pipeline().addLast(connection.decoder, new HttpRequestEncoder(), connection);
                     }
                 });
-        if (dialect.terms().wary()) {
+        if (dialect.terms().mayVanishSilently()) {
             bootstrap
                     .option(ChannelOption.SO_KEEPALIVE, true)
                     .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), 1)
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
@@ -23,42 +23,42 @@
      * @param left until the attempt is given up, in ms
      * @param budget of the request; null for none
      */
-    void dress(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget);
+    void setHeaders(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget);
 
     /** Whether the module may ever send this again once it may have run. */
     boolean resendable(HttpRequest request);
 
     /** Whether an answer says to which request it belongs, where answers must. */
-    default boolean isNamed(HttpResponse answer) {
+    default boolean identifiesRequest(HttpResponse answer) {
         return true;
     }
 
     /** Whether an answer is one to this request, and not to one before it. */
-    default boolean answers(HttpRequest request, HttpResponse answer) {
+    default boolean isResponseTo(HttpRequest request, HttpResponse answer) {
         return true;
     }
 
     /** Whether an answer may be passed on before it is complete. */
-    boolean passable(HttpResponse answer);
+    boolean canRelay(HttpResponse answer);
 
-    /** The result of an attempt by its answer, which is complete, or {@link #passable}. */
+    /** The result of an attempt by its answer, which is complete, or {@link #canRelay}. */
     Result judge(HttpResponse answer);
 
     /** The load report that came with an answer, or null. */
-    default double[] report(HttpMessage answer, Settings settings) {
+    default double[] loadReport(HttpMessage answer, Settings settings) {
         return null;
     }
 
     /** What came back of the request's budget, or null. */
-    default Report spent(HttpMessage answer) {
+    default Report budgetReport(HttpMessage answer) {
         return null;
     }
 
     /** Switches on the headers of budgets, where there are any. */
-    default void budgets(HeaderText text) {}
+    default void enableBudgets(HeaderText text) {}
 
     /** Whether an answer that is no success is passed on to the caller where nothing better comes. */
-    default boolean keeps(HttpMessage answer) {
+    default boolean forwardsFailure(HttpMessage answer) {
         return false;
     }
 }
--- a/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/InboundFront.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void dress(HttpResponse response, Answer answer, Version version, HttpRequest request) {
+    public void setHeaders(HttpResponse response, Answer answer, Version version, HttpRequest request) {
         MeshResponses.dress(response, answer, request);
         response.headers().set(MeshHeaders.VERDICT, verdict(answer));
     }
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
@@ -62,7 +62,7 @@
 
     /** What is not meant to go on was taken out when the request was read. */
     @Override
-    public void dress(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget) {
+    public void setHeaders(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget) {
         HttpHeaders headers = sent.headers();
         HopHeaders.copy(given.headers(), headers);
         headers.set(MeshHeaders.LEFT, (long) Math.max(0, left));
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public boolean answers(HttpRequest request, HttpResponse answer) {
+    public boolean isResponseTo(HttpRequest request, HttpResponse answer) {
         String sentTryId = request.headers().get(MeshHeaders.TRY);
         String given = answer.headers().get(MeshHeaders.TRY);
         return sentTryId == null || given == null || sentTryId.equals(given);
@@ -88,12 +88,12 @@
 
     /** Every answer of an upstream, and every one of ours to a request that was read, names its request. */
     @Override
-    public boolean isNamed(HttpResponse answer) {
+    public boolean identifiesRequest(HttpResponse answer) {
         return answer.headers().contains(MeshHeaders.TRY);
     }
 
     @Override
-    public boolean passable(HttpResponse answer) {
+    public boolean canRelay(HttpResponse answer) {
         return verdict(answer) == Result.OK;
     }
 
@@ -122,7 +122,7 @@
 
     /** A success that lacks its stamp must not reach a client, and neither must what was encoded on the way. */
     @Override
-    public boolean keeps(HttpMessage answer) {
+    public boolean forwardsFailure(HttpMessage answer) {
         return answer instanceof HttpResponse response
                 && response.status().codeClass() != HttpStatusClass.SUCCESS
                 && response.status().codeClass() != HttpStatusClass.REDIRECTION
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -121,7 +121,7 @@
             firstCameAt = cameAt;
         }
         if (routingTable == null) {
-            throw withoutConfiguration(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs()), now);
+            throw withoutConfiguration(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestTimeoutMs()), now);
         }
         if (MeshHeaders.single(headers, MeshHeaders.TRY) == null) {
             throw new BadRequestException(MeshHeaders.TRY + " is missing");
@@ -129,13 +129,13 @@
         RoutingTable.RouteMatch match = routingTable.find(MeshHeaders.single(headers, "Host"), request.uri());
         if (match == null) {
             throw BadRequestException.rejected(HttpResponseStatus.NOT_FOUND, "no route")
-                    .heldFor(held(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestMs())));
+                    .withMaxWait(held(MeshHeaders.millis(headers, MeshHeaders.LEFT, FIRST.requestTimeoutMs())));
         }
         Configuration.Route route = match.route();
         Configuration.Tenant tenant = routingTable.tenant(MeshHeaders.single(headers, MeshHeaders.KEY));
         if (routingTable.requiresKeys() && !route.open() && tenant == null) {
             throw BadRequestException.rejected(HttpResponseStatus.UNAUTHORIZED, "unknown key")
-                    .heldFor(held(route));
+                    .withMaxWait(held(route));
         }
         double given = Math.min(route.timeoutMs(), MeshHeaders.millis(headers, MeshHeaders.LEFT, route.timeoutMs()));
         double left = given - (now - cameAt);
@@ -178,7 +178,7 @@
         if (claim == Quotas.Claim.REQUESTED) {
             // The answer of the tenant's pool is a round trip away.
             throw BadRequestException.rejected(HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", RETRY_AFTER_MS)
-                    .heldFor(held(route));
+                    .withMaxWait(held(route));
         } else if (claim == Quotas.Claim.REFUSED) {
             throw BadRequestException.rejected(
                     HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", Math.min(quotas.next(tenant), left));
@@ -203,7 +203,7 @@
                         HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "no configuration yet",
                         Math.min(comeBack, LATEST_RETURN * time))
-                .heldFor(held(time));
+                .withMaxWait(held(time));
     }
 
     /**
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void dress(HttpResponse response, Answer answer, Version by, HttpRequest request) {
+    public void setHeaders(HttpResponse response, Answer answer, Version by, HttpRequest request) {
         MeshResponses.dress(response, answer, request);
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/LogSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/LogSection.java
@@ -17,7 +17,7 @@
     private LogSection() {}
 
     static LogTerms read(Section s) {
-        LogTerms usual = LogTerms.USUAL;
+        LogTerms usual = LogTerms.DEFAULT;
         LogTerms.Format format = s.choice("format", usual.format(), FORMATS);
         Level level = s.choice("level", usual.level(), LEVELS);
         int limit = s.integer("limit", usual.limit(), 1, MAX_LINES);
--- a/src/main/java/sablehinge/gateway/node/LoopVitals.java
+++ b/src/main/java/sablehinge/gateway/node/LoopVitals.java
@@ -29,7 +29,7 @@
 
     @Override
     public void passages(Consumer<MonitoredRelay> each) {
-        fronts.get().forEach(front -> front.passages(each));
+        fronts.get().forEach(front -> front.forEachRelay(each));
     }
 
     @Override
@@ -44,7 +44,7 @@
 
     @Override
     public int busy() {
-        return fronts.get().stream().mapToInt(Frontend::busy).sum() + core.requests();
+        return fronts.get().stream().mapToInt(Frontend::busyConnections).sum() + core.requests();
     }
 
     @Override
@@ -54,7 +54,7 @@
 
     @Override
     public long kept() {
-        return fronts.get().stream().mapToLong(Frontend::keptBytes).sum();
+        return fronts.get().stream().mapToLong(Frontend::reservedBytes).sum();
     }
 
     @Override
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -228,7 +228,7 @@
                 }
             }
             noted.forEach(id -> turn(id, true));
-            sockets.share(shared.another(false) ? 2 : 1);
+            sockets.setProcessCount(shared.another(false) ? 2 : 1);
         } catch (IOException | RuntimeException e) {
             Log.warn(LOG, "shared-unreadable")
                     .addKeyValue("cause", e.toString())
@@ -334,7 +334,7 @@
             if (before.settings().equals(next.settings())) {
                 return;
             }
-            frontend.takesLate(LATE_REQUESTS_MS);
+            frontend.acceptPreviousVersion(LATE_REQUESTS_MS);
             core.adopt(next, maintenance.complete());
             loop.schedule(() -> core.release(before.number()), 2 * LATE_REQUESTS_MS, TimeUnit.MILLISECONDS);
             Log.info(LOG, "settings-taken")
--- a/src/main/java/sablehinge/gateway/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -108,7 +108,7 @@
         BudgetPart part = first.config().budget();
         budgets = text;
         if (part != null) {
-            transport.budgets(budgets);
+            transport.enableBudgets(budgets);
             core.setBudgets(new ChainBudgets(
                     part.terms(),
                     part.shed(),
@@ -281,7 +281,7 @@
 
     Frontend front() {
         Frontend front = new Frontend(loop, sockets, memory, core);
-        front.budgets(budgets);
+        front.enableBudgets(budgets);
         return front;
     }
 
--- a/src/main/java/sablehinge/gateway/node/Recording.java
+++ b/src/main/java/sablehinge/gateway/node/Recording.java
@@ -85,7 +85,7 @@
     /** Begins, on the loop. */
     void begin() {
         core.setTracer(recorder);
-        sockets.trace(recorder);
+        sockets.setTracer(recorder);
         watchdog.start();
         long period = Math.round(watch.terms().tick());
         loop.scheduleAtFixedRate(this::tick, period, period, TimeUnit.MILLISECONDS);
--- a/src/main/java/sablehinge/gateway/node/VersionPreparation.java
+++ b/src/main/java/sablehinge/gateway/node/VersionPreparation.java
@@ -116,7 +116,7 @@
         trying++;
         int timeout = (int)
                 Math.max(1, Math.min(deadline - clock.now(), config.limits().connectTimeout()));
-        transport.reach(untried.poll(), timeout, up -> {
+        transport.checkReachable(untried.poll(), timeout, up -> {
             trying--;
             reached += up ? 1 : 0;
             if (over || reached >= config.change().readyLeast()) {
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -326,7 +326,7 @@
         Map<ListenerPart, Frontend> back = new LinkedHashMap<>();
         missing.removeIf(part -> {
             Frontend left = leaving.remove(part);
-            return left != null && left.stay() && back.put(part, left) == null;
+            return left != null && left.cancelRetirement() && back.put(part, left) == null;
         });
         preparation = new VersionPreparation(
                 running.config,
--- a/src/test/java/sablehinge/common/logging/LoggingTest.java
+++ b/src/test/java/sablehinge/common/logging/LoggingTest.java
@@ -30,7 +30,7 @@
 
     @AfterEach
     void usual() {
-        Logging.apply(LogTerms.USUAL);
+        Logging.apply(LogTerms.DEFAULT);
     }
 
     private LimitedAppender limited(int limit) {
--- a/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
@@ -34,7 +34,7 @@
         }
 
         @Override
-        public void connects(Channel channel, InetSocketAddress to) {
+        public void beforeConnect(Channel channel, InetSocketAddress to) {
             notes.add("connects " + channel.isActive() + " " + to.getAddress().getHostAddress());
         }
     }
--- a/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
+++ b/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
@@ -115,8 +115,8 @@
         assertFalse(read.counted());
         assertNull(read.dataDir());
         assertEquals(1_500, read.heartbeatMs());
-        assertTrue(read.inForce("quota"));
-        assertFalse(read.inForce("fees"));
+        assertTrue(read.isContractEnabled("quota"));
+        assertFalse(read.isContractEnabled("fees"));
         assertEquals("10.1.0.11:8363", read.app());
         assertEquals("huvo11a", read.depot());
         assertEquals(
--- a/src/test/java/sablehinge/dataplane/sidecar/MeshUpstreamTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/MeshUpstreamTest.java
@@ -29,7 +29,7 @@
         HttpRequest given = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
         given.headers().set(MeshHeaders.QUEUE_TIMEOUT, NOW + queueTimeoutMs);
         HttpRequest sent = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
-        dialect.dress(sent, given, MEMBER, 5_000, null);
+        dialect.setHeaders(sent, given, MEMBER, 5_000, null);
         return sent.headers().get(MeshHeaders.QUEUE_TIMEOUT);
     }
 
--- a/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
+++ b/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
@@ -94,7 +94,7 @@
 
     @Test
     void theLogIsAsEverWithoutItsTableAndCheckedWithIt() {
-        assertEquals(LogTerms.USUAL, parse(SHORT).config().log());
+        assertEquals(LogTerms.DEFAULT, parse(SHORT).config().log());
         assertEquals(
                 new LogTerms(LogTerms.Format.JSON, Level.WARN, Map.of("http1", Level.DEBUG), 100_000),
                 parse(SHORT + "[log]\nformat = \"json\"\nlevel = \"warn\"\nlimit = 100000\n"
