--- a/bench/src/sablehinge/tools/standin/mesh/FaultyCommands.java
+++ b/bench/src/sablehinge/tools/standin/mesh/FaultyCommands.java
@@ -40,8 +40,8 @@
                     "an answer goes to another request of its connection",
                     "dataplane/http1/PipelinedRequests",
                     "",
-                    "return early ? begun.pollFirst() : null;",
-                    "return early ? begun.pollLast() : null;"),
+                    "return early ? started.pollFirst() : null;",
+                    "return early ? started.pollLast() : null;"),
             new Mutant(
                     "a failure is told as a refusal",
                     "dataplane/sidecar/MeshResponses",
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -137,7 +137,7 @@
             new Mutant(
                     "an attempt that is given up leaves its connection",
                     ATTEMPT,
-                    "void giveUp(Event event)",
+                    "void abort(Event event)",
                     "channel.close();",
                     "connection.release(target);"));
 
@@ -251,7 +251,7 @@
             new Mutant(
                     "an attempt that is given up leaves its connection",
                     ATTEMPT,
-                    "void giveUp(Event event)",
+                    "void abort(Event event)",
                     "channel.close();",
                     "connection.release(target);"),
             new Mutant(
@@ -264,8 +264,8 @@
                     "what was sent behind the last answer is begun",
                     "dataplane/http1/CallerConnection",
                     "private void advance()",
-                    "while (!current.isAtWork() && !responses.isClosing() && ",
-                    "while (!current.isAtWork() && "));
+                    "while (!current.isInProgress() && !responses.isClosing() && ",
+                    "while (!current.isInProgress() && "));
 
     private ExchangeBench() {}
 
--- a/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
+++ b/src/main/java/sablehinge/dataplane/http1/BadRequestException.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A request that is not taken, and how to say so: nothing of it has gone any further. */
+/** A request that is not accepted, and the response to it. No part of the request was passed on. */
 public final class BadRequestException extends Exception {
 
     private static final long serialVersionUID = 1;
@@ -20,47 +20,54 @@
         this.maxWaitMs = maxWaitMs;
     }
 
-    /** One that its caller has got wrong; what else comes from there may be no better. */
+    /**
+     * Creates an error of the client. Nothing more is read from its connection, as further requests may be malformed
+     * too.
+     */
     public BadRequestException(HttpResponseStatus status, String message) {
         this(status, message, true, 0, 0);
     }
 
-    /** Likewise, as a bad request. */
+    /** Creates an error of the client with status 400. */
     public BadRequestException(String message) {
         this(HttpResponseStatus.BAD_REQUEST, message);
     }
 
-    /** One that was read well and is rejected; its connection goes on. */
+    /** Creates a rejection of a well-formed request; its connection stays open. */
     public static BadRequestException rejected(HttpResponseStatus status, String message) {
         return new BadRequestException(status, message, false, 0, 0);
     }
 
-    /** Likewise, and its caller ought to come back after so many ms. */
+    /** Creates a rejection of a well-formed request that the client should retry after the given ms. */
     public static BadRequestException rejected(HttpResponseStatus status, String message, double retryAfter) {
         return new BadRequestException(status, message, false, retryAfter, 0);
     }
 
-    /** The same, which may be put off for so many ms from the time at which its request came. */
+    /**
+     * Returns the same error, which may be deferred for the given ms from the time at which its request was received.
+     */
     public BadRequestException withMaxWait(double millis) {
         return new BadRequestException(status, getMessage(), last, retryAfter, millis);
     }
 
-    /** The status that says it. */
+    /** The status of the response. */
     public HttpResponseStatus status() {
         return status;
     }
 
-    /** Whether nothing more is read from its connection. */
+    /** Whether nothing more is read from the connection. */
     public boolean isLast() {
         return last;
     }
 
-    /** For how many ms its request may be put off since it came, as what it asks for may be on its way. */
+    /**
+     * How long the request may be deferred after it was received, in ms, as the configuration that it needs may arrive.
+     */
     public double maxWaitMs() {
         return maxWaitMs;
     }
 
-    /** When to come back, in ms from now; 0 for no advice. */
+    /** When to retry, in ms from now; 0 for no advice. */
     public double retryAfter() {
         return retryAfter;
     }
--- a/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerConnection.java
@@ -21,10 +21,10 @@
 import sablehinge.dataplane.proxy.TraceEvent;
 
 /**
- * One caller's connection: one request is at work at a time, those sent ahead wait for their turn. What comes in is the
- * job of {@link RequestReceiver}, what goes out that of {@link ResponseWriter}, and the one at work between them is
- * {@link CurrentRequest}; this class has the connection, and whose turn it is. All of it runs on the connection's event
- * loop.
+ * The connection of one client. One request is processed at a time; pipelined requests wait until it is answered.
+ * {@link RequestReceiver} reads requests, {@link ResponseWriter} writes responses, and {@link CurrentRequest} is the
+ * request between them; this class owns the channel and the order of the requests. All methods run on the connection's
+ * event loop.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
@@ -37,13 +37,13 @@
     private final ResponseWriter responses;
     private final PipelinedRequests pipelined = new PipelinedRequests();
     private final CurrentRequest current;
-    /** When it came, had its last answer, or began the request that is coming in. */
+    /** When the connection was accepted, last answered, or began to receive the current request, ms. */
     double lastActivityAt;
-    /** Answers that it has had. */
-    private int answered;
+    /** Responses sent so far. */
+    private int responsesSent;
     /** When it was accepted, ms. */
     private final double openedAt;
-    /** When the first byte came of the request that is coming in, or came in last, ms. */
+    /** When the first byte of the request received last arrived, ms. */
     private double messageStartedAt;
 
     private boolean advancing;
@@ -51,18 +51,18 @@
     CallerConnection(FrontendContext context, Channel channel) {
         this.context = context;
         this.channel = channel;
-        number = context.sockets.next();
+        number = context.sockets.nextConnectionNumber();
         decoder = new CallerDecoder(this, context.dialect.terms().headerBytes());
         receiver = new RequestReceiver(this, context, channel);
         responses = new ResponseWriter(this, context, channel);
         current = new CurrentRequest(this, context, receiver, responses);
-        openedAt = context.core.now();
+        openedAt = context.proxy.now();
         lastActivityAt = openedAt;
     }
 
-    // ---- Its state, as its parts and the front see it ----------------------------------------------
+    // ---- State, for the connection's parts and the frontend ----------------------------------------
 
-    /** Its number in the trace. */
+    /** The number of the connection in the trace. */
     int number() {
         return number;
     }
@@ -76,29 +76,32 @@
         return openedAt;
     }
 
-    /** Answers that it has had. */
-    int answered() {
-        return answered;
+    /** Responses sent so far. */
+    int responsesSent() {
+        return responsesSent;
     }
 
-    /** The request at work, or none. */
+    /** The request in progress, which may be none. */
     CurrentRequest current() {
         return current;
     }
 
-    /** Whether a request is at work or waits for its turn. */
+    /** Whether a request is in progress or waits. */
     boolean hasRequests() {
-        return current.isAtWork() || !pipelined.isEmpty();
+        return current.isInProgress() || !pipelined.isEmpty();
     }
 
-    /** Whether the answer that is about to be written must not be the last, though the front drains. */
-    boolean staysWhileDraining() {
-        // What has come completely is answered here, if only by a refusal.
+    /**
+     * Whether the connection must stay open after the response that is about to be written, although the frontend
+     * drains.
+     */
+    boolean mustStayOpenWhileDraining() {
+        // A request that was received completely is answered here, if only by a refusal.
         boolean mayTakeMore = context.shutdown == null && decoder.receiving;
         return !pipelined.isEmpty() || receiver.malformed() != null || mayTakeMore;
     }
 
-    /** Whether the request that is coming in is taken, as far as its first byte tells. */
+    /** Whether the request that is being received may be admitted, judged by the time of its first byte. */
     boolean admitsIncoming() {
         return context.admits(messageStartedAt);
     }
@@ -111,18 +114,18 @@
                 && !responses.isClosing();
     }
 
-    /** Whether it has had its last answer. */
+    /** Whether the last response was written and the client has yet to close. */
     boolean isLingering() {
         return responses.isLingering();
     }
 
-    /** Something has come or gone now. */
+    /** Records activity on the connection now. */
     void touch() {
-        lastActivityAt = context.core.now();
+        lastActivityAt = context.proxy.now();
     }
 
-    /** What its caller was not let do for so many ms is not counted as slowness. */
-    void excuse(double millis) {
+    /** Excludes the given time in ms, during which the connection was not read, from the client's idle time. */
+    void excludePause(double millis) {
         lastActivityAt += millis;
     }
 
@@ -130,13 +133,16 @@
         context.sockets.tracer().note(event, number, 0, value);
     }
 
-    /** Shows a watch what passes through, and what is not written out. */
+    /** Passes each relayed body and each unwritten response to the consumer. */
     void forEachRelay(Consumer<MonitoredRelay> each) {
         responses.forEachRelay(each);
         receiver.forEachRelay(each);
     }
 
-    /** Closes it if it is idle: a request that lies unread in the kernel would be lost with it. */
+    /**
+     * Closes the connection if it is idle; reads it first, since closing would lose a request that is still in the
+     * kernel's buffer.
+     */
     boolean closeIfIdle() {
         if (isIdle()) {
             context.sockets.readNow(channel);
@@ -147,7 +153,7 @@
         return !channel.isOpen();
     }
 
-    /** Ends what has taken too long by the given time, ms. */
+    /** Closes the connection, or answers its request with an error, if a timeout has passed by the given time, ms. */
     void sweep(double now) {
         double age = now - lastActivityAt;
         if (responses.isBusy()) {
@@ -163,12 +169,12 @@
 
     private double idleTimeoutMs() {
         FrontTerms terms = context.dialect.terms();
-        return answered > 0 ? terms.idleTimeoutMs() : terms.firstRequestTimeoutMs();
+        return responsesSent > 0 ? terms.idleTimeoutMs() : terms.firstRequestTimeoutMs();
     }
 
     private void endSlowRequest() {
         if (receiver.isDiscarding()) {
-            // Its answer has been given.
+            // The request has been answered already.
             channel.close();
             return;
         }
@@ -176,18 +182,18 @@
         advance();
     }
 
-    // ---- What the channel reports ------------------------------------------------------------------
+    // ---- Events of the channel ---------------------------------------------------------------------
 
-    /** The first byte of a message has come. */
+    /** The first byte of a message was received. */
     void onMessageStart() {
-        messageStartedAt = context.core.now();
-        if (answered > 0 && !current.isAtWork()) {
+        messageStartedAt = context.proxy.now();
+        if (responsesSent > 0 && !current.isInProgress()) {
             touch();
             receiver.resetCount();
         }
     }
 
-    /** Bytes have come. */
+    /** Bytes were received. */
     void onBytes(int bytes) {
         receiver.count(bytes);
     }
@@ -197,8 +203,8 @@
         context.sockets.count(channel);
         context.connections.add(this);
         trace(TraceEvent.CALLER_OPENED, 0);
-        if (!context.sockets.roomForCaller(lastActivityAt)) {
-            // Failing to accept for want of a descriptor would stop Netty from trying for a second.
+        if (!context.sockets.hasRoomForCaller(lastActivityAt)) {
+            // If accept fails for lack of a file descriptor, Netty stops accepting for a second.
             context.listening.config().setAutoRead(false);
         }
         ctx.fireChannelActive();
@@ -219,7 +225,10 @@
         }
     }
 
-    /** Begins what came only now: of a crowd sent at once, none is to be served. */
+    /**
+     * Starts requests only after all received bytes were decoded, so that none is served if the client pipelines too
+     * many at once.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         receiver.flush();
@@ -253,16 +262,16 @@
             Log.warn(LOG, "caller-failed")
                     .addKeyValue("connection", number)
                     .addKeyValue("cause", cause.toString())
-                    .log("a caller's connection failed: {}", cause.toString());
+                    .log("a client connection failed: {}", cause.toString());
         }
-        // The decoder goes on with what it holds: a request that has lost a part must not look complete.
+        // The decoder continues with its buffered bytes; a request that lost a part must not appear complete.
         responses.close();
         receiver.breakRequestRelay();
         receiver.drop();
         ctx.close();
     }
 
-    /** What still comes is not looked at; false if that was so already. */
+    /** Ignores all further input; returns false if it was ignored already. */
     boolean stopDecoding() {
         if (channel.pipeline().context(decoder) == null) {
             return false;
@@ -271,41 +280,41 @@
         return true;
     }
 
-    // ---- What its receiver reports -----------------------------------------------------------------
+    // ---- Events of the receiver --------------------------------------------------------------------
 
-    /** A complete request waits for its turn; taken over. */
+    /** Queues a complete request, and takes ownership of it. */
     void enqueue(FullHttpRequest request) throws BadRequestException {
-        pipelined.add(request, messageStartedAt, context.core.now());
-        if (pipelined.isTooLong()) {
-            // None of them is answered, the one at work neither: it could take all of its time.
+        pipelined.add(request, messageStartedAt, context.proxy.now());
+        if (pipelined.hasTooManyRequests()) {
+            // No request is answered, not even the one in progress, which could use up all of its time first.
             dropPipelined();
             current.abandon();
             throw new BadRequestException("too many requests sent ahead");
         }
-        if (current.isAtWork() && pipelined.holdsTooManyBytes()) {
+        if (current.isInProgress() && pipelined.hasTooManyBytes()) {
             channel.config().setAutoRead(false);
         }
     }
 
-    // ---- The requests' turns -----------------------------------------------------------------------
+    // ---- Order of requests -------------------------------------------------------------------------
 
-    /** Goes on to what is next, as long as nothing is at work. */
+    /** Starts the next request if none is in progress. */
     private void advance() {
         if (advancing) {
             return;
         }
         advancing = true;
         try {
-            while (!current.isAtWork()
+            while (!current.isInProgress()
                     && !responses.isClosing()
                     && (receiver.malformed() != null || !pipelined.isEmpty())) {
-                takeNext();
+                startNext();
             }
             beginEarly();
         } finally {
             advancing = false;
         }
-        if (!pipelined.holdsTooManyBytes()
+        if (!pipelined.hasTooManyBytes()
                 && receiver.malformed() == null
                 && !responses.isClosing()
                 && !receiver.isRelaying()) {
@@ -313,42 +322,42 @@
         }
     }
 
-    private void takeNext() {
+    private void startNext() {
         PipelinedRequests.Arrived next = pipelined.poll();
         if (next == null) {
             reject(receiver.malformed());
             return;
         }
-        EarlyRequest begun = pipelined.pollBegun(next);
-        if (begun == null) {
-            beginInTurn(next);
+        EarlyRequest started = pipelined.pollStarted(next);
+        if (started == null) {
+            beginInOrder(next);
         } else {
-            current.takeTurn(begun);
+            current.adopt(started);
         }
     }
 
-    private void beginInTurn(PipelinedRequests.Arrived next) {
+    private void beginInOrder(PipelinedRequests.Arrived next) {
         if (context.admits(next.startedAt())) {
             logIfLate(next.request(), LateRequestLog.Outcome.TAKEN, 0);
-            current.begin(next.request(), next.at());
+            current.begin(next.request(), next.completedAt());
         } else {
             logIfLate(next.request(), LateRequestLog.Outcome.REFUSED, 0);
             current.refuse(next.request(), context.shutdownRefusal());
         }
     }
 
-    /** Begins what waits for its turn and may be repeated, as far as nothing before it is not begun. */
+    /** Starts waiting requests that may be repeated, up to the first one that can't be started early. */
     private void beginEarly() {
         if (!context.dialect.terms().concurrent()
                 || context.shutdown != null
-                || !current.isAtWork()
+                || !current.isInProgress()
                 || responses.isClosing()
                 || receiver.malformed() != null
-                || pipelined.areAllBegun()) {
+                || pipelined.areAllStarted()) {
             return;
         }
-        for (PipelinedRequests.Arrived next : pipelined.notBegun()) {
-            if (pipelined.areEnoughBegun() || context.dialect.isHealth(next.request()) || !beginEarly(next)) {
+        for (PipelinedRequests.Arrived next : pipelined.notStarted()) {
+            if (pipelined.isEarlyStartLimitReached() || context.dialect.isHealth(next.request()) || !beginEarly(next)) {
                 return;
             }
         }
@@ -361,41 +370,45 @@
         }
         CheckedRequest checked;
         try {
-            checked = context.dialect.read(next, next.content().isReadable(), arrived.at(), context.core.now());
+            checked =
+                    context.dialect.read(next, next.content().isReadable(), arrived.completedAt(), context.proxy.now());
         } catch (BadRequestException e) {
-            // It is looked at again in its turn.
+            // The request is checked again once those ahead of it are answered.
             return false;
         }
-        EarlyRequest begun = new EarlyRequest(next, checked.version());
-        pipelined.addBegun(begun);
+        EarlyRequest started = new EarlyRequest(next, checked.version());
+        pipelined.addStarted(started);
         next.retain();
-        logIfLate(next, LateRequestLog.Outcome.TAKEN_EARLY, pipelined.begunCount());
-        begun.begun(context.core.request(checked.version(), checked.arrival(), new HttpPayload(next), begun));
+        logIfLate(next, LateRequestLog.Outcome.TAKEN_EARLY, pipelined.startedCount());
+        started.setExchange(
+                context.proxy.request(checked.version(), checked.arrival(), new HttpPayload(next), started));
         return true;
     }
 
-    /** A request that is coming in is refused, as it came too late. */
+    /** Logs that a request was refused while it was being received, because it came too late. */
     void logRefused(HttpRequest request) {
         logIfLate(request, LateRequestLog.Outcome.REFUSED, pipelined.size());
     }
 
     void logIfLate(HttpRequest request, LateRequestLog.Outcome outcome, int ahead) {
         if (context.draining) {
-            double now = context.core.now();
+            double now = context.proxy.now();
             context.lateRequests.add(this, request, outcome, now, now - context.drainingSince, ahead);
         }
     }
 
-    // ---- Answers -----------------------------------------------------------------------------------
+    // ---- Responses ---------------------------------------------------------------------------------
 
-    /** An error is the last answer: what else comes from there may be no better. */
+    /**
+     * Answers with an error. An error of the client is the last response, as its further requests may be malformed too.
+     */
     void reject(BadRequestException why) {
         if (why.isLast() || why == receiver.malformed()) {
             responses.close();
             dropPipelined();
         }
         if (receiver.mayHaveRun()) {
-            // Its status must not promise that nothing has run.
+            // The status must not indicate that the request did not run.
             Answer failed = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
             responses.write(context.dialect.status(failed), Unpooled.EMPTY_BUFFER, 0, failed);
             return;
@@ -404,32 +417,32 @@
         responses.write(why.status(), reason, why.retryAfter(), null);
     }
 
-    /** The last of an answer is about to be written. */
+    /** The last part of a response is about to be written. */
     void onAnswered() {
         current.finish();
-        answered++;
+        responsesSent++;
         touch();
         receiver.resetCount();
-        // The longest idle come first.
+        // Keeps the set in the order of idleness, the longest idle first.
         context.connections.remove(this);
         context.connections.add(this);
     }
 
-    /** The last of an answer has been written: the next request has its turn. */
-    void goOn() {
+    /** The last part of a response was passed to the channel; starts the next request. */
+    void afterResponse() {
         if (responses.isClosing()) {
             dropPipelined();
         } else {
             advance();
         }
-        // A caller that rests now may give way to one that waits to be let in.
+        // This connection may now be idle and can be evicted for a client that waits to be accepted.
         context.resumeAccepting();
     }
 
     private void dropPipelined() {
         if (context.draining) {
-            pipelined.notBegun().forEach(unread -> logIfLate(unread.request(), LateRequestLog.Outcome.UNREAD, 1));
+            pipelined.notStarted().forEach(unread -> logIfLate(unread.request(), LateRequestLog.Outcome.UNREAD, 1));
         }
-        pipelined.drop(context.core);
+        pipelined.drop(context.proxy);
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/CallerDecoder.java
+++ b/src/main/java/sablehinge/dataplane/http1/CallerDecoder.java
@@ -5,13 +5,13 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** Knows, beside its work, whether a request has come in part. */
+/** A request decoder that also tracks whether a request was received in part. */
 final class CallerDecoder extends RequestCheck.Decoder {
 
     private final CallerConnection connection;
-    /** Whether bytes have come since the last complete request. */
+    /** Whether bytes were received since the last complete request. */
     boolean receiving;
-    /** Whether what is decoded next belongs to another request than what was decoded last. */
+    /** Whether the next decoded part belongs to another request than the last one. */
     private boolean betweenRequests;
 
     CallerDecoder(CallerConnection connection, int headerBytes) {
@@ -32,7 +32,7 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
         if (betweenRequests) {
-            // In one segment with the end of the one before, which has been handed on by now.
+            // The request begins in the same segment as the end of the one before, which has been handled by now.
             betweenRequests = false;
             connection.onMessageStart();
         }
--- a/src/main/java/sablehinge/dataplane/http1/ChannelOutlet.java
+++ b/src/main/java/sablehinge/dataplane/http1/ChannelOutlet.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelOutboundBuffer;
 import sablehinge.dataplane.proxy.MonitoredRelay;
 
-/** The writing side of a connection as a watch sees it; by itself, what waits there to be written out. */
+/** The writing side of a connection for monitoring; by itself it stands for the output that waits there. */
 record ChannelOutlet(Channel channel, int connection, Sockets sockets) implements MonitoredRelay {
 
     @Override
@@ -27,13 +27,13 @@
         return unwrittenBytes(channel);
     }
 
-    /** Bytes that a channel has and its kernel has not. */
+    /** Bytes that wait in a channel and were not handed to the kernel. */
     static long unwrittenBytes(Channel channel) {
         ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
         return waiting == null ? 0 : waiting.totalPendingWriteBytes();
     }
 
-    /** Bytes wait that nobody has flushed, and none that the kernel has yet to take. */
+    /** Whether written bytes wait to be flushed, and no flushed bytes wait for the kernel. */
     @Override
     public boolean isUnflushed() {
         ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
--- a/src/main/java/sablehinge/dataplane/http1/CheckedRequest.java
+++ b/src/main/java/sablehinge/dataplane/http1/CheckedRequest.java
@@ -4,9 +4,9 @@
 import sablehinge.dataplane.proxy.Version;
 
 /**
- * A request that can be taken in.
+ * A request that was read and found valid.
  *
- * @param name its caller's name for it; empty for none
- * @param version by which it was read, and to which it belongs
+ * @param name the client's name for it; empty for none
+ * @param version the version that it was read by and belongs to
  */
 public record CheckedRequest(String name, Arrival arrival, Version version) {}
--- a/src/main/java/sablehinge/dataplane/http1/CurrentRequest.java
+++ b/src/main/java/sablehinge/dataplane/http1/CurrentRequest.java
@@ -15,31 +15,31 @@
 import sablehinge.dataplane.proxy.Version;
 
 /**
- * The request at work on one caller's connection, from its turn until the last of its answer is about to be written: it
- * is read, handed on, and answered once. There is one object a connection; without a request it is idle. All of it runs
- * on the connection's event loop.
+ * The request in progress on one client connection, from its start until the last part of its response is about to be
+ * written. It is parsed, passed to the proxy and answered once. Each connection has one such object, which is idle
+ * while there is no request. All methods run on the connection's event loop.
  */
 final class CurrentRequest implements Caller {
 
-    /** How long a request that waits for a configuration is put off each time, ms. */
-    private static final long DEFER_MS = 10;
+    /** Interval between the attempts to read a request that waits for a configuration, ms. */
+    private static final long DEFER_INTERVAL_MS = 10;
 
     private final CallerConnection connection;
     private final FrontendContext context;
     private final RequestReceiver receiver;
     private final ResponseWriter responses;
-    /** Null while none is at work. */
+    /** Null while no request is in progress. */
     private HttpRequest request;
-    /** Known once the proxy has the request, and until its answer has begun. */
+    /** Set once the proxy has accepted the request, until its response begins. */
     private Exchange exchange;
-    /** The version under which it came; null before it is read. */
+    /** The configuration version that the request was read by; null before that. */
     private Version version;
-    /** When it was complete, ms. */
+    /** When the request was received completely, ms. */
     private double receivedAt;
-    /** Whether it waits for a configuration. */
+    /** Whether the request waits for a configuration. */
     private boolean deferred;
-    /** What its caller calls it (X-Txn); null where it has no name. */
-    private String name;
+    /** The client's name for the request (X-Txn); null if it has none. */
+    private String requestName;
 
     CurrentRequest(
             CallerConnection connection, FrontendContext context, RequestReceiver receiver, ResponseWriter responses) {
@@ -49,31 +49,31 @@
         this.responses = responses;
     }
 
-    boolean isAtWork() {
+    boolean isInProgress() {
         return request != null;
     }
 
-    /** Its head, or all of it; null if none is at work. */
+    /** The head of the request, or the complete request; null if none is in progress. */
     HttpRequest request() {
         return request;
     }
 
-    /** The version under which it came; null before it is read. */
+    /** The configuration version that the request was read by; null before that. */
     Version version() {
         return version;
     }
 
-    /** Whether it may have run. */
+    /** Whether an upstream may have run the request. */
     boolean mayHaveRun() {
         return exchange != null && exchange.mayHaveRun();
     }
 
-    // ---- How it begins -----------------------------------------------------------------------------
+    // ---- Start -------------------------------------------------------------------------------------
 
-    /** Begins a complete request, which came at the given time, ms; taken over. */
-    void begin(FullHttpRequest complete, double cameAt) {
+    /** Starts a complete request that was received at the given time, ms; takes ownership of it. */
+    void begin(FullHttpRequest complete, double completedAt) {
         request = complete;
-        receivedAt = cameAt;
+        receivedAt = completedAt;
         begin(complete);
     }
 
@@ -86,7 +86,7 @@
             begin(complete, complete.content().isReadable(), new HttpPayload(complete));
         } catch (BadRequestException e) {
             boolean mayWait = deferred || context.deferredRequests < FrontendContext.MAX_DEFERRED;
-            BadRequestException refusal = context.dialect.refusal(e, mayWait, receivedAt, context.core.now());
+            BadRequestException refusal = context.dialect.refusal(e, mayWait, receivedAt, context.proxy.now());
             if (refusal == null) {
                 defer(complete);
             } else {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Begins a request whose body is sent on while it comes. */
+    /** Starts a request whose body is relayed while it is received. */
     void beginRelayed(HttpRequest head, RelayedPayload payload) throws BadRequestException {
         request = head;
         connection.logIfLate(head, LateRequestLog.Outcome.TAKEN, 0);
@@ -108,21 +108,21 @@
         }
     }
 
-    /** Takes over a request that was begun before its turn, which has come. */
-    void takeTurn(EarlyRequest begun) {
-        request = begun.request;
-        version = begun.version;
-        exchange = begun.exchange();
-        begun.turns(this::answer);
+    /** Makes a request that was started early the current one. */
+    void adopt(EarlyRequest started) {
+        request = started.request;
+        version = started.version;
+        exchange = started.exchange();
+        started.deliverTo(this::answer);
     }
 
-    /** Answers a complete request, taken over, by an error without handing it on. */
+    /** Answers a complete request with an error without passing it to the proxy; takes ownership of it. */
     void refuse(FullHttpRequest complete, BadRequestException why) {
         request = complete;
         connection.reject(why);
     }
 
-    /** Reads it again a little later; it is bounded how many wait so. */
+    /** Reads the request again after a delay; the number of requests that wait like this is limited. */
     private void defer(FullHttpRequest complete) {
         if (!deferred) {
             deferred = true;
@@ -134,11 +134,11 @@
                         begin(complete);
                     }
                 },
-                DEFER_MS,
+                DEFER_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** It waits for a configuration no more. */
+    /** The request no longer waits for a configuration. */
     private void endDeferral() {
         if (deferred) {
             deferred = false;
@@ -146,10 +146,10 @@
         }
     }
 
-    /** Hands it to the proxy, complete or with its body still coming. */
+    /** Passes the request to the proxy, either complete or with its body still being received. */
     private void begin(HttpRequest head, boolean hasBody, Payload payload) throws BadRequestException {
         boolean coming = receiver.isRelaying();
-        double now = context.core.now();
+        double now = context.proxy.now();
         CheckedRequest checked = context.dialect.read(head, hasBody, coming ? now : receivedAt, now);
         endDeferral();
         if (!checked.name().isEmpty()) {
@@ -159,41 +159,41 @@
         ReferenceCountUtil.retain(head);
         connection.trace(TraceEvent.REQUEST, 0);
         Arrival arrival = checked.arrival();
-        Exchange begun = coming
-                ? context.core.requestStreaming(version, arrival, payload, this)
-                : context.core.request(version, arrival, payload, this);
-        // The answer may have come already, and with it the next request.
-        if (begun.isOpen()) {
-            exchange = begun;
+        Exchange started = coming
+                ? context.proxy.requestStreaming(version, arrival, payload, this)
+                : context.proxy.request(version, arrival, payload, this);
+        // The response may have been written already, and the next request started.
+        if (started.isOpen()) {
+            exchange = started;
         }
     }
 
-    private void register(String given) throws BadRequestException {
-        CallerConnection first = context.byName.get(given);
+    private void register(String checkedName) throws BadRequestException {
+        CallerConnection first = context.connectionsByRequestName.get(checkedName);
         if (first != null) {
-            // Its client may have left, and sent the request again here.
+            // The client may have closed that connection and retried the request on this one.
             context.sockets.readNow(first.channel);
         }
-        if (context.byName.containsKey(given)) {
+        if (context.connectionsByRequestName.containsKey(checkedName)) {
             throw new BadRequestException(HttpResponseStatus.CONFLICT, "X-Txn is at work");
         }
-        name = given;
-        context.byName.put(given, connection);
+        requestName = checkedName;
+        context.connectionsByRequestName.put(checkedName, connection);
     }
 
-    // ---- How it ends -------------------------------------------------------------------------------
+    // ---- End ---------------------------------------------------------------------------------------
 
-    /** The body that was sent on while it came is complete, or nobody wants the rest. */
-    void onBodyOver() {
+    /** The relayed body is complete, or its rest is no longer needed. */
+    void onBodyEnded() {
         if (exchange != null) {
-            context.core.requestComplete(exchange);
+            context.proxy.requestComplete(exchange);
         }
     }
 
     @Override
     public void answer(Answer answer) {
-        if (answer.payload() instanceof RelayedPayload passing) {
-            responses.startRelay(passing, answer);
+        if (answer.payload() instanceof RelayedPayload relayedPayload) {
+            responses.startRelay(relayedPayload, answer);
             return;
         }
         responses.write(
@@ -202,30 +202,30 @@
 
     @Override
     public String requestName() {
-        return name == null ? "" : name;
+        return requestName == null ? "" : requestName;
     }
 
-    /** The head of an answer has been given whose body passes through. */
+    /** The head of a response with a relayed body was written. */
     void onResponseStarted() {
         exchange = null;
         connection.touch();
     }
 
-    /** Nobody waits for it any more. */
+    /** The client no longer waits for the response. */
     void abandon() {
         Exchange left = exchange;
         finish();
         if (left != null) {
-            context.core.clientGone(left);
+            context.proxy.clientGone(left);
         }
     }
 
-    /** Nothing is at work any more. */
+    /** Ends the request; none is in progress afterwards. */
     void finish() {
         endDeferral();
-        if (name != null) {
-            context.byName.remove(name);
-            name = null;
+        if (requestName != null) {
+            context.connectionsByRequestName.remove(requestName);
+            requestName = null;
         }
         if (request != null) {
             ReferenceCountUtil.release(request);
--- a/src/main/java/sablehinge/dataplane/http1/EarlyRequest.java
+++ b/src/main/java/sablehinge/dataplane/http1/EarlyRequest.java
@@ -10,73 +10,73 @@
 import sablehinge.dataplane.proxy.Version;
 
 /**
- * A request that was begun before its turn on its connection: its answer is kept until then. Only what may be repeated
- * is begun so, as what comes ahead of it may close the connection.
+ * A pipelined request that was started before those ahead of it were answered; its answer is buffered until then. Only
+ * requests that may be repeated are started early, as a response ahead of them may close the connection.
  */
 final class EarlyRequest implements Caller {
 
     final FullHttpRequest request;
     final Version version;
     private Exchange exchange;
-    private Answer kept;
-    private boolean over;
-    private Consumer<Answer> turn;
+    private Answer bufferedAnswer;
+    private boolean finished;
+    private Consumer<Answer> recipient;
 
     EarlyRequest(FullHttpRequest request, Version version) {
         this.request = request;
         this.version = version;
     }
 
-    /** It is on its way. */
-    void begun(Exchange with) {
-        exchange = with;
+    /** Sets the exchange of the request with the proxy. */
+    void setExchange(Exchange assigned) {
+        exchange = assigned;
     }
 
-    /** Its turn has come: the answer goes there, at once if it is here. */
-    void turns(Consumer<Answer> to) {
-        turn = to;
-        if (kept != null) {
-            Answer answer = kept;
-            kept = null;
-            over = true;
+    /** Delivers the answer to the recipient, at once if it has been received, otherwise when it is. */
+    void deliverTo(Consumer<Answer> to) {
+        recipient = to;
+        if (bufferedAnswer != null) {
+            Answer answer = bufferedAnswer;
+            bufferedAnswer = null;
+            finished = true;
             to.accept(answer);
             answer.payload().release();
         }
     }
 
-    /** The exchange, while its answer is out. */
+    /** The exchange while it is open, otherwise null. */
     Exchange exchange() {
         return exchange != null && exchange.isOpen() ? exchange : null;
     }
 
     @Override
     public void answer(Answer answer) {
-        if (over) {
+        if (finished) {
             return;
         }
-        if (turn != null) {
-            over = true;
-            turn.accept(answer);
+        if (recipient != null) {
+            finished = true;
+            recipient.accept(answer);
         } else if (answer.payload() instanceof RelayedPayload) {
-            // What passes through as it comes can't be held back; its client may ask again.
-            kept = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
+            // A relayed body can't be buffered; the client may retry the request.
+            bufferedAnswer = new Answer(Answer.Kind.FAILED, Payload.NONE, 0);
         } else {
             Payload payload = answer.payload() == Payload.NONE
                     ? Payload.NONE
                     : answer.payload().retain();
-            kept = new Answer(answer.kind(), payload, answer.retryAfter(), answer.spent(), answer.path());
+            bufferedAnswer = new Answer(answer.kind(), payload, answer.retryAfter(), answer.spent(), answer.path());
         }
     }
 
-    /** Nobody wants it any more. */
-    void drop(RequestProxy core) {
-        over = true;
-        if (kept != null) {
-            kept.payload().release();
-            kept = null;
+    /** Cancels the request; its client no longer waits for it. */
+    void drop(RequestProxy proxy) {
+        finished = true;
+        if (bufferedAnswer != null) {
+            bufferedAnswer.payload().release();
+            bufferedAnswer = null;
         }
         if (exchange() != null) {
-            core.clientGone(exchange);
+            proxy.clientGone(exchange);
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/Freshness.java
+++ b/src/main/java/sablehinge/dataplane/http1/Freshness.java
@@ -1,46 +1,46 @@
 package sablehinge.dataplane.http1;
 
 /**
- * How long a kept connection may have rested and still be trusted with a request. Its other end may have given it up
- * with no sign, or with one that is still on its way: what is written then is a reset, and may have run. Guards against
- * upstreams, and all between, that forget connections sooner than they say. Does harm where connections are dear and
- * breaks have another cause, such as an upstream that crashes often: each such break makes this balancer open more of
- * them for some seconds.
+ * Limits how long a pooled connection may have been idle and still carry a request. Its peer may have dropped it
+ * without a sign, or with one that is still on its way; a request written to it is then answered with a reset, and may
+ * have run. This guards against upstreams, and middleboxes on the way to them, that forget connections sooner than they
+ * announce. It does harm if connections are expensive and breaks have another cause, such as an upstream that crashes
+ * often: each such break makes this balancer open more connections for some seconds.
  */
 final class Freshness {
 
-    /** A rest that needs no trust: about what a batch of calls one after another leaves between them. */
-    static final double YOUNG_MS = 50;
-    /** A reset later than this after the write has befallen the request and not the connection. */
-    static final double AT_ONCE_MS = 50;
-    /** Growth of the trust in a second without a break: back to ten times after some ten seconds. */
-    private static final double RECOVERY = 1.25;
+    /** Idle time that needs no further evidence, ms: about the time between the calls of a sequential batch. */
+    static final double DEFAULT_MAX_IDLE_FOR_UNSAFE_MS = 50;
+    /** A reset later than this after the write was caused by the request and not by the idle connection, ms. */
+    static final double IMMEDIATE_RESET_MS = 50;
+    /** Growth of the limit in a second without a break: a factor of ten takes about ten seconds. */
+    private static final double GROWTH_PER_SECOND = 1.25;
 
-    private final double longest;
-    private final double young;
-    private double trusted;
+    private final double maxIdleMs;
+    private final double maxIdleForUnsafeMs;
+    private double trustedIdleMs;
 
-    Freshness(double longest, double young) {
-        this.longest = longest;
-        this.young = young;
-        trusted = longest;
+    Freshness(double maxIdleMs, double maxIdleForUnsafeMs) {
+        this.maxIdleMs = maxIdleMs;
+        this.maxIdleForUnsafeMs = maxIdleForUnsafeMs;
+        trustedIdleMs = maxIdleMs;
     }
 
     /**
-     * Whether a connection that has rested for so long may carry a request. One that must not be sent again is lost
-     * with its connection, which costs more than a new one does: it gets one that is young.
+     * Whether a connection that was idle for the given ms may carry a request. A request that must not be repeated is
+     * lost with its connection, which costs more than a new connection, so it gets only one that was idle briefly.
      */
-    boolean trusts(double rested, boolean resendable) {
-        return rested <= (resendable ? trusted : Math.min(young, trusted));
+    boolean mayUse(double idleMs, boolean resendable) {
+        return idleMs <= (resendable ? trustedIdleMs : Math.min(maxIdleForUnsafeMs, trustedIdleMs));
     }
 
-    /** A connection broke under a request as soon as it had been written, after resting for so long. */
-    void broke(double rested) {
-        trusted = Math.max(young, Math.min(trusted, rested / 2));
+    /** A connection that was idle for the given ms was reset immediately after a request was written. */
+    void onReset(double idleMs) {
+        trustedIdleMs = Math.max(maxIdleForUnsafeMs, Math.min(trustedIdleMs, idleMs / 2));
     }
 
-    /** A second has passed. */
+    /** Raises the limit; called once a second. */
     void recover() {
-        trusted = Math.min(longest, trusted * RECOVERY);
+        trustedIdleMs = Math.min(maxIdleMs, trustedIdleMs * GROWTH_PER_SECOND);
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontDialect.java
@@ -8,61 +8,65 @@
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Version;
 
-/** What callers and a front say to each other beyond HTTP: who may ask for what, and how answers are worded. */
+/**
+ * The protocol between clients and a frontend on top of HTTP: which requests clients may send, and how answers are
+ * represented.
+ */
 public interface FrontDialect {
 
-    /** What callers may do now. */
+    /** The limits for clients at present. */
     FrontTerms terms();
 
-    /** Whether this asks if the front is there, and is answered at once. */
+    /** Whether a request is a health check of the frontend, which is answered at once. */
     default boolean isHealth(HttpRequest request) {
         return false;
     }
 
-    /** Whether this may run more than once, so that it may be begun before what came ahead of it is answered. */
+    /** Whether a request may run more than once, so that it may be started before those ahead of it are answered. */
     default boolean isRepeatable(HttpRequest request) {
         return false;
     }
 
     /**
-     * Reads the head of a request, and may change it for those that it goes on to.
+     * Reads the head of a request, and may change it before it is forwarded.
      *
-     * @param hasBody whether it has one, which may be still coming
-     * @param cameAt when it was complete, or now if it is still coming; its time counts from then
-     * @param now in ms of the core's clock
+     * @param hasBody whether it has a body, which may still be received
+     * @param completedAt when it was complete, or now if it is still being received; its deadline counts from then
+     * @param now in ms of the proxy's clock
      */
-    CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now) throws BadRequestException;
+    CheckedRequest read(HttpRequest request, boolean hasBody, double completedAt, double now)
+            throws BadRequestException;
 
     /**
-     * What to answer to a request that can't be taken, or null to read it again a little later: what it asks for may be
-     * on its way here.
+     * The error to answer an invalid request with, or null to read the request again a little later, as the
+     * configuration that it needs may arrive.
      *
-     * @param mayWait whether it may be put off; false where too many are
-     * @param cameAt when it was complete, in ms of the core's clock
-     * @param now in ms of the core's clock
+     * @param mayWait whether it may be deferred; false if too many requests are
+     * @param completedAt when it was complete, in ms of the proxy's clock
+     * @param now in ms of the proxy's clock
      */
-    default BadRequestException refusal(BadRequestException why, boolean mayWait, double cameAt, double now) {
+    default BadRequestException refusal(BadRequestException why, boolean mayWait, double completedAt, double now) {
         return why;
     }
 
-    /** The status of an answer. */
+    /** The HTTP status of an answer. */
     HttpResponseStatus status(Answer answer);
 
-    /** The body of an answer, lent. */
+    /** The body of an answer, not retained. */
     ByteBuf content(Answer answer);
 
     /**
-     * Sets the headers of an answer, those apart that frame it.
+     * Sets the headers of a response, except those that frame it.
      *
-     * @param answer null where the request was not taken
-     * @param version null where the request was not read
-     * @param request that it answers; null where none could be read
+     * @param answer null if the request was not passed to the proxy
+     * @param version null if the request was not read
+     * @param request the request that is answered; null if none could be read
      */
     void setHeaders(HttpResponse response, Answer answer, Version version, HttpRequest request);
 
-    /** Switches on the headers of budgets, where there are any. */
+    /** Enables the headers with budgets, if the protocol has them. */
     default void enableBudgets(HeaderText text) {}
 
-    /** Lets requests be read by the version that is about to be replaced until the given time. */
+    /** Accepts requests by the version that is about to be replaced until the given time. */
     default void acceptPreviousVersion(double until) {}
 }
--- a/src/main/java/sablehinge/dataplane/http1/FrontTerms.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontTerms.java
@@ -1,17 +1,18 @@
 package sablehinge.dataplane.http1;
 
 /**
- * What a front lets its callers do.
+ * The limits of a frontend for its clients.
  *
- * @param headerBytes of a request's head, at most
- * @param bodyBytes of a body, at most
- * @param requestTimeoutMs in which a request that has begun, or a new connection's first, must be there
- * @param bytesPerMs a body has a ms more for each so many bytes
- * @param firstRequestTimeoutMs that a connection may stay without its first request
- * @param idleTimeoutMs that it may rest between two
- * @param maxBufferedBodyBytes a body of up to so many is kept completely, so that it can be sent again,
- * @param maxBufferedBytes as long as so many bytes fit
- * @param concurrent whether requests sent ahead of their turn are begun at once, where they may be repeated
+ * @param headerBytes the largest head of a request
+ * @param bodyBytes the largest body
+ * @param requestTimeoutMs time in which a request must be complete after its first byte, and the first request of a
+ *     connection after it was accepted
+ * @param bytesPerMs a request gets one ms more for each so many bytes of it
+ * @param firstRequestTimeoutMs how long a connection may stay open without a first request
+ * @param idleTimeoutMs how long a connection may be idle between two requests
+ * @param maxBufferedBodyBytes the largest body that is buffered completely, so that it can be sent again
+ * @param maxBufferedBytes limit on the reservations for such bodies of all connections
+ * @param concurrent whether pipelined requests that may be repeated are started at once
  */
 public record FrontTerms(
         int headerBytes,
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -32,80 +32,83 @@
 import sablehinge.dataplane.proxy.ShutdownDeadlines;
 
 /**
- * Takes callers' requests and writes each one's answer. A caller that sends what is of no use, or nothing, has an error
- * or the end of its connection soon, and can't hold memory or descriptors for longer.
+ * Accepts client connections, receives their requests and writes the responses. A client that sends invalid requests,
+ * or nothing, soon gets an error or is disconnected, and can't hold memory or descriptors for longer.
  */
 public final class Frontend {
 
     private static final Logger LOG = LoggerFactory.getLogger(Frontend.class);
     private static final int BACKLOG = 1_024;
 
-    private static final long SWEEP_MS = 200;
+    private static final long SWEEP_INTERVAL_MS = 200;
 
     private final FrontendContext context;
 
     private final DoublePredicate evict = this::evictIdle;
-    private ScheduledFuture<?> sweeps;
-    /** While it drains: when it accepts no more, ms, and what then follows. */
+    private ScheduledFuture<?> sweepTask;
+    /** During retirement: when it stops accepting, ms, and the callback for when no connection is left. */
     private double closesAt = Double.POSITIVE_INFINITY;
 
-    private Runnable afterwards;
+    private Runnable onRetired;
 
-    /** A front for the platform's callers. */
-    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy core) {
-        this(loop, sockets, memory, core, new PlatformFront(core));
+    /** Creates a frontend for the platform's clients. */
+    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy proxy) {
+        this(loop, sockets, memory, proxy, new PlatformFront(proxy));
     }
 
-    /** A front on the given loop, whose connections count among the given sockets. */
-    public Frontend(EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy core, FrontDialect dialect) {
-        context = new FrontendContext(loop, sockets, memory, core, dialect);
-        sockets.callersGiveWay(evict);
+    /** Creates a frontend on the given event loop whose connections count towards the given sockets. */
+    public Frontend(
+            EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy proxy, FrontDialect dialect) {
+        context = new FrontendContext(loop, sockets, memory, proxy, dialect);
+        sockets.addCallerEviction(evict);
     }
 
     /**
-     * Lets callers in at the given address; waits until it does.
+     * Accepts clients at the given address; waits until it listens.
      *
      * @param shared whether other processes of the same user may listen there too (SO_REUSEPORT, socket(7))
      */
     public void bind(InetSocketAddress address, boolean shared) throws IOException, InterruptedException {
         ChannelFuture bound = listen(address, shared).await();
         if (!bound.isSuccess()) {
-            throw new IOException(cannot(address, bound.cause()));
+            throw new IOException(bindFailure(address, bound.cause()));
         }
-        listens(bound.channel());
+        onListening(bound.channel());
     }
 
-    /** Lets callers in where the process listens already; on the loop. */
-    public void adopt(ServerSocketChannel listens) {
+    /** Accepts clients on a listening socket of the process; called on the event loop. */
+    public void adopt(ServerSocketChannel listener) {
         context.listening = server().channelFactory(
-                        (ChannelFactory<ServerChannel>) () -> new NioServerSocketChannel(listens))
+                        (ChannelFactory<ServerChannel>) () -> new NioServerSocketChannel(listener))
                 .register()
                 .channel();
-        listens(context.listening);
+        onListening(context.listening);
     }
 
-    /** Lets callers in at the given address; {@code done} gets, on the loop, why not, or null. */
+    /**
+     * Accepts clients at the given address; {@code done} is called on the event loop with the error message, or null.
+     */
     public void open(InetSocketAddress address, Consumer<String> done) {
         listen(address, false).addListener((ChannelFuture bound) -> {
             if (bound.isSuccess()) {
-                listens(bound.channel());
+                onListening(bound.channel());
             }
-            done.accept(bound.isSuccess() ? null : cannot(address, bound.cause()));
+            done.accept(bound.isSuccess() ? null : bindFailure(address, bound.cause()));
         });
     }
 
-    private static String cannot(InetSocketAddress address, Throwable cause) {
+    private static String bindFailure(InetSocketAddress address, Throwable cause) {
         return "cannot listen on " + address + ": " + cause.getMessage();
     }
 
-    private void listens(Channel bound) {
+    private void onListening(Channel bound) {
         context.listening = bound;
         if (context.shutdown != null) {
-            // The process was told to end before it listened.
+            // The shutdown began before it listened.
             bound.close();
         }
-        sweeps = context.loop.scheduleAtFixedRate(
-                () -> sweep(context.core.now()), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweepTask = context.loop.scheduleAtFixedRate(
+                () -> sweep(context.proxy.now()), SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private ChannelFuture listen(InetSocketAddress address, boolean shared) {
@@ -127,7 +130,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // Known before anybody who was let in can leave again.
+                        // Set before any accepted client can disconnect.
                         context.listening = channel.parent();
                         CallerConnection connection = new CallerConnection(context, channel);
                         channel.pipeline().addLast(connection.decoder, new HttpResponseEncoder(), connection);
@@ -135,43 +138,43 @@
                 });
     }
 
-    /** Switches on the headers of budgets. */
+    /** Enables the headers with budgets. */
     public void enableBudgets(HeaderText text) {
         context.dialect.enableBudgets(text);
     }
 
-    /** Where it listens. */
+    /** The address that it listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) context.listening.localAddress();
     }
 
-    /** How many connections it has. */
+    /** The number of client connections. */
     public int callers() {
         return context.connections.size();
     }
 
-    /** Bytes that are reserved for bodies of more than 64 KiB, at work or still coming. */
+    /** Bytes that are reserved for bodies of more than 64 KiB, of requests in progress or still being received. */
     public int reservedBytes() {
         return context.reservedBytes;
     }
 
-    /** How many requests wait for an update. */
+    /** The number of requests that wait for a configuration. */
     int deferredRequests() {
         return context.deferredRequests;
     }
 
-    /** How many bodies the sweep had to wake, as the wake-up that was due had been lost. */
+    /** The number of relays that a sweep had to resume because their wake-up was lost. */
     public long wokenBodies() {
         return context.wokenBodies;
     }
 
-    /** Whether no answer is being written: callers that have had their last one may still be there. */
+    /** Whether no response is being written. Clients that received their last response may still be connected. */
     public boolean isWrittenOut() {
         return context.connections.stream()
                 .noneMatch(connection -> connection.responses().isWriting());
     }
 
-    /** Connections on which something is at work. */
+    /** The number of connections that are not idle. */
     public int busyConnections() {
         int busy = 0;
         for (CallerConnection connection : context.connections) {
@@ -180,22 +183,22 @@
         return busy;
     }
 
-    /** Each body that passes through, and each answer that is not written out. */
+    /** Passes each relayed body and each unwritten response to the consumer. */
     public void forEachRelay(Consumer<MonitoredRelay> each) {
         context.connections.forEach(connection -> connection.forEachRelay(each));
     }
 
-    /** From now on every answer asks its caller to leave. */
+    /** From now on every response asks its client to close the connection. */
     public void beginDrain() {
         context.beginDrain();
     }
 
-    /** How many requests came to their turn while it drained. */
+    /** The number of requests that became due while it drained. */
     public int lateRequests() {
         return context.lateRequests.total();
     }
 
-    /** Closes what is idle and tells whether nothing is left, so that the process may end. */
+    /** Closes idle connections and reports whether none is left, so that the process may end. */
     public boolean endDrain() {
         if (context.listening != null) {
             context.sockets.readNow(context.listening);
@@ -207,38 +210,38 @@
     }
 
     /**
-     * Before another version is taken: for so many ms a request that the new one can't take may still be read as one of
-     * the present one, by which its caller has sent it.
+     * Called before another version is applied: for the given ms, a request that is invalid under the new version may
+     * still be read by the present one, which its client used.
      */
     public void acceptPreviousVersion(long millis) {
-        context.dialect.acceptPreviousVersion(context.core.now() + millis);
+        context.dialect.acceptPreviousVersion(context.proxy.now() + millis);
     }
 
-    /** Ends what has taken too long by the given time. */
+    /** Enforces the timeouts of all connections as of the given time. */
     void sweep(double now) {
         for (CallerConnection connection : new ArrayList<>(context.connections)) {
             connection.sweep(now);
         }
         if (now >= closesAt) {
-            leave();
+            finishRetirement();
         } else {
             context.resumeAccepting();
         }
     }
 
     /**
-     * Gives its address up while the balancer goes on elsewhere: answers ask their callers to leave, for so many ms it
-     * lets in those who don't know yet, then it closes. Callers that are at work have their answers.
+     * Retires this frontend while the balancer continues elsewhere: responses ask clients to close their connections,
+     * new clients are accepted for the given ms, and then the listener is closed. Requests in progress are answered.
      *
      * @param done called once no connection is left
      */
     public void retire(double grace, Runnable done) {
         context.beginDrain();
-        closesAt = context.core.now() + grace;
-        afterwards = done;
+        closesAt = context.proxy.now() + grace;
+        onRetired = done;
     }
 
-    /** Takes a retirement back; false if it lets in nobody any more. */
+    /** Cancels a retirement; false if the listener has been closed already. */
     public boolean cancelRetirement() {
         if (!context.listening.isOpen()) {
             return false;
@@ -249,33 +252,33 @@
     }
 
     /**
-     * Leaves new callers to another process that listens at the same address; those that it has are answered, and
-     * requested to leave with that.
+     * Leaves new clients to another process that listens at the same address. Requests of existing clients are answered
+     * with a request to close the connection.
      */
     public void handOver() {
         context.beginDrain();
-        shut();
+        closeListener();
     }
 
     /**
-     * The process is about to end: lets in nobody more, and takes what has come by now. Of what comes from here on
-     * nothing is begun that the given times do not admit, and the answer to the last request that has come on a
+     * Stops accepting clients, as the process is about to end, and reads all input received by now. A request that
+     * arrives later is started only if the given deadlines admit it, and the response to the last request received on a
      * connection is its last.
      */
     public void stopAdmitting(ShutdownDeadlines deadlines) {
-        shut();
+        closeListener();
         for (CallerConnection connection : new ArrayList<>(context.connections)) {
             context.sockets.readNow(connection.channel);
         }
         context.beginDrain();
-        context.shutdown = deadlines.withAdmissionExtendedTo(context.core.now());
+        context.shutdown = deadlines.withAdmissionExtendedTo(context.proxy.now());
     }
 
-    private void shut() {
+    private void closeListener() {
         if (context.listening != null && context.listening.isOpen()) {
             int before;
             do {
-                // Who has been let in by the kernel is owed an answer; to close now would reset them.
+                // Clients that the kernel has accepted must get a response; to close now would reset their connections.
                 before = context.connections.size();
                 context.sockets.readNow(context.listening);
             } while (context.connections.size() > before);
@@ -283,26 +286,25 @@
         }
     }
 
-    private void leave() {
-        shut();
+    private void finishRetirement() {
+        closeListener();
         for (CallerConnection connection : new ArrayList<>(context.connections)) {
             connection.closeIfIdle();
         }
-        if (context.connections.isEmpty() && sweeps != null) {
-            sweeps.cancel(false);
-            sweeps = null;
-            context.sockets.callersLeft(evict);
-            afterwards.run();
+        if (context.connections.isEmpty() && sweepTask != null) {
+            sweepTask.cancel(false);
+            sweepTask = null;
+            context.sockets.removeCallerEviction(evict);
+            onRetired.run();
         }
     }
 
     /**
-     * Closes a caller's connection that nothing is at work on since before the given time, the longest such first, as
-     * it may between requests.
+     * Closes the connection that has been idle or lingering for the longest time, if that began before the given time.
      */
     private boolean evictIdle(double before) {
         for (CallerConnection connection : new ArrayList<>(context.connections)) {
-            // One that is closed stays here until its end is reported: to count it again would make no room.
+            // A closed connection stays in the set until its end is reported; to count it again would make no room.
             if (connection.channel.isOpen()
                     && connection.lastActivityAt < before
                     && (connection.isLingering() || connection.closeIfIdle())) {
@@ -313,7 +315,7 @@
         return false;
     }
 
-    /** Handles a caller that could not be accepted, and waits for the next sweep before it tries again. */
+    /** Handles a failure to accept a client, and waits for the next sweep before accepting again. */
     private static final class Acceptor extends ChannelInboundHandlerAdapter {
 
         @Override
@@ -321,7 +323,7 @@
             ctx.channel().config().setAutoRead(false);
             Log.warn(LOG, "caller-not-let-in")
                     .addKeyValue("cause", cause.toString())
-                    .log("a caller could not be let in: {}", cause.toString());
+                    .log("a client could not be accepted: {}", cause.toString());
         }
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/FrontendContext.java
+++ b/src/main/java/sablehinge/dataplane/http1/FrontendContext.java
@@ -11,63 +11,61 @@
 import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.ShutdownDeadlines;
 
-/** What the connections of one {@link Frontend} share. All of it belongs to the event loop. */
+/** The state that the connections of one {@link Frontend} share. All of it belongs to the event loop. */
 final class FrontendContext {
 
-    /** Requests that may wait for a configuration at once: each is read again every time. */
+    /** Requests that may wait for a configuration at once; each of them is read again periodically. */
     static final int MAX_DEFERRED = 256;
 
     final EventLoop loop;
     final Sockets sockets;
     final ByteBufAllocator memory;
-    final RequestProxy core;
+    final RequestProxy proxy;
     final FrontDialect dialect;
-    /** Every caller's connection, in the order in which they came or last became idle. */
+    /** All client connections, in the order in which they were accepted or last became idle. */
     final Set<CallerConnection> connections = new LinkedHashSet<>();
-    /** Who waits for the answer to a request, by the request's name (X-Txn). */
-    final Map<String, CallerConnection> byName = new HashMap<>();
-    /** Where callers are accepted; null before. */
+    /** The connection whose request is in progress, by the name of the request (X-Txn). */
+    final Map<String, CallerConnection> connectionsByRequestName = new HashMap<>();
+    /** The listening channel; null before it listens. */
     Channel listening;
-    /** Whether every answer asks its caller to leave. */
+    /** Whether every response asks its client to close the connection. */
     boolean draining;
-    /** Since when that is so, ms. */
+    /** When the drain began, ms. */
     double drainingSince;
-    /**
-     * What is still taken, as the process is about to end; null before that. Once it is there, nothing is begun before
-     * its turn any more.
-     */
+    /** The deadlines of the shutdown; null before it. Once it is set, no request is started early any more. */
     ShutdownDeadlines shutdown;
-    /** The requests that came meanwhile. */
+    /** The requests that became due during the drain. */
     final LateRequestLog lateRequests = new LateRequestLog();
-    /** Bytes that are reserved for bodies of more than {@link UpstreamClient#MAX_BODY}. */
+    /** Bytes that are reserved for bodies of more than {@link UpstreamClient#MAX_BUFFERED_BODY_BYTES}. */
     int reservedBytes;
-    /** Bodies that a sweep had to wake. */
+    /** Relays that a sweep had to resume. */
     long wokenBodies;
-    /** Requests that wait for a configuration. */
+    /** The number of requests that wait for a configuration. */
     int deferredRequests;
 
-    FrontendContext(EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy core, FrontDialect dialect) {
+    FrontendContext(
+            EventLoop loop, Sockets sockets, ByteBufAllocator memory, RequestProxy proxy, FrontDialect dialect) {
         this.loop = loop;
         this.sockets = sockets;
         this.memory = memory;
-        this.core = core;
+        this.proxy = proxy;
         this.dialect = dialect;
     }
 
-    /** From now on every answer asks its caller to leave. */
+    /** From now on every response asks its client to close the connection. */
     void beginDrain() {
         if (!draining) {
             draining = true;
-            drainingSince = core.now();
+            drainingSince = proxy.now();
         }
     }
 
-    /** Whether a request may be taken now whose first byte came at the given time, ms. */
+    /** Whether a request whose first byte was received at the given time, ms, may be admitted now. */
     boolean admits(double firstByteAt) {
-        return shutdown == null || shutdown.admits(firstByteAt, core.now());
+        return shutdown == null || shutdown.admits(firstByteAt, proxy.now());
     }
 
-    /** How a request is answered that is not taken, as the process is about to end. */
+    /** The response to a request that is not admitted, as the process is about to end. */
     BadRequestException shutdownRefusal() {
         return BadRequestException.rejected(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -76,11 +74,11 @@
     }
 
     /**
-     * Lets callers in again if there is room. To do so at each close, room or not, would let in more than leave and use
-     * up the descriptors, without which the virtual machine can't even load a class.
+     * Resumes accepting clients if there is room. To resume at each close regardless would accept more clients than
+     * leave and use up the descriptors, without which the virtual machine can't even load a class.
      */
     void resumeAccepting() {
-        if (listening.isOpen() && !listening.config().isAutoRead() && sockets.roomForCaller(core.now())) {
+        if (listening.isOpen() && !listening.config().isAutoRead() && sockets.hasRoomForCaller(proxy.now())) {
             listening.config().setAutoRead(true);
         }
     }
--- a/src/main/java/sablehinge/dataplane/http1/HopHeaders.java
+++ b/src/main/java/sablehinge/dataplane/http1/HopHeaders.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1), and those that frame a message. */
+/** Hop-by-hop headers (RFC 9110, 7.6.1), and those that frame a message. */
 public final class HopHeaders {
 
-    private static final Set<String> OF_A_CONNECTION = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
+    private static final Set<String> HOP_BY_HOP = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
 
-    /** How the names of the protocol's own headers begin. */
-    private static final String OURS = "Sablehinge-";
+    /** The prefix of the names of the mesh protocol's own headers. */
+    private static final String MESH_PREFIX = "Sablehinge-";
 
     static {
-        OF_A_CONNECTION.addAll(Set.of(
+        HOP_BY_HOP.addAll(Set.of(
                 "Connection",
                 "Keep-Alive",
                 "Proxy-Connection",
@@ -30,32 +30,32 @@
 
     private HopHeaders() {}
 
-    /** Adds to one message what another has and may go on with it. */
+    /** Copies the end-to-end headers of one message to another. */
     public static void copy(HttpHeaders from, HttpHeaders to) {
-        Set<String> named = named(from);
+        Set<String> options = connectionOptions(from);
         for (Map.Entry<String, String> header : from) {
-            if (!OF_A_CONNECTION.contains(header.getKey()) && !named.contains(header.getKey())) {
+            if (!HOP_BY_HOP.contains(header.getKey()) && !options.contains(header.getKey())) {
                 to.add(header.getKey(), header.getValue());
             }
         }
     }
 
     /**
-     * What a message itself says is for its connection only. Headers of the protocol are not, whatever it says: a
-     * sender could else take out what was set after it, such as the caller's name.
+     * The names in the Connection header of a message. Headers of the mesh protocol are excluded: a sender could
+     * otherwise remove headers that were set after it, such as the caller's name.
      */
-    private static Set<String> named(HttpHeaders headers) {
+    private static Set<String> connectionOptions(HttpHeaders headers) {
         if (!headers.contains("Connection")) {
             return Set.of();
         }
-        Set<String> named = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
+        Set<String> options = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
         for (String value : headers.getAll("Connection")) {
             for (String name : value.split(",")) {
-                if (!name.strip().regionMatches(true, 0, OURS, 0, OURS.length())) {
-                    named.add(name.strip());
+                if (!name.strip().regionMatches(true, 0, MESH_PREFIX, 0, MESH_PREFIX.length())) {
+                    options.add(name.strip());
                 }
             }
         }
-        return named;
+        return options;
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/LateRequestLog.java
+++ b/src/main/java/sablehinge/dataplane/http1/LateRequestLog.java
@@ -6,21 +6,24 @@
 import sablehinge.common.logging.Log;
 
 /**
- * Logs what becomes of each request that comes to its turn while its front drains, so that a stop which takes long can
- * be explained: on what kind of connection it came, and what stood before it there. It counts all of them and writes
- * the first ones.
+ * Logs the outcome of each request that is due while its frontend drains, so that a slow shutdown can be explained: on
+ * what kind of connection it was received, and how many requests were ahead of it. Counts all of them and logs the
+ * first ones.
  */
 final class LateRequestLog {
 
-    /** What became of a late request. */
+    /** The outcome of a late request. */
     enum Outcome {
-        /** It was handed on in its turn. */
+        /** It was passed to the proxy in its order. */
         TAKEN,
-        /** It was handed on before its turn, as it may be repeated. */
+        /** It was passed to the proxy early, as it may be repeated. */
         TAKEN_EARLY,
-        /** It was answered as one that has not run. */
+        /** It was refused as not run. */
         REFUSED,
-        /** It stood behind another, and its connection ended with the answer to that: as if it had not been read. */
+        /**
+         * It was pipelined behind another request, and the connection ended with the response to that, as if this one
+         * had not been read.
+         */
         UNREAD
     }
 
@@ -29,16 +32,16 @@
 
     private int total;
 
-    /** How many there were. */
+    /** The number of late requests. */
     int total() {
         return total;
     }
 
     /**
-     * Takes down a request.
+     * Counts and logs a request.
      *
-     * @param drainingForMs since its front began to drain
-     * @param ahead requests before it on its connection that are not answered
+     * @param drainingForMs time since its frontend began to drain
+     * @param ahead unanswered requests ahead of it on its connection
      */
     void add(
             CallerConnection connection,
@@ -57,8 +60,8 @@
                 .addKeyValue("outcome", outcome)
                 .addKeyValue("draining-ms", Math.round(drainingForMs))
                 .addKeyValue("connected-ms", Math.round(now - connection.openedAt()))
-                .addKeyValue("answered", connection.answered())
+                .addKeyValue("answered", connection.responsesSent())
                 .addKeyValue("ahead", ahead)
-                .log("a request comes to its turn while the balancer drains");
+                .log("a request became due while the balancer drains");
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/LoadReport.java
+++ b/src/main/java/sablehinge/dataplane/http1/LoadReport.java
@@ -7,12 +7,12 @@
 final class LoadReport {
 
     private static final String PREFIX = "TEXT";
-    /** Beyond it no figure of a load is meant. */
-    private static final double MAX = 1e9;
+    /** Values above this are invalid. */
+    private static final double MAX_VALUE = 1e9;
 
     private LoadReport() {}
 
-    /** The values of the given fields in their order; null unless the text holds them all, in range. */
+    /** The values of the given fields in their order; null unless the text contains all of them, each in range. */
     static double[] parse(String text, List<String> fields) {
         if (text == null || fields.isEmpty()) {
             return null;
@@ -37,6 +37,6 @@
             }
         }
         // NaN compares false.
-        return Arrays.stream(values).allMatch(value -> value >= 0 && value <= MAX) ? values : null;
+        return Arrays.stream(values).allMatch(value -> value >= 0 && value <= MAX_VALUE) ? values : null;
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/PipelinedRequests.java
+++ b/src/main/java/sablehinge/dataplane/http1/PipelinedRequests.java
@@ -7,29 +7,29 @@
 import sablehinge.dataplane.proxy.RequestProxy;
 
 /**
- * Complete requests that wait for their turn on a connection (HTTP/1.1 pipelining), and those of them that were begun
- * before it. It owns a reference to each request in it.
+ * Complete pipelined requests that wait for the responses before theirs, and those of them that were started early.
+ * Owns a reference to each request in it.
  */
 final class PipelinedRequests {
 
-    /** Requests that a connection may send ahead of their turn. */
+    /** Pipelined requests that may wait on one connection. */
     private static final int MAX_REQUESTS = 16;
-    /** Of those, how many are begun before their turn. */
-    private static final int MAX_BEGUN = 8;
-    /** Bytes of bodies above which the connection is read no more. */
-    private static final int MAX_BYTES = UpstreamClient.MAX_BODY;
+    /** How many of them may be started early. */
+    private static final int MAX_EARLY_STARTS = 8;
+    /** Bytes of waiting bodies above which the connection is not read. */
+    private static final int MAX_BYTES = UpstreamClient.MAX_BUFFERED_BODY_BYTES;
 
     /**
      * A complete request.
      *
-     * @param startedAt when its first byte came, ms
-     * @param at when its last byte came, ms
+     * @param startedAt when its first byte was received, ms
+     * @param completedAt when its last byte was received, ms
      */
-    record Arrived(FullHttpRequest request, double startedAt, double at) {}
+    record Arrived(FullHttpRequest request, double startedAt, double completedAt) {}
 
     private final ArrayDeque<Arrived> waiting = new ArrayDeque<>();
-    /** Those that are begun already, in the same order. */
-    private final ArrayDeque<EarlyRequest> begun = new ArrayDeque<>(0);
+    /** The requests that were started early, in the same order. */
+    private final ArrayDeque<EarlyRequest> started = new ArrayDeque<>(0);
 
     private int bytes;
 
@@ -37,12 +37,12 @@
         return waiting.isEmpty();
     }
 
-    /** Whether there are more than a caller may send ahead. */
-    boolean isTooLong() {
+    /** Whether more requests wait than a client may pipeline. */
+    boolean hasTooManyRequests() {
         return waiting.size() > MAX_REQUESTS;
     }
 
-    boolean holdsTooManyBytes() {
+    boolean hasTooManyBytes() {
         return bytes > MAX_BYTES;
     }
 
@@ -50,16 +50,16 @@
         return waiting.size();
     }
 
-    int begunCount() {
-        return begun.size();
+    int startedCount() {
+        return started.size();
     }
 
-    boolean areAllBegun() {
-        return begun.size() == waiting.size();
+    boolean areAllStarted() {
+        return started.size() == waiting.size();
     }
 
-    boolean areEnoughBegun() {
-        return begun.size() >= MAX_BEGUN;
+    boolean isEarlyStartLimitReached() {
+        return started.size() >= MAX_EARLY_STARTS;
     }
 
     void add(FullHttpRequest request, double startedAt, double now) {
@@ -67,7 +67,7 @@
         waiting.addLast(new Arrived(request, startedAt, now));
     }
 
-    /** The next in turn; null if there is none. */
+    /** Removes and returns the next request; null if there is none. */
     Arrived poll() {
         Arrived next = waiting.pollFirst();
         if (next != null) {
@@ -76,26 +76,26 @@
         return next;
     }
 
-    /** What has become of a request that was polled, if it was begun before its turn; else null. */
-    EarlyRequest pollBegun(Arrived arrived) {
-        boolean early = !begun.isEmpty() && begun.peekFirst().request == arrived.request();
-        return early ? begun.pollFirst() : null;
+    /** Removes and returns the started form of a polled request; null if it was not started early. */
+    EarlyRequest pollStarted(Arrived arrived) {
+        boolean early = !started.isEmpty() && started.peekFirst().request == arrived.request();
+        return early ? started.pollFirst() : null;
     }
 
-    /** Those that are not begun, in their order; a copy. */
-    List<Arrived> notBegun() {
-        return new ArrayList<>(waiting).subList(begun.size(), waiting.size());
+    /** The requests that were not started, in their order; a copy. */
+    List<Arrived> notStarted() {
+        return new ArrayList<>(waiting).subList(started.size(), waiting.size());
     }
 
-    /** The first that was not begun is. */
-    void addBegun(EarlyRequest request) {
-        begun.addLast(request);
+    /** Adds the first request that was not started as a started one. */
+    void addStarted(EarlyRequest request) {
+        started.addLast(request);
     }
 
-    /** Nobody wants any of them. */
-    void drop(RequestProxy core) {
-        begun.forEach(request -> request.drop(core));
-        begun.clear();
+    /** Drops all requests; their client no longer waits for them. */
+    void drop(RequestProxy proxy) {
+        started.forEach(request -> request.drop(proxy));
+        started.clear();
         waiting.forEach(arrived -> arrived.request().release());
         waiting.clear();
         bytes = 0;
--- a/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
@@ -12,29 +12,37 @@
 import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.Version;
 
-/** What the platform's callers speak. */
+/** The protocol of the platform's clients. */
 final class PlatformFront implements FrontDialect {
 
     /** RFC 5842, section 7.2. */
     private static final HttpResponseStatus LOOP_DETECTED = new HttpResponseStatus(508, "Loop Detected");
 
     private static final int HEADER_BYTES = 8_192;
-    private static final int MAX_KEPT = 256 * 1024;
-    /** The slowest honest callers send 64 kB a s. */
+    private static final int MAX_BUFFERED_BODY_BYTES = 256 * 1024;
+    /** The slowest legitimate clients send 64 kB a s. */
     private static final FrontTerms TERMS = new FrontTerms(
-            HEADER_BYTES, UpstreamClient.MAX_PASSING, 2_400, 40, 2_300, 3_000, MAX_KEPT, 32 * MAX_KEPT, false);
-
-    private final RequestProxy core;
+            HEADER_BYTES,
+            UpstreamClient.MAX_RELAYED_BYTES,
+            2_400,
+            40,
+            2_300,
+            3_000,
+            MAX_BUFFERED_BODY_BYTES,
+            32 * MAX_BUFFERED_BODY_BYTES,
+            false);
+
+    private final RequestProxy proxy;
     private RequestCheck check;
-    /** The check of the version before, and until when a request may still be read by it. */
-    private RequestCheck late;
+    /** The check of the previous version, and until when a request may still be read by it. */
+    private RequestCheck previousCheck;
 
-    private double lateUntil = Double.NEGATIVE_INFINITY;
-    /** How budgets are read; null where they are off. */
+    private double previousCheckUntil = Double.NEGATIVE_INFINITY;
+    /** Formats and parses budgets; null while they are disabled. */
     private HeaderText budgets;
 
-    PlatformFront(RequestProxy core) {
-        this.core = core;
+    PlatformFront(RequestProxy proxy) {
+        this.proxy = proxy;
     }
 
     @Override
@@ -47,9 +55,9 @@
         return request.uri().equals("/_health") && request.method().equals(HttpMethod.GET);
     }
 
-    /** The check of the version under which requests arrive now. */
+    /** The check of the current version. */
     private RequestCheck check() {
-        Version now = core.version();
+        Version now = proxy.version();
         if (check == null || check.version() != now) {
             check = new RequestCheck(now);
         }
@@ -57,24 +65,24 @@
     }
 
     @Override
-    public CheckedRequest read(HttpRequest request, boolean hasBody, double cameAt, double now)
+    public CheckedRequest read(HttpRequest request, boolean hasBody, double completedAt, double now)
             throws BadRequestException {
         CheckedRequest checked;
         try {
             checked = check().read(request, hasBody, now);
         } catch (BadRequestException e) {
-            if (late == null || now > lateUntil) {
-                late = null;
+            if (previousCheck == null || now > previousCheckUntil) {
+                previousCheck = null;
                 throw e;
             }
-            checked = late.read(request, hasBody, now);
+            checked = previousCheck.read(request, hasBody, now);
         }
         return budgets == null
                 ? checked
                 : new CheckedRequest(
                         checked.name(),
                         checked.arrival()
-                                .withBudget(budgets.readBudget(request.headers().get(UpstreamClient.BUDGET))),
+                                .withBudget(budgets.readBudget(request.headers().get(UpstreamClient.BUDGET_HEADER))),
                         checked.version());
     }
 
@@ -98,7 +106,7 @@
     @Override
     public void setHeaders(HttpResponse response, Answer answer, Version version, HttpRequest request) {
         if (answer != null && answer.spent() != null && budgets != null) {
-            response.headers().set(UpstreamClient.SPENT, budgets.write(answer.spent()));
+            response.headers().set(UpstreamClient.SPENT_HEADER, budgets.write(answer.spent()));
         }
         if (answer != null && !answer.path().isEmpty()) {
             response.headers().set("Sablehinge-Path", ChainBudgets.formatPath(answer.path()));
@@ -115,7 +123,7 @@
 
     @Override
     public void acceptPreviousVersion(double until) {
-        late = check();
-        lateUntil = until;
+        previousCheck = check();
+        previousCheckUntil = until;
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/PlatformUpstream.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformUpstream.java
@@ -13,14 +13,17 @@
 import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.policy.LoadBalancer.Settings;
 
-/** What the platform's upstreams speak. */
+/** The protocol of the platform's upstreams. */
 final class PlatformUpstream implements UpstreamDialect {
 
-    private static final UpstreamTerms TERMS = new UpstreamTerms(300, Freshness.YOUNG_MS, 10_000, false);
-    /** The headers of a request that go on with it; the rest is a caller's own affair or worse. */
-    private static final List<String> PASSED_ON =
+    private static final UpstreamTerms TERMS =
+            new UpstreamTerms(300, Freshness.DEFAULT_MAX_IDLE_FOR_UNSAFE_MS, 10_000, false);
+    /**
+     * The headers of a request that are forwarded. Others concern only the client's connection, or must not be trusted.
+     */
+    private static final List<String> FORWARDED_HEADERS =
             List.of("X-Txn", "Idempotency-Key", "X-Lane", "X-Org", "Cookie", "X-Resent", "X-Estimate", "X-Labels");
-    /** How budgets are written; null where they are off. */
+    /** Formats and parses budgets; null while they are disabled. */
     private HeaderText budgets;
 
     @Override
@@ -31,16 +34,16 @@
     @Override
     public void setHeaders(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget) {
         sent.headers().set("Host", to.address().getHostString());
-        for (String name : PASSED_ON) {
+        for (String name : FORWARDED_HEADERS) {
             String value = given.headers().get(name);
             if (value != null) {
                 sent.headers().set(name, value);
             }
         }
         if (budget != null && budgets != null) {
-            sent.headers().set(UpstreamClient.BUDGET, budgets.write(budget));
+            sent.headers().set(UpstreamClient.BUDGET_HEADER, budgets.write(budget));
         }
-        // Rounded down: the upstream must not take this balancer to be more patient than it is.
+        // Rounded down: the upstream must not assume that this balancer waits longer than it does.
         sent.headers().set("X-Remaining", UpstreamClient.seconds(left));
     }
 
@@ -73,7 +76,8 @@
     public Report budgetReport(HttpMessage answer) {
         return budgets == null
                 ? null
-                : budgets.readReport(answer.headers().get(UpstreamClient.SPENT)).value();
+                : budgets.readReport(answer.headers().get(UpstreamClient.SPENT_HEADER))
+                        .value();
     }
 
     @Override
--- a/src/main/java/sablehinge/dataplane/http1/Relay.java
+++ b/src/main/java/sablehinge/dataplane/http1/Relay.java
@@ -5,160 +5,161 @@
 import sablehinge.dataplane.proxy.MonitoredRelay;
 
 /**
- * A body that passes through as it comes, once, from whoever reads it to whoever writes it. What is not written is not
- * read: the writer limits the reading, so that little of it is held. Both ends are on one loop.
+ * A body that is relayed once, while it is received, from the {@link Source} that reads it to the {@link Sink} that
+ * writes it. The sink limits the reading, so that only little of the body is buffered. Both ends belong to one event
+ * loop.
  */
 final class Relay implements MonitoredRelay {
 
     /** Reads the body. */
     interface Source {
 
-        /** Goes on, or waits; what has been read meanwhile still comes. */
-        void read(boolean on);
+        /** Enables or pauses reading; bytes that were already read are still added. */
+        void setReading(boolean on);
 
-        /** Nobody wants the rest. */
-        void giveUp();
+        /** Cancels the body; its rest is not needed. */
+        void cancel();
 
-        /** Reads at once what has come, unless it waits. */
+        /** Reads at once the bytes that were received, unless reading is paused. */
         void readNow();
     }
 
     /** Writes the body. */
     interface Sink {
 
-        /** Takes a part over, to be sent by the next {@link #flush} at the latest. */
-        void part(ByteBuf part);
+        /** Writes a part, and takes ownership of it; it is flushed by the next {@link #flush} at the latest. */
+        void writePart(ByteBuf part);
 
-        /** No more parts come for now. */
+        /** Flushes the written parts; no more follow for now. */
         void flush();
 
-        /** The body is complete. */
+        /** Completes the body. */
         void end();
 
-        /** The rest will not come. */
-        void broke();
+        /** Truncates the body; its rest will not be received. */
+        void fail();
 
-        /** What the parts are written to. */
+        /** The channel that the parts are written to. */
         ChannelOutlet outlet();
     }
 
     private final Source source;
-    private final ArrayDeque<ByteBuf> held = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>();
     private Sink sink;
-    /** Whether its last part has come; whether the rest won't come; whether nothing more comes of it. */
+    /** Whether the last part was added; whether the body was truncated; whether the relay is over. */
     private boolean ended;
 
-    private boolean broken;
-    private boolean over;
+    private boolean failed;
+    private boolean finished;
     private boolean paused;
-    private long moved;
+    private long forwardedBytes;
 
     Relay(Source source) {
         this.source = source;
     }
 
-    /** Passes on, or holds until somebody writes, a part that is lent. */
+    /** Writes a part, or buffers it until there is a sink. The caller keeps its reference. */
     void add(ByteBuf part) {
-        if (over || !part.isReadable()) {
+        if (finished || !part.isReadable()) {
             return;
         }
         if (sink == null) {
-            held.add(part.retain());
-            read(false);
+            buffered.add(part.retain());
+            setReading(false);
         } else {
-            moved += part.readableBytes();
-            sink.part(part.retain());
+            forwardedBytes += part.readableBytes();
+            sink.writePart(part.retain());
         }
     }
 
-    private void read(boolean on) {
+    private void setReading(boolean on) {
         paused = !on;
-        source.read(on);
+        source.setReading(on);
     }
 
-    /** All that has come at once has been added: so many small parts cost one write to the system. */
+    /** Flushes after all parts of one read were added, so that many small parts cost one system call. */
     void flush() {
-        if (!over && sink != null) {
+        if (!finished && sink != null) {
             sink.flush();
         }
     }
 
-    /** The last part has been added. */
+    /** Completes the body after its last part was added. */
     void end() {
         ended = true;
-        if (!over && sink != null) {
-            over = true;
+        if (!finished && sink != null) {
+            finished = true;
             sink.end();
         }
     }
 
-    /** The rest won't come. */
-    void broke() {
-        if (!over && !ended) {
-            broken = true;
+    /** Truncates the body; its rest will not be received. */
+    void fail() {
+        if (!finished && !ended) {
+            failed = true;
             if (sink != null) {
-                over = true;
-                sink.broke();
+                finished = true;
+                sink.fail();
             }
         }
     }
 
-    /** Whether its last part has come. */
+    /** Whether the last part was added. */
     boolean hasEnded() {
         return ended;
     }
 
-    /** Whether somebody has begun to write it, or nobody may any more. */
+    /** Whether a sink was attached, or none can be any more. */
     boolean isTaken() {
-        return sink != null || over;
+        return sink != null || finished;
     }
 
-    /** Begins to write it, which may be done once. */
+    /** Attaches the sink, which is possible once, and writes the buffered parts. */
     void attach(Sink to) {
         if (isTaken()) {
-            throw new IllegalStateException("a body passes through once");
+            throw new IllegalStateException("a body can be relayed only once");
         }
         sink = to;
-        for (ByteBuf part = held.poll(); part != null; part = held.poll()) {
-            moved += part.readableBytes();
-            to.part(part);
+        for (ByteBuf part = buffered.poll(); part != null; part = buffered.poll()) {
+            forwardedBytes += part.readableBytes();
+            to.writePart(part);
         }
-        if (over) {
+        if (finished) {
             return;
         }
         to.flush();
-        if (broken || ended) {
-            over = true;
+        if (failed || ended) {
+            finished = true;
             if (ended) {
                 to.end();
             } else {
-                to.broke();
+                to.fail();
             }
         } else {
-            read(true);
+            setReading(true);
         }
     }
 
-    /** The writer can take more, or no more for now. */
+    /** Reports whether the sink is writable, which resumes or pauses the source. */
     void setWritable(boolean on) {
-        if (!over && !ended) {
-            read(on);
+        if (!finished && !ended) {
+            setReading(on);
         }
     }
 
-    /** The writer gives up. */
+    /** Cancels the relay; the sink needs no more of the body. */
     void abandon() {
-        if (!over) {
-            over = true;
-            held.forEach(ByteBuf::release);
-            held.clear();
-            if (!ended && !broken) {
-                source.giveUp();
+        if (!finished) {
+            finished = true;
+            buffered.forEach(ByteBuf::release);
+            buffered.clear();
+            if (!ended && !failed) {
+                source.cancel();
             }
         }
     }
 
-    // ---- As a watch sees it ------------------------------------------------------------------------
+    // ---- For monitoring ----------------------------------------------------------------------------
 
     @Override
     public int connection() {
@@ -167,7 +168,7 @@
 
     @Override
     public long bytesForwarded() {
-        return moved;
+        return forwardedBytes;
     }
 
     @Override
@@ -182,7 +183,7 @@
 
     @Override
     public boolean isPaused() {
-        return paused && !over && !ended;
+        return paused && !finished && !ended;
     }
 
     @Override
@@ -192,7 +193,7 @@
 
     @Override
     public void resume() {
-        if (!over && !ended && !paused) {
+        if (!finished && !ended && !paused) {
             source.readNow();
         }
         if (sink != null) {
--- a/src/main/java/sablehinge/dataplane/http1/RelayedPayload.java
+++ b/src/main/java/sablehinge/dataplane/http1/RelayedPayload.java
@@ -4,9 +4,9 @@
 import sablehinge.dataplane.proxy.Payload;
 
 /**
- * A request or response of which the head is here and the body passes through.
+ * A request or response whose head was received and whose body is relayed.
  *
- * @param length of the body in bytes; -1 where it is not known ahead
+ * @param length of the body in bytes; -1 if it is not known in advance
  */
 record RelayedPayload(HttpMessage head, long length, Relay body) implements Payload {
 
--- a/src/main/java/sablehinge/dataplane/http1/RequestAssembler.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestAssembler.java
@@ -10,14 +10,15 @@
 import sablehinge.dataplane.proxy.TraceEvent;
 
 /**
- * The request that is coming in on a caller's connection: its head, and its body as long as that is kept. A body of
- * more than {@link UpstreamClient#MAX_BODY} is kept only while {@link FrontTerms#maxBufferedBytes} bytes suffice for
- * all connections; its owner has to give the reservation back by {@link #releaseReservation}.
+ * The request that is being received on a client connection: its head, and its body as long as that is buffered. A body
+ * of more than {@link UpstreamClient#MAX_BUFFERED_BODY_BYTES} is buffered only while the reservations of all
+ * connections stay within {@link FrontTerms#maxBufferedBytes}; the owner has to release the reservation with
+ * {@link #releaseReservation}.
  */
 final class RequestAssembler {
 
     private final FrontendContext context;
-    /** The number of the connection, for the trace. */
+    /** The number of the connection in the trace. */
     private final int connection;
 
     private HttpRequest head;
@@ -30,13 +31,13 @@
         this.connection = connection;
     }
 
-    /** A head has come. */
+    /** Begins a request with its head. */
     void begin(HttpRequest request) {
         head = request;
         body = Unpooled.EMPTY_BUFFER;
     }
 
-    /** Whether a head has come whose body is not complete. */
+    /** Whether a head was received whose body is not complete. */
     boolean isReceiving() {
         return head != null;
     }
@@ -45,11 +46,11 @@
         return head;
     }
 
-    /** Keeps a part of a body; false if the body is too long to be kept. */
+    /** Buffers a part of the body; false if the body is too long to be buffered. */
     boolean append(ByteBuf part) {
         FrontTerms terms = context.dialect.terms();
         int size = body.readableBytes() + part.readableBytes();
-        if (size > UpstreamClient.MAX_BODY
+        if (size > UpstreamClient.MAX_BUFFERED_BODY_BYTES
                 && reserved == 0
                 && size <= terms.maxBufferedBodyBytes()
                 && HttpUtil.getContentLength(head, 0L) <= terms.maxBufferedBodyBytes()
@@ -58,20 +59,21 @@
             context.reservedBytes += reserved;
             context.sockets.tracer().note(TraceEvent.KEPT, connection, 0, context.reservedBytes);
         }
-        if (size > (reserved > 0 ? reserved : UpstreamClient.MAX_BODY)) {
+        if (size > (reserved > 0 ? reserved : UpstreamClient.MAX_BUFFERED_BODY_BYTES)) {
             return false;
         }
         if (part.isReadable()) {
             if (body == Unpooled.EMPTY_BUFFER) {
                 body = context.memory.buffer(
-                        part.readableBytes(), Math.max(terms.maxBufferedBodyBytes(), UpstreamClient.MAX_BODY));
+                        part.readableBytes(),
+                        Math.max(terms.maxBufferedBodyBytes(), UpstreamClient.MAX_BUFFERED_BODY_BYTES));
             }
             body.writeBytes(part);
         }
         return true;
     }
 
-    /** Hands what was kept to a relay, which gets the rest of the body too; returns its bytes. */
+    /** Moves the buffered part of the body to a relay, which gets the rest of it too; returns its bytes. */
     int handBodyTo(Relay relay) {
         int bytes = body.readableBytes();
         relay.add(body);
@@ -80,7 +82,7 @@
         return bytes;
     }
 
-    /** The complete request; its receiver releases it. */
+    /** Returns the complete request; the caller releases it. */
     FullHttpRequest complete() {
         FullHttpRequest request = new DefaultFullHttpRequest(
                 head.protocolVersion(), head.method(), head.uri(), body, head.headers(), EmptyHttpHeaders.INSTANCE);
@@ -88,13 +90,13 @@
         return request;
     }
 
-    /** What came was handed on. */
+    /** Forgets the request, which was passed on. */
     void clear() {
         head = null;
         body = null;
     }
 
-    /** What came is of no use. */
+    /** Drops the received part of the request. */
     void drop() {
         if (body != null) {
             body.release();
@@ -102,7 +104,7 @@
         clear();
     }
 
-    /** The request whose body was kept is answered, or gone. */
+    /** Releases the reservation after the request with the buffered body was answered or cancelled. */
     void releaseReservation() {
         context.reservedBytes -= reserved;
         reserved = 0;
--- a/src/main/java/sablehinge/dataplane/http1/RequestCheck.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestCheck.java
@@ -24,25 +24,25 @@
 import sablehinge.policy.LoadBalancer.ServiceClass;
 
 /**
- * Checks what callers send against the protocol before anything of it goes further. What an upstream might read in
- * another way than this balancer, such as where a body ends, must not reach it.
+ * Validates requests of clients before any part of them is passed on. Input that an upstream might parse differently
+ * from this balancer, such as where a body ends, must not reach it.
  */
 final class RequestCheck {
 
-    private static final int MS = 1_000;
-    private static final int LINE_BYTES = 4_096;
-    /** An id or a key: it goes on as it came, so it must be plain. */
+    private static final int MS_PER_S = 1_000;
+    private static final int MIN_REQUEST_LINE_BYTES = 4_096;
+    /** An id or a key. It is forwarded unchanged, so it must consist of printable ASCII characters. */
     private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
 
     private static final Pattern TARGET = Pattern.compile("/[!-~]{0,2047}");
     private static final Pattern DIGITS = Pattern.compile("[0-9]{1,18}");
-    /** Narrower than what Java takes for a number, which includes NaN, hexadecimals and suffixes. */
+    /** Narrower than Java's number format, which includes NaN, hexadecimals and suffixes. */
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{0,12})?");
 
     private final Version version;
     private final Map<String, Integer> classes = new HashMap<>();
 
-    /** A check by what the given version allows. */
+    /** Creates a check by the service classes and tenants of the given version. */
     RequestCheck(Version version) {
         this.version = version;
         for (int i = 0; i < version.classes().size(); i++) {
@@ -50,14 +50,14 @@
         }
     }
 
-    /** Netty would drop the length of a message that has both framings, and go on. */
+    /** Rejects a message with both framings; Netty would drop its length and continue. */
     static class Decoder extends HttpRequestDecoder {
 
         Decoder(int headerBytes) {
             super(new HttpDecoderConfig()
-                    .setMaxChunkSize(UpstreamClient.PART)
+                    .setMaxChunkSize(UpstreamClient.MAX_PART_BYTES)
                     .setMaxHeaderSize(headerBytes)
-                    .setMaxInitialLineLength(Math.max(LINE_BYTES, headerBytes / 2)));
+                    .setMaxInitialLineLength(Math.max(MIN_REQUEST_LINE_BYTES, headerBytes / 2)));
         }
 
         @Override
@@ -70,8 +70,8 @@
         return version;
     }
 
-    /** Looks at a head before its body has come: whether it can be read, and where the body will end. */
-    static void head(HttpRequest head, long bodyBytes) throws BadRequestException {
+    /** Checks a head before its body is received: whether it is well-formed, and how the body is delimited. */
+    static void checkHead(HttpRequest head, long bodyBytes) throws BadRequestException {
         if (!head.decoderResult().isSuccess()) {
             Throwable cause = head.decoderResult().cause();
             throw new BadRequestException(
@@ -86,8 +86,8 @@
             throw new BadRequestException(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED, "not HTTP/1.1");
         }
         HttpHeaders headers = head.headers();
-        String coding = single(headers, HttpHeaderNames.TRANSFER_ENCODING);
-        String length = single(headers, HttpHeaderNames.CONTENT_LENGTH);
+        String coding = singleValue(headers, HttpHeaderNames.TRANSFER_ENCODING);
+        String length = singleValue(headers, HttpHeaderNames.CONTENT_LENGTH);
         if (coding != null
                 && (length != null
                         || !coding.strip().equalsIgnoreCase("chunked")
@@ -100,7 +100,7 @@
         if (length != null && Long.parseLong(length) > bodyBytes) {
             throw tooLarge();
         }
-        String expect = single(headers, HttpHeaderNames.EXPECT);
+        String expect = singleValue(headers, HttpHeaderNames.EXPECT);
         if (expect != null && !expect.equalsIgnoreCase("100-continue")) {
             throw new BadRequestException(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
         }
@@ -110,23 +110,23 @@
         return new BadRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
 
-    /** Reads a complete request that came at the given time. */
+    /** Reads a complete request at the given time. */
     CheckedRequest read(FullHttpRequest request, double now) throws BadRequestException {
         return read(request, request.content().isReadable(), now);
     }
 
-    /** Reads the head of a request; the body may be still coming. */
+    /** Reads the head of a request; the body may still be received. */
     CheckedRequest read(HttpRequest request, boolean hasBody, double now) throws BadRequestException {
         if (!TARGET.matcher(request.uri()).matches()) {
             throw new BadRequestException("the target is no path");
         }
         HttpHeaders headers = request.headers();
-        String name = single(headers, "X-Lane");
-        Integer place = classes.get(name);
-        if (place == null || !name.equals(firstPart(request.uri()))) {
+        String name = singleValue(headers, "X-Lane");
+        Integer classIndex = classes.get(name);
+        if (classIndex == null || !name.equals(firstPart(request.uri()))) {
             throw new BadRequestException("unknown class");
         }
-        ServiceClass type = version.settings().classes().get(place);
+        ServiceClass type = version.settings().classes().get(classIndex);
         boolean get = request.method().equals(HttpMethod.GET);
         if (get != (type.repeat() == Repeat.IDEMPOTENT)
                 || !get && !request.method().equals(HttpMethod.POST)) {
@@ -142,7 +142,7 @@
         if (txn == null) {
             throw new BadRequestException("X-Txn is missing");
         }
-        String tenant = single(headers, "X-Org");
+        String tenant = singleValue(headers, "X-Org");
         List<String> tenants = version.tenants();
         int tenantIndex = tenants.isEmpty() || tenant == null ? 0 : tenants.indexOf(tenant);
         if (tenantIndex < 0) {
@@ -153,16 +153,17 @@
             throw new BadRequestException("X-Remaining is missing");
         }
         double estimate = number(headers, "X-Estimate");
-        // No client of this class waits longer, whatever it says; what is kept for it must not stay either.
+        // No client of this class waits longer, whatever it claims; state that is kept for it must not stay longer
+        // either.
         return new CheckedRequest(
                 txn,
                 new Arrival(
-                        place,
+                        classIndex,
                         tenantIndex,
-                        key(single(headers, "Cookie")),
-                        now + Math.min(type.deadline(), remaining * MS),
-                        Double.isNaN(estimate) ? 0 : estimate / MS,
-                        "1".equals(single(headers, "X-Resent")),
+                        key(singleValue(headers, "Cookie")),
+                        now + Math.min(type.deadline(), remaining * MS_PER_S),
+                        Double.isNaN(estimate) ? 0 : estimate / MS_PER_S,
+                        "1".equals(singleValue(headers, "X-Resent")),
                         !get),
                 version);
     }
@@ -172,8 +173,10 @@
         return parts.length > 1 ? parts[1] : "";
     }
 
-    /** A header's one value, or null; two could be read as either. */
-    static String single(HttpHeaders headers, CharSequence name) throws BadRequestException {
+    /**
+     * A header's only value, or null. A repeated header is rejected, as recipients may differ in which value they use.
+     */
+    static String singleValue(HttpHeaders headers, CharSequence name) throws BadRequestException {
         List<String> values = headers.getAll(name);
         if (values.size() > 1) {
             throw new BadRequestException(name + " is repeated");
@@ -182,16 +185,16 @@
     }
 
     private static String token(HttpHeaders headers, String name) throws BadRequestException {
-        String text = single(headers, name);
+        String text = singleValue(headers, name);
         if (text != null && !TOKEN.matcher(text).matches()) {
             throw new BadRequestException(name + " is of no use");
         }
         return text;
     }
 
-    /** A header's number, not below 0; NaN where the header is absent. */
+    /** The non-negative number in a header; NaN if the header is absent. */
     private static double number(HttpHeaders headers, String name) throws BadRequestException {
-        String text = single(headers, name);
+        String text = singleValue(headers, name);
         if (text == null) {
             return Double.NaN;
         }
@@ -201,7 +204,7 @@
         return Double.parseDouble(text);
     }
 
-    /** What the request is about, as the cookie {@code key} has it; 0 for none. */
+    /** The key of the request from the cookie {@code key}; 0 for none. */
     private static long key(String cookies) {
         if (cookies == null) {
             return 0;
--- a/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
@@ -11,33 +11,35 @@
 import sablehinge.dataplane.proxy.TraceEvent;
 
 /**
- * Receives the requests of one caller's connection. A short body is kept until it is complete; a long one is sent on
- * while it comes, and read no faster than it can be sent. All of it runs on the connection's event loop.
+ * Receives the requests of one client connection. A short body is buffered until it is complete; a long one is relayed
+ * while it is received, and read no faster than it can be sent. All methods run on the connection's event loop.
  */
 final class RequestReceiver implements Relay.Source {
 
-    /** Bytes that a caller which was answered for the last time may go on sending. */
+    /** Bytes that are read and dropped after the last response. */
     private static final int LINGER_BYTES = 1024 * 1024;
 
     private final CallerConnection connection;
     private final FrontendContext context;
     private final Channel channel;
     private final RequestAssembler assembler;
-    /** What came that is no request: answered after what came before it, and nothing after it is. */
+    /**
+     * The error of input that is not a valid request. It is answered after the requests before it; nothing after it is.
+     */
     private BadRequestException malformed;
-    /** The body that is sent on while it comes. */
+    /** The body that is being relayed. */
     private Relay requestRelay;
-    /** Whether the rest of a body is of no use. */
+    /** Whether the rest of the body is read and dropped. */
     private boolean discardingBody;
-    /** Whether a body broke off that was sent on, and its request may have run for all that. */
+    /** Whether a relayed body broke off although its request may have run. */
     private boolean mayHaveRun;
-    /** Bytes that came since it last began to wait. */
+    /** Bytes received since it began to wait for a request. */
     private long bytesReceived;
-    /** Bytes of the body that have been sent on. */
+    /** Bytes of the body that were relayed. */
     private long forwardedBytes;
-    /** Since when it is not read, ms. */
+    /** When reading was paused, ms. */
     private double pausedAt;
-    /** Bytes that came after the last answer. */
+    /** Bytes received after the last response. */
     private int lingerBytes;
 
     RequestReceiver(CallerConnection connection, FrontendContext context, Channel channel) {
@@ -47,58 +49,58 @@
         assembler = new RequestAssembler(context, connection.number());
     }
 
-    /** What came that is no request; null if all were. */
+    /** The error of input that is not a valid request; null if there is none. */
     BadRequestException malformed() {
         return malformed;
     }
 
-    /** Whether a body is sent on while it comes. */
+    /** Whether a body is being relayed. */
     boolean isRelaying() {
         return requestRelay != null;
     }
 
-    /** Whether what comes is the rest of a body that is of no use. */
+    /** Whether the rest of a body is being read and dropped. */
     boolean isDiscarding() {
         return discardingBody;
     }
 
-    /** Whether a body broke off that was sent on, and its request may have run for all that. */
+    /** Whether a relayed body broke off although its request may have run. */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Counts bytes by which a slow caller is distinguished from a long request. */
+    /** Counts received bytes, to tell a slow client from a long request. */
     void count(int bytes) {
         bytesReceived += bytes;
     }
 
-    /** A new request is waited for. */
+    /** Resets the count, as the next request is awaited. */
     void resetCount() {
         bytesReceived = 0;
     }
 
-    /** Whether the request that is coming in takes too long; {@code age} in ms. */
+    /** Whether the request that is being received takes too long; {@code age} in ms. */
     boolean isTooSlow(double age) {
         FrontTerms terms = context.dialect.terms();
-        // One that is not read from now is not to blame.
-        return (!connection.current().isAtWork() || requestRelay != null)
+        // The client is not at fault while its connection is not read.
+        return (!connection.current().isInProgress() || requestRelay != null)
                 && channel.config().isAutoRead()
                 && age > terms.requestTimeoutMs() + bytesReceived / terms.bytesPerMs();
     }
 
-    /** Drops bytes that come after the last answer. */
+    /** Drops bytes received after the last response. */
     void discard(ByteBuf bytes) {
         lingerBytes += bytes.readableBytes();
         if (lingerBytes > LINGER_BYTES) {
-            // Whoever sends without end must not keep the loop busy.
+            // A client that keeps sending must not keep the event loop busy.
             channel.config().setAutoRead(false);
         }
     }
 
     /**
-     * Takes a decoded part of a request.
+     * Handles a decoded part of a request.
      *
-     * @throws BadRequestException if it can't be one; nothing after it is read then
+     * @throws BadRequestException if it is invalid; nothing after it is read then
      */
     void receive(Object message) throws BadRequestException {
         if (discardingBody) {
@@ -119,14 +121,14 @@
     }
 
     private void receiveHead(HttpRequest head) throws BadRequestException {
-        RequestCheck.head(head, context.dialect.terms().bodyBytes());
+        RequestCheck.checkHead(head, context.dialect.terms().bodyBytes());
         if (!connection.admitsIncoming() && hasBody(head)) {
-            // That need not come; a request without one is refused in its turn.
+            // The client need not send the body. A request without a body is refused when its turn comes.
             connection.logRefused(head);
             throw context.shutdownRefusal();
         }
         assembler.begin(head);
-        // One that waits behind another will send its body without a 100.
+        // The client of a pipelined request sends the body without a 100 response.
         if (HttpUtil.is100ContinueExpected(head) && !connection.hasRequests()) {
             connection.responses().writeContinue();
         }
@@ -153,10 +155,10 @@
         }
     }
 
-    /** Begins the request before it is complete: its body goes on as it comes. */
+    /** Starts the request before it is complete and relays its body while it is received. */
     private void startRequestRelay() throws BadRequestException {
         if (connection.hasRequests()) {
-            // Nobody who sends ahead needs to send so much.
+            // A pipelined request must not have a body of this size.
             throw RequestCheck.tooLarge();
         }
         HttpRequest head = assembler.head();
@@ -185,11 +187,11 @@
             requestRelay = null;
             assembler.clear();
             complete.end();
-            connection.current().onBodyOver();
+            connection.current().onBodyEnded();
         }
     }
 
-    /** All that has come at once has been received. */
+    /** All bytes of one read were decoded. */
     void flush() {
         if (requestRelay != null) {
             requestRelay.flush();
@@ -197,11 +199,11 @@
     }
 
     @Override
-    public void read(boolean on) {
-        double now = context.core.now();
+    public void setReading(boolean on) {
+        double now = context.proxy.now();
         if (on && !channel.config().isAutoRead()) {
-            // What its caller was not let do is not counted as slowness.
-            connection.excuse(now - pausedAt);
+            // Time during which the client could not send does not count as slowness.
+            connection.excludePause(now - pausedAt);
         } else if (!on && channel.config().isAutoRead()) {
             pausedAt = now;
         }
@@ -216,55 +218,56 @@
         context.sockets.readNow(channel);
     }
 
-    /** The rest of the body is of no use: it is read and dropped, so that its caller gets the answer. */
+    /** The rest of the body is not needed. It is read and dropped, so that the client gets the response. */
     @Override
-    public void giveUp() {
+    public void cancel() {
         requestRelay = null;
         discardingBody = true;
         drop();
         connection.touch();
         bytesReceived = 0;
         channel.config().setAutoRead(true);
-        connection.current().onBodyOver();
+        connection.current().onBodyEnded();
     }
 
-    /** Nothing after this is read; a body that was sent on meanwhile won't be complete. */
+    /** Stops reading requests; a body that is being relayed will not be complete. */
     void rejectRest(BadRequestException why) {
         breakRequestRelay();
         malformed = why;
         drop();
-        // While the front drains little more can come, and whether the caller leaves is worth knowing.
-        if (connection.current().isAtWork() && context.shutdown == null) {
+        // During shutdown the client can send little more, and the connection is read to notice when the client closes
+        // it.
+        if (connection.current().isInProgress() && context.shutdown == null) {
             channel.config().setAutoRead(false);
         }
     }
 
-    /** The rest of a body that is sent on won't come, or won't be read. */
+    /** The rest of the relayed body will not be received or read. */
     void breakRequestRelay() {
         if (requestRelay != null) {
             Relay half = requestRelay;
             requestRelay = null;
             mayHaveRun = connection.current().mayHaveRun();
-            // Reported to the module before the attempt's outcome.
+            // The load balancer must be notified of this before the attempt's outcome.
             connection.current().abandon();
-            half.broke();
+            half.fail();
         }
     }
 
-    /** What has come of a request that is not complete is of no use. */
+    /** Drops the received part of an incomplete request. */
     void drop() {
         assembler.drop();
-        if (!connection.current().isAtWork()) {
+        if (!connection.current().isInProgress()) {
             assembler.releaseReservation();
         }
     }
 
-    /** The request whose body was kept is answered, or gone. */
+    /** Releases the reservation of a buffered body after its request was answered or cancelled. */
     void releaseReservation() {
         assembler.releaseReservation();
     }
 
-    /** Shows a watch the body that is sent on while it comes. */
+    /** Passes the relayed body, if there is one, to the consumer. */
     void forEachRelay(Consumer<MonitoredRelay> each) {
         if (requestRelay != null && requestRelay.isTaken()) {
             each.accept(requestRelay);
--- a/src/main/java/sablehinge/dataplane/http1/ResponseWriter.java
+++ b/src/main/java/sablehinge/dataplane/http1/ResponseWriter.java
@@ -23,31 +23,31 @@
 import sablehinge.dataplane.proxy.TraceEvent;
 
 /**
- * Writes the responses of one caller's connection: complete ones, and those whose body passes through as it comes.
- * After the last one it ends the sending and lets the caller close. All of it runs on the connection's event loop.
+ * Writes the responses of one client connection: complete ones, and those whose body is relayed. After the last one it
+ * shuts down the output and waits for the client to close. All methods run on the connection's event loop.
  */
 final class ResponseWriter implements Relay.Sink {
 
-    /** How long a caller that was answered for the last time may go on sending, ms. */
+    /** Time for which input is still read after the last response, ms. */
     private static final long LINGER_MS = 500;
-    /** A response that its caller has not let in by then is given up, ms. */
+    /** Time after which a response that the client does not read is aborted, ms. */
     private static final double WRITE_TIMEOUT_MS = 10_000;
 
     private final CallerConnection connection;
     private final FrontendContext context;
     private final Channel channel;
-    /** Null until a watch wants to see it. */
+    /** Null until it is first used. */
     private ChannelOutlet outlet;
-    /** The body that is passed on as it comes, and whether its end can be distinguished from a break. */
+    /** The body that is being relayed, and whether the client can tell its end from a truncation. */
     private Relay responseRelay;
 
-    private boolean endIsMarked;
-    /** Responses that are not yet written out. */
-    private int unwrittenAnswers;
+    private boolean endIsDelimited;
+    /** Responses that are not yet fully written to the kernel. */
+    private int unwrittenResponses;
     /** Whether the response that is being written, or was written last, is the connection's last. */
     private boolean closing;
-    /** Whether the last sweep found it held up though it could go on; the next one wakes it. */
-    private boolean heldUpAtLastSweep;
+    /** Whether the last sweep found the relay paused although the channel is writable; the next sweep resumes it. */
+    private boolean stalledAtLastSweep;
 
     ResponseWriter(CallerConnection connection, FrontendContext context, Channel channel) {
         this.connection = connection;
@@ -65,55 +65,55 @@
         closing = true;
     }
 
-    /** Whether a response is not yet written out. */
+    /** Whether a response is not yet fully written to the kernel. */
     boolean hasUnwritten() {
-        return unwrittenAnswers > 0;
+        return unwrittenResponses > 0;
     }
 
-    /** Whether a response is being written or passes through. */
+    /** Whether a response is being written or relayed. */
     boolean isWriting() {
-        return unwrittenAnswers > 0 || responseRelay != null;
+        return unwrittenResponses > 0 || responseRelay != null;
     }
 
-    /** Whether the caller has had its last response. */
+    /** Whether the last response was written. */
     boolean isLingering() {
         return closing && !isWriting();
     }
 
-    /** Whether a response is being written, or the caller has had its last. */
+    /** Whether a response is being written, or the last one was written. */
     boolean isBusy() {
         return closing || isWriting();
     }
 
-    /** Closes the connection if its caller has let nothing in for too long; {@code age} in ms. */
+    /** Closes the connection if the client has read nothing for too long; {@code age} in ms. */
     void sweep(double age) {
         if (age > WRITE_TIMEOUT_MS) {
             channel.close();
         } else if (responseRelay != null && responseRelay.isPaused() && channel.isWritable()) {
-            wakeIfHeldUp();
+            wakeIfStalled();
         } else {
-            heldUpAtLastSweep = false;
+            stalledAtLastSweep = false;
         }
     }
 
     /**
-     * Whatever may have kept it from going on: what its caller can take is not held back. But the wake-up may be on its
-     * way in this very turn, so the first sweep that sees it waits for the next.
+     * Resumes a relay that is paused although its channel is writable, for whatever reason. The wake-up may already be
+     * pending in this iteration of the event loop, so the relay is resumed only when a second sweep finds it paused.
      */
-    private void wakeIfHeldUp() {
-        if (heldUpAtLastSweep) {
+    private void wakeIfStalled() {
+        if (stalledAtLastSweep) {
             context.wokenBodies++;
             connection.trace(TraceEvent.WOKEN, 0);
             responseRelay.setWritable(true);
         }
-        heldUpAtLastSweep = !heldUpAtLastSweep;
+        stalledAtLastSweep = !stalledAtLastSweep;
     }
 
-    /** Shows a watch what is being written. */
+    /** Passes the relay or the unwritten response to the consumer. */
     void forEachRelay(Consumer<MonitoredRelay> each) {
         if (responseRelay != null) {
             each.accept(responseRelay);
-        } else if (unwrittenAnswers > 0) {
+        } else if (unwrittenResponses > 0) {
             each.accept(outlet());
         }
     }
@@ -126,7 +126,7 @@
         return outlet;
     }
 
-    /** Asks for the body of a request whose client waits for that (RFC 9110, 10.1.1). */
+    /** Sends 100 Continue to a client that waits for it before it sends the body (RFC 9110, 10.1.1). */
     void writeContinue() {
         channel.writeAndFlush(new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER))
@@ -136,9 +136,9 @@
     /**
      * Writes a complete response to the current request.
      *
-     * @param content taken over
+     * @param content ownership passes to this method
      * @param retryAfter in s; 0 for none
-     * @param answer what it says, or null if the request never came to be at work
+     * @param answer the proxy's answer, or null if the request was not passed to the proxy
      */
     void write(HttpResponseStatus status, ByteBuf content, double retryAfter, Answer answer) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
@@ -154,33 +154,33 @@
         HttpRequest request = connection.current().request();
         context.dialect.setHeaders(response, answer, connection.current().version(), request);
         boolean wantsMore = request != null && HttpUtil.isKeepAlive(request);
-        closing |= !wantsMore || context.draining && !connection.staysWhileDraining();
+        closing |= !wantsMore || context.draining && !connection.mustStayOpenWhileDraining();
         if (closing) {
             response.headers().set("Connection", "close");
         }
     }
 
-    /** Begins a response whose body passes through. */
-    void startRelay(RelayedPayload passing, Answer answer) {
+    /** Starts a response whose body is relayed. */
+    void startRelay(RelayedPayload relayedPayload, Answer answer) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, context.dialect.status(answer));
-        endIsMarked = true;
-        if (passing.length() >= 0) {
-            response.headers().set("Content-Length", passing.length());
+        endIsDelimited = true;
+        if (relayedPayload.length() >= 0) {
+            response.headers().set("Content-Length", relayedPayload.length());
         } else if (connection.current().request().protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            endIsMarked = false;
+            endIsDelimited = false;
             closing = true;
         } else {
             response.headers().set("Transfer-Encoding", "chunked");
         }
         setHeaders(response, answer);
         connection.current().onResponseStarted();
-        responseRelay = passing.body();
+        responseRelay = relayedPayload.body();
         channel.write(response).addListener(this::onWritten);
         responseRelay.attach(this);
     }
 
     @Override
-    public void part(ByteBuf part) {
+    public void writePart(ByteBuf part) {
         channel.write(new DefaultHttpContent(part)).addListener(written -> {
             connection.touch();
             onWritten(written);
@@ -205,8 +205,8 @@
     }
 
     /**
-     * A part has been written, or could not be: for want of memory to encode it, say. The connection stays open then,
-     * and its caller would wait for the rest of its response, or take what follows for that.
+     * Handles the result of a write. If it failed, for lack of memory to encode it for example, the connection stays
+     * open; the client would wait for the rest of the response, or take the next response for it.
      */
     private void onWritten(Future<? super Void> written) {
         if (!written.isSuccess() && channel.isOpen()) {
@@ -214,21 +214,21 @@
         }
     }
 
-    /** The caller must be able to see that its response is incomplete. */
+    /** Closes the connection so that the client can see that the response is incomplete. */
     @Override
-    public void broke() {
+    public void fail() {
         responseRelay = null;
         closeAsTruncated();
     }
 
     private void closeAsTruncated() {
-        if (!endIsMarked) {
+        if (!endIsDelimited) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
         channel.close();
     }
 
-    /** The channel can take more, or no more for now. */
+    /** The writability of the channel changed. */
     void onWritabilityChanged() {
         connection.trace(
                 channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, ChannelOutlet.unwrittenBytes(channel));
@@ -239,22 +239,22 @@
 
     private void writeLast(Object last) {
         connection.onAnswered();
-        unwrittenAnswers++;
+        unwrittenResponses++;
         channel.writeAndFlush(last).addListener(written -> {
-            unwrittenAnswers--;
+            unwrittenResponses--;
             connection.trace(TraceEvent.WRITTEN, written.isSuccess() ? 1 : 0);
             onWritten(written);
-            // An answer ahead of it may be written out only now, while the last one passes through.
+            // An earlier response may be written out only now, while the last one is being relayed.
             if (isLingering() && written.isSuccess()) {
                 linger();
             }
         });
-        connection.goOn();
+        connection.afterResponse();
     }
 
     /**
-     * Ends the sending, and closes once the caller has done so too or has had its time: to close on bytes that are
-     * still coming in would reset the connection and could take the response with it.
+     * Shuts down the output, and closes the connection once the client has closed it or the linger time is over.
+     * Closing while bytes are still being received would reset the connection, which could destroy the response.
      */
     private void linger() {
         if (!channel.isActive()) {
@@ -267,7 +267,7 @@
         }
     }
 
-    /** The caller has left: the rest of a body that passes through is of no use. */
+    /** The client has closed the connection; the rest of a relayed body is not needed. */
     void abandon() {
         if (responseRelay != null) {
             Relay rest = responseRelay;
--- a/src/main/java/sablehinge/dataplane/http1/SocketKind.java
+++ b/src/main/java/sablehinge/dataplane/http1/SocketKind.java
@@ -8,8 +8,8 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 
 /**
- * What the connections of both ends are: sockets of the system, or channels in virtual time that a test plays the other
- * end of. Those are {@link io.netty.channel.socket.DuplexChannel}s that know {@code SO_LINGER}.
+ * The kind of the channels to clients and upstreams: sockets of the system, or channels in virtual time whose other end
+ * is played by a test. The latter are {@link io.netty.channel.socket.DuplexChannel}s that support {@code SO_LINGER}.
  */
 public interface SocketKind {
 
@@ -40,15 +40,20 @@
         }
     };
 
-    /** Makes channels that let callers in. */
+    /** Creates channels that accept clients. */
     ChannelFactory<ServerChannel> listening();
 
-    /** Makes channels to upstreams. */
+    /** Creates channels to upstreams. */
     ChannelFactory<Channel> connecting();
 
-    /** Handles at once what has come for an open channel, whether it is read at the moment or not. */
+    /**
+     * Handles at once the input that was received for an open channel, whether or not it is being read at the moment.
+     */
     void readNow(Channel channel);
 
-    /** Hands an open channel's kernel what it can take, whether it has signalled that it can or not. */
+    /**
+     * Writes the pending output of an open channel to the kernel at once, whether or not the kernel has signalled that
+     * it is writable.
+     */
     void writeNow(Channel channel);
 }
--- a/src/main/java/sablehinge/dataplane/http1/Sockets.java
+++ b/src/main/java/sablehinge/dataplane/http1/Sockets.java
@@ -8,102 +8,111 @@
 import sablehinge.dataplane.proxy.Tracer;
 
 /**
- * Counts the process's connections against the descriptors that it may hold. A caller that waits in the backlog already
- * counts as taken, so calls to upstreams leave room for callers, and an idle connection gives way to whoever needs its
- * descriptor.
+ * Counts the connections of the process against its limit of file descriptors. A client in the accept backlog already
+ * counts as accepted, so calls to upstreams leave room for clients, and an idle connection is evicted if its descriptor
+ * is needed.
  */
 public final class Sockets {
 
-    /** Descriptors of the virtual machine, the listening socket and discovery, and callers let in at once. */
-    private static final int OF_THE_PROCESS = 64;
-    /** The part of the rest that only callers may use. */
-    private static final int CALLERS_SHARE = 5;
-    /** A caller that has been idle for so long (ms) is hardly about to send. */
-    private static final double RESTING_MS = 300;
+    /**
+     * Descriptors reserved for the virtual machine, the listening socket, discovery and clients that are accepted at
+     * once.
+     */
+    private static final int RESERVED_DESCRIPTORS = 64;
+    /** One in so many of the remaining descriptors may be used by clients only. */
+    private static final int CALLERS_DIVISOR = 5;
+    /** Idle time after which a client is unlikely to be about to send, ms. */
+    private static final double RESTING_CALLER_MS = 300;
 
-    /** Callers that are accepted at once at most, and the part of all connections kept free for them. */
-    private static final int BATCH = 16;
+    /**
+     * Clients that are accepted at once at most, and the divisor for the share of all connections that is kept free for
+     * them.
+     */
+    private static final int ACCEPT_BATCH = 16;
 
-    private static final int SPARE_SHARE = 10;
+    private static final int SPARE_DIVISOR = 10;
 
     private final int descriptors;
     private final SocketKind kind;
     private int limit;
     private int open;
-    private int numbered;
+    private int lastNumber;
     private Tracer tracer = Tracer.OFF;
     private final List<DoublePredicate> evictCaller = new ArrayList<>(1);
     private BooleanSupplier evictUpstream = () -> false;
 
-    /** Counts against so many descriptors of the process. */
+    /** Creates a count against the given number of descriptors. */
     public Sockets(int descriptors) {
         this(descriptors, SocketKind.NIO);
     }
 
-    /** Likewise, of sockets of the given kind. */
+    /** Creates a count against the given number of descriptors, with sockets of the given kind. */
     public Sockets(int descriptors, SocketKind kind) {
         this.descriptors = descriptors;
         this.kind = kind;
         setProcessCount(1);
     }
 
-    /** What its sockets are. */
+    /** The kind of its sockets. */
     SocketKind kind() {
         return kind;
     }
 
-    /** Sets the tracer of connections that are made from now on. */
+    /** Sets the tracer of connections that are opened from now on. */
     public void setTracer(Tracer listener) {
         tracer = listener;
     }
 
-    /** The present tracer. */
+    /** The current tracer. */
     Tracer tracer() {
         return tracer;
     }
 
-    /** The number of the next connection, from 1 on; it begins anew once all have been given. */
-    int next() {
-        numbered = numbered == Integer.MAX_VALUE ? 1 : numbered + 1;
-        return numbered;
+    /** The number of the next connection. Numbers start at 1, and again after the largest one. */
+    int nextConnectionNumber() {
+        lastNumber = lastNumber == Integer.MAX_VALUE ? 1 : lastNumber + 1;
+        return lastNumber;
     }
 
-    /** Counts against the part of the descriptors that each of so many processes has. */
+    /** Divides the descriptors among the given number of processes. */
     public void setProcessCount(int processes) {
-        limit = Math.max(CALLERS_SHARE, descriptors / processes - OF_THE_PROCESS);
+        limit = Math.max(CALLERS_DIVISOR, descriptors / processes - RESERVED_DESCRIPTORS);
     }
 
-    /** Names what closes one idle upstream connection and tells whether there was one. */
-    void upstreamsGiveWay(BooleanSupplier evict) {
+    /** Sets the function that closes one idle upstream connection and reports whether there was one. */
+    void setUpstreamEviction(BooleanSupplier evict) {
         evictUpstream = evict;
     }
 
-    /** Adds to what closes one caller's connection that was idle before a time; likewise. */
-    void callersGiveWay(DoublePredicate evict) {
+    /**
+     * Adds a function that closes one client connection that has been idle since before a time, and reports whether
+     * there was one.
+     */
+    void addCallerEviction(DoublePredicate evict) {
         evictCaller.add(evict);
     }
 
-    /** Takes out what was added. */
-    void callersLeft(DoublePredicate evict) {
+    /** Removes a function that was added. */
+    void removeCallerEviction(DoublePredicate evict) {
         evictCaller.remove(evict);
     }
 
-    /** How many connections there are. */
+    /** The number of open connections. */
     public int open() {
         return open;
     }
 
-    /** Whether a connection to an upstream may be opened, after an idle one has gone for it if need be. */
-    boolean roomForUpstream(double now) {
-        return open < limit - limit / CALLERS_SHARE || evict(now);
+    /** Whether a connection to an upstream may be opened, after evicting an idle one if necessary. */
+    boolean hasRoomForUpstream(double now) {
+        return open < limit - limit / CALLERS_DIVISOR || evict(now);
     }
 
     /**
-     * Whether one more caller may be let in, after idle connections have gone for a batch of them: callers are accepted
-     * several at a time, and a crowd must not wait while others only rest here.
+     * Whether one more client may be accepted, after evicting idle connections for a batch: clients are accepted
+     * several at a time, and must not wait while other connections are idle.
      */
-    boolean roomForCaller(double now) {
-        int spare = Math.min(BATCH, limit / SPARE_SHARE);
+    boolean hasRoomForCaller(double now) {
+        int spare = Math.min(ACCEPT_BATCH, limit / SPARE_DIVISOR);
         boolean gone = true;
         while (gone && open >= limit - spare) {
             gone = evict(now);
@@ -111,9 +120,9 @@
         return open < limit;
     }
 
-    /** Resting callers go first: to come back costs them less than a new connection costs an upstream. */
+    /** Evicts idle clients first: a reconnect costs them less than a new connection costs an upstream. */
     private boolean evict(double now) {
-        return evictCaller(now - RESTING_MS) || evictUpstream.getAsBoolean() || evictCaller(now);
+        return evictCaller(now - RESTING_CALLER_MS) || evictUpstream.getAsBoolean() || evictCaller(now);
     }
 
     private boolean evictCaller(double before) {
@@ -132,8 +141,8 @@
     }
 
     /**
-     * Handles at once what the kernel holds for a channel: bytes, the peer's end of the stream, callers in the backlog.
-     * What it says about a connection is then as fresh as can be.
+     * Handles at once what the kernel holds for a channel: bytes, the peer's end of the stream, clients in the backlog.
+     * The state of the connection is then as current as possible.
      */
     void readNow(Channel channel) {
         if (channel.isOpen()) {
@@ -141,7 +150,7 @@
         }
     }
 
-    /** Hands the kernel at once what it can take of a channel's. */
+    /** Writes the pending output of a channel to the kernel at once, as far as the kernel accepts it. */
     void writeNow(Channel channel) {
         if (channel.isOpen()) {
             kind.writeNow(channel);
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -27,74 +27,74 @@
 import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.policy.LoadBalancer.Settings;
 
-/** One request on its way to one upstream. */
+/** One attempt of a request at one upstream. */
 final class UpstreamAttempt implements Transport.Attempt, Relay.Sink {
 
     private static final long BODY_CHECK_INTERVAL_MS = 1_000;
 
     private final UpstreamContext context;
-    private final Settings terms;
+    private final Settings settings;
     final HttpRequest request;
-    /** The body where it passes through; null where it is complete. */
-    final RelayedPayload passing;
+    /** The request with its relayed body; null if the body is complete. */
+    final RelayedPayload relayedPayload;
 
     private final AttemptBudgets.Grant grant;
-    private final BiConsumer<Result, Payload> end;
-    /** Null for a health check, which reports nothing before its end. */
+    private final BiConsumer<Result, Payload> onEnd;
+    /** Null for a health check, which reports only its end. */
     Transport.Progress progress;
 
-    private double until;
+    private double deadline;
     private Future<?> expiry;
     UpstreamTarget target;
     private Channel channel;
     private UpstreamConnection connection;
-    /** How far it has come, which decides what its end says. */
+    /** How far the attempt has progressed, which decides the result that its end is reported as. */
     private AttemptState state = AttemptState.UNSENT;
-    /** The write of its last byte; null before that. */
+    /** The write of the request's last byte; null before that. */
     private ChannelFuture lastWrite;
 
     boolean ended;
     private Budget budget;
-    /** When a part of its body was last written. */
+    /** When a part of the body was last written. */
     private double lastProgressAt;
-    /** When it was written, and how long its connection had rested by then; NaN for a new one. */
+    /** When the attempt was written, and how long its connection had been idle by then; NaN for a new connection. */
     private double startedAt;
 
     private double idleMs = Double.NaN;
-    /** For how long the upstream may take nothing of a body, ms. */
+    /** How long the upstream may read nothing of a body, ms. */
     private double stallTimeoutMs;
 
-    /** {@code end} is called once; the response is not to be kept. */
+    /** {@code onEnd} is called once; it must not retain the response. */
     UpstreamAttempt(
             UpstreamContext context,
-            Settings terms,
+            Settings settings,
             HttpRequest request,
-            RelayedPayload passing,
+            RelayedPayload relayedPayload,
             AttemptBudgets.Grant grant,
-            double until,
-            BiConsumer<Result, Payload> end) {
+            double deadline,
+            BiConsumer<Result, Payload> onEnd) {
         this.context = context;
-        this.terms = terms;
+        this.settings = settings;
         this.request = request;
-        this.passing = passing;
+        this.relayedPayload = relayedPayload;
         this.grant = grant;
-        this.until = until;
-        this.end = end;
+        this.deadline = deadline;
+        this.onEnd = onEnd;
         if (!isBodyPending()) {
-            waitUntil(until);
+            waitUntil(deadline);
         }
     }
 
-    /** Whether the end of the request has not come yet, before which its time doesn't count. */
+    /** Whether the request is still being received; its deadline does not apply before its end. */
     private boolean isBodyPending() {
-        return passing != null && !passing.body().hasEnded();
+        return relayedPayload != null && !relayedPayload.body().hasEnded();
     }
 
     @Override
-    public void waitUntil(double given) {
+    public void waitUntil(double newDeadline) {
         if (!ended && expiry == null) {
-            until = given;
-            expiry = context.loop.schedule(this::expire, context.nanosUntil(until), TimeUnit.NANOSECONDS);
+            deadline = newDeadline;
+            expiry = context.loop.schedule(this::expire, context.nanosUntil(deadline), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -108,23 +108,23 @@
         if (idle != null) {
             idle.trace(TraceEvent.REUSED, to.member.upstream().id());
             begin(idle);
-        } else if (!context.sockets.roomForUpstream(context.clock.now())) {
-            // A shortage here says nothing of the upstream.
+        } else if (!context.sockets.hasRoomForUpstream(context.clock.now())) {
+            // A shortage of descriptors here is not a failure of the upstream.
             end(state.ends(Event.NO_ROOM), Payload.NONE);
         } else {
-            int connectTimeoutMs = (int) Math.max(1, terms.limits().connectTimeout());
+            int connectTimeoutMs = (int) Math.max(1, settings.limits().connectTimeout());
             context.bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
             ChannelFuture connect = context.bootstrap.connect(to.member.address());
             if (connect.cause() instanceof ChannelException) {
-                // There is no socket, for want of a descriptor.
+                // The socket could not be opened for lack of a file descriptor.
                 end(state.ends(Event.NO_ROOM), Payload.NONE);
                 return;
             }
             channel = connect.channel();
             context.sockets.count(channel);
-            UpstreamConnection made = channel.pipeline().get(UpstreamConnection.class);
-            if (made != null) {
-                made.trace(TraceEvent.CONNECTING, to.member.upstream().id());
+            UpstreamConnection newConnection = channel.pipeline().get(UpstreamConnection.class);
+            if (newConnection != null) {
+                newConnection.trace(TraceEvent.CONNECTING, to.member.upstream().id());
             }
             to.waiting.add(this);
             connect.addListener(up -> {
@@ -148,15 +148,15 @@
         double now = context.clock.now();
         startedAt = now;
         idleMs = now - connection.idleSince;
-        // NaN compares false: a ready upstream takes anything.
-        boolean drained = now >= target.drainingSince + terms.rules().drainGrace();
+        // NaN compares false: an upstream that is ready accepts any request.
+        boolean drained = now >= target.drainingSince + settings.rules().drainGrace();
         budget = grant == null ? null : grant.budget(now);
         boolean dead = grant != null && budget == null;
         if (drained
                 || dead
                 || now >= context.startUntil
-                || now >= until && !isBodyPending()
-                || passing != null && passing.body().isTaken()) {
+                || now >= deadline && !isBodyPending()
+                || relayedPayload != null && relayedPayload.body().isTaken()) {
             connection.release(target);
             end(state.ends(Event.NO_CONNECTION), Payload.NONE);
             return;
@@ -166,11 +166,11 @@
         if (progress != null) {
             context.lastAttemptAt = now;
         }
-        if (passing != null) {
+        if (relayedPayload != null) {
             HttpRequest copy = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
             setHeaders(copy, now);
-            if (passing.length() >= 0) {
-                copy.headers().set("Content-Length", passing.length());
+            if (relayedPayload.length() >= 0) {
+                copy.headers().set("Content-Length", relayedPayload.length());
             } else {
                 copy.headers().set("Transfer-Encoding", "chunked");
             }
@@ -179,7 +179,7 @@
                 lastProgressAt = now;
                 stallTimeoutMs = Math.min(context.dialect.terms().bodyStallTimeoutMs(), progress.requestTimeMs());
                 scheduleProgressCheck(now);
-                passing.body().attach(this);
+                relayedPayload.body().attach(this);
             }
             return;
         }
@@ -194,23 +194,23 @@
     }
 
     private void setHeaders(HttpRequest copy, double now) {
-        context.dialect.setHeaders(copy, request, target.member, until - now, budget);
+        context.dialect.setHeaders(copy, request, target.member, deadline - now, budget);
     }
 
-    /** Writes the last of the request. */
+    /** Writes the last part of the request. */
     private void write(Object last) {
         lastWrite = channel.writeAndFlush(last);
         lastWrite.addListener(write -> {
             connection.trace(TraceEvent.SENT, write.isSuccess() ? 1 : 0);
             if (!write.isSuccess()) {
-                broke(Event.WRITE_FAILED);
+                failConnection(Event.WRITE_FAILED);
             }
         });
     }
 
     /**
-     * How far it has come by now. The write itself is looked at, as its listeners may be notified a turn later: Netty
-     * postpones them once they are nested deeply, and a reset could come first.
+     * The present state of the attempt. It checks the write itself, as Netty postpones the listeners of a write when
+     * they are nested deeply, and a connection reset could be handled first.
      */
     private AttemptState currentState() {
         if (lastWrite != null && lastWrite.isSuccess()) {
@@ -228,18 +228,21 @@
         return currentState().mayHaveRun();
     }
 
-    /** What can't be written, for want of memory say, leaves a gap: the request will never be complete. */
+    /**
+     * Handles the result of a write. If it failed, for lack of memory for example, the request has a gap and will never
+     * be complete.
+     */
     private void onPartWritten(io.netty.util.concurrent.Future<? super Void> write) {
         lastProgressAt = context.clock.now();
         if (!write.isSuccess()) {
-            broke(Event.WRITE_FAILED);
+            failConnection(Event.WRITE_FAILED);
         }
     }
 
     /**
-     * While a body comes its request has no deadline, and its caller is not read while the upstream takes nothing:
-     * without this, one that never reads again would hold both for good. What waits so waits for no longer than a
-     * request that has come completely.
+     * While a body is received its request has no deadline, and the client is not read while the upstream reads
+     * nothing. Without this check an upstream that never reads again would hold both permanently. The limit is that of
+     * a request that was received completely.
      */
     private void checkBodyProgress() {
         if (ended || isComplete()) {
@@ -247,13 +250,16 @@
         }
         double now = context.clock.now();
         if (!channel.isWritable() && now - lastProgressAt >= stallTimeoutMs) {
-            broke(Event.WRITE_FAILED);
+            failConnection(Event.WRITE_FAILED);
         } else {
             scheduleProgressCheck(now);
         }
     }
 
-    /** Looks again when the time without progress would be up, or a while later where that is so while it can write. */
+    /**
+     * Schedules the next check for when the time without progress would be over, or after the check interval if it is
+     * over but the channel is writable.
+     */
     private void scheduleProgressCheck(double now) {
         double left = lastProgressAt + stallTimeoutMs - now;
         double delayMs = left > 0 ? Math.min(left, BODY_CHECK_INTERVAL_MS) : BODY_CHECK_INTERVAL_MS;
@@ -261,16 +267,16 @@
     }
 
     @Override
-    public void part(ByteBuf part) {
+    public void writePart(ByteBuf part) {
         if (channel.isWritable()) {
-            // The upstream has taken what came before: what its caller was slow in sending is not its fault.
+            // The upstream has read all earlier parts: it is not at fault if the client sends slowly.
             lastProgressAt = context.clock.now();
         }
         channel.write(new DefaultHttpContent(part)).addListener(this::onPartWritten);
         if (!channel.isWritable()) {
             channel.flush();
         }
-        passing.body().setWritable(channel.isWritable());
+        relayedPayload.body().setWritable(channel.isWritable());
     }
 
     @Override
@@ -288,54 +294,54 @@
         write(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** The caller has left its request half, and the upstream must not take it for complete. */
+    /** The client left before its request was complete, and the upstream must not process it as complete. */
     @Override
-    public void broke() {
+    public void fail() {
         cancel();
     }
 
-    /** Whether the system has taken all of the request. */
+    /** Whether all of the request was handed to the kernel. */
     boolean isComplete() {
         AttemptState now = currentState();
         return now == AttemptState.SENT || now == AttemptState.ANSWERING;
     }
 
-    /** Whether the module may ever send this again once it may have run. */
+    /** Whether the load balancer may retry the request after it may have run. */
     private boolean resendable() {
         return context.dialect.resendable(request);
     }
 
-    /** The connection is of no more use: what was not written completely can't have run. */
-    private void broke(Event event) {
-        if (!ended && !Double.isNaN(idleMs) && context.clock.now() - startedAt < Freshness.AT_ONCE_MS) {
-            context.freshness.broke(idleMs);
+    /** Fails the attempt with its connection. A request that was not written completely can't have run. */
+    private void failConnection(Event event) {
+        if (!ended && !Double.isNaN(idleMs) && context.clock.now() - startedAt < Freshness.IMMEDIATE_RESET_MS) {
+            context.freshness.onReset(idleMs);
         }
-        giveUp(event);
+        abort(event);
     }
 
     void connectionEnded() {
         if (context.dialect.terms().mayVanishSilently()) {
-            // Its process or its machine may be another one by now, which knows nothing of the others.
+            // The upstream's process or machine may have been replaced by one that does not know the other connections.
             target.closeIdle();
         }
-        broke(Event.CONNECTION_ENDED);
+        failConnection(Event.CONNECTION_ENDED);
     }
 
     private void expire() {
-        giveUp(Event.DEADLINE);
+        abort(Event.DEADLINE);
     }
 
-    /** Stops waiting, and lets the upstream know by closing the connection. */
+    /** Cancels the attempt, and closes the connection to let the upstream know. */
     @Override
     public void cancel() {
-        giveUp(Event.CANCELLED);
+        abort(Event.CANCELLED);
     }
 
     /**
-     * Ends the attempt with its connection. That is closed first: what the module sends in answer to the outcome would
-     * otherwise overtake it, and be a second copy.
+     * Ends the attempt and closes its connection. The connection is closed first: otherwise a retry by the load
+     * balancer could overtake the close and be a second copy of the request.
      */
-    void giveUp(Event event) {
+    void abort(Event event) {
         if (!ended) {
             ended = true;
             if (channel != null) {
@@ -345,19 +351,19 @@
         }
     }
 
-    /** The head of an answer has come, and not yet all of its body. */
+    /** The head of a response was received, and not yet all of its body. */
     void onResponseStart() {
         if (!ended && progress != null && !isBodyPending()) {
             double latest = progress.responseStarted();
             if (!ended && expiry != null) {
                 expiry.cancel(false);
-                until = latest;
-                expiry = context.loop.schedule(this::expire, context.nanosUntil(until), TimeUnit.NANOSECONDS);
+                deadline = latest;
+                expiry = context.loop.schedule(this::expire, context.nanosUntil(deadline), TimeUnit.NANOSECONDS);
             }
         }
     }
 
-    /** An answer, with its body or with the beginning of that. */
+    /** A response was received, with its body or the beginning of it. */
     void onResponse(HttpResponse head, Payload payload) {
         end(
                 currentState()
@@ -381,10 +387,10 @@
         if (expiry != null) {
             expiry.cancel(false);
         }
-        // A body of which a part was written can't be sent again: its caller need not send the rest.
-        if (passing != null && passing.body().isTaken()) {
-            passing.body().abandon();
+        // A relayed body that was partly written can't be sent again, so the client need not send the rest.
+        if (relayedPayload != null && relayedPayload.body().isTaken()) {
+            relayedPayload.body().abandon();
         }
-        end.accept(result, payload);
+        onEnd.accept(result, payload);
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
@@ -35,51 +35,54 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /**
- * Sends attempts and health checks to upstreams, one at a time on a connection, and reports how each ended. It sends
- * nothing twice: what breaks is an outcome.
+ * Sends attempts and health checks to upstreams, one at a time per connection, and reports the result of each. It never
+ * retries; a broken connection is a result.
  */
 public final class UpstreamClient implements Transport {
 
-    /** Up to so many bytes an answer's body is kept until complete, and so can be retried. */
-    static final int MAX_BODY = 64 * 1024;
-    /** Bodies and answers are 32 MB long at most; one that announces more is malformed. */
-    static final int MAX_PASSING = 36 * 1024 * 1024;
-    /** The most bytes that are handed on in one part. */
-    static final int PART = 32 * 1024;
-    /** The part of an upstream's idle limit after which a connection is closed from this side. */
-    private static final double IDLE_SHARE = 0.7;
+    /** Largest body of a response that is buffered until it is complete, and so can be retried, in bytes. */
+    static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
+    /**
+     * Largest relayed body in bytes. Bodies are at most 32 MB long; a response that announces more than this is
+     * malformed.
+     */
+    static final int MAX_RELAYED_BYTES = 36 * 1024 * 1024;
+    /** Largest part of a body that the decoders pass on, in bytes. */
+    static final int MAX_PART_BYTES = 32 * 1024;
+    /** Share of an upstream's idle timeout after which this side closes a connection. */
+    private static final double MAX_IDLE_SHARE = 0.7;
 
-    private static final long SWEEP_MS = 1_000;
-    private static final int MILLI = 3;
-    /** The headers of budgets, down and up. */
-    static final String BUDGET = "Sablehinge-Budget";
+    private static final long SWEEP_INTERVAL_MS = 1_000;
+    private static final int MILLI_SCALE = 3;
+    /** The header with a request's budget, and the response header with the report of its use. */
+    static final String BUDGET_HEADER = "Sablehinge-Budget";
 
-    static final String SPENT = "Sablehinge-Spent";
+    static final String SPENT_HEADER = "Sablehinge-Spent";
 
     private final UpstreamContext context;
     private final Map<Long, UpstreamTarget> targets = new HashMap<>();
-    /** Of the version under which requests arrive. */
+    /** The settings of the current version. */
     private Settings settings;
 
-    /** A transport to the platform's upstreams. */
+    /** Creates a transport to the platform's upstreams. */
     public UpstreamClient(EventLoop loop, Clock clock, Sockets sockets, ByteBufAllocator memory) {
         this(loop, clock, sockets, memory, new PlatformUpstream());
     }
 
-    /** A transport on the given loop, whose connections count among the given sockets. */
+    /** Creates a transport on the given event loop whose connections count towards the given sockets. */
     public UpstreamClient(
             EventLoop loop, Clock clock, Sockets sockets, ByteBufAllocator memory, UpstreamDialect dialect) {
         context = new UpstreamContext(loop, clock, sockets, memory, dialect);
-        sockets.upstreamsGiveWay(this::evictIdle);
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sockets.setUpstreamEviction(this::evictIdle);
+        loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Switches on the headers of budgets. */
+    /** Enables the headers with budgets. */
     public void enableBudgets(HeaderText text) {
         context.dialect.enableBudgets(text);
     }
 
-    /** When the last attempt began to be written, ms of the clock; NaN before the first one. */
+    /** When the last attempt began to be written, in ms of the clock; NaN before the first one. */
     public double lastAttemptAt() {
         return context.lastAttemptAt;
     }
@@ -95,11 +98,11 @@
         settings = version.settings();
         if (before == null
                 || before.limits().connectionIdle() != settings.limits().connectionIdle()) {
-            trustYoung(context.dialect.terms().maxIdleForUnsafeMs());
+            setMaxIdleForUnsafe(context.dialect.terms().maxIdleForUnsafeMs());
         }
     }
 
-    /** Takes in a list; what an upstream that left or drains still holds idle is of no more use. */
+    /** Applies a roster of upstreams, and closes the idle connections of those that left or drain. */
     @Override
     public void update(Roster roster) {
         double now = context.clock.now();
@@ -140,9 +143,10 @@
             target.drainingSince = now;
             target.closeIdle();
             if (context.dialect.terms().mayVanishSilently()) {
-                // It may be gone without a word: what has not been sent goes elsewhere once the module knows.
+                // The upstream may have vanished without a sign: a request that was not sent can be sent to another
+                // upstream once the load balancer is notified.
                 context.loop.execute(
-                        () -> List.copyOf(target.waiting).forEach(attempt -> attempt.giveUp(Event.NO_CONNECTION)));
+                        () -> List.copyOf(target.waiting).forEach(attempt -> attempt.abort(Event.NO_CONNECTION)));
             }
         }
     }
@@ -155,13 +159,14 @@
             double until,
             AttemptBudgets.Grant grant,
             Progress progress) {
-        RelayedPayload passing = request instanceof RelayedPayload one ? one : null;
-        HttpRequest message = (HttpRequest) (passing == null ? ((HttpPayload) request).message() : passing.head());
+        RelayedPayload relayedPayload = request instanceof RelayedPayload one ? one : null;
+        HttpRequest message =
+                (HttpRequest) (relayedPayload == null ? ((HttpPayload) request).message() : relayedPayload.head());
         UpstreamAttempt attempt = new UpstreamAttempt(
                 context,
                 version.settings(),
                 message,
-                passing,
+                relayedPayload,
                 grant,
                 until,
                 (result, payload) -> progress.finished(result(version.settings(), result, payload)));
@@ -183,16 +188,16 @@
                 context.dialect.budgetReport(head));
     }
 
-    /** Asks an upstream how it does; the answer's body holds its load report if the site has any. */
+    /** Sends a health check; the response body is the load report if the settings name report fields. */
     @Override
     public void healthCheck(Version version, long upstream, double until, Consumer<AttemptResult> end) {
         List<String> fields = version.settings().reportFields();
-        FullHttpRequest question = new DefaultFullHttpRequest(
+        FullHttpRequest healthRequest = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.GET, fields.isEmpty() ? "/ping" : "/_load", Unpooled.EMPTY_BUFFER);
         new UpstreamAttempt(
                         context,
                         version.settings(),
-                        question,
+                        healthRequest,
                         null,
                         null,
                         until,
@@ -220,22 +225,22 @@
         sweep(context.clock.now());
     }
 
-    /** Closes what has been idle for long and forgets upstreams that left; the time is now. */
+    /** Closes connections that were idle for too long and forgets upstreams that left long ago. */
     void sweep(double now) {
-        double oldest = now - IDLE_SHARE * settings.limits().connectionIdle();
+        double oldest = now - MAX_IDLE_SHARE * settings.limits().connectionIdle();
         for (UpstreamTarget target : targets.values()) {
             while (!target.idle.isEmpty() && target.idle.peekFirst().idleSince < oldest) {
                 target.idle.pollFirst().channel.close();
             }
         }
-        // Whoever left long ago and holds nothing need not be remembered.
+        // An upstream that left long ago and has no idle connections need not be remembered.
         double grace = settings.rules().drainGrace();
         targets.values().removeIf(t -> t.gone && t.drainingSince < now - 2 * grace && t.idle.isEmpty());
     }
 
-    /** Tells whether a connection to an address comes up within so many ms, and closes it. */
+    /** Reports whether a connection to an address can be established within the given ms, and closes it. */
     public void checkReachable(InetSocketAddress address, int connectTimeoutMs, Consumer<Boolean> end) {
-        if (!context.sockets.roomForUpstream(context.clock.now())) {
+        if (!context.sockets.hasRoomForUpstream(context.clock.now())) {
             end.accept(false);
             return;
         }
@@ -248,22 +253,22 @@
         });
     }
 
-    /** How many upstreams it remembers. */
-    int remembered() {
+    /** The number of remembered upstreams. */
+    int targetCount() {
         return targets.size();
     }
 
-    /** For how long a connection that rests is young; for tests. */
-    void trustYoung(double millis) {
-        context.freshness = new Freshness(IDLE_SHARE * settings.limits().connectionIdle(), millis);
+    /** Sets the longest idle time of a connection that may carry an unsafe request, ms; for tests. */
+    void setMaxIdleForUnsafe(double millis) {
+        context.freshness = new Freshness(MAX_IDLE_SHARE * settings.limits().connectionIdle(), millis);
     }
 
-    /** Has the kernel hold no more than so many bytes unsent; for tests. */
-    void sendBuffer(int bytes) {
+    /** Sets the size of the kernel's send buffer of new connections, in bytes; for tests. */
+    void setSendBufferBytes(int bytes) {
         context.bootstrap.option(ChannelOption.SO_SNDBUF, bytes);
     }
 
-    /** Closes the connection that has been idle for longest; false if there is none. */
+    /** Closes the connection that has been idle for the longest time; false if there is none. */
     private boolean evictIdle() {
         UpstreamTarget longest = null;
         for (UpstreamTarget target : targets.values()) {
@@ -278,8 +283,8 @@
         return longest != null;
     }
 
-    /** Ms, without their fraction, as a decimal number of seconds. */
+    /** Formats a time in ms, without its fraction, as a decimal number of seconds. */
     static String seconds(double millis) {
-        return BigDecimal.valueOf((long) millis, MILLI).toPlainString();
+        return BigDecimal.valueOf((long) millis, MILLI_SCALE).toPlainString();
     }
 }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamConnection.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamConnection.java
@@ -20,46 +20,48 @@
 import sablehinge.dataplane.proxy.AttemptState.Event;
 import sablehinge.dataplane.proxy.TraceEvent;
 
-/** A connection to an upstream; it belongs to one attempt at a time. */
+/** A connection to an upstream. It is assigned to one attempt at a time. */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements Relay.Source {
 
-    /** The head of an answer that has begun must be complete after so many checks. */
+    /** Checks after which the head of a response must be complete once its first byte was received. */
     private static final int MAX_STALLS = 5;
-    /** One that is being passed on already can't be tried again, and may rest for so many checks. */
+    /** Checks without progress after which a relayed response is aborted; it can't be retried, so it gets more time. */
     private static final int MAX_RELAY_RESTS = 16;
-    /** Answers of the kind 1xx, or to other requests, that may come ahead of one. */
+    /** Informational responses, or responses to other requests, that are skipped before the awaited one. */
     private static final int MAX_SKIPPED_RESPONSES = 16;
 
     private final UpstreamContext context;
     final Channel channel;
     final int number;
     final UpstreamDecoder decoder = new UpstreamDecoder(this);
-    /** When it was last given back; NaN while it is new. */
+    /** When it was last released; NaN while it is new. */
     double idleSince = Double.NaN;
 
     UpstreamAttempt attempt;
     private UpstreamTarget target;
-    /** Whether an answer has come in part, and more since the last check; the checks so far. */
+    /**
+     * Whether a response was received in part, whether bytes were received since the last check, and the checks so far.
+     */
     private boolean answerStarted;
 
     private boolean progressed;
     private int stallChecks;
     private int skippedResponses;
     private Future<?> stallCheck;
-    /** The answer that is coming: its head, its body so far, and the body once it passes through. */
+    /** The response that is being received: its head, its body so far, and its relay once the body is relayed. */
     private HttpResponse head;
 
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
     Relay relay;
     private long forwardedBytes;
     private boolean reset;
-    /** Whether it was notified that the answer has begun. */
+    /** Whether the attempt was notified that the response has begun. */
     private boolean responseStartReported;
 
     UpstreamConnection(UpstreamContext context, Channel channel) {
         this.context = context;
         this.channel = channel;
-        number = context.sockets.next();
+        number = context.sockets.nextConnectionNumber();
     }
 
     void trace(TraceEvent event, long value) {
@@ -75,7 +77,7 @@
         stallChecks = 0;
     }
 
-    /** Keeps the connection for the next attempt. */
+    /** Puts the connection into the pool for the next attempt. */
     void release(UpstreamTarget owner) {
         attempt = null;
         target = owner;
@@ -87,28 +89,31 @@
         owner.idle.addLast(this);
     }
 
-    /** What came is no answer: the attempt may have run, and the connection is of no further use. */
+    /**
+     * Fails the attempt because of a malformed response: the request may have run, and the connection can't be used
+     * again.
+     */
     void failMalformed() {
         UpstreamAttempt failed = attempt;
         attempt = null;
         channel.close();
         if (failed != null) {
-            failed.giveUp(Event.MALFORMED_ANSWER);
+            failed.abort(Event.MALFORMED_ANSWER);
         }
         breakRelay();
     }
 
-    /** The reader of a relayed answer must be able to see that it is incomplete. */
+    /** Lets the reader of a relayed response see that it is incomplete. */
     private void breakRelay() {
         if (relay != null) {
             Relay broken = relay;
             relay = null;
-            broken.broke();
+            broken.fail();
         }
     }
 
     @Override
-    public void read(boolean on) {
+    public void setReading(boolean on) {
         if (on != channel.config().isAutoRead()) {
             trace(on ? TraceEvent.RESUMED : TraceEvent.PAUSED, 0);
         }
@@ -121,7 +126,7 @@
     }
 
     @Override
-    public void giveUp() {
+    public void cancel() {
         relay = null;
         channel.close();
     }
@@ -137,7 +142,7 @@
         }
     }
 
-    /** An answer that has begun and stands still will not be complete in time. */
+    /** Starts the check for progress: a response that stalls will not be complete in time. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (attempt != null
@@ -162,7 +167,7 @@
     private void checkProgress() {
         stallCheck = null;
         if (progressed || relay != null && !channel.config().isAutoRead()) {
-            // Its body may take its time as long as it comes, its head may not.
+            // A body may be slow as long as it makes progress, a head may not.
             stallChecks = head == null && relay == null ? stallChecks + 1 : 0;
         } else {
             stallChecks += relay == null ? MAX_STALLS : 1;
@@ -176,11 +181,11 @@
         }
     }
 
-    /** The message is complete, and with it what had come of it. */
+    /** The message is complete; resets what belongs to it. */
     private void onMessageComplete() {
         trace(TraceEvent.LAST_BYTE, 0);
         answerStarted = decoder.hasUnreadBytes();
-        // What is there already is not looked at again: it is read as the next message.
+        // The prefix of buffered bytes is not checked again; they are decoded as the next message.
         if (answerStarted) {
             decoder.skipPrefixCheck();
         } else {
@@ -195,7 +200,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         if (!message.decoderResult().isSuccess()) {
-            // Where it is the end of the connection that cuts it off, that end tells the attempt.
+            // If the message is truncated by the end of the connection, the attempt is notified by channelInactive.
             if (channel.isActive()) {
                 failMalformed();
             }
@@ -203,7 +208,7 @@
         }
         if (message instanceof HttpResponse begun) {
             head = begun;
-            if (HttpUtil.getContentLength(begun, 0L) > UpstreamClient.MAX_PASSING) {
+            if (HttpUtil.getContentLength(begun, 0L) > UpstreamClient.MAX_RELAYED_BYTES) {
                 failMalformed();
                 return;
             }
@@ -220,13 +225,13 @@
         }
     }
 
-    /** Keeps a short answer, so that all or nothing of it is passed on; begins to pass on a long one. */
+    /** Buffers a short response, so that it is passed on completely or not at all; starts to relay a long one. */
     private void appendBody(ByteBuf part) {
-        boolean fits = body.readableBytes() + part.readableBytes() <= UpstreamClient.MAX_BODY;
-        if (fits && HttpUtil.getContentLength(head, 0L) <= UpstreamClient.MAX_BODY) {
+        boolean fits = body.readableBytes() + part.readableBytes() <= UpstreamClient.MAX_BUFFERED_BODY_BYTES;
+        if (fits && HttpUtil.getContentLength(head, 0L) <= UpstreamClient.MAX_BUFFERED_BODY_BYTES) {
             if (part.isReadable()) {
                 if (body == Unpooled.EMPTY_BUFFER) {
-                    body = channel.alloc().buffer(part.readableBytes(), UpstreamClient.MAX_BODY);
+                    body = channel.alloc().buffer(part.readableBytes(), UpstreamClient.MAX_BUFFERED_BODY_BYTES);
                 }
                 body.writeBytes(part);
             }
@@ -254,7 +259,7 @@
         forward(body);
         relayed.onResponse(head, new RelayedPayload(head, HttpUtil.getContentLength(head, -1L), begun));
         if (!begun.isTaken()) {
-            // Its caller has left.
+            // The client has closed its connection.
             begun.abandon();
         }
     }
@@ -266,7 +271,7 @@
     }
 
     private void forwardContent(HttpContent content) {
-        if (forwardedBytes + content.content().readableBytes() > UpstreamClient.MAX_PASSING) {
+        if (forwardedBytes + content.content().readableBytes() > UpstreamClient.MAX_RELAYED_BYTES) {
             failMalformed();
             return;
         }
@@ -292,7 +297,7 @@
         }
     }
 
-    /** Whether the end of the connection is the end of the answer: a process that dies resets it. */
+    /** Whether the end of the connection delimits the response. A process that dies resets its connection instead. */
     private boolean endsWithConnection() {
         return !reset
                 && !HttpUtil.isKeepAlive(head)
@@ -323,7 +328,7 @@
     private void complete(FullHttpResponse response, boolean delimited) {
         onMessageComplete();
         if (attempt != null && !channel.isActive() && !delimited) {
-            // What the end of the connection completes is no answer: a crash would look like that too.
+            // The end of the connection does not complete a response: a crash would look the same.
             attempt.connectionEnded();
             return;
         }
@@ -338,12 +343,12 @@
             return;
         }
         if (!context.dialect.identifiesRequest(response)) {
-            // It may be anybody's, and what is waited for may still be at work there.
+            // The response may belong to any request, and the upstream may still be processing the awaited one.
             failMalformed();
             return;
         }
         if (!context.dialect.isResponseTo(attempt.request, response)) {
-            // A surplus answer in the place of the next: what is waited for may still come behind it.
+            // A surplus response came before the awaited one, which may still follow.
             if (++skippedResponses > MAX_SKIPPED_RESPONSES || !HttpUtil.isKeepAlive(response)) {
                 failMalformed();
             }
@@ -354,7 +359,8 @@
         boolean keep =
                 !served.ended && served.isComplete() && HttpUtil.isKeepAlive(response) && !decoder.hasUnreadBytes();
         served.onResponse(response, new HttpPayload(response));
-        // Only now: the module's next send must not read from a connection that is being read.
+        // The connection is released only now: the load balancer's next attempt must not use a connection that is still
+        // reading.
         if (keep && channel.isActive()) {
             release(target);
         } else {
@@ -362,12 +368,12 @@
         }
     }
 
-    /** The upstream limits the reading of a body that is relayed. */
+    /** Pauses and resumes the relay of a request body as the upstream reads it. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         trace(channel.isWritable() ? TraceEvent.WRITABLE : TraceEvent.FULL, ChannelOutlet.unwrittenBytes(channel));
-        if (attempt != null && attempt.passing != null) {
-            attempt.passing.body().setWritable(channel.isWritable());
+        if (attempt != null && attempt.relayedPayload != null) {
+            attempt.relayedPayload.body().setWritable(channel.isWritable());
         }
         ctx.fireChannelWritabilityChanged();
     }
@@ -392,11 +398,11 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
-            // The end of the channel tells the attempt.
+            // The attempt is notified by channelInactive.
             reset = true;
             channel.close();
         } else {
-            // An answer that is too large or no HTTP: the upstream has had the request.
+            // The response is too large or not HTTP; the upstream has received the request.
             failMalformed();
         }
     }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamContext.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamContext.java
@@ -11,7 +11,9 @@
 import jdk.net.ExtendedSocketOptions;
 import sablehinge.common.eventloop.Clock;
 
-/** What the attempts and connections of one {@link UpstreamClient} share. All of it belongs to the event loop. */
+/**
+ * The state that the attempts and connections of one {@link UpstreamClient} share. All of it belongs to the event loop.
+ */
 final class UpstreamContext {
 
     private static final double NANOS_PER_MS = 1e6;
@@ -21,9 +23,9 @@
     final Sockets sockets;
     final UpstreamDialect dialect;
     final Bootstrap bootstrap;
-    /** How long idle connections are trusted; another one for each version of the settings. */
+    /** Limits how long idle connections are used; replaced when the idle timeout in the settings changes. */
     Freshness freshness;
-    /** No attempt is written later, as the process is about to end; ms of the clock. */
+    /** When the last attempt may be written, as the process is about to end; in ms of the clock. */
     double startUntil = Double.POSITIVE_INFINITY;
     /** When the last attempt began to be written, ms; NaN before the first one. Health checks don't count. */
     double lastAttemptAt = Double.NaN;
@@ -54,7 +56,7 @@
         }
     }
 
-    /** Nanoseconds until a time of the clock, in ms; 0 for one that is over. */
+    /** Nanoseconds until a time of the clock, in ms; 0 if it has passed. */
     long nanosUntil(double at) {
         return (long) Math.ceil(Math.max(0, at - clock.now()) * NANOS_PER_MS);
     }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamDecoder.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamDecoder.java
@@ -10,20 +10,20 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Looks at the bytes ahead of the decoder. That keeps part of a line unseen, so bytes that no request waits for could
- * lie there and be taken for the start of the next answer.
+ * Checks received bytes before they are decoded. The decoder buffers a partial line, so bytes that belong to no request
+ * could stay there and be taken for the start of the next response.
  */
 final class UpstreamDecoder extends HttpResponseDecoder {
 
-    /** How every answer begins. */
+    /** The prefix of every response. */
     private static final byte[] STATUS_LINE_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
     private final UpstreamConnection connection;
-    /** How much of the beginning of an answer has come. */
+    /** How many bytes of the prefix were received. */
     private int matchedPrefix;
 
     UpstreamDecoder(UpstreamConnection connection) {
-        super(new HttpDecoderConfig().setMaxChunkSize(UpstreamClient.PART));
+        super(new HttpDecoderConfig().setMaxChunkSize(UpstreamClient.MAX_PART_BYTES));
         this.connection = connection;
     }
 
@@ -38,7 +38,10 @@
         super.channelRead(ctx, message);
     }
 
-    /** Whether this may be part of an answer: noise without a line's end would else wait for more. */
+    /**
+     * Whether the bytes may be part of a response: without this check, garbage without a line end would wait for more
+     * input.
+     */
     private boolean matchesStatusLine(ByteBuf bytes) {
         int at = bytes.readerIndex();
         while (matchedPrefix < STATUS_LINE_PREFIX.length && at < bytes.writerIndex()) {
@@ -49,22 +52,22 @@
         return true;
     }
 
-    /** The next bytes begin a message. */
+    /** The next bytes begin a message, whose prefix is checked. */
     void expectMessage() {
         matchedPrefix = 0;
     }
 
-    /** Bytes that are here already belong to the next message: its beginning was looked at with them. */
+    /** Skips the check for the next message, whose beginning was checked with the bytes before it. */
     void skipPrefixCheck() {
         matchedPrefix = STATUS_LINE_PREFIX.length;
     }
 
-    /** Whether bytes have come that belong to no message so far. */
+    /** Whether bytes are buffered that belong to no message so far. */
     boolean hasUnreadBytes() {
         return actualReadableBytes() > 0;
     }
 
-    /** Netty would take a line of words without a colon for a header with no value. */
+    /** Rejects a header line without a colon, which Netty would accept as a header with no value. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
@@ -73,7 +76,7 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    /** Netty would drop the length of a message that has both framings, and go on. */
+    /** Rejects a message with both framings; Netty would drop its length and continue. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("both framings");
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
@@ -10,54 +10,54 @@
 import sablehinge.policy.LoadBalancer.Result;
 import sablehinge.policy.LoadBalancer.Settings;
 
-/** What a transport and upstreams say to each other beyond HTTP. */
+/** The protocol between a transport and upstreams on top of HTTP. */
 public interface UpstreamDialect {
 
-    /** What is expected of upstreams. */
+    /** The timeouts and properties that are expected of upstreams. */
     UpstreamTerms terms();
 
     /**
-     * Sets the headers of what goes to an upstream, those apart that frame it.
+     * Sets the headers of a request to an upstream, except those that frame it.
      *
-     * @param given as it came from the caller
-     * @param left until the attempt is given up, in ms
+     * @param given the request as it was received from the client
+     * @param left time until the attempt is aborted, in ms
      * @param budget of the request; null for none
      */
     void setHeaders(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget);
 
-    /** Whether the module may ever send this again once it may have run. */
+    /** Whether the load balancer may retry a request after it may have run. */
     boolean resendable(HttpRequest request);
 
-    /** Whether an answer says to which request it belongs, where answers must. */
+    /** Whether a response names the request that it belongs to, if the protocol requires that. */
     default boolean identifiesRequest(HttpResponse answer) {
         return true;
     }
 
-    /** Whether an answer is one to this request, and not to one before it. */
+    /** Whether a response is the one to this request, and not to an earlier one. */
     default boolean isResponseTo(HttpRequest request, HttpResponse answer) {
         return true;
     }
 
-    /** Whether an answer may be passed on before it is complete. */
+    /** Whether a response may be relayed before it is complete. */
     boolean canRelay(HttpResponse answer);
 
-    /** The result of an attempt by its answer, which is complete, or {@link #canRelay}. */
+    /** The result of an attempt by its response, which is complete or {@linkplain #canRelay can be relayed}. */
     Result judge(HttpResponse answer);
 
-    /** The load report that came with an answer, or null. */
+    /** The load report in a response, or null. */
     default double[] loadReport(HttpMessage answer, Settings settings) {
         return null;
     }
 
-    /** What came back of the request's budget, or null. */
+    /** The report on the use of the request's budget, or null. */
     default Report budgetReport(HttpMessage answer) {
         return null;
     }
 
-    /** Switches on the headers of budgets, where there are any. */
+    /** Enables the headers with budgets, if the protocol has them. */
     default void enableBudgets(HeaderText text) {}
 
-    /** Whether an answer that is no success is passed on to the caller where nothing better comes. */
+    /** Whether an unsuccessful response is forwarded to the client if no better one is received. */
     default boolean forwardsFailure(HttpMessage answer) {
         return false;
     }
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamTerms.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamTerms.java
@@ -1,15 +1,15 @@
 package sablehinge.dataplane.http1;
 
 /**
- * What a transport expects of upstreams.
+ * The timeouts and properties that a transport expects of upstreams.
  *
- * @param responseStallTimeoutMs an answer that has begun must go on after so long, and its head be complete after five
- *     times that
- * @param maxIdleForUnsafeMs a connection that has rested for no longer may carry what must not be sent again
- * @param bodyStallTimeoutMs an upstream that lets in nothing more of a body for so long is given up, or sooner where
- *     its request has less time
- * @param mayVanishSilently whether upstreams may be lost without a reset: idle connections are probed by keep-alives,
- *     and one that breaks takes with it those that rest beside it
+ * @param responseStallTimeoutMs the longest time without progress of a response that has begun; its head must be
+ *     complete after five times that
+ * @param maxIdleForUnsafeMs the longest idle time of a connection that may carry a request that must not be repeated
+ * @param bodyStallTimeoutMs an attempt is aborted if the upstream reads nothing more of a body for this long, or sooner
+ *     if the request has less time
+ * @param mayVanishSilently whether upstreams may be lost without a reset: idle connections are probed by TCP
+ *     keep-alives, and a broken connection closes the other idle ones of its upstream
  */
 public record UpstreamTerms(
         long responseStallTimeoutMs, double maxIdleForUnsafeMs, long bodyStallTimeoutMs, boolean mayVanishSilently) {}
--- a/src/main/java/sablehinge/dataplane/http1/package-info.java
+++ b/src/main/java/sablehinge/dataplane/http1/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Both ends of HTTP/1.1: callers in by {@link sablehinge.dataplane.http1.Frontend}, attempts out by
- * {@link sablehinge.dataplane.http1.UpstreamClient}; what differs between platform and mesh is in dialects. All on one
- * event loop; buffers are released by whoever holds them last.
+ * HTTP/1.1 on both sides of the proxy: {@link sablehinge.dataplane.http1.Frontend} receives requests of clients,
+ * {@link sablehinge.dataplane.http1.UpstreamClient} sends attempts to upstreams. Dialects hold the differences between
+ * platform and mesh. All code runs on one event loop; the last holder of a buffer releases it.
  */
 package sablehinge.dataplane.http1;
--- a/src/test/java/sablehinge/dataplane/http1/FrontendTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/FrontendTest.java
@@ -403,7 +403,7 @@
             Peer caller = stage.caller();
             caller.write("POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\n"
                     + "X-Remaining: 10\r\nContent-Length: "
-                    + (UpstreamClient.MAX_PASSING + 1) + "\r\n\r\nbegins");
+                    + (UpstreamClient.MAX_RELAYED_BYTES + 1) + "\r\n\r\nbegins");
             assertEquals(413, caller.read().status());
             stage.servesStill();
         }
