--- a/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
@@ -77,7 +77,7 @@
             caller.write(Stage.get("1", "10"));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
-            int first = UpstreamClient.MAX_BODY + 1;
+            int first = UpstreamClient.MAX_BUFFERED_BODY_BYTES + 1;
             upstream.write("HTTP/1.1 200 OK\r\n"
                     + (inChunks
                             ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(first) + "\r\n"
--- a/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
@@ -123,10 +123,10 @@
             stage.upstreams.set(0, new Listener(1_024));
             stage.start();
             stage.node.onLoop((frontend, upstreams) -> {
-                upstreams.sendBuffer(4_096);
+                upstreams.setSendBufferBytes(4_096);
                 return null;
             });
-            String body = "b".repeat(UpstreamClient.MAX_BODY);
+            String body = "b".repeat(UpstreamClient.MAX_BUFFERED_BODY_BYTES);
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", body));
             Peer upstream = stage.upstreams.get(0).accept();
@@ -308,7 +308,7 @@
             }
             int remembered = stage.node.onLoop((frontend, upstreams) -> {
                 upstreams.sweep(stage.node.now() + 60_000);
-                return upstreams.remembered();
+                return upstreams.targetCount();
             });
             assertEquals(0, remembered);
         }
@@ -347,7 +347,7 @@
                 caller.write(Stage.get("1", "10"));
                 Peer upstream = stage.upstreams.get(0).accept();
                 upstream.read();
-                upstream.write("HTTP/1.1 200 OK\r\nContent-Length: " + (UpstreamClient.MAX_PASSING + extra)
+                upstream.write("HTTP/1.1 200 OK\r\nContent-Length: " + (UpstreamClient.MAX_RELAYED_BYTES + extra)
                         + "\r\n\r\nbegins");
                 assertEquals(extra == 0 ? Result.OK : Result.ERROR, stage.script.result());
                 if (extra == 1) {
@@ -415,7 +415,7 @@
     void whatMustNotBeSentAgainGetsNoConnectionThatMayHaveDiedAtRest() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.node.onLoop((frontend, upstreams) -> {
-                upstreams.trustYoung(0);
+                upstreams.setMaxIdleForUnsafe(0);
                 return null;
             });
             Peer caller = stage.caller();
@@ -441,22 +441,22 @@
     @Test
     void aBreakAtOnceAfterARestShortensTheRestThatIsTrusted() throws Exception {
         Freshness freshness = new Freshness(20_000, 50);
-        assertTrue(freshness.trusts(19_000, true));
-        assertTrue(freshness.trusts(50, false));
-        assertFalse(freshness.trusts(51, false));
-        freshness.broke(400);
-        assertTrue(freshness.trusts(200, true));
-        assertFalse(freshness.trusts(201, true));
+        assertTrue(freshness.mayUse(19_000, true));
+        assertTrue(freshness.mayUse(50, false));
+        assertFalse(freshness.mayUse(51, false));
+        freshness.onReset(400);
+        assertTrue(freshness.mayUse(200, true));
+        assertFalse(freshness.mayUse(201, true));
         // A break after a longer rest tells nothing new, one after the shortest does not end all trust.
-        freshness.broke(600);
-        assertFalse(freshness.trusts(201, true));
-        freshness.broke(1);
-        assertTrue(freshness.trusts(50, true));
+        freshness.onReset(600);
+        assertFalse(freshness.mayUse(201, true));
+        freshness.onReset(1);
+        assertTrue(freshness.mayUse(50, true));
         for (int second = 0; second < 60; second++) {
             freshness.recover();
         }
-        assertTrue(freshness.trusts(20_000, true));
-        assertFalse(freshness.trusts(20_001, true));
+        assertTrue(freshness.mayUse(20_000, true));
+        assertFalse(freshness.mayUse(20_001, true));
     }
 
     @ParameterizedTest
--- a/src/test/java/sablehinge/torture/TortureTest.java
+++ b/src/test/java/sablehinge/torture/TortureTest.java
@@ -83,8 +83,8 @@
                 "each piece is written at once",
                 "dataplane/http1/Relay",
                 "void add(",
-                "sink.part(part.retain());",
-                "sink.part(part.retain());\n            sink.flush();");
+                "sink.writePart(part.retain());",
+                "sink.writePart(part.retain());\n            sink.flush();");
         long apart = (long) MutantLoader.of(one, Path.of("src/main/java"))
                 .loadClass(Rig.class.getName())
                 .getMethod("writes", String.class)
