--- a/src/main/java/sablehinge/cli/MeshDaemon.java
+++ b/src/main/java/sablehinge/cli/MeshDaemon.java
@@ -43,7 +43,7 @@
     /** Runs a daemon by the settings file that the environment names, until it is ended. */
     static void run(String role) throws InterruptedException {
         long processStartedAt = System.nanoTime();
-        DirectProvider.name();
+        DirectProvider.register();
         System.setProperty(MACHINE, ANY_MACHINE);
         // Before anything else: the signal would end the process, also one that has only just begun.
         AtomicReference<Consumer<LocalSettings>> takes = new AtomicReference<>();
--- a/src/main/java/sablehinge/common/eventloop/ClosingEventLoops.java
+++ b/src/main/java/sablehinge/common/eventloop/ClosingEventLoops.java
@@ -20,26 +20,26 @@
 public final class ClosingEventLoops extends MultiThreadIoEventLoopGroup {
 
     /**
-     * Loops over NIO, each with a daemon thread.
+     * Creates event loops over NIO, each with a daemon thread.
      *
-     * @param loops how many
-     * @param name what their threads' names begin with
+     * @param loops their number
+     * @param name the prefix of their threads' names
      */
     public ClosingEventLoops(int loops, String name) {
         super(loops, new DefaultThreadFactory(name, true), NioIoHandler.newFactory());
     }
 
-    /** One loop; its shutdown ends its thread. */
+    /** Creates a single event loop, whose shutdown ends its thread. */
     public static EventLoop single(String name) {
         return new ClosingEventLoops(1, name).next();
     }
 
     @Override
-    protected IoEventLoop newChild(Executor executor, IoHandlerFactory handlers, Object... none) {
+    protected IoEventLoop newChild(Executor executor, IoHandlerFactory handlers, Object... arguments) {
         return new ClosingEventLoop(this, executor, handlers);
     }
 
-    /** Closes its channels before it confirms each step of a shutdown. */
+    /** An event loop that closes its channels before it confirms each step of a shutdown. */
     private static final class ClosingEventLoop extends SingleThreadIoEventLoop {
 
         ClosingEventLoop(IoEventLoopGroup parent, Executor executor, IoHandlerFactory handlers) {
--- a/src/main/java/sablehinge/common/eventloop/LoopTimers.java
+++ b/src/main/java/sablehinge/common/eventloop/LoopTimers.java
@@ -11,8 +11,8 @@
 
     @Override
     public Timer at(double time, Runnable call) {
-        long delay = (long) Math.ceil(Math.max(0, time - clock.now()) * NANOS_PER_MS);
-        Future<?> future = loop.schedule(call, delay, TimeUnit.NANOSECONDS);
+        long delayNanos = (long) Math.ceil(Math.max(0, time - clock.now()) * NANOS_PER_MS);
+        Future<?> future = loop.schedule(call, delayNanos, TimeUnit.NANOSECONDS);
         return () -> future.cancel(false);
     }
 }
--- a/src/main/java/sablehinge/common/eventloop/Timers.java
+++ b/src/main/java/sablehinge/common/eventloop/Timers.java
@@ -1,15 +1,15 @@
 package sablehinge.common.eventloop;
 
-/** Calls back on the thread that owns the core. */
+/** Schedules callbacks on the thread that owns the proxy. */
 public interface Timers {
 
-    /** A call that is to come. */
+    /** A scheduled callback. */
     interface Timer {
 
-        /** Calls it off, if it has not come. */
+        /** Cancels the callback if it has not run. */
         void cancel();
     }
 
-    /** Calls at the given time, in ms of the {@link Clock}, or as soon as possible after it. */
+    /** Schedules a callback for the given time, in ms of the {@link Clock}, or as soon as possible after it. */
     Timer at(double time, Runnable call);
 }
--- a/src/main/java/sablehinge/common/logging/DirectProvider.java
+++ b/src/main/java/sablehinge/common/logging/DirectProvider.java
@@ -9,9 +9,9 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Logback as the mesh's daemons want it, without its search for settings: that compares versions, looks for files and
- * tells itself of it in texts, which is a tenth of the processor time of a start. SLF4J makes one by the name that
- * {@link #name} has it look for.
+ * Provides Logback to the mesh's daemons without its search for settings. That search compares versions, looks for
+ * files and reports on this in texts, which takes a tenth of the processor time of a start. SLF4J instantiates the
+ * provider by the class name that {@link #register} sets.
  */
 public final class DirectProvider implements SLF4JServiceProvider {
 
@@ -22,11 +22,11 @@
 
     /** For SLF4J. */
     public DirectProvider() {
-        // Named by its class, it is made without arguments.
+        // SLF4J instantiates it by its class name, without arguments.
     }
 
-    /** Has SLF4J take this one; to be called before the first logger is made, and without effect later. */
-    public static void name() {
+    /** Makes SLF4J use this provider; must be called before the first logger is created, and has no effect later. */
+    public static void register() {
         System.setProperty("slf4j.provider", DirectProvider.class.getName());
         System.setProperty("slf4j.internal.verbosity", "WARN");
     }
--- a/src/main/java/sablehinge/common/logging/JsonLines.java
+++ b/src/main/java/sablehinge/common/logging/JsonLines.java
@@ -7,10 +7,10 @@
 import net.logstash.logback.fieldnames.LogstashFieldNames;
 import net.logstash.logback.stacktrace.ShortenedThrowableConverter;
 
-/** Lines of JSON, an object each: its fields beside time, level, logger, thread and message. */
+/** Formats log lines as JSON objects: the fields of the event beside time, level, logger, thread and message. */
 final class JsonLines {
 
-    /** Frames of one exception that are written: a line has a bound. */
+    /** Stack frames that are written for one exception, to limit the length of a line. */
     private static final int MAX_FRAMES = 40;
 
     private static final int MAX_STACK_CHARS = 8_192;
--- a/src/main/java/sablehinge/common/logging/LimitedAppender.java
+++ b/src/main/java/sablehinge/common/logging/LimitedAppender.java
@@ -11,34 +11,37 @@
 import java.util.function.DoubleSupplier;
 import org.slf4j.event.KeyValuePair;
 
-/** Lets a few lines through in a while: what peers do wrong must not fill the log, which is memory here. */
+/** Limits the number of lines per interval: faulty peers must not fill the log, which is kept in memory. */
 final class LimitedAppender extends AppenderBase<ILoggingEvent> {
 
     static final String DROPPED = "dropped";
-    private static final double WHILE_MS = 5_000;
+    private static final double INTERVAL_MS = 5_000;
 
     private final Appender<ILoggingEvent> lines;
     private final int limit;
     private final DoubleSupplier clock;
-    private double begun = Double.NEGATIVE_INFINITY;
+    private double intervalStart = Double.NEGATIVE_INFINITY;
     private int passed;
     private int dropped;
 
-    /** One that writes to another, so many lines in five seconds by a clock in ms that never goes back. */
+    /**
+     * Creates an appender that writes up to the given number of lines in five seconds to another one, by a monotonic
+     * clock in ms.
+     */
     LimitedAppender(Appender<ILoggingEvent> lines, int limit, DoubleSupplier clock) {
         this.lines = lines;
         this.limit = limit;
         this.clock = clock;
     }
 
-    /** Counts what is dropped and says so with the first line that is not; called by one thread at a time. */
+    /** Counts dropped lines and adds their number to the next line that is written; called by one thread at a time. */
     @Override
     protected void append(ILoggingEvent line) {
         double now = clock.getAsDouble();
         ILoggingEvent next = line;
-        if (now - begun >= WHILE_MS) {
+        if (now - intervalStart >= INTERVAL_MS) {
             next = dropped > 0 ? withCount(line) : line;
-            begun = now;
+            intervalStart = now;
             passed = 0;
             dropped = 0;
         }
--- a/src/main/java/sablehinge/common/logging/LogTerms.java
+++ b/src/main/java/sablehinge/common/logging/LogTerms.java
@@ -5,16 +5,16 @@
 import org.slf4j.event.Level;
 
 /**
- * How the log is kept.
+ * The settings of the log.
  *
  * @param format of its lines
  * @param level of all subsystems
- * @param levels of single ones, by their names in {@link #SUBSYSTEMS}
- * @param limit how many lines may be written in five seconds, so that peers can't fill it
+ * @param levels of single subsystems, by their names in {@link #SUBSYSTEMS}
+ * @param limit the number of lines that may be written in five seconds, so that peers can't fill the log
  */
 public record LogTerms(Format format, Level level, Map<String, Level> levels, int limit) {
 
-    /** How lines look. */
+    /** The format of a line. */
     public enum Format {
         TEXT,
         JSON,
@@ -25,7 +25,7 @@
     public static final List<String> SUBSYSTEMS =
             List.of("cli", "core", "http1", "membership", "netty", "node", "recorder", "control", "sidecar");
 
-    /** The logger of each subsystem: its name in the settings stays where its package moves. */
+    /** The logger of each subsystem. A subsystem's name in the settings stays when its package moves. */
     private static final Map<String, String> LOGGERS = Map.of(
             "cli", "sablehinge.cli",
             "core", "sablehinge.dataplane.proxy",
@@ -37,18 +37,18 @@
             "control", "sablehinge.controlplane.node",
             "sidecar", "sablehinge.dataplane.sidecar");
 
-    /** Where the settings have none, as on the platform. */
+    /** The default where the settings have none, as on the platform. */
     public static final LogTerms DEFAULT = new LogTerms(Format.TEXT, Level.INFO, Map.of(), 10);
 
-    /** Where the mesh's daemons say nothing else: a line of pairs an event. */
+    /** The default of the mesh's daemons: a line of key=value pairs for each event. */
     public static final LogTerms MESH = new LogTerms(Format.PAIRS, Level.INFO, Map.of(), 60);
 
-    /** Terms whose levels nobody changes any more. */
+    /** Copies the levels, so that they are immutable. */
     public LogTerms {
         levels = Map.copyOf(levels);
     }
 
-    /** The name of a subsystem's logger, above which none of another subsystem lies. */
+    /** The name of a subsystem's logger, which is not a parent of another subsystem's. */
     static String logger(String subsystem) {
         return LOGGERS.get(subsystem);
     }
--- a/src/main/java/sablehinge/common/logging/Logging.java
+++ b/src/main/java/sablehinge/common/logging/Logging.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logback, which finds it as a service before it looks for files: a start neither reads nor parses any. Lines
- * go to the standard error stream.
+ * Sets up Logback, which finds this class as a service before it looks for files, so that a start neither reads nor
+ * parses any. Lines are written to the standard error stream.
  */
 public final class Logging extends ContextAwareBase implements Configurator {
 
@@ -23,9 +23,9 @@
     private static final String TERMS = "terms";
     private static final double NANOS_PER_MS = 1e6;
 
-    /** For logback. */
+    /** Called by Logback. */
     public Logging() {
-        // A service has a constructor without arguments.
+        // A service needs a constructor without arguments.
     }
 
     @Override
@@ -34,35 +34,35 @@
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
-    /** Keeps the log by other terms from now on; a line that is being written is written to its end. */
+    /** Applies other settings from now on; a line that is being written is completed. */
     public static void apply(LogTerms terms) {
         install((LoggerContext) LoggerFactory.getILoggerFactory(), terms);
     }
 
-    /** Says nothing below a level of the program itself any more: for those who start many of it in one. */
-    public static void setMinimumLevel(org.slf4j.event.Level least) {
-        ((Logger) LoggerFactory.getLogger("sablehinge")).setLevel(level(least));
+    /** Suppresses lines of the program itself below a level, for processes that start many nodes. */
+    public static void setMinimumLevel(org.slf4j.event.Level minimum) {
+        ((Logger) LoggerFactory.getLogger("sablehinge")).setLevel(level(minimum));
     }
 
     static void install(LoggerContext loggers, LogTerms terms) {
-        Object known = loggers.getObject(TERMS);
-        // The first comparison of records makes a dozen classes, which a start need not wait for.
-        if (terms == known || known != null && terms.equals(known)) {
+        Object installed = loggers.getObject(TERMS);
+        // The first comparison of records loads a dozen classes, which would delay a start.
+        if (terms == installed || installed != null && terms.equals(installed)) {
             return;
         }
         loggers.putObject(TERMS, terms);
         Logger root = loggers.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        Appender<ILoggingEvent> before = root.getAppender(LIMITED);
+        Appender<ILoggingEvent> previous = root.getAppender(LIMITED);
         Appender<ILoggingEvent> next = appender(loggers, terms);
         root.addAppender(next);
-        if (before != null) {
-            // Not stopped: it holds nothing, and a line may be on its way through it.
-            root.detachAppender(before);
+        if (previous != null) {
+            // It is not stopped: it buffers nothing, and may be processing a line.
+            root.detachAppender(previous);
         }
         root.setLevel(level(terms.level()));
         for (String subsystem : LogTerms.SUBSYSTEMS) {
-            org.slf4j.event.Level own = terms.levels().get(subsystem);
-            loggers.getLogger(LogTerms.logger(subsystem)).setLevel(own == null ? null : level(own));
+            org.slf4j.event.Level level = terms.levels().get(subsystem);
+            loggers.getLogger(LogTerms.logger(subsystem)).setLevel(level == null ? null : level(level));
         }
     }
 
--- a/src/main/java/sablehinge/common/logging/PairLines.java
+++ b/src/main/java/sablehinge/common/logging/PairLines.java
@@ -7,7 +7,10 @@
 import java.io.StringWriter;
 import org.slf4j.event.KeyValuePair;
 
-/** A line of key=value pairs for each event: its time in ms since 1970, level, logger, its own pairs, its words. */
+/**
+ * Formats each event as a line of key=value pairs: time in ms since 1970, level, logger, the event's own pairs,
+ * message.
+ */
 final class PairLines extends LayoutBase<ILoggingEvent> {
 
     @Override
@@ -19,22 +22,22 @@
         if (line.getKeyValuePairs() != null) {
             for (KeyValuePair pair : line.getKeyValuePairs()) {
                 out.append(' ').append(pair.key).append('=');
-                value(String.valueOf(pair.value), out);
+                appendValue(String.valueOf(pair.value), out);
             }
         }
         out.append(" message=");
-        value(line.getFormattedMessage(), out);
+        appendValue(line.getFormattedMessage(), out);
         if (line.getThrowableProxy() instanceof ThrowableProxy thrown) {
             StringWriter stack = new StringWriter();
             thrown.getThrowable().printStackTrace(new PrintWriter(stack, true));
             out.append(" stack=");
-            value(stack.toString(), out);
+            appendValue(stack.toString(), out);
         }
         return out.append('\n').toString();
     }
 
-    /** Quoted where a reader could not tell its end. */
-    private static void value(String text, StringBuilder out) {
+    /** Appends a value, in quotation marks if its end would be ambiguous otherwise. */
+    private static void appendValue(String text, StringBuilder out) {
         boolean plain = !text.isEmpty();
         for (int i = 0; i < text.length() && plain; i++) {
             char c = text.charAt(i);
--- a/src/main/java/sablehinge/common/logging/TextLines.java
+++ b/src/main/java/sablehinge/common/logging/TextLines.java
@@ -9,13 +9,13 @@
 import java.time.ZoneId;
 
 /**
- * Lines as java.util.logging writes them, which the platform's log has always been. Not by a pattern: what patterns
- * know is loaded at each start, 0.6 MB (docs/design/log.md).
+ * Formats lines as java.util.logging does, which is the established format of the platform's log. Not done by a Logback
+ * pattern, whose classes would be loaded at each start and take 0.6 MB (docs/design/log.md).
  */
 final class TextLines extends LayoutBase<ILoggingEvent> {
 
-    /** That of java.util.logging.SimpleFormatter. */
-    private static final String FORM = "%1$tb %1$td, %1$tY %1$tl:%1$tM:%1$tS %1$Tp %2$s%n%3$s: %4$s%n%5$s";
+    /** The format of java.util.logging.SimpleFormatter. */
+    private static final String FORMAT = "%1$tb %1$td, %1$tY %1$tl:%1$tM:%1$tS %1$Tp %2$s%n%3$s: %4$s%n%5$s";
 
     @Override
     public String doLayout(ILoggingEvent line) {
@@ -24,7 +24,7 @@
                 ? line.getLoggerName()
                 : callers[0].getClassName() + " " + callers[0].getMethodName();
         return String.format(
-                FORM,
+                FORMAT,
                 line.getInstant().atZone(ZoneId.systemDefault()),
                 from,
                 name(line.getLevel()),
--- a/src/main/java/sablehinge/common/mapping/Glob.java
+++ b/src/main/java/sablehinge/common/mapping/Glob.java
@@ -1,16 +1,16 @@
 package sablehinge.common.mapping;
 
-/** A text in which {@code *} stands for any characters, none among them. */
+/** A pattern in which {@code *} matches any characters, or none. */
 public final class Glob {
 
     private final String pattern;
 
-    /** A pattern by its text. */
+    /** Creates a pattern from its text. */
     public Glob(String pattern) {
         this.pattern = pattern;
     }
 
-    /** Whether the complete text matches. Takes at most the product of the two lengths in steps. */
+    /** Whether the complete text matches; takes at most as many steps as the product of the two lengths. */
     public boolean matches(String text) {
         int at = 0;
         int in = 0;
@@ -24,7 +24,7 @@
                 at++;
                 in++;
             } else if (star >= 0) {
-                // The last star takes one character more; those before it need never be tried again.
+                // The last star matches one character more; earlier stars need no further backtracking.
                 at = star + 1;
                 in = ++resume;
             } else {
--- a/src/main/java/sablehinge/common/mapping/LogFields.java
+++ b/src/main/java/sablehinge/common/mapping/LogFields.java
@@ -2,10 +2,10 @@
 
 import java.util.Set;
 
-/** What a log of JSON lines may tell of a request, and the formats that have names. */
+/** The fields of a request that a log of JSON lines may contain, and the named log formats. */
 public final class LogFields {
 
-    /** What a map of fields may name. */
+    /** The fields that a field map may name. */
     public static final Set<String> WANTED = Set.of(
             "time",
             "end_time",
@@ -19,7 +19,7 @@
             "request_bytes",
             "id",
             "host");
-    /** Formats that are known by a name; any other is an nginx {@code log_format} with its variables. */
+    /** The named formats; any other is an nginx {@code log_format} with its variables. */
     public static final Set<String> FORMATS = Set.of("auto", "common", "combined", "haproxy", "har", "json");
 
     private LogFields() {}
--- a/src/main/java/sablehinge/common/mapping/MappedRequest.java
+++ b/src/main/java/sablehinge/common/mapping/MappedRequest.java
@@ -1,10 +1,10 @@
 package sablehinge.common.mapping;
 
 /**
- * What a logged request is to the balancer.
+ * A logged request in terms of the balancer.
  *
  * @param key empty if it has none; likewise the tenant
- * @param deadline ms; 0 for the class's own
- * @param body bytes; -1 for the replay's own
+ * @param deadline ms; 0 for the default of the class
+ * @param body bytes; -1 for the default of the replay
  */
 public record MappedRequest(String serviceClass, String key, String tenant, double deadline, int body) {}
--- a/src/main/java/sablehinge/common/mapping/Mapping.java
+++ b/src/main/java/sablehinge/common/mapping/Mapping.java
@@ -3,27 +3,27 @@
 import java.util.List;
 
 /**
- * Says what logged requests are, by the first rule that is for them. Without any rules the first part of the path is
- * the class and the second the key.
+ * Maps logged requests to balancer requests by the first rule that matches. Without rules, the first segment of the
+ * path is the class and the second the key.
  */
 public final class Mapping {
 
-    /** Parts of a path that a shape shows. */
-    private static final int MAX_PARTS = 6;
+    /** Path segments that a shape shows. */
+    private static final int MAX_SEGMENTS = 6;
 
-    private static final int MAX_PART = 24;
+    private static final int MAX_SEGMENT_CHARS = 24;
 
     private final List<Rule> rules;
 
-    /** A mapping by its rules, in their order. */
+    /** Creates a mapping from its rules, in their order. */
     public Mapping(List<Rule> rules) {
         this.rules = List.copyOf(rules);
     }
 
-    /** What a request is; null if no rule is for it. */
+    /** Maps a request; null if no rule matches. */
     public MappedRequest map(RequestAttributes request) {
         if (rules.isEmpty()) {
-            return byParts(request.target());
+            return bySegments(request.target());
         }
         for (Rule rule : rules) {
             MappedRequest mapped = rule.map(request);
@@ -34,7 +34,7 @@
         return null;
     }
 
-    private static MappedRequest byParts(String target) {
+    private static MappedRequest bySegments(String target) {
         if (!target.startsWith("/")) {
             return null;
         }
@@ -51,17 +51,18 @@
                 target.substring(1, first), first == end ? "" : target.substring(first + 1, second), "", 0, -1);
     }
 
-    /** A request with what varies left out, so that requests of one kind can be counted as such. */
+    /** A request without its variable parts, so that requests of one kind can be counted together. */
     public static String shape(RequestAttributes request) {
         StringBuilder shape = new StringBuilder(request.method()).append(' ');
         if (request.host() != null) {
             shape.append(request.host());
         }
-        String[] parts = request.path().split("/", MAX_PARTS + 2);
-        for (int i = 0; i < parts.length && i <= MAX_PARTS; i++) {
-            boolean varies = parts[i].length() > MAX_PART || parts[i].chars().anyMatch(Character::isDigit);
-            shape.append(i == 0 ? "" : "/").append(varies ? "{}" : parts[i]);
+        String[] segments = request.path().split("/", MAX_SEGMENTS + 2);
+        for (int i = 0; i < segments.length && i <= MAX_SEGMENTS; i++) {
+            boolean varies = segments[i].length() > MAX_SEGMENT_CHARS
+                    || segments[i].chars().anyMatch(Character::isDigit);
+            shape.append(i == 0 ? "" : "/").append(varies ? "{}" : segments[i]);
         }
-        return shape.append(parts.length > MAX_PARTS + 1 ? "/…" : "").toString();
+        return shape.append(segments.length > MAX_SEGMENTS + 1 ? "/…" : "").toString();
     }
 }
--- a/src/main/java/sablehinge/common/mapping/PathPattern.java
+++ b/src/main/java/sablehinge/common/mapping/PathPattern.java
@@ -8,29 +8,36 @@
 import java.util.Set;
 
 /**
- * A path such as {@code /tiles/{z}/{x}/*}: a part in braces takes one part of the path by a name, a star takes one
- * without, and {@code **} or {@code {name...}} at the end take all that is left, which may be nothing. A part may have
- * text round its name or star: {@code {y}.png}.
+ * A path such as {@code /tiles/{z}/{x}/*}. A name in braces matches one segment of the path, a star matches one segment
+ * without a name, and {@code **} or {@code {name...}} at the end match the rest, which may be empty. A segment may have
+ * text before and after its name or star: {@code {y}.png}.
  */
 public final class PathPattern {
 
-    /** A part: what it begins and ends with, and the name of what lies between; null for a fixed text. */
-    private record Part(String head, String name, String tail) {
+    /**
+     * A segment of the pattern: its prefix and suffix, and the name of the text between them; the name is null for a
+     * fixed text.
+     */
+    private record Segment(String prefix, String name, String suffix) {
 
         boolean matches(String text) {
             if (name == null) {
-                return text.equals(head);
+                return text.equals(prefix);
             }
-            return text.length() > head.length() + tail.length() && text.startsWith(head) && text.endsWith(tail);
+            return text.length() > prefix.length() + suffix.length()
+                    && text.startsWith(prefix)
+                    && text.endsWith(suffix);
         }
     }
 
-    private final List<Part> parts = new ArrayList<>();
+    private final List<Segment> parts = new ArrayList<>();
     private final Set<String> names = new LinkedHashSet<>();
-    private boolean open;
-    private String rest = "";
+    private boolean hasRest;
+    private String restName = "";
 
-    /** A pattern by its text; {@link IllegalArgumentException} says what is wrong with it. */
+    /**
+     * Creates a pattern from its text; the message of the {@link IllegalArgumentException} says what is wrong with it.
+     */
     public PathPattern(String text) {
         if (!text.startsWith("/")) {
             throw new IllegalArgumentException("expected a path that begins with /");
@@ -43,35 +50,36 @@
                 if (!last) {
                     throw new IllegalArgumentException(segment + " takes all that is left, expected it at the end");
                 }
-                open = true;
+                hasRest = true;
                 if (!segment.equals("**")) {
-                    rest = name(segment.substring(1, segment.length() - 4));
+                    restName = name(segment.substring(1, segment.length() - 4));
                 }
             } else {
-                parts.add(part(segment));
+                parts.add(parseSegment(segment));
             }
         }
     }
 
-    private Part part(String segment) {
+    private Segment parseSegment(String segment) {
         int star = segment.indexOf('*');
         int brace = segment.indexOf('{');
         if (star < 0 && brace < 0) {
             if (segment.indexOf('}') >= 0) {
                 throw new IllegalArgumentException("a } without its { in " + segment);
             }
-            return new Part(segment, null, "");
+            return new Segment(segment, null, "");
         }
         int from = brace < 0 ? star : brace;
         int to = brace < 0 ? star + 1 : segment.indexOf('}', brace) + 1;
         if (to <= from) {
             throw new IllegalArgumentException("a { without its } in " + segment);
         }
-        String tail = segment.substring(to);
-        if (tail.matches(".*[*{}].*") || brace >= 0 && star >= 0) {
+        String suffix = segment.substring(to);
+        if (suffix.matches(".*[*{}].*") || brace >= 0 && star >= 0) {
             throw new IllegalArgumentException("more than one name or star in " + segment);
         }
-        return new Part(segment.substring(0, from), brace < 0 ? "" : name(segment.substring(from + 1, to - 1)), tail);
+        return new Segment(
+                segment.substring(0, from), brace < 0 ? "" : name(segment.substring(from + 1, to - 1)), suffix);
     }
 
     private String name(String name) {
@@ -84,12 +92,12 @@
         return name;
     }
 
-    /** The names that it gives. */
+    /** The names in the pattern. */
     public Set<String> names() {
         return names;
     }
 
-    /** What the path's parts are by the pattern's names; null if the path is not of this form. */
+    /** The segments of a path by the pattern's names; null if the path does not match. */
     Map<String, String> match(String path) {
         if (!path.startsWith("/")) {
             return null;
@@ -102,21 +110,21 @@
             }
             int slash = path.indexOf('/', at);
             int end = slash < 0 ? path.length() : slash;
-            if (!open && (i == parts.size() - 1) != (slash < 0)) {
+            if (!hasRest && (i == parts.size() - 1) != (slash < 0)) {
                 return null;
             }
-            Part part = parts.get(i);
+            Segment part = parts.get(i);
             String text = path.substring(at, end);
             if (!part.matches(text)) {
                 return null;
             }
             if (part.name != null && !part.name.isEmpty()) {
-                found.put(part.name, text.substring(part.head.length(), text.length() - part.tail.length()));
+                found.put(part.name, text.substring(part.prefix.length(), text.length() - part.suffix.length()));
             }
             at = end + 1;
         }
-        if (open && !rest.isEmpty()) {
-            found.put(rest, at <= path.length() ? path.substring(at) : "");
+        if (hasRest && !restName.isEmpty()) {
+            found.put(restName, at <= path.length() ? path.substring(at) : "");
         }
         return found;
     }
--- a/src/main/java/sablehinge/common/mapping/RequestAttributes.java
+++ b/src/main/java/sablehinge/common/mapping/RequestAttributes.java
@@ -3,21 +3,21 @@
 import java.util.Map;
 
 /**
- * A logged request as rules see it.
+ * The attributes of a logged request that rules match.
  *
- * @param host without a port, in lower case; null where the log doesn't tell
- * @param target path and query as they were requested
- * @param headers by their names in lower case, those that the log has
+ * @param host without a port, in lower case; null if the log doesn't contain it
+ * @param target path and query as requested
+ * @param headers the headers that the log contains, by their names in lower case
  */
 public record RequestAttributes(String method, String host, String target, String caller, Map<String, String> headers) {
 
-    /** The path alone. */
+    /** The path of the target without the query. */
     public String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** The first value of a query parameter as it stands; null if there is none. */
+    /** The first value of a query parameter, not decoded; null if there is none. */
     public String query(String name) {
         int at = target.indexOf('?') + 1;
         while (at > 0 && at < target.length()) {
--- a/src/main/java/sablehinge/common/mapping/Rule.java
+++ b/src/main/java/sablehinge/common/mapping/Rule.java
@@ -4,15 +4,15 @@
 import java.util.Set;
 
 /**
- * Which requests it is for, and what they are. Each condition is null where any will do.
+ * A rule with its conditions and the mapping of the requests that match. A condition that is null matches all requests.
  *
  * @param methods in upper case
- * @param header the form of a header's value, as the log has it
- * @param query likewise of a query parameter's
+ * @param header the pattern of a header's value, as the log contains it
+ * @param query the pattern of a query parameter's value
  * @param key empty text for a request without one
- * @param tenant likewise
- * @param deadline how long the caller waits, in ms; 0 for the class's own
- * @param body bytes of the request's body; -1 for the replay's own
+ * @param tenant empty text for a request without one
+ * @param deadline how long the caller waits, in ms; 0 for the default of the class
+ * @param body bytes of the request's body; -1 for the default of the replay
  */
 public record Rule(
         Set<String> methods,
@@ -26,7 +26,7 @@
         double deadline,
         int body) {
 
-    /** A value by its name: of a header in lower case, of a query parameter as it stands. */
+    /** The pattern of a value and its name: of a header in lower case, of a query parameter not decoded. */
     public record Named(String name, Glob value) {
 
         boolean matches(String found) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** What a request is by this rule; null if it is none of those that the rule is for. */
+    /** Maps a request by this rule; null if the rule does not match. */
     MappedRequest map(RequestAttributes request) {
         if (methods != null && !methods.contains(request.method())
                 || host != null && (request.host() == null || !host.matches(request.host()))
--- a/src/main/java/sablehinge/common/mapping/Template.java
+++ b/src/main/java/sablehinge/common/mapping/Template.java
@@ -7,20 +7,20 @@
 import java.util.Set;
 
 /**
- * A text with names in braces that are filled in from a request: those of its path pattern, {@code {method}},
- * {@code {host}}, {@code {path}}, {@code {caller}}, {@code {query.NAME}} and {@code {header.NAME}}.
+ * A text with names in braces that are replaced by values of a request: the names of its path pattern,
+ * {@code {method}}, {@code {host}}, {@code {path}}, {@code {caller}}, {@code {query.NAME}} and {@code {header.NAME}}.
  */
 public final class Template {
 
-    private static final Set<String> OWN = Set.of("method", "host", "path", "caller");
+    private static final Set<String> BUILT_IN = Set.of("method", "host", "path", "caller");
 
-    /** Fixed text, or the name of what is filled in. */
-    private record Part(String text, boolean filled) {}
+    /** Fixed text, or the name of a value. */
+    private record Part(String text, boolean variable) {}
 
     private final List<Part> parts = new ArrayList<>();
 
     /**
-     * A template by its text; {@link IllegalArgumentException} says what is wrong with it.
+     * Creates a template from its text; the message of the {@link IllegalArgumentException} says what is wrong with it.
      *
      * @param names those of the path pattern
      */
@@ -41,7 +41,7 @@
             String name = text.substring(open + 1, close);
             boolean prefixed =
                     name.startsWith("query.") && name.length() > 6 || name.startsWith("header.") && name.length() > 7;
-            if (!prefixed && !names.contains(name) && !OWN.contains(name)) {
+            if (!prefixed && !names.contains(name) && !BUILT_IN.contains(name)) {
                 throw new IllegalArgumentException("nothing is called {" + name + "}, expected a name of the"
                         + " path pattern, {method}, {host}, {path}, {caller}, {query.NAME} or {header.NAME}");
             }
@@ -50,12 +50,12 @@
         }
     }
 
-    /** Whether it is the same text for every request. */
+    /** Whether it has the same text for every request. */
     public boolean isFixed() {
-        return parts.stream().noneMatch(Part::filled);
+        return parts.stream().noneMatch(Part::variable);
     }
 
-    /** The text for a request; what it has not is empty. */
+    /** The text for a request; missing values are empty. */
     String fill(RequestAttributes request, Map<String, String> found) {
         if (parts.size() == 1) {
             return value(parts.get(0), request, found);
@@ -66,7 +66,7 @@
     }
 
     private static String value(Part part, RequestAttributes request, Map<String, String> found) {
-        if (!part.filled) {
+        if (!part.variable) {
             return part.text;
         }
         String value = found.get(part.text);
--- a/src/main/java/sablehinge/common/rpc/Connection.java
+++ b/src/main/java/sablehinge/common/rpc/Connection.java
@@ -20,8 +20,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Connections that carry records between processes of the system. Both ends ping each other while they have nothing to
- * say: a partition raises no error, and only an answer shows that the other end is there.
+ * Connections that carry records between processes of the mesh. Both ends send pings while they receive nothing: a
+ * network partition raises no error, and only a reply shows that the peer is reachable.
  */
 public final class Connection {
 
@@ -29,10 +29,10 @@
     public static final int MAX_BYTES = 16 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
-    /** What may wait to be written to one that doesn't read, in bytes; what comes beyond is dropped. */
-    private static final int MAX_WAITING = 2 * MAX_BYTES;
+    /** Limit on the bytes that wait for a peer that doesn't read; beyond it the connection is closed. */
+    private static final int MAX_QUEUED_BYTES = 2 * MAX_BYTES;
 
-    private static final int CONNECT_MS = 700;
+    private static final int CONNECT_TIMEOUT_MS = 700;
     private static final Frame.Kind[] KINDS = Frame.Kind.values();
 
     private final EventLoop loop;
@@ -41,19 +41,19 @@
     private final LongSupplier nanoTime;
     private final Observer observer;
 
-    /** Observes each record, with its bytes on the wire; called on the loop. */
+    /** Observes each record with its size on the wire; called on the event loop. */
     public interface Observer {
 
-        /** Of one that observes nothing. */
+        /** An observer that does nothing. */
         Observer NONE = new Observer() {};
 
-        /** A record was handed to the operating system or waits for it. */
+        /** A record was written to the operating system or is queued for it. */
         default void sent(Frame.Kind kind, int bytes) {}
 
         /** A record was read. */
         default void received(Frame.Kind kind, int bytes) {}
 
-        /** A connection is about to be made; handlers may still be put before its others. */
+        /** A connection is about to be opened; handlers may still be added ahead of its own. */
         default void beforeConnect(Channel channel, InetSocketAddress to) {}
     }
 
@@ -63,29 +63,29 @@
         /** The connection is up. */
         default void opened(Link link) {}
 
-        /** A record has come. */
+        /** A record was received. */
         void onFrame(Link link, Frame frame);
 
-        /** The connection is over, or never came up; called once. */
+        /** The connection was closed, or could not be opened; called once. */
         default void closed(Link link) {}
     }
 
     /**
-     * Connections on a loop.
+     * Creates connections on an event loop.
      *
-     * @param pingMs how often an end that receives nothing pings
-     * @param timeoutMs after how long without any bytes it closes the connection
+     * @param pingMs the interval at which an end that receives nothing sends pings
+     * @param timeoutMs the time without any received bytes after which an end closes the connection
      */
     public Connection(EventLoop loop, long pingMs, long timeoutMs) {
         this(loop, pingMs, timeoutMs, Observer.NONE);
     }
 
-    /** The same, with an observer of all records. */
+    /** Creates connections on an event loop with an observer of all records. */
     public Connection(EventLoop loop, long pingMs, long timeoutMs, Observer observer) {
         this(loop, pingMs, timeoutMs, observer, System::nanoTime);
     }
 
-    /** The same by another clock, for tests. */
+    /** Creates connections with another clock, for tests. */
     Connection(EventLoop loop, long pingMs, long timeoutMs, Observer observer, LongSupplier nanoTime) {
         this.loop = loop;
         this.pingMs = pingMs;
@@ -94,7 +94,7 @@
         this.observer = observer;
     }
 
-    /** Takes connections at an address. */
+    /** Accepts connections at an address. */
     public ChannelFuture listen(InetSocketAddress address, Handler handler) {
         return new ServerBootstrap()
                 .group(loop)
@@ -104,7 +104,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        equip(channel, new Link(channel, handler));
+                        addHandlers(channel, new Link(channel, handler));
                     }
                 })
                 .bind(address);
@@ -116,28 +116,28 @@
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // Equipped below, as the link is made there.
+                        // The handlers are added below, where the link is created.
                     }
                 });
         ChannelFuture connect = bootstrap.register();
         Channel channel = connect.channel();
         Link link = new Link(channel, handler);
-        equip(channel, link);
+        addHandlers(channel, link);
         observer.beforeConnect(channel, address);
-        channel.connect(address).addListener(up -> {
-            if (!up.isSuccess()) {
+        channel.connect(address).addListener(connected -> {
+            if (!connected.isSuccess()) {
                 link.end();
             }
         });
         return link;
     }
 
-    /** Makes a channel one end of a connection. */
-    static void equip(Channel channel, Link link) {
+    /** Adds the handlers of a connection to a channel. */
+    static void addHandlers(Channel channel, Link link) {
         channel.pipeline()
                 .addLast(
                         link.new ActivityHandler(),
@@ -153,7 +153,7 @@
         private long lastReceivedAt = nanoTime.getAsLong();
         private boolean ended;
         private Future<?> pings;
-        /** What its user keeps with it. */
+        /** An object that the user of the link attached to it. */
         private Object attachment;
 
         Link(Channel channel, Handler handler) {
@@ -161,13 +161,16 @@
             this.handler = handler;
         }
 
-        /** Sends a record; it is dropped where the other end has long not read, or there is none. */
+        /**
+         * Sends a record. It is dropped if the connection is not open, or if the peer has read nothing for long, in
+         * which case the connection is closed.
+         */
         public void send(Frame frame) {
             if (!channel.isActive()) {
                 return;
             }
             if (channel.unsafe().outboundBuffer() != null
-                    && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_WAITING) {
+                    && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_QUEUED_BYTES) {
                 channel.close();
                 return;
             }
@@ -189,12 +192,12 @@
             channel.close();
         }
 
-        /** Keeps something with it. */
-        public void attach(Object kept) {
-            attachment = kept;
+        /** Attaches an object to the link. */
+        public void attach(Object object) {
+            attachment = object;
         }
 
-        /** What was kept with it, or null. */
+        /** The attached object, or null. */
         public Object attachment() {
             return attachment;
         }
@@ -219,7 +222,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
             int kind = in.readableBytes() == 0 ? -1 : in.readUnsignedByte();
             if (kind < 0 || kind >= KINDS.length) {
-                // Some other program, or one of another version: nothing that it says is believed.
+                // The peer is another program or has another version; none of its input can be trusted.
                 channel.close();
                 return;
             }
@@ -238,7 +241,10 @@
             end();
         }
 
-        /** Any bytes tell that the other end is there: on a slow link a large record takes long. */
+        /**
+         * Records the time at which any bytes were received, not only complete records: on a slow link a large record
+         * takes long.
+         */
         final class ActivityHandler extends ChannelInboundHandlerAdapter {
 
             @Override
--- a/src/main/java/sablehinge/common/rpc/Frame.java
+++ b/src/main/java/sablehinge/common/rpc/Frame.java
@@ -1,34 +1,34 @@
 package sablehinge.common.rpc;
 
 /**
- * One record between processes of the system.
+ * A record between processes of the mesh.
  *
- * @param kind what its body is
- * @param body as {@link java.io.DataOutputStream} wrote it; not to be changed
+ * @param kind the kind of its body
+ * @param body as written by {@link java.io.DataOutputStream}; must not be changed
  */
 public record Frame(Kind kind, byte[] body) {
 
-    /** The kinds of record; their order is their number on the wire. */
+    /** The kinds of record; their ordinals are written to the wire. */
     public enum Kind {
-        /** Who speaks, first on each connection between members of the core. */
+        /** Identifies the sender; the first record of each connection between members of the control plane. */
         HELLO,
-        /** Is the other end there; answered with {@link #PONG}. */
+        /** Checks that the peer is reachable; answered with {@link #PONG}. */
         PING,
-        /** It is. */
+        /** The reply to {@link #PING}. */
         PONG,
-        /** What members of the core say to each other to agree. */
+        /** A message of the Raft protocol between members of the control plane. */
         RAFT,
-        /** A data-plane balancer watches for updates. */
+        /** Subscribes a data-plane proxy to updates. */
         ASK,
-        /** The answer to that. */
+        /** An update, in reply to {@link #ASK}. */
         UPDATE,
-        /** Who else to ask. */
+        /** Names another member to subscribe to. */
         REDIRECT,
-        /** Asks for a part of a pool; the answer is of the same kind. */
+        /** Requests a share of a token pool; the reply is of the same kind. */
         TOKENS,
-        /** Claims shares of further tries; the answer is of the same kind. */
+        /** Claims shares of a retry budget; the reply is of the same kind. */
         SHARES,
-        /** Asks for what a balancer can do without of a tenant's quota; the answer is of the same kind. */
+        /** Requests the part of a tenant's quota that a proxy can spare; the reply is of the same kind. */
         PULL
     }
 }
--- a/src/main/java/sablehinge/common/rpc/package-info.java
+++ b/src/main/java/sablehinge/common/rpc/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Records between processes of the mesh over TCP: length, kind, body; pings both ways, so that a partition is noticed.
- * All calls on one event loop.
+ * Records between processes of the mesh over TCP: length, kind, body; both ends send pings, so that a network partition
+ * is detected. All calls on one event loop.
  */
 package sablehinge.common.rpc;
--- a/src/main/java/sablehinge/common/settings/LocalSchema.java
+++ b/src/main/java/sablehinge/common/settings/LocalSchema.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Describes what is wrong with a settings file, by its schema; too slow to load for more than that. */
+/** Describes errors in a settings file by its schema; too slow to load if there are none. */
 final class LocalSchema {
 
     private static final String RESOURCE = "/sablehinge/common/settings/local.schema.json";
@@ -21,21 +21,21 @@
 
     private LocalSchema() {}
 
-    /** The first thing that is wrong: key, what was expected and found, in one line. */
-    static String words(byte[] toml, String key) {
+    /** Describes the first error in one line: the key, what was expected and what was found. */
+    static String describe(byte[] toml, String key) {
         try {
             for (ValidationMessage message : check(new TomlMapper().readTree(toml))) {
-                return words(message);
+                return describe(message);
             }
         } catch (IOException | RuntimeException e) {
-            // The library stumbles at figures that are no number; the key is known all the same.
-            return plain(key) + ": is missing or not as expected ("
+            // The library fails on numbers such as NaN; the key is known all the same.
+            return printable(key) + ": is missing or not as expected ("
                     + e.getClass().getSimpleName() + ")";
         }
-        return plain(key) + ": is missing or not as expected";
+        return printable(key) + ": is missing or not as expected";
     }
 
-    private static String plain(String key) {
+    private static String printable(String key) {
         return key.replaceAll("\\p{Cntrl}", " ");
     }
 
@@ -52,24 +52,24 @@
         }
     }
 
-    private static String words(ValidationMessage message) {
-        String place = message.getInstanceLocation().toString();
-        String key = place.isEmpty() ? "" : place.substring(1).replace('/', '.');
-        JsonNode bound = message.getSchemaNode();
+    private static String describe(ValidationMessage message) {
+        String location = message.getInstanceLocation().toString();
+        String key = location.isEmpty() ? "" : location.substring(1).replace('/', '.');
+        JsonNode constraint = message.getSchemaNode();
         String expected =
                 switch (message.getType()) {
                     case "required" -> {
                         key = (key.isEmpty() ? "" : key + ".") + message.getProperty();
                         yield "this key";
                     }
-                    case "type" -> "of type " + bound.asText();
-                    case "enum" -> "one of " + bound;
-                    case "minimum" -> "at least " + bound.asText();
-                    case "maximum" -> "at most " + bound.asText();
+                    case "type" -> "of type " + constraint.asText();
+                    case "enum" -> "one of " + constraint;
+                    case "minimum" -> "at least " + constraint.asText();
+                    case "maximum" -> "at most " + constraint.asText();
                     case "minLength" -> "a text that is not empty";
-                    case "minItems", "maxItems" -> "a list of " + bound.asText();
+                    case "minItems", "maxItems" -> "a list of " + constraint.asText();
                     case "pattern" -> "an address with a port";
-                    default -> message.getType() + " " + bound;
+                    default -> message.getType() + " " + constraint;
                 };
         String found = message.getType().equals("required")
                 ? "none"
--- a/src/main/java/sablehinge/common/settings/LocalSettings.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettings.java
@@ -9,26 +9,26 @@
 /**
  * The settings file of a process of the mesh (DEPLOY, "What a process is told").
  *
- * <p>Which keys there must be, and of what type and range, stands in the resource {@code local.schema.json}, and there
- * alone is it put in words. To load the library that checks by a schema takes longer than all else at a start, so a
- * file is read by plain steps first, and only one that they stop at is checked by the schema, whose words the error
- * then has. The tests hold the steps to the schema: they take away and spoil each key that it has, and both must give
- * the same answer.
+ * <p>The resource {@code local.schema.json} defines the required keys with their types and ranges, and is the only
+ * source of the error messages. Loading the library that validates by a schema takes longer than the rest of a start,
+ * so a file is first read by {@link LocalSettingsReader}, and only a file that it rejects is validated by the schema,
+ * which gives the error message. The tests keep reader and schema consistent: they remove and corrupt each key of the
+ * schema, and both must give the same result.
  *
  * @param node the process's machine
  * @param ip its address, without a port
- * @param innerFirst the first of the ports that are free for what balancers say to each other
- * @param innerLast the last one of them
- * @param seeds addresses, with ports, of machines that serve control
- * @param firstStart whether the system as such starts for the first time
+ * @param innerFirst the first port of the range that processes of the mesh use among themselves
+ * @param innerLast the last port of that range
+ * @param seeds addresses, with ports, of machines that serve the control plane
+ * @param firstStart whether the mesh as such starts for the first time
  * @param counted whether the machine is among those that {@code tolerateMachines} counts
- * @param dataDir the folder that is kept; null for none
- * @param heartbeatMs between two heartbeats of an upstream
- * @param contracts the parts of the rules that are in force
+ * @param dataDir the persistent directory; null for none
+ * @param heartbeatMs interval between two heartbeats of an upstream
+ * @param contracts the names of the contracts that are in force
  * @param app the address of the upstream on this machine; null for none
  * @param depot the service of that upstream; null for none
  * @param zones the regions of all zones, by the zones' names, in the file's order
- * @param tolerateMachines how many machines that count may be lost at once
+ * @param tolerateMachines how many of the counted machines may be lost at once
  */
 public record LocalSettings(
         String node,
@@ -54,27 +54,27 @@
         int tolerateMachines,
         Bounds bounds) {
 
-    /** What a process is. */
+    /** The role of a process. */
     public enum Role {
         /** Proxies the traffic of the machine that it shares with an upstream. */
         SIDECAR,
-        /** Keeps the configuration and knows the upstreams. */
+        /** Stores the configuration and tracks the upstreams. */
         CONTROL
     }
 
-    /** Addresses with ports, each null where it is not served. */
+    /** Addresses with ports that the process listens on, each null if it is not served. */
     public record ListenOn(String inbound, String outbound, String ready, String control) {}
 
     /**
-     * What the machine gives the process.
+     * The resources that the machine gives the process.
      *
      * @param cpuShare of a core, which is {@code cores} times as fast as one
      * @param fds file descriptors
-     * @param diskMb 0 where there is no disk
+     * @param diskMb 0 if there is no disk
      */
     public record Limits(double cpuShare, double cores, double memoryMb, int fds, double linkMbps, double diskMb) {}
 
-    /** The figures of the contracts; names end in their unit, Ms or S, where they have one. */
+    /** The limits of the contracts; names end in their unit, Ms or S, where they have one. */
     public record Bounds(
             double seedDelayS,
             double readdressAfterS,
@@ -97,30 +97,33 @@
             double quotaSlack,
             double recoverS) {}
 
-    /** Settings whose lists can't be changed. */
+    /** Copies the lists, so that they are immutable. */
     public LocalSettings {
         serves = List.copyOf(serves);
         seeds = List.copyOf(seeds);
         contracts = List.copyOf(contracts);
     }
 
-    /** Where the seeds take records of other processes: a seed's first inner port is the same on all machines. */
+    /**
+     * The addresses at which the seeds accept records of other processes: the first inner port is the same on all
+     * machines.
+     */
     public List<String> innerSeeds() {
         return seeds.stream().map(this::innerSeed).toList();
     }
 
-    /** Where one seed takes records of other processes. */
+    /** The address at which one seed accepts records of other processes. */
     public String innerSeed(String seed) {
         return seed.substring(0, seed.lastIndexOf(':') + 1) + innerFirst;
     }
 
-    /** Whether a part of the rules is in force. */
+    /** Whether a contract is in force. */
     public boolean isContractEnabled(String contract) {
         return contracts.contains(contract);
     }
 
     /**
-     * Reads a file; what it does not know in there is skipped.
+     * Reads a file; unknown keys are ignored.
      *
      * @param path of a TOML file
      * @throws ConfigException that names the file, the key, what was expected and what was found, in one line
@@ -136,9 +139,9 @@
         try {
             return LocalSettingsReader.settings(Toml.read(bytes));
         } catch (IOException e) {
-            throw new ConfigException(path + ": TOML was expected: " + Toml.why(e));
+            throw new ConfigException(path + ": TOML was expected: " + Toml.describe(e));
         } catch (SettingsTable.InvalidKeyException e) {
-            throw new ConfigException(path + ": " + LocalSchema.words(bytes, e.getMessage()));
+            throw new ConfigException(path + ": " + LocalSchema.describe(bytes, e.getMessage()));
         }
     }
 }
--- a/src/main/java/sablehinge/common/settings/LocalSettingsReader.java
+++ b/src/main/java/sablehinge/common/settings/LocalSettingsReader.java
@@ -61,7 +61,7 @@
                 table.figure("diskMb"));
     }
 
-    /** A figure of a part that is not in force may be missing. */
+    /** A limit of a contract that is not in force may be missing. */
     private static LocalSettings.Bounds bounds(SettingsTable table) {
         return new LocalSettings.Bounds(
                 table.figure("seedDelayS", 3),
--- a/src/main/java/sablehinge/common/settings/SettingsTable.java
+++ b/src/main/java/sablehinge/common/settings/SettingsTable.java
@@ -13,7 +13,7 @@
 
     private static final int MAX_PORT = 65_535;
 
-    private static final int PORT_DIGITS = 5;
+    private static final int MAX_PORT_DIGITS = 5;
 
     /** A key is missing, or its value is of another type or out of range; the message names the key with its tables. */
     static final class InvalidKeyException extends RuntimeException {
@@ -38,7 +38,7 @@
         return new InvalidKeyException(path + key);
     }
 
-    private Object need(String key) {
+    private Object required(String key) {
         Object value = fields.get(key);
         if (value == null) {
             throw invalid(key);
@@ -47,13 +47,13 @@
     }
 
     SettingsTable table(String key) {
-        if (need(key) instanceof Map<?, ?> map) {
+        if (required(key) instanceof Map<?, ?> map) {
             return new SettingsTable(path + key + ".", map);
         }
         throw invalid(key);
     }
 
-    /** An empty one where there is none. */
+    /** The table of a key; an empty table if the key is missing. */
     SettingsTable tableIfAny(String key) {
         return fields.containsKey(key) ? table(key) : new SettingsTable(path + key + ".", Map.of());
     }
@@ -65,9 +65,9 @@
         throw invalid(key);
     }
 
-    /** A text that is not empty. */
+    /** A non-empty text. */
     String name(String key) {
-        String text = text(key, need(key));
+        String text = text(key, required(key));
         if (text.isEmpty()) {
             throw invalid(key);
         }
@@ -83,7 +83,7 @@
         int colon = text.indexOf(':');
         int digits = text.length() - colon - 1;
         int port = 0;
-        for (int i = colon + 1; i < text.length() && digits <= PORT_DIGITS; i++) {
+        for (int i = colon + 1; i < text.length() && digits <= MAX_PORT_DIGITS; i++) {
             char digit = text.charAt(i);
             if (digit < '0' || digit > '9' || port == 0 && digit == '0') {
                 throw invalid(key);
@@ -96,40 +96,40 @@
         return text;
     }
 
-    /** A host and a port; null for none. */
+    /** An address with a port; null if the key is missing. */
     String addressIfAny(String key) {
-        return fields.containsKey(key) ? address(key, need(key)) : null;
+        return fields.containsKey(key) ? address(key, required(key)) : null;
     }
 
     boolean flag(String key) {
-        if (need(key) instanceof Boolean flag) {
+        if (required(key) instanceof Boolean flag) {
             return flag;
         }
         throw invalid(key);
     }
 
-    boolean flag(String key, boolean otherwise) {
-        return fields.containsKey(key) ? flag(key) : otherwise;
+    boolean flag(String key, boolean defaultValue) {
+        return fields.containsKey(key) ? flag(key) : defaultValue;
     }
 
-    private double number(String key, Object value, double least, double most) {
-        if (value instanceof Double number && number >= least && number <= most) {
+    private double number(String key, Object value, double minimum, double maximum) {
+        if (value instanceof Double number && number >= minimum && number <= maximum) {
             return number;
         }
         throw invalid(key);
     }
 
-    /** 0 or more. */
+    /** A number, 0 or more. */
     double figure(String key) {
-        return number(key, need(key), 0, MAX_NUMBER);
+        return number(key, required(key), 0, MAX_NUMBER);
     }
 
-    double figure(String key, double otherwise) {
-        return fields.containsKey(key) ? figure(key) : otherwise;
+    double figure(String key, double defaultValue) {
+        return fields.containsKey(key) ? figure(key) : defaultValue;
     }
 
-    private int integer(String key, Object value, int least, int most) {
-        double number = number(key, value, least, most);
+    private int integer(String key, Object value, int minimum, int maximum) {
+        double number = number(key, value, minimum, maximum);
         if (number != Math.rint(number)) {
             throw invalid(key);
         }
@@ -138,11 +138,11 @@
 
     /** An integer, 0 or more. */
     int count(String key) {
-        return integer(key, need(key), 0, Integer.MAX_VALUE);
+        return integer(key, required(key), 0, Integer.MAX_VALUE);
     }
 
     private List<?> list(String key) {
-        if (need(key) instanceof List<?> list) {
+        if (required(key) instanceof List<?> list) {
             return list;
         }
         throw invalid(key);
@@ -150,21 +150,21 @@
 
     List<String> texts(String key) {
         List<String> texts = new ArrayList<>();
-        for (Object one : list(key)) {
-            texts.add(text(key, one));
+        for (Object item : list(key)) {
+            texts.add(text(key, item));
         }
         return texts;
     }
 
     List<String> addresses(String key) {
         List<String> addresses = new ArrayList<>();
-        for (Object one : list(key)) {
-            addresses.add(address(key, one));
+        for (Object item : list(key)) {
+            addresses.add(address(key, item));
         }
         return addresses;
     }
 
-    /** Two ports. */
+    /** A list of two ports. */
     int[] ports(String key) {
         List<?> ports = list(key);
         if (ports.size() != 2) {
@@ -173,7 +173,7 @@
         return new int[] {integer(key, ports.get(0), 1, MAX_PORT), integer(key, ports.get(1), 1, MAX_PORT)};
     }
 
-    /** All keys of this table with their texts, none of which is empty, in their order. */
+    /** All keys of this table with their texts, which must not be empty, in their order. */
     Map<String, String> names() {
         Map<String, String> names = new LinkedHashMap<>();
         for (Object key : fields.keySet()) {
--- a/src/main/java/sablehinge/common/settings/Toml.java
+++ b/src/main/java/sablehinge/common/settings/Toml.java
@@ -22,17 +22,17 @@
         }
     }
 
-    /** One line on what is wrong with a file, and where. */
-    static String why(IOException e) {
+    /** Describes a parse error and its position in one line. */
+    static String describe(IOException e) {
         if (!(e instanceof JsonProcessingException)) {
             return e.getClass().getSimpleName();
         }
-        JsonProcessingException wrong = (JsonProcessingException) e;
-        String line = wrong.getOriginalMessage().lines().findFirst().orElse("");
-        return wrong.getLocation() == null
+        JsonProcessingException problem = (JsonProcessingException) e;
+        String line = problem.getOriginalMessage().lines().findFirst().orElse("");
+        return problem.getLocation() == null
                 ? line
-                : "line " + wrong.getLocation().getLineNr() + ", column "
-                        + wrong.getLocation().getColumnNr() + ": " + line;
+                : "line " + problem.getLocation().getLineNr() + ", column "
+                        + problem.getLocation().getColumnNr() + ": " + line;
     }
 
     private static Map<String, Object> map(JsonParser in) throws IOException {
--- a/src/main/java/sablehinge/common/settings/package-info.java
+++ b/src/main/java/sablehinge/common/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings file of a mesh's daemon (DEPLOY, "What a process is told"), parsed and checked by a schema. */
+/** The settings file of a daemon of the mesh (DEPLOY, "What a process is told"), parsed and validated by a schema. */
 package sablehinge.common.settings;
--- a/src/test/java/sablehinge/common/rpc/ConnectionTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionTest.java
@@ -40,7 +40,7 @@
                 closed = true;
             }
         };
-        Connection.equip(channel, connection.new Link(channel, handler));
+        Connection.addHandlers(channel, connection.new Link(channel, handler));
         channel.pipeline().fireChannelActive();
     }
 
