--- a/bench/src/sablehinge/common/rpc/Cut.java
+++ b/bench/src/sablehinge/common/rpc/Cut.java
@@ -14,42 +14,42 @@
 import java.util.function.Predicate;
 
 /**
- * A cut of the network, played at the ends that connect and that send datagrams: while it lasts nothing goes out or
- * comes in there, no connection comes up, and no end is notified. The end that has accepted a connection receives
+ * A simulated network partition at the ends that connect and that send datagrams. While it lasts nothing is sent or
+ * received there, no connection can be opened, and no end is notified. The end that has accepted a connection receives
  * nothing.
  */
 public final class Cut {
 
-    /** How long a connection that can't come up is tried, in ms; as long as {@link Connection} tries one. */
-    private static final long CONNECT_MS = 700;
+    /** Connect timeout across the cut, in ms; the same as that of {@link Connection}. */
+    private static final long CONNECT_TIMEOUT_MS = 700;
 
     private final BooleanSupplier lasts;
     private final Predicate<InetSocketAddress> beyond;
 
     /**
-     * A cut.
+     * Creates a cut.
      *
      * @param lasts whether it lasts now; called on event loops
-     * @param beyond whether an address lies beyond it
+     * @param beyond whether an address is on the other side
      */
     public Cut(BooleanSupplier lasts, Predicate<InetSocketAddress> beyond) {
         this.lasts = lasts;
         this.beyond = beyond;
     }
 
-    /** Lies in the way of a connection that is about to be made. */
-    public void over(Channel channel, InetSocketAddress to) {
+    /** Applies the cut to a connection that is about to be opened. */
+    public void apply(Channel channel, InetSocketAddress to) {
         if (beyond.test(to)) {
-            channel.pipeline().addFirst(new OfConnection());
+            channel.pipeline().addFirst(new ConnectionHandler());
         }
     }
 
-    /** Lies in the way of datagrams. */
-    public void over(Channel datagrams) {
-        datagrams.pipeline().addFirst(new OfDatagrams());
+    /** Applies the cut to datagrams. */
+    public void apply(Channel datagrams) {
+        datagrams.pipeline().addFirst(new DatagramHandler());
     }
 
-    private final class OfConnection extends ChannelDuplexHandler {
+    private final class ConnectionHandler extends ChannelDuplexHandler {
 
         @Override
         public void connect(
@@ -59,7 +59,7 @@
                 ctx.executor()
                         .schedule(
                                 () -> promise.tryFailure(new ConnectTimeoutException("cut")),
-                                CONNECT_MS,
+                                CONNECT_TIMEOUT_MS,
                                 TimeUnit.MILLISECONDS);
             } else {
                 super.connect(ctx, remote, local, promise);
@@ -86,7 +86,7 @@
         }
     }
 
-    private final class OfDatagrams extends ChannelDuplexHandler {
+    private final class DatagramHandler extends ChannelDuplexHandler {
 
         private boolean drops(InetSocketAddress other) {
             return lasts.getAsBoolean() && beyond.test(other);
--- a/bench/src/sablehinge/controlplane/node/CutControlNode.java
+++ b/bench/src/sablehinge/controlplane/node/CutControlNode.java
@@ -41,7 +41,7 @@
                 new Connection.Observer() {
                     @Override
                     public void beforeConnect(Channel channel, InetSocketAddress to) {
-                        cut.over(channel, to);
+                        cut.apply(channel, to);
                     }
                 });
         CountDownLatch never = new CountDownLatch(1);
--- a/bench/src/sablehinge/fleet/HollowFleet.java
+++ b/bench/src/sablehinge/fleet/HollowFleet.java
@@ -78,7 +78,7 @@
             Cut regions = new Cut(() -> cut, other -> plan.regionAt(other) != region);
             HollowSidecar sidecar =
                     HollowSidecar.prepare(settings, loops.next(), incarnation(i), observer(regions), this::read);
-            regions.over(sidecar.datagrams());
+            regions.apply(sidecar.datagrams());
             sidecars.add(sidecar);
         }
     }
@@ -98,7 +98,7 @@
 
             @Override
             public void beforeConnect(Channel channel, InetSocketAddress to) {
-                regions.over(channel, to);
+                regions.apply(channel, to);
             }
         };
     }
--- a/src/main/java/sablehinge/dataplane/http1/CurrentRequest.java
+++ b/src/main/java/sablehinge/dataplane/http1/CurrentRequest.java
@@ -169,10 +169,10 @@
     }
 
     private void register(String checkedName) throws BadRequestException {
-        CallerConnection first = context.connectionsByRequestName.get(checkedName);
-        if (first != null) {
+        CallerConnection currentOwner = context.connectionsByRequestName.get(checkedName);
+        if (currentOwner != null) {
             // The client may have closed that connection and retried the request on this one.
-            context.sockets.readNow(first.channel);
+            context.sockets.readNow(currentOwner.channel);
         }
         if (context.connectionsByRequestName.containsKey(checkedName)) {
             throw new BadRequestException(HttpResponseStatus.CONFLICT, "X-Txn is at work");
@@ -213,10 +213,10 @@
 
     /** The client no longer waits for the response. */
     void abandon() {
-        Exchange left = exchange;
+        Exchange abandoned = exchange;
         finish();
-        if (left != null) {
-            context.proxy.clientGone(left);
+        if (abandoned != null) {
+            context.proxy.clientGone(abandoned);
         }
     }
 
--- a/src/main/java/sablehinge/dataplane/http1/Frontend.java
+++ b/src/main/java/sablehinge/dataplane/http1/Frontend.java
@@ -276,12 +276,12 @@
 
     private void closeListener() {
         if (context.listening != null && context.listening.isOpen()) {
-            int before;
+            int connectionsBefore;
             do {
                 // Clients that the kernel has accepted must get a response; to close now would reset their connections.
-                before = context.connections.size();
+                connectionsBefore = context.connections.size();
                 context.sockets.readNow(context.listening);
-            } while (context.connections.size() > before);
+            } while (context.connections.size() > connectionsBefore);
             context.listening.close();
         }
     }
--- a/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformFront.java
@@ -19,7 +19,7 @@
     private static final HttpResponseStatus LOOP_DETECTED = new HttpResponseStatus(508, "Loop Detected");
 
     private static final int HEADER_BYTES = 8_192;
-    private static final int MAX_BUFFERED_BODY_BYTES = 256 * 1024;
+    private static final int MAX_REPEATABLE_BODY_BYTES = 256 * 1024;
     /** The slowest legitimate clients send 64 kB a s. */
     private static final FrontTerms TERMS = new FrontTerms(
             HEADER_BYTES,
@@ -28,8 +28,8 @@
             40,
             2_300,
             3_000,
-            MAX_BUFFERED_BODY_BYTES,
-            32 * MAX_BUFFERED_BODY_BYTES,
+            MAX_REPEATABLE_BODY_BYTES,
+            32 * MAX_REPEATABLE_BODY_BYTES,
             false);
 
     private final RequestProxy proxy;
--- a/src/main/java/sablehinge/dataplane/http1/PlatformUpstream.java
+++ b/src/main/java/sablehinge/dataplane/http1/PlatformUpstream.java
@@ -32,10 +32,10 @@
     }
 
     @Override
-    public void setHeaders(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget) {
-        sent.headers().set("Host", to.address().getHostString());
+    public void setHeaders(HttpRequest sent, HttpRequest received, Member member, double remainingMs, Budget budget) {
+        sent.headers().set("Host", member.address().getHostString());
         for (String name : FORWARDED_HEADERS) {
-            String value = given.headers().get(name);
+            String value = received.headers().get(name);
             if (value != null) {
                 sent.headers().set(name, value);
             }
@@ -44,7 +44,7 @@
             sent.headers().set(UpstreamClient.BUDGET_HEADER, budgets.write(budget));
         }
         // Rounded down: the upstream must not assume that this balancer waits longer than it does.
-        sent.headers().set("X-Remaining", UpstreamClient.seconds(left));
+        sent.headers().set("X-Remaining", UpstreamClient.seconds(remainingMs));
     }
 
     @Override
--- a/src/main/java/sablehinge/dataplane/http1/Relay.java
+++ b/src/main/java/sablehinge/dataplane/http1/Relay.java
@@ -115,25 +115,25 @@
     }
 
     /** Attaches the sink, which is possible once, and writes the buffered parts. */
-    void attach(Sink to) {
+    void attach(Sink newSink) {
         if (isTaken()) {
             throw new IllegalStateException("a body can be relayed only once");
         }
-        sink = to;
+        sink = newSink;
         for (ByteBuf part = buffered.poll(); part != null; part = buffered.poll()) {
             forwardedBytes += part.readableBytes();
-            to.writePart(part);
+            newSink.writePart(part);
         }
         if (finished) {
             return;
         }
-        to.flush();
+        newSink.flush();
         if (failed || ended) {
             finished = true;
             if (ended) {
-                to.end();
+                newSink.end();
             } else {
-                to.fail();
+                newSink.fail();
             }
         } else {
             setReading(true);
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamAttempt.java
@@ -98,15 +98,15 @@
         }
     }
 
-    void start(UpstreamTarget to) {
-        target = to;
-        if (to == null) {
+    void start(UpstreamTarget newTarget) {
+        target = newTarget;
+        if (newTarget == null) {
             end(state.ends(Event.NO_CONNECTION), Payload.NONE);
             return;
         }
-        UpstreamConnection idle = to.takeIdle(context, resendable());
+        UpstreamConnection idle = newTarget.takeIdle(context, resendable());
         if (idle != null) {
-            idle.trace(TraceEvent.REUSED, to.member.upstream().id());
+            idle.trace(TraceEvent.REUSED, newTarget.member.upstream().id());
             begin(idle);
         } else if (!context.sockets.hasRoomForUpstream(context.clock.now())) {
             // A shortage of descriptors here is not a failure of the upstream.
@@ -114,7 +114,7 @@
         } else {
             int connectTimeoutMs = (int) Math.max(1, settings.limits().connectTimeout());
             context.bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
-            ChannelFuture connect = context.bootstrap.connect(to.member.address());
+            ChannelFuture connect = context.bootstrap.connect(newTarget.member.address());
             if (connect.cause() instanceof ChannelException) {
                 // The socket could not be opened for lack of a file descriptor.
                 end(state.ends(Event.NO_ROOM), Payload.NONE);
@@ -124,14 +124,15 @@
             context.sockets.count(channel);
             UpstreamConnection newConnection = channel.pipeline().get(UpstreamConnection.class);
             if (newConnection != null) {
-                newConnection.trace(TraceEvent.CONNECTING, to.member.upstream().id());
+                newConnection.trace(
+                        TraceEvent.CONNECTING, newTarget.member.upstream().id());
             }
-            to.waiting.add(this);
-            connect.addListener(up -> {
-                to.waiting.remove(this);
+            newTarget.waiting.add(this);
+            connect.addListener(connected -> {
+                newTarget.waiting.remove(this);
                 if (ended) {
                     channel.close();
-                } else if (up.isSuccess()) {
+                } else if (connected.isSuccess()) {
                     channel.pipeline().get(UpstreamConnection.class).trace(TraceEvent.CONNECTED, 0);
                     begin(channel.pipeline().get(UpstreamConnection.class));
                 } else {
@@ -151,9 +152,9 @@
         // NaN compares false: an upstream that is ready accepts any request.
         boolean drained = now >= target.drainingSince + settings.rules().drainGrace();
         budget = grant == null ? null : grant.budget(now);
-        boolean dead = grant != null && budget == null;
+        boolean budgetExpired = grant != null && budget == null;
         if (drained
-                || dead
+                || budgetExpired
                 || now >= context.startUntil
                 || now >= deadline && !isBodyPending()
                 || relayedPayload != null && relayedPayload.body().isTaken()) {
@@ -261,8 +262,8 @@
      * over but the channel is writable.
      */
     private void scheduleProgressCheck(double now) {
-        double left = lastProgressAt + stallTimeoutMs - now;
-        double delayMs = left > 0 ? Math.min(left, BODY_CHECK_INTERVAL_MS) : BODY_CHECK_INTERVAL_MS;
+        double remainingMs = lastProgressAt + stallTimeoutMs - now;
+        double delayMs = remainingMs > 0 ? Math.min(remainingMs, BODY_CHECK_INTERVAL_MS) : BODY_CHECK_INTERVAL_MS;
         context.loop.schedule(this::checkBodyProgress, context.nanosUntil(now + delayMs), TimeUnit.NANOSECONDS);
     }
 
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamClient.java
@@ -94,10 +94,10 @@
 
     @Override
     public void adopt(Version version) {
-        Settings before = settings;
+        Settings previous = settings;
         settings = version.settings();
-        if (before == null
-                || before.limits().connectionIdle() != settings.limits().connectionIdle()) {
+        if (previous == null
+                || previous.limits().connectionIdle() != settings.limits().connectionIdle()) {
             setMaxIdleForUnsafe(context.dialect.terms().maxIdleForUnsafeMs());
         }
     }
@@ -114,10 +114,10 @@
                 continue;
             }
             UpstreamTarget target = targets.computeIfAbsent(member.upstream().id(), id -> new UpstreamTarget());
-            Member before = target.member;
-            if (before != null
-                    && (before.upstream().startedAt() != member.upstream().startedAt()
-                            || !before.address().equals(member.address()))) {
+            Member previous = target.member;
+            if (previous != null
+                    && (previous.upstream().startedAt() != member.upstream().startedAt()
+                            || !previous.address().equals(member.address()))) {
                 target.closeIdle();
             }
             target.member = member;
@@ -247,9 +247,9 @@
         context.bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(1, connectTimeoutMs));
         ChannelFuture connect = context.bootstrap.connect(address);
         context.sockets.count(connect.channel());
-        connect.addListener(up -> {
+        connect.addListener(connected -> {
             connect.channel().close();
-            end.accept(up.isSuccess());
+            end.accept(connected.isSuccess());
         });
     }
 
--- a/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
+++ b/src/main/java/sablehinge/dataplane/http1/UpstreamDialect.java
@@ -19,11 +19,11 @@
     /**
      * Sets the headers of a request to an upstream, except those that frame it.
      *
-     * @param given the request as it was received from the client
-     * @param left time until the attempt is aborted, in ms
+     * @param received the request as the client sent it
+     * @param remainingMs time until the attempt is aborted, in ms
      * @param budget of the request; null for none
      */
-    void setHeaders(HttpRequest sent, HttpRequest given, Member to, double left, Budget budget);
+    void setHeaders(HttpRequest sent, HttpRequest received, Member member, double remainingMs, Budget budget);
 
     /** Whether the load balancer may retry a request after it may have run. */
     boolean resendable(HttpRequest request);
--- a/src/test/java/sablehinge/common/eventloop/ClosingEventLoopsTest.java
+++ b/src/test/java/sablehinge/common/eventloop/ClosingEventLoopsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Sockets of event loops that have ended. */
+/** Sockets of event loops that were shut down. */
 @Timeout(30)
 class ClosingEventLoopsTest {
 
@@ -48,10 +48,10 @@
             .syncUninterruptibly()
             .channel();
 
-    private void assertAllIsClosed() throws Exception {
+    private void assertAllClosed() throws Exception {
         assertFalse(listener.isOpen(), "the listener is open");
         assertFalse(connection.isOpen(), "the connection is open");
-        assertTrue(closed.await(0, TimeUnit.SECONDS), "the connection's handler was told");
+        assertTrue(closed.await(0, TimeUnit.SECONDS), "the connection's handler was notified");
         InetSocketAddress address = (InetSocketAddress) listener.localAddress();
         try (ServerSocket again = new ServerSocket()) {
             again.setReuseAddress(true);
@@ -60,23 +60,23 @@
         }
     }
 
-    /** A task runs after the loop has looked whether it is to end, and before it confirms that. */
+    /** A task runs after the loop has checked whether it is shutting down, and before it confirms the shutdown. */
     @Test
-    void aShutdownAmidTheTasksOfALoopClosesItsChannels() throws Exception {
+    void closesChannelsWhenShutDownFromItsOwnTask() throws Exception {
         loop.execute(() -> loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS));
         assertTrue(loop.terminationFuture().await(20, TimeUnit.SECONDS));
-        assertAllIsClosed();
+        assertAllClosed();
     }
 
     @Test
-    void aShutdownByAnotherThreadClosesItsChannels() throws Exception {
+    void closesChannelsWhenShutDownByAnotherThread() throws Exception {
         assertTrue(loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).await(20, TimeUnit.SECONDS));
-        assertAllIsClosed();
+        assertAllClosed();
     }
 
-    /** What is still to be done when the shutdown is requested is done, and may open nothing. */
+    /** Tasks that are pending when the shutdown is requested still run, and must not leave a channel open. */
     @Test
-    void aConnectionThatIsMadeDuringAShutdownIsClosedToo() throws Exception {
+    void closesConnectionOpenedDuringShutdown() throws Exception {
         Channel[] late = new Channel[1];
         loop.execute(() -> {
             loop.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
@@ -89,6 +89,6 @@
         });
         assertTrue(loop.terminationFuture().await(20, TimeUnit.SECONDS));
         assertFalse(late[0].isOpen(), "the late connection is open");
-        assertAllIsClosed();
+        assertAllClosed();
     }
 }
--- a/src/test/java/sablehinge/common/logging/LoggingTest.java
+++ b/src/test/java/sablehinge/common/logging/LoggingTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.event.Level;
 
-/** A log that can be read by people and by programs, and that misbehaving peers can't fill. */
+/** Log formats for people and for programs, and the limit on the number of lines. */
 class LoggingTest {
 
     private final LoggerContext loggers = new LoggerContext();
@@ -29,7 +29,7 @@
     private final ListAppender<ILoggingEvent> lines = new ListAppender<>();
 
     @AfterEach
-    void usual() {
+    void restoreDefaults() {
         Logging.apply(LogTerms.DEFAULT);
     }
 
@@ -42,7 +42,7 @@
         return limited;
     }
 
-    /** What is written under the given terms. */
+    /** The lines that are written with the given settings. */
     private static String written(LogTerms terms, Consumer<org.slf4j.Logger> writing) {
         PrintStream before = System.err;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whatIsTooMuchIsDroppedAndCounted() {
+    void dropsAndCountsLinesOverTheLimit() {
         Logger log = loggers.getLogger("a");
         log.addAppender(limited(10));
         for (int i = 0; i < 17; i++) {
@@ -77,9 +77,9 @@
         assertEquals("and on", lines.list.get(11).getFormattedMessage());
     }
 
-    /** As java.util.logging writes them, which is what the platform's log has always been. */
+    /** The format of java.util.logging, which is the established format of the platform's log. */
     @Test
-    void linesOfTextAreThoseOfOld() {
+    void formatsTextLinesLikeJavaUtilLogging() {
         TimeZone before = TimeZone.getDefault();
         TimeZone.setDefault(TimeZone.getTimeZone("UTC"));
         try {
@@ -90,7 +90,8 @@
             String[] all = text.split("\n");
             assertTrue(
                     all[0].matches("[A-Z][a-z]{2} [0-9]{2}, 20[0-9]{2} 1?[0-9]:[0-9]{2}:[0-9]{2} [AP]M "
-                            + "sablehinge\\.common\\.logging\\.LoggingTest lambda\\$linesOfTextAreThoseOfOld\\$[0-9]+"),
+                            + "sablehinge\\.common\\.logging\\.LoggingTest "
+                            + "lambda\\$formatsTextLinesLikeJavaUtilLogging\\$[0-9]+"),
                     all[0]);
             assertEquals("WARNING: it failed: x", all[1]);
             assertEquals("SEVERE: worse", all[3]);
@@ -101,7 +102,7 @@
     }
 
     @Test
-    void aLineOfJsonHasItsFieldsAndABoundedStack() throws IOException {
+    void writesJsonFieldsAndLimitedStack() throws IOException {
         Exception thrown = new IllegalStateException("why\nso");
         thrown.setStackTrace(java.util.stream.IntStream.range(0, 5_000)
                 .mapToObj(i -> new StackTraceElement("some.Deep", "call" + i, "Deep.java", i))
@@ -124,7 +125,7 @@
     }
 
     @Test
-    void eachSubsystemHasItsLevel() {
+    void appliesLevelOfEachSubsystem() {
         Consumer<org.slf4j.Logger> both = log -> {
             log.debug("of http1");
             org.slf4j.LoggerFactory.getLogger("sablehinge.dataplane.proxy.RequestProxy")
@@ -137,9 +138,9 @@
         assertEquals("", written(json(9, Map.of("netty", Level.ERROR)), both));
     }
 
-    /** A name that no package has would be a level of nothing. */
+    /** A subsystem without a package would have a level without effect. */
     @Test
-    void eachSubsystemHasItsPackage() {
+    void eachSubsystemHasAPackage() {
         for (String subsystem : LogTerms.SUBSYSTEMS) {
             String folder = LogTerms.logger(subsystem).replace('.', '/');
             assertTrue(getClass().getClassLoader().getResource(folder) != null, folder);
--- a/src/test/java/sablehinge/common/mapping/MappingTest.java
+++ b/src/test/java/sablehinge/common/mapping/MappingTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void withoutRulesTheFirstPartIsTheClassAndTheSecondTheKey() {
+    void withoutRulesFirstSegmentIsClassAndSecondIsKey() {
         assertEquals(new MappedRequest("tile", "12", "", 0, -1), NONE.map(request("GET", "/tile/12/more?z=3")));
         assertEquals(new MappedRequest("tile", "12", "", 0, -1), NONE.map(request("GET", "/tile/12")));
         assertEquals(new MappedRequest("tile", "", "", 0, -1), NONE.map(request("GET", "/tile?z=/3")));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aPathIsTakenApartByItsPattern() {
+    void extractsNamedSegmentsOfPath() {
         assertEquals(
                 "7-3-5",
                 by("/tiles/{z}/{x}/{y}.png", "{z}-{x}-{y}", "/tiles/7/3/5.png?v=1")
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void theFirstRuleThatFitsWins() {
+    void firstMatchingRuleWins() {
         Rule first = rule("/t/{a}", "first", "");
         Rule second = rule("/t/**", "second", "");
         assertEquals(
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void everyConditionCounts() {
+    void ruleRequiresAllConditions() {
         Template fixed = new Template("c", Set.of());
         Rule.Named header = new Rule.Named("x-partner", new Glob("council-*"));
         Rule.Named query = new Rule.Named("f", new Glob("png"));
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aClassThatComesToNothingIsNoMatch() {
+    void emptyClassIsNoMatch() {
         Mapping byQuery = new Mapping(List.of(new Rule(
                 null,
                 null,
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void whatIsWrongWithAPatternIsTold() {
+    void describesErrorInPattern() {
         Map<String, String> bad = Map.of(
                 "tiles",
                 "begins with /",
@@ -161,15 +161,15 @@
     }
 
     @Test
-    void shapesLeaveOutWhatVaries() {
+    void shapeOmitsVariableSegments() {
         assertEquals("GET tiles.example/tiles/{}/x/{}", Mapping.shape(request("GET", "/tiles/7/x/5.png?v=1")));
         assertEquals("GET tiles.example/{}", Mapping.shape(request("GET", "/" + "a".repeat(1_000))));
         assertEquals("GET tiles.example/a/b/c/d/e/f/…", Mapping.shape(request("GET", "/a/b/c/d/e/f/g/h/i")));
     }
 
-    /** Against the same pattern as a regular expression, which is not bounded in time as this is. */
+    /** Compares with the same pattern as a regular expression, whose time is not bounded like that of a glob. */
     @Property(tries = 2_000)
-    void aGlobIsWhatItsRegularExpressionIs(
+    void globMatchesLikeItsRegularExpression(
             @ForAll @CharRange(from = 'a', to = 'b') @StringLength(max = 12) String text,
             @ForAll @StringLength(max = 8) @CharRange(from = 'a', to = 'c') String pattern) {
         String glob = pattern.replace('c', '*');
@@ -177,8 +177,8 @@
     }
 
     @Test
-    void aGlobTakesNoLongerThanItsLengthsAllow() {
-        // As a regular expression that goes back to each star this would not end.
+    void globMatchesInPolynomialTime() {
+        // A regular expression, which backtracks to each star, would not finish.
         assertEquals(false, new Glob("a*".repeat(2_000) + "b").matches("a".repeat(20_000)));
     }
 }
--- a/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionObserverTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Timeout;
 import sablehinge.common.eventloop.ClosingEventLoops;
 
-/** What the ends of a connection hear of each other's records. */
+/** The notifications of a connection's observer. */
 @Timeout(30)
 class ConnectionObserverTest {
 
     private static final long NEVER_MS = 60_000;
 
-    /** Writes down what it is notified of. */
+    /** Records its notifications. */
     private static final class Notes implements Connection.Observer {
         private final BlockingQueue<String> notes = new LinkedBlockingQueue<>();
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void anObserverIsToldOfEachRecordWithItsBytesOnTheWire() throws Exception {
+    void notifiesObserverOfEachRecordWithItsSizeOnTheWire() throws Exception {
         EventLoop loop = ClosingEventLoops.single("test");
         try {
             Connection server = new Connection(loop, NEVER_MS, NEVER_MS);
@@ -61,7 +61,7 @@
                     notes.notes.add("handled " + frame.kind());
                 }
             });
-            // Four bytes of length and one of kind stand before each body.
+            // Each body is preceded by four bytes of length and one of kind.
             assertEquals(
                     List.of("connects false 127.0.0.1", "sent ASK 12", "received UPDATE 105", "handled UPDATE"),
                     List.of(notes.notes.take(), notes.notes.take(), notes.notes.take(), notes.notes.take()));
--- a/src/test/java/sablehinge/common/rpc/ConnectionTest.java
+++ b/src/test/java/sablehinge/common/rpc/ConnectionTest.java
@@ -13,26 +13,26 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** One end of a connection, on a clock that the test sets. */
+/** One end of a connection with a simulated clock. */
 class ConnectionTest {
 
     private static final long PING_MS = 300;
-    private static final long DEAD_MS = 1_200;
+    private static final long TIMEOUT_MS = 1_200;
     private static final int RECORD = 1_000_000;
     private static final int PART = 10_000;
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final List<Frame> came = new ArrayList<>();
+    private final List<Frame> received = new ArrayList<>();
     private long nanos;
     private boolean closed;
 
     private ConnectionTest() {
         Connection connection =
-                new Connection(channel.eventLoop(), PING_MS, DEAD_MS, Connection.Observer.NONE, () -> nanos);
+                new Connection(channel.eventLoop(), PING_MS, TIMEOUT_MS, Connection.Observer.NONE, () -> nanos);
         Connection.Handler handler = new Connection.Handler() {
             @Override
             public void onFrame(Connection.Link link, Frame frame) {
-                came.add(frame);
+                received.add(frame);
             }
 
             @Override
@@ -44,15 +44,15 @@
         channel.pipeline().fireChannelActive();
     }
 
-    private void pass(long ms) {
+    private void advanceTime(long ms) {
         nanos += TimeUnit.MILLISECONDS.toNanos(ms);
         channel.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
     }
 
-    /** A record on a link that takes some seconds for it; nothing else can come before its end. */
+    /** A record whose transfer takes some seconds; no other record can be received before its end. */
     @Test
-    void aLargeRecordOnASlowLinkIsNoSilence() {
+    void doesNotTimeOutDuringLargeRecordOnSlowLink() {
         byte[] body = new byte[RECORD];
         body[RECORD - 1] = 7;
         ByteBuf record = Unpooled.buffer()
@@ -62,24 +62,24 @@
         while (record.isReadable()) {
             assertFalse(closed, "closed with " + record.readableBytes() + " bytes to come");
             channel.writeInbound(record.readBytes(Math.min(PART, record.readableBytes())));
-            pass(50);
+            advanceTime(50);
         }
-        assertEquals(1, came.size());
-        assertArrayEquals(body, came.get(0).body());
+        assertEquals(1, received.size());
+        assertArrayEquals(body, received.get(0).body());
         record.release();
         channel.finishAndReleaseAll();
     }
 
     @Test
-    void whoSaysNothingIsAskedAndThenGivenUp() {
-        pass(PING_MS);
+    void pingsSilentPeerAndThenCloses() {
+        advanceTime(PING_MS);
         assertFalse(closed);
         ByteBuf ping = channel.readOutbound();
         assertEquals(Frame.Kind.PING.ordinal(), ping.getByte(Integer.BYTES));
         ping.release();
-        for (long ms = PING_MS; ms <= DEAD_MS; ms += PING_MS) {
+        for (long ms = PING_MS; ms <= TIMEOUT_MS; ms += PING_MS) {
             assertFalse(closed);
-            pass(PING_MS);
+            advanceTime(PING_MS);
         }
         assertTrue(closed);
         channel.finishAndReleaseAll();
--- a/src/test/java/sablehinge/common/rpc/CutTest.java
+++ b/src/test/java/sablehinge/common/rpc/CutTest.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** What a cut that benches play lets through. */
+/** The traffic that a simulated network partition drops. */
 class CutTest {
 
-    private static final InetSocketAddress HERE = new InetSocketAddress("127.0.0.1", 1);
-    private static final InetSocketAddress BEYOND = new InetSocketAddress("127.0.0.2", 1);
+    private static final InetSocketAddress SAME_SIDE = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress OTHER_SIDE = new InetSocketAddress("127.0.0.2", 1);
     private final AtomicBoolean lasts = new AtomicBoolean();
-    private final Cut cut = new Cut(lasts::get, BEYOND::equals);
+    private final Cut cut = new Cut(lasts::get, OTHER_SIDE::equals);
 
     private static ByteBuf bytes() {
         return Unpooled.wrappedBuffer(new byte[] {1});
     }
 
     @Test
-    void aConnectionAcrossItIsSilentBothWaysWhileItLasts() {
+    void dropsBothDirectionsOfConnectionAcrossTheCutWhileItLasts() {
         EmbeddedChannel channel = new EmbeddedChannel();
-        cut.over(channel, BEYOND);
+        cut.apply(channel, OTHER_SIDE);
         channel.writeInbound(bytes());
         channel.writeOutbound(bytes());
         assertNotNull(channel.readInbound());
@@ -40,27 +40,27 @@
     }
 
     @Test
-    void aConnectionOnThisSideIsLeftAlone() {
+    void leavesConnectionOnTheSameSideAlone() {
         EmbeddedChannel channel = new EmbeddedChannel();
-        cut.over(channel, HERE);
+        cut.apply(channel, SAME_SIDE);
         lasts.set(true);
         channel.writeInbound(bytes());
         assertNotNull(channel.readInbound());
     }
 
     @Test
-    void datagramsAcrossItAreLostAndOthersAreNot() {
+    void dropsOnlyDatagramsAcrossTheCut() {
         EmbeddedChannel channel = new EmbeddedChannel();
-        cut.over(channel);
+        cut.apply(channel);
         lasts.set(true);
-        channel.writeInbound(new DatagramPacket(bytes(), HERE, BEYOND));
-        channel.writeOutbound(new DatagramPacket(bytes(), BEYOND, HERE));
+        channel.writeInbound(new DatagramPacket(bytes(), SAME_SIDE, OTHER_SIDE));
+        channel.writeOutbound(new DatagramPacket(bytes(), OTHER_SIDE, SAME_SIDE));
         assertNull(channel.readInbound());
         assertNull(channel.readOutbound());
-        channel.writeInbound(new DatagramPacket(bytes(), BEYOND, HERE));
-        channel.writeOutbound(new DatagramPacket(bytes(), HERE, BEYOND));
+        channel.writeInbound(new DatagramPacket(bytes(), OTHER_SIDE, SAME_SIDE));
+        channel.writeOutbound(new DatagramPacket(bytes(), SAME_SIDE, OTHER_SIDE));
         DatagramPacket in = channel.readInbound();
-        assertEquals(HERE, in.sender());
+        assertEquals(SAME_SIDE, in.sender());
         assertNotNull(channel.readOutbound());
     }
 }
--- a/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
+++ b/src/test/java/sablehinge/common/settings/LocalSettingsTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The example of the deploy page, and files that are not like it. */
+/** Reads the example of the deploy page, and files that differ from it. */
 class LocalSettingsTest {
 
     private static final String EXAMPLE = resource("local.toml");
 
-    private static final List<String> SPOILT = List.of(
+    private static final List<String> CORRUPT_VALUES = List.of(
             "true",
             "-1",
             "1.5",
@@ -91,7 +91,7 @@
         }
     }
 
-    private String refused(String text) {
+    private String assertRejected(String text) {
         Path file = file(text);
         String message = assertThrows(ConfigException.class, () -> LocalSettings.read(file))
                 .getMessage();
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void theExampleAsItIs() throws ConfigException {
+    void readsExample() throws ConfigException {
         LocalSettings read = read(EXAMPLE);
         assertEquals(LocalSettings.Role.SIDECAR, read.role());
         assertEquals(
@@ -130,9 +130,9 @@
         assertEquals(1, read.tolerateMachines());
     }
 
-    /** The defaults are the example's figures. */
+    /** The defaults are the values of the example. */
     @Test
-    void boundsThatAreMissing() throws ConfigException {
+    void defaultsMissingBounds() throws ConfigException {
         String without = EXAMPLE.substring(0, EXAMPLE.indexOf("[bounds]"));
         assertEquals(read(EXAMPLE).bounds(), read(without).bounds());
         assertEquals(
@@ -163,18 +163,18 @@
                 "retryRatio = 0.2 | retryRatio = \"a\" | "
                         + "bounds.retryRatio: of type number was expected, found \"a\""
             })
-    void oneLineWithKeyAndWhatWasExpected(String from, String to, String message) {
+    void describesErrorInOneLine(String from, String to, String message) {
         assertTrue(EXAMPLE.contains(from));
-        assertEquals(message, refused(EXAMPLE.replace(from, to == null ? "" : to)));
+        assertEquals(message, assertRejected(EXAMPLE.replace(from, to == null ? "" : to)));
     }
 
     @Test
-    void whatIsNotKnownIsSkipped() throws ConfigException {
+    void ignoresUnknownKeys() throws ConfigException {
         assertEquals(read(EXAMPLE), read("more = [{a = 1}]\n" + EXAMPLE + "fuzz = 1979-05-27\n[other]\nx = 1\n"));
     }
 
     @Test
-    void whatIsOptional() throws ConfigException {
+    void acceptsMissingOptionalKeys() throws ConfigException {
         LocalSettings read = read("dataDir = \"/data\"\n"
                 + EXAMPLE.replaceAll("(?m)^(app|depot|inbound).*$", "").replace("sidecar", "control"));
         assertEquals("/data", read.dataDir());
@@ -185,53 +185,54 @@
     }
 
     @Test
-    void noFileAndNoToml() {
+    void describesMissingFileAndInvalidToml() {
         Path none = folder.resolve("none.toml");
         assertTrue(assertThrows(ConfigException.class, () -> LocalSettings.read(none))
                 .getMessage()
                 .endsWith("none.toml: a file that can be read was expected: NoSuchFileException"));
         assertThrows(ConfigException.class, () -> LocalSettings.read(folder));
         for (String text : new String[] {"node = \"a\"\nrole =\n", "node = 1\nnode = 2\n"}) {
-            String message = refused(text);
+            String message = assertRejected(text);
             assertTrue(message.startsWith("TOML was expected: line "), message);
         }
-        assertEquals("node: this key was expected, found none", refused(""));
+        assertEquals("node: this key was expected, found none", assertRejected(""));
         assertEquals(
                 "zones.a\\nb: a text that is not empty was expected, found \"\"",
-                refused(EXAMPLE.replace("[zones]", "[zones]\n\"a\\nb\" = \"\"")));
+                assertRejected(EXAMPLE.replace("[zones]", "[zones]\n\"a\\nb\" = \"\"")));
         assertEquals(
-                "limits.fds: is missing or not as expected", refused(EXAMPLE.replace("fds = 4100", "fds = 1e301")));
+                "limits.fds: is missing or not as expected",
+                assertRejected(EXAMPLE.replace("fds = 4100", "fds = 1e301")));
     }
 
     @Test
-    void cutShortAnywhere() {
+    void rejectsTruncatedFile() {
         for (int end = 0; end < EXAMPLE.indexOf("[bounds]"); end += 50) {
-            refused(EXAMPLE.substring(0, end));
+            assertRejected(EXAMPLE.substring(0, end));
         }
     }
 
-    /** The plain steps and the schema agree on each key that the schema has, missing and spoilt. */
+    /** The reader and the schema accept and reject the same files, with each key of the schema missing or corrupted. */
     @Test
-    void theStepsAskWhatTheSchemaAsks() throws IOException {
+    void readerAndSchemaAgreeOnEachKey() throws IOException {
         JsonNode schema = new JsonMapper().readTree(resource("local.schema.json"));
         assertEquals(17, schema.path("required").size());
-        int keys = agree(schema, "");
+        int keys = assertAgree(schema, "");
         assertEquals(52, keys);
     }
 
-    private int agree(JsonNode schema, String path) throws IOException {
+    private int assertAgree(JsonNode schema, String path) throws IOException {
         int keys = 0;
         for (Map.Entry<String, JsonNode> property : schema.path("properties").properties()) {
-            agree(path, property.getKey(), null);
-            for (String value : SPOILT) {
-                agree(path, property.getKey(), value);
+            assertAgree(path, property.getKey(), null);
+            for (String value : CORRUPT_VALUES) {
+                assertAgree(path, property.getKey(), value);
             }
-            keys += 1 + agree(property.getValue(), property.getKey());
+            keys += 1 + assertAgree(property.getValue(), property.getKey());
         }
         return keys;
     }
 
-    private void agree(String table, String key, String value) throws IOException {
+    private void assertAgree(String table, String key, String value) throws IOException {
         TomlMapper toml = new TomlMapper();
         ObjectNode root = (ObjectNode) toml.readTree(EXAMPLE);
         ObjectNode place = table.isEmpty() ? root : (ObjectNode) root.get(table);
--- a/src/test/java/sablehinge/dataplane/http1/CrowdTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/CrowdTest.java
@@ -12,15 +12,15 @@
 import sablehinge.testing.Script;
 import sablehinge.testing.Stage;
 
-/** The module's weights over sockets: where calls go while a server lets them gather. */
+/** The load balancer's weights over sockets: where calls are sent while a server accumulates unanswered ones. */
 @Timeout(120)
 class CrowdTest {
 
     private static final int CALLS = 100;
-    /** An aim so long that nothing is late or overdue while a test runs, on however slow a machine. */
+    /** A latency target so long that nothing is late or overdue while a test runs, on however slow a machine. */
     private static final String LONG_AIM = "\"aim\":60000.0";
 
-    /** Takes whatever comes to an upstream, says so and keeps it. */
+    /** Reads all requests to an upstream, reports each of them, and never answers. */
     private static void hold(Listener upstream, int number, LinkedBlockingQueue<Integer> taken) {
         daemon(() -> {
             while (true) {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aCrowdAtHomeSendsCallsToAnotherZoneBeforeTheyAreLate() throws Exception {
+    void sendsCallsToOtherZoneBeforeLocalServerIsOverloaded() throws Exception {
         LinkedBlockingQueue<Integer> taken = new LinkedBlockingQueue<>();
         try (Stage stage = new Stage(4)) {
             stage.atHome = 1;
@@ -65,14 +65,16 @@
                 stage.caller().write(Stage.spend("c" + i, "x"));
                 held[Script.next(taken)]++;
             }
-            // A fifth of the aim is expected at first, and five calls are no crowd: 25 would fill the aim.
-            assertTrue(held[0] <= 55, held[0] + " calls gather at home");
-            assertTrue(held[0] >= CALLS / 4, held[0] + " calls stay at home, where crossing costs");
+            // A fifth of the target latency is expected at first, and five calls are no overload; 25 would use up the
+            // target.
+            assertTrue(held[0] <= 55, held[0] + " calls were sent to the local zone");
+            assertTrue(
+                    held[0] >= CALLS / 4, held[0] + " calls stayed in the local zone, although crossing zones costs");
         }
     }
 
     @Test
-    void aServerAtHomeThatFailsAtOnceIsNotTakenForAFreeOne() throws Exception {
+    void doesNotPreferLocalServerThatFailsImmediately() throws Exception {
         LinkedBlockingQueue<Integer> taken = new LinkedBlockingQueue<>();
         try (Stage stage = new Stage(6)) {
             stage.atHome = 1;
@@ -98,11 +100,11 @@
                 caller.write(Stage.spend("f" + i, "x"));
                 if (Script.next(taken) == 0) {
                     lost++;
-                    // Reported to the module by now, as the caller has its answer.
+                    // The load balancer was notified of the failure before the client got its response.
                     caller.read();
                 }
             }
-            assertTrue(lost <= CALLS / 10, lost + " calls were lost at the sick server");
+            assertTrue(lost <= CALLS / 10, lost + " calls were lost at the failing server");
         }
     }
 }
--- a/src/test/java/sablehinge/dataplane/http1/FrontendTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/FrontendTest.java
@@ -16,14 +16,14 @@
 import sablehinge.testing.Script;
 import sablehinge.testing.Stage;
 
-/** What callers see: every request has one answer, whatever they or the module get wrong. */
+/** The responses to clients: every request is answered once, whatever errors the client or the load balancer make. */
 @Timeout(60)
 class FrontendTest {
 
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 
     @Test
-    void itIsHealthyOnceItListens() throws Exception {
+    void answersHealthCheckOnceItListens() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(HEALTH);
@@ -70,7 +70,7 @@
                         + "Content-Length: 60\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
                         + "POST /credit-spend HTTP/1.1\r\nX-Txn: 2\r\n"
             })
-    void aMalformedRequestIsTheCallersFault(String request) throws Exception {
+    void rejectsMalformedRequestAndClosesConnection(String request) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(request);
@@ -78,13 +78,13 @@
             assertEquals(400, answer.status());
             assertEquals("close", answer.header("Connection"));
             assertTrue(caller.ended());
-            // The first that the upstream sees is the next caller's request.
+            // The first request that the upstream receives is that of the next client.
             stage.servesStill();
         }
     }
 
     @Test
-    void whatFollowsARequestIsToldAfterItsAnswer() throws Exception {
+    void answersErrorOfPipelinedRequestAfterPrecedingResponse() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "10") + "POST /credit-spend HTTP/1.1\r\nExpect: 100-continue\r\n"
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aBodyIsAskedForWhereItsCallerWaitsForThat() throws Exception {
+    void sendsContinueWhenClientExpectsIt() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             String request = Stage.spend("1", "body").replace("Host:", "Expect: 100-continue\r\nHost:");
@@ -116,17 +116,17 @@
     }
 
     @Test
-    void aCrowdOfRequestsSentAheadHasOneErrorAndTheFirstIsGivenUp() throws Exception {
+    void rejectsTooManyPipelinedRequestsAndCancelsTheFirst() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.spend("first", "x"));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
-            StringBuilder crowd = new StringBuilder();
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < 300; i++) {
-                crowd.append(Stage.get("r" + i, "10"));
+                requests.append(Stage.get("r" + i, "10"));
             }
-            caller.write(crowd.toString());
+            caller.write(requests.toString());
             assertEquals(400, caller.read().status());
             assertTrue(caller.ended());
             assertEquals(1, Script.next(stage.script.gone));
@@ -135,27 +135,27 @@
         }
     }
 
-    /** How much later than it was to a front stops to admit, ms. */
+    /** How much later than planned the frontend stops admitting requests, ms. */
     private static final double LATE_MS = 400;
 
-    /** The process is about to end: what began to come by now is taken for so many ms more. */
+    /** Stops admitting requests; one whose first byte has been received by now may still start for the given ms. */
     private static void stopAdmitting(Stage stage, double startMs) throws Exception {
         stage.node.onLoop((frontend, upstreams) -> {
             double now = stage.node.now();
-            // The front stops later than it was to: what it reads only now came before it stopped.
+            // The frontend stops later than planned: what it reads only now was received before it stopped.
             frontend.stopAdmitting(new ShutdownDeadlines(now - LATE_MS, now + startMs, now + startMs + 10_000));
             return null;
         });
     }
 
-    /** So many requests have been read since the front began to drain. */
+    /** Waits until the given number of requests were read since the drain began. */
     private static void awaitLate(Stage stage, int count) throws Exception {
         while (stage.node.onLoop((frontend, upstreams) -> frontend.lateRequests()) < count) {
             Thread.onSpinWait();
         }
     }
 
-    /** A request of which a part has been read. */
+    /** Opens a connection with a partly received request. */
     private static Peer halfRead(Stage stage) throws Exception {
         Peer caller = stage.caller();
         caller.write("POST /credit-spend HTTP/1.1\r\n");
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void whenARequestBeganToComeBeforeTheStopThenItIsTheLastThatIsServed() throws Exception {
+    void servesRequestBegunBeforeShutdownAsTheLast() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = halfRead(stage);
             stopAdmitting(stage, 60_000);
@@ -185,9 +185,12 @@
         }
     }
 
-    /** What one segment brings behind the end of a request began to come with that segment, not with that request. */
+    /**
+     * The first byte of a request that shares a segment with the end of another was received with that segment, and not
+     * with the first byte of the other request.
+     */
     @Test
-    void whenARequestComesInOneSegmentWithTheEndOfAnotherThenItsFirstByteIsItsOwn() throws Exception {
+    void timesFirstByteOfRequestThatSharesASegmentWithItsPredecessor() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = halfRead(stage);
             stopAdmitting(stage, 60_000);
@@ -203,7 +206,7 @@
     }
 
     @Test
-    void whenTheRestOfARequestComesTooLateThenItIsRefusedAsNotRun() throws Exception {
+    void refusesRequestCompletedAfterShutdownDeadline() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = halfRead(stage);
             stopAdmitting(stage, 0);
@@ -218,7 +221,7 @@
     }
 
     @Test
-    void whenAnAnswerIsComingThenItIsNotWrittenOutAndACallerThatStaysChangesNothing() throws Exception {
+    void isWrittenOutOnlyAfterRelayedResponseAndDespiteOpenConnections() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "10"));
@@ -244,7 +247,7 @@
     }
 
     @Test
-    void whenAHeadComesTooLateThenItsBodyNeedNotCome() throws Exception {
+    void refusesLateRequestBeforeItsBodyArrives() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "10"));
@@ -260,16 +263,16 @@
         }
     }
 
-    /** Lets so much time pass for callers, as far as their time-outs go. */
-    private static void later(Stage stage, double millis) throws Exception {
+    /** Advances the time for the timeouts of connections. */
+    private static void advanceTime(Stage stage, double millis) throws Exception {
         stage.node.onLoop((frontend, upstreams) -> {
             frontend.sweep(stage.node.now() + millis);
             return null;
         });
     }
 
-    /** Returns once the node has taken in what callers sent before. */
-    private static void takenIn(Stage stage) throws Exception {
+    /** Returns once the node has handled what clients sent before. */
+    private static void awaitInputHandled(Stage stage) throws Exception {
         Peer other = stage.caller();
         other.write(HEALTH);
         other.read();
@@ -277,15 +280,15 @@
     }
 
     @Test
-    void aSilentCallerIsClosedAndOneWithHalfARequestToldWhy() throws Exception {
+    void closesSilentClientAndAnswersPartialRequestWithTimeout() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer unresponsive = stage.caller();
             Peer[] slow = {stage.caller(), stage.caller(), stage.caller()};
             slow[0].write("GET /look-up HT");
             slow[1].write("GET /look-up HTTP/1.1\r\n");
             slow[2].write("POST /credit-spend HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf");
-            takenIn(stage);
-            later(stage, 3_000);
+            awaitInputHandled(stage);
+            advanceTime(stage, 3_000);
             assertTrue(unresponsive.ended());
             for (Peer caller : slow) {
                 assertEquals(408, caller.read().status());
@@ -296,7 +299,7 @@
     }
 
     @Test
-    void anIdleCallerIsClosedAndOneWhoseRequestIsAtWorkIsNot() throws Exception {
+    void closesIdleConnectionButNotOneWithRequestInProgress() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer idle = stage.caller();
             idle.write(HEALTH);
@@ -304,9 +307,9 @@
             Peer busy = stage.caller();
             busy.write(HEALTH);
             busy.read();
-            // It lies in the kernel or is at work; either way it must not be lost.
+            // The request is in the kernel's buffer or in progress; either way it must not be lost.
             busy.write(Stage.get("1", "10"));
-            later(stage, 9_000);
+            advanceTime(stage, 9_000);
             assertTrue(idle.ended());
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
@@ -316,12 +319,12 @@
     }
 
     @Test
-    void aCrowdDoesNotWaitWhileOthersOnlyRest() throws Exception {
+    void evictsIdleConnectionsForNewClients() throws Exception {
         try (Stage stage = new Stage()) {
             stage.sockets = 64 + 20;
             stage.start();
             for (int i = 0; i < 200; i++) {
-                // Each keeps its connection for good, as far as it is requested.
+                // Each client keeps its connection open, as far as it can.
                 Peer caller = stage.caller();
                 caller.write(HEALTH);
                 assertEquals(200, caller.read().status());
@@ -330,31 +333,31 @@
     }
 
     @Test
-    void aCrowdIsNotLetInBeyondTheDescriptorsWhenSomeOfItLeave() throws Exception {
+    void acceptsNoClientsBeyondDescriptorLimitWhenOthersLeave() throws Exception {
         try (Stage stage = new Stage()) {
             stage.sockets = 64 + 5;
             stage.start();
             java.util.concurrent.atomic.AtomicInteger taken = new java.util.concurrent.atomic.AtomicInteger();
             stage.script.onRequest = request -> taken.incrementAndGet();
-            Peer[] crowd = new Peer[80];
-            for (int i = 0; i < crowd.length; i++) {
-                crowd[i] = stage.caller();
-                crowd[i].write(Stage.get("r" + i, "20"));
+            Peer[] clients = new Peer[80];
+            for (int i = 0; i < clients.length; i++) {
+                clients[i] = stage.caller();
+                clients[i].write(Stage.get("r" + i, "20"));
             }
             for (int i = 0; i < 10; i++) {
-                later(stage, 0);
+                advanceTime(stage, 0);
             }
             int before = taken.get();
             assertTrue(before >= 5 && before <= 5 + 16, before + " let in");
-            // As long as too many are there, nobody takes the place of one that leaves.
+            // While there are too many connections, no client is accepted in place of one that leaves.
             for (int i = 0; i < before - 5; i++) {
-                crowd[i].close();
+                clients[i].close();
                 Script.next(stage.script.gone);
-                later(stage, 0);
-                later(stage, 0);
+                advanceTime(stage, 0);
+                advanceTime(stage, 0);
             }
             assertEquals(before, taken.get());
-            crowd[before - 1].close();
+            clients[before - 1].close();
             Script.next(stage.script.gone);
             while (taken.get() == before) {
                 Thread.onSpinWait();
@@ -363,7 +366,7 @@
     }
 
     @Test
-    void anIdThatIsAtWorkIsTheNewcomersFault() throws Exception {
+    void rejectsRequestWhoseIdIsInProgress() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer first = stage.caller();
             first.write(Stage.spend("same", "x"));
@@ -375,14 +378,14 @@
             assertTrue(second.ended());
             upstream.write(Stage.ok("first"));
             assertEquals("first", first.read().body());
-            // It is free again.
+            // The id can be used again.
             first.write(Stage.get("same", "10"));
             assertEquals("same", upstream.read().header("X-Txn"));
         }
     }
 
     @Test
-    void aClientThatLeftMaySendItsRequestAgain() throws Exception {
+    void acceptsRetryAfterClientClosedItsConnection() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer first = stage.caller();
             first.write(Stage.get("same", "10"));
@@ -398,7 +401,7 @@
     }
 
     @Test
-    void aBodyOverTheLimitIsTurnedDown() throws Exception {
+    void rejectsBodyOverTheLimit() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write("POST /credit-spend HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: credit-spend\r\n"
@@ -410,11 +413,11 @@
     }
 
     @Test
-    void aCallerThatStillSendsHasItsAnswerAllTheSame() throws Exception {
+    void clientThatStillSendsReceivesItsResponse() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write("no request at all\r\n\r\n");
-            // The answer may be out before the rest comes in; it must not be lost to a reset.
+            // The response may be written before the rest is received; it must not be lost to a reset.
             caller.write("x".repeat(200_000));
             assertEquals(400, caller.read().status());
             caller.socket.shutdownOutput();
@@ -423,7 +426,7 @@
     }
 
     @Test
-    void headersOverTheLimitAreTurnedDown() throws Exception {
+    void rejectsHeadersOverTheLimit() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write("GET /look-up HTTP/1.1\r\nX-Labels: " + "x".repeat(20_000) + "\r\n\r\n");
@@ -434,7 +437,7 @@
     }
 
     @Test
-    void aRefusalSaysWhenToComeBackAndAFailureIsNoRefusal() throws Exception {
+    void sendsRetryAfterForRefusalAndBadGatewayForFailure() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.script.onRequest = request -> stage.script.actions.refuse(request.id(), 250);
             Peer caller = stage.caller();
@@ -452,7 +455,7 @@
     }
 
     @Test
-    void anAnswerIsGivenOnceOnly() throws Exception {
+    void answersRequestOnlyOnce() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.script.onRequest = request -> {
                 stage.script.actions.fail(request.id());
@@ -468,14 +471,14 @@
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "10") + Stage.get("2", "10") + HEALTH);
             Peer upstream = stage.upstreams.get(0).accept();
             assertEquals("1", upstream.read().header("X-Txn"));
             upstream.write(Stage.ok("first"));
-            // The first answer frees its connection only after the next request has looked for one.
+            // The first response releases its connection only after the next request has looked for one.
             assertEquals("first", caller.read().body());
             Peer second = stage.upstreams.get(0).accept();
             assertEquals("2", second.read().header("X-Txn"));
@@ -486,7 +489,7 @@
     }
 
     @Test
-    void aCallerThatLeavesIsGoneOnceAndLaterOutcomesAreDropped() throws Exception {
+    void reportsClientGoneOnceAndDropsLaterOutcomes() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
@@ -506,7 +509,7 @@
 
     @ParameterizedTest
     @CsvSource({"request", "outcome", "timer"})
-    void anExceptionInTheModuleFailsThatRequestOnly(String where) throws Exception {
+    void exceptionInLoadBalancerFailsOnlyItsRequest(String where) throws Exception {
         try (Stage stage = new Stage().start()) {
             Script script = stage.script;
             Runnable broken = () -> {
@@ -536,7 +539,7 @@
     }
 
     @Test
-    void aRequestThatTheModuleForgetsFailsSoonAfterItsDeadline() throws Exception {
+    void requestForgottenByLoadBalancerFailsAfterItsDeadline() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.script.onRequest = request -> {};
             Peer caller = stage.caller();
@@ -547,14 +550,14 @@
     }
 
     @Test
-    void anEventThatAnActionCausesWaitsForTheModulesCallToReturn() throws Exception {
+    void deliversEventCausedByActionAfterLoadBalancerReturns() throws Exception {
         try (Stage stage = new Stage().start()) {
             boolean[] inside = new boolean[1];
             boolean[] nested = new boolean[1];
             stage.script.onOutcome = outcome -> nested[0] |= inside[0];
             stage.script.onRequest = request -> {
                 inside[0] = true;
-                // No such upstream: the attempt has ended before the action returns.
+                // There is no such upstream: the attempt has ended before the action returns.
                 stage.script.actions.send(request.id(), 12_345, 0);
                 inside[0] = false;
             };
@@ -566,7 +569,7 @@
     }
 
     @Test
-    void anAttemptOverTheLimitIsNotSent() throws Exception {
+    void sendsNoAttemptOverTheLimit() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.upstreams.get(0).close();
             stage.script.onOpen = (actions, outcome) -> {
--- a/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/RelayedPayloadTest.java
@@ -19,7 +19,7 @@
 import sablehinge.testing.Script;
 import sablehinge.testing.Stage;
 
-/** Bodies and answers that are longer than what is kept: they pass through as they come, once. */
+/** Request and response bodies that are too long to be buffered: they are relayed once, while they are received. */
 @Timeout(60)
 class RelayedPayloadTest {
 
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aLongAnswerIsPassedOnAsItComes(boolean inChunks) throws Exception {
+    void relaysLongResponseWhileItIsReceived(boolean inChunks) throws Exception {
         byte[] body = bytes(LONG);
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
@@ -83,7 +83,7 @@
                             ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(first) + "\r\n"
                             : "Content-Length: " + LONG + "\r\n\r\n"));
             upstream.socket.getOutputStream().write(body, 0, first);
-            // Served, and timed, before the rest is there.
+            // The outcome and its latency are reported before the rest is received.
             InputStream in = caller.socket.getInputStream();
             assertTrue(head(in).startsWith("HTTP/1.1 200 OK"));
             assertEquals(Result.OK, stage.script.result());
@@ -95,7 +95,7 @@
                 upstream.write("\r\n0\r\n\r\n");
             }
             assertArrayEquals(body, inChunks ? chunked(in) : in.readNBytes(LONG));
-            // Both connections go on.
+            // Both connections can be used again.
             caller.write(Stage.get("2", "10"));
             assertEquals("2", upstream.read().header("X-Txn"));
             upstream.write(Stage.ok("next"));
@@ -103,9 +103,12 @@
         }
     }
 
-    /** What its body takes is no latency, so the module is notified when it begins; not of one that is complete. */
+    /**
+     * The time for the body is not latency, so the load balancer is notified when a response begins, but not of one
+     * that is received completely at once.
+     */
     @Test
-    void anAnswerThatTricklesInIsToldWhenItBegins() throws Exception {
+    void reportsStartOfSlowResponseButNotOfCompleteOne() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "10"));
@@ -126,9 +129,9 @@
         }
     }
 
-    /** An answer that has begun outlasts its attempt's time-out: giving it up early can't be quicker. */
+    /** A response that has begun may take longer than its attempt's timeout: aborting it early can't make it faster. */
     @Test
-    void anAnswerThatHasBegunHasItsRequestsWholeTime() throws Exception {
+    void responseThatHasBegunOutlastsAttemptTimeout() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.script.onRequest = request -> stage.script.sendTo(0, request, 150);
             Peer caller = stage.caller();
@@ -139,7 +142,8 @@
             while (stage.script.begun.isEmpty()) {
                 Thread.onSpinWait();
             }
-            // Sent later with the same time-out, and never answered: its end comes after that of the first.
+            // This attempt is sent later with the same timeout and never answered; it ends after the first one would
+            // time out.
             Peer other = stage.caller();
             other.write(Stage.get("2", "10"));
             assertEquals(Result.TIMEOUT, stage.script.result());
@@ -148,10 +152,10 @@
         }
     }
 
-    /** Nothing of it may look complete. */
+    /** A truncated response must not appear complete. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"})
-    void aLongAnswerThatBreaksOffEndsTheCallersConnection(String framing) throws Exception {
+    void closesClientConnectionWhenRelayedResponseIsTruncated(String framing) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "10"));
@@ -174,9 +178,9 @@
         }
     }
 
-    /** 24 MB for a caller that reads nothing at first: no more of it is held than a part. */
+    /** A response of 24 MB to a client that reads nothing at first: only a part of it is buffered. */
     @Test
-    void whatIsNotReadIsNotAskedFor() throws Exception {
+    void readsNoFasterThanClient() throws Exception {
         byte[] body = bytes(24_000_000);
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
@@ -188,7 +192,7 @@
                     upstream.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
                     upstream.socket.getOutputStream().write(body);
                 } catch (IOException e) {
-                    // The caller finds it missing.
+                    // The client notices that the rest is missing.
                 }
             });
             writer.start();
@@ -207,7 +211,7 @@
     }
 
     @Test
-    void anAnswerThatSaysSoEndsWithItsConnection() throws Exception {
+    void relaysResponseDelimitedByConnectionEnd() throws Exception {
         for (int length : new int[] {10, 200_000}) {
             for (boolean abruptly : new boolean[] {false, true}) {
                 try (Stage stage = new Stage().start()) {
@@ -219,7 +223,7 @@
                     upstream.socket.getOutputStream().write(bytes(length));
                     InputStream in = caller.socket.getInputStream();
                     if (length > 10) {
-                        // It passes through, so that only its end can tell.
+                        // The body is relayed, so that only its end shows whether it is complete.
                         head(in);
                     }
                     if (abruptly) {
@@ -245,7 +249,7 @@
     }
 
     @Test
-    void aLongBodyGoesOnAsItComes() throws Exception {
+    void relaysLongRequestBodyWhileItIsReceived() throws Exception {
         byte[] body = bytes(LONG);
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
@@ -269,7 +273,7 @@
     }
 
     @Test
-    void whoLeavesInTheMiddleOfABodyLeavesNoRequestBehind() throws Exception {
+    void abortsUpstreamRequestWhenClientLeavesDuringBody() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(post("1", LONG));
@@ -283,16 +287,19 @@
             try {
                 got = upstream.socket.getInputStream().readAllBytes().length;
             } catch (IOException e) {
-                // A reset tells as much.
+                // A reset shows the same.
             }
             assertTrue(got < LONG);
             stage.servesStill();
         }
     }
 
-    /** Answered at once, though its body is still coming; what comes of that is dropped, and all goes on. */
+    /**
+     * A request is answered while its body is still being received; the rest of the body is dropped, and both
+     * connections can be used again.
+     */
     @Test
-    void anAnswerInTheMiddleOfABodyIsPassedOnAtOnce() throws Exception {
+    void forwardsResponseReceivedDuringBody() throws Exception {
         byte[] body = bytes(LONG);
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
@@ -315,9 +322,9 @@
         }
     }
 
-    /** Of 256 KiB at most it is kept, of one more it is not. */
+    /** A body of up to 256 KiB is buffered, one of a byte more is not. */
     @Test
-    void aBodyThatIsKeptCanBeSentAgainAndOneThatPassedThroughCannot() throws Exception {
+    void retriesBufferedBodyButNotRelayedOne() throws Exception {
         int kept = 256 * 1024;
         for (int extra = 0; extra < 2; extra++) {
             byte[] body = bytes(kept + extra);
@@ -355,9 +362,9 @@
         }
     }
 
-    /** A body that stands still, with time handed in: its caller has an error, its upstream no request. */
+    /** A body that stalls, with simulated time: the client gets an error, and the upstream no complete request. */
     @Test
-    void aBodyThatStandsStillIsAnError() throws Exception {
+    void answersStalledBodyWithTimeout() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(post("1", LONG));
@@ -367,7 +374,7 @@
             head(in);
             in.readNBytes(400_000);
             stage.node.onLoop((frontend, upstreams) -> {
-                // 400 kB count as ten seconds.
+                // 400 kB extend the timeout by ten seconds.
                 frontend.sweep(stage.node.now() + 9_000);
                 return null;
             });
@@ -382,9 +389,12 @@
         }
     }
 
-    /** The same where an answer has begun: what a 408 promises is not known then. */
+    /**
+     * The same after a response has begun: status 408 would promise that the request did not run, which is not known
+     * then.
+     */
     @Test
-    void aBodyThatStandsStillWhileItsAnswerBeginsIsNotSaidNotToHaveRun() throws Exception {
+    void stalledBodyWithBegunResponseIsNotReportedAsNotRun() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(post("1", LONG));
@@ -394,7 +404,7 @@
             head(in);
             in.readNBytes(400_000);
             upstream.write("HTTP/1.1 200 OK\r\n");
-            // What came before is read before this is answered.
+            // Earlier input is read before this is answered.
             Peer other = stage.caller();
             other.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
             assertEquals(200, other.read().status());
@@ -407,9 +417,9 @@
         }
     }
 
-    /** What breaks the framing of a body breaks its request off, which would else wait for the rest. */
+    /** An error in the framing of a body aborts its request, which would otherwise wait for the rest. */
     @Test
-    void aBodyThatGoesOnAsNoneIsAnErrorAtOnce() throws Exception {
+    void rejectsMalformedChunkOfRelayedBody() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(post("1", 0).replace("Content-Length: 0", "Transfer-Encoding: chunked"));
--- a/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
+++ b/src/test/java/sablehinge/dataplane/http1/UpstreamClientTest.java
@@ -22,12 +22,12 @@
 import sablehinge.testing.Script;
 import sablehinge.testing.Stage;
 
-/** How attempts go out, and how each way in which they end is reported to the module. */
+/** How attempts are sent, and how each kind of end is reported to the load balancer. */
 @Timeout(60)
 class UpstreamClientTest {
 
     @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
+    void forwardsRequestAndResponseUnchanged() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write("POST /tile-order/a?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\n"
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void anUpstreamIsToldNoMoreThanTheAttemptsOwnTimeout() throws Exception {
+    void sendsAttemptTimeoutAsRemainingTime() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.script.onRequest = request -> stage.script.sendTo(0, request, 3_000);
             stage.caller().write(Stage.get("1", "9"));
@@ -61,7 +61,7 @@
 
     @ParameterizedTest
     @CsvSource({"500,,ERROR", "503,1,FULL", "504,1,FULL", "503,,ERROR", "404,,ERROR", "500,1,ERROR"})
-    void anAnswersStatusTellsItsOutcome(int status, String rejected, Result expected) throws Exception {
+    void mapsResponseStatusToOutcome(int status, String rejected, Result expected) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void refusedConnectionIsReportedAsNeverRun() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.upstreams.get(0).close();
             Peer caller = stage.caller();
@@ -92,10 +92,10 @@
                 "HTTP/1.1 200 OK\r\nContent-Le",
                 "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-                // Delimited by the end of the connection only: a crash would look the same.
+                // The response is delimited by the end of the connection only, which a crash would look like.
                 "HTTP/1.1 200 OK\r\n\r\nhalf"
             })
-    void aConnectionThatEndsBeforeTheWholeAnswerIsAReset(String part) throws Exception {
+    void connectionEndBeforeCompleteResponseIsReportedAsReset(String part) throws Exception {
         for (boolean abruptly : new boolean[] {false, true}) {
             try (Stage stage = new Stage().start()) {
                 Peer caller = stage.caller();
@@ -117,9 +117,9 @@
     }
 
     @Test
-    void aRequestNotWrittenWholeNeverRan() throws Exception {
+    void partlyWrittenRequestIsReportedAsNeverRun() throws Exception {
         try (Stage stage = new Stage()) {
-            // Large bodies that nobody reads fill the buffers between; the last one can't be written.
+            // Large bodies that are not read fill the buffers on the way; the last one can't be written.
             stage.upstreams.set(0, new Listener(1_024));
             stage.start();
             stage.node.onLoop((frontend, upstreams) -> {
@@ -143,7 +143,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
             })
-    void aMalformedAnswerIsAnError(String answer) throws Exception {
+    void malformedResponseIsReportedAsError(String answer) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
@@ -169,18 +169,18 @@
                 "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab",
                 "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nab",
                 "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more",
-                // These would go on for ever, or never do.
+                // These responses would never end or never begin.
                 "HTTP/1.1 200 OK\r\nContent-Le",
                 "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
                 "HTTP/1.1 200 OK\r\n\r\nhalf"
             })
-    void aSpoiltAnswerIsAFailureThatMayHaveRunAndEndsItsConnection(String answer) throws Exception {
+    void corruptResponseIsReportedAsMaybeRunAndClosesConnection(String answer) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
-            // The upstream leaves the connection open; without care the request would wait for its end.
+            // The upstream keeps the connection open; without the check the request would wait for its end.
             upstream.write(answer);
             assertEquals(Result.ERROR, stage.script.result());
             assertEquals(502, caller.read().status());
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void endlessHeadsAndInterimAnswersAreCutOff() throws Exception {
+    void abortsEndlessHeadsAndInterimResponses() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             for (String endless : new String[] {"HTTP/1.1 100 Continue\r\n\r\n", "X-More: of the same\r\n"}) {
@@ -201,7 +201,7 @@
                     upstream.write("HTTP/1.1 100 Continue\r\n" + (endless.startsWith("X") ? "" : "\r\n")
                             + endless.repeat(1_000));
                 } catch (IOException e) {
-                    // Cut off in the middle is soon enough.
+                    // It is enough if the connection is closed while the response is being written.
                 }
                 assertEquals(Result.ERROR, stage.script.result());
                 assertEquals(502, caller.read().status());
@@ -210,14 +210,14 @@
     }
 
     @Test
-    void interimAnswersAheadOfOneAreSkipped() throws Exception {
+    void skipsInterimResponses() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "10"));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
             upstream.write("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + "Link: x\r\n\r\nHTTP/1");
-            takenIn(stage);
+            awaitInputHandled(stage);
             upstream.write(Stage.ok("served").substring(6));
             assertEquals("served", caller.read().body());
         }
@@ -231,7 +231,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy",
                 "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nco"
             })
-    void whatFollowsAnAnswerIsNotTakenForTheNext(String more) throws Exception {
+    void doesNotTakeSurplusBytesForNextResponse(String more) throws Exception {
         for (boolean later : new boolean[] {false, true}) {
             try (Stage stage = new Stage().start()) {
                 Peer caller = stage.caller();
@@ -253,15 +253,15 @@
         }
     }
 
-    /** Returns once the node has read what came before. */
-    private static void takenIn(Stage stage) throws Exception {
+    /** Returns once the node has read what was sent before. */
+    private static void awaitInputHandled(Stage stage) throws Exception {
         Peer other = stage.caller();
         other.write("GET /_health HTTP/1.1\r\n\r\n");
         other.read();
     }
 
     @Test
-    void onlyWhatTheProtocolNamesGoesOn() throws Exception {
+    void forwardsOnlyHeadersOfTheProtocol() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.caller()
                     .write(Stage.get("1", "10")
@@ -277,7 +277,7 @@
     }
 
     @Test
-    void aShortageOfDescriptorsHereIsNotHeldAgainstAnUpstream() throws Exception {
+    void descriptorShortageIsNotReportedAsUpstreamFailure() throws Exception {
         try (Stage stage = new Stage()) {
             stage.sockets = 64 + 5;
             stage.start();
@@ -285,7 +285,7 @@
             for (int i = 0; i < 4; i++) {
                 stage.caller().write(Stage.get("r" + i, "20"));
             }
-            takenIn(stage);
+            awaitInputHandled(stage);
             stage.script.onRequest = request -> stage.script.sendTo(0, request, 0);
             Peer caller = stage.caller();
             caller.write(Stage.get("more", "20"));
@@ -295,27 +295,27 @@
     }
 
     @Test
-    void anUpstreamThatDrainedAndLeftIsForgotten() throws Exception {
+    void forgetsUpstreamThatDrainedAndLeft() throws Exception {
         try (Stage stage = new Stage()) {
             stage.script.onStart = () -> stage.script.actions.watch(true);
             stage.start();
-            Peer watch = tell(stage, Stage.entry(9, "127.0.0.1:9", "up"));
+            Peer watch = sendRoster(stage, Stage.entry(9, "127.0.0.1:9", "up"));
             String[] states = {"draining", "removed"};
             for (int i = 0; i < states.length; i++) {
                 watch.read();
                 watch.write(Stage.ok(Stage.roster(43 + i, false, Stage.entry(9, "127.0.0.1:9", states[i]))));
                 assertEquals(Change.DELTA, Script.next(stage.script.changes));
             }
-            int remembered = stage.node.onLoop((frontend, upstreams) -> {
+            int targetCount = stage.node.onLoop((frontend, upstreams) -> {
                 upstreams.sweep(stage.node.now() + 60_000);
                 return upstreams.targetCount();
             });
-            assertEquals(0, remembered);
+            assertEquals(0, targetCount);
         }
     }
 
     @Test
-    void aReportOutOfRangeIsNone() {
+    void ignoresLoadReportOutOfRange() {
         List<String> fields = List.of("queue");
         for (String text : new String[] {"TEXT queue=-1", "queue=1e99", "queue=NaN", "queue=", "queue", ""}) {
             assertEquals(null, LoadReport.parse(text, fields));
@@ -324,7 +324,7 @@
     }
 
     @Test
-    void callersThatRestGiveWayToACallOfAnother() throws Exception {
+    void evictsIdleClientsForUpstreamConnection() throws Exception {
         try (Stage stage = new Stage()) {
             stage.sockets = 64 + 5;
             stage.start();
@@ -340,7 +340,7 @@
     }
 
     @Test
-    void anAnswerThatIsSaidToBeOverTheLimitIsAnErrorAndOneAtItIsNot() throws Exception {
+    void rejectsResponseAnnouncedOverTheLimit() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             for (int extra = 1; extra >= 0; extra--) {
@@ -359,7 +359,7 @@
     }
 
     @Test
-    void aSilentUpstreamTimesOutAndItsConnectionIsClosed() throws Exception {
+    void timesOutSilentUpstreamAndClosesConnection() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.script.onRequest = request -> stage.script.sendTo(0, request, 100);
             Peer caller = stage.caller();
@@ -373,9 +373,9 @@
     }
 
     @Test
-    void aCancelledAttemptClosesItsConnection() throws Exception {
+    void closesConnectionOfCancelledAttempt() throws Exception {
         try (Stage stage = new Stage(2).start()) {
-            // A second copy: the first answer wins, the other is called off.
+            // The second attempt is a copy: the first response wins, and the other attempt is cancelled.
             stage.script.onRequest = request -> {
                 stage.script.sendTo(0, request, 0);
                 stage.script.sendTo(1, request, 0);
@@ -396,7 +396,7 @@
     }
 
     @Test
-    void aConnectionIsUsedAgainWhileItIsAlive() throws Exception {
+    void reusesLiveConnection() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             Peer upstream = null;
@@ -412,7 +412,7 @@
     }
 
     @Test
-    void whatMustNotBeSentAgainGetsNoConnectionThatMayHaveDiedAtRest() throws Exception {
+    void sendsUnsafeRequestOnNewConnectionAfterIdleTime() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.node.onLoop((frontend, upstreams) -> {
                 upstreams.setMaxIdleForUnsafe(0);
@@ -427,7 +427,7 @@
             caller.write(Stage.spend("s2", "x"));
             Peer second = stage.upstreams.get(0).accept();
             assertEquals("s2", second.read().header("X-Txn"));
-            // The new one takes the place of the old one, so that idle connections don't pile up.
+            // The new connection replaces the old one, so that idle connections don't accumulate.
             assertTrue(first.ended());
             second.write(Stage.ok("b"));
             assertEquals("b", caller.read().body());
@@ -439,7 +439,7 @@
     }
 
     @Test
-    void aBreakAtOnceAfterARestShortensTheRestThatIsTrusted() throws Exception {
+    void immediateResetShortensTrustedIdleTime() throws Exception {
         Freshness freshness = new Freshness(20_000, 50);
         assertTrue(freshness.mayUse(19_000, true));
         assertTrue(freshness.mayUse(50, false));
@@ -447,7 +447,8 @@
         freshness.onReset(400);
         assertTrue(freshness.mayUse(200, true));
         assertFalse(freshness.mayUse(201, true));
-        // A break after a longer rest tells nothing new, one after the shortest does not end all trust.
+        // A break after a longer idle time is no new evidence, and one after the shortest does not reduce the limit to
+        // nothing.
         freshness.onReset(600);
         assertFalse(freshness.mayUse(201, true));
         freshness.onReset(1);
@@ -461,7 +462,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aPooledConnectionThatItsUpstreamClosedIsNotUsed(boolean abruptly) throws Exception {
+    void doesNotUsePooledConnectionClosedByUpstream(boolean abruptly) throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.get("1", "10"));
@@ -485,13 +486,13 @@
     }
 
     @Test
-    void aConnectionThatNeverComesUpNeverRan() throws Exception {
+    void connectTimeoutIsReportedAsNeverRun() throws Exception {
         try (Stage stage = new Stage();
                 Backlog full = new Backlog()) {
             stage.connectTimeout = 200;
             stage.script.onStart = () -> stage.script.actions.watch(true);
             stage.start();
-            tell(stage, Stage.entry(9, full.address(), "up"));
+            sendRoster(stage, Stage.entry(9, full.address(), "up"));
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
             assertEquals(Result.CONNECT_FAILED, stage.script.result());
@@ -500,16 +501,16 @@
     }
 
     @Test
-    void whenTheProcessIsAboutToEndThenNothingIsWrittenToAConnectionThatComesUpLate() throws Exception {
+    void writesNothingToLateConnectionDuringShutdown() throws Exception {
         try (Stage stage = new Stage();
                 Backlog full = new Backlog()) {
             stage.connectTimeout = 15_000;
             stage.script.onStart = () -> stage.script.actions.watch(true);
             stage.start();
-            tell(stage, Stage.entry(9, full.address(), "up"));
+            sendRoster(stage, Stage.entry(9, full.address(), "up"));
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
-            // The node has the request once it has answered what came after it on its one thread.
+            // The node runs on one thread: it has handled the request once it has answered a later one.
             Peer other = stage.caller();
             other.write("GET /_health HTTP/1.1\r\n\r\n");
             other.read();
@@ -527,24 +528,24 @@
     }
 
     @Test
-    void anAttemptThatWaitsToConnectDoesNotBeginAfterTheGraceOfADrain() throws Exception {
+    void doesNotStartWaitingAttemptAfterDrainGrace() throws Exception {
         try (Stage stage = new Stage();
                 Backlog full = new Backlog()) {
             stage.connectTimeout = 15_000;
             stage.drainGrace = 50;
             stage.script.onStart = () -> stage.script.actions.watch(true);
             stage.start();
-            Peer watch = tell(stage, Stage.entry(9, full.address(), "up"));
+            Peer watch = sendRoster(stage, Stage.entry(9, full.address(), "up"));
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
-            // The node has the request once it has answered what came after it on its one thread.
+            // The node runs on one thread: it has handled the request once it has answered a later one.
             Peer other = stage.caller();
             other.write("GET /_health HTTP/1.1\r\n\r\n");
             other.read();
             watch.read();
             watch.write(Stage.ok(Stage.roster(43, false, Stage.entry(9, full.address(), "draining"))));
             assertEquals(Change.DELTA, Script.next(stage.script.changes));
-            // The kernel tries to connect again only after a second, long past the grace.
+            // The kernel retries the connect only after a second, long past the grace period.
             try (Peer late = full.acceptLast()) {
                 assertTrue(late.ended(), "the request was written after the grace");
             }
@@ -554,7 +555,7 @@
     }
 
     @Test
-    void aProbeBringsTheLoadReport() throws Exception {
+    void healthCheckReturnsLoadReport() throws Exception {
         try (Stage stage = new Stage().start()) {
             stage.script.onRequest = request -> {
                 stage.script.actions.healthCheck(stage.script.upstreams.get(0).id());
@@ -571,7 +572,7 @@
     }
 
     @Test
-    void idleConnectionsGiveWayToCallersWhenDescriptorsRunShort() throws Exception {
+    void evictsIdleUpstreamConnectionsForClients() throws Exception {
         try (Stage stage = new Stage(6)) {
             stage.sockets = 64 + 10;
             stage.start();
@@ -595,8 +596,8 @@
         }
     }
 
-    /** Answers the node's first watch with a complete list of one upstream. */
-    private static Peer tell(Stage stage, String entry) throws Exception {
+    /** Answers the node's first watch with a complete roster of one upstream. */
+    private static Peer sendRoster(Stage stage, String entry) throws Exception {
         Script.next(stage.script.changes);
         Peer watch = stage.discovery.accept();
         watch.read();
