--- a/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
+++ b/src/main/java/sablehinge/dataplane/http1/RequestReceiver.java
@@ -242,7 +242,7 @@
         }
     }
 
-    /** The rest of the relayed body will not be received or read. */
+    /** Fails the relayed body, whose rest will not be received or read. */
     void breakRequestRelay() {
         if (requestRelay != null) {
             Relay half = requestRelay;
--- a/src/main/java/sablehinge/dataplane/http1/ResponseWriter.java
+++ b/src/main/java/sablehinge/dataplane/http1/ResponseWriter.java
@@ -205,8 +205,9 @@
     }
 
     /**
-     * Handles the result of a write. If it failed, for lack of memory to encode it for example, the connection stays
-     * open; the client would wait for the rest of the response, or take the next response for it.
+     * Handles the result of a write. If it failed, for lack of memory to encode it for example, Netty leaves the
+     * connection open, and the client would wait for the rest of the response or take the next response for it; the
+     * connection is therefore closed.
      */
     private void onWritten(Future<? super Void> written) {
         if (!written.isSuccess() && channel.isOpen()) {
--- a/src/main/java/sablehinge/dataplane/http1/Sockets.java
+++ b/src/main/java/sablehinge/dataplane/http1/Sockets.java
@@ -19,7 +19,7 @@
      * once.
      */
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** One in so many of the remaining descriptors may be used by clients only. */
+    /** Divisor for the share of the remaining descriptors that only clients may use. */
     private static final int CALLERS_DIVISOR = 5;
     /** Idle time after which a client is unlikely to be about to send, ms. */
     private static final double RESTING_CALLER_MS = 300;
@@ -41,12 +41,12 @@
     private final List<DoublePredicate> evictCaller = new ArrayList<>(1);
     private BooleanSupplier evictUpstream = () -> false;
 
-    /** Creates a count against the given number of descriptors. */
+    /** Counts against the given number of descriptors. */
     public Sockets(int descriptors) {
         this(descriptors, SocketKind.NIO);
     }
 
-    /** Creates a count against the given number of descriptors, with sockets of the given kind. */
+    /** Counts against the given number of descriptors, with sockets of the given kind. */
     public Sockets(int descriptors, SocketKind kind) {
         this.descriptors = descriptors;
         this.kind = kind;
