--- a/bench/src/sablehinge/controlplane/node/CutControlNode.java
+++ b/bench/src/sablehinge/controlplane/node/CutControlNode.java
@@ -40,8 +40,8 @@
                 () -> RaftStore.open(Path.of(settings.dataDir())),
                 new Connection.Observer() {
                     @Override
-                    public void connects(Channel channel, InetSocketAddress to) {
-                        cut.over(channel, to);
+                    public void beforeConnect(Channel channel, InetSocketAddress to) {
+                        cut.apply(channel, to);
                     }
                 });
         CountDownLatch never = new CountDownLatch(1);
--- a/bench/src/sablehinge/torture/ExchangeBench.java
+++ b/bench/src/sablehinge/torture/ExchangeBench.java
@@ -83,7 +83,7 @@
             new Mutant(
                     "whatever answer comes is the one",
                     DIALECT,
-                    "public boolean answers(",
+                    "public boolean isResponseTo(",
                     "sentTryId == null || answeredTryId == null || sentTryId.equals(answeredTryId)",
                     "true"),
             new Mutant(
@@ -101,7 +101,7 @@
             new Mutant(
                     "an answer that names no request is the one",
                     DIALECT,
-                    "public boolean isNamed(",
+                    "public boolean identifiesRequest(",
                     "answer.headers().contains(MeshHeaders.TRY_ID)",
                     "true"),
             new Mutant(
@@ -125,7 +125,7 @@
             new Mutant(
                     "every answer of our own proves that nothing ran",
                     "dataplane/sidecar/InboundFront",
-                    "public void dress(",
+                    "public void setHeaders(",
                     "answer == null || answer.kind() == Answer.Kind.REFUSED",
                     "answer == null || answer.kind() != Answer.Kind.SERVED"),
             new Mutant(
@@ -137,7 +137,7 @@
             new Mutant(
                     "an attempt that is given up leaves its connection",
                     ATTEMPT,
-                    "void giveUp(Event event)",
+                    "void abort(Event event)",
                     "channel.close();",
                     "connection.release(target);"));
 
@@ -161,19 +161,19 @@
             new Mutant(
                     "whatever answer comes is the one",
                     DIALECT,
-                    "public boolean answers(",
+                    "public boolean isResponseTo(",
                     "sentTryId == null || answeredTryId == null || sentTryId.equals(answeredTryId)",
                     "true"),
             new Mutant(
                     "an answer that names no request is the one",
                     DIALECT,
-                    "public boolean isNamed(",
+                    "public boolean identifiesRequest(",
                     "answer.headers().contains(MeshHeaders.TRY_ID)",
                     "true"),
             new Mutant(
                     "another upstream is named",
                     DIALECT,
-                    "public void dress(",
+                    "public void setHeaders(",
                     "headers.set(MeshHeaders.DELIVER_TO, to.name());",
                     "headers.set(MeshHeaders.DELIVER_TO, \"i-0\");"),
             new Mutant(
@@ -251,7 +251,7 @@
             new Mutant(
                     "an attempt that is given up leaves its connection",
                     ATTEMPT,
-                    "void giveUp(Event event)",
+                    "void abort(Event event)",
                     "channel.close();",
                     "connection.release(target);"),
             new Mutant(
@@ -264,8 +264,8 @@
                     "what was sent behind the last answer is begun",
                     "dataplane/http1/CallerConnection",
                     "private void advance()",
-                    "while (!current.isAtWork() && !responses.isClosing() && ",
-                    "while (!current.isAtWork() && "));
+                    "while (!current.isInProgress() && !responses.isClosing() && ",
+                    "while (!current.isInProgress() && "));
 
     private ExchangeBench() {}
 
--- a/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/MeshUpstream.java
@@ -66,7 +66,7 @@
 
     /** Headers that must not be forwarded were removed when the request was read. */
     @Override
-    public void dress(HttpRequest sent, HttpRequest request, Member to, double remainingMs, Budget budget) {
+    public void setHeaders(HttpRequest sent, HttpRequest request, Member to, double remainingMs, Budget budget) {
         HttpHeaders headers = sent.headers();
         HopHeaders.copy(request.headers(), headers);
         headers.set(MeshHeaders.TIME_LEFT, (long) Math.max(0, remainingMs));
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public boolean answers(HttpRequest request, HttpResponse answer) {
+    public boolean isResponseTo(HttpRequest request, HttpResponse answer) {
         String sentTryId = request.headers().get(MeshHeaders.TRY_ID);
         String answeredTryId = answer.headers().get(MeshHeaders.TRY_ID);
         return sentTryId == null || answeredTryId == null || sentTryId.equals(answeredTryId);
@@ -94,12 +94,12 @@
      * Every response of an upstream, and every answer of a sidecar to a request that it has read, names its request.
      */
     @Override
-    public boolean isNamed(HttpResponse answer) {
+    public boolean identifiesRequest(HttpResponse answer) {
         return answer.headers().contains(MeshHeaders.TRY_ID);
     }
 
     @Override
-    public boolean passable(HttpResponse answer) {
+    public boolean canRelay(HttpResponse answer) {
         return verdict(answer) == Result.OK;
     }
 
@@ -128,7 +128,7 @@
 
     /** A success without its postmark must not reach a client, nor a response whose encoding was changed on the way. */
     @Override
-    public boolean keeps(HttpMessage answer) {
+    public boolean forwardsFailure(HttpMessage answer) {
         return answer instanceof HttpResponse response
                 && response.status().codeClass() != HttpStatusClass.SUCCESS
                 && response.status().codeClass() != HttpStatusClass.REDIRECTION
--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -136,7 +136,7 @@
         }
         if (routingTable == null) {
             throw withoutConfiguration(
-                    MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, DEFAULT_TERMS.requestMs()), now);
+                    MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, DEFAULT_TERMS.requestTimeoutMs()), now);
         }
         if (MeshHeaders.single(headers, MeshHeaders.TRY_ID) == null) {
             throw new BadRequestException(MeshHeaders.TRY_ID + " is missing");
@@ -144,13 +144,13 @@
         RoutingTable.RouteMatch match = routingTable.find(MeshHeaders.single(headers, "Host"), request.uri());
         if (match == null) {
             throw BadRequestException.rejected(HttpResponseStatus.NOT_FOUND, "no route")
-                    .heldFor(maxHoldMs(MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, DEFAULT_TERMS.requestMs())));
+                    .withMaxWait(maxHoldMs(MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, DEFAULT_TERMS.requestTimeoutMs())));
         }
         Configuration.Route route = match.route();
         Configuration.Tenant tenant = routingTable.tenant(MeshHeaders.single(headers, MeshHeaders.KEY));
         if (routingTable.requiresKeys() && !route.open() && tenant == null) {
             throw BadRequestException.rejected(HttpResponseStatus.UNAUTHORIZED, "unknown key")
-                    .heldFor(maxHoldMs(route));
+                    .withMaxWait(maxHoldMs(route));
         }
         double timeoutMs =
                 Math.min(route.timeoutMs(), MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, route.timeoutMs()));
@@ -195,7 +195,7 @@
             // The request waits for the response of the tenant's pool, which takes one round trip.
             throw BadRequestException.rejected(
                             HttpResponseStatus.TOO_MANY_REQUESTS, "beyond the quota", MIN_RETRY_AFTER_MS)
-                    .heldFor(maxHoldMs(route));
+                    .withMaxWait(maxHoldMs(route));
         } else if (claim == Quotas.Claim.REFUSED) {
             throw BadRequestException.rejected(
                     HttpResponseStatus.TOO_MANY_REQUESTS,
@@ -222,7 +222,7 @@
                         HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "no configuration yet",
                         Math.min(retryAfterMs, MAX_RETRY_AFTER_SHARE * timeoutMs))
-                .heldFor(maxHoldMs(timeoutMs));
+                .withMaxWait(maxHoldMs(timeoutMs));
     }
 
     /**
@@ -262,7 +262,7 @@
     }
 
     @Override
-    public void dress(HttpResponse response, Answer answer, Version version, HttpRequest request) {
+    public void setHeaders(HttpResponse response, Answer answer, Version version, HttpRequest request) {
         MeshResponses.writeHeaders(response, answer, request);
     }
 }
--- a/src/main/java/sablehinge/gateway/config/operator/LogSection.java
+++ b/src/main/java/sablehinge/gateway/config/operator/LogSection.java
@@ -17,7 +17,7 @@
     private LogSection() {}
 
     static LogTerms read(Section s) {
-        LogTerms defaults = LogTerms.USUAL;
+        LogTerms defaults = LogTerms.DEFAULT;
         LogTerms.Format format = s.choice("format", defaults.format(), FORMATS);
         Level level = s.choice("level", defaults.level(), LEVELS);
         int limit = s.integer("limit", defaults.limit(), 1, MAX_LINES);
--- a/src/test/java/sablehinge/dataplane/sidecar/MeshUpstreamTest.java
+++ b/src/test/java/sablehinge/dataplane/sidecar/MeshUpstreamTest.java
@@ -27,7 +27,7 @@
         HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
         request.headers().set(MeshHeaders.QUEUE_TIMEOUT, NOW + queueTimeoutMs);
         HttpRequest sent = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
-        dialect.dress(sent, request, MEMBER, 5_000, null);
+        dialect.setHeaders(sent, request, MEMBER, 5_000, null);
         return sent.headers().get(MeshHeaders.QUEUE_TIMEOUT);
     }
 
--- a/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
+++ b/src/test/java/sablehinge/gateway/config/operator/OperatorFileTest.java
@@ -95,7 +95,7 @@
 
     @Test
     void usesDefaultLogSettingsWithoutTableAndValidatesTable() {
-        assertEquals(LogTerms.USUAL, parse(MINIMAL).config().log());
+        assertEquals(LogTerms.DEFAULT, parse(MINIMAL).config().log());
         assertEquals(
                 new LogTerms(LogTerms.Format.JSON, Level.WARN, Map.of("http1", Level.DEBUG), 100_000),
                 parse(MINIMAL + "[log]\nformat = \"json\"\nlevel = \"warn\"\nlimit = 100000\n"
