--- a/bench/src/sablehinge/bench/BudgetsBench.java
+++ b/bench/src/sablehinge/bench/BudgetsBench.java
@@ -31,11 +31,11 @@
 import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Breach;
 import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
 import sablehinge.tools.audit.judge.Evidence.How;
-import sablehinge.tools.audit.judge.Evidence.Ran;
-import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
 import sablehinge.tools.audit.judge.RuleChecker;
 
 /**
@@ -181,7 +181,7 @@
         }
         double at = now();
         int status = answer == null ? 0 : answer.status();
-        chain.evidence.add(new Tried(
+        chain.evidence.add(new ClientAttempt(
                 at,
                 caller,
                 balancer,
@@ -276,7 +276,7 @@
                     } catch (IOException e) {
                         written = false;
                     }
-                    chain.evidence.add(new Ran(
+                    chain.evidence.add(new ServerAttempt(
                             now(),
                             place,
                             "main",
--- a/bench/src/sablehinge/bench/ReplayRehearsal.java
+++ b/bench/src/sablehinge/bench/ReplayRehearsal.java
@@ -18,9 +18,9 @@
 import sablehinge.tools.audit.Audit;
 import sablehinge.tools.audit.AuditRulesFile;
 import sablehinge.tools.audit.Recorder;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
 import sablehinge.tools.audit.judge.Evidence.How;
-import sablehinge.tools.audit.judge.Evidence.Ran;
-import sablehinge.tools.audit.judge.Evidence.Tried;
+import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
 import sablehinge.tools.replay.LogOptions;
 import sablehinge.tools.replay.Logs;
 import sablehinge.tools.replay.SampleDay;
@@ -124,12 +124,12 @@
         Audit audit = Audit.of(folder);
         Mix mix = new Mix();
         Audit.read(folder.resolve("requests.jsonl.gz"), one -> {
-            if (one instanceof Tried tried && !tried.txn().equals(tried.first())) {
+            if (one instanceof ClientAttempt tried && !tried.txn().equals(tried.first())) {
                 mix.firsts.put(tried.txn(), tried.first());
             }
         });
         Audit.read(folder.resolve("servers.jsonl.gz"), one -> {
-            if (one instanceof Ran ran && ran.how() != How.CUT) {
+            if (one instanceof ServerAttempt ran && ran.how() != How.CUT) {
                 mix.add(ran);
             }
         });
@@ -208,7 +208,7 @@
         final Map<String, Long> classes = new HashMap<>();
         final Map<String, Long> keys = new HashMap<>();
 
-        void add(Ran ran) {
+        void add(ServerAttempt ran) {
             if (seen.add(Long.parseUnsignedLong(firsts.getOrDefault(ran.txn(), ran.txn()), 16))) {
                 classes.merge(ran.serviceClass(), 1L, Long::sum);
                 keys.merge(ran.about(), 1L, Long::sum);
--- a/src/main/java/sablehinge/cli/LocalBalancers.java
+++ b/src/main/java/sablehinge/cli/LocalBalancers.java
@@ -33,7 +33,7 @@
 import sablehinge.policy.LoadBalancer.WeightKind;
 import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.Evidence;
-import sablehinge.tools.audit.judge.Evidence.Noted;
+import sablehinge.tools.audit.judge.Evidence.BalancerNote;
 import sablehinge.tools.standin.Balancers;
 import sablehinge.tools.standin.scenario.Scenario;
 import sablehinge.tools.standin.scenario.Scenario.ClassPart;
@@ -101,7 +101,7 @@
         public void answered(
                 String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed) {
             // On the balancer's loop: a format would take longer than the decision.
-            record.accept(new Noted(
+            record.accept(new BalancerNote(
                     EvidenceStamps.now(),
                     name,
                     request,
--- a/src/main/java/sablehinge/tools/audit/EvidenceLines.java
+++ b/src/main/java/sablehinge/tools/audit/EvidenceLines.java
@@ -10,16 +10,16 @@
 import java.io.Writer;
 import java.util.Locale;
 import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.BalancerNote;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.ColdOverload;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
-import sablehinge.tools.audit.judge.Evidence.Ended;
-import sablehinge.tools.audit.judge.Evidence.Fell;
 import sablehinge.tools.audit.judge.Evidence.How;
-import sablehinge.tools.audit.judge.Evidence.ListSent;
-import sablehinge.tools.audit.judge.Evidence.Noted;
-import sablehinge.tools.audit.judge.Evidence.Ran;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Evidence.PartyEnded;
+import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
+import sablehinge.tools.audit.judge.Evidence.ServerStateUpdate;
 
 /** Evidence as lines of JSON, one for each. Times are ms since 1970; what never happened is left out. */
 final class EvidenceLines {
@@ -38,28 +38,28 @@
             json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             json.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
             json.writeStartObject();
-            if (one instanceof Tried tried) {
+            if (one instanceof ClientAttempt tried) {
                 tried(tried, json);
-            } else if (one instanceof Ran ran) {
+            } else if (one instanceof ServerAttempt ran) {
                 ran(ran, json);
-            } else if (one instanceof Unasked unasked) {
+            } else if (one instanceof DuplicateAnswer unasked) {
                 head(json, "unasked", unasked.at());
                 text(json, "caller", unasked.caller());
                 text(json, "balancer", unasked.balancer());
                 text(json, "txn", unasked.txn());
-            } else if (one instanceof ListSent received) {
+            } else if (one instanceof ServerStateUpdate received) {
                 head(json, "told", received.at());
                 text(json, "balancer", received.balancer());
                 text(json, "server", received.server());
                 text(json, "state", received.state());
-            } else if (one instanceof Fell fell) {
+            } else if (one instanceof ColdOverload fell) {
                 head(json, "fell", fell.at());
                 text(json, "server", fell.server());
                 json.writeNumberField("informed", fell.informed());
-            } else if (one instanceof Ended ended) {
+            } else if (one instanceof PartyEnded ended) {
                 head(json, "ended", ended.at());
                 text(json, "party", ended.party());
-            } else if (one instanceof Noted noted) {
+            } else if (one instanceof BalancerNote noted) {
                 head(json, "noted", noted.at());
                 text(json, "balancer", noted.balancer());
                 text(json, "txn", noted.txn());
@@ -70,7 +70,7 @@
         out.write('\n');
     }
 
-    private static void tried(Tried tried, JsonGenerator json) throws IOException {
+    private static void tried(ClientAttempt tried, JsonGenerator json) throws IOException {
         head(json, "tried", tried.at());
         text(json, "caller", tried.caller());
         text(json, "balancer", tried.balancer());
@@ -86,7 +86,7 @@
         text(json, "echo", name(tried.echo()));
     }
 
-    private static void ran(Ran ran, JsonGenerator json) throws IOException {
+    private static void ran(ServerAttempt ran, JsonGenerator json) throws IOException {
         head(json, "ran", ran.at());
         text(json, "server", ran.server());
         text(json, "zone", ran.zone());
@@ -141,7 +141,7 @@
         double at = required(json, "at");
         return switch (event) {
             case "tried" ->
-                new Tried(
+                new ClientAttempt(
                         at,
                         text(json, "caller"),
                         text(json, "balancer"),
@@ -156,7 +156,7 @@
                         json.path("status").asInt(0),
                         choice(json, "echo", Echo.class));
             case "ran" ->
-                new Ran(
+                new ServerAttempt(
                         at,
                         required(json, "server", ""),
                         text(json, "zone"),
@@ -169,13 +169,14 @@
                         required(json, "begun"),
                         time(json, "taken"),
                         choice(json, "how", How.class));
-            case "unasked" -> new Unasked(at, text(json, "caller"), text(json, "balancer"), required(json, "txn", ""));
+            case "unasked" ->
+                new DuplicateAnswer(at, text(json, "caller"), text(json, "balancer"), required(json, "txn", ""));
             case "told" ->
-                new ListSent(
+                new ServerStateUpdate(
                         at, required(json, "balancer", ""), required(json, "server", ""), required(json, "state", ""));
-            case "fell" -> new Fell(at, required(json, "server", ""), required(json, "informed"));
-            case "ended" -> new Ended(at, required(json, "party", ""));
-            case "noted" -> new Noted(at, text(json, "balancer"), required(json, "txn", ""), text(json, "text"));
+            case "fell" -> new ColdOverload(at, required(json, "server", ""), required(json, "informed"));
+            case "ended" -> new PartyEnded(at, required(json, "party", ""));
+            case "noted" -> new BalancerNote(at, text(json, "balancer"), required(json, "txn", ""), text(json, "text"));
             default ->
                 throw new IllegalArgumentException(
                         "expected an ev of tried, ran, unasked, told, fell," + " ended or noted");
@@ -183,8 +184,8 @@
     }
 
     /** A line of the access log that a balancer writes by {@code node.access-log}. */
-    private static Noted accessLog(JsonNode json) {
-        return new Noted(
+    private static BalancerNote accessLog(JsonNode json) {
+        return new BalancerNote(
                 required(json, "at_ms"),
                 "",
                 required(json, "request", ""),
--- a/src/main/java/sablehinge/tools/audit/judge/Evidence.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Evidence.java
@@ -59,7 +59,7 @@
      * @param answered when the answer's last byte had come
      * @param status of the answer; 0 for none
      */
-    record Tried(
+    record ClientAttempt(
             double at,
             String caller,
             String balancer,
@@ -76,7 +76,7 @@
             implements Evidence {}
 
     /** An answer that came to a caller who had one already. */
-    record Unasked(double at, String caller, String balancer, String txn) implements Evidence {}
+    record DuplicateAnswer(double at, String caller, String balancer, String txn) implements Evidence {}
 
     /**
      * An attempt at a server.
@@ -86,7 +86,7 @@
      * @param begun when its first byte came
      * @param taken when its last byte came
      */
-    record Ran(
+    record ServerAttempt(
             double at,
             String server,
             String zone,
@@ -102,14 +102,14 @@
             implements Evidence {}
 
     /** A balancer was notified of a server's state: up, draining or removed. */
-    record ListSent(double at, String balancer, String server, String state) implements Evidence {}
+    record ServerStateUpdate(double at, String balancer, String server, String state) implements Evidence {}
 
     /** A cold server was pushed over; {@code informed} is the share of its work from balancers that knew it cold. */
-    record Fell(double at, String server, double informed) implements Evidence {}
+    record ColdOverload(double at, String server, double informed) implements Evidence {}
 
     /** A party ended: a balancer was killed, or requested to end, so that what it had may be lost. */
-    record Ended(double at, String party) implements Evidence {}
+    record PartyEnded(double at, String party) implements Evidence {}
 
     /** What a balancer says of a request, to explain and not to judge. */
-    record Noted(double at, String balancer, String txn, String text) implements Evidence {}
+    record BalancerNote(double at, String balancer, String txn, String text) implements Evidence {}
 }
--- a/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
+++ b/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
@@ -13,16 +13,16 @@
 import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Breach.Rule;
+import sablehinge.tools.audit.judge.Evidence.BalancerNote;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.ColdOverload;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
-import sablehinge.tools.audit.judge.Evidence.Ended;
-import sablehinge.tools.audit.judge.Evidence.Fell;
 import sablehinge.tools.audit.judge.Evidence.How;
-import sablehinge.tools.audit.judge.Evidence.ListSent;
-import sablehinge.tools.audit.judge.Evidence.Noted;
-import sablehinge.tools.audit.judge.Evidence.Ran;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Evidence.PartyEnded;
+import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
+import sablehinge.tools.audit.judge.Evidence.ServerStateUpdate;
 
 /**
  * Judges the four rules by what callers and servers saw. Evidence comes about in the order of time; what was seen of a
@@ -41,7 +41,7 @@
     private final int mostHeld;
     private final LinkedHashMap<String, Trace> traces = new LinkedHashMap<>();
     /** For each balancer and server what it was notified of, in order. */
-    private final Map<String, Map<String, List<ListSent>>> received = new HashMap<>();
+    private final Map<String, Map<String, List<ServerStateUpdate>>> received = new HashMap<>();
 
     private final Map<String, Double> ended = new HashMap<>();
     private double newest = Double.NEGATIVE_INFINITY;
@@ -69,11 +69,11 @@
     /** Takes what a party saw. */
     public void take(Evidence one) {
         newest = Math.max(newest, one.at());
-        if (one instanceof ListSent now) {
+        if (one instanceof ServerStateUpdate now) {
             received(now);
-        } else if (one instanceof Ended end) {
+        } else if (one instanceof PartyEnded end) {
             ended.merge(end.party(), end.at(), Math::min);
-        } else if (one instanceof Fell fell) {
+        } else if (one instanceof ColdOverload fell) {
             if (fell.informed() >= 2.0 / 3) {
                 breaches.accept(new Breach(
                         Rule.COLD,
@@ -88,20 +88,20 @@
     }
 
     private static String txn(Evidence one) {
-        if (one instanceof Tried tried) {
+        if (one instanceof ClientAttempt tried) {
             return tried.txn();
         }
-        if (one instanceof Ran ran) {
+        if (one instanceof ServerAttempt ran) {
             return ran.txn();
         }
-        return one instanceof Unasked unasked ? unasked.txn() : ((Noted) one).txn();
+        return one instanceof DuplicateAnswer unasked ? unasked.txn() : ((BalancerNote) one).txn();
     }
 
     private static double begun(Evidence one) {
-        if (one instanceof Tried tried) {
+        if (one instanceof ClientAttempt tried) {
             return Double.isNaN(tried.sent()) ? tried.at() : tried.sent();
         }
-        return one instanceof Ran ran ? ran.begun() : one.at();
+        return one instanceof ServerAttempt ran ? ran.begun() : one.at();
     }
 
     private void keep(String txn, Evidence one) {
@@ -156,15 +156,16 @@
 
     // ---- Drains ------------------------------------------------------------------------------------
 
-    private void received(ListSent now) {
+    private void received(ServerStateUpdate now) {
         received.computeIfAbsent(now.balancer(), name -> new HashMap<>())
                 .computeIfAbsent(now.server(), name -> new ArrayList<>())
                 .add(now);
     }
 
-    private void drain(Ran ran, List<Evidence> seen) {
-        ListSent off = null;
-        for (ListSent one : received.getOrDefault(ran.balancer(), Map.of()).getOrDefault(ran.server(), List.of())) {
+    private void drain(ServerAttempt ran, List<Evidence> seen) {
+        ServerStateUpdate off = null;
+        for (ServerStateUpdate one :
+                received.getOrDefault(ran.balancer(), Map.of()).getOrDefault(ran.server(), List.of())) {
             if (one.at() <= ran.begun()) {
                 // Draining, then gone: the first counts.
                 off = one.state().equals("up") ? null : off == null ? one : off;
@@ -190,19 +191,19 @@
     // ---- One request -------------------------------------------------------------------------------
 
     private void judge(String txn, List<Evidence> seen) {
-        Tried tried = null;
-        List<Ran> attempts = new ArrayList<>(2);
+        ClientAttempt tried = null;
+        List<ServerAttempt> attempts = new ArrayList<>(2);
         for (Evidence one : seen) {
-            if (one instanceof Tried last) {
+            if (one instanceof ClientAttempt last) {
                 // A caller that sends once more on a new connection, as it may, leaves two: the last counts.
                 tried = tried == null || last.at() >= tried.at() ? last : tried;
-            } else if (one instanceof Ran ran) {
+            } else if (one instanceof ServerAttempt ran) {
                 attempts.add(ran);
-            } else if (one instanceof Unasked unasked) {
+            } else if (one instanceof DuplicateAnswer unasked) {
                 breach(Rule.ANSWER, txn, unasked.balancer() + " answered it twice", seen);
             }
         }
-        attempts.sort(Comparator.comparingDouble(Ran::begun));
+        attempts.sort(Comparator.comparingDouble(ServerAttempt::begun));
         attempts.forEach(ran -> drain(ran, seen));
         if (tried == null) {
             unexplained += terms.callersComplete() && !attempts.isEmpty() ? 1 : 0;
@@ -216,7 +217,7 @@
         }
     }
 
-    private void answer(Tried tried, List<Ran> attempts, List<Evidence> seen) {
+    private void answer(ClientAttempt tried, List<ServerAttempt> attempts, List<Evidence> seen) {
         String txn = tried.txn();
         double latest = tried.until() + terms.answerGrace();
         switch (tried.end()) {
@@ -249,7 +250,7 @@
                         && attempts.stream().noneMatch(ran -> ran.how() == How.SERVED)) {
                     unexplained++;
                 }
-                for (Ran ran : attempts) {
+                for (ServerAttempt ran : attempts) {
                     if (ran.begun() > tried.answered() + terms.slack()) {
                         breach(
                                 Rule.ANSWER,
@@ -267,18 +268,18 @@
      * Whether the balancer that had it ended while it did; who is killed may lose what it holds. Its end is noted
      * before it is killed, so that one that comes later excuses nothing.
      */
-    private boolean endedWith(Tried tried) {
+    private boolean endedWith(ClientAttempt tried) {
         Double at = ended.get(tried.balancer());
         return at != null && at <= tried.at();
     }
 
-    private void effect(Tried tried, ClassTerms type, List<Ran> attempts, List<Evidence> seen) {
+    private void effect(ClientAttempt tried, ClassTerms type, List<ServerAttempt> attempts, List<Evidence> seen) {
         if (type.effect() == Effect.SAFE) {
             return;
         }
         for (int i = 1; i < attempts.size(); i++) {
-            Ran ran = attempts.get(i);
-            for (Ran before : attempts.subList(0, i)) {
+            ServerAttempt ran = attempts.get(i);
+            for (ServerAttempt before : attempts.subList(0, i)) {
                 // A request whose last byte was never written can't run, which who wrote it knows at once;
                 // that
                 // one was rejected is known once it was.
@@ -317,7 +318,7 @@
         }
     }
 
-    private static boolean inGroup(Group group, Ran one, Ran other) {
+    private static boolean inGroup(Group group, ServerAttempt one, ServerAttempt other) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> one.zone().equals(other.zone());
--- a/src/main/java/sablehinge/tools/replay/run/Load.java
+++ b/src/main/java/sablehinge/tools/replay/run/Load.java
@@ -20,8 +20,8 @@
 import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
 import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.Evidence;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.replay.Demand;
 import sablehinge.tools.replay.schedule.ReplayClient;
 import sablehinge.tools.replay.schedule.ReplaySchedule;
@@ -102,12 +102,12 @@
                     start,
                     new ReplayWorker.LoadRecord() {
                         @Override
-                        public void tried(Tried tried) {
+                        public void tried(ClientAttempt tried) {
                             record.accept(tried);
                         }
 
                         @Override
-                        public void unasked(Unasked unasked) {
+                        public void unasked(DuplicateAnswer unasked) {
                             record.accept(unasked);
                         }
                     }));
--- a/src/main/java/sablehinge/tools/replay/run/ReplayWorker.java
+++ b/src/main/java/sablehinge/tools/replay/run/ReplayWorker.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.TimeUnit;
 import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.AuditRules.Effect;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
 import sablehinge.tools.replay.run.RequestCounts.Outcome;
 import sablehinge.tools.replay.schedule.ReplayClient;
 
@@ -61,9 +61,9 @@
     /** Who takes what clients saw. */
     interface LoadRecord {
 
-        void tried(Tried tried);
+        void tried(ClientAttempt tried);
 
-        void unasked(Unasked unasked);
+        void unasked(DuplicateAnswer unasked);
     }
 
     ReplayWorker(
@@ -254,7 +254,7 @@
 
     @Override
     public void onUnasked(ReplayTarget target, String before) {
-        record.unasked(new Unasked(EvidenceStamps.now(), name, target.name, before));
+        record.unasked(new DuplicateAnswer(EvidenceStamps.now(), name, target.name, before));
         counts.unasked++;
     }
 
@@ -287,7 +287,7 @@
         }
         one.noted = true;
         Planned planned = one.request.planned;
-        record.tried(new Tried(
+        record.tried(new ClientAttempt(
                 EvidenceStamps.now(),
                 name,
                 one.target.name,
--- a/src/main/java/sablehinge/tools/replay/run/Warmup.java
+++ b/src/main/java/sablehinge/tools/replay/run/Warmup.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import sablehinge.common.eventloop.ClosingEventLoops;
 import sablehinge.tools.audit.judge.AuditRules.Effect;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.replay.schedule.ReplayClient;
 
 /**
@@ -73,10 +73,10 @@
                         start,
                         new ReplayWorker.LoadRecord() {
                             @Override
-                            public void tried(Tried tried) {}
+                            public void tried(ClientAttempt tried) {}
 
                             @Override
-                            public void unasked(Unasked unasked) {}
+                            public void unasked(DuplicateAnswer unasked) {}
                         });
             }
             ClassPlan[] plans = {ClassPlan.unknown(Effect.SAFE), ClassPlan.unknown(Effect.KEYED)};
--- a/src/main/java/sablehinge/tools/standin/Caller.java
+++ b/src/main/java/sablehinge/tools/standin/Caller.java
@@ -26,10 +26,10 @@
 import java.util.function.Consumer;
 import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
 
 /**
  * A server's calls to the tier behind, through its own balancer. Nobody tries them again here: that is the balancer's
@@ -84,7 +84,7 @@
         private void note(End how, double answered, int status, Echo echo) {
             if (!noted) {
                 noted = true;
-                record.accept(new Tried(
+                record.accept(new ClientAttempt(
                         EvidenceStamps.now(),
                         name,
                         balancer,
@@ -256,7 +256,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             Call call = waits;
             if (call == null) {
-                record.accept(new Unasked(EvidenceStamps.now(), name, balancer, before));
+                record.accept(new DuplicateAnswer(EvidenceStamps.now(), name, balancer, before));
                 ctx.close();
                 return;
             }
--- a/src/main/java/sablehinge/tools/standin/Directory.java
+++ b/src/main/java/sablehinge/tools/standin/Directory.java
@@ -34,7 +34,7 @@
 import java.util.function.Consumer;
 import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.Evidence;
-import sablehinge.tools.audit.judge.Evidence.ListSent;
+import sablehinge.tools.audit.judge.Evidence.ServerStateUpdate;
 
 /**
  * The list of servers of a tier, and watches on it, by PROTOCOL. Each balancer asks at an address of its own, and is
@@ -210,7 +210,7 @@
         Map<String, String> before = received.computeIfAbsent(balancer, name -> new HashMap<>());
         wanted.forEach((id, entry) -> {
             if (!entry.state.equals(before.put(id, entry.state))) {
-                record.accept(new ListSent(now, balancer, id, entry.state));
+                record.accept(new ServerStateUpdate(now, balancer, id, entry.state));
             }
             if (entry.startedMillis > 0 && entry.state.equals("up")) {
                 knowsStart.add(balancer + ' ' + id);
@@ -221,7 +221,7 @@
                 if (wanted.containsKey(id) || state.equals("removed")) {
                     return state;
                 }
-                record.accept(new ListSent(now, balancer, id, "removed"));
+                record.accept(new ServerStateUpdate(now, balancer, id, "removed"));
                 return "removed";
             });
         }
--- a/src/main/java/sablehinge/tools/standin/Fleet.java
+++ b/src/main/java/sablehinge/tools/standin/Fleet.java
@@ -24,7 +24,7 @@
 import sablehinge.tools.audit.judge.AuditRules;
 import sablehinge.tools.audit.judge.AuditRules.ClassTerms;
 import sablehinge.tools.audit.judge.Evidence;
-import sablehinge.tools.audit.judge.Evidence.Ended;
+import sablehinge.tools.audit.judge.Evidence.PartyEnded;
 import sablehinge.tools.standin.Balancers.Running;
 import sablehinge.tools.standin.Balancers.Spec;
 import sablehinge.tools.standin.Directory.Entry;
@@ -207,8 +207,8 @@
 
     /** On a busy machine a request of the warm-up may still run when the record has begun. */
     static boolean isOfWarmUp(Evidence one) {
-        return one instanceof Evidence.Ran ran && ran.txn().startsWith(WARM_UP_ID)
-                || one instanceof Evidence.Noted noted && noted.txn().startsWith(WARM_UP_ID);
+        return one instanceof Evidence.ServerAttempt ran && ran.txn().startsWith(WARM_UP_ID)
+                || one instanceof Evidence.BalancerNote noted && noted.txn().startsWith(WARM_UP_ID);
     }
 
     /** Lets the code be compiled before it counts: what has just started is late by tenths of a second. */
@@ -376,7 +376,7 @@
         String own = "of-" + server.place().name();
         Running balancer = running.remove(own);
         if (balancer != null) {
-            record.accept(new Ended(EvidenceStamps.now(), own));
+            record.accept(new PartyEnded(EvidenceStamps.now(), own));
             balancer.kill();
         }
     }
@@ -416,8 +416,8 @@
         closed = true;
         serviceOwner.shutdownNow();
         running.forEach((name, balancer) -> {
-            record.accept(new Ended(EvidenceStamps.now(), name));
-            record.accept(new Ended(
+            record.accept(new PartyEnded(EvidenceStamps.now(), name));
+            record.accept(new PartyEnded(
                     EvidenceStamps.now(),
                     balancer.address().getHostString() + ":"
                             + balancer.address().getPort()));
--- a/src/main/java/sablehinge/tools/standin/Server.java
+++ b/src/main/java/sablehinge/tools/standin/Server.java
@@ -17,9 +17,9 @@
 import sablehinge.policy.LoadBalancer.Repeat;
 import sablehinge.tools.audit.EvidenceStamps;
 import sablehinge.tools.audit.judge.Evidence;
-import sablehinge.tools.audit.judge.Evidence.Fell;
+import sablehinge.tools.audit.judge.Evidence.ColdOverload;
 import sablehinge.tools.audit.judge.Evidence.How;
-import sablehinge.tools.audit.judge.Evidence.Ran;
+import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
 import sablehinge.tools.standin.model.Faults;
 import sablehinge.tools.standin.model.Faults.Kind;
 import sablehinge.tools.standin.model.ServerModel;
@@ -257,7 +257,7 @@
     }
 
     private void note(ServerConnection from, String txn, String key, double first, double taken, How how) {
-        record.accept(new Ran(
+        record.accept(new ServerAttempt(
                 EvidenceStamps.now(),
                 place.name,
                 place.zone,
@@ -337,7 +337,7 @@
                         work.callsLeft == 0 ? amount : amount - work.rest,
                         directory.knowsStart(connection.balancer, place.name));
         if (!Double.isNaN(model.fell()) && up) {
-            record.accept(new Fell(EvidenceStamps.now(), place.name, model.informed()));
+            record.accept(new ColdOverload(EvidenceStamps.now(), place.name, model.informed()));
             note(connection, key, work.taken, How.RESET);
             die();
             return;
--- a/src/test/java/sablehinge/tools/audit/RecordTest.java
+++ b/src/test/java/sablehinge/tools/audit/RecordTest.java
@@ -23,16 +23,16 @@
 import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.BalancerNote;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.ColdOverload;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
-import sablehinge.tools.audit.judge.Evidence.Ended;
-import sablehinge.tools.audit.judge.Evidence.Fell;
 import sablehinge.tools.audit.judge.Evidence.How;
-import sablehinge.tools.audit.judge.Evidence.ListSent;
-import sablehinge.tools.audit.judge.Evidence.Noted;
-import sablehinge.tools.audit.judge.Evidence.Ran;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Evidence.PartyEnded;
+import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
+import sablehinge.tools.audit.judge.Evidence.ServerStateUpdate;
 
 class RecordTest {
 
@@ -53,7 +53,7 @@
         String odd = random.nextBoolean() ? "" : "q\"\\\u00e9\n" + random.nextInt();
         return switch (random.nextInt(7)) {
             case 0 ->
-                new Tried(
+                new ClientAttempt(
                         at,
                         "c",
                         odd,
@@ -68,7 +68,7 @@
                         random.nextInt(600),
                         Echo.values()[random.nextInt(3)]);
             case 1 ->
-                new Ran(
+                new ServerAttempt(
                         at,
                         "s1",
                         "z",
@@ -81,11 +81,11 @@
                         stamp(random),
                         maybe,
                         How.values()[random.nextInt(How.values().length)]);
-            case 2 -> new Unasked(at, "c", "b", "q1");
-            case 3 -> new ListSent(at, "b", "s1", "draining");
-            case 4 -> new Fell(at, "s1", 0.7);
-            case 5 -> new Ended(at, "b");
-            default -> new Noted(at, "b", "q1", odd);
+            case 2 -> new DuplicateAnswer(at, "c", "b", "q1");
+            case 3 -> new ServerStateUpdate(at, "b", "s1", "draining");
+            case 4 -> new ColdOverload(at, "s1", 0.7);
+            case 5 -> new PartyEnded(at, "b");
+            default -> new BalancerNote(at, "b", "q1", odd);
         };
     }
 
@@ -203,7 +203,7 @@
         AuditRulesFile.write(folder, TERMS);
         StringWriter good = new StringWriter();
         EvidenceLines.write(
-                new Tried(5, "c", "b", "q1", "q1", "c", "", 0, 100, 5, End.ANSWERED, 502, Echo.UNKNOWN), good);
+                new ClientAttempt(5, "c", "b", "q1", "q1", "c", "", 0, 100, 5, End.ANSWERED, 502, Echo.UNKNOWN), good);
         Files.writeString(
                 folder.resolve("some.jsonl"),
                 "nonsense\n{\"ev\":\"tried\"}\n{\"ev\":\"x\",\"at\":1}\n"
@@ -224,7 +224,8 @@
         AuditRulesFile.write(folder, TERMS);
         StringWriter late = new StringWriter();
         EvidenceLines.write(
-                new Tried(500, "c", "b1", "q1", "q1", "c", "", 0, 100, 500, End.ANSWERED, 502, Echo.UNKNOWN), late);
+                new ClientAttempt(500, "c", "b1", "q1", "q1", "c", "", 0, 100, 500, End.ANSWERED, 502, Echo.UNKNOWN),
+                late);
         Files.writeString(folder.resolve("requests.jsonl"), late.toString());
         Files.writeString(
                 folder.resolve("balancer.jsonl"),
@@ -233,7 +234,7 @@
         Audit audit = Audit.of(folder);
         assertEquals(1, audit.breaches());
         assertTrue(audit.shown().get(0).timeline().stream()
-                .anyMatch(one -> one instanceof Noted noted
+                .anyMatch(one -> one instanceof BalancerNote noted
                         && noted.text().equals("failed after 2 attempts and 480.0 ms, version 3")));
     }
 
--- a/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
+++ b/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
@@ -15,16 +15,16 @@
 import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Breach.Rule;
+import sablehinge.tools.audit.judge.Evidence.BalancerNote;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.ColdOverload;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.audit.judge.Evidence.Echo;
 import sablehinge.tools.audit.judge.Evidence.End;
-import sablehinge.tools.audit.judge.Evidence.Ended;
-import sablehinge.tools.audit.judge.Evidence.Fell;
 import sablehinge.tools.audit.judge.Evidence.How;
-import sablehinge.tools.audit.judge.Evidence.ListSent;
-import sablehinge.tools.audit.judge.Evidence.Noted;
-import sablehinge.tools.audit.judge.Evidence.Ran;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
+import sablehinge.tools.audit.judge.Evidence.PartyEnded;
+import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
+import sablehinge.tools.audit.judge.Evidence.ServerStateUpdate;
 
 class RuleCheckerTest {
 
@@ -50,8 +50,8 @@
     private final List<Breach> breaches = new ArrayList<>();
     private final RuleChecker judge = new RuleChecker(TERMS, breaches::add);
 
-    private static Tried tried(String type, double sent, double answered, End end, int status) {
-        return new Tried(
+    private static ClientAttempt tried(String type, double sent, double answered, End end, int status) {
+        return new ClientAttempt(
                 Double.isNaN(answered) ? sent + 1_150 : answered,
                 "c",
                 "b1",
@@ -67,8 +67,9 @@
                 status == 200 ? Echo.SAME : Echo.UNKNOWN);
     }
 
-    private static Ran ran(int server, double begun, double ended, How how) {
-        return new Ran(ended, "s" + server, "z" + server % 2, server / 2, "b1", "q1", "", "", "", begun, begun, how);
+    private static ServerAttempt ran(int server, double begun, double ended, How how) {
+        return new ServerAttempt(
+                ended, "s" + server, "z" + server % 2, server / 2, "b1", "q1", "", "", "", begun, begun, how);
     }
 
     /** The rules that are broken, in the order of finding. */
@@ -89,10 +90,10 @@
     void noAnswerIsABreachUnlessTheBalancerEnded() {
         assertEquals(List.of(Rule.ANSWER), rules(tried("safe", 0, Double.NaN, End.SILENT, 0)));
         breaches.clear();
-        assertEquals(List.of(), rules(new Ended(500, "b1"), tried("safe", 0, Double.NaN, End.SILENT, 0)));
+        assertEquals(List.of(), rules(new PartyEnded(500, "b1"), tried("safe", 0, Double.NaN, End.SILENT, 0)));
         RuleChecker other = new RuleChecker(TERMS, breaches::add);
         other.take(tried("safe", 0, Double.NaN, End.SILENT, 0));
-        other.take(new Ended(1_151, "b1"));
+        other.take(new PartyEnded(1_151, "b1"));
         other.end();
         assertEquals(1, breaches.size(), "an end that came later excuses nothing");
     }
@@ -120,9 +121,10 @@
                 rules(
                         ran(1, 5, 20, How.SERVED),
                         tried("safe", 0, 30, End.ANSWERED, 200),
-                        new Unasked(35, "c", "b1", "q1")));
+                        new DuplicateAnswer(35, "c", "b1", "q1")));
         breaches.clear();
-        Tried other = new Tried(30, "c", "b1", "q2", "q2", "safe", "", 0, 1_000, 30, End.ANSWERED, 200, Echo.OTHER);
+        ClientAttempt other =
+                new ClientAttempt(30, "c", "b1", "q2", "q2", "safe", "", 0, 1_000, 30, End.ANSWERED, 200, Echo.OTHER);
         assertEquals(List.of(Rule.ANSWER), rules(other));
         assertEquals("q2", breaches.get(0).txn());
     }
@@ -179,8 +181,8 @@
 
     private List<Rule> keyed(String type, int first, int second, double at) {
         breaches.clear();
-        Tried last =
-                new Tried(at + 30, "c", "b1", "q1", "q1", type, "k", 0, 10_000, at + 30, End.ANSWERED, 200, Echo.SAME);
+        ClientAttempt last = new ClientAttempt(
+                at + 30, "c", "b1", "q1", "q1", type, "k", 0, 10_000, at + 30, End.ANSWERED, 200, Echo.SAME);
         return rules(ran(first, 5, 10, How.RESET), ran(second, at, at + 20, How.SERVED), last);
     }
 
@@ -205,26 +207,33 @@
 
     @Test
     void drainsCountFromTheFirstNewsUntilItIsUpAgain() {
-        assertEquals(List.of(), drained(2_100, new ListSent(50, "b1", "s1", "draining")));
-        assertEquals(List.of(Rule.DRAIN), drained(2_101, new ListSent(50, "b1", "s1", "draining")));
+        assertEquals(List.of(), drained(2_100, new ServerStateUpdate(50, "b1", "s1", "draining")));
+        assertEquals(List.of(Rule.DRAIN), drained(2_101, new ServerStateUpdate(50, "b1", "s1", "draining")));
         assertEquals(
                 List.of(Rule.DRAIN),
-                drained(2_101, new ListSent(50, "b1", "s1", "draining"), new ListSent(2_000, "b1", "s1", "removed")));
+                drained(
+                        2_101,
+                        new ServerStateUpdate(50, "b1", "s1", "draining"),
+                        new ServerStateUpdate(2_000, "b1", "s1", "removed")));
         assertEquals(
                 List.of(),
-                drained(2_101, new ListSent(50, "b1", "s1", "draining"), new ListSent(90, "b1", "s1", "up")));
-        assertEquals(List.of(), drained(2_101, new ListSent(50, "b2", "s1", "draining")), "another one was told");
-        assertEquals(List.of(), drained(2_101, new ListSent(50, "b1", "s2", "draining")), "of another one");
+                drained(
+                        2_101,
+                        new ServerStateUpdate(50, "b1", "s1", "draining"),
+                        new ServerStateUpdate(90, "b1", "s1", "up")));
+        assertEquals(
+                List.of(), drained(2_101, new ServerStateUpdate(50, "b2", "s1", "draining")), "another one was told");
+        assertEquals(List.of(), drained(2_101, new ServerStateUpdate(50, "b1", "s2", "draining")), "of another one");
     }
 
-    private List<Rule> drained(double begun, ListSent... update) {
+    private List<Rule> drained(double begun, ServerStateUpdate... update) {
         breaches.clear();
         RuleChecker fresh = new RuleChecker(TERMS, breaches::add);
         List.of(update).forEach(fresh::take);
         fresh.take(ran(1, begun, begun + 5, How.SERVED));
         // What is reported after the send says nothing of it.
-        fresh.take(new ListSent(begun + 6, "b1", "s1", "up"));
-        fresh.take(new Tried(
+        fresh.take(new ServerStateUpdate(begun + 6, "b1", "s1", "up"));
+        fresh.take(new ClientAttempt(
                 begun + 10,
                 "c",
                 "b1",
@@ -244,8 +253,8 @@
 
     @Test
     void aFallCountsIfTwoThirdsKnewBetter() {
-        assertEquals(List.of(), rules(new Fell(1, "s1", 0.66)));
-        assertEquals(List.of(Rule.COLD), rules(new Fell(1, "s1", 0.67)));
+        assertEquals(List.of(), rules(new ColdOverload(1, "s1", 0.66)));
+        assertEquals(List.of(Rule.COLD), rules(new ColdOverload(1, "s1", 0.67)));
     }
 
     @Test
@@ -254,7 +263,7 @@
         assertEquals(1, judge.unexplained());
         rules(tried("safe", 0, 30, End.ANSWERED, 200));
         assertEquals(2, judge.unexplained());
-        rules(new Noted(7, "b1", "q9", "refused"));
+        rules(new BalancerNote(7, "b1", "q9", "refused"));
         assertEquals(2, judge.unexplained(), "a balancer's own word is no evidence");
     }
 
@@ -264,18 +273,18 @@
                 tried("unsafe", 0, 30, End.ANSWERED, 200),
                 ran(2, 11, 20, How.SERVED),
                 ran(1, 5, 10, How.ERROR),
-                new Noted(31, "b1", "q1", "served after 2 attempts"));
+                new BalancerNote(31, "b1", "q1", "served after 2 attempts"));
         List<String> order = breaches.get(0).timeline().stream()
-                .map(one -> one.getClass().getSimpleName() + (one instanceof Ran ran ? ran.server() : ""))
+                .map(one -> one.getClass().getSimpleName() + (one instanceof ServerAttempt ran ? ran.server() : ""))
                 .toList();
-        assertEquals(List.of("Tried", "Rans1", "Rans2", "Noted"), order);
+        assertEquals(List.of("ClientAttempt", "ServerAttempts1", "ServerAttempts2", "BalancerNote"), order);
     }
 
     @Test
     void whatIsHeldIsBoundedAndTheOldestIsJudgedFirst() {
         RuleChecker bounded = new RuleChecker(TERMS, breaches::add, 100);
         for (int i = 0; i < 1_000; i++) {
-            bounded.take(new Tried(
+            bounded.take(new ClientAttempt(
                     i, "c", "b1", "q" + i, "q" + i, "safe", "", i, i + 10, i + 5, End.ANSWERED, 503, Echo.UNKNOWN));
             assertTrue(bounded.held() <= 100);
         }
@@ -288,7 +297,7 @@
     void whatIsOldEnoughIsJudgedAndForgotten() {
         for (int i = 0; i < 1_000; i++) {
             double at = i * 100.0;
-            judge.take(new Tried(
+            judge.take(new ClientAttempt(
                     at, "c", "b1", "q" + i, "q" + i, "safe", "", at, at + 10, at + 5, End.ANSWERED, 503, Echo.UNKNOWN));
             assertTrue(judge.held() <= 102);
         }
@@ -332,7 +341,7 @@
             cell = server / 2;
             last = How.values()[random.nextInt(How.values().length)];
             double took = random.nextDouble(1, 100);
-            history.add(new Ran(
+            history.add(new ServerAttempt(
                     time + took,
                     "s" + server,
                     "z" + server % 2,
@@ -350,7 +359,7 @@
         }
         boolean harm = mayHaveRun && (type.equals("unsafe") || type.equals("keyed"));
         int status = last == How.SERVED ? 200 : harm || random.nextBoolean() ? 502 : 503;
-        history.add(new Tried(
+        history.add(new ClientAttempt(
                 time + 1,
                 "c",
                 "b1",
--- a/src/test/java/sablehinge/tools/replay/run/LoadTest.java
+++ b/src/test/java/sablehinge/tools/replay/run/LoadTest.java
@@ -29,9 +29,9 @@
 import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.AuditRules.Group;
 import sablehinge.tools.audit.judge.Evidence;
+import sablehinge.tools.audit.judge.Evidence.ClientAttempt;
+import sablehinge.tools.audit.judge.Evidence.DuplicateAnswer;
 import sablehinge.tools.audit.judge.Evidence.End;
-import sablehinge.tools.audit.judge.Evidence.Tried;
-import sablehinge.tools.audit.judge.Evidence.Unasked;
 import sablehinge.tools.replay.Demand;
 import sablehinge.tools.replay.schedule.ReplayClient;
 import sablehinge.tools.replay.schedule.ReplaySchedule;
@@ -76,10 +76,10 @@
         return load.result(0).json();
     }
 
-    private List<Tried> tries() {
+    private List<ClientAttempt> tries() {
         return record.stream()
-                .filter(Tried.class::isInstance)
-                .map(Tried.class::cast)
+                .filter(ClientAttempt.class::isInstance)
+                .map(ClientAttempt.class::cast)
                 .toList();
     }
 
@@ -140,7 +140,7 @@
             JsonNode json = run(some(1, 1));
             assertEquals(2, json.path("tries").asInt());
             assertEquals(1, json.path("classes").path("look").path("in_time").asInt());
-            List<Tried> tries = tries();
+            List<ClientAttempt> tries = tries();
             assertEquals(tries.get(0).txn(), tries.get(1).first());
             assertFalse(tries.get(0).txn().equals(tries.get(1).txn()));
         }
@@ -175,7 +175,7 @@
                             .path("look")
                             .path("unanswered")
                             .asInt());
-            Tried tried = tries().get(0);
+            ClientAttempt tried = tries().get(0);
             assertEquals(End.SILENT, tried.end());
             assertTrue(tried.at() >= tried.until() + 140, "a late answer was still looked for");
             assertEquals(0.3, server.seen.peek().remaining(), 0.05);
@@ -240,7 +240,7 @@
                 2);
         assertEquals(
                 List.of(End.BROKEN, End.PARTIAL),
-                tries().stream().map(Tried::end).toList());
+                tries().stream().map(ClientAttempt::end).toList());
     }
 
     @Test
@@ -252,8 +252,10 @@
                     return true;
                 },
                 1);
-        Unasked unasked = (Unasked)
-                record.stream().filter(Unasked.class::isInstance).findFirst().orElseThrow();
+        DuplicateAnswer unasked = (DuplicateAnswer) record.stream()
+                .filter(DuplicateAnswer.class::isInstance)
+                .findFirst()
+                .orElseThrow();
         assertEquals(tries().get(0).txn(), unasked.txn());
     }
 
@@ -278,8 +280,8 @@
                 2);
         assertEquals(
                 List.of(End.ANSWERED, End.ANSWERED),
-                tries().stream().map(Tried::end).toList());
-        assertEquals(2, tries().stream().map(Tried::txn).distinct().count());
+                tries().stream().map(ClientAttempt::end).toList());
+        assertEquals(2, tries().stream().map(ClientAttempt::txn).distinct().count());
     }
 
     @Test
--- a/src/test/java/sablehinge/tools/standin/FleetTest.java
+++ b/src/test/java/sablehinge/tools/standin/FleetTest.java
@@ -27,8 +27,8 @@
 import sablehinge.testing.Peer;
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.Evidence.How;
-import sablehinge.tools.audit.judge.Evidence.ListSent;
-import sablehinge.tools.audit.judge.Evidence.Ran;
+import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
+import sablehinge.tools.audit.judge.Evidence.ServerStateUpdate;
 import sablehinge.tools.standin.scenario.ScenarioFile;
 
 /** Servers as they are met without a balancer between, each under one fault. */
@@ -115,11 +115,11 @@
         }
     }
 
-    private Ran ran(String txn) throws InterruptedException {
+    private ServerAttempt ran(String txn) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.TIMEOUT_MS);
         while (System.nanoTime() < end) {
             for (Evidence one : record) {
-                if (one instanceof Ran ran && ran.txn().equals(txn)) {
+                if (one instanceof ServerAttempt ran && ran.txn().equals(txn)) {
                     return ran;
                 }
             }
@@ -139,7 +139,7 @@
         Peer.Message answer = ask(get("q1"));
         assertEquals(200, answer.status());
         assertTrue(answer.body().startsWith("txn=q1\nserver=front-1\n"), answer.body());
-        Ran ran = ran("q1");
+        ServerAttempt ran = ran("q1");
         assertEquals(How.SERVED, ran.how());
         assertEquals("entry-1", ran.balancer());
         assertEquals("look", ran.serviceClass());
@@ -291,21 +291,22 @@
         JsonNode back = list("?index=" + removed.path("version").asLong() + "&wait=20000");
         assertEquals("up", back.path("servers").get(0).path("state").asText());
         assertTrue(back.path("servers").get(0).path("started_ms").asLong() > 0);
-        List<ListSent> received = received();
+        List<ServerStateUpdate> received = received();
         // An answer may be read before it is on record.
         for (int i = 0; i < 5_000 && received.size() < 2; i++) {
             LockSupport.parkNanos(1_000_000);
             received = received();
         }
         assertEquals(
-                List.of("removed", "up"), received.stream().map(ListSent::state).toList());
+                List.of("removed", "up"),
+                received.stream().map(ServerStateUpdate::state).toList());
         assertEquals("entry-1", received.get(0).balancer());
     }
 
-    private List<ListSent> received() {
+    private List<ServerStateUpdate> received() {
         return record.stream()
-                .filter(ListSent.class::isInstance)
-                .map(ListSent.class::cast)
+                .filter(ServerStateUpdate.class::isInstance)
+                .map(ServerStateUpdate.class::cast)
                 .toList();
     }
 
--- a/src/test/java/sablehinge/tools/standin/WarmUpTest.java
+++ b/src/test/java/sablehinge/tools/standin/WarmUpTest.java
@@ -17,6 +17,6 @@
     }
 
     private static Evidence ran(String id) {
-        return new Evidence.Ran(0, "s1", "a", 0, "b1", id, "", "look", "", 0, 0, Evidence.How.CUT);
+        return new Evidence.ServerAttempt(0, "s1", "a", 0, "b1", id, "", "look", "", 0, 0, Evidence.How.CUT);
     }
 }
