--- a/bench/src/sablehinge/bench/BudgetsBench.java
+++ b/bench/src/sablehinge/bench/BudgetsBench.java
@@ -353,7 +353,7 @@
         classes.put("spend", new ClassTerms(Effect.UNSAFE, Group.ALL, 0));
         List<Breach> found = new ArrayList<>();
         RuleChecker judge = new RuleChecker(new AuditRules(classes, 140, 2_050, 100, 10_000, true, true), found::add);
-        chain.evidence.stream().sorted(Comparator.comparingDouble(Evidence::at)).forEach(judge::take);
+        chain.evidence.stream().sorted(Comparator.comparingDouble(Evidence::at)).forEach(judge::add);
         judge.end();
         found.stream().limit(3).forEach(breach -> System.err.println(breach));
         return found.size();
--- a/src/main/java/sablehinge/tools/audit/Audit.java
+++ b/src/main/java/sablehinge/tools/audit/Audit.java
@@ -29,32 +29,32 @@
 import sablehinge.tools.audit.judge.Evidence;
 import sablehinge.tools.audit.judge.RuleChecker;
 
-/** Joins what the parties of a run saw, and judges the four rules by it. */
+/** Merges the evidence of all parties of a run and checks the four rules against it. */
 public final class Audit {
 
-    /** Breaches whose timelines are kept. */
-    private static final int SHOWN = 100;
+    /** Maximum number of breaches whose timelines are retained. */
+    private static final int MAX_SHOWN = 100;
 
-    private final Map<Rule, Long> byRule = new EnumMap<>(Rule.class);
+    private final Map<Rule, Long> countByRule = new EnumMap<>(Rule.class);
     private final List<Breach> shown = new ArrayList<>();
-    private final List<String> unreadable = new ArrayList<>();
+    private final List<String> unreadableLines = new ArrayList<>();
     private long unreadableCount;
-    private RuleChecker judge;
+    private RuleChecker checker;
 
-    private final int mostShown;
+    private final int maxShown;
 
-    private Audit(int mostShown) {
-        this.mostShown = mostShown;
+    private Audit(int maxShown) {
+        this.maxShown = maxShown;
         for (Rule rule : Rule.values()) {
-            byRule.put(rule, 0L);
+            countByRule.put(rule, 0L);
         }
     }
 
-    /** Evidence of one file, in its order. */
+    /** The evidence of one file, in the order of its lines. */
     private final class Source implements AutoCloseable {
         final Path file;
         final BufferedReader lines;
-        long number;
+        long lineNumber;
         Evidence next;
 
         Source(Path file) throws IOException {
@@ -68,7 +68,10 @@
             advance();
         }
 
-        /** What can't be read is noted; a file that is cut off, as by a party's death, counts up to there. */
+        /**
+         * Reads the next evidence. Malformed lines are reported and skipped; a truncated file, such as that of a killed
+         * process, is read up to the truncation.
+         */
         void advance() {
             next = null;
             while (next == null) {
@@ -76,26 +79,26 @@
                 try {
                     line = lines.readLine();
                 } catch (IOException e) {
-                    // A party that was killed leaves its last lines half packed.
-                    note(number + 1, "can't be read on from here: " + e.getMessage());
+                    // A killed process leaves an incomplete gzip stream.
+                    addUnreadable(lineNumber + 1, "can't be read on from here: " + e.getMessage());
                     return;
                 }
                 if (line == null) {
                     return;
                 }
-                number++;
+                lineNumber++;
                 try {
                     next = EvidenceLines.read(line);
                 } catch (IllegalArgumentException e) {
-                    note(number, e.getMessage());
+                    addUnreadable(lineNumber, e.getMessage());
                 }
             }
         }
 
-        private void note(long line, String message) {
+        private void addUnreadable(long line, String message) {
             unreadableCount++;
-            if (unreadable.size() < 10) {
-                unreadable.add(file.getFileName() + ":" + line + ": " + message);
+            if (unreadableLines.size() < 10) {
+                unreadableLines.add(file.getFileName() + ":" + line + ": " + message);
             }
         }
 
@@ -105,19 +108,19 @@
         }
     }
 
-    /** Judges the run in a folder: its {@code terms.json} and all its {@code .jsonl} and {@code .jsonl.gz} files. */
+    /** Audits the run in a folder: its {@code terms.json} and all its {@code .jsonl} and {@code .jsonl.gz} files. */
     public static Audit of(Path folder) throws IOException {
-        return of(folder, SHOWN);
+        return of(folder, MAX_SHOWN);
     }
 
-    /** The same, with up to so many breaches shown. */
-    public static Audit of(Path folder, int mostShown) throws IOException {
+    /** Audits the run in a folder and retains up to {@code maxShown} breaches with their timelines. */
+    public static Audit of(Path folder, int maxShown) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new IOException(folder + ": is no folder, expected that of a run");
         }
-        Audit audit = new Audit(mostShown);
-        AuditRules terms = AuditRulesFile.read(folder);
-        audit.judge = new RuleChecker(terms, audit::breach);
+        Audit audit = new Audit(maxShown);
+        AuditRules rules = AuditRulesFile.read(folder);
+        audit.checker = new RuleChecker(rules, audit::breach);
         List<Source> sources = new ArrayList<>();
         try {
             for (Path file : files(folder)) {
@@ -127,7 +130,7 @@
             sources.stream().filter(source -> source.next != null).forEach(heads::add);
             while (!heads.isEmpty()) {
                 Source first = heads.poll();
-                audit.judge.take(first.next);
+                audit.checker.add(first.next);
                 first.advance();
                 if (first.next != null) {
                     heads.add(first);
@@ -138,7 +141,7 @@
                 source.close();
             }
         }
-        audit.judge.end();
+        audit.checker.end();
         return audit;
     }
 
@@ -151,9 +154,11 @@
         }
     }
 
-    /** Hands over what stands in one file, in its order; how many lines could not be read. */
+    /**
+     * Passes the evidence of one file to the reader, in the order of its lines; returns the number of unreadable lines.
+     */
     public static long read(Path file, Consumer<Evidence> reader) throws IOException {
-        Audit audit = new Audit(SHOWN);
+        Audit audit = new Audit(MAX_SHOWN);
         try (Source source = audit.new Source(file)) {
             while (source.next != null) {
                 reader.accept(source.next);
@@ -164,57 +169,59 @@
     }
 
     private void breach(Breach breach) {
-        byRule.merge(breach.rule(), 1L, Long::sum);
-        if (shown.size() < mostShown) {
+        countByRule.merge(breach.rule(), 1L, Long::sum);
+        if (shown.size() < maxShown) {
             shown.add(breach);
         }
     }
 
-    /** Tries that were judged. */
+    /** The number of client attempts that were checked. */
     public long requests() {
-        return judge.requests();
+        return checker.requests();
     }
 
-    /** How many breaches there were, of all rules. */
+    /** The number of breaches of all rules. */
     public long breaches() {
-        return byRule.values().stream().mapToLong(Long::longValue).sum();
+        return countByRule.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** How many of one rule. */
+    /** The number of breaches of one rule. */
     public long breaches(Rule rule) {
-        return byRule.get(rule);
+        return countByRule.get(rule);
     }
 
-    /** The first breaches. */
+    /** The first breaches, with their timelines. */
     public List<Breach> shown() {
         return List.copyOf(shown);
     }
 
-    /** Requests that one party saw and another, whose record ought to be complete, did not. */
+    /** Requests that one party recorded and another party, whose record should be complete, did not. */
     public long unexplained() {
-        return judge.unexplained();
+        return checker.unexplained();
     }
 
-    /** All of it, as JSON. */
+    /** The result as JSON. */
     public ObjectNode json() {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
         json.put("requests", requests());
         ObjectNode rules = json.putObject("breaches");
-        byRule.forEach((rule, count) -> rules.put(name(rule), count));
+        countByRule.forEach((rule, count) -> rules.put(lowerCaseName(rule), count));
         json.put("unexplained", unexplained())
-                .put("judged_early", judge.early())
+                .put("judged_early", checker.checkedEarly())
                 .put("unreadable", unreadableCount);
-        unreadable.forEach(json.putArray("first_unreadable")::add);
+        unreadableLines.forEach(json.putArray("first_unreadable")::add);
         ArrayNode list = json.putArray("first_breaches");
         for (Breach breach : shown) {
-            ObjectNode one = list.addObject();
-            one.put("rule", name(breach.rule())).put("request", breach.txn()).put("what", breach.what());
-            breach.timeline().forEach(evidence -> one.withArray("timeline").add(line(evidence)));
+            ObjectNode entry = list.addObject();
+            entry.put("rule", lowerCaseName(breach.rule()))
+                    .put("request", breach.txn())
+                    .put("what", breach.what());
+            breach.timeline().forEach(evidence -> entry.withArray("timeline").add(line(evidence)));
         }
         return json;
     }
 
-    private static String name(Rule rule) {
+    private static String lowerCaseName(Rule rule) {
         return rule.name().toLowerCase(Locale.ROOT);
     }
 
@@ -228,7 +235,7 @@
         return text.toString().strip();
     }
 
-    /** All of it, for people. */
+    /** Prints the result as text. */
     public void print(PrintWriter out) {
         out.printf(Locale.ROOT, "%,d requests judged by what callers and servers saw%n", requests());
         out.printf(Locale.ROOT, "  one final answer in time    %,d breaches%n", breaches(Rule.ANSWER));
@@ -236,15 +243,15 @@
         out.printf(Locale.ROOT, "  drains kept                 %,d breaches%n", breaches(Rule.DRAIN));
         out.printf(Locale.ROOT, "  no cold server pushed over  %,d breaches%n", breaches(Rule.COLD));
         out.printf(Locale.ROOT, "  unexplained                 %,d%n", unexplained());
-        if (judge.early() > 0) {
-            out.printf(Locale.ROOT, "  judged before all was in    %,d%n", judge.early());
+        if (checker.checkedEarly() > 0) {
+            out.printf(Locale.ROOT, "  judged before all was in    %,d%n", checker.checkedEarly());
         }
         if (unreadableCount > 0) {
             out.printf(Locale.ROOT, "  lines that can't be read    %,d%n", unreadableCount);
-            unreadable.forEach(line -> out.println("    " + line));
+            unreadableLines.forEach(line -> out.println("    " + line));
         }
         for (Breach breach : shown.subList(0, Math.min(10, shown.size()))) {
-            out.printf("%n%s: %s: %s%n", name(breach.rule()), breach.txn(), breach.what());
+            out.printf("%n%s: %s: %s%n", lowerCaseName(breach.rule()), breach.txn(), breach.what());
             double from =
                     breach.timeline().stream().mapToDouble(Evidence::at).min().orElse(0);
             breach.timeline()
--- a/src/main/java/sablehinge/tools/audit/AuditRulesFile.java
+++ b/src/main/java/sablehinge/tools/audit/AuditRulesFile.java
@@ -14,34 +14,34 @@
 import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.AuditRules.Group;
 
-/** What a run was judged by, beside what its parties saw: {@code terms.json}. */
+/** The file {@code terms.json} of a run: the {@link AuditRules} that the evidence is checked against. */
 public final class AuditRulesFile {
 
-    /** Its name in the folder of a run. */
+    /** The file's name in the folder of a run. */
     public static final String NAME = "terms.json";
 
     private static final JsonMapper JSON = new JsonMapper();
 
     private AuditRulesFile() {}
 
-    /** Writes it into a folder. */
-    public static void write(Path folder, AuditRules terms) throws IOException {
+    /** Writes the file into a folder. */
+    public static void write(Path folder, AuditRules rules) throws IOException {
         ObjectNode json = JSON.createObjectNode();
-        json.put("answer_grace_ms", terms.answerGrace())
-                .put("drain_grace_ms", terms.drainGrace())
-                .put("slack_ms", terms.slack())
-                .put("hold_ms", terms.hold())
-                .put("callers_whole", terms.callersComplete())
-                .put("servers_whole", terms.serversComplete());
+        json.put("answer_grace_ms", rules.answerGrace())
+                .put("drain_grace_ms", rules.drainGrace())
+                .put("slack_ms", rules.slack())
+                .put("hold_ms", rules.hold())
+                .put("callers_whole", rules.callersComplete())
+                .put("servers_whole", rules.serversComplete());
         ObjectNode classes = json.putObject("classes");
-        terms.classes().forEach((name, type) -> classes.putObject(name)
+        rules.classes().forEach((name, type) -> classes.putObject(name)
                 .put("effect", type.effect().name().toLowerCase(Locale.ROOT))
                 .put("group", type.group().name().toLowerCase(Locale.ROOT))
                 .put("window_ms", type.window()));
         Files.writeString(folder.resolve(NAME), json.toPrettyString() + "\n");
     }
 
-    /** Reads it from a folder; the error says what is wrong with it. */
+    /** Reads the file from a folder; the exception's message names the file and the fault. */
     static AuditRules read(Path folder) throws IOException {
         Path file = folder.resolve(NAME);
         if (!Files.isRegularFile(file)) {
@@ -50,10 +50,10 @@
         try {
             JsonNode json = JSON.readTree(Files.readString(file));
             Map<String, ClassTerms> classes = new HashMap<>();
-            for (Map.Entry<String, JsonNode> one : json.path("classes").properties()) {
-                JsonNode type = one.getValue();
+            for (Map.Entry<String, JsonNode> entry : json.path("classes").properties()) {
+                JsonNode type = entry.getValue();
                 classes.put(
-                        one.getKey(),
+                        entry.getKey(),
                         new ClassTerms(
                                 Effect.valueOf(type.path("effect").asText().toUpperCase(Locale.ROOT)),
                                 Group.valueOf(type.path("group").asText("all").toUpperCase(Locale.ROOT)),
@@ -61,10 +61,10 @@
             }
             return new AuditRules(
                     classes,
-                    number(json, "answer_grace_ms"),
-                    number(json, "drain_grace_ms"),
-                    number(json, "slack_ms"),
-                    number(json, "hold_ms"),
+                    requiredMillis(json, "answer_grace_ms"),
+                    requiredMillis(json, "drain_grace_ms"),
+                    requiredMillis(json, "slack_ms"),
+                    requiredMillis(json, "hold_ms"),
                     json.path("callers_whole").asBoolean(),
                     json.path("servers_whole").asBoolean());
         } catch (IOException | IllegalArgumentException e) {
@@ -72,7 +72,7 @@
         }
     }
 
-    private static double number(JsonNode json, String name) {
+    private static double requiredMillis(JsonNode json, String name) {
         double value = json.path(name).asDouble(-1);
         if (!(value >= 0)) {
             throw new IllegalArgumentException("expected a number of ms in " + name);
--- a/src/main/java/sablehinge/tools/audit/EvidenceLines.java
+++ b/src/main/java/sablehinge/tools/audit/EvidenceLines.java
@@ -21,7 +21,7 @@
 import sablehinge.tools.audit.judge.Evidence.ServerAttempt;
 import sablehinge.tools.audit.judge.Evidence.ServerStateUpdate;
 
-/** Evidence as lines of JSON, one for each. Times are ms since 1970; what never happened is left out. */
+/** Evidence as JSON lines, evidence per record. Times are milliseconds since 1970; an absent time is omitted. */
 final class EvidenceLines {
 
     private static final JsonFactory FACTORY = JsonFactory.builder()
@@ -33,75 +33,75 @@
     private EvidenceLines() {}
 
     /** Writes one line. */
-    static void write(Evidence one, Writer out) throws IOException {
+    static void write(Evidence evidence, Writer out) throws IOException {
         try (JsonGenerator json = FACTORY.createGenerator(out)) {
             json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             json.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
             json.writeStartObject();
-            if (one instanceof ClientAttempt tried) {
-                tried(tried, json);
-            } else if (one instanceof ServerAttempt ran) {
-                ran(ran, json);
-            } else if (one instanceof DuplicateAnswer unasked) {
-                head(json, "unasked", unasked.at());
-                text(json, "caller", unasked.caller());
-                text(json, "balancer", unasked.balancer());
-                text(json, "txn", unasked.txn());
-            } else if (one instanceof ServerStateUpdate received) {
-                head(json, "told", received.at());
-                text(json, "balancer", received.balancer());
-                text(json, "server", received.server());
-                text(json, "state", received.state());
-            } else if (one instanceof ColdOverload fell) {
-                head(json, "fell", fell.at());
-                text(json, "server", fell.server());
-                json.writeNumberField("informed", fell.informed());
-            } else if (one instanceof PartyEnded ended) {
-                head(json, "ended", ended.at());
-                text(json, "party", ended.party());
-            } else if (one instanceof BalancerNote noted) {
-                head(json, "noted", noted.at());
-                text(json, "balancer", noted.balancer());
-                text(json, "txn", noted.txn());
-                text(json, "text", noted.text());
+            if (evidence instanceof ClientAttempt attempt) {
+                writeClientAttempt(attempt, json);
+            } else if (evidence instanceof ServerAttempt attempt) {
+                writeServerAttempt(attempt, json);
+            } else if (evidence instanceof DuplicateAnswer duplicate) {
+                writeHeader(json, "unasked", duplicate.at());
+                text(json, "caller", duplicate.caller());
+                text(json, "balancer", duplicate.balancer());
+                text(json, "txn", duplicate.txn());
+            } else if (evidence instanceof ServerStateUpdate update) {
+                writeHeader(json, "told", update.at());
+                text(json, "balancer", update.balancer());
+                text(json, "server", update.server());
+                text(json, "state", update.state());
+            } else if (evidence instanceof ColdOverload overload) {
+                writeHeader(json, "fell", overload.at());
+                text(json, "server", overload.server());
+                json.writeNumberField("informed", overload.informed());
+            } else if (evidence instanceof PartyEnded end) {
+                writeHeader(json, "ended", end.at());
+                text(json, "party", end.party());
+            } else if (evidence instanceof BalancerNote note) {
+                writeHeader(json, "noted", note.at());
+                text(json, "balancer", note.balancer());
+                text(json, "txn", note.txn());
+                text(json, "text", note.text());
             }
             json.writeEndObject();
         }
         out.write('\n');
     }
 
-    private static void tried(ClientAttempt tried, JsonGenerator json) throws IOException {
-        head(json, "tried", tried.at());
-        text(json, "caller", tried.caller());
-        text(json, "balancer", tried.balancer());
-        text(json, "txn", tried.txn());
-        text(json, "first", tried.first());
-        text(json, "class", tried.serviceClass());
-        text(json, "key", tried.key());
-        time(json, "sent", tried.sent());
-        time(json, "until", tried.until());
-        time(json, "answered", tried.answered());
-        text(json, "end", name(tried.end()));
-        json.writeNumberField("status", tried.status());
-        text(json, "echo", name(tried.echo()));
+    private static void writeClientAttempt(ClientAttempt attempt, JsonGenerator json) throws IOException {
+        writeHeader(json, "tried", attempt.at());
+        text(json, "caller", attempt.caller());
+        text(json, "balancer", attempt.balancer());
+        text(json, "txn", attempt.txn());
+        text(json, "first", attempt.first());
+        text(json, "class", attempt.serviceClass());
+        text(json, "key", attempt.key());
+        time(json, "sent", attempt.sent());
+        time(json, "until", attempt.until());
+        time(json, "answered", attempt.answered());
+        text(json, "end", lowerCaseName(attempt.end()));
+        json.writeNumberField("status", attempt.status());
+        text(json, "echo", lowerCaseName(attempt.echo()));
     }
 
-    private static void ran(ServerAttempt ran, JsonGenerator json) throws IOException {
-        head(json, "ran", ran.at());
-        text(json, "server", ran.server());
-        text(json, "zone", ran.zone());
-        json.writeNumberField("cell", ran.cell());
-        text(json, "balancer", ran.balancer());
-        text(json, "txn", ran.txn());
-        text(json, "key", ran.key());
-        text(json, "class", ran.serviceClass());
-        text(json, "about", ran.about());
-        time(json, "begun", ran.begun());
-        time(json, "taken", ran.taken());
-        text(json, "how", name(ran.how()));
+    private static void writeServerAttempt(ServerAttempt attempt, JsonGenerator json) throws IOException {
+        writeHeader(json, "ran", attempt.at());
+        text(json, "server", attempt.server());
+        text(json, "zone", attempt.zone());
+        json.writeNumberField("cell", attempt.cell());
+        text(json, "balancer", attempt.balancer());
+        text(json, "txn", attempt.txn());
+        text(json, "key", attempt.key());
+        text(json, "class", attempt.serviceClass());
+        text(json, "about", attempt.about());
+        time(json, "begun", attempt.begun());
+        time(json, "taken", attempt.taken());
+        text(json, "how", lowerCaseName(attempt.how()));
     }
 
-    private static void head(JsonGenerator json, String event, double at) throws IOException {
+    private static void writeHeader(JsonGenerator json, String event, double at) throws IOException {
         json.writeStringField("ev", event);
         time(json, "at", at);
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /** To the microsecond: a double's digits would be most of the file. */
+    /** Written to the microsecond: the full digits of a double would make up most of the file. */
     private static void time(JsonGenerator json, String name, double millis) throws IOException {
         if (!Double.isNaN(millis)) {
             long micros = Math.round(millis * 1_000);
@@ -122,11 +122,11 @@
         }
     }
 
-    private static String name(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Reads a line; {@link IllegalArgumentException} says what is wrong with it. */
+    /** Parses a line; throws {@link IllegalArgumentException} with the reason if the line is malformed. */
     static Evidence read(String line) {
         JsonNode json;
         try {
@@ -135,7 +135,7 @@
             throw new IllegalArgumentException("expected an object of JSON");
         }
         if (!json.has("ev") && json.has("at_ms") && json.has("request")) {
-            return accessLog(json);
+            return accessLogNote(json);
         }
         String event = json.path("ev").asText();
         double at = required(json, "at");
@@ -152,9 +152,9 @@
                         time(json, "sent"),
                         required(json, "until"),
                         time(json, "answered"),
-                        choice(json, "end", End.class),
+                        requiredEnum(json, "end", End.class),
                         json.path("status").asInt(0),
-                        choice(json, "echo", Echo.class));
+                        requiredEnum(json, "echo", Echo.class));
             case "ran" ->
                 new ServerAttempt(
                         at,
@@ -168,7 +168,7 @@
                         text(json, "about"),
                         required(json, "begun"),
                         time(json, "taken"),
-                        choice(json, "how", How.class));
+                        requiredEnum(json, "how", How.class));
             case "unasked" ->
                 new DuplicateAnswer(at, text(json, "caller"), text(json, "balancer"), required(json, "txn", ""));
             case "told" ->
@@ -183,8 +183,8 @@
         };
     }
 
-    /** A line of the access log that a balancer writes by {@code node.access-log}. */
-    private static BalancerNote accessLog(JsonNode json) {
+    /** A line of the access log that a balancer writes if {@code node.access-log} is set. */
+    private static BalancerNote accessLogNote(JsonNode json) {
         return new BalancerNote(
                 required(json, "at_ms"),
                 "",
@@ -213,15 +213,15 @@
         return value;
     }
 
-    private static String required(JsonNode json, String name, String none) {
-        String value = json.path(name).asText(none);
+    private static String required(JsonNode json, String name, String defaultValue) {
+        String value = json.path(name).asText(defaultValue);
         if (value.isEmpty()) {
             throw new IllegalArgumentException("expected a text in " + name);
         }
         return value;
     }
 
-    private static <T extends Enum<T>> T choice(JsonNode json, String name, Class<T> type) {
+    private static <T extends Enum<T>> T requiredEnum(JsonNode json, String name, Class<T> type) {
         try {
             return Enum.valueOf(type, json.path(name).asText().toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
@@ -229,7 +229,7 @@
                     + String.join(
                             ", ",
                             java.util.Arrays.stream(type.getEnumConstants())
-                                    .map(EvidenceLines::name)
+                                    .map(EvidenceLines::lowerCaseName)
                                     .toList()));
         }
     }
--- a/src/main/java/sablehinge/tools/audit/Recorder.java
+++ b/src/main/java/sablehinge/tools/audit/Recorder.java
@@ -18,12 +18,12 @@
 import sablehinge.tools.audit.judge.Evidence;
 
 /**
- * Writes down what parties saw, packed, on a thread of its own: who records never waits for the disk. What comes faster
- * than it can be written is dropped and counted, and so is all after the disk has failed.
+ * Writes evidence to a gzip-compressed file on a separate thread, so that callers never wait for the disk. Evidence
+ * that arrives faster than it can be written is dropped and counted, as is all evidence after a disk failure.
  */
 public final class Recorder implements AutoCloseable {
 
-    /** Evidence that waits to be written at most. */
+    /** Maximum number of evidence records queued for writing. */
     public static final int MAX_WAITING = 1 << 17;
 
     private static final int BATCH = 4_096;
@@ -32,21 +32,21 @@
     private final AtomicLong dropped = new AtomicLong();
     private final Thread thread;
     private volatile boolean closed;
-    private volatile long cpu;
+    private volatile long cpuNanos;
     private volatile String failure;
 
-    /** A record in a file, which is begun anew. */
+    /** Creates a recorder that writes to a file; an existing file is truncated. */
     public Recorder(Path file) throws IOException {
         this(Files.newOutputStream(file), MAX_WAITING);
     }
 
-    Recorder(OutputStream file, int mostWaiting) throws IOException {
-        waiting = new ArrayBlockingQueue<>(mostWaiting);
+    Recorder(OutputStream file, int maxWaiting) throws IOException {
+        waiting = new ArrayBlockingQueue<>(maxWaiting);
         Writer out = new BufferedWriter(
                 new OutputStreamWriter(
                         new GZIPOutputStream(file, 1 << 16) {
                             {
-                                // Fast rather than small: a day's record is written while the day is played.
+                                // Favors speed over size: the record is written while the load runs.
                                 def.setLevel(1);
                             }
                         },
@@ -57,19 +57,19 @@
         thread.start();
     }
 
-    /** Takes what was seen, on any thread. */
-    public void note(Evidence one) {
-        if (failure != null || !waiting.offer(one)) {
+    /** Queues evidence for writing; may be called from any thread. */
+    public void note(Evidence evidence) {
+        if (failure != null || !waiting.offer(evidence)) {
             dropped.incrementAndGet();
         }
     }
 
-    /** What could not be written. */
+    /** The number of evidence records that were not written. */
     public long dropped() {
         return dropped.get();
     }
 
-    /** Why the file can't be written; null while it can. */
+    /** Why the file can't be written; null if writing has not failed. */
     public String failure() {
         return failure;
     }
@@ -84,11 +84,11 @@
                 }
                 batch.add(first);
                 waiting.drainTo(batch, BATCH);
-                for (Evidence one : batch) {
-                    EvidenceLines.write(one, out);
+                for (Evidence evidence : batch) {
+                    EvidenceLines.write(evidence, out);
                 }
                 batch.clear();
-                cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+                cpuNanos = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
             }
         } catch (IOException e) {
             failure = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
@@ -99,12 +99,12 @@
         }
     }
 
-    /** CPU that the writing has used so far, in ns; 0 where that is not known. */
+    /** CPU time that the writer thread has used so far, in nanoseconds; 0 if not known yet. */
     public long cpuNanos() {
-        return cpu;
+        return cpuNanos;
     }
 
-    /** Writes what waits, and ends. */
+    /** Writes the queued evidence and stops the writer thread. */
     @Override
     public void close() {
         closed = true;
--- a/src/main/java/sablehinge/tools/audit/judge/AuditRules.java
+++ b/src/main/java/sablehinge/tools/audit/judge/AuditRules.java
@@ -3,15 +3,16 @@
 import java.util.Map;
 
 /**
- * By what the four rules are judged. Times in ms.
+ * Parameters of the four rules. All times are in milliseconds.
  *
- * @param classes by name
- * @param answerGrace after the caller's time is up, by when an answer must have come
- * @param drainGrace after a balancer was notified that a server drains or is gone, until when it may send
- * @param slack for the stamps of two parties on a busy machine
- * @param hold for how long after its last trace a request may leave another
- * @param callersComplete whether every caller's record is there
- * @param serversComplete likewise every server's
+ * @param classes the request classes, by name
+ * @param answerGrace how long after the caller's deadline an answer may still arrive
+ * @param drainGrace how long a balancer may still send to a server after it was notified that the server is draining or
+ *     removed
+ * @param slack tolerance between the timestamps of two parties on a busy machine
+ * @param hold how long after the last evidence of a request further evidence of the request may arrive
+ * @param callersComplete whether the records of all callers are present
+ * @param serversComplete whether the records of all servers are present
  */
 public record AuditRules(
         Map<String, ClassTerms> classes,
@@ -22,20 +23,20 @@
         boolean callersComplete,
         boolean serversComplete) {
 
-    /** May it run again? */
+    /** Whether a request may run more than once. */
     public enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Who drops a repeat of a keyed request. */
+    /** The servers among which a repeated keyed request is deduplicated. */
     public enum Group {
         ALL,
         ZONE,
         CELL
     }
 
-    /** A class; the group and the window, in ms, count for keyed ones only. */
+    /** A request class; the group and the window, in milliseconds, apply to keyed classes only. */
     public record ClassTerms(Effect effect, Group group, double window) {}
 }
--- a/src/main/java/sablehinge/tools/audit/judge/Breach.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Breach.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A broken rule.
+ * A breach of a rule.
  *
- * @param txn the request, or the server where it is about one
- * @param what happened, in a sentence
- * @param timeline what all parties saw of it, in order
+ * @param txn the request's id, or the server's name if the breach concerns a server
+ * @param what a sentence that describes the breach
+ * @param timeline the evidence of all parties, ordered by time
  */
 public record Breach(Rule rule, String txn, String what, List<Evidence> timeline) {
 
--- a/src/main/java/sablehinge/tools/audit/judge/Evidence.java
+++ b/src/main/java/sablehinge/tools/audit/judge/Evidence.java
@@ -1,28 +1,31 @@
 package sablehinge.tools.audit.judge;
 
-/** What one party saw. Times are ms since 1970 on one machine's clock; NaN where something never happened. */
+/**
+ * An observation of one party. Times are milliseconds since 1970 on one machine's clock; NaN if the event never
+ * happened.
+ */
 public sealed interface Evidence {
 
-    /** When it was over, as the party saw it. */
+    /** When the observed event ended, as the party saw it. */
     double at();
 
-    /** How a caller's try ended. */
+    /** How a client attempt ended. */
     enum End {
         /** With a complete answer. */
         ANSWERED,
-        /** Its connection ended before anything of an answer had come. */
+        /** The connection ended before any byte of an answer arrived. */
         BROKEN,
-        /** Its connection ended amid an answer: the caller can tell that it is not complete. */
+        /** The connection ended during an answer: the caller can tell that the answer is incomplete. */
         PARTIAL,
-        /** Nobody answered, and the caller's time was up. */
+        /** No answer arrived before the caller's deadline. */
         SILENT,
-        /** The caller went away of its own accord before its time was up. */
+        /** The caller disconnected before its deadline. */
         LEFT,
-        /** It was never written completely to a connection that was accepted. */
+        /** The request was never written completely to an accepted connection. */
         UNREACHABLE
     }
 
-    /** Whether the body of an answer is one that a server made for this request. */
+    /** Whether the body of an answer was produced by a server for this request. */
     enum Echo {
         SAME,
         OTHER,
@@ -32,15 +35,15 @@
     /** What a server did with an attempt. */
     enum How {
         SERVED,
-        /** Answered with a failure; some of it may have run. */
+        /** Answered with an error; the request may have run in part. */
         ERROR,
-        /** Rejected with proof that it never ran. */
+        /** Rejected with proof that the request never ran. */
         TURNED_AWAY,
-        /** The request's last byte never came: it can't have run. */
+        /** The last byte of the request never arrived: the request can't have run. */
         CUT,
-        /** The connection was ended, or the server died, after the last byte. */
+        /** The connection was closed, or the server was killed, after the last byte of the request. */
         RESET,
-        /** Given up by the balancer. */
+        /** Cancelled by the balancer. */
         CANCELLED;
 
         /** Whether the attempt may have run. */
@@ -50,14 +53,14 @@
     }
 
     /**
-     * A try of a caller at a balancer.
+     * An attempt of a caller at a balancer.
      *
-     * @param first the id of the first try that it belongs to; its own for a first one
-     * @param key its idempotency key; empty for none
-     * @param sent when its last byte was written
-     * @param until when its caller gives up, as the request says
-     * @param answered when the answer's last byte had come
-     * @param status of the answer; 0 for none
+     * @param first the id of the first attempt of the same call; the attempt's own id if it is the first
+     * @param key the idempotency key; empty if there is none
+     * @param sent when the last byte of the request was written
+     * @param until the caller's deadline, as the request states it
+     * @param answered when the last byte of the answer arrived
+     * @param status the status of the answer; 0 if there was none
      */
     record ClientAttempt(
             double at,
@@ -75,16 +78,16 @@
             Echo echo)
             implements Evidence {}
 
-    /** An answer that came to a caller who had one already. */
+    /** A second answer to a request that was already answered. */
     record DuplicateAnswer(double at, String caller, String balancer, String txn) implements Evidence {}
 
     /**
      * An attempt at a server.
      *
-     * @param balancer who sent it
-     * @param about the key that its caller sent with it; empty for none
-     * @param begun when its first byte came
-     * @param taken when its last byte came
+     * @param balancer the balancer that sent the request
+     * @param about the key that the caller sent with the request; empty if there is none
+     * @param begun when the first byte of the request arrived
+     * @param taken when the last byte of the request arrived
      */
     record ServerAttempt(
             double at,
@@ -104,12 +107,12 @@
     /** A balancer was notified of a server's state: up, draining or removed. */
     record ServerStateUpdate(double at, String balancer, String server, String state) implements Evidence {}
 
-    /** A cold server was pushed over; {@code informed} is the share of its work from balancers that knew it cold. */
+    /** A cold server was overloaded; {@code informed} is the share of its work from balancers that knew it was cold. */
     record ColdOverload(double at, String server, double informed) implements Evidence {}
 
-    /** A party ended: a balancer was killed, or requested to end, so that what it had may be lost. */
+    /** A balancer was killed or requested to end, so that its in-flight requests may be lost. */
     record PartyEnded(double at, String party) implements Evidence {}
 
-    /** What a balancer says of a request, to explain and not to judge. */
+    /** A balancer's own account of a request: shown in timelines, not used to check the rules. */
     record BalancerNote(double at, String balancer, String txn, String text) implements Evidence {}
 }
--- a/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
+++ b/src/main/java/sablehinge/tools/audit/judge/RuleChecker.java
@@ -25,238 +25,250 @@
 import sablehinge.tools.audit.judge.Evidence.ServerStateUpdate;
 
 /**
- * Judges the four rules by what callers and servers saw. Evidence comes about in the order of time; what was seen of a
- * request is held until no more of it can come.
+ * Checks the four rules against the evidence of callers and servers. Evidence must arrive approximately in time order;
+ * the evidence of a request is retained until no more of it can arrive.
  */
 public final class RuleChecker {
 
-    /** Requests that are held at most; beyond it the oldest is judged early, and counted as such. */
-    public static final int MAX_HELD = 1_000_000;
+    /** Maximum number of requests retained; beyond it the oldest request is checked early and counted as such. */
+    public static final int MAX_TRACES = 1_000_000;
 
-    private static final Comparator<Evidence> IN_ORDER =
-            Comparator.comparingDouble(RuleChecker::begun).thenComparingDouble(Evidence::at);
+    private static final Comparator<Evidence> BY_TIME =
+            Comparator.comparingDouble(RuleChecker::startOf).thenComparingDouble(Evidence::at);
 
-    private final AuditRules terms;
+    private final AuditRules rules;
     private final Consumer<Breach> breaches;
-    private final int mostHeld;
+    private final int maxTraces;
     private final LinkedHashMap<String, Trace> traces = new LinkedHashMap<>();
-    /** For each balancer and server what it was notified of, in order. */
-    private final Map<String, Map<String, List<ServerStateUpdate>>> received = new HashMap<>();
+    /** The state updates received by each balancer for each server, in order. */
+    private final Map<String, Map<String, List<ServerStateUpdate>>> stateUpdates = new HashMap<>();
 
     private final Map<String, Double> ended = new HashMap<>();
-    private double newest = Double.NEGATIVE_INFINITY;
+    private double latestAt = Double.NEGATIVE_INFINITY;
     private long requests;
     private long unexplained;
-    private long early;
+    private long checkedEarly;
 
-    /** What was seen of one request. */
+    /** The evidence of one request. */
     private static final class Trace {
-        final List<Evidence> seen = new ArrayList<>(3);
-        double last = Double.NEGATIVE_INFINITY;
+        final List<Evidence> evidence = new ArrayList<>(3);
+        double lastAt = Double.NEGATIVE_INFINITY;
     }
 
-    /** A judge by the given terms, who hands over each breach once it is sure. */
-    public RuleChecker(AuditRules terms, Consumer<Breach> breaches) {
-        this(terms, breaches, MAX_HELD);
+    /** Creates a checker that passes each breach to the consumer once it is certain. */
+    public RuleChecker(AuditRules rules, Consumer<Breach> breaches) {
+        this(rules, breaches, MAX_TRACES);
     }
 
-    RuleChecker(AuditRules terms, Consumer<Breach> breaches, int mostHeld) {
-        this.terms = terms;
+    RuleChecker(AuditRules rules, Consumer<Breach> breaches, int maxTraces) {
+        this.rules = rules;
         this.breaches = breaches;
-        this.mostHeld = mostHeld;
+        this.maxTraces = maxTraces;
     }
 
-    /** Takes what a party saw. */
-    public void take(Evidence one) {
-        newest = Math.max(newest, one.at());
-        if (one instanceof ServerStateUpdate now) {
-            received(now);
-        } else if (one instanceof PartyEnded end) {
+    /** Adds the evidence of a party. */
+    public void add(Evidence item) {
+        latestAt = Math.max(latestAt, item.at());
+        if (item instanceof ServerStateUpdate update) {
+            addStateUpdate(update);
+        } else if (item instanceof PartyEnded end) {
             ended.merge(end.party(), end.at(), Math::min);
-        } else if (one instanceof ColdOverload fell) {
-            if (fell.informed() >= 2.0 / 3) {
+        } else if (item instanceof ColdOverload overload) {
+            if (overload.informed() >= 2.0 / 3) {
                 breaches.accept(new Breach(
                         Rule.COLD,
-                        fell.server(),
-                        "the cold server " + fell.server() + " was pushed over by balancers that knew that it was cold",
-                        List.of(fell)));
+                        overload.server(),
+                        "the cold server " + overload.server()
+                                + " was pushed over by balancers that knew that it was cold",
+                        List.of(overload)));
             }
         } else {
-            keep(txn(one), one);
+            addToTrace(txnOf(item), item);
         }
-        expire();
+        checkExpired();
     }
 
-    private static String txn(Evidence one) {
-        if (one instanceof ClientAttempt tried) {
-            return tried.txn();
+    private static String txnOf(Evidence item) {
+        if (item instanceof ClientAttempt clientAttempt) {
+            return clientAttempt.txn();
         }
-        if (one instanceof ServerAttempt ran) {
-            return ran.txn();
+        if (item instanceof ServerAttempt serverAttempt) {
+            return serverAttempt.txn();
         }
-        return one instanceof DuplicateAnswer unasked ? unasked.txn() : ((BalancerNote) one).txn();
+        return item instanceof DuplicateAnswer duplicate ? duplicate.txn() : ((BalancerNote) item).txn();
     }
 
-    private static double begun(Evidence one) {
-        if (one instanceof ClientAttempt tried) {
-            return Double.isNaN(tried.sent()) ? tried.at() : tried.sent();
+    private static double startOf(Evidence item) {
+        if (item instanceof ClientAttempt clientAttempt) {
+            return Double.isNaN(clientAttempt.sent()) ? clientAttempt.at() : clientAttempt.sent();
         }
-        return one instanceof ServerAttempt ran ? ran.begun() : one.at();
+        return item instanceof ServerAttempt serverAttempt ? serverAttempt.begun() : item.at();
     }
 
-    private void keep(String txn, Evidence one) {
-        // At the end again: the traces are in the order of their last evidence.
+    private void addToTrace(String txn, Evidence item) {
+        // Reinserted at the end: the traces are ordered by the arrival of their last evidence.
         Trace trace = traces.remove(txn);
         if (trace == null) {
             trace = new Trace();
         }
-        trace.seen.add(one);
-        trace.last = newest;
+        trace.evidence.add(item);
+        trace.lastAt = latestAt;
         traces.put(txn, trace);
     }
 
-    private void expire() {
+    private void checkExpired() {
         Iterator<Map.Entry<String, Trace>> oldest = traces.entrySet().iterator();
         while (oldest.hasNext()) {
             Map.Entry<String, Trace> entry = oldest.next();
-            boolean full = traces.size() > mostHeld;
-            if (!full && entry.getValue().last >= newest - terms.hold()) {
+            boolean full = traces.size() > maxTraces;
+            if (!full && entry.getValue().lastAt >= latestAt - rules.hold()) {
                 return;
             }
-            early += full ? 1 : 0;
+            checkedEarly += full ? 1 : 0;
             oldest.remove();
-            judge(entry.getKey(), entry.getValue().seen);
+            check(entry.getKey(), entry.getValue().evidence);
         }
     }
 
-    /** Judges what is held still: no more evidence comes. */
+    /** Checks all retained requests; no more evidence may be added. */
     public void end() {
-        traces.forEach((txn, trace) -> judge(txn, trace.seen));
+        traces.forEach((txn, trace) -> check(txn, trace.evidence));
         traces.clear();
     }
 
-    /** Tries that were judged. */
+    /** The number of client attempts that were checked. */
     public long requests() {
         return requests;
     }
 
-    /** Requests of which one party has a trace and another, whose record ought to be complete, has none. */
+    /** Requests that one party recorded and another party, whose record should be complete, did not. */
     public long unexplained() {
         return unexplained;
     }
 
-    /** Requests that had to be judged before all of their evidence may have come. */
-    public long early() {
-        return early;
+    /** Requests that were checked before all of their evidence may have arrived. */
+    public long checkedEarly() {
+        return checkedEarly;
     }
 
-    int held() {
+    int traceCount() {
         return traces.size();
     }
 
-    // ---- Drains ------------------------------------------------------------------------------------
+    // ---- Draining servers ------------------------------------------------------------------------------------
 
-    private void received(ServerStateUpdate now) {
-        received.computeIfAbsent(now.balancer(), name -> new HashMap<>())
-                .computeIfAbsent(now.server(), name -> new ArrayList<>())
-                .add(now);
+    private void addStateUpdate(ServerStateUpdate update) {
+        stateUpdates
+                .computeIfAbsent(update.balancer(), name -> new HashMap<>())
+                .computeIfAbsent(update.server(), name -> new ArrayList<>())
+                .add(update);
     }
 
-    private void drain(ServerAttempt ran, List<Evidence> seen) {
-        ServerStateUpdate off = null;
-        for (ServerStateUpdate one :
-                received.getOrDefault(ran.balancer(), Map.of()).getOrDefault(ran.server(), List.of())) {
-            if (one.at() <= ran.begun()) {
-                // Draining, then gone: the first counts.
-                off = one.state().equals("up") ? null : off == null ? one : off;
+    private void checkDrain(ServerAttempt serverAttempt, List<Evidence> evidence) {
+        ServerStateUpdate offline = null;
+        for (ServerStateUpdate update : stateUpdates
+                .getOrDefault(serverAttempt.balancer(), Map.of())
+                .getOrDefault(serverAttempt.server(), List.of())) {
+            if (update.at() <= serverAttempt.begun()) {
+                // Of draining and a later removal, the first counts.
+                offline = update.state().equals("up") ? null : offline == null ? update : offline;
             }
         }
-        if (off != null && ran.begun() > off.at() + terms.drainGrace()) {
-            List<Evidence> all = new ArrayList<>(seen);
-            all.add(off);
+        if (offline != null && serverAttempt.begun() > offline.at() + rules.drainGrace()) {
+            List<Evidence> all = new ArrayList<>(evidence);
+            all.add(offline);
             breach(
                     Rule.DRAIN,
-                    ran.txn(),
+                    serverAttempt.txn(),
                     String.format(
                             Locale.ROOT,
                             "%s sent to %s %.0f ms after it was told that this is %s",
-                            ran.balancer(),
-                            ran.server(),
-                            ran.begun() - off.at(),
-                            off.state()),
+                            serverAttempt.balancer(),
+                            serverAttempt.server(),
+                            serverAttempt.begun() - offline.at(),
+                            offline.state()),
                     all);
         }
     }
 
     // ---- One request -------------------------------------------------------------------------------
 
-    private void judge(String txn, List<Evidence> seen) {
-        ClientAttempt tried = null;
+    private void check(String txn, List<Evidence> evidence) {
+        ClientAttempt clientAttempt = null;
         List<ServerAttempt> attempts = new ArrayList<>(2);
-        for (Evidence one : seen) {
-            if (one instanceof ClientAttempt last) {
-                // A caller that sends once more on a new connection, as it may, leaves two: the last counts.
-                tried = tried == null || last.at() >= tried.at() ? last : tried;
-            } else if (one instanceof ServerAttempt ran) {
-                attempts.add(ran);
-            } else if (one instanceof DuplicateAnswer unasked) {
-                breach(Rule.ANSWER, txn, unasked.balancer() + " answered it twice", seen);
+        for (Evidence item : evidence) {
+            if (item instanceof ClientAttempt last) {
+                // A caller that resends on a new connection, which is allowed, leaves two records: the last counts.
+                clientAttempt = clientAttempt == null || last.at() >= clientAttempt.at() ? last : clientAttempt;
+            } else if (item instanceof ServerAttempt serverAttempt) {
+                attempts.add(serverAttempt);
+            } else if (item instanceof DuplicateAnswer duplicate) {
+                breach(Rule.ANSWER, txn, duplicate.balancer() + " answered it twice", evidence);
             }
         }
         attempts.sort(Comparator.comparingDouble(ServerAttempt::begun));
-        attempts.forEach(ran -> drain(ran, seen));
-        if (tried == null) {
-            unexplained += terms.callersComplete() && !attempts.isEmpty() ? 1 : 0;
+        attempts.forEach(serverAttempt -> checkDrain(serverAttempt, evidence));
+        if (clientAttempt == null) {
+            unexplained += rules.callersComplete() && !attempts.isEmpty() ? 1 : 0;
             return;
         }
         requests++;
-        answer(tried, attempts, seen);
-        ClassTerms type = terms.classes().get(tried.serviceClass());
+        checkAnswer(clientAttempt, attempts, evidence);
+        ClassTerms type = rules.classes().get(clientAttempt.serviceClass());
         if (type != null) {
-            effect(tried, type, attempts, seen);
+            checkEffect(clientAttempt, type, attempts, evidence);
         }
     }
 
-    private void answer(ClientAttempt tried, List<ServerAttempt> attempts, List<Evidence> seen) {
-        String txn = tried.txn();
-        double latest = tried.until() + terms.answerGrace();
-        switch (tried.end()) {
+    private void checkAnswer(ClientAttempt clientAttempt, List<ServerAttempt> attempts, List<Evidence> evidence) {
+        String txn = clientAttempt.txn();
+        double latest = clientAttempt.until() + rules.answerGrace();
+        switch (clientAttempt.end()) {
             case SILENT -> {
-                if (!Double.isNaN(tried.sent()) && tried.at() > latest && !endedWith(tried)) {
-                    breach(Rule.ANSWER, txn, tried.balancer() + " never answered it", seen);
+                if (!Double.isNaN(clientAttempt.sent()) && clientAttempt.at() > latest && !endedWith(clientAttempt)) {
+                    breach(Rule.ANSWER, txn, clientAttempt.balancer() + " never answered it", evidence);
                 }
             }
             case BROKEN -> {
-                if (!Double.isNaN(tried.sent()) && !endedWith(tried)) {
-                    breach(Rule.ANSWER, txn, tried.balancer() + " ended its connection without an answer", seen);
+                if (!Double.isNaN(clientAttempt.sent()) && !endedWith(clientAttempt)) {
+                    breach(
+                            Rule.ANSWER,
+                            txn,
+                            clientAttempt.balancer() + " ended its connection without an answer",
+                            evidence);
                 }
             }
             case ANSWERED -> {
-                if (tried.answered() > latest) {
+                if (clientAttempt.answered() > latest) {
                     breach(
                             Rule.ANSWER,
                             txn,
                             String.format(
                                     Locale.ROOT,
                                     "%s answered %.0f ms after its time was up",
-                                    tried.balancer(),
-                                    tried.answered() - tried.until()),
-                            seen);
+                                    clientAttempt.balancer(),
+                                    clientAttempt.answered() - clientAttempt.until()),
+                            evidence);
                 }
-                if (tried.status() == 200 && tried.echo() == Echo.OTHER) {
-                    breach(Rule.ANSWER, txn, tried.balancer() + " served it with what no server made for it", seen);
-                } else if (tried.status() == 200
-                        && terms.serversComplete()
-                        && attempts.stream().noneMatch(ran -> ran.how() == How.SERVED)) {
+                if (clientAttempt.status() == 200 && clientAttempt.echo() == Echo.OTHER) {
+                    breach(
+                            Rule.ANSWER,
+                            txn,
+                            clientAttempt.balancer() + " served it with what no server made for it",
+                            evidence);
+                } else if (clientAttempt.status() == 200
+                        && rules.serversComplete()
+                        && attempts.stream().noneMatch(serverAttempt -> serverAttempt.how() == How.SERVED)) {
                     unexplained++;
                 }
-                for (ServerAttempt ran : attempts) {
-                    if (ran.begun() > tried.answered() + terms.slack()) {
+                for (ServerAttempt serverAttempt : attempts) {
+                    if (serverAttempt.begun() > clientAttempt.answered() + rules.slack()) {
                         breach(
                                 Rule.ANSWER,
                                 txn,
-                                tried.balancer() + " sent it to " + ran.server() + " after it had been answered",
-                                seen);
+                                clientAttempt.balancer() + " sent it to " + serverAttempt.server()
+                                        + " after it had been answered",
+                                evidence);
                     }
                 }
             }
@@ -265,70 +277,72 @@
     }
 
     /**
-     * Whether the balancer that had it ended while it did; who is killed may lose what it holds. Its end is noted
-     * before it is killed, so that one that comes later excuses nothing.
+     * Whether the balancer ended before the attempt did: a killed balancer may lose its in-flight requests. The end is
+     * recorded before the balancer is killed, so an end recorded after the attempt excuses nothing.
      */
-    private boolean endedWith(ClientAttempt tried) {
-        Double at = ended.get(tried.balancer());
-        return at != null && at <= tried.at();
+    private boolean endedWith(ClientAttempt clientAttempt) {
+        Double at = ended.get(clientAttempt.balancer());
+        return at != null && at <= clientAttempt.at();
     }
 
-    private void effect(ClientAttempt tried, ClassTerms type, List<ServerAttempt> attempts, List<Evidence> seen) {
+    private void checkEffect(
+            ClientAttempt clientAttempt, ClassTerms type, List<ServerAttempt> attempts, List<Evidence> evidence) {
         if (type.effect() == Effect.SAFE) {
             return;
         }
         for (int i = 1; i < attempts.size(); i++) {
-            ServerAttempt ran = attempts.get(i);
-            for (ServerAttempt before : attempts.subList(0, i)) {
-                // A request whose last byte was never written can't run, which who wrote it knows at once;
-                // that
-                // one was rejected is known once it was.
-                boolean possible =
-                        before.how().mayHaveRun() || before.how() == How.TURNED_AWAY && before.at() > ran.begun();
-                if (possible
+            ServerAttempt serverAttempt = attempts.get(i);
+            for (ServerAttempt earlier : attempts.subList(0, i)) {
+                // The balancer knows at once that a request whose last byte it never wrote can't have run; it knows
+                // that a request was rejected only once the rejection has arrived.
+                boolean earlierMayHaveRun = earlier.how().mayHaveRun()
+                        || earlier.how() == How.TURNED_AWAY && earlier.at() > serverAttempt.begun();
+                if (earlierMayHaveRun
                         && !(type.effect() == Effect.KEYED
-                                && inGroup(type.group(), before, ran)
-                                && ran.begun() <= before.begun() + type.window() + terms.slack())) {
+                                && inGroup(type.group(), earlier, serverAttempt)
+                                && serverAttempt.begun() <= earlier.begun() + type.window() + rules.slack())) {
                     breach(
                             Rule.EFFECT,
-                            tried.txn(),
-                            tried.balancer() + " sent it to " + ran.server()
-                                    + (ran.begun() < before.at()
+                            clientAttempt.txn(),
+                            clientAttempt.balancer() + " sent it to " + serverAttempt.server()
+                                    + (serverAttempt.begun() < earlier.at()
                                             ? " while it was out at "
                                             : " though it may have run at ")
-                                    + before.server()
+                                    + earlier.server()
                                     + (type.effect() == Effect.KEYED
                                             ? ", outside the group or the window that drops repeats"
                                             : ""),
-                            seen);
+                            evidence);
                     return;
                 }
             }
         }
-        boolean refused = tried.end() == End.ANSWERED && (tried.status() == 429 || tried.status() == 503);
+        boolean refused =
+                clientAttempt.end() == End.ANSWERED && (clientAttempt.status() == 429 || clientAttempt.status() == 503);
         if (refused && !(type.effect() == Effect.KEYED && type.group() == Group.ALL)) {
             attempts.stream()
-                    .filter(ran -> ran.how().mayHaveRun())
+                    .filter(serverAttempt -> serverAttempt.how().mayHaveRun())
                     .findFirst()
-                    .ifPresent(ran -> breach(
+                    .ifPresent(serverAttempt -> breach(
                             Rule.EFFECT,
-                            tried.txn(),
-                            tried.balancer() + " refused it though it may have run at " + ran.server(),
-                            seen));
+                            clientAttempt.txn(),
+                            clientAttempt.balancer() + " refused it though it may have run at "
+                                    + serverAttempt.server(),
+                            evidence));
         }
     }
 
-    private static boolean inGroup(Group group, ServerAttempt one, ServerAttempt other) {
+    private static boolean inGroup(Group group, ServerAttempt first, ServerAttempt second) {
         return switch (group) {
             case ALL -> true;
-            case ZONE -> one.zone().equals(other.zone());
-            case CELL -> one.cell() == other.cell();
+            case ZONE -> first.zone().equals(second.zone());
+            case CELL -> first.cell() == second.cell();
         };
     }
 
-    private void breach(Rule rule, String txn, String what, List<Evidence> seen) {
-        List<Evidence> timeline = new ArrayList<>(seen);
-        timeline.sort(IN_ORDER);
+    private void breach(Rule rule, String txn, String what, List<Evidence> evidence) {
+        List<Evidence> timeline = new ArrayList<>(evidence);
+        timeline.sort(BY_TIME);
         breaches.accept(new Breach(rule, txn, what, List.copyOf(timeline)));
     }
 }
--- a/src/main/java/sablehinge/tools/audit/judge/package-info.java
+++ b/src/main/java/sablehinge/tools/audit/judge/package-info.java
@@ -1,2 +1,2 @@
-/** Checks the four rules on recorded evidence. It decides only. */
+/** Checks the four rules against recorded evidence; does no I/O. */
 package sablehinge.tools.audit.judge;
--- a/src/main/java/sablehinge/tools/audit/package-info.java
+++ b/src/main/java/sablehinge/tools/audit/package-info.java
@@ -1,2 +1,2 @@
-/** The audit of a rehearsal: records of what callers and servers saw, as lines of JSON, and their judgement. */
+/** The audit of a test run: evidence recorded by callers and servers as JSON lines, and the check of the rules. */
 package sablehinge.tools.audit;
--- a/src/test/java/sablehinge/tools/audit/RecordTest.java
+++ b/src/test/java/sablehinge/tools/audit/RecordTest.java
@@ -36,34 +36,34 @@
 
 class RecordTest {
 
-    private static final AuditRules TERMS = new AuditRules(
+    private static final AuditRules RULES = new AuditRules(
             Map.of("c", new ClassTerms(Effect.KEYED, Group.ZONE, 4_000)), 70, 2_050, 100, 10_000, true, false);
 
     @TempDir
     private Path folder;
 
-    /** A stamp to the microsecond, as lines have them. */
-    private static double stamp(SplittableRandom random) {
+    /** A timestamp with microsecond precision, as the lines have it. */
+    private static double timestamp(SplittableRandom random) {
         return Math.round((1.79e12 + random.nextDouble(1e6)) * 1_000) / 1_000.0;
     }
 
     private static Evidence random(SplittableRandom random) {
-        double at = stamp(random);
-        double maybe = random.nextBoolean() ? stamp(random) : Double.NaN;
-        String odd = random.nextBoolean() ? "" : "q\"\\\u00e9\n" + random.nextInt();
+        double at = timestamp(random);
+        double timeOrNaN = random.nextBoolean() ? timestamp(random) : Double.NaN;
+        String text = random.nextBoolean() ? "" : "q\"\\\u00e9\n" + random.nextInt();
         return switch (random.nextInt(7)) {
             case 0 ->
                 new ClientAttempt(
                         at,
                         "c",
-                        odd,
+                        text,
                         "q1",
                         "q0",
                         "t",
-                        odd,
-                        maybe,
-                        stamp(random),
-                        maybe,
+                        text,
+                        timeOrNaN,
+                        timestamp(random),
+                        timeOrNaN,
                         End.values()[random.nextInt(End.values().length)],
                         random.nextInt(600),
                         Echo.values()[random.nextInt(3)]);
@@ -75,22 +75,22 @@
                         random.nextInt(9),
                         "b",
                         "q1",
-                        odd,
+                        text,
                         "t",
-                        odd,
-                        stamp(random),
-                        maybe,
+                        text,
+                        timestamp(random),
+                        timeOrNaN,
                         How.values()[random.nextInt(How.values().length)]);
             case 2 -> new DuplicateAnswer(at, "c", "b", "q1");
             case 3 -> new ServerStateUpdate(at, "b", "s1", "draining");
             case 4 -> new ColdOverload(at, "s1", 0.7);
             case 5 -> new PartyEnded(at, "b");
-            default -> new BalancerNote(at, "b", "q1", odd);
+            default -> new BalancerNote(at, "b", "q1", text);
         };
     }
 
     @Test
-    void whatIsWrittenIsRead() throws IOException {
+    void readsBackAllWrittenEvidence() throws IOException {
         SplittableRandom random = new SplittableRandom(4);
         List<Evidence> all = new ArrayList<>();
         Path file = folder.resolve("all.jsonl.gz");
@@ -105,9 +105,9 @@
         assertEquals(all, read);
     }
 
-    /** As a party that was killed leaves it. */
+    /** A killed process leaves a truncated gzip stream. */
     @Test
-    void aRecordThatIsCutOffCountsUpToThere() throws IOException {
+    void readsTruncatedFileUpToTheTruncation() throws IOException {
         SplittableRandom random = new SplittableRandom(5);
         Path file = folder.resolve("all.jsonl.gz");
         try (Recorder recorder = new Recorder(file)) {
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aDiskThatFailsCostsTheRecordAndNothingElse() {
+    void dropsEvidenceAfterDiskFailureWithoutFailingTheCaller() {
         SplittableRandom random = new SplittableRandom(6);
         Recorder recorder = recorder(
                 new OutputStream() {
@@ -146,19 +146,19 @@
     }
 
     @Test
-    void whatComesFasterThanTheDiskIsDroppedAndCounted() throws InterruptedException {
-        CountDownLatch free = new CountDownLatch(1);
-        CountDownLatch stuck = new CountDownLatch(1);
+    void dropsAndCountsEvidenceThatArrivesFasterThanTheDiskWrites() throws InterruptedException {
+        CountDownLatch unblocked = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         boolean[] first = {true};
         OutputStream slow = new OutputStream() {
             @Override
             public void write(byte[] bytes, int from, int count) {
-                // The first is the head of the packed file, written as it is opened.
+                // The first write is the gzip header, written when the file is opened.
                 if (!first[0]) {
-                    stuck.countDown();
+                    blocked.countDown();
                     try {
-                        free.await();
+                        unblocked.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -174,20 +174,20 @@
         };
         Recorder recorder = recorder(slow, 100);
         SplittableRandom random = new SplittableRandom(7);
-        long noted = 0;
-        // Until the disk is stuck all of it may be taken.
-        while (stuck.getCount() > 0) {
+        long recorded = 0;
+        // Until the disk blocks, all evidence may be accepted.
+        while (blocked.getCount() > 0) {
             recorder.note(random(random));
-            noted++;
+            recorded++;
         }
         long before = recorder.dropped();
         for (int i = 0; i < 10_000; i++) {
             recorder.note(random(random));
         }
         assertTrue(recorder.dropped() - before >= 10_000 - 100);
-        free.countDown();
+        unblocked.countDown();
         recorder.close();
-        assertTrue(noted > 0);
+        assertTrue(recorded > 0);
     }
 
     private static Recorder recorder(OutputStream out, int waiting) {
@@ -199,8 +199,8 @@
     }
 
     @Test
-    void linesThatAreNoneAreCountedWithTheirPlace() throws IOException {
-        AuditRulesFile.write(folder, TERMS);
+    void countsMalformedLinesWithFileAndLine() throws IOException {
+        AuditRulesFile.write(folder, RULES);
         StringWriter good = new StringWriter();
         EvidenceLines.write(
                 new ClientAttempt(5, "c", "b", "q1", "q1", "c", "", 0, 100, 5, End.ANSWERED, 502, Echo.UNKNOWN), good);
@@ -220,8 +220,8 @@
     }
 
     @Test
-    void aBalancersAccessLogExplains() throws IOException {
-        AuditRulesFile.write(folder, TERMS);
+    void showsAccessLogOfBalancerInTimeline() throws IOException {
+        AuditRulesFile.write(folder, RULES);
         StringWriter late = new StringWriter();
         EvidenceLines.write(
                 new ClientAttempt(500, "c", "b1", "q1", "q1", "c", "", 0, 100, 500, End.ANSWERED, 502, Echo.UNKNOWN),
@@ -234,14 +234,14 @@
         Audit audit = Audit.of(folder);
         assertEquals(1, audit.breaches());
         assertTrue(audit.shown().get(0).timeline().stream()
-                .anyMatch(one -> one instanceof BalancerNote noted
-                        && noted.text().equals("failed after 2 attempts and 480.0 ms, version 3")));
+                .anyMatch(one -> one instanceof BalancerNote recorded
+                        && recorded.text().equals("failed after 2 attempts and 480.0 ms, version 3")));
     }
 
     @Test
-    void termsAreReadAsWrittenAndABadFolderIsTold() throws IOException {
-        AuditRulesFile.write(folder, TERMS);
-        assertEquals(TERMS, AuditRulesFile.read(folder));
+    void readsRulesAsWrittenAndRejectsBadFolder() throws IOException {
+        AuditRulesFile.write(folder, RULES);
+        assertEquals(RULES, AuditRulesFile.read(folder));
         assertTrue(assertThrows(IOException.class, () -> Audit.of(folder.resolve("none")))
                 .getMessage()
                 .contains("is no folder"));
--- a/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
+++ b/src/test/java/sablehinge/tools/audit/judge/RuleCheckerTest.java
@@ -28,7 +28,7 @@
 
 class RuleCheckerTest {
 
-    private static final AuditRules TERMS = new AuditRules(
+    private static final AuditRules RULES = new AuditRules(
             Map.of(
                     "safe",
                     new ClassTerms(Effect.SAFE, Group.ALL, 0),
@@ -48,9 +48,9 @@
             true);
 
     private final List<Breach> breaches = new ArrayList<>();
-    private final RuleChecker judge = new RuleChecker(TERMS, breaches::add);
+    private final RuleChecker checker = new RuleChecker(RULES, breaches::add);
 
-    private static ClientAttempt tried(String type, double sent, double answered, End end, int status) {
+    private static ClientAttempt clientAttempt(String type, double sent, double answered, End end, int status) {
         return new ClientAttempt(
                 Double.isNaN(answered) ? sent + 1_150 : answered,
                 "c",
@@ -67,60 +67,62 @@
                 status == 200 ? Echo.SAME : Echo.UNKNOWN);
     }
 
-    private static ServerAttempt ran(int server, double begun, double ended, How how) {
+    private static ServerAttempt serverAttempt(int server, double begun, double ended, How how) {
         return new ServerAttempt(
                 ended, "s" + server, "z" + server % 2, server / 2, "b1", "q1", "", "", "", begun, begun, how);
     }
 
-    /** The rules that are broken, in the order of finding. */
+    /** The breached rules, in the order in which they are reported. */
     private List<Rule> rules(Evidence... evidence) {
-        List.of(evidence).forEach(judge::take);
-        judge.end();
+        List.of(evidence).forEach(checker::add);
+        checker.end();
         return breaches.stream().map(Breach::rule).toList();
     }
 
     @Test
-    void aRequestThatIsServedOnceInTimeIsWell() {
-        assertEquals(List.of(), rules(ran(1, 5, 20, How.SERVED), tried("unsafe", 0, 30, End.ANSWERED, 200)));
-        assertEquals(1, judge.requests());
-        assertEquals(0, judge.unexplained());
+    void acceptsRequestServedOnceInTime() {
+        assertEquals(
+                List.of(),
+                rules(serverAttempt(1, 5, 20, How.SERVED), clientAttempt("unsafe", 0, 30, End.ANSWERED, 200)));
+        assertEquals(1, checker.requests());
+        assertEquals(0, checker.unexplained());
     }
 
     @Test
-    void noAnswerIsABreachUnlessTheBalancerEnded() {
-        assertEquals(List.of(Rule.ANSWER), rules(tried("safe", 0, Double.NaN, End.SILENT, 0)));
+    void reportsMissingAnswerUnlessBalancerEnded() {
+        assertEquals(List.of(Rule.ANSWER), rules(clientAttempt("safe", 0, Double.NaN, End.SILENT, 0)));
         breaches.clear();
-        assertEquals(List.of(), rules(new PartyEnded(500, "b1"), tried("safe", 0, Double.NaN, End.SILENT, 0)));
-        RuleChecker other = new RuleChecker(TERMS, breaches::add);
-        other.take(tried("safe", 0, Double.NaN, End.SILENT, 0));
-        other.take(new PartyEnded(1_151, "b1"));
-        other.end();
-        assertEquals(1, breaches.size(), "an end that came later excuses nothing");
+        assertEquals(List.of(), rules(new PartyEnded(500, "b1"), clientAttempt("safe", 0, Double.NaN, End.SILENT, 0)));
+        RuleChecker second = new RuleChecker(RULES, breaches::add);
+        second.add(clientAttempt("safe", 0, Double.NaN, End.SILENT, 0));
+        second.add(new PartyEnded(1_151, "b1"));
+        second.end();
+        assertEquals(1, breaches.size(), "an end after the attempt excuses nothing");
     }
 
     @Test
-    void anEndedConnectionIsABreachUnlessTheAnswerHadBegun() {
-        assertEquals(List.of(Rule.ANSWER), rules(tried("safe", 0, Double.NaN, End.BROKEN, 0)));
+    void reportsClosedConnectionUnlessAnswerHadBegun() {
+        assertEquals(List.of(Rule.ANSWER), rules(clientAttempt("safe", 0, Double.NaN, End.BROKEN, 0)));
         breaches.clear();
-        assertEquals(List.of(), rules(tried("safe", 0, Double.NaN, End.PARTIAL, 0)));
-        assertEquals(List.of(), rules(tried("safe", Double.NaN, Double.NaN, End.UNREACHABLE, 0)));
-        assertEquals(List.of(), rules(tried("safe", 0, Double.NaN, End.LEFT, 0)));
+        assertEquals(List.of(), rules(clientAttempt("safe", 0, Double.NaN, End.PARTIAL, 0)));
+        assertEquals(List.of(), rules(clientAttempt("safe", Double.NaN, Double.NaN, End.UNREACHABLE, 0)));
+        assertEquals(List.of(), rules(clientAttempt("safe", 0, Double.NaN, End.LEFT, 0)));
     }
 
     @Test
-    void anAnswerAfterTheGraceIsLate() {
-        assertEquals(List.of(), rules(tried("safe", 0, 1_070, End.ANSWERED, 502)));
-        assertEquals(List.of(Rule.ANSWER), rules(tried("safe", 0, 1_071, End.ANSWERED, 502)));
+    void reportsAnswerAfterGracePeriod() {
+        assertEquals(List.of(), rules(clientAttempt("safe", 0, 1_070, End.ANSWERED, 502)));
+        assertEquals(List.of(Rule.ANSWER), rules(clientAttempt("safe", 0, 1_071, End.ANSWERED, 502)));
         assertTrue(breaches.get(0).what().contains("71 ms after its time was up"));
     }
 
     @Test
-    void twoAnswersAndAnAnswerOfAnotherRequestAreBreaches() {
+    void reportsDuplicateAnswerAndAnswerOfDifferentRequest() {
         assertEquals(
                 List.of(Rule.ANSWER),
                 rules(
-                        ran(1, 5, 20, How.SERVED),
-                        tried("safe", 0, 30, End.ANSWERED, 200),
+                        serverAttempt(1, 5, 20, How.SERVED),
+                        clientAttempt("safe", 0, 30, End.ANSWERED, 200),
                         new DuplicateAnswer(35, "c", "b1", "q1")));
         breaches.clear();
         ClientAttempt other =
@@ -130,47 +132,60 @@
     }
 
     @Test
-    void aSendAfterTheAnswerIsABreach() {
-        assertEquals(List.of(), rules(ran(1, 129, 140, How.SERVED), tried("safe", 0, 30, End.ANSWERED, 200)));
+    void reportsAttemptSentAfterAnswer() {
         assertEquals(
-                List.of(Rule.ANSWER), rules(ran(1, 131, 140, How.SERVED), tried("safe", 0, 30, End.ANSWERED, 200)));
+                List.of(),
+                rules(serverAttempt(1, 129, 140, How.SERVED), clientAttempt("safe", 0, 30, End.ANSWERED, 200)));
+        assertEquals(
+                List.of(Rule.ANSWER),
+                rules(serverAttempt(1, 131, 140, How.SERVED), clientAttempt("safe", 0, 30, End.ANSWERED, 200)));
     }
 
     @Test
-    void anUnsafeRequestMayGoOnOnlyAfterProofThatItNeverRan() {
+    void allowsSecondAttemptOfUnsafeRequestOnlyAfterProofThatItNeverRan() {
         for (How proof : List.of(How.TURNED_AWAY, How.CUT)) {
             assertEquals(
                     List.of(),
-                    rules(ran(1, 5, 10, proof), ran(2, 11, 20, How.SERVED), tried("unsafe", 0, 30, End.ANSWERED, 200)),
+                    rules(
+                            serverAttempt(1, 5, 10, proof),
+                            serverAttempt(2, 11, 20, How.SERVED),
+                            clientAttempt("unsafe", 0, 30, End.ANSWERED, 200)),
                     proof.toString());
         }
         for (How doubt : List.of(How.ERROR, How.RESET, How.CANCELLED, How.SERVED)) {
             breaches.clear();
             assertEquals(
                     List.of(Rule.EFFECT),
-                    rules(ran(1, 5, 10, doubt), ran(2, 11, 20, How.SERVED), tried("unsafe", 0, 30, End.ANSWERED, 200)),
+                    rules(
+                            serverAttempt(1, 5, 10, doubt),
+                            serverAttempt(2, 11, 20, How.SERVED),
+                            clientAttempt("unsafe", 0, 30, End.ANSWERED, 200)),
                     doubt.toString());
         }
         breaches.clear();
         assertEquals(
                 List.of(Rule.EFFECT),
                 rules(
-                        ran(1, 5, 15, How.TURNED_AWAY),
-                        ran(2, 11, 20, How.SERVED),
-                        tried("unsafe", 0, 30, End.ANSWERED, 200)),
-                "nobody could know yet that it was turned away");
+                        serverAttempt(1, 5, 15, How.TURNED_AWAY),
+                        serverAttempt(2, 11, 20, How.SERVED),
+                        clientAttempt("unsafe", 0, 30, End.ANSWERED, 200)),
+                "the rejection had not arrived yet");
         assertTrue(breaches.get(0).what().contains("s2 while it was out at s1"));
-        assertEquals(List.of(), new ArrayList<>(rules2("safe")), "a safe one may run as often as it likes");
+        assertEquals(
+                List.of(), new ArrayList<>(retriedAfterError("safe")), "a safe request may run any number of times");
     }
 
-    private List<Rule> rules2(String type) {
+    private List<Rule> retriedAfterError(String type) {
         breaches.clear();
-        return rules(ran(1, 5, 10, How.ERROR), ran(2, 6, 20, How.SERVED), tried(type, 0, 30, End.ANSWERED, 200));
+        return rules(
+                serverAttempt(1, 5, 10, How.ERROR),
+                serverAttempt(2, 6, 20, How.SERVED),
+                clientAttempt(type, 0, 30, End.ANSWERED, 200));
     }
 
     @Test
-    void aKeyedRequestStaysInItsGroupAndWindow() {
-        // s2 and s3 are of one cell, s1 and s3 of one zone.
+    void allowsRetryOfKeyedRequestOnlyWithinGroupAndWindow() {
+        // s2 and s3 are in the same cell, s1 and s3 in the same zone.
         assertEquals(List.of(), keyed("keyed", 2, 3, 11));
         assertEquals(List.of(Rule.EFFECT), keyed("keyed", 1, 3, 11));
         assertEquals(List.of(), keyed("zoned", 1, 3, 11));
@@ -183,30 +198,34 @@
         breaches.clear();
         ClientAttempt last = new ClientAttempt(
                 at + 30, "c", "b1", "q1", "q1", type, "k", 0, 10_000, at + 30, End.ANSWERED, 200, Echo.SAME);
-        return rules(ran(first, 5, 10, How.RESET), ran(second, at, at + 20, How.SERVED), last);
+        return rules(serverAttempt(first, 5, 10, How.RESET), serverAttempt(second, at, at + 20, How.SERVED), last);
     }
 
     @Test
-    void aRefusalOfWhatMayHaveRunIsABreachWhereTryingAgainDoesHarm() {
+    void reportsRefusalOfRequestThatMayHaveRunIfRetryIsNotSafe() {
         Map.of("safe", false, "open", false, "keyed", true, "zoned", true, "unsafe", true)
                 .forEach((type, harm) -> {
                     for (int status : new int[] {429, 503}) {
                         breaches.clear();
                         assertEquals(
                                 harm ? List.of(Rule.EFFECT) : List.of(),
-                                rules(ran(1, 5, 10, How.ERROR), tried(type, 0, 30, End.ANSWERED, status)),
+                                rules(
+                                        serverAttempt(1, 5, 10, How.ERROR),
+                                        clientAttempt(type, 0, 30, End.ANSWERED, status)),
                                 type);
                         breaches.clear();
                         assertEquals(
                                 List.of(),
-                                rules(ran(1, 5, 10, How.TURNED_AWAY), tried(type, 0, 30, End.ANSWERED, status)),
+                                rules(
+                                        serverAttempt(1, 5, 10, How.TURNED_AWAY),
+                                        clientAttempt(type, 0, 30, End.ANSWERED, status)),
                                 type);
                     }
                 });
     }
 
     @Test
-    void drainsCountFromTheFirstNewsUntilItIsUpAgain() {
+    void measuresDrainGraceFromFirstNoticeUntilServerIsUpAgain() {
         assertEquals(List.of(), drained(2_100, new ServerStateUpdate(50, "b1", "s1", "draining")));
         assertEquals(List.of(Rule.DRAIN), drained(2_101, new ServerStateUpdate(50, "b1", "s1", "draining")));
         assertEquals(
@@ -222,18 +241,23 @@
                         new ServerStateUpdate(50, "b1", "s1", "draining"),
                         new ServerStateUpdate(90, "b1", "s1", "up")));
         assertEquals(
-                List.of(), drained(2_101, new ServerStateUpdate(50, "b2", "s1", "draining")), "another one was told");
-        assertEquals(List.of(), drained(2_101, new ServerStateUpdate(50, "b1", "s2", "draining")), "of another one");
+                List.of(),
+                drained(2_101, new ServerStateUpdate(50, "b2", "s1", "draining")),
+                "a different balancer was notified");
+        assertEquals(
+                List.of(),
+                drained(2_101, new ServerStateUpdate(50, "b1", "s2", "draining")),
+                "a different server is draining");
     }
 
-    private List<Rule> drained(double begun, ServerStateUpdate... update) {
+    private List<Rule> drained(double begun, ServerStateUpdate... updates) {
         breaches.clear();
-        RuleChecker fresh = new RuleChecker(TERMS, breaches::add);
-        List.of(update).forEach(fresh::take);
-        fresh.take(ran(1, begun, begun + 5, How.SERVED));
-        // What is reported after the send says nothing of it.
-        fresh.take(new ServerStateUpdate(begun + 6, "b1", "s1", "up"));
-        fresh.take(new ClientAttempt(
+        RuleChecker fresh = new RuleChecker(RULES, breaches::add);
+        List.of(updates).forEach(fresh::add);
+        fresh.add(serverAttempt(1, begun, begun + 5, How.SERVED));
+        // An update after the attempt does not affect it.
+        fresh.add(new ServerStateUpdate(begun + 6, "b1", "s1", "up"));
+        fresh.add(new ClientAttempt(
                 begun + 10,
                 "c",
                 "b1",
@@ -252,27 +276,27 @@
     }
 
     @Test
-    void aFallCountsIfTwoThirdsKnewBetter() {
+    void reportsColdOverloadIfTwoThirdsOfItsWorkWereInformed() {
         assertEquals(List.of(), rules(new ColdOverload(1, "s1", 0.66)));
         assertEquals(List.of(Rule.COLD), rules(new ColdOverload(1, "s1", 0.67)));
     }
 
     @Test
-    void whatOnlyOnePartySawIsUnexplained() {
-        rules(ran(1, 5, 10, How.SERVED));
-        assertEquals(1, judge.unexplained());
-        rules(tried("safe", 0, 30, End.ANSWERED, 200));
-        assertEquals(2, judge.unexplained());
+    void countsRequestRecordedByOnePartyOnlyAsUnexplained() {
+        rules(serverAttempt(1, 5, 10, How.SERVED));
+        assertEquals(1, checker.unexplained());
+        rules(clientAttempt("safe", 0, 30, End.ANSWERED, 200));
+        assertEquals(2, checker.unexplained());
         rules(new BalancerNote(7, "b1", "q9", "refused"));
-        assertEquals(2, judge.unexplained(), "a balancer's own word is no evidence");
+        assertEquals(2, checker.unexplained(), "a balancer's note is no evidence");
     }
 
     @Test
-    void theTimelineHasAllPartiesInOrder() {
+    void ordersTimelineOfAllPartiesByTime() {
         rules(
-                tried("unsafe", 0, 30, End.ANSWERED, 200),
-                ran(2, 11, 20, How.SERVED),
-                ran(1, 5, 10, How.ERROR),
+                clientAttempt("unsafe", 0, 30, End.ANSWERED, 200),
+                serverAttempt(2, 11, 20, How.SERVED),
+                serverAttempt(1, 5, 10, How.ERROR),
                 new BalancerNote(31, "b1", "q1", "served after 2 attempts"));
         List<String> order = breaches.get(0).timeline().stream()
                 .map(one -> one.getClass().getSimpleName() + (one instanceof ServerAttempt ran ? ran.server() : ""))
@@ -281,51 +305,51 @@
     }
 
     @Test
-    void whatIsHeldIsBoundedAndTheOldestIsJudgedFirst() {
-        RuleChecker bounded = new RuleChecker(TERMS, breaches::add, 100);
+    void checksOldestRequestEarlyWhenTraceLimitIsReached() {
+        RuleChecker bounded = new RuleChecker(RULES, breaches::add, 100);
         for (int i = 0; i < 1_000; i++) {
-            bounded.take(new ClientAttempt(
+            bounded.add(new ClientAttempt(
                     i, "c", "b1", "q" + i, "q" + i, "safe", "", i, i + 10, i + 5, End.ANSWERED, 503, Echo.UNKNOWN));
-            assertTrue(bounded.held() <= 100);
+            assertTrue(bounded.traceCount() <= 100);
         }
-        assertEquals(900, bounded.early());
+        assertEquals(900, bounded.checkedEarly());
         bounded.end();
         assertEquals(1_000, bounded.requests());
     }
 
     @Test
-    void whatIsOldEnoughIsJudgedAndForgotten() {
+    void checksAndForgetsRequestsAfterHoldTime() {
         for (int i = 0; i < 1_000; i++) {
             double at = i * 100.0;
-            judge.take(new ClientAttempt(
+            checker.add(new ClientAttempt(
                     at, "c", "b1", "q" + i, "q" + i, "safe", "", at, at + 10, at + 5, End.ANSWERED, 503, Echo.UNKNOWN));
-            assertTrue(judge.held() <= 102);
+            assertTrue(checker.traceCount() <= 102);
         }
-        assertEquals(0, judge.early());
+        assertEquals(0, checker.checkedEarly());
     }
 
-    /** Histories that keep the rules by their making, reported in any order that stays within the lease. */
+    /** Histories that comply with the rules by construction, with evidence reordered within the hold time. */
     @Test
-    void randomHistoriesThatKeepTheRulesHaveNoBreach() {
+    void findsNoBreachInRandomCompliantHistories() {
         for (long seed = 0; seed < 300; seed++) {
             List<Evidence> history = new ArrayList<>();
             SplittableRandom random = new SplittableRandom(seed);
             for (int i = 0; i < 100; i++) {
-                good(history, "q" + i, i * 7.0, random);
+                addCompliantRequest(history, "q" + i, i * 7.0, random);
             }
-            List<Evidence> received = new ArrayList<>(history);
-            Collections.shuffle(received.subList(0, received.size() / 2), new Random(seed));
-            received.sort(Comparator.comparingDouble(one -> one.at() - one.at() % 500));
+            List<Evidence> reordered = new ArrayList<>(history);
+            Collections.shuffle(reordered.subList(0, reordered.size() / 2), new Random(seed));
+            reordered.sort(Comparator.comparingDouble(one -> one.at() - one.at() % 500));
             List<Breach> found = new ArrayList<>();
-            RuleChecker fresh = new RuleChecker(TERMS, found::add);
-            received.forEach(fresh::take);
+            RuleChecker fresh = new RuleChecker(RULES, found::add);
+            reordered.forEach(fresh::add);
             fresh.end();
             assertEquals(List.of(), found, "seed " + seed);
             assertEquals(100, fresh.requests(), "seed " + seed);
         }
     }
 
-    private static void good(List<Evidence> history, String txn, double at, SplittableRandom random) {
+    private static void addCompliantRequest(List<Evidence> history, String txn, double at, SplittableRandom random) {
         String type = List.of("safe", "keyed", "open", "unsafe").get(random.nextInt(4));
         double time = at;
         boolean mayHaveRun = false;
@@ -333,8 +357,8 @@
         How last = null;
         int tries = random.nextInt(0, 4);
         for (int i = 0; i < tries; i++) {
-            boolean may = type.equals("safe") || !mayHaveRun || !type.equals("unsafe");
-            if (!may || last == How.SERVED) {
+            boolean retryAllowed = type.equals("safe") || !mayHaveRun || !type.equals("unsafe");
+            if (!retryAllowed || last == How.SERVED) {
                 break;
             }
             int server = type.equals("keyed") && mayHaveRun ? cell * 2 + random.nextInt(2) : random.nextInt(6);
