--- a/src/main/java/sablehinge/cli/AuditCommand.java
+++ b/src/main/java/sablehinge/cli/AuditCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Parameters;
 import sablehinge.tools.audit.Audit;
 
-/** Judges a run. */
+/** Audits the records of a run. */
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
--- a/src/main/java/sablehinge/cli/Commands.java
+++ b/src/main/java/sablehinge/cli/Commands.java
@@ -17,8 +17,8 @@
 import sablehinge.gateway.node.OperatorNode;
 
 /**
- * The operators' verbs. Exit status 0: done; 1: refused, with the reason; 2: a bad command line or file. The platform's
- * {@code serve} and {@code wire} don't come here, so that they needn't load a command line.
+ * The operators' commands. Exit status 0: done; 1: refused, with the reason; 2: invalid command line or file. The
+ * platform's {@code serve} and {@code wire} bypass this class, so that they don't load the command line parser.
  */
 @Command(
         name = "sablehinge",
@@ -45,12 +45,12 @@
     @Spec
     private CommandSpec spec;
 
-    /** Runs the verb that the arguments name; returns the exit status. */
+    /** Runs the command that the arguments name; returns the exit status. */
     static int run(String[] args, PrintWriter out, PrintWriter err) {
         CommandLine line = new CommandLine(new Commands());
         line.setOut(out);
         line.setErr(err);
-        line.setParameterExceptionHandler(Commands::misused);
+        line.setParameterExceptionHandler(Commands::printUsageError);
         line.setExecutionExceptionHandler((e, command, parsed) -> {
             command.getErr().println("sablehinge: " + message(e));
             command.getErr().flush();
@@ -59,14 +59,14 @@
         return line.execute(args);
     }
 
-    /** An exception's words in one line; its kind where it has none. */
+    /** The first line of an exception's message; the class name if there is no message. */
     static String message(Throwable e) {
-        String first =
+        String firstLine =
                 e.getMessage() == null ? "" : e.getMessage().lines().findFirst().orElse("");
-        return first.isEmpty() ? e.getClass().getSimpleName() : first;
+        return firstLine.isEmpty() ? e.getClass().getSimpleName() : firstLine;
     }
 
-    private static int misused(ParameterException e, String[] args) {
+    private static int printUsageError(ParameterException e, String[] args) {
         String verb = e.getCommandLine().getCommandSpec().qualifiedName();
         e.getCommandLine().getErr().println("sablehinge: " + message(e) + "; see " + verb + " --help");
         e.getCommandLine().getErr().flush();
@@ -80,7 +80,7 @@
                 "expected a verb: serve, check, config, replay, standin, audit, demo, recorder, mesh or " + "wire");
     }
 
-    /** The version that the build wrote into the packed program. */
+    /** The version that the build wrote into the jar's manifest. */
     static final class Versions implements IVersionProvider {
 
         @Override
@@ -90,7 +90,7 @@
         }
     }
 
-    /** What every verb has. */
+    /** The base class of all commands. */
     abstract static class Verb implements Callable<Integer> {
 
         @Spec
@@ -108,8 +108,8 @@
             return new ParameterException(spec.commandLine(), message);
         }
 
-        /** Writes what is wrong with a file, a line each. */
-        final void report(Path file, Iterable<Problem> problems) {
+        /** Prints the problems of a file, one per line. */
+        final void printProblems(Path file, Iterable<Problem> problems) {
             problems.forEach(problem -> err().println(problem.in(file.toString())));
             err().flush();
         }
@@ -145,7 +145,7 @@
             try {
                 node = OperatorNode.start(operator, adopt);
             } catch (OperatorNode.StartException e) {
-                report(operator, e.problems());
+                printProblems(operator, e.problems());
                 if (!e.problems().isEmpty()) {
                     return BAD_INPUT;
                 }
@@ -158,7 +158,7 @@
         }
     }
 
-    /** Speaks the simulator's wire. */
+    /** Runs the simulator's wire protocol. */
     @Command(
             name = "wire",
             mixinStandardHelpOptions = true,
@@ -188,7 +188,7 @@
         @Override
         public Integer call() {
             OperatorFile.Checked checked = OperatorFile.read(operator);
-            report(operator, checked.problems());
+            printProblems(operator, checked.problems());
             return checked.problems().isEmpty() ? 0 : BAD_INPUT;
         }
     }
--- a/src/main/java/sablehinge/cli/ConfigCommand.java
+++ b/src/main/java/sablehinge/cli/ConfigCommand.java
@@ -25,7 +25,7 @@
 import sablehinge.gateway.config.operator.OperatorFile;
 import sablehinge.gateway.config.operator.Problem;
 
-/** Changes the configuration of a running balancer, as a transaction. */
+/** Changes the configuration of a running balancer in a transaction: stage, apply, confirm or roll back. */
 @Command(
         name = "config",
         mixinStandardHelpOptions = true,
@@ -52,8 +52,8 @@
                 spec.commandLine(), "expected one of stage, diff, apply, confirm, rollback, drop, status");
     }
 
-    /** How a running balancer is found. */
-    static final class Place {
+    /** The options that locate a running balancer's admin listener. */
+    static final class AdminAddress {
 
         @Option(
                 names = "--operator",
@@ -70,11 +70,11 @@
         private String admin;
     }
 
-    /** What every one of these verbs has. */
+    /** The common options of commands that call the admin listener. */
     abstract static class AdminVerb extends Commands.Verb {
 
         @ArgGroup
-        private Place place = new Place();
+        private AdminAddress address = new AdminAddress();
 
         @Option(names = "--token-file", paramLabel = "FILE", description = "The file of the token for a port.")
         private Path tokenFile;
@@ -83,13 +83,13 @@
         private boolean json;
 
         private AdminClient client() throws IOException {
-            String admin = place == null ? null : place.admin;
+            String admin = address == null ? null : address.admin;
             Path token = tokenFile;
-            if (admin == null && place != null && place.operator != null) {
-                OperatorFile.Checked checked = OperatorFile.read(place.operator);
-                Path folder = place.operator.toAbsolutePath().getParent();
+            if (admin == null && address != null && address.operator != null) {
+                OperatorFile.Checked checked = OperatorFile.read(address.operator);
+                Path folder = address.operator.toAbsolutePath().getParent();
                 if (checked.config() == null) {
-                    // The running balancer may have a better one; its usual place is tried first.
+                    // The running balancer may serve an earlier, valid file; the default address is used.
                     admin = folder.resolve("sablehinge-state/admin.sock").toString();
                 } else if (checked.config().admin().listen() == null) {
                     admin = folder.resolve(checked.config().node().state())
@@ -108,9 +108,9 @@
                     token == null ? null : Files.readString(token).strip());
         }
 
-        /** Asks the balancer; {@code output} prints an answer that it is willing to give. */
-        final int ask(String method, String target, byte[] body, Consumer<JsonNode> output) throws IOException {
-            Answer answer = client().ask(method, target, body);
+        /** Calls the balancer; {@code output} prints a successful answer. */
+        final int call(String method, String target, byte[] body, Consumer<JsonNode> output) throws IOException {
+            Answer answer = client().call(method, target, body);
             if (json) {
                 out().println(answer.body().toPrettyString());
             } else if (answer.status() == 200) {
@@ -119,11 +119,11 @@
                 List<Problem> problems = new ArrayList<>();
                 answer.body()
                         .path("problems")
-                        .forEach(p -> problems.add(new Problem(
-                                p.path("line").asInt(),
-                                p.path("key").asText(),
-                                p.path("message").asText())));
-                report(file(), problems);
+                        .forEach(problem -> problems.add(new Problem(
+                                problem.path("line").asInt(),
+                                problem.path("key").asText(),
+                                problem.path("message").asText())));
+                printProblems(file(), problems);
             } else {
                 err().println("sablehinge: " + answer.body().path("error").asText("status " + answer.status()));
             }
@@ -133,7 +133,7 @@
         }
 
         final JsonNode fetch(String target) throws IOException {
-            Answer answer = client().ask("GET", target, null);
+            Answer answer = client().call("GET", target, null);
             if (answer.status() != 200) {
                 throw new IOException(answer.body().path("error").asText("status " + answer.status()));
             }
@@ -144,10 +144,10 @@
             return Path.of("file");
         }
 
-        /** A staged version: the one that is named, else the newest. */
-        final int staged(int named) throws IOException {
-            if (named != 0) {
-                return named;
+        /** The requested staged version; the newest staged version if {@code requested} is 0. */
+        final int staged(int requested) throws IOException {
+            if (requested != 0) {
+                return requested;
             }
             int newest = 0;
             for (var names = fetch("/config/status").path("staged").fieldNames(); names.hasNext(); ) {
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Writes a file as a version. */
+    /** Stages a file as a version. */
     @Command(
             name = "stage",
             mixinStandardHelpOptions = true,
@@ -189,15 +189,15 @@
             try {
                 content = OperatorFile.bytes(file);
             } catch (IOException e) {
-                report(file, List.of(new Problem(0, "", e.getMessage())));
+                printProblems(file, List.of(new Problem(0, "", e.getMessage())));
                 return Commands.BAD_INPUT;
             }
-            return ask("POST", "/config/stage?base=" + base, content, output -> out().println(
+            return call("POST", "/config/stage?base=" + base, content, output -> out().println(
                             "version " + output.path("version").asInt() + " is staged"));
         }
     }
 
-    /** Shows what a staged version would change. */
+    /** Shows the difference between a staged version and the confirmed version. */
     @Command(
             name = "diff",
             mixinStandardHelpOptions = true,
@@ -260,7 +260,7 @@
                 millis = Long.parseLong(time.group(1))
                         * (time.group(2).equals("ms") ? 1 : time.group(2).equals("s") ? 1_000 : 60_000);
             }
-            return ask(
+            return call(
                     "POST",
                     "/config/apply?version=" + staged(version) + "&confirm_within_ms=" + millis + "&automatic="
                             + automatic,
@@ -272,7 +272,7 @@
         }
     }
 
-    /** Keeps the version on trial. */
+    /** Confirms the version that is on trial. */
     @Command(
             name = "confirm",
             mixinStandardHelpOptions = true,
@@ -285,12 +285,12 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask("POST", "/config/confirm?version=" + version, null, output -> out().println(
+            return call("POST", "/config/confirm?version=" + version, null, output -> out().println(
                             "version " + output.path("confirmed").asInt() + " is confirmed"));
         }
     }
 
-    /** Undoes the change under way. */
+    /** Rolls back the current change. */
     @Command(
             name = "rollback",
             mixinStandardHelpOptions = true,
@@ -300,12 +300,12 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask("POST", "/config/rollback", null, output -> out().println(
+            return call("POST", "/config/rollback", null, output -> out().println(
                             output.path("message").asText()));
         }
     }
 
-    /** Forgets a staged version. */
+    /** Deletes a staged version. */
     @Command(
             name = "drop",
             mixinStandardHelpOptions = true,
@@ -318,7 +318,7 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask(
+            return call(
                     "POST",
                     "/config/drop?version=" + URLEncoder.encode(version, StandardCharsets.UTF_8),
                     null,
@@ -326,7 +326,7 @@
         }
     }
 
-    /** Tells which version serves. */
+    /** Shows which version serves, and the state of changes. */
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
@@ -336,7 +336,7 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask("GET", "/config/status", null, output -> {
+            return call("GET", "/config/status", null, output -> {
                 out().println("current    version " + output.path("current").asInt());
                 out().println("confirmed  version " + output.path("confirmed").asInt());
                 JsonNode change = output.path("change");
--- a/src/main/java/sablehinge/cli/DemoCommand.java
+++ b/src/main/java/sablehinge/cli/DemoCommand.java
@@ -34,7 +34,7 @@
 import sablehinge.tools.standin.scenario.Scenario.ClassPart;
 import sablehinge.tools.standin.scenario.ScenarioFile;
 
-/** A newcomer's first minute. */
+/** A short demonstration: replays a generated day against stand-in servers and audits the result. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
@@ -47,10 +47,10 @@
 final class DemoCommand extends Commands.Verb {
 
     private static final String SCENARIO = "/sablehinge/demo.toml";
-    private static final double SECONDS = 120;
-    private static final double COMPRESS = 6;
-    private static final double PEAK = 50;
-    private static final long EVERY_MS = 1_000;
+    private static final double DAY_SECONDS = 120;
+    private static final double TIME_COMPRESSION = 6;
+    private static final double PEAK_RATE_PER_S = 50;
+    private static final long PROGRESS_INTERVAL_MS = 1_000;
 
     @Option(
             names = "--out",
@@ -64,19 +64,20 @@
         Files.createDirectories(out);
         Scenario scenario = scenario();
         Path log = out.resolve("day.log");
-        SampleDay day = new SampleDay(SampleDay.Terms.usual(SECONDS, PEAK, scenario.seed()));
+        SampleDay day = new SampleDay(SampleDay.Terms.usual(DAY_SECONDS, PEAK_RATE_PER_S, scenario.seed()));
         try (BufferedWriter writer = Files.newBufferedWriter(log)) {
             day.write(writer);
         }
-        say("a made-up day of %,d requests (%,d lines) is in %s", day.requests(), day.tries(), log);
-        say("starting servers and balancers ...");
+        printLine("a made-up day of %,d requests (%,d lines) is in %s", day.requests(), day.tries(), log);
+        printLine("starting servers and balancers ...");
         Audit audit;
         LoadResult result;
         try (Recorder servers = new Recorder(out.resolve("servers.jsonl.gz"));
                 Recorder clients = new Recorder(out.resolve("requests.jsonl.gz"))) {
-            try (Fleet fleet = new Fleet(scenario, new LocalBalancers(servers::note), 2, servers::note, this::tell)) {
+            try (Fleet fleet =
+                    new Fleet(scenario, new LocalBalancers(servers::note), 2, servers::note, this::printLine)) {
                 fleet.start();
-                result = play(fleet, scenario, log, clients);
+                result = runLoad(fleet, scenario, log, clients);
                 AuditRulesFile.write(out, fleet.terms());
             }
         }
@@ -88,31 +89,31 @@
         terminal.println();
         audit = Audit.of(out);
         audit.print(terminal);
-        say("%nreport: %s", out.resolve("report.html"));
+        printLine("%nreport: %s", out.resolve("report.html"));
         return audit.breaches() == 0 ? 0 : Commands.REFUSED;
     }
 
-    private LoadResult play(Fleet fleet, Scenario scenario, Path log, Recorder clients) throws Exception {
+    private LoadResult runLoad(Fleet fleet, Scenario scenario, Path log, Recorder clients) throws Exception {
         LogOptions options =
                 LogOptions.usual(new Mapping(List.of())).withFormat(SampleDay.FORMAT, ZoneOffset.UTC, Map.of());
         try (Logs logs = Logs.open(List.of(log.toString()), InputStream.nullInputStream(), options)) {
             Load load = new Load(
                     new Load.Options(
                             fleet.entries(),
-                            plans(scenario),
+                            classPlans(scenario),
                             ReplayClient.Terms.usual(),
-                            new ReplaySchedule.Terms(COMPRESS, 1, Double.NaN, Double.NaN, scenario.seed()),
+                            new ReplaySchedule.Terms(TIME_COMPRESSION, 1, Double.NaN, Double.NaN, scenario.seed()),
                             1,
                             1_000,
                             200,
                             scenario.seed()),
                     clients::note);
-            Thread watch = watch(load);
+            Thread progress = startProgressThread(load);
             try {
                 load.run(logs::next);
                 return load.result(0);
             } finally {
-                watch.interrupt();
+                progress.interrupt();
                 load.close();
             }
         }
@@ -125,8 +126,8 @@
         }
     }
 
-    /** How clients send the classes of a scenario. */
-    static Map<String, ClassPlan> plans(Scenario scenario) {
+    /** The class plans by which clients send the requests of a scenario. */
+    static Map<String, ClassPlan> classPlans(Scenario scenario) {
         Map<String, ClassPlan> plans = new HashMap<>();
         for (ClassPart part : scenario.classes()) {
             plans.put(
@@ -137,17 +138,17 @@
         return plans;
     }
 
-    private Thread watch(Load load) {
+    private Thread startProgressThread(Load load) {
         Thread thread = new Thread(
                 () -> {
                     try {
                         while (true) {
-                            TimeUnit.MILLISECONDS.sleep(EVERY_MS);
-                            long[] sums = load.progress();
-                            say("        %,6d requests sent, %,6d have come out", sums[0], sums[1]);
+                            TimeUnit.MILLISECONDS.sleep(PROGRESS_INTERVAL_MS);
+                            long[] counts = load.progress();
+                            printLine("        %,6d requests sent, %,6d have come out", counts[0], counts[1]);
                         }
                     } catch (InterruptedException e) {
-                        // The day is over.
+                        // The load has ended.
                     }
                 },
                 "watch");
@@ -156,11 +157,11 @@
         return thread;
     }
 
-    private void tell(String line) {
-        say("%s", line);
+    private void printLine(String line) {
+        printLine("%s", line);
     }
 
-    private void say(String format, Object... values) {
+    private void printLine(String format, Object... values) {
         synchronized (this) {
             out().printf(Locale.ROOT, format + "%n", values);
             out().flush();
--- a/src/main/java/sablehinge/cli/LocalBalancers.java
+++ b/src/main/java/sablehinge/cli/LocalBalancers.java
@@ -40,41 +40,42 @@
 import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
 /**
- * Balancers of this build in this process, each with an event loop of its own; they get what the platform would send.
+ * Runs balancers of this build inside this process, each with its own event loop and the configuration that the
+ * platform would provide.
  */
 public final class LocalBalancers implements Balancers {
 
-    private static final Map<Answer.Kind, String> KINDS = new EnumMap<>(Answer.Kind.class);
+    private static final Map<Answer.Kind, String> OUTCOME_PREFIXES = new EnumMap<>(Answer.Kind.class);
 
     static {
         for (Answer.Kind kind : Answer.Kind.values()) {
-            KINDS.put(kind, kind.name().toLowerCase(Locale.ROOT) + " after ");
+            OUTCOME_PREFIXES.put(kind, kind.name().toLowerCase(Locale.ROOT) + " after ");
         }
     }
 
-    private static final int SOCKETS = 4_096;
-    private static final double WARM_UP_SLACK = 1.5;
+    private static final int MAX_SOCKETS = 4_096;
+    private static final double WARM_UP_MARGIN_FACTOR = 1.5;
 
     private final Function<LoadBalancer.Actions, LoadBalancer> module;
     private final Consumer<Evidence> record;
 
-    /** Those with the usual module; {@code record} is called with the outcome of each answer. */
+    /** Balancers with the default module; {@code record} receives the outcome of each answer. */
     public LocalBalancers(Consumer<Evidence> record) {
         this(record, LatencyWeightedBalancer::new);
     }
 
-    /** Those with another module. */
+    /** Balancers with the given module. */
     public LocalBalancers(Consumer<Evidence> record, Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.record = record;
         this.module = module;
-        // The fleet logs their faults; a line for each balancer that serves would drown those.
+        // The fleet logs its faults; one log line per started balancer would bury them.
         Logging.quiet(Level.WARN);
     }
 
     @Override
     public Running start(Spec spec) throws Exception {
         Node node = Node.start(config(spec), module);
-        node.observe(new Notes(spec.name()));
+        node.observe(new AnswerNotes(spec.name()));
         return new Running() {
             @Override
             public InetSocketAddress address() {
@@ -88,24 +89,25 @@
         };
     }
 
-    /** Says of each answer how it came about. */
-    private final class Notes implements Observer {
+    /** Records the outcome of each answer. */
+    private final class AnswerNotes implements Observer {
 
         private final String name;
 
-        Notes(String name) {
+        AnswerNotes(String name) {
             this.name = name;
         }
 
         @Override
         public void answered(
                 String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed) {
-            // On the balancer's loop: a format would take longer than the decision.
+            // Runs on the balancer's event loop: String.format would take longer than the decision.
             record.accept(new BalancerNote(
                     EvidenceStamps.now(),
                     name,
                     request,
-                    KINDS.get(kind) + attempts + " attempts and " + Math.round(elapsed * 10) / 10.0 + " ms"));
+                    OUTCOME_PREFIXES.get(kind) + attempts + " attempts and " + Math.round(elapsed * 10) / 10.0
+                            + " ms"));
         }
     }
 
@@ -114,25 +116,25 @@
         List<String> kinds = scenario.tiers().stream().map(TierPart::name).toList();
         List<String> classes = scenario.classes().stream().map(ClassPart::name).toList();
         List<Member> members = new ArrayList<>();
-        for (Listed one : spec.known()) {
+        for (Listed server : spec.known()) {
             members.add(new Member(
                     new Upstream(
-                            RosterParser.number(one.id()),
-                            scenario.zones().indexOf(one.zone()),
-                            kinds.indexOf(one.kind()),
-                            one.cell(),
-                            one.state().equals("up") ? State.READY : State.DRAINING,
+                            RosterParser.number(server.id()),
+                            scenario.zones().indexOf(server.zone()),
+                            kinds.indexOf(server.kind()),
+                            server.cell(),
+                            server.state().equals("up") ? State.READY : State.DRAINING,
                             1,
-                            one.startedMillis()),
-                    one.address()));
+                            server.startedMillis()),
+                    server.address()));
         }
-        // Its list may be older than the directory's: it asks for all at its first watch.
+        // The initial list may be older than the directory's: the first watch requests the complete list.
         return new PlatformConfig(
                 spec.name(),
                 spec.listen(),
                 spec.discovery(),
                 spec.seed(),
-                SOCKETS,
+                MAX_SOCKETS,
                 settings(spec, kinds.size()),
                 scenario.zones(),
                 kinds,
@@ -171,7 +173,7 @@
                 scenario.rules().drainGrace(),
                 2_000,
                 tier.warmUpFrom(),
-                tier.warmUpFor() * WARM_UP_SLACK,
+                tier.warmUpFor() * WARM_UP_MARGIN_FACTOR,
                 scenario.rules().fallMultiple(),
                 scenario.rules().fallAfter(),
                 0);
--- a/src/main/java/sablehinge/cli/Main.java
+++ b/src/main/java/sablehinge/cli/Main.java
@@ -18,8 +18,8 @@
 
 /**
  * The command line: {@code serve} runs one balancer on the platform, {@code wire} the same decisions for the simulator,
- * {@code sidecar} and {@code control node} the mesh's daemons. These load nothing of the operators' verbs, which are
- * {@link Commands} and, about a mesh, {@link MeshCommands}.
+ * {@code sidecar} and {@code control} the mesh's daemons. None of these loads the operators' commands, which are in
+ * {@link Commands} and, for a mesh, in {@link MeshCommands}.
  */
 public final class Main {
     private Main() {}
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Runs a balancer on the platform, until it is ended. */
+    /** Runs a balancer on the platform until the process is terminated. */
     static void serve() throws InterruptedException {
         Node node = null;
         CompletableFuture<Node> started = new CompletableFuture<>();
@@ -55,16 +55,16 @@
         }
         drainAtShutdown(node::drain);
         started.complete(node);
-        // The node's own threads are daemons, so that the end of the shutdown hook ends the process.
+        // The node's threads are daemon threads, so the process exits when the shutdown hook returns.
         new CountDownLatch(1).await();
     }
 
-    /** What waits until all that came has been answered. */
+    /** Blocks until all requests received have been answered. */
     interface Draining {
         void run() throws InterruptedException;
     }
 
-    /** SIGTERM starts the hook, and the virtual machine goes on until the hook returns. */
+    /** Registers a shutdown hook that drains: after SIGTERM the JVM exits only once the hook returns. */
     static void drainAtShutdown(Draining draining) {
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
@@ -79,17 +79,17 @@
     }
 
     /**
-     * SIGHUP would end the virtual machine, also one that has only just begun to serve; here it means that the
-     * configuration was replaced. The file is read off the node's loop, one reading after another, so that the last
-     * signal sees the last file. One that is of no use changes nothing.
+     * Reloads the configuration at SIGHUP, which would otherwise end the JVM, even if it has only just started. The
+     * file is read outside the node's event loop, one read after another, so that the last signal sees the latest file.
+     * An invalid file changes nothing.
      */
     private static void reloadAtHangup(CompletableFuture<Node> started) {
-        ExecutorService readings = Executors.newSingleThreadExecutor(work -> {
+        ExecutorService reloads = Executors.newSingleThreadExecutor(work -> {
             Thread thread = new Thread(work, "reload");
             thread.setDaemon(true);
             return thread;
         });
-        onHangup(() -> readings.execute(() -> {
+        onHangup(() -> reloads.execute(() -> {
             try {
                 Node node = started.join();
                 node.reload(node.config().successor(System.getenv("PROXY_CONFIG")));
@@ -101,18 +101,20 @@
         }));
     }
 
-    /** By reflection, as javac has a warning for each use of this class that nothing can suppress. */
+    /**
+     * Installs a SIGHUP handler by reflection: javac emits a warning for each use of Signal that can't be suppressed.
+     */
     static void onHangup(Runnable reaction) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handling = Proxy.newProxyInstance(
+            Object handlerProxy = Proxy.newProxyInstance(
                     Main.class.getClassLoader(), new Class<?>[] {handler}, (self, method, arguments) -> {
                         reaction.run();
                         return null;
                     });
             signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handling);
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
         } catch (ReflectiveOperationException e) {
             exit("sablehinge: SIGHUP can't be handled: " + e, 1);
         }
--- a/src/main/java/sablehinge/cli/MeshDaemon.java
+++ b/src/main/java/sablehinge/cli/MeshDaemon.java
@@ -18,53 +18,54 @@
 import sablehinge.controlplane.node.ControlNode;
 import sablehinge.dataplane.sidecar.Sidecar;
 
-/** The mesh's daemons: {@code sidecar} beside an upstream, {@code control node} on a machine of the core. */
+/** The daemons of the mesh: {@code sidecar} beside an upstream, {@code control} on a machine of the core. */
 final class MeshDaemon {
 
-    private static final String SETTINGS = "SABLEHINGE_CONFIG";
-    /** Netty tells channels of several machines apart by it, and would look at every network interface. */
-    private static final String MACHINE = "io.netty.machineId";
+    private static final String SETTINGS_VARIABLE = "SABLEHINGE_CONFIG";
+    /** Netty's machine id, set explicitly: Netty would otherwise scan every network interface to derive one. */
+    private static final String NETTY_MACHINE_ID = "io.netty.machineId";
 
     private static final double NANOS_PER_MS = 1e6;
-    /** How long a process that is told to end while it starts has for that, ms. */
-    private static final long MAX_START_MS = 2_000;
+    /** How long a process that is terminated during its start has to complete the start. */
+    private static final long START_TIMEOUT_MS = 2_000;
 
-    private static final String ANY_MACHINE = "02:00:00:00:00:01";
+    private static final String FIXED_MACHINE_ID = "02:00:00:00:00:01";
 
-    /** Ends a daemon in order; returns when the process may end. */
+    /** Shuts a daemon down gracefully; returns when the process may exit. */
     private interface Shutdown {
 
-        /** Some of its grace may be over: {@code elapsedMs} since it was told to end. */
+        /** Shuts down; {@code elapsedMs} have passed since the signal and count against the grace period. */
         void run(double elapsedMs) throws InterruptedException;
     }
 
     private MeshDaemon() {}
 
-    /** Runs a daemon by the settings file that the environment names, until it is ended. */
+    /** Runs a daemon with the settings file that the environment names, until the process is terminated. */
     static void run(String role) throws InterruptedException {
         long processStartedAt = System.nanoTime();
         DirectProvider.name();
-        System.setProperty(MACHINE, ANY_MACHINE);
-        // Before anything else: the signal would end the process, also one that has only just begun.
-        AtomicReference<Consumer<LocalSettings>> takes = new AtomicReference<>();
-        Main.onHangup(() -> reread(role, takes.get()));
+        System.setProperty(NETTY_MACHINE_ID, FIXED_MACHINE_ID);
+        // Before anything else: without a handler, the signal would end even a process that has just started.
+        AtomicReference<Consumer<LocalSettings>> reload = new AtomicReference<>();
+        Main.onHangup(() -> reloadSettings(role, reload.get()));
         CompletableFuture<Shutdown> started = new CompletableFuture<>();
         Main.drainAtShutdown(() -> drainOnceStarted(started));
         try {
-            String file = System.getenv(SETTINGS);
+            String file = System.getenv(SETTINGS_VARIABLE);
             if (file == null) {
-                throw new ConfigException(SETTINGS + " names no settings file");
+                throw new ConfigException(SETTINGS_VARIABLE + " names no settings file");
             }
             LocalSettings settings = read(role, file);
             if (settings.role() == LocalSettings.Role.SIDECAR) {
                 Sidecar sidecar = Sidecar.start(settings, made -> started.complete(made::drain));
-                takes.set(sidecar::reload);
+                reload.set(sidecar::reload);
             } else {
                 ControlNode node = ControlNode.start(settings, processStartedAt);
-                takes.set(node::reload);
+                reload.set(node::reload);
                 started.complete(node::leave);
             }
-            new SettingsWatch(() -> Files.readAllBytes(Path.of(file)), () -> reread(role, takes.get())).start();
+            new SettingsWatch(() -> Files.readAllBytes(Path.of(file)), () -> reloadSettings(role, reload.get()))
+                    .start();
         } catch (ConfigException e) {
             started.complete(elapsedMs -> {});
             System.err.println("sablehinge: " + e.getMessage());
@@ -74,17 +75,17 @@
     }
 
     /**
-     * Drains a process that may be told to end while it starts: it reads requests before it has started completely, and
-     * these are owed an answer like any others. One that has not come so far in time has read nothing.
+     * Drains a process that may be terminated during its start: it reads requests before the start is complete, and
+     * must answer them like any others. A process that does not complete its start in time has read no request.
      */
     private static void drainOnceStarted(CompletableFuture<Shutdown> started) throws InterruptedException {
         long signalledAt = System.nanoTime();
         Shutdown shutdown;
         try {
-            shutdown = started.get(MAX_START_MS, TimeUnit.MILLISECONDS);
+            shutdown = started.get(START_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             Log.warn(LoggerFactory.getLogger(MeshDaemon.class), "ends-unstarted")
-                    .log("ends before it has started");
+                    .log("the process exits before its start is complete");
             return;
         }
         shutdown.run((System.nanoTime() - signalledAt) / NANOS_PER_MS);
@@ -99,17 +100,17 @@
         return settings;
     }
 
-    /** SIGHUP says that the file has changed; one that is of no use changes nothing. */
-    private static void reread(String role, Consumer<LocalSettings> takes) {
+    /** Handles SIGHUP or a changed file: applies the settings file again; an invalid file changes nothing. */
+    private static void reloadSettings(String role, Consumer<LocalSettings> reload) {
         try {
-            LocalSettings settings = read(role, System.getenv(SETTINGS));
-            if (takes != null) {
-                takes.accept(settings);
+            LocalSettings settings = read(role, System.getenv(SETTINGS_VARIABLE));
+            if (reload != null) {
+                reload.accept(settings);
             }
         } catch (ConfigException | RuntimeException e) {
             Log.warn(LoggerFactory.getLogger(MeshDaemon.class), "settings-malformed")
                     .addKeyValue("cause", e.getMessage())
-                    .log("the settings stay as they were");
+                    .log("invalid settings file ignored; the settings are unchanged");
         }
     }
 }
--- a/src/main/java/sablehinge/cli/RecorderCommand.java
+++ b/src/main/java/sablehinge/cli/RecorderCommand.java
@@ -23,7 +23,7 @@
 import sablehinge.gateway.recorder.Timeline.Step;
 import sablehinge.gateway.recorder.TimelinePage;
 
-/** Looks at what a balancer's flight recorder has kept. */
+/** Creates and shows dumps of a balancer's flight recorder. */
 @Command(
         name = "recorder",
         mixinStandardHelpOptions = true,
@@ -42,7 +42,7 @@
         throw new ParameterException(spec.commandLine(), "expected one of dump, show, diff");
     }
 
-    /** Has a running balancer dump. */
+    /** Requests a dump from a running balancer. */
     @Command(
             name = "dump",
             mixinStandardHelpOptions = true,
@@ -52,13 +52,13 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask("POST", "/recorder/dump", null, body -> out().println(
+            return call("POST", "/recorder/dump", null, body -> out().println(
                             body.path("path").asText()));
         }
     }
 
-    /** What those have that read dumps. */
-    abstract static class Reading extends Commands.Verb {
+    /** The common options of commands that read dumps. */
+    abstract static class DumpReadingVerb extends Commands.Verb {
 
         @Option(names = "--json", description = "Print JSON: a line for each event.")
         private boolean json;
@@ -67,7 +67,7 @@
             return json;
         }
 
-        /** A dump's time line; null, after the error has been printed, where the file is not a dump. */
+        /** Reads the timeline of a dump; prints the error and returns null if the file is not a dump. */
         final Timeline read(Path file) {
             try {
                 return new Timeline(Dump.read(Files.readAllBytes(file)));
@@ -79,14 +79,14 @@
         }
     }
 
-    /** Shows one. */
+    /** Shows a dump. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
             versionProvider = Commands.Versions.class,
             description = "Shows a dump as a time line: of a request, of a connection or of all. Exits with 2"
                     + " if the file is no dump.")
-    static final class Show extends Reading {
+    static final class Show extends DumpReadingVerb {
 
         @Parameters(paramLabel = "FILE", description = "The dump.")
         private Path file;
@@ -159,35 +159,35 @@
         }
     }
 
-    /** Compares two. */
+    /** Compares two dumps. */
     @Command(
             name = "diff",
             mixinStandardHelpOptions = true,
             versionProvider = Commands.Versions.class,
             description = "Compares two dumps: how often each event happened a second, and the largest "
                     + "amounts; what differs most comes first. Exits with 2 if a file is no dump.")
-    static final class Diff extends Reading {
+    static final class Diff extends DumpReadingVerb {
 
         @Parameters(index = "0", paramLabel = "FILE", description = "A dump.")
-        private Path one;
+        private Path firstFile;
 
         @Parameters(index = "1", paramLabel = "OTHER", description = "Another.")
-        private Path other;
+        private Path secondFile;
 
-        /** A figure of both; the ratio tells by how much they differ, 1 for not at all. */
-        private record Row(String name, String what, double one, double other) {
+        /** A figure of both dumps; a ratio of 1 means that the dumps do not differ. */
+        private record Row(String name, String figure, double first, double second) {
 
             double ratio() {
-                double least = Math.min(one, other);
-                double most = Math.max(one, other);
-                return most == 0 ? 1 : least <= 0 ? Double.POSITIVE_INFINITY : most / least;
+                double min = Math.min(first, second);
+                double max = Math.max(first, second);
+                return max == 0 ? 1 : min <= 0 ? Double.POSITIVE_INFINITY : max / min;
             }
         }
 
         @Override
         public Integer call() {
-            Timeline first = read(one);
-            Timeline second = read(other);
+            Timeline first = read(firstFile);
+            Timeline second = read(secondFile);
             if (first == null || second == null) {
                 return Commands.BAD_INPUT;
             }
@@ -204,11 +204,14 @@
         }
 
         private static void rows(
-                List<Row> rows, String what, Map<String, ? extends Number> one, Map<String, ? extends Number> other) {
-            TreeSet<String> names = new TreeSet<>(one.keySet());
-            names.addAll(other.keySet());
+                List<Row> rows,
+                String figure,
+                Map<String, ? extends Number> first,
+                Map<String, ? extends Number> second) {
+            TreeSet<String> names = new TreeSet<>(first.keySet());
+            names.addAll(second.keySet());
             for (String name : names) {
-                rows.add(new Row(name, what, value(one, name), value(other, name)));
+                rows.add(new Row(name, figure, value(first, name), value(second, name)));
             }
         }
 
@@ -220,16 +223,16 @@
             if (json()) {
                 out().println(JSON.createObjectNode()
                         .put("event", row.name())
-                        .put("what", row.what())
-                        .put("first", row.one())
-                        .put("second", row.other()));
+                        .put("what", row.figure())
+                        .put("first", row.first())
+                        .put("second", row.second()));
             } else {
                 out().printf(
                                 "%-16s %-9s %14.1f %14.1f %8s%n",
                                 row.name(),
-                                row.what(),
-                                row.one(),
-                                row.other(),
+                                row.figure(),
+                                row.first(),
+                                row.second(),
                                 Double.isInfinite(row.ratio()) ? "only one" : String.format("%.2f", row.ratio()));
             }
         }
--- a/src/main/java/sablehinge/cli/ReplayCommand.java
+++ b/src/main/java/sablehinge/cli/ReplayCommand.java
@@ -24,7 +24,7 @@
 import sablehinge.tools.replay.LogOptions;
 import sablehinge.tools.replay.Logs;
 
-/** Real days as load. */
+/** Replays access logs as load. */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
@@ -41,7 +41,7 @@
         throw new ParameterException(spec.commandLine(), "expected a verb: inspect or run");
     }
 
-    /** What both verbs have: logs, and how they are read. */
+    /** The common options of both commands: the log files and their format. */
     abstract static class LogVerb extends Commands.Verb {
 
         @Parameters(
@@ -93,7 +93,7 @@
             return seed;
         }
 
-        /** The classes of the rules' file, once the logs are open. */
+        /** The classes of the rules file; available once the logs are open. */
         final List<ClassPart> classes() {
             return classes;
         }
@@ -102,29 +102,29 @@
             return files;
         }
 
-        /** The logs, opened; null if the rules have errors, which are reported then. */
+        /** Opens the logs; prints the errors and returns null if the rules file has errors. */
         final Logs open() throws IOException {
-            ReplayPart part = new ReplayPart("auto", ZoneOffset.UTC, Map.of(), List.of());
+            ReplayPart replay = new ReplayPart("auto", ZoneOffset.UTC, Map.of(), List.of());
             if (rules != null) {
                 OperatorFile.CheckedReplay checked = OperatorFile.readReplay(rules);
                 if (checked.replay() == null) {
-                    report(rules, checked.problems());
+                    printProblems(rules, checked.problems());
                     return null;
                 }
-                part = checked.replay();
+                replay = checked.replay();
                 classes = checked.classes();
             }
-            Map<String, String> map = new HashMap<>(part.fields());
-            map.putAll(fields);
-            ZoneId ofTimes = part.zone();
+            Map<String, String> allFields = new HashMap<>(replay.fields());
+            allFields.putAll(fields);
+            ZoneId timeZone = replay.zone();
             try {
-                ofTimes = zone == null ? ofTimes : ZoneId.of(zone);
+                timeZone = zone == null ? timeZone : ZoneId.of(zone);
             } catch (DateTimeException e) {
                 throw misuse("--zone: '" + zone + "' is no zone of time, expected one such as Africa/Dakar");
             }
-            LogOptions options = LogOptions.usual(new Mapping(part.rules()))
+            LogOptions options = LogOptions.usual(new Mapping(replay.rules()))
                     .with(strict, seed)
-                    .withFormat(format == null ? part.format() : format, ofTimes, map);
+                    .withFormat(format == null ? replay.format() : format, timeZone, allFields);
             try {
                 return Logs.open(new ArrayList<>(files), System.in, options);
             } catch (IllegalArgumentException e) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Tells what is in logs. */
+    /** Summarizes the contents of logs. */
     @Command(
             name = "inspect",
             mixinStandardHelpOptions = true,
--- a/src/main/java/sablehinge/cli/ReplayRun.java
+++ b/src/main/java/sablehinge/cli/ReplayRun.java
@@ -31,7 +31,7 @@
 import sablehinge.tools.replay.schedule.ReplaySchedule;
 import sablehinge.tools.standin.AuditTerms;
 
-/** Sends the load of logs once more. */
+/** Replays the load of logs against a balancer. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
@@ -43,8 +43,8 @@
                 + "ran late. Ctrl-C ends it with a whole report.")
 final class ReplayRun extends LogVerb {
 
-    private static final long PROGRESS_MS = 500;
-    private static final long LAST_ANSWERS_S = 30;
+    private static final long PROGRESS_INTERVAL_MS = 500;
+    private static final long SHUTDOWN_TIMEOUT_S = 30;
 
     @Option(
             names = "--target",
@@ -141,40 +141,40 @@
         }
         try (logs) {
             Load.Options options =
-                    new Load.Options(addresses, plans(), clients, schedule, threads, connections, body, seed());
-            return out == null ? play(logs, options, null) : record(logs, options);
+                    new Load.Options(addresses, classPlans(), clients, schedule, threads, connections, body, seed());
+            return out == null ? runLoad(logs, options, null) : runRecorded(logs, options);
         }
     }
 
-    private int record(Logs logs, Load.Options options) throws IOException, InterruptedException {
+    private int runRecorded(Logs logs, Load.Options options) throws IOException, InterruptedException {
         Files.createDirectories(out);
         try (Recorder recorder = new Recorder(out.resolve("requests.jsonl.gz"))) {
-            return play(logs, options, recorder);
+            return runLoad(logs, options, recorder);
         }
     }
 
-    private int play(Logs logs, Load.Options options, Recorder recorder) throws IOException, InterruptedException {
+    private int runLoad(Logs logs, Load.Options options, Recorder recorder) throws IOException, InterruptedException {
         Load load = new Load(options, recorder == null ? evidence -> {} : recorder::note);
         CountDownLatch written = new CountDownLatch(1);
-        // Ctrl-C: the virtual machine goes on until this has returned, and so until the report is there.
+        // At Ctrl-C, the JVM exits only after this hook returns, so that the report is written first.
         Thread interrupted = new Thread(
                 () -> {
                     load.stop();
                     try {
-                        written.await(LAST_ANSWERS_S, TimeUnit.SECONDS);
+                        written.await(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 },
                 "interrupted");
         Runtime.getRuntime().addShutdownHook(interrupted);
-        Thread progress = progress(load);
+        Thread progress = startProgressThread(load);
         int status = Commands.BAD_INPUT;
         try {
             try {
                 load.run(logs::next);
             } catch (IOException e) {
-                // Strict, or the disk: what was sent by then is reported all the same.
+                // A malformed line in strict mode, or a disk error: the requests sent so far are still reported.
                 err().println("sablehinge: " + Commands.message(e));
                 load.stop();
                 load.run(() -> null);
@@ -190,15 +190,15 @@
             }
             load.close();
             written.countDown();
-            unhook(interrupted);
+            removeShutdownHook(interrupted);
         }
     }
 
-    private static void unhook(Thread hook) {
+    private static void removeShutdownHook(Thread hook) {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // It is running, which is why this ends.
+            // The JVM is shutting down and the hook is running.
         }
     }
 
@@ -243,8 +243,8 @@
         return result;
     }
 
-    /** A line on a terminal that is written anew; nothing in a pipe. */
-    private Thread progress(Load load) {
+    /** Updates a progress line on a terminal; returns null if there is no terminal. */
+    private Thread startProgressThread(Load load) {
         if (System.console() == null) {
             return null;
         }
@@ -252,9 +252,9 @@
                 () -> {
                     try {
                         while (true) {
-                            TimeUnit.MILLISECONDS.sleep(PROGRESS_MS);
-                            long[] sums = load.progress();
-                            err().printf(Locale.ROOT, "\r%,d sent, %,d answered or given up ", sums[0], sums[1]);
+                            TimeUnit.MILLISECONDS.sleep(PROGRESS_INTERVAL_MS);
+                            long[] counts = load.progress();
+                            err().printf(Locale.ROOT, "\r%,d sent, %,d answered or given up ", counts[0], counts[1]);
                             err().flush();
                         }
                     } catch (InterruptedException e) {
@@ -268,7 +268,7 @@
         return thread;
     }
 
-    private Map<String, ClassPlan> plans() {
+    private Map<String, ClassPlan> classPlans() {
         Map<String, ClassPlan> plans = new HashMap<>();
         for (ClassPart part : classes()) {
             plans.put(
@@ -300,9 +300,9 @@
         return plans;
     }
 
-    private double range(String option, double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
-            throw misuse(option + ": " + value + " is out of range, expected " + least + " to " + most);
+    private double range(String option, double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
+            throw misuse(option + ": " + value + " is out of range, expected " + min + " to " + max);
         }
         return value;
     }
--- a/src/main/java/sablehinge/cli/SettingsWatch.java
+++ b/src/main/java/sablehinge/cli/SettingsWatch.java
@@ -7,51 +7,50 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notices that the settings file has changed where no signal tells it, and that one which was half written at the
- * signal is whole. A process that is cut off from all machines that it knows has no other way to learn of them.
+ * Polls the settings for changes that no signal announces, and for the completion of a write that was still in progress
+ * at the signal. A process that cannot reach any of its known machines has no other way to learn new addresses.
  */
 final class SettingsWatch {
 
-    /** Between two looks at the file, in ms. */
-    private static final long EVERY_MS = 5_000;
+    private static final long POLL_INTERVAL_MS = 5_000;
 
-    /** Reads the complete file. */
-    interface Contents {
+    /** Reads the complete settings. */
+    interface FileReader {
         byte[] read() throws IOException;
     }
 
-    private final Contents file;
-    private final Runnable changed;
-    private byte[] seen;
+    private final FileReader reader;
+    private final Runnable onChange;
+    private byte[] lastContent;
 
     /**
-     * A watch that has seen nothing yet: its first look finds a change, as the file may have changed since the process
-     * has read it.
+     * Creates a watch. The first poll always reports a change, as the settings may have changed since the process read
+     * them.
      *
-     * @param file reads the complete file
-     * @param changed is run once for each content
+     * @param reader reads the complete settings
+     * @param onChange runs once for each new content
      */
-    SettingsWatch(Contents file, Runnable changed) {
-        this.file = file;
-        this.changed = changed;
+    SettingsWatch(FileReader reader, Runnable onChange) {
+        this.reader = reader;
+        this.onChange = onChange;
     }
 
-    /** Looks every now and then, on a thread of its own, until the process ends. */
+    /** Polls periodically on a separate daemon thread until the process ends. */
     void start() {
         Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("settings", true))
-                .scheduleWithFixedDelay(this::look, EVERY_MS, EVERY_MS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Looks once. A file that can't be read is looked at again later. */
-    void look() {
+    /** Polls once. Settings that can't be read are read again at the next poll. */
+    void poll() {
         try {
-            byte[] now = file.read();
-            if (!Arrays.equals(now, seen)) {
-                seen = now;
-                changed.run();
+            byte[] content = reader.read();
+            if (!Arrays.equals(content, lastContent)) {
+                lastContent = content;
+                onChange.run();
             }
         } catch (IOException e) {
-            // It is being replaced, or there are no descriptors at the moment.
+            // The settings are being replaced, or the process is out of descriptors; the next poll retries.
         }
     }
 }
--- a/src/main/java/sablehinge/cli/StandInCommand.java
+++ b/src/main/java/sablehinge/cli/StandInCommand.java
@@ -13,7 +13,7 @@
 import sablehinge.tools.standin.Fleet;
 import sablehinge.tools.standin.scenario.ScenarioFile;
 
-/** Plays servers. */
+/** Runs stand-in servers with balancers on loopback, and the faults of a scenario. */
 @Command(
         name = "standin",
         mixinStandardHelpOptions = true,
@@ -43,7 +43,7 @@
     public Integer call() throws Exception {
         ScenarioFile.Checked checked = ScenarioFile.read(scenario);
         if (checked.scenario() == null) {
-            report(scenario, checked.problems());
+            printProblems(scenario, checked.problems());
             return Commands.BAD_INPUT;
         }
         if (threads < 1 || threads > 64) {
@@ -55,16 +55,16 @@
         Recorder recorder = out == null ? null : new Recorder(out.resolve("servers.jsonl.gz"));
         Fleet fleet = new Fleet(
                 checked.scenario(),
-                new LocalBalancers(recorder == null ? one -> {} : recorder::note),
+                new LocalBalancers(recorder == null ? evidence -> {} : recorder::note),
                 threads,
-                recorder == null ? one -> {} : recorder::note,
-                this::tell);
-        CountDownLatch over = new CountDownLatch(1);
+                recorder == null ? evidence -> {} : recorder::note,
+                this::printLine);
+        CountDownLatch stopped = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            over.countDown();
+                            stopped.countDown();
                             try {
                                 written.await(10, TimeUnit.SECONDS);
                             } catch (InterruptedException e) {
@@ -74,11 +74,11 @@
                         "interrupted"));
         try {
             fleet.start();
-            fleet.entries().forEach(entry -> tell("entry " + entry.getHostString() + ":" + entry.getPort()));
+            fleet.entries().forEach(entry -> printLine("entry " + entry.getHostString() + ":" + entry.getPort()));
             if (seconds > 0) {
-                over.await((long) (seconds * 1_000), TimeUnit.MILLISECONDS);
+                stopped.await((long) (seconds * 1_000), TimeUnit.MILLISECONDS);
             } else {
-                over.await();
+                stopped.await();
             }
             return 0;
         } finally {
@@ -93,12 +93,12 @@
             recorder.close();
             AuditRulesFile.write(out, terms);
             if (recorder.dropped() > 0) {
-                tell(recorder.dropped() + " observations are not in the record");
+                printLine(recorder.dropped() + " observations are not in the record");
             }
         }
     }
 
-    private void tell(String line) {
+    private void printLine(String line) {
         out().println(line);
         out().flush();
     }
--- a/src/test/java/sablehinge/cli/SettingsWatchTest.java
+++ b/src/test/java/sablehinge/cli/SettingsWatchTest.java
@@ -21,7 +21,7 @@
             () -> changes++);
 
     private int looks() {
-        watch.look();
+        watch.poll();
         return changes;
     }
 
