--- a/src/main/java/sablehinge/cli/Main.java
+++ b/src/main/java/sablehinge/cli/Main.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executors;
 import org.slf4j.LoggerFactory;
 import sablehinge.cli.mesh.MeshCommands;
-import sablehinge.cli.mesh.operator.Shell;
+import sablehinge.cli.mesh.operator.CommandContext;
 import sablehinge.common.logging.Log;
 import sablehinge.common.settings.ConfigException;
 import sablehinge.gateway.config.PlatformConfig;
@@ -33,8 +33,8 @@
         } else if (args.length == 1 && (args[0].equals("sidecar") || args[0].equals("control"))) {
             MeshDaemon.run(args[0]);
         } else if (args.length > 0 && args[0].equals("mesh")) {
-            System.exit(
-                    MeshCommands.run(Arrays.copyOfRange(args, 1, args.length), Shell.usual(System.out, System.err)));
+            System.exit(MeshCommands.run(
+                    Arrays.copyOfRange(args, 1, args.length), CommandContext.ofProcess(System.out, System.err)));
         } else {
             System.exit(Commands.run(
                     args,
--- a/src/main/java/sablehinge/cli/mesh/ChildProcesses.java
+++ b/src/main/java/sablehinge/cli/mesh/ChildProcesses.java
@@ -9,10 +9,10 @@
 import sablehinge.tools.standin.mesh.MeshException;
 import sablehinge.tools.standin.mesh.SmallMesh;
 
-/** Daemons from the program that runs, with the class archives that lie beside it, if any. */
+/** Starts daemons from the running program's jar or classes, with the class data archives next to it, if any. */
 final class ChildProcesses implements SmallMesh.Commands {
 
-    private static final List<String> FLAGS = List.of(
+    private static final List<String> JVM_FLAGS = List.of(
             "-Xms24m",
             "-Xmx128m",
             "-Xss256k",
@@ -28,7 +28,7 @@
     public List<String> command(String role, int place, int start) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(FLAGS);
+        command.addAll(JVM_FLAGS);
         Path program = program();
         Path archive = program.resolveSibling(role + ".jsa");
         if (Files.isRegularFile(archive)) {
@@ -43,7 +43,7 @@
         return command;
     }
 
-    /** The packed program, as it was named when it was started, or its folder of classes. */
+    /** The jar, by the path it was started with, or the folder of classes. */
     private static Path program() {
         String path = System.getProperty("java.class.path");
         if (!path.contains(File.pathSeparator) && path.endsWith(".jar")) {
--- a/src/main/java/sablehinge/cli/mesh/MeshCommands.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshCommands.java
@@ -12,6 +12,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
+import sablehinge.cli.mesh.operator.CommandContext;
 import sablehinge.cli.mesh.operator.CommandException;
 import sablehinge.cli.mesh.operator.ConfigCheckCommand;
 import sablehinge.cli.mesh.operator.ConfigGetCommand;
@@ -20,26 +21,26 @@
 import sablehinge.cli.mesh.operator.MeshCommand;
 import sablehinge.cli.mesh.operator.NodesCommand;
 import sablehinge.cli.mesh.operator.OperatorCommand;
-import sablehinge.cli.mesh.operator.Shell;
 import sablehinge.cli.mesh.operator.SingletonRolesCommand;
 import sablehinge.cli.mesh.operator.StatusCommand;
 import sablehinge.mesh.api.NearestName;
 
 /**
- * The verbs about a mesh: those of its operators, and {@code demo}, {@code settings} and {@code upstream} for one of
- * one's own. Exit status 0: done; 1: refused, or a rule was broken; 2: a bad command line or file; 3: no clear answer.
+ * The commands for a mesh: those of its operators, and {@code demo}, {@code settings} and {@code upstream} for running
+ * a small local mesh. Exit status 0: done; 1: refused, or a rule was broken; 2: invalid command line or file; 3: no
+ * clear answer.
  */
 public final class MeshCommands {
 
     private MeshCommands() {}
 
-    /** The help of the group or of a verb. */
+    /** Prints the help of the group or of a command. */
     @com.github.rvesse.airline.annotations.Command(
             name = "help",
             description = "Tells what the verbs do, or one of them")
     public static final class HelpCommand extends Help<MeshCommand> implements MeshCommand {
 
-        /** Made by the command line. */
+        /** Called by the command line parser. */
         public HelpCommand() {}
 
         @Override
@@ -68,8 +69,8 @@
         return builder.build();
     }
 
-    /** Without arguments, or with the help options of other programs, the help is printed. */
-    private static String[] usual(String[] args) {
+    /** Replaces an empty command line, {@code --help} and {@code -h} by the help command. */
+    private static String[] withDefaultCommand(String[] args) {
         List<String> words = new ArrayList<>(List.of(args));
         if (words.isEmpty() || words.removeAll(List.of("--help", "-h"))) {
             words.add(0, "help");
@@ -77,29 +78,29 @@
         return words.toArray(new String[0]);
     }
 
-    /** Says which word of the command line is none, and which one it was probably meant to be. */
-    private static String hint(GlobalMetadata<MeshCommand> known, String[] args, String otherwise) {
-        List<CommandMetadata> verbs = known.getDefaultGroupCommands();
+    /** Names the unknown word of the command line and the nearest known one; the default hint if all are known. */
+    private static String hint(GlobalMetadata<MeshCommand> metadata, String[] args, String defaultHint) {
+        List<CommandMetadata> verbs = metadata.getDefaultGroupCommands();
         String group = "";
-        int at = 0;
+        int index = 0;
         if (args[0].equals("config")) {
-            verbs = known.getCommandGroups().stream()
+            verbs = metadata.getCommandGroups().stream()
                     .map(CommandGroupMetadata::getCommands)
                     .findFirst()
                     .orElseThrow();
             group = "config ";
-            at = 1;
+            index = 1;
         }
         List<String> names = Stream.concat(
-                        verbs.stream().map(CommandMetadata::getName), at == 0 ? Stream.of("config") : Stream.empty())
+                        verbs.stream().map(CommandMetadata::getName), index == 0 ? Stream.of("config") : Stream.empty())
                 .sorted()
                 .toList();
-        if (args.length <= at) {
+        if (args.length <= index) {
             return group + "needs one of " + String.join(", ", names);
         }
-        String word = args[at];
+        String word = args[index];
         CommandMetadata verb = verbs.stream()
-                .filter(one -> one.getName().equals(word))
+                .filter(command -> command.getName().equals(word))
                 .findFirst()
                 .orElse(null);
         if (verb == null) {
@@ -111,39 +112,39 @@
                 .flatMap(Set::stream)
                 .sorted()
                 .toList();
-        for (String each : args) {
-            String option = each.split("=", 2)[0];
+        for (String argument : args) {
+            String option = argument.split("=", 2)[0];
             if (option.startsWith("-") && !options.contains(option)) {
                 return "\"" + option + "\" is no option of " + group + word + "; the nearest one is \""
                         + NearestName.of(option, options) + "\"";
             }
         }
-        return otherwise;
+        return defaultHint;
     }
 
-    /** Runs the verb that the arguments, those behind {@code mesh}, name; returns the exit status. */
-    public static int run(String[] args, Shell shell) {
-        String[] words = usual(args);
+    /** Runs the command that the arguments after {@code mesh} name; returns the exit status. */
+    public static int run(String[] args, CommandContext context) {
+        String[] words = withDefaultCommand(args);
         Cli<MeshCommand> cli = cli();
         MeshCommand verb;
         try {
             verb = cli.parse(words);
         } catch (ParseException e) {
-            shell.err()
-                    .println("sablehinge: " + Shell.plain(hint(cli.getMetadata(), words, e.getMessage()))
+            context.err()
+                    .println("sablehinge: " + CommandContext.plain(hint(cli.getMetadata(), words, e.getMessage()))
                             + "; see mesh help");
             return CommandException.Exit.BAD_INPUT.status();
         }
         try {
-            if (verb instanceof OperatorCommand its) {
-                its.in(shell);
+            if (verb instanceof OperatorCommand command) {
+                command.setContext(context);
             }
             return verb.execute();
         } catch (CommandException e) {
-            shell.err().println("sablehinge: " + Shell.plain(e.line()));
+            context.err().println("sablehinge: " + CommandContext.plain(e.line()));
             return e.exit().status();
         } catch (Exception e) {
-            shell.err().println("sablehinge: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+            context.err().println("sablehinge: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
             return CommandException.Exit.REFUSED.status();
         }
     }
--- a/src/main/java/sablehinge/cli/mesh/MeshDemoCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshDemoCommand.java
@@ -14,7 +14,7 @@
 import sablehinge.tools.standin.mesh.TrafficCounts;
 import sablehinge.tools.standin.mesh.TrafficLog;
 
-/** Shows a mesh at work and judges what was seen. */
+/** Runs a small mesh under load with faults and checks the rules against what was observed. */
 @Command(
         name = "demo",
         description = "Starts three control nodes and three sidecars on loopback with stand-in "
@@ -26,15 +26,15 @@
         descriptions = {"no rule was broken", "a rule was broken, or the mesh did not start"})
 public final class MeshDemoCommand implements MeshCommand {
 
-    private static final long CALM_MS = 1_500;
-    private static final long CONTACT_MS = 3_200;
-    private static final long AFTER_MS = 1_200;
-    private static final long ANSWER_MS = 15_000;
-    private static final long END_MS = 8_000;
-    private static final int LEAVES = 1;
-    private static final long FIRST = 3;
-    private static final long SECOND = 7;
-    private static final long THIRD = 12;
+    private static final long STEADY_LOAD_MS = 1_500;
+    private static final long REJOIN_MS = 3_200;
+    private static final long LOAD_AFTER_LEAVE_MS = 1_200;
+    private static final long ANSWER_TIMEOUT_MS = 15_000;
+    private static final long EXIT_TIMEOUT_MS = 8_000;
+    private static final int LEAVING_UPSTREAM = 1;
+    private static final long FIRST_EDITION = 3;
+    private static final long SECOND_EDITION = 7;
+    private static final long THIRD_EDITION = 12;
 
     @Option(
             name = {"-e", "--every"},
@@ -48,58 +48,60 @@
             description = "A folder to which the daemons' logs and settings are copied at the end")
     private String logs;
 
-    /** Made by the command line. */
+    /** Called by the command line parser. */
     public MeshDemoCommand() {}
 
     @Override
     public int execute() throws InterruptedException {
-        double begun = TrafficLog.now();
+        double startedAtMs = TrafficLog.now();
         SmallMesh mesh = new SmallMesh(new ChildProcesses());
-        Thread end = new Thread(mesh::close, "end");
-        Runtime.getRuntime().addShutdownHook(end);
+        Thread shutdownHook = new Thread(mesh::close, "end");
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try (mesh) {
             try {
-                return play(mesh, begun);
+                return runDemo(mesh, startedAtMs);
             } finally {
                 if (logs != null) {
                     mesh.keepLogs(Path.of(logs));
                 }
             }
         } finally {
-            Runtime.getRuntime().removeShutdownHook(end);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         }
     }
 
-    private int play(SmallMesh mesh, double begun) throws InterruptedException {
-        say(
-                begun,
+    private int runDemo(SmallMesh mesh, double startedAtMs) throws InterruptedException {
+        printLine(
+                startedAtMs,
                 "starts three control nodes, three sidecars and three upstreams on %s.*",
                 mesh.plan().prefix());
-        mesh.start(mesh.version(FIRST, 0, SmallMesh.BASALT));
-        say(begun, "edition %d is taken, all sidecars are ready; clients begin", FIRST);
+        mesh.start(mesh.version(FIRST_EDITION, 0, SmallMesh.BASALT));
+        printLine(startedAtMs, "edition %d is taken, all sidecars are ready; clients begin", FIRST_EDITION);
         mesh.load(everyMs);
-        TimeUnit.MILLISECONDS.sleep(CALM_MS);
+        TimeUnit.MILLISECONDS.sleep(STEADY_LOAD_MS);
         int leader = Math.max(0, mesh.operator().leader());
         mesh.controlNode(leader).kill();
-        say(begun, "control node %d, which leads, is killed", leader + 1);
-        mesh.operator().replace(mesh.version(SECOND, FIRST, SmallMesh.MARL), ANSWER_MS);
-        say(begun, "edition %d is taken by the other two: reads move to %s", SECOND, SmallMesh.MARL);
+        printLine(startedAtMs, "control node %d, which leads, is killed", leader + 1);
+        mesh.operator().replace(mesh.version(SECOND_EDITION, FIRST_EDITION, SmallMesh.MARL), ANSWER_TIMEOUT_MS);
+        printLine(
+                startedAtMs, "edition %d is taken by the other two: reads move to %s", SECOND_EDITION, SmallMesh.MARL);
         mesh.restart(leader, 1);
-        say(begun, "control node %d is started again", leader + 1);
-        TimeUnit.MILLISECONDS.sleep(CONTACT_MS);
-        mesh.operator().replace(mesh.version(THIRD, SECOND, SmallMesh.BASALT), ANSWER_MS);
-        say(begun, "edition %d is taken: reads move back to %s", THIRD, SmallMesh.BASALT);
-        say(begun, "upstream %d unloads, signs off and ends, and its sidecar after it", LEAVES + 1);
-        boolean ended = mesh.leave(LEAVES, END_MS);
-        TimeUnit.MILLISECONDS.sleep(AFTER_MS);
+        printLine(startedAtMs, "control node %d is started again", leader + 1);
+        TimeUnit.MILLISECONDS.sleep(REJOIN_MS);
+        mesh.operator().replace(mesh.version(THIRD_EDITION, SECOND_EDITION, SmallMesh.BASALT), ANSWER_TIMEOUT_MS);
+        printLine(startedAtMs, "edition %d is taken: reads move back to %s", THIRD_EDITION, SmallMesh.BASALT);
+        printLine(
+                startedAtMs, "upstream %d unloads, signs off and ends, and its sidecar after it", LEAVING_UPSTREAM + 1);
+        boolean ended = mesh.leave(LEAVING_UPSTREAM, EXIT_TIMEOUT_MS);
+        TimeUnit.MILLISECONDS.sleep(LOAD_AFTER_LEAVE_MS);
         mesh.quiet();
-        byte[] readBack = mesh.operator().read(ANSWER_MS);
-        say(begun, "clients have stopped; %d bytes of configuration are read back", readBack.length);
+        byte[] readBack = mesh.operator().read(ANSWER_TIMEOUT_MS);
+        printLine(startedAtMs, "clients have stopped; %d bytes of configuration are read back", readBack.length);
         List<String> breaches = new java.util.ArrayList<>(
                 new MeshJudge(mesh.trafficLog(), mesh.operator().orders(), MeshPlan.UNLOAD_MS, MeshPlan.EDITION_MS)
                         .breaches(readBack));
         if (!ended) {
-            breaches.add("END: sidecar " + (LEAVES + 1) + " has not ended within " + END_MS + " ms");
+            breaches.add("END: sidecar " + (LEAVING_UPSTREAM + 1) + " has not ended within " + EXIT_TIMEOUT_MS + " ms");
         }
         TrafficCounts counts = TrafficCounts.of(mesh.trafficLog());
         System.out.println();
@@ -113,9 +115,9 @@
         return breaches.isEmpty() ? 0 : 1;
     }
 
-    private static void say(double begun, String format, Object... values) {
+    private static void printLine(double startedAtMs, String format, Object... values) {
         System.out.printf(
-                Locale.ROOT, "%6.1f s  " + format + "%n", prepend((TrafficLog.now() - begun) / 1_000, values));
+                Locale.ROOT, "%6.1f s  " + format + "%n", prepend((TrafficLog.now() - startedAtMs) / 1_000, values));
     }
 
     private static Object[] prepend(double first, Object... values) {
--- a/src/main/java/sablehinge/cli/mesh/MeshSettingsCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshSettingsCommand.java
@@ -13,7 +13,7 @@
 import sablehinge.tools.standin.mesh.SmallMesh;
 import sablehinge.tools.standin.mesh.TrafficLog;
 
-/** Writes the files of a small mesh that is run by hand. */
+/** Writes the settings files of a small mesh that is started manually. */
 @Command(
         name = "settings",
         description = "Writes the settings files of three control nodes and two sidecars on "
@@ -35,7 +35,7 @@
             description = "The first three numbers of all addresses (default: 127.0.0)")
     private String addresses = "127.0.0";
 
-    /** Made by the command line. */
+    /** Called by the command line parser. */
     public MeshSettingsCommand() {}
 
     @Override
--- a/src/main/java/sablehinge/cli/mesh/MeshUpstreamCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/MeshUpstreamCommand.java
@@ -11,7 +11,7 @@
 import sablehinge.tools.standin.mesh.StandInUpstream;
 import sablehinge.tools.standin.mesh.TrafficLog;
 
-/** Runs one stand-in upstream until it is ended; at SIGTERM it leaves in order. */
+/** Runs one stand-in upstream until it is terminated; at SIGTERM it drains and signs off. */
 @Command(
         name = "upstream",
         description = "Runs a stand-in upstream, which tells the sidecar beside it that "
@@ -51,7 +51,7 @@
             description = "The longest that one takes (default: 20)")
     private int workMs = 20;
 
-    /** Made by the command line. */
+    /** Called by the command line parser. */
     public MeshUpstreamCommand() {}
 
     @Override
--- a/src/main/java/sablehinge/cli/mesh/operator/CommandException.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CommandException.java
@@ -1,17 +1,17 @@
 package sablehinge.cli.mesh.operator;
 
-/** A verb that can't be carried out. */
+/** Thrown by a command that can't be carried out. */
 public final class CommandException extends RuntimeException {
 
     private static final long serialVersionUID = 1;
 
-    /** How a verb ends that does not do what it was called for. */
+    /** The ways in which a command fails. */
     public enum Exit {
-        /** The core refused, with a code. */
+        /** The core refused the call with an error code. */
         REFUSED(1),
-        /** The command line or a file is of no use; nothing was sent. */
+        /** The command line or a file is invalid; nothing was sent. */
         BAD_INPUT(2),
-        /** Nobody gave a clear answer in time. */
+        /** No machine of the core gave a clear answer in time. */
         UNCLEAR(3);
 
         private final int status;
@@ -31,10 +31,10 @@
     private final String place;
 
     /**
-     * An error.
+     * Creates the exception.
      *
-     * @param code tells cases apart
-     * @param place the file, key or pointer that it is about; empty for none
+     * @param code the error code
+     * @param place the file, key or JSON pointer of the error; empty if there is none
      */
     public CommandException(Exit exit, String code, String place, String message) {
         super(message, null, false, false);
@@ -43,21 +43,21 @@
         this.place = place;
     }
 
-    static CommandException input(String code, String place, String message) {
+    static CommandException badInput(String code, String place, String message) {
         return new CommandException(Exit.BAD_INPUT, code, place, message);
     }
 
-    /** How the verb ends. */
+    /** How the command failed. */
     public Exit exit() {
         return exit;
     }
 
-    /** Which case it is. */
+    /** The error code. */
     public String code() {
         return code;
     }
 
-    /** What it is about; empty for nothing more than the message says. */
+    /** The file, key or JSON pointer of the error; empty if there is none. */
     public String place() {
         return place;
     }
--- a/src/main/java/sablehinge/cli/mesh/operator/CommandOutcome.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CommandOutcome.java
@@ -3,29 +3,29 @@
 import java.util.List;
 
 /**
- * What became of a call to the core.
+ * The outcome of a call to the core.
  *
- * @param answer the clear one; null where there was none
- * @param by who gave it; null where there was none
- * @param maybe whether the core may have carried the call out although its answer was not clear
- * @param tries the last answer or error of each address that was called
+ * @param answer the clear answer; null if there was none
+ * @param answeredBy the address that gave the answer; null if there was none
+ * @param mayHaveRun whether the core may have carried out the call without a clear answer
+ * @param attempts the last answer or error of each address that was called
  */
-record CommandOutcome(HttpCaller.Answer answer, String by, boolean maybe, List<String> tries) {
+record CommandOutcome(HttpCaller.Answer answer, String answeredBy, boolean mayHaveRun, List<String> attempts) {
 
-    /** The error that the core refused with; the call was answered, and not with a 2xx. */
+    /** The core's refusal as an exception; the answer must be clear and not a 2xx. */
     CommandException refusal() {
-        CoreAnswer response = CoreAnswer.of(answer);
+        CoreError error = CoreError.of(answer);
         return new CommandException(
                 CommandException.Exit.REFUSED,
-                response.code(),
-                response.place(),
-                response.message() + " (" + answer.status() + " from " + by + ")");
+                error.code(),
+                error.place(),
+                error.message() + " (" + answer.status() + " from " + answeredBy + ")");
     }
 
-    /** Nobody gave a clear answer. */
+    /** The exception for a call without a clear answer. */
     CommandException unclear(String what) {
         return new CommandException(
-                CommandException.Exit.UNCLEAR, "NO_CLEAR_ANSWER", "", what + "; " + String.join("; ", tries));
+                CommandException.Exit.UNCLEAR, "NO_CLEAR_ANSWER", "", what + "; " + String.join("; ", attempts));
     }
 
     boolean isClear() {
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigCheckCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigCheckCommand.java
@@ -8,7 +8,7 @@
 import sablehinge.mesh.api.CheckException.Problem;
 import sablehinge.mesh.routing.Configuration;
 
-/** Checks a configuration without a core. */
+/** Checks a configuration file locally, without calling the core. */
 @Command(
         name = "check",
         description = "Checks a configuration as the core would, without calling it, and "
@@ -19,35 +19,38 @@
     @Arguments(title = "FILE", description = "The configuration")
     private String file;
 
-    /** Made by the command line. */
+    /** Called by the command line parser. */
     public ConfigCheckCommand() {}
 
-    /** What was found. */
-    private record Found(
+    /** The result that is printed. */
+    private record CheckResult(
             String file, boolean valid, long edition, int routes, int services, int tenants, List<Problem> problems) {}
 
     @Override
     int run() {
         try {
-            Configuration read = ConfigurationFile.read(file).configuration();
+            Configuration configuration = ConfigurationFile.read(file).configuration();
             print(
-                    new Found(
+                    new CheckResult(
                             file,
                             true,
-                            read.edition(),
-                            read.routes().size(),
-                            read.services().size(),
-                            read.tenants().size(),
+                            configuration.edition(),
+                            configuration.routes().size(),
+                            configuration.services().size(),
+                            configuration.tenants().size(),
                             List.of()),
-                    () -> shell().say(file + ": edition " + read.edition()
-                            + ", " + read.routes().size() + " routes, "
-                            + read.services().size() + " services, "
-                            + read.tenants().size() + " tenants; it can be taken where a lower edition is in force"));
+                    () -> context()
+                            .printLine(file + ": edition " + configuration.edition()
+                                    + ", " + configuration.routes().size() + " routes, "
+                                    + configuration.services().size() + " services, "
+                                    + configuration.tenants().size()
+                                    + " tenants; it can be taken where a lower edition is in force"));
             return DONE;
         } catch (CheckException e) {
-            print(new Found(file, false, 0, 0, 0, 0, e.problems()), () -> e.problems()
-                    .forEach(one ->
-                            shell().say(file + ": " + one.place() + ": " + one.text() + " (" + one.code() + ")")));
+            print(new CheckResult(file, false, 0, 0, 0, 0, e.problems()), () -> e.problems()
+                    .forEach(problem -> context()
+                            .printLine(file + ": " + problem.place() + ": " + problem.text() + " (" + problem.code()
+                                    + ")")));
             return CommandException.Exit.BAD_INPUT.status();
         }
     }
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigGetCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigGetCommand.java
@@ -8,7 +8,7 @@
 import java.nio.file.StandardCopyOption;
 import sablehinge.mesh.api.ConfigurationReader;
 
-/** Fetches the configuration in force. */
+/** Fetches the current configuration. */
 @Command(
         name = "get",
         description = "Prints the configuration in force as it was sent, keys and all, or "
@@ -21,11 +21,11 @@
             description = "Where to put it, in place of what is there")
     private String out;
 
-    /** Made by the command line. */
+    /** Called by the command line parser. */
     public ConfigGetCommand() {}
 
-    /** What was written. */
-    private record Written(String file, long edition, int bytes) {}
+    /** The result that is printed. */
+    private record WriteResult(String file, long edition, int bytes) {}
 
     @Override
     int run() throws InterruptedException {
@@ -38,29 +38,31 @@
         }
         byte[] body = outcome.answer().body();
         if (out == null) {
-            shell().out().writeBytes(body);
-            shell().out().println();
-            shell().out().flush();
+            context().out().writeBytes(body);
+            context().out().println();
+            context().out().flush();
             return DONE;
         }
         write(body);
-        Written written = new Written(out, ConfigurationReader.read(body).edition(), body.length);
-        print(written, () -> shell().say(out + ": edition " + written.edition() + ", " + body.length + " bytes"));
+        WriteResult written =
+                new WriteResult(out, ConfigurationReader.read(body).edition(), body.length);
+        print(written, () -> context()
+                .printLine(out + ": edition " + written.edition() + ", " + body.length + " bytes"));
         return DONE;
     }
 
     private void write(byte[] body) {
         try {
             Path target = Path.of(out).toAbsolutePath();
-            Path part = Files.createTempFile(target.getParent(), ".config-", ".part");
+            Path temporary = Files.createTempFile(target.getParent(), ".config-", ".part");
             try {
-                Files.write(part, body);
-                Files.move(part, target, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+                Files.write(temporary, body);
+                Files.move(temporary, target, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
             } finally {
-                Files.deleteIfExists(part);
+                Files.deleteIfExists(temporary);
             }
         } catch (IOException e) {
-            throw CommandException.input("UNWRITABLE", out, "can't be written: " + e);
+            throw CommandException.badInput("UNWRITABLE", out, "can't be written: " + e);
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/ConfigPutCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/ConfigPutCommand.java
@@ -12,7 +12,7 @@
 import sablehinge.mesh.api.ConfigurationReader;
 import sablehinge.mesh.routing.Configuration;
 
-/** Sends a configuration. */
+/** Sends a configuration to the core. */
 @Command(
         name = "put",
         description = "Sends a configuration, and the very same call again until the core "
@@ -33,20 +33,21 @@
     @Option(
             name = {"-n", "--dry-run"},
             description = "Show what would change, and send nothing")
-    private boolean dry;
+    private boolean dryRun;
 
-    /** Made by the command line. */
+    /** Called by the command line parser. */
     public ConfigPutCommand() {}
 
     /**
-     * What became of it.
+     * The result that is printed.
      *
-     * @param outcome {@code taken}, {@code in force already} or {@code not sent}, as that was wanted
-     * @param by who took it; null for nobody
-     * @param inForce the edition in force after it, another one where the call was a late repetition
-     * @param changes null where the one before was not read
+     * @param outcome {@code taken}, {@code in force already}, or {@code not sent} for a dry run
+     * @param by the address that accepted the configuration; null if none was sent
+     * @param inForce the edition in force afterwards; it differs from {@code edition} if the call was a late repetition
+     * @param changes the differences from the previous configuration; null if that was not read
      */
-    private record Put(String outcome, long edition, long basedOn, String by, long inForce, Differences changes) {}
+    private record PutResult(
+            String outcome, long edition, long basedOn, String by, long inForce, Differences changes) {}
 
     @Override
     int run() throws InterruptedException {
@@ -54,30 +55,30 @@
         try {
             next = ConfigurationFile.read(file);
         } catch (CheckException e) {
-            throw ConfigurationFile.faulty(file, e);
+            throw ConfigurationFile.invalid(file, e);
         }
         long edition = next.configuration().edition();
         if (basedOn != null && basedOn < 0) {
-            throw CommandException.input("BASED_ON", "--based-on", "0 or more was expected, found " + basedOn);
+            throw CommandException.badInput("BASED_ON", "--based-on", "0 or more was expected, found " + basedOn);
         }
         Differences changes = null;
         long base = basedOn == null ? 0 : basedOn;
-        if (basedOn == null || dry) {
-            byte[] current = current();
+        if (basedOn == null || dryRun) {
+            byte[] current = fetchCurrent();
             Configuration before = current == null ? null : ConfigurationReader.read(current);
             long inForce = before == null ? 0 : before.edition();
             if (Arrays.equals(current, next.body())) {
-                tell(new Put("in force already", edition, base, null, edition, null));
+                printResult(new PutResult("in force already", edition, base, null, edition, null));
                 return DONE;
             }
-            if (dry) {
-                foresee(next.configuration(), inForce);
+            if (dryRun) {
+                checkBeforeSending(next.configuration(), inForce);
             }
             base = inForce;
             changes = Differences.between(before, next.configuration());
             show(changes, base, edition);
-            if (dry) {
-                tell(new Put("not sent", edition, base, null, base, changes));
+            if (dryRun) {
+                printResult(new PutResult("not sent", edition, base, null, base, changes));
                 return DONE;
             }
         }
@@ -85,20 +86,20 @@
         return DONE;
     }
 
-    /** The configuration in force; null for none. */
-    private byte[] current() throws InterruptedException {
+    /** Fetches the configuration in force; null if there is none. */
+    private byte[] fetchCurrent() throws InterruptedException {
         CommandOutcome outcome = caller().call(HttpCaller.Request.get("Config.Read"));
         if (!outcome.isClear()) {
             throw outcome.unclear("not sent, as the core has not told what is in force");
         }
-        if (!outcome.isDone() && !CoreAnswer.of(outcome.answer()).code().equals("NONE")) {
+        if (!outcome.isDone() && !CoreError.of(outcome.answer()).code().equals("NONE")) {
             throw outcome.refusal();
         }
         return outcome.isDone() ? outcome.answer().body() : null;
     }
 
-    /** Refuses what the core would refuse if it were sent now. */
-    private void foresee(Configuration next, long inForce) {
+    /** Refuses a configuration that the core would refuse now. */
+    private void checkBeforeSending(Configuration next, long inForce) {
         if (basedOn != null && basedOn != inForce) {
             throw new CommandException(
                     CommandException.Exit.REFUSED,
@@ -119,8 +120,8 @@
 
     private void show(Differences changes, long from, long to) {
         if (!wantsJson()) {
-            shell().say("edition " + from + " -> " + to);
-            changes.show(shell());
+            context().printLine("edition " + from + " -> " + to);
+            changes.show(context());
         }
     }
 
@@ -132,7 +133,7 @@
                 body));
         if (!outcome.isClear()) {
             throw outcome.unclear(
-                    outcome.maybe()
+                    outcome.mayHaveRun()
                             ? "edition " + edition + " may have been taken or not: the same call, with --based-on "
                                     + base + ", may be made again and is answered alike"
                             : "edition " + edition + " has not been taken: nobody could take it");
@@ -140,17 +141,18 @@
         if (!outcome.isDone()) {
             throw outcome.refusal();
         }
-        long inForce = read(outcome.answer().body(), JsonNode.class, outcome.by())
+        long inForce = read(outcome.answer().body(), JsonNode.class, outcome.answeredBy())
                 .path("edition")
                 .asLong(edition);
-        tell(new Put("taken", edition, base, outcome.by(), inForce, changes));
+        printResult(new PutResult("taken", edition, base, outcome.answeredBy(), inForce, changes));
     }
 
-    private void tell(Put put) {
-        print(put, () -> shell().say(put.outcome() + ": edition " + put.edition()
-                + (put.by() == null ? "" : ", by " + put.by())
-                + (put.inForce() == put.edition()
-                        ? ""
-                        : "; " + (put.inForce() == 0 ? "none" : "edition " + put.inForce()) + " is in force")));
+    private void printResult(PutResult put) {
+        print(put, () -> context()
+                .printLine(put.outcome() + ": edition " + put.edition()
+                        + (put.by() == null ? "" : ", by " + put.by())
+                        + (put.inForce() == put.edition()
+                                ? ""
+                                : "; " + (put.inForce() == 0 ? "none" : "edition " + put.inForce()) + " is in force")));
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/CoreSurvey.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/CoreSurvey.java
@@ -11,15 +11,16 @@
 import sablehinge.controlplane.api.MeshStatus;
 
 /**
- * What all machines of the core that can be reached say together.
+ * The combined status of all reachable machines of the core.
  *
  * @param majority whether more than half of the members answer
- * @param answering members that answer
- * @param members in the list of the latest term that anybody tells
- * @param leader where operators call the one who says that it leads; null for none
- * @param term the latest that anybody tells
- * @param edition the highest in force with anybody
- * @param plane as the leader knows it; null for no leader
+ * @param answering the number of members that answer
+ * @param members the number of members in the member list of the latest reported term
+ * @param leader the control address of the machine that reports itself as leader; null if there is none
+ * @param term the latest reported term
+ * @param edition the highest edition in force on any machine
+ * @param plane the data plane as the leader knows it; null without a leader
+ * @param machines the result of each queried address
  */
 record CoreSurvey(
         boolean majority,
@@ -31,55 +32,55 @@
         MeshStatus.Plane plane,
         List<Line> machines) {
 
-    /** Addresses that are queried at most. */
-    private static final int MAX_REQUESTED = 64;
+    /** Maximum number of addresses that are queried. */
+    private static final int MAX_ADDRESSES = 64;
 
     /**
-     * One machine.
+     * The result of querying one address.
      *
-     * @param status what it says; null where it says nothing
-     * @param error why it says nothing; null where it does
+     * @param status the reported status; null if the query failed
+     * @param error why the query failed; null if it succeeded
      */
     record Line(String address, MeshStatus status, String error) {}
 
-    /** Asks all addresses that were named, and those of all members that anybody tells of. */
-    static CoreSurvey take(List<String> core, CoreCaller caller) throws InterruptedException {
-        Set<String> known = new LinkedHashSet<>(core);
+    /** Queries the given addresses and those of all members that any machine reports. */
+    static CoreSurvey query(List<String> core, CoreCaller caller) throws InterruptedException {
+        Set<String> addresses = new LinkedHashSet<>(core);
         List<Line> lines = new ArrayList<>();
-        Set<String> heard = new HashSet<>();
-        List<String> round = core;
-        while (!round.isEmpty()) {
-            List<String> statuses = new ArrayList<>();
-            for (String address : round) {
-                Line line = ask(address, caller);
-                // A machine may be known by two names.
-                if (line.status() == null || heard.add(line.status().member())) {
+        Set<String> seenMembers = new HashSet<>();
+        List<String> pending = core;
+        while (!pending.isEmpty()) {
+            List<String> discovered = new ArrayList<>();
+            for (String address : pending) {
+                Line line = queryStatus(address, caller);
+                // A machine may be reachable under two addresses.
+                if (line.status() == null || seenMembers.add(line.status().member())) {
                     lines.add(line);
                 }
                 if (line.status() != null) {
-                    known.add(line.status().control());
+                    addresses.add(line.status().control());
                     line.status().members().stream()
                             .map(Machine::control)
-                            .filter(control -> known.size() < MAX_REQUESTED && known.add(control))
-                            .forEach(statuses::add);
+                            .filter(control -> addresses.size() < MAX_ADDRESSES && addresses.add(control))
+                            .forEach(discovered::add);
                 }
             }
-            round = statuses;
+            pending = discovered;
         }
         return of(lines);
     }
 
-    private static Line ask(String address, CoreCaller caller) throws InterruptedException {
+    private static Line queryStatus(String address, CoreCaller caller) throws InterruptedException {
         try {
-            HttpCaller.Answer answer = caller.once(address, HttpCaller.Request.get("Mesh.Status"));
+            HttpCaller.Answer answer = caller.callOnce(address, HttpCaller.Request.get("Mesh.Status"));
             return CoreCaller.isSuccess(answer)
                     ? new Line(address, Json.read(answer.body(), MeshStatus.class), null)
                     : new Line(
                             address,
                             null,
-                            answer.status() + " " + CoreAnswer.of(answer).line());
+                            answer.status() + " " + CoreError.of(answer).line());
         } catch (IOException e) {
-            return new Line(address, null, Shell.plain(String.valueOf(e.getMessage())));
+            return new Line(address, null, CommandContext.plain(String.valueOf(e.getMessage())));
         }
     }
 
--- a/src/main/java/sablehinge/cli/mesh/operator/Differences.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Differences.java
@@ -8,20 +8,20 @@
 import sablehinge.mesh.routing.Configuration;
 
 /**
- * What a configuration changes, by names alone: tenants' keys are never shown.
+ * The differences between two configurations, by name only: tenants' keys are never shown.
  *
- * @param limits whether any of them changes
+ * @param limits whether any limit changes
  */
 record Differences(Change routes, Change services, Change tenants, boolean limits) {
 
-    /** Names that come, go, or stand for something else. */
+    /** The names that are added, changed or removed. */
     record Change(List<String> added, List<String> changed, List<String> removed) {
 
         private static <T> Change of(List<T> before, List<T> after, Function<T, String> name) {
             Map<String, T> old = new TreeMap<>();
-            before.forEach(one -> old.put(name.apply(one), one));
+            before.forEach(value -> old.put(name.apply(value), value));
             Map<String, T> next = new TreeMap<>();
-            after.forEach(one -> next.put(name.apply(one), one));
+            after.forEach(value -> next.put(name.apply(value), value));
             List<String> added = new ArrayList<>();
             List<String> changed = new ArrayList<>();
             next.forEach((key, value) -> {
@@ -35,14 +35,14 @@
             return new Change(added, changed, List.copyOf(old.keySet()));
         }
 
-        private void show(String what, Shell shell) {
-            added.forEach(name -> shell.say("  + " + what + " " + name));
-            changed.forEach(name -> shell.say("  ~ " + what + " " + name));
-            removed.forEach(name -> shell.say("  - " + what + " " + name));
+        private void show(String kind, CommandContext context) {
+            added.forEach(name -> context.printLine("  + " + kind + " " + name));
+            changed.forEach(name -> context.printLine("  ~ " + kind + " " + name));
+            removed.forEach(name -> context.printLine("  - " + kind + " " + name));
         }
     }
 
-    /** From one configuration to the next; null is none. */
+    /** The differences between two configurations; {@code before} is null if there was none. */
     static Differences between(Configuration before, Configuration after) {
         Configuration old = before != null ? before : new Configuration(0, null, List.of(), List.of(), List.of());
         return new Differences(
@@ -57,12 +57,12 @@
                 !after.limits().equals(old.limits()));
     }
 
-    void show(Shell shell) {
-        routes.show("route", shell);
-        services.show("service", shell);
-        tenants.show("tenant", shell);
+    void show(CommandContext context) {
+        routes.show("route", context);
+        services.show("service", context);
+        tenants.show("tenant", context);
         if (limits) {
-            shell.say("  ~ limits");
+            context.printLine("  ~ limits");
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/HttpCaller.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/HttpCaller.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** How calls travel. */
+/** Sends HTTP requests to the core. */
 public interface HttpCaller {
 
     /**
-     * A call.
+     * A request.
      *
-     * @param body not to be changed; empty for none
+     * @param body the body, which must not be modified; empty if there is none
      */
     record Request(String method, String path, Map<String, String> headers, byte[] body) {
 
@@ -17,23 +17,23 @@
             return new Request("GET", "/sablehinge/" + operation, Map.of(), new byte[0]);
         }
 
-        Request at(String otherPath) {
-            return new Request(method, otherPath, headers, body);
+        Request withPath(String newPath) {
+            return new Request(method, newPath, headers, body);
         }
     }
 
     /**
      * A complete answer.
      *
-     * @param location where to call instead; null for none
+     * @param location the redirect target; null if there is none
      */
     record Answer(int status, String location, byte[] body) {}
 
     /**
-     * Makes one call, follows nothing and repeats nothing. It has ended within the bound, whatever happens.
+     * Makes one call without following redirects or retrying. Always returns within the time limit.
      *
-     * @throws java.net.ConnectException where the call surely was not sent
-     * @throws IOException where there was no complete answer in time; what became of the call is not known
+     * @throws java.net.ConnectException if the call was certainly not sent
+     * @throws IOException if there was no complete answer in time; the call may have been carried out
      */
     Answer call(String address, Request request, long withinMs) throws IOException, InterruptedException;
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/JdkHttpCaller.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/JdkHttpCaller.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Calls over HTTP/1.1. */
+/** Calls over HTTP/1.1 with the JDK's client. */
 final class JdkHttpCaller implements HttpCaller {
 
-    /** The longest answer that is read; a configuration is smaller. */
-    private static final long MAX_BYTES = 16 << 20;
-    /** For a new connection to come up, ms. */
-    private static final long CONNECT_MS = 1_000;
+    /** The longest answer that is read; every configuration is smaller. */
+    private static final long MAX_ANSWER_BYTES = 16 << 20;
+
+    private static final long CONNECT_TIMEOUT_MS = 1_000;
 
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .followRedirects(HttpClient.Redirect.NEVER)
-            .connectTimeout(Duration.ofMillis(CONNECT_MS))
+            .connectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MS))
             .build();
 
     @Override
@@ -41,7 +41,7 @@
                 request.body().length == 0
                         ? HttpRequest.BodyPublishers.noBody()
                         : HttpRequest.BodyPublishers.ofByteArray(request.body()));
-        CompletableFuture<HttpResponse<byte[]>> call = http.sendAsync(builder.build(), JdkHttpCaller::bounded);
+        CompletableFuture<HttpResponse<byte[]>> call = http.sendAsync(builder.build(), JdkHttpCaller::limitedBody);
         try {
             HttpResponse<byte[]> answer = call.get(withinMs, TimeUnit.MILLISECONDS);
             return new Answer(
@@ -61,12 +61,12 @@
         return new IOException("no whole answer: " + cause.getMessage(), cause);
     }
 
-    /** The core tells the length of each answer. */
-    private static HttpResponse.BodySubscriber<byte[]> bounded(HttpResponse.ResponseInfo head) {
+    /** Rejects answers that are too long or lack a Content-Length, which the core always sends. */
+    private static HttpResponse.BodySubscriber<byte[]> limitedBody(HttpResponse.ResponseInfo head) {
         long length = head.headers().firstValueAsLong("Content-Length").orElse(Long.MAX_VALUE);
-        if (length > MAX_BYTES) {
+        if (length > MAX_ANSWER_BYTES) {
             throw new IllegalStateException(
-                    "an answer of " + MAX_BYTES + " bytes at most, with its length, was expected");
+                    "an answer of " + MAX_ANSWER_BYTES + " bytes at most, with its length, was expected");
         }
         return HttpResponse.BodySubscribers.ofByteArray();
     }
--- a/src/main/java/sablehinge/cli/mesh/operator/Json.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/Json.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.io.IOException;
 
-/** JSON that is read from the core, whose version may be another, and that is printed. */
+/** Parses JSON from the core, whose version may differ, and formats JSON for output. */
 final class Json {
 
     private static final JsonMapper MAPPER = JsonMapper.builder()
--- a/src/main/java/sablehinge/cli/mesh/operator/NodesCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/NodesCommand.java
@@ -3,19 +3,19 @@
 import com.github.rvesse.airline.annotations.Command;
 import sablehinge.controlplane.api.MeshNodes;
 
-/** Lists all machines that the leader knows. */
+/** Lists all balancers and core members that the leader knows. */
 @Command(
         name = "nodes",
         description = "Lists the balancers of the data plane that are on the leader's roll, "
                 + "with what is beside them, and the members of the core")
 public final class NodesCommand extends CoreCommand {
 
-    /** Made by the command line. */
+    /** Called by the command line parser. */
     public NodesCommand() {}
 
     @Override
     int run() throws InterruptedException {
-        MeshNodes nodes = ask("Mesh.Nodes", MeshNodes.class);
+        MeshNodes nodes = query("Mesh.Nodes", MeshNodes.class);
         print(nodes, () -> show(nodes));
         return DONE;
     }
@@ -24,31 +24,31 @@
         TextTable balancers =
                 new TextTable("NODE", "ZONE", "INBOUND", "SERVICE", "UPSTREAM", "STATE", "BERTHS", "HEARD");
         nodes.balancers()
-                .forEach(one -> balancers.line(
-                        one.node(),
-                        one.zone(),
-                        one.inbound(),
-                        one.service(),
-                        one.upstream(),
-                        one.state(),
-                        one.berths(),
-                        ago(one.silentMs())));
-        balancers.print(shell());
-        left(nodes.more());
+                .forEach(balancer -> balancers.line(
+                        balancer.node(),
+                        balancer.zone(),
+                        balancer.inbound(),
+                        balancer.service(),
+                        balancer.upstream(),
+                        balancer.state(),
+                        balancer.berths(),
+                        formatAge(balancer.silentMs())));
+        balancers.print(context());
+        printTruncation(nodes.more());
         if (!nodes.complete()) {
-            shell().say("the leader has just begun to hear of them; there may be more");
+            context().printLine("the leader has just begun to hear of them; there may be more");
         }
-        shell().say("");
+        context().printLine("");
         TextTable members = new TextTable("MEMBER", "ID", "HEARD");
         nodes.members()
-                .forEach(one -> members.line(
-                        one.control(),
-                        one.member(),
-                        one.control().equals(nodes.leader()) ? "leads" : ago(one.silentMs())));
-        members.print(shell());
+                .forEach(member -> members.line(
+                        member.control(),
+                        member.member(),
+                        member.control().equals(nodes.leader()) ? "leads" : formatAge(member.silentMs())));
+        members.print(context());
     }
 
-    private static String ago(Long ms) {
+    private static String formatAge(Long ms) {
         return ms == null ? null : ms + " ms ago";
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/OperatorCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/OperatorCommand.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What all of the operators' verbs have. */
+/** The base class of the operators' commands. */
 @ExitCodes(
         codes = {0, 1, 2, 3},
         descriptions = {
@@ -16,7 +16,7 @@
         })
 public abstract class OperatorCommand implements MeshCommand {
 
-    /** The exit status of a verb that has done what it was called for. */
+    /** The exit status of a successful command. */
     static final int DONE = 0;
 
     @Option(
@@ -24,15 +24,15 @@
             description = "Print JSON")
     private boolean json;
 
-    private Shell shell;
+    private CommandContext context;
 
-    /** Gives it what it is surrounded by; before it acts. */
-    public final void in(Shell its) {
-        shell = its;
+    /** Sets the environment of the command; must be called before {@link #execute}. */
+    public final void setContext(CommandContext newContext) {
+        context = newContext;
     }
 
-    final Shell shell() {
-        return shell;
+    final CommandContext context() {
+        return context;
     }
 
     @Override
@@ -46,13 +46,13 @@
                 error.put("code", e.code());
                 error.put("place", e.place());
                 error.put("message", e.getMessage());
-                shell.out().println(Json.text(Map.of("error", error)));
+                context.out().println(Json.text(Map.of("error", error)));
             }
             throw e;
         }
     }
 
-    /** Does it, and returns the exit status; what it can't do is a {@link CommandException}. */
+    /** Runs the command and returns the exit status; throws {@link CommandException} on failure. */
     abstract int run() throws InterruptedException;
 
     /** Whether JSON was requested. */
@@ -60,20 +60,20 @@
         return json;
     }
 
-    /** Prints a value as JSON where that was requested, else as people like it. */
-    final void print(Object value, Runnable forPeople) {
+    /** Prints a value as JSON if that was requested, otherwise runs {@code printText}. */
+    final void print(Object value, Runnable printText) {
         if (json) {
-            shell.out().println(Json.text(value));
+            context.out().println(Json.text(value));
         } else {
-            forPeople.run();
+            printText.run();
         }
-        shell.out().flush();
+        context.out().flush();
     }
 
-    /** Tells that a list was cut. */
-    final void left(int more) {
+    /** Prints how many entries of a list were omitted, if any. */
+    final void printTruncation(int more) {
         if (more > 0) {
-            shell.say("and " + more + " more");
+            context.printLine("and " + more + " more");
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/StatusCommand.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/StatusCommand.java
@@ -4,7 +4,7 @@
 import java.util.stream.Collectors;
 import sablehinge.controlplane.api.MeshStatus;
 
-/** Tells how the core stands. */
+/** Shows the status of the core and the data plane. */
 @Command(
         name = "status",
         description = "Tells who leads the core, which members answer and whether that is "
@@ -12,12 +12,12 @@
                 + "works with a part of the core too")
 public final class StatusCommand extends CoreCommand {
 
-    /** Made by the command line. */
+    /** Called by the command line parser. */
     public StatusCommand() {}
 
     @Override
     int run() throws InterruptedException {
-        CoreSurvey survey = CoreSurvey.take(core(), caller());
+        CoreSurvey survey = CoreSurvey.query(coreAddresses(), caller());
         if (survey.machines().stream().allMatch(line -> line.status() == null)) {
             throw new CommandException(
                     CommandException.Exit.UNCLEAR,
@@ -34,26 +34,33 @@
 
     private void show(CoreSurvey survey) {
         int needed = survey.members() / 2 + 1;
-        shell().say("core      " + (survey.majority() ? "a majority answers: " : "NO MAJORITY: ")
-                + survey.answering() + " of " + survey.members() + " members"
-                + (survey.majority() ? "" : " answer; nothing can be changed or confirmed before " + needed + " do"));
-        shell().say("leader    " + (survey.leader() == null ? "none" : survey.leader()) + ", term " + survey.term());
-        shell().say("edition   " + (survey.edition() == 0 ? "none" : survey.edition())
-                + (survey.leader() == null ? ", the highest of those that answer" : ""));
+        context()
+                .printLine("core      " + (survey.majority() ? "a majority answers: " : "NO MAJORITY: ")
+                        + survey.answering() + " of " + survey.members() + " members"
+                        + (survey.majority()
+                                ? ""
+                                : " answer; nothing can be changed or confirmed before " + needed + " do"));
+        context()
+                .printLine("leader    " + (survey.leader() == null ? "none" : survey.leader()) + ", term "
+                        + survey.term());
+        context()
+                .printLine("edition   " + (survey.edition() == 0 ? "none" : survey.edition())
+                        + (survey.leader() == null ? ", the highest of those that answer" : ""));
         MeshStatus.Plane plane = survey.plane();
-        shell().say("balancers "
-                + (plane == null
-                        ? "not known without a leader"
-                        : plane.known() + " known, " + plane.ready() + " ready"
-                                + (plane.complete() ? "" : "; the leader has just begun to hear of them")));
-        shell().say("");
-        TextTable core = new TextTable("MEMBER", "NODE", "ZONE", "ROLE", "TERM", "COMMIT", "EDITION");
+        context()
+                .printLine("balancers "
+                        + (plane == null
+                                ? "not known without a leader"
+                                : plane.known() + " known, " + plane.ready() + " ready"
+                                        + (plane.complete() ? "" : "; the leader has just begun to hear of them")));
+        context().printLine("");
+        TextTable members = new TextTable("MEMBER", "NODE", "ZONE", "ROLE", "TERM", "COMMIT", "EDITION");
         for (CoreSurvey.Line line : survey.machines()) {
             MeshStatus status = line.status();
             if (status == null) {
-                core.line(line.address(), null, null, "silent: " + line.error());
+                members.line(line.address(), null, null, "silent: " + line.error());
             } else {
-                core.line(
+                members.line(
                         status.control(),
                         status.node(),
                         status.zone(),
@@ -63,13 +70,15 @@
                         status.edition());
             }
         }
-        core.print(shell());
+        members.print(context());
         if (plane != null) {
-            shell().say("");
+            context().printLine("");
             TextTable services = new TextTable("SERVICE", "UPSTREAMS", "READY", "BERTHS");
-            plane.services().forEach(one -> services.line(one.name(), one.known(), one.ready(), one.berths()));
-            services.print(shell());
-            left(plane.more());
+            plane.services()
+                    .forEach(service ->
+                            services.line(service.name(), service.known(), service.ready(), service.berths()));
+            services.print(context());
+            printTruncation(plane.more());
         }
     }
 }
--- a/src/main/java/sablehinge/cli/mesh/operator/TextTable.java
+++ b/src/main/java/sablehinge/cli/mesh/operator/TextTable.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lines whose columns stand below each other. */
+/** A text table with aligned columns. */
 final class TextTable {
 
     private static final String GAP = "  ";
 
     private final List<String[]> lines = new ArrayList<>();
 
-    TextTable(String... heads) {
-        lines.add(heads);
+    TextTable(String... headers) {
+        lines.add(headers);
     }
 
-    /** A line; null is shown as a dash, and a line may be shorter than the heads. */
+    /** Adds a line; null is shown as a dash. A line may have fewer cells than the header. */
     TextTable line(Object... cells) {
         String[] line = new String[cells.length];
         for (int i = 0; i < cells.length; i++) {
@@ -24,10 +24,10 @@
         return this;
     }
 
-    void print(Shell shell) {
+    void print(CommandContext context) {
         int[] widths = new int[lines.get(0).length];
         for (String[] line : lines) {
-            // The end of a line that is cut short has all the rest of the width.
+            // The last cell of a shorter line may extend to the end of the table, so it does not widen its column.
             int cells = line.length < widths.length ? line.length - 1 : line.length;
             for (int i = 0; i < cells; i++) {
                 widths[i] = Math.max(widths[i], line[i].length());
@@ -41,7 +41,7 @@
                     text.append(" ".repeat(widths[i] - line[i].length())).append(GAP);
                 }
             }
-            shell.say(text.toString());
+            context.printLine(text.toString());
         }
     }
 }
--- a/src/test/java/sablehinge/cli/DaemonStartTest.java
+++ b/src/test/java/sablehinge/cli/DaemonStartTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The mesh's daemons as processes: signals, and settings of no use. */
+/** Runs the mesh's daemons as processes: signals and invalid settings. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DaemonStartTest {
 
-    /** An address of this process alone: another run of the tests may be under way on the machine. */
+    /** An address unique to this process, as other test runs may be in progress on the machine. */
     private static final String IP = "127." + (1 + ProcessHandle.current().pid() % 250) + "."
             + (1 + ProcessHandle.current().pid() / 250 % 250) + ".77";
 
@@ -75,16 +75,16 @@
         return builder.start();
     }
 
-    private static String line(BufferedReader output, String wanted) throws IOException {
+    private static String awaitLine(BufferedReader output, String wanted) throws IOException {
         for (String line = output.readLine(); line != null; line = output.readLine()) {
             if (line.contains(wanted)) {
                 return line;
             }
         }
-        throw new AssertionError("it ended before it said " + wanted);
+        throw new AssertionError("the process exited before it logged " + wanted);
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -92,18 +92,18 @@
                         .waitFor());
     }
 
-    /** The bench found it: the signal ends a virtual machine that nobody has set otherwise. */
+    /** Without a handler, SIGHUP ends the JVM. */
     @Test
-    void aHangUpReadsTheSettingsAgainAndEndsNothing() throws Exception {
+    void sighupReloadsSettingsAndKeepsProcessRunning() throws Exception {
         String text = SETTINGS.formatted(folder.resolve("data"));
         Process process = start("control", text);
         try (BufferedReader output = process.errorReader()) {
-            assertTrue(line(output, "event=starts").contains("node=core-1"));
-            hangUp(process);
-            line(output, "event=settings ");
+            assertTrue(awaitLine(output, "event=starts").contains("node=core-1"));
+            sendSighup(process);
+            awaitLine(output, "event=settings ");
             Files.writeString(folder.resolve("local.toml"), text.replace("innerPorts", "outerPorts"));
-            hangUp(process);
-            assertTrue(line(output, "event=settings-malformed").contains("innerPorts"));
+            sendSighup(process);
+            assertTrue(awaitLine(output, "event=settings-malformed").contains("innerPorts"));
             assertTrue(process.isAlive());
         } finally {
             process.destroyForcibly().waitFor();
@@ -111,20 +111,20 @@
     }
 
     @Test
-    void settingsOfNoUseEndWithOneLineThatNamesFileAndKey() throws Exception {
+    void invalidSettingsEndProcessWithOneLineThatNamesFileAndKey() throws Exception {
         String text = SETTINGS.formatted(folder.resolve("data"));
-        String[][] spoilt = {
+        String[][] invalidSettings = {
             {"zone = ", "zoone = ", "zone"},
             {"beatMs = 1500", "beatMs = \"soon\"", "beatMs"},
             {"role = \"control\"", "role = \"lake\"", "role"}
         };
-        for (String[] one : spoilt) {
-            Process process = start("control", text.replace(one[0], one[1]));
+        for (String[] replacement : invalidSettings) {
+            Process process = start("control", text.replace(replacement[0], replacement[1]));
             String output = new String(process.getErrorStream().readAllBytes());
             assertTrue(process.waitFor(30, TimeUnit.SECONDS));
             assertEquals(1, process.exitValue());
             assertEquals(1, output.lines().count(), output);
-            assertTrue(output.contains("local.toml") && output.contains(one[2]), output);
+            assertTrue(output.contains("local.toml") && output.contains(replacement[2]), output);
         }
     }
 }
--- a/src/test/java/sablehinge/cli/DrainTest.java
+++ b/src/test/java/sablehinge/cli/DrainTest.java
@@ -19,7 +19,7 @@
 import sablehinge.testing.Peer;
 import sablehinge.testing.Stage;
 
-/** The program as a process: its command line, and how it ends. */
+/** Runs the program as a process: its command line, reload at SIGHUP and graceful shutdown. */
 @Timeout(120)
 class DrainTest {
 
@@ -40,9 +40,9 @@
         return builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
     }
 
-    private record Ending(Process process, int status) {}
+    private record ExpectedExit(Process process, int status) {}
 
-    private static void endsWithOneLine(Ending one) throws Exception {
+    private static void assertExitsWithOneErrorLine(ExpectedExit one) throws Exception {
         try (BufferedReader error = one.process.errorReader()) {
             List<String> output = error.lines().filter(line -> !line.isBlank()).toList();
             assertEquals(1, output.size(), output::toString);
@@ -52,13 +52,13 @@
     }
 
     @Test
-    void aBadCommandLineOrConfigurationIsToldInOneLine() throws Exception {
-        // Started together, as each start takes a second.
-        List<Ending> endings = new ArrayList<>(List.of(
-                new Ending(start(null), 2),
-                new Ending(start(null, "server"), 2),
-                new Ending(start(null, "serve"), 1),
-                new Ending(start(Path.of("no-such-file"), "serve"), 1)));
+    void reportsInvalidCommandLineOrConfigurationInOneLine() throws Exception {
+        // Started in parallel, as each start takes a second.
+        List<ExpectedExit> expectedExits = new ArrayList<>(List.of(
+                new ExpectedExit(start(null), 2),
+                new ExpectedExit(start(null, "server"), 2),
+                new ExpectedExit(start(null, "serve"), 1),
+                new ExpectedExit(start(Path.of("no-such-file"), "serve"), 1)));
         List<Path> files = new ArrayList<>();
         try (Stage stage = new Stage()) {
             for (String bad : new String[] {
@@ -73,22 +73,22 @@
                 stage.config().replace("127.0.0.1:0", stage.discovery.address())
             }) {
                 files.add(Files.writeString(Files.createTempFile("node", ".json"), bad));
-                endings.add(new Ending(start(files.get(files.size() - 1), "serve"), 1));
+                expectedExits.add(new ExpectedExit(start(files.get(files.size() - 1), "serve"), 1));
             }
-            for (Ending one : endings) {
-                endsWithOneLine(one);
+            for (ExpectedExit one : expectedExits) {
+                assertExitsWithOneErrorLine(one);
             }
         } finally {
-            endings.forEach(one -> one.process.destroyForcibly());
+            expectedExits.forEach(one -> one.process.destroyForcibly());
             for (Path file : files) {
                 Files.delete(file);
             }
         }
     }
 
-    /** What is off costs nothing: the platform's serve loads no class of the operators' part. */
+    /** Unused features must cost nothing: the platform's serve loads no class of the operators' commands. */
     @Test
-    void thePlatformLoadsNothingOfTheOperators() throws Exception {
+    void platformServeLoadsNoOperatorClasses() throws Exception {
         Path file = Files.createTempFile("node", ".json");
         Path loaded = Files.createTempFile("classes", ".log");
         Process process = null;
@@ -110,7 +110,7 @@
             Peer.toServing(new InetSocketAddress("127.0.0.1", port), process).close();
             String classes = Files.readString(loaded);
             assertTrue(classes.contains("sablehinge.dataplane.proxy.RequestProxy "));
-            for (String off : new String[] {
+            for (String prefix : new String[] {
                 "picocli.",
                 "org.tomlj.",
                 "org.antlr.",
@@ -141,7 +141,7 @@
                 "org.HdrHistogram.",
                 "io.airlift."
             }) {
-                assertFalse(classes.contains(" " + off), off);
+                assertFalse(classes.contains(" " + prefix), prefix);
             }
         } finally {
             if (process != null) {
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void sigtermLetsAllThatIsTakenBeAnswered() throws Exception {
+    void answersAllReceivedRequestsAfterSigterm() throws Exception {
         Path file = Files.createTempFile("node", ".json");
         int port;
         try (ServerSocket free = new ServerSocket(0)) {
@@ -175,14 +175,14 @@
             idle.write(Stage.get("reused", "10"));
             Peer second = stage.upstreams.get(0).accept();
             second.read();
-            // A late caller, one on a connection that it had, and the one that was taken before.
-            Peer.Message late = null;
-            while (late == null || late.header("Connection") == null) {
-                // Callers are requested to leave only when the time for the last answers begins.
+            // Covers a caller on a new connection, one on an existing connection, and an in-flight request.
+            Peer.Message draining = null;
+            while (draining == null || draining.header("Connection") == null) {
+                // Callers are asked to close their connections only when the final phase of the drain begins.
                 Peer caller = Peer.to(address);
                 caller.write(HEALTH);
-                late = caller.read();
-                assertEquals(200, late.status());
+                draining = caller.read();
+                assertEquals(200, draining.status());
             }
             second.write(Stage.ok("reused"));
             Peer.Message reused = idle.read();
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void sighupReadsTheFileAgainAndABadOneChangesNothing() throws Exception {
+    void reloadsFileAtSighupAndIgnoresInvalidFile() throws Exception {
         Path file = Files.createTempFile("node", ".json");
         int port;
         try (ServerSocket free = new ServerSocket(0)) {
@@ -216,11 +216,11 @@
             Peer caller = Peer.toServing(new InetSocketAddress("127.0.0.1", port), process);
             stage.discovery.accept().read();
             Files.writeString(file, "{");
-            hangUp(process);
-            // Its complaint tells that it has been read.
+            sendSighup(process);
+            // The warning shows that the file has been read.
             assertTrue(process.errorReader().lines().anyMatch(line -> line.contains("stays as it was")));
             Files.writeString(file, config.replace(stage.discovery.address(), second.address()));
-            hangUp(process);
+            sendSighup(process);
             assertEquals("GET /catalog/members HTTP/1.1", second.accept().read().first());
             caller.write(HEALTH);
             assertEquals(200, caller.read().status());
@@ -232,7 +232,7 @@
         }
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void aDrainServesCallersAsBeforeWhileThereIsTime() throws Exception {
+    void servesCallersUnchangedInFirstPhaseOfDrain() throws Exception {
         try (Stage stage = new Stage().start()) {
             Thread drain = new Thread(() -> {
                 try {
@@ -254,7 +254,7 @@
             caller.write(HEALTH);
             caller.read();
             drain.start();
-            // It has begun once the thread sleeps; so far callers are not requested to leave.
+            // The drain has begun once the thread sleeps; callers are not yet asked to close their connections.
             while (drain.getState() != Thread.State.TIMED_WAITING) {
                 Thread.onSpinWait();
             }
@@ -266,7 +266,7 @@
     }
 
     @Test
-    void whatADrainCannotFinishFailsBeforeItIsKilled() throws Exception {
+    void failsUnfinishedRequestsAtEndOfDrain() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x"));
@@ -279,7 +279,7 @@
     }
 
     @Test
-    void whenADrainGivesUpARequestThenNothingBehindItBegins() throws Exception {
+    void startsNoPipelinedRequestAfterDrainCancelsItsPredecessor() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(Stage.spend("1", "x") + Stage.spend("2", "x"));
@@ -296,13 +296,13 @@
     }
 
     @Test
-    void aDrainDoesNotCloseAConnectionWithARequestInIt() throws Exception {
+    void drainKeepsConnectionWithUnreadRequestOpen() throws Exception {
         try (Stage stage = new Stage().start()) {
             Peer caller = stage.caller();
             caller.write(HEALTH);
             caller.read();
             caller.write(Stage.get("1", "10"));
-            // The request lies in the kernel or is at work; either way it must not be lost.
+            // The request is in the socket buffer or in flight; in either case it must not be lost.
             assertFalse(stage.node.endDrain());
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
--- a/src/test/java/sablehinge/cli/HandOverTest.java
+++ b/src/test/java/sablehinge/cli/HandOverTest.java
@@ -16,14 +16,14 @@
 import sablehinge.testing.Peer;
 import sablehinge.testing.Stage;
 
-/** A new version beside the running one: two processes, one address. */
+/** Hands over from a running process to a new one that listens on the same address. */
 @Timeout(120)
 class HandOverTest {
 
     @TempDir
     private Path folder;
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0)) {
             return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
         }
@@ -62,54 +62,54 @@
     }
 
     @Test
-    void theOldLeavesTheAddressToTheNewAndAnswersWhatItHas() throws Exception {
-        InetSocketAddress first = free();
-        InetSocketAddress second = free();
-        Process old = null;
-        Process fresh = null;
+    void oldProcessReleasesAddressAndAnswersItsInFlightRequests() throws Exception {
+        InetSocketAddress oldOperator = freeAddress();
+        InetSocketAddress newOperator = freeAddress();
+        Process oldProcess = null;
+        Process newProcess = null;
         try (Stage stage = new Stage(2)) {
-            InetSocketAddress address = free();
+            InetSocketAddress address = freeAddress();
             stage.operator = "127.0.0.1:1";
             Path config = Files.writeString(
                     folder.resolve("config.json"),
                     stage.config().replace("127.0.0.1:0", "127.0.0.1:" + address.getPort()));
-            old = start(config, first);
-            assertEquals("ok", Stage.call(first, "SUSPEND s-00000000"));
-            Peer resting = Peer.to(address);
+            oldProcess = start(config, oldOperator);
+            assertEquals("ok", Stage.call(oldOperator, "SUSPEND s-00000000"));
+            Peer idle = Peer.to(address);
             Peer busy = Peer.to(address);
             busy.write(Stage.get("busy", "10"));
             Peer upstream = stage.upstreams.get(1).accept();
             upstream.read();
 
-            fresh = start(config, second);
-            old.destroy();
-            while (Stage.call(first, "STATUS").equals("ok")) {
+            newProcess = start(config, newOperator);
+            oldProcess.destroy();
+            while (Stage.call(oldOperator, "STATUS").equals("ok")) {
                 Thread.onSpinWait();
             }
             upstream.write(Stage.ok("busy"));
             Peer.Message answer = busy.read();
             assertEquals("busy", answer.body());
             assertEquals("close", answer.header("Connection"));
-            resting.close();
-            assertTrue(old.waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            idle.close();
+            assertTrue(oldProcess.waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
 
-            // Whoever comes now comes to the new one, which knows who is out.
+            // New connections reach the new process, which knows that the first server is suspended.
             Peer caller = Peer.to(address);
             caller.write(Stage.get("r0", "10"));
-            Peer other = stage.upstreams.get(1).accept();
-            other.read();
-            other.write(Stage.ok("r0"));
+            Peer newUpstream = stage.upstreams.get(1).accept();
+            newUpstream.read();
+            newUpstream.write(Stage.ok("r0"));
             answer = caller.read();
             assertEquals("r0", answer.body());
             assertFalse("close".equals(answer.header("Connection")));
             for (int i = 1; i < 20; i++) {
-                assertEquals(200, exchange(caller, other, "r" + i).status());
+                assertEquals(200, exchange(caller, newUpstream, "r" + i).status());
             }
             assertEquals(0, stage.upstreams.get(0).waiting());
-            assertEquals("ok", Stage.call(second, "RESTORE s-00000000"));
+            assertEquals("ok", Stage.call(newOperator, "RESTORE s-00000000"));
             caller.close();
         } finally {
-            for (Process process : new Process[] {old, fresh}) {
+            for (Process process : new Process[] {oldProcess, newProcess}) {
                 if (process != null) {
                     process.destroyForcibly().waitFor();
                 }
--- a/src/test/java/sablehinge/cli/KilledTest.java
+++ b/src/test/java/sablehinge/cli/KilledTest.java
@@ -17,7 +17,7 @@
 import sablehinge.testing.OperatorStage;
 import sablehinge.testing.Peer;
 
-/** The operators' verbs against a balancer in a process of its own, which is killed in the middle of a change. */
+/** Runs the operators' commands against a balancer in a separate process that is killed during a change. */
 @Timeout(120)
 class KilledTest {
 
@@ -50,24 +50,24 @@
                 return process;
             }
         }
-        throw new AssertionError("it ended: " + lines);
+        throw new AssertionError("the process exited: " + lines);
     }
 
     @Test
-    void theLastConfirmedVersionServesAfterAKill() throws Exception {
+    void servesLastConfirmedVersionAfterKill() throws Exception {
         Process process = null;
         try (OperatorStage stage = new OperatorStage(2)) {
             Files.writeString(stage.file, stage.text(0));
             process = start(stage.file);
             Path next = stage.folder.resolve("next.toml");
             Files.writeString(next, stage.text(1));
-            String[] place = {"--operator", stage.file.toString()};
-            assertEquals(0, run("config", "stage", place[0], place[1], next.toString()), out);
-            assertEquals(0, run("config", "diff", place[0], place[1]), out);
+            String[] adminOptions = {"--operator", stage.file.toString()};
+            assertEquals(0, run("config", "stage", adminOptions[0], adminOptions[1], next.toString()), out);
+            assertEquals(0, run("config", "diff", adminOptions[0], adminOptions[1]), out);
             assertTrue(out.contains("+id = \"s1\""), out);
-            assertEquals(0, run("config", "apply", place[0], place[1], "--confirm-within", "60s"), out);
+            assertEquals(0, run("config", "apply", adminOptions[0], adminOptions[1], "--confirm-within", "60s"), out);
             process.destroyForcibly().waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-            assertEquals(1, run("config", "status", place[0], place[1]));
+            assertEquals(1, run("config", "status", adminOptions[0], adminOptions[1]));
             assertTrue(out.contains("no balancer answers at"), out);
 
             process = start(stage.file);
@@ -79,14 +79,14 @@
                     "/config/status",
                     "");
             assertEquals(1, status.path("current").asInt());
-            assertEquals(0, run("config", "stage", place[0], place[1], next.toString()), out);
-            assertEquals(0, run("config", "apply", place[0], place[1]), out);
-            assertEquals(0, run("config", "confirm", place[0], place[1]), out);
+            assertEquals(0, run("config", "stage", adminOptions[0], adminOptions[1], next.toString()), out);
+            assertEquals(0, run("config", "apply", adminOptions[0], adminOptions[1]), out);
+            assertEquals(0, run("config", "confirm", adminOptions[0], adminOptions[1]), out);
             process.destroyForcibly().waitFor(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
 
             process = start(stage.file);
             assertTrue(out.contains("the operator file is not version 3, which serves"), out);
-            assertEquals(0, run("config", "status", place[0], place[1]), out);
+            assertEquals(0, run("config", "status", adminOptions[0], adminOptions[1]), out);
             assertTrue(out.contains("confirmed  version 3"), out);
         } finally {
             if (process != null) {
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void wrongFilesAndWordsAreToldInLines() throws Exception {
+    void reportsInvalidFilesAndArgumentsOnOneLineEach() throws Exception {
         Path file = Files.createTempFile("operator", ".toml");
         try {
             Files.writeString(file, "[[clas]]\n");
--- a/src/test/java/sablehinge/cli/RecorderVerbsTest.java
+++ b/src/test/java/sablehinge/cli/RecorderVerbsTest.java
@@ -13,7 +13,7 @@
 import sablehinge.testing.OperatorStage;
 import sablehinge.testing.Stage;
 
-/** Dumps as operators ask for them and look at them. */
+/** Tests the commands that create, show and compare flight recorder dumps. */
 @Timeout(60)
 class RecorderVerbsTest {
 
@@ -25,15 +25,15 @@
 
     private int run(String... arguments) {
         StringWriter output = new StringWriter();
-        StringWriter wrong = new StringWriter();
-        int status = Commands.run(arguments, new PrintWriter(output), new PrintWriter(wrong));
+        StringWriter errors = new StringWriter();
+        int status = Commands.run(arguments, new PrintWriter(output), new PrintWriter(errors));
         out = output.toString();
-        err = wrong.toString();
+        err = errors.toString();
         return status;
     }
 
     @Test
-    void aDumpIsAskedForShownAndCompared() throws Exception {
+    void createsShowsAndComparesDumps() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text("127.0.0.1:0", "[recorder]\ndirectory = \"flight\"\n", 0));
             assertEquals(0, run("recorder", "dump", "--operator", stage.file.toString()), err);
@@ -50,7 +50,7 @@
 
             Path page = folder.resolve("flight.html");
             assertEquals(0, run("recorder", "show", second, "--page", page.toString()), err);
-            assertTrue(Files.readString(page).contains("<title>request, "), "no bar of a request");
+            assertTrue(Files.readString(page).contains("<title>request, "), "the page has no bar for a request");
 
             assertEquals(0, run("recorder", "diff", first, second), err);
             assertTrue(out.lines().anyMatch(line -> line.startsWith("ARRIVED") && line.endsWith("only one")), out);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whatIsNoDumpIsRefusedWithItsPlace() throws Exception {
+    void rejectsFileThatIsNoDumpWithOffset() throws Exception {
         String file = Files.writeString(folder.resolve("x.flight"), "SHFR0002 and more bytes")
                 .toString();
         assertEquals(2, run("recorder", "show", file));
--- a/src/test/java/sablehinge/cli/ReplayVerbsTest.java
+++ b/src/test/java/sablehinge/cli/ReplayVerbsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sablehinge.testing.StandIn;
 
-/** The replay's verbs as operators type them. */
+/** Tests the replay, audit and stand-in commands. */
 @Timeout(180)
 class ReplayVerbsTest {
 
@@ -36,10 +36,10 @@
 
     private int run(String... arguments) {
         StringWriter output = new StringWriter();
-        StringWriter wrong = new StringWriter();
-        int status = Commands.run(arguments, new PrintWriter(output), new PrintWriter(wrong));
+        StringWriter errors = new StringWriter();
+        int status = Commands.run(arguments, new PrintWriter(output), new PrintWriter(errors));
         out = output.toString();
-        err = wrong.toString();
+        err = errors.toString();
         return status;
     }
 
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void inspectGoesByTheRulesOfAFileThatHasNothingElse() throws IOException {
+    void inspectAppliesRulesFromFileWithReplaySectionOnly() throws IOException {
         String rules = rules("[[replay.rule]]\npath = \"/tiles/{z}/{y}.png\"\nclass = \"tile\"\nkey = " + "\"{z}\"\n");
         assertEquals(0, run("replay", "inspect", log(100, 10), "--rules", rules, "--json"), err);
         JsonNode json = JSON.readTree(out);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void whatIsWrongWithRulesIsToldWithItsLine() throws IOException {
+    void reportsErrorsInRulesWithLineNumbers() throws IOException {
         String rules = rules("[replay]\nformat = \"apache\"\n[[replay.rule]]\npath = \"tiles\"\nkey = "
                 + "\"{z}\"\n"
                 + "[replay.fields]\ntiem = \"ts\"\n");
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void whatCantBeReadEndsWithTwo() throws IOException {
+    void exitsWithTwoForUnreadableInput() throws IOException {
         assertEquals(2, run("replay", "inspect", "nowhere.log"));
         assertTrue(err.contains("nowhere.log: there is no such file"), err);
         String log = Files.writeString(folder.resolve("bad.log"), "{\"target\":\"/a/b\"}\n{rubbish\n")
@@ -112,9 +112,9 @@
     }
 
     @Test
-    void runSendsWhatIsInTheLogAndLeavesAReport() throws Exception {
+    void runSendsRequestsOfLogAndWritesReport() throws Exception {
         try (StandIn server = new StandIn()) {
-            Path made = folder.resolve("run");
+            Path runFolder = folder.resolve("run");
             run(
                     "replay",
                     "run",
@@ -124,23 +124,23 @@
                     "--compress",
                     "2",
                     "--out",
-                    made.toString());
+                    runFolder.toString());
             assertEquals(200, server.seen.size(), err);
-            JsonNode report = JSON.readTree(made.resolve("report.json").toFile());
+            JsonNode report = JSON.readTree(runFolder.resolve("report.json").toFile());
             assertEquals(200, report.path("requests").asInt());
             assertEquals(200, report.path("log").path("requests").asInt());
             assertFalse(report.path("settings").path("deadlines_compressed").asBoolean());
-            assertTrue(Files.readString(made.resolve("report.html")).contains("<svg"));
-            assertEquals(0, run("audit", made.toString(), "--json"), out + err);
+            assertTrue(Files.readString(runFolder.resolve("report.html")).contains("<svg"));
+            assertEquals(0, run("audit", runFolder.toString(), "--json"), out + err);
             assertEquals(200, JSON.readTree(out).path("requests").asInt());
             assertFalse(out.contains("\r"), "no progress line in a pipe");
         }
     }
 
     @Test
-    void anInterruptEndsARunWithAWholeReport() throws Exception {
+    void interruptEndsRunWithCompleteReport() throws Exception {
         try (StandIn server = new StandIn()) {
-            Path made = folder.resolve("run");
+            Path runFolder = folder.resolve("run");
             List<String> command = new ArrayList<>(List.of(
                     Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-cp",
@@ -152,9 +152,9 @@
                     "--target",
                     server.address(),
                     "--out",
-                    made.toString(),
+                    runFolder.toString(),
                     "--rules",
-                    // Nothing is late, however busy the machine is.
+                    // The deadlines are long, so that no request is late on a busy machine.
                     rules("[[class]]\nname = \"tiles\"\naim = \"30s\"\ndeadline = \"60s\"\n"
                             + "[[upstream]]\nid = \"a\"\naddress = \"" + server.address() + "\"\n"
                             + "[[replay.rule]]\npath = \"/tiles/{z}/{y}.png\"\nclass = \"tiles\"\n")));
@@ -169,11 +169,11 @@
             } finally {
                 process.destroyForcibly();
             }
-            JsonNode report = JSON.readTree(made.resolve("report.json").toFile());
+            JsonNode report = JSON.readTree(runFolder.resolve("report.json").toFile());
             assertTrue(report.path("stopped").asBoolean());
             assertTrue(report.path("requests").asInt() >= 50
                     && report.path("requests").asInt() < 60_000);
-            assertEquals(0, run("audit", made.toString(), "--json"), out);
+            assertEquals(0, run("audit", runFolder.toString(), "--json"), out);
             assertEquals(
                     report.path("tries").asInt(),
                     JSON.readTree(out).path("requests").asInt());
@@ -181,23 +181,23 @@
     }
 
     /**
-     * As Ctrl-C does. What a shell starts in its background, and all that comes of it, ignores SIGINT: there it is
-     * SIGTERM, which takes the same way.
+     * Interrupts a process as Ctrl-C does. A background process of a shell and its descendants ignore SIGINT; they are
+     * sent SIGTERM, which runs the same shutdown hook.
      */
     private static void interrupt(Process process) throws Exception {
         String ignored = Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
                 .filter(line -> line.startsWith("SigIgn:"))
                 .findFirst()
                 .orElseThrow();
-        boolean deaf =
+        boolean ignoresSigint =
                 (Long.parseUnsignedLong(ignored.substring("SigIgn:".length()).strip(), 16) & 1 << SIGINT - 1) != 0;
-        new ProcessBuilder("kill", deaf ? "-TERM" : "-INT", Long.toString(process.pid()))
+        new ProcessBuilder("kill", ignoresSigint ? "-TERM" : "-INT", Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
     @Test
-    void auditAndStandinTellWhatIsWrong() throws IOException {
+    void auditAndStandinReportInvalidInput() throws IOException {
         assertEquals(2, run("audit", folder.resolve("none").toString()));
         assertTrue(err.contains("is no folder"), err);
         String scenario = Files.writeString(folder.resolve("s.toml"), "[[tier]]\nname = \"front\"\n")
@@ -225,13 +225,13 @@
     }
 
     @Test
-    void theReportIsSeenInABrowser() throws Exception {
+    void rendersReportInBrowser() throws Exception {
         Path chromium = Path.of("/usr/bin/chromium");
-        assumeTrue(Files.isExecutable(chromium), "there is no " + chromium + " here: the page was not looked at");
+        assumeTrue(Files.isExecutable(chromium), "there is no " + chromium + " here: the page was not rendered");
         try (StandIn server = new StandIn()) {
-            Path made = folder.resolve("run");
-            run("replay", "run", log(300, 100), "--target", server.address(), "--out", made.toString());
-            String page = made.resolve("report.html").toUri().toString();
+            Path runFolder = folder.resolve("run");
+            run("replay", "run", log(300, 100), "--target", server.address(), "--out", runFolder.toString());
+            String page = runFolder.resolve("report.html").toUri().toString();
             List<String> browser = List.of(
                     chromium.toString(),
                     "--headless",
@@ -243,9 +243,9 @@
                     "--disable-component-update",
                     "--disable-sync",
                     "--user-data-dir=" + folder.resolve("profile"));
-            List<String> seen = new ArrayList<>(browser);
-            seen.addAll(List.of("--virtual-time-budget=1000", "--dump-dom", page));
-            Process dump = new ProcessBuilder(seen)
+            List<String> domDump = new ArrayList<>(browser);
+            domDump.addAll(List.of("--virtual-time-budget=1000", "--dump-dom", page));
+            Process dump = new ProcessBuilder(domDump)
                     .redirectError(ProcessBuilder.Redirect.DISCARD)
                     .start();
             String dom = new String(dump.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
@@ -253,16 +253,16 @@
             for (String id : List.of("rate", "latency", "outcomes", "classes")) {
                 assertTrue(dom.contains("id=\"" + id + "\""), dom);
             }
-            List<String> shot = new ArrayList<>(browser);
-            Path picture = Path.of("target/report.png").toAbsolutePath();
-            Files.deleteIfExists(picture);
-            shot.addAll(List.of("--window-size=1000,1100", "--screenshot=" + picture, page));
-            assertTrue(new ProcessBuilder(shot)
+            List<String> screenshot = new ArrayList<>(browser);
+            Path image = Path.of("target/report.png").toAbsolutePath();
+            Files.deleteIfExists(image);
+            screenshot.addAll(List.of("--window-size=1000,1100", "--screenshot=" + image, page));
+            assertTrue(new ProcessBuilder(screenshot)
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                     .start()
                     .waitFor(60, TimeUnit.SECONDS));
-            assertTrue(Files.size(picture) > 10_000, "it is not blank");
+            assertTrue(Files.size(image) > 10_000, "the screenshot is not blank");
         }
     }
 }
--- a/src/test/java/sablehinge/cli/SettingsWatchTest.java
+++ b/src/test/java/sablehinge/cli/SettingsWatchTest.java
@@ -6,44 +6,44 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** When a settings file is taken for changed. */
+/** Tests when {@link SettingsWatch} reports a change of the settings file. */
 class SettingsWatchTest {
 
-    private String file = "seeds = [\"10.1.0.14:8367\"]";
+    private String content = "seeds = [\"10.1.0.14:8367\"]";
     private int changes;
     private final SettingsWatch watch = new SettingsWatch(
             () -> {
-                if (file == null) {
+                if (content == null) {
                     throw new IOException("no such file");
                 }
-                return file.getBytes(StandardCharsets.UTF_8);
+                return content.getBytes(StandardCharsets.UTF_8);
             },
             () -> changes++);
 
-    private int looks() {
+    private int changesAfterPoll() {
         watch.poll();
         return changes;
     }
 
     @Test
-    void eachContentIsTakenOnceWithoutAnySignal() {
-        assertEquals(1, looks(), "it may have changed since it was read at the start");
-        assertEquals(1, looks());
-        file = "seeds = [\"10.2.";
-        assertEquals(2, looks(), "half written");
-        file = "seeds = [\"10.2.0.37:8367\"]";
-        assertEquals(3, looks());
-        assertEquals(3, looks());
+    void reportsEachContentOnceWithoutSignal() {
+        assertEquals(1, changesAfterPoll(), "the first poll reports a change");
+        assertEquals(1, changesAfterPoll());
+        content = "seeds = [\"10.2.";
+        assertEquals(2, changesAfterPoll(), "half written");
+        content = "seeds = [\"10.2.0.37:8367\"]";
+        assertEquals(3, changesAfterPoll());
+        assertEquals(3, changesAfterPoll());
     }
 
     @Test
-    void aFileThatIsAwayForAMomentChangesNothing() {
-        assertEquals(1, looks());
-        file = null;
-        assertEquals(1, looks());
-        file = "seeds = [\"10.1.0.14:8367\"]";
-        assertEquals(1, looks());
-        file = "seeds = [\"10.3.0.16:8367\"]";
-        assertEquals(2, looks());
+    void reportsNoChangeWhileFileIsMissing() {
+        assertEquals(1, changesAfterPoll());
+        content = null;
+        assertEquals(1, changesAfterPoll());
+        content = "seeds = [\"10.1.0.14:8367\"]";
+        assertEquals(1, changesAfterPoll());
+        content = "seeds = [\"10.3.0.16:8367\"]";
+        assertEquals(2, changesAfterPoll());
     }
 }
--- a/src/test/java/sablehinge/cli/mesh/operator/VerbsTest.java
+++ b/src/test/java/sablehinge/cli/mesh/operator/VerbsTest.java
@@ -28,15 +28,15 @@
 import sablehinge.controlplane.api.Machine;
 import sablehinge.controlplane.api.MeshStatus;
 
-/** The verbs as they are typed, against a scripted core and a clock that only their own waits move. */
+/** Tests the commands against a scripted core and a clock that advances only by the commands' own waits. */
 class VerbsTest {
 
     private static final String CORE = "a:1,b:1,c:1";
     private static final String KEY = "s3cr3tk3y";
     private static final String NEXT_KEY = "n3xts3cr3t";
 
-    /** What an address answers, one after the other; the last one again and again. */
-    private final Map<String, Deque<Object>> script = new HashMap<>();
+    /** The answers of each address in sequence; the last answer is repeated. */
+    private final Map<String, Deque<Object>> scriptedAnswers = new HashMap<>();
 
     private final List<String> called = new ArrayList<>();
     private final List<HttpCaller.Request> requests = new ArrayList<>();
@@ -47,18 +47,18 @@
     @TempDir
     Path folder;
 
-    private static final Object NO_CONTACT = new Object();
-    private static final Object DOWN = new Object();
+    private static final Object NO_ANSWER = new Object();
+    private static final Object REFUSES_CONNECTION = new Object();
 
     @BeforeEach
-    void all() {
-        answers("a:1", DOWN);
-        answers("b:1", DOWN);
-        answers("c:1", DOWN);
+    void refuseAllConnections() {
+        answers("a:1", REFUSES_CONNECTION);
+        answers("b:1", REFUSES_CONNECTION);
+        answers("c:1", REFUSES_CONNECTION);
     }
 
-    private void answers(String address, Object... inTurn) {
-        script.put(address, new ArrayDeque<>(List.of(inTurn)));
+    private void answers(String address, Object... inSequence) {
+        scriptedAnswers.put(address, new ArrayDeque<>(List.of(inSequence)));
     }
 
     private static HttpCaller.Answer answer(int status, String body) {
@@ -69,41 +69,41 @@
         return answer(status, "{\"code\":\"" + code + "\",\"place\":\"/p\",\"message\":\"m\"}");
     }
 
-    private static HttpCaller.Answer elsewhere(String address) {
+    private static HttpCaller.Answer redirectTo(String address) {
         return new HttpCaller.Answer(307, "http://" + address + "/sablehinge/Config.Replace", new byte[0]);
     }
 
-    private HttpCaller.Answer carry(String address, HttpCaller.Request request, long withinMs) throws IOException {
+    private HttpCaller.Answer answerCall(String address, HttpCaller.Request request, long withinMs) throws IOException {
         called.add(address);
         requests.add(request);
-        Deque<Object> turns = script.get(address);
-        Object turn = turns.size() > 1 ? turns.poll() : turns.peek();
-        if (turn == NO_CONTACT) {
+        Deque<Object> remaining = scriptedAnswers.get(address);
+        Object result = remaining.size() > 1 ? remaining.poll() : remaining.peek();
+        if (result == NO_ANSWER) {
             now += withinMs;
             throw new IOException("silent");
         }
-        if (turn == DOWN) {
+        if (result == REFUSES_CONNECTION) {
             throw new ConnectException("down");
         }
-        return (HttpCaller.Answer) turn;
+        return (HttpCaller.Answer) result;
     }
 
     private int run(String... args) {
         PrintStream out = new PrintStream(printed, true, StandardCharsets.UTF_8);
         return MeshCommands.run(
                 args,
-                new Shell(
+                new CommandContext(
                         out,
                         out,
-                        this::carry,
-                        new TimeText() {
+                        this::answerCall,
+                        new MonotonicClock() {
                             @Override
                             public long now() {
                                 return now;
                             }
 
                             @Override
-                            public void pause(long ms) {
+                            public void sleep(long ms) {
                                 pauses.add(ms);
                                 now += ms;
                             }
@@ -111,12 +111,12 @@
                         CORE));
     }
 
-    private String response() {
+    private String output() {
         return printed.toString(StandardCharsets.UTF_8);
     }
 
-    private void says(String part) {
-        assertTrue(response().contains(part), response());
+    private void assertPrinted(String part) {
+        assertTrue(output().contains(part), output());
     }
 
     private static String configuration(long edition, String service, String key) {
@@ -143,18 +143,18 @@
     }
 
     @Test
-    void aCallIsSentOnTwiceAndNoMore() {
-        answers("a:1", elsewhere("b:1"));
-        answers("b:1", elsewhere("c:1"));
-        answers("c:1", elsewhere("a:1"), answer(200, "{\"edition\":7}"));
+    void followsAtMostTwoRedirects() {
+        answers("a:1", redirectTo("b:1"));
+        answers("b:1", redirectTo("c:1"));
+        answers("c:1", redirectTo("a:1"), answer(200, "{\"edition\":7}"));
         assertEquals(0, run("config", "put", "-b", "5", next()));
         assertEquals(List.of("a:1", "b:1", "c:1", "b:1", "c:1"), called);
-        says("taken: edition 7, by c:1\n");
+        assertPrinted("taken: edition 7, by c:1\n");
     }
 
     @Test
-    void withoutAClearAnswerTheVerySameCallGoesElsewhereUntilThereIsOne() {
-        answers("a:1", NO_CONTACT);
+    void repeatsIdenticalCallAtOtherAddressesUntilAnswerIsClear() {
+        answers("a:1", NO_ANSWER);
         answers("b:1", error(503, "NO_MAJORITY"));
         answers("c:1", error(429, "BUSY"), answer(200, "{}"));
         assertEquals(0, run("config", "put", "--based-on", "5", next()));
@@ -167,32 +167,32 @@
     }
 
     @Test
-    void silenceEndsInTimeAndIsNotTakenForARefusal() {
-        answers("b:1", NO_CONTACT);
+    void timeoutEndsWithinLimitAndIsNotReportedAsRefusal() {
+        answers("b:1", NO_ANSWER);
         assertEquals(3, run("config", "put", "-w", "5000", "-b", "5", next()));
         assertTrue(now <= 5_000, "ended at " + now);
-        says("edition 7 may have been taken or not");
+        assertPrinted("edition 7 may have been taken or not");
     }
 
     @Test
-    void whatNobodyCouldTakeHasNotBeenTaken() {
+    void reportsNotTakenWhenNoMachineCouldHaveAccepted() {
         answers("b:1", error(503, "NO_LEADER"));
         assertEquals(3, run("config", "put", "-b", "5", next()));
-        says("edition 7 has not been taken");
+        assertPrinted("edition 7 has not been taken");
     }
 
     @Test
-    void aRefusalEndsTheCallAtOnceWithItsCodeAndPlace() {
-        answers("a:1", NO_CONTACT);
+    void refusalEndsCallAtOnceWithCodeAndPlace() {
+        answers("a:1", NO_ANSWER);
         answers("b:1", error(412, "STALE"));
         assertEquals(1, run("config", "put", "--json", "-b", "5", next()));
         assertEquals(List.of("a:1", "b:1"), called);
-        says("\"code\" : \"STALE\"");
-        says("STALE: /p: m (412 from b:1)");
+        assertPrinted("\"code\" : \"STALE\"");
+        assertPrinted("STALE: /p: m (412 from b:1)");
     }
 
     @Test
-    void anyOther4xxEndsItAtTheThirdTry() {
+    void other4xxEndsCallAtThirdAttempt() {
         answers("a:1", error(404, "NONE"));
         answers("b:1", error(404, "NONE"));
         answers("c:1", error(404, "NONE"));
@@ -201,41 +201,42 @@
     }
 
     @Test
-    void whatChangesIsShownByNamesAndNoKeyEver() {
+    void showsChangesByNameWithoutKeys() {
         String before = configuration(5, "s-1", KEY);
         answers("a:1", answer(200, before), answer(200, "{\"edition\":7}"));
         assertEquals(0, run("config", "put", next()));
         assertEquals("5", requests.get(1).headers().get("Sablehinge-Based-On"));
-        says("edition 5 -> 7\n  ~ route h.example/x/ (r-1)\n  + service s-2\n  - service s-1\n" + "  ~ tenant t-1\n");
+        assertPrinted("edition 5 -> 7\n  ~ route h.example/x/ (r-1)\n  + service s-2\n  - service s-1\n"
+                + "  ~ tenant t-1\n");
         assertEquals(0, run("config", "put", "--json", "-b", "7", file(configuration(8, "s", KEY))));
-        assertFalse(response().contains(KEY) || response().contains(NEXT_KEY), response());
+        assertFalse(output().contains(KEY) || output().contains(NEXT_KEY), output());
     }
 
     @Test
-    void aDryRunSendsNothingAndRefusesWhatTheCoreWould() {
+    void dryRunSendsNothingAndRefusesWhatCoreWouldRefuse() {
         answers("a:1", answer(200, configuration(7, "s-1", KEY)));
         assertEquals(1, run("config", "put", "--dry-run", next()));
-        says("OLD_EDITION");
+        assertPrinted("OLD_EDITION");
         assertEquals(1, run("config", "put", "--dry-run", "-b", "6", next()));
-        says("STALE: --based-on: version 7 is in place, not 6");
+        assertPrinted("STALE: --based-on: version 7 is in place, not 6");
         assertTrue(requests.stream().allMatch(request -> request.method().equals("GET")));
     }
 
     @Test
-    void aFaultyFileIsNotSentAndAllThatIsWrongIsNamed() {
+    void doesNotSendInvalidFileAndReportsAllProblems() {
         String file = file(configuration(5, "s-1", KEY)
                 .replace("\"depot\":\"s-1\"", "\"depot\":\"s-l\"")
                 .replace("4000", "-4"));
         assertEquals(2, run("config", "put", file));
         assertEquals(2, run("config", "check", file));
         assertEquals(List.of(), called);
-        says("next.json: /gates/0/regulations/0/dispatch/timeoutMs: ");
-        says("next.json: /gates/0/regulations/0/dispatch/depot: a service of /fleets was expected, "
+        assertPrinted("next.json: /gates/0/regulations/0/dispatch/timeoutMs: ");
+        assertPrinted("next.json: /gates/0/regulations/0/dispatch/depot: a service of /fleets was expected, "
                 + "found \"s-l\"; the nearest one is \"s-1\" (UNKNOWN_SERVICE)");
     }
 
     @Test
-    void whatIsFetchedIsWrittenAsItWasSentForItsOwnerAlone() throws IOException {
+    void writesFetchedConfigurationUnchangedWithOwnerPermissions() throws IOException {
         String body = configuration(5, "s-1", KEY);
         answers("a:1", answer(200, body));
         Path out = folder.resolve("got.json");
@@ -274,24 +275,24 @@
     }
 
     @Test
-    void aStatusAsksAllMembersThatAnybodyTellsOf() {
+    void statusQueriesAllReportedMembers() {
         answers("a:1", status("0", "follower", 3));
         answers("b:1", status("1", "leader", 3));
         assertEquals(0, run("status", "--core", "a:1"));
         assertEquals(List.of("a:1", "b:1", "c:1"), called);
-        says("a majority answers: 2 of 3 members\nleader    b:1, term 4\nedition   5\n"
+        assertPrinted("a majority answers: 2 of 3 members\nleader    b:1, term 4\nedition   5\n"
                 + "balancers 3 known, 2 ready\n");
-        says("c:1     -     -     silent: down\n");
+        assertPrinted("c:1     -     -     silent: down\n");
     }
 
     @Test
-    void aMinorityIsToldAndIsNoError() {
+    void statusReportsMinorityWithoutError() {
         answers("a:1", status("0", "follower", 3));
-        answers("c:1", NO_CONTACT);
+        answers("c:1", NO_ANSWER);
         assertEquals(0, run("status"));
-        says("NO MAJORITY: 1 of 3 members answer; nothing can be changed or confirmed before 2 do\n"
+        assertPrinted("NO MAJORITY: 1 of 3 members answer; nothing can be changed or confirmed before 2 do\n"
                 + "leader    none");
-        answers("a:1", DOWN);
+        answers("a:1", REFUSES_CONNECTION);
         assertEquals(3, run("status"));
     }
 
@@ -302,8 +303,8 @@
         "nodes, --jsn, \"--jsn\" is no option of nodes; the nearest one is \"--json\"",
         "nodes, --core=a, BAD_ADDRESS: --core: HOST:PORT was expected, found \"a\""
     })
-    void aWordThatIsNoneIsAnsweredWithTheNearest(String verb, String word, String words) {
+    void suggestsNearestNameForUnknownWord(String verb, String word, String expected) {
         assertEquals(2, word == null ? run(verb) : run(verb, word));
-        says(words);
+        assertPrinted(expected);
     }
 }
