--- a/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/OutboundFront.java
@@ -144,7 +144,8 @@
         RoutingTable.RouteMatch match = routingTable.find(MeshHeaders.single(headers, "Host"), request.uri());
         if (match == null) {
             throw BadRequestException.rejected(HttpResponseStatus.NOT_FOUND, "no route")
-                    .withMaxWait(maxHoldMs(MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, DEFAULT_TERMS.requestTimeoutMs())));
+                    .withMaxWait(maxHoldMs(
+                            MeshHeaders.millis(headers, MeshHeaders.TIME_LEFT, DEFAULT_TERMS.requestTimeoutMs())));
         }
         Configuration.Route route = match.route();
         Configuration.Tenant tenant = routingTable.tenant(MeshHeaders.single(headers, MeshHeaders.KEY));
