--- a/src/main/java/sablehinge/gateway/node/AdminHandler.java
+++ b/src/main/java/sablehinge/gateway/node/AdminHandler.java
@@ -10,7 +10,7 @@
 import sablehinge.gateway.admin.AdminServer.Reply;
 import sablehinge.gateway.admin.AdminServer.Request;
 import sablehinge.gateway.rollout.ChangeDecider;
-import sablehinge.gateway.rollout.ChangeDecider.Past;
+import sablehinge.gateway.rollout.ChangeDecider.FinishedChange;
 import sablehinge.gateway.rollout.ChangeDecider.Phase;
 
 /** What operators ask for, in the terms of {@link Versions}. */
@@ -66,11 +66,11 @@
         return Integer.parseInt(request.query().getOrDefault(name, "0"));
     }
 
-    private void simple(ChangeDecider.Reply done, Consumer<Reply> reply) {
+    private void simple(ChangeDecider.Reply result, Consumer<Reply> reply) {
         reply.accept(
-                done.done()
-                        ? new Reply(200, status().put("message", done.message()))
-                        : AdminServer.error(REFUSED, done.message()));
+                result.accepted()
+                        ? new Reply(200, status().put("message", result.message()))
+                        : AdminServer.error(REFUSED, result.message()));
     }
 
     private void content(int version, Consumer<Reply> reply) {
@@ -107,24 +107,24 @@
 
     private void apply(Request request, Consumer<Reply> reply) {
         int version = number(request, "version");
-        ChangeDecider.Reply begun = versions.apply(
+        ChangeDecider.Reply result = versions.apply(
                 version,
                 number(request, "confirm_within_ms"),
                 "true".equals(request.query().get("automatic")));
-        if (begun.done()) {
+        if (result.accepted()) {
             whenPast(version, Phase.TRIAL, reply);
         } else {
-            reply.accept(AdminServer.error(REFUSED, begun.message()));
+            reply.accept(AdminServer.error(REFUSED, result.message()));
         }
     }
 
     private void confirm(int version, Consumer<Reply> reply) {
         int candidate = versions.decider().candidate();
-        ChangeDecider.Reply begun = versions.confirm(version);
-        if (begun.done()) {
+        ChangeDecider.Reply result = versions.confirm(version);
+        if (result.accepted()) {
             whenPast(candidate, Phase.NONE, reply);
         } else {
-            reply.accept(AdminServer.error(REFUSED, begun.message()));
+            reply.accept(AdminServer.error(REFUSED, result.message()));
         }
     }
 
@@ -135,12 +135,12 @@
             node.timers().at(node.clock().now() + LOOK_MS, () -> whenPast(version, phase, reply));
             return;
         }
-        Past past = decider.past().stream()
+        FinishedChange past = decider.history().stream()
                 .filter(one -> one.version() == version)
                 .findFirst()
                 .orElse(null);
         reply.accept(
-                past == null || past.kept()
+                past == null || past.isConfirmed()
                         ? new Reply(200, status())
                         : AdminServer.error(REFUSED, "version " + version + " is undone: " + past.reason()));
     }
@@ -155,15 +155,15 @@
         change.put("phase", decider.phase().name().toLowerCase(Locale.ROOT));
         if (decider.phase() != Phase.NONE) {
             change.put("version", decider.candidate());
-            change.put("ends_in_ms", Math.round(decider.deadline() - now));
+            change.put("ends_in_ms", Math.round(decider.deadlineMs() - now));
         }
         ObjectNode staged = status.putObject("staged");
         decider.stagedVersions().forEach((version, base) -> staged.put(Integer.toString(version), base));
         ArrayNode past = status.putArray("past");
-        decider.past().forEach(one -> past.addObject()
+        decider.history().forEach(one -> past.addObject()
                 .put("version", one.version())
-                .put("at_ms", Math.round(one.at()))
-                .put("outcome", one.kept() ? "confirmed" : "undone")
+                .put("at_ms", Math.round(one.finishedAtMs()))
+                .put("outcome", one.isConfirmed() ? "confirmed" : "undone")
                 .put("reason", one.reason()));
         if (node.recording() != null) {
             node.recording().status(status);
--- a/src/main/java/sablehinge/gateway/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -341,7 +341,7 @@
         String why = staged.refusal();
         if (why == null && staged.version() != 0) {
             ChangeDecider.Reply applied = versions.apply(staged.version(), 0, true);
-            if (!applied.done()) {
+            if (!applied.accepted()) {
                 why = applied.message();
                 versions.drop(staged.version());
             }
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -28,8 +28,8 @@
 import sablehinge.gateway.rollout.ChangeDecider;
 import sablehinge.gateway.rollout.ChangeDecider.Phase;
 import sablehinge.gateway.rollout.ChangeDecider.Reply;
-import sablehinge.gateway.rollout.ChangeDecider.Terms;
-import sablehinge.gateway.rollout.OutcomeShares.Outcome;
+import sablehinge.gateway.rollout.ChangeDecider.TrialTerms;
+import sablehinge.gateway.rollout.OutcomeCounts.Outcome;
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 
@@ -186,10 +186,10 @@
         int over = base == 0 ? decider.confirmed() : base;
         OperatorConfig running = current().config;
         files.run(() -> OperatorFile.parse(content), (checked, failure) -> {
-            Reply may = decider.mayStage(over);
+            Reply may = decider.checkStaging(over);
             String refusal = failure != null
                     ? failure
-                    : !may.done()
+                    : !may.accepted()
                             ? may.message()
                             : checked.config() == null
                                     ? null
@@ -203,8 +203,8 @@
                     end.accept(new Staged(0, List.of(), unwritten));
                     return;
                 }
-                Reply still = decider.mayStage(over);
-                if (!still.done()) {
+                Reply still = decider.checkStaging(over);
+                if (!still.accepted()) {
                     end.accept(new Staged(0, List.of(), still.message()));
                     return;
                 }
@@ -221,7 +221,7 @@
 
     Reply drop(int version) {
         Reply reply = decider.drop(version);
-        if (reply.done()) {
+        if (reply.accepted()) {
             known.remove(version);
         }
         return reply;
@@ -240,14 +240,14 @@
         Reply reply = decider.apply(
                 node.clock().now(),
                 version,
-                new Terms(
+                new TrialTerms(
                         confirmWithin > 0 ? confirmWithin : part.confirmWithin(),
                         part.readyWithin(),
                         part.failedRise(),
                         part.refusedRise(),
                         part.leastCount(),
                         automatic));
-        if (reply.done()) {
+        if (reply.accepted()) {
             reported("applied", version, "configuration: version {} is applied");
             tickSoon();
         }
@@ -303,7 +303,7 @@
         } else if (Double.isNaN(bare)) {
             bare = now;
         } else if (now - bare >= terms.readyWithin()) {
-            decider.partFailed(
+            decider.versionFailed(
                     now,
                     decider.candidate(),
                     ready + " servers are ready, at least " + terms.readyLeast() + " must be");
@@ -364,11 +364,11 @@
     public void writeConfirmed(int version) {
         files.write(
                 () -> store.confirm(version),
-                failure -> decider.written(node.clock().now(), version, failure));
+                failure -> decider.confirmationWritten(node.clock().now(), version, failure));
     }
 
     @Override
-    public void undo(int version, int to, String reason) {
+    public void undo(int version, int restored, String reason) {
         double begun = node.clock().now();
         if (preparation != null) {
             preparation.abandon();
@@ -376,23 +376,23 @@
             preparation = null;
         }
         if (node.core().version().number() == version) {
-            adopt(known.get(to));
+            adopt(known.get(restored));
         }
         undoMs = node.clock().now() - begun;
         Log.warn(LOG, "version-undone")
                 .addKeyValue("version", version)
-                .addKeyValue("current", to)
+                .addKeyValue("current", restored)
                 .addKeyValue("reason", reason)
-                .log("configuration: version {} is undone, version {} is current: {}", version, to, reason);
-        giveUp(version, to);
+                .log("configuration: version {} is undone, version {} is current: {}", version, restored, reason);
+        giveUp(version, restored);
         // If the disk fails here too, the mark stays, which says the same to the next start.
         files.write(() -> store.mark(0), failure -> {});
     }
 
     @Override
-    public void keep(int version, int before) {
+    public void releasePrevious(int version, int previous) {
         reported("confirmed", version, "configuration: version {} is confirmed");
-        giveUp(before, version);
+        giveUp(previous, version);
     }
 
     private void leave(ListenerPart part, Frontend front, double grace) {
@@ -425,7 +425,7 @@
                     case REFUSED -> Outcome.REFUSED;
                     case FAILED, UNANSWERED, BROKEN, LOOP -> Outcome.FAILED;
                 };
-        decider.answered(node.clock().now(), version.number(), outcome);
+        decider.responseSent(node.clock().now(), version.number(), outcome);
         node.note(request, version, serviceClass, kind, attempts, elapsed);
     }
 }
--- a/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
+++ b/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
@@ -5,28 +5,29 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sablehinge.gateway.rollout.OutcomeShares.Outcome;
+import sablehinge.gateway.rollout.OutcomeCounts.Outcome;
 
 /**
- * Decides on changes of the configuration: what may be staged and applied, when a change is undone, when it is kept.
- * Events go in with their time, in ms; what is to be done comes out of {@link Actions}. It has no clock, thread or file
- * of its own.
+ * State machine of configuration changes: decides which versions may be staged and applied, and when a change is
+ * confirmed or rolled back. It receives events with their time in ms and issues {@link Actions}; it has no clock,
+ * thread or file of its own.
  *
- * <p>A version goes through these states: staged; then, once applied, <em>marked</em> on disk, so that a crash finds it
- * unconfirmed; <em>preparing</em>, while its listeners are bound and its servers reached, with all traffic still under
- * the version before; <em>on trial</em>, while requests arrive under it and it is watched; then <em>confirming</em>,
- * while that is written down, and confirmed. Out of any of these but the last it can be undone, which needs no disk.
+ * <p>A version is first staged. Once applied, it is <em>marked</em> on disk, so that a restart after a crash finds it
+ * unconfirmed. While <em>preparing</em>, its listeners are bound and its servers connected, with all traffic still
+ * under the previous version. While <em>on trial</em>, new requests use it and their outcomes are monitored. While
+ * <em>confirming</em>, the confirmation is written to disk; then it is confirmed. In every state except the last a
+ * version can be rolled back, which does not depend on the disk.
  */
 public final class ChangeDecider {
 
-    /** Versions that may be staged at once. */
+    /** The maximum number of staged versions. */
     public static final int MAX_STAGED = 8;
-    /** Ended changes that are remembered. */
-    public static final int MAX_PAST = 100;
-    /** Seconds before a change over which its shares of answers are compared with. */
-    private static final int BEFORE = 60;
+    /** The maximum number of finished changes in the history. */
+    public static final int MAX_HISTORY = 100;
+    /** The window before a change that its shares of responses are compared with. */
+    private static final int BASELINE_SECONDS = 60;
 
-    /** Where the change under way stands. */
+    /** The phase of the current change. */
     public enum Phase {
         NONE,
         MARKING,
@@ -35,162 +36,162 @@
         CONFIRMING
     }
 
-    /** What the decider requests; the ends of the first three come back as events. */
+    /** Actions that the decider issues; the first three report their completion as events. */
     public interface Actions {
 
-        /** Writes down that a version is on trial; ends with {@link #marked}. */
+        /** Records on disk that a version is on trial; completes with {@link #marked}. */
         void mark(int version);
 
-        /** Binds listeners and reaches servers, all beside the traffic; ends with {@link #prepared}. */
+        /** Binds listeners and connects to servers without affecting traffic; completes with {@link #prepared}. */
         void prepare(int version);
 
-        /** Writes down that a version is confirmed; ends with {@link #written}. */
+        /** Records on disk that a version is confirmed; completes with {@link #confirmationWritten}. */
         void writeConfirmed(int version);
 
-        /** Lets requests arrive under a version. */
+        /** Makes new requests use a version. */
         void begin(int version);
 
-        /** Lets requests arrive under {@code to} again, if they didn't, and gives up what was prepared. */
-        void undo(int version, int to, String reason);
+        /** Makes new requests use {@code restored} again, if they did not, and releases what was prepared. */
+        void undo(int version, int restored, String reason);
 
-        /** A version is confirmed: gives up what only the one before had. */
-        void keep(int version, int before);
+        /** A version is confirmed: releases what only the previous version used. */
+        void releasePrevious(int version, int previous);
     }
 
     /**
-     * How changes are watched, by the version on trial.
+     * The limits of a trial, set by the version on trial.
      *
-     * @param confirmWithin ms after which an unconfirmed change is undone
-     * @param readyWithin ms by which it must be prepared
-     * @param failedRise by how much the share of failed answers may rise
-     * @param refusedRise likewise of refused ones
-     * @param leastCount answers below which a share proves nothing
-     * @param automatic whether a change that stood its trial is confirmed by itself
+     * @param confirmWithinMs time after which an unconfirmed change is rolled back
+     * @param readyWithinMs time within which the version must be prepared
+     * @param maxFailedRise the rise of the share of failed responses that is tolerated
+     * @param maxRefusedRise the rise of the share of refused responses that is tolerated
+     * @param minCount responses below which a share is not evaluated
+     * @param automatic whether a change is confirmed automatically at the end of its trial
      */
-    public record Terms(
-            double confirmWithin,
-            double readyWithin,
-            double failedRise,
-            double refusedRise,
-            int leastCount,
+    public record TrialTerms(
+            double confirmWithinMs,
+            double readyWithinMs,
+            double maxFailedRise,
+            double maxRefusedRise,
+            int minCount,
             boolean automatic) {}
 
-    /** An ended change; {@code reason} is empty where it was confirmed. */
-    public record Past(int version, double at, boolean kept, String reason) {}
+    /** A finished change; {@code reason} is empty if it was confirmed. */
+    public record FinishedChange(int version, double finishedAtMs, boolean isConfirmed, String reason) {}
 
-    /** What an operator is answered: done, or why not. */
-    public record Reply(boolean done, String message) {
+    /** The reply to an operator: accepted, or rejected with the reason. */
+    public record Reply(boolean accepted, String message) {
 
-        static Reply yes(String message) {
+        static Reply accept(String message) {
             return new Reply(true, message);
         }
 
-        static Reply no(String message) {
+        static Reply reject(String message) {
             return new Reply(false, message);
         }
     }
 
     private final Actions actions;
-    private final OutcomeShares before = new OutcomeShares();
+    private final OutcomeCounts baselineCounts = new OutcomeCounts();
     private final Map<Integer, Integer> staged = new LinkedHashMap<>();
-    private final ArrayDeque<Past> past = new ArrayDeque<>();
-    private OutcomeShares during = new OutcomeShares();
+    private final ArrayDeque<FinishedChange> history = new ArrayDeque<>();
+    private OutcomeCounts trialCounts = new OutcomeCounts();
     private Phase phase = Phase.NONE;
     private int confirmed;
     private int candidate;
-    private Terms terms;
-    private double deadline;
+    private TrialTerms terms;
+    private double deadlineMs;
     private List<ErrorRateGuard> guards = List.of();
 
-    /** Begins with a version that is confirmed. */
+    /** Creates a decider whose current version is confirmed. */
     public ChangeDecider(int confirmed, Actions actions) {
         this.confirmed = confirmed;
         this.actions = actions;
     }
 
-    // ---- What operators ask for ---------------------------------------------------------------------
+    // ---- Requests of operators ----------------------------------------------------------------------
 
-    /** Whether one more version may be staged over a base; called before it gets its number. */
-    public Reply mayStage(int base) {
+    /** Whether another version may be staged on top of a base; called before the version gets its number. */
+    public Reply checkStaging(int base) {
         if (base != confirmed) {
-            return Reply.no("it is based on version " + base + ", but version " + confirmed + " is current");
+            return Reply.reject("it is based on version " + base + ", but version " + confirmed + " is current");
         }
         if (staged.size() >= MAX_STAGED) {
-            // Nobody can apply those any more.
-            staged.values().removeIf(over -> over != confirmed);
+            // Versions with another base can no longer be applied.
+            staged.values().removeIf(stagedBase -> stagedBase != confirmed);
         }
         return staged.size() < MAX_STAGED
-                ? Reply.yes("")
-                : Reply.no(MAX_STAGED + " versions are staged already; apply or drop one of " + staged.keySet());
+                ? Reply.accept("")
+                : Reply.reject(MAX_STAGED + " versions are staged already; apply or drop one of " + staged.keySet());
     }
 
-    /** A version was staged over a base. */
+    /** Adds a staged version with its base. */
     public void staged(int version, int base) {
         staged.put(version, base);
     }
 
-    /** Forgets a staged version. */
+    /** Removes a staged version. */
     public Reply drop(int version) {
         if (version == candidate) {
-            return Reply.no(busy());
+            return Reply.reject(progress());
         }
         return staged.remove(version) == null
-                ? Reply.no("version " + version + " is not staged")
-                : Reply.yes("version " + version + " is dropped");
+                ? Reply.reject("version " + version + " is not staged")
+                : Reply.accept("version " + version + " is dropped");
     }
 
-    /** Applies a staged version under the given terms. */
-    public Reply apply(double now, int version, Terms given) {
+    /** Applies a staged version with the given limits of its trial. */
+    public Reply apply(double nowMs, int version, TrialTerms newTerms) {
         if (phase != Phase.NONE) {
-            return Reply.no(busy());
+            return Reply.reject(progress());
         }
         Integer base = staged.get(version);
         if (base == null) {
-            return Reply.no("version " + version + " is not staged");
+            return Reply.reject("version " + version + " is not staged");
         }
         if (base != confirmed) {
-            return Reply.no("version " + version + " was staged over version " + base + ", but version " + confirmed
+            return Reply.reject("version " + version + " was staged over version " + base + ", but version " + confirmed
                     + " is current");
         }
         staged.remove(version);
         candidate = version;
-        terms = given;
+        terms = newTerms;
         phase = Phase.MARKING;
-        deadline = now + given.readyWithin();
+        deadlineMs = nowMs + newTerms.readyWithinMs();
         actions.mark(version);
-        return Reply.yes("version " + version + " is applied");
+        return Reply.accept("version " + version + " is applied");
     }
 
-    /** Keeps the version on trial. */
-    public Reply confirm(double now, int version) {
+    /** Confirms the version on trial; version 0 stands for any. */
+    public Reply confirm(double nowMs, int version) {
         if (phase == Phase.NONE) {
-            return Reply.no("no version is on trial" + last());
+            return Reply.reject("no version is on trial" + lastChange());
         }
         if (version != 0 && version != candidate) {
-            return Reply.no("version " + candidate + " is on trial, not version " + version);
+            return Reply.reject("version " + candidate + " is on trial, not version " + version);
         }
         if (phase != Phase.TRIAL) {
-            return Reply.no(busy());
+            return Reply.reject(progress());
         }
         phase = Phase.CONFIRMING;
         actions.writeConfirmed(candidate);
-        return Reply.yes("version " + candidate + " is being confirmed");
+        return Reply.accept("version " + candidate + " is being confirmed");
     }
 
-    /** Undoes the change under way. */
-    public Reply rollback(double now) {
+    /** Rolls the current change back. */
+    public Reply rollback(double nowMs) {
         if (phase == Phase.NONE) {
-            return Reply.no("no version is on trial" + last());
+            return Reply.reject("no version is on trial" + lastChange());
         }
         if (phase == Phase.CONFIRMING) {
-            return Reply.no(busy());
+            return Reply.reject(progress());
         }
-        int undone = candidate;
-        undo(now, "rolled back by an operator");
-        return Reply.yes("version " + undone + " is undone, version " + confirmed + " is current");
+        int rolledBack = candidate;
+        undo(nowMs, "rolled back by an operator");
+        return Reply.accept("version " + rolledBack + " is undone, version " + confirmed + " is current");
     }
 
-    private String busy() {
+    private String progress() {
         return switch (phase) {
             case NONE -> "nothing is under way";
             case MARKING, PREPARING -> "version " + candidate + " is being prepared";
@@ -199,88 +200,90 @@
         };
     }
 
-    private String last() {
-        return past.isEmpty()
+    private String lastChange() {
+        return history.isEmpty()
                 ? ""
-                : "; version " + past.peekLast().version()
-                        + (past.peekLast().kept()
+                : "; version " + history.peekLast().version()
+                        + (history.peekLast().isConfirmed()
                                 ? " was confirmed"
-                                : " was undone: " + past.peekLast().reason());
+                                : " was undone: " + history.peekLast().reason());
     }
 
-    // ---- What happens -------------------------------------------------------------------------------
+    // ---- Events -------------------------------------------------------------------------------------
 
-    /** The mark of a version is on disk, or {@code failure} says why not. */
-    public void marked(double now, int version, String failure) {
+    /** The trial mark of a version is on disk, or the write failed with {@code failure}. */
+    public void marked(double nowMs, int version, String failure) {
         if (phase != Phase.MARKING || version != candidate) {
             return;
         }
         if (failure != null) {
-            undo(now, "the trial could not be written down: " + failure);
+            undo(nowMs, "the trial could not be written down: " + failure);
             return;
         }
         phase = Phase.PREPARING;
         actions.prepare(version);
     }
 
-    /** A version is prepared, or {@code failure} says why not. */
-    public void prepared(double now, int version, String failure) {
+    /** A version is prepared, or its preparation failed with {@code failure}. */
+    public void prepared(double nowMs, int version, String failure) {
         if (phase != Phase.PREPARING || version != candidate) {
             return;
         }
         if (failure != null) {
-            undo(now, failure);
+            undo(nowMs, failure);
             return;
         }
         phase = Phase.TRIAL;
-        deadline = now + terms.confirmWithin();
-        during = new OutcomeShares();
+        deadlineMs = nowMs + terms.confirmWithinMs();
+        trialCounts = new OutcomeCounts();
         guards = List.of(
-                guard(now, Outcome.FAILED, terms.failedRise()), guard(now, Outcome.REFUSED, terms.refusedRise()));
+                guard(nowMs, Outcome.FAILED, terms.maxFailedRise()),
+                guard(nowMs, Outcome.REFUSED, terms.maxRefusedRise()));
         actions.begin(version);
     }
 
-    private ErrorRateGuard guard(double now, Outcome outcome, double rise) {
-        double share = (double) before.of(now, BEFORE, outcome) / Math.max(1, before.all(now, BEFORE));
-        return new ErrorRateGuard(outcome, share, rise, terms.leastCount());
+    private ErrorRateGuard guard(double nowMs, Outcome outcome, double maxRise) {
+        double share = (double) baselineCounts.count(nowMs, BASELINE_SECONDS, outcome)
+                / Math.max(1, baselineCounts.total(nowMs, BASELINE_SECONDS));
+        return new ErrorRateGuard(outcome, share, maxRise, terms.minCount());
     }
 
-    /** The confirmation of a version is on disk, or {@code failure} says why not. */
-    public void written(double now, int version, String failure) {
+    /** The confirmation of a version is on disk, or the write failed with {@code failure}. */
+    public void confirmationWritten(double nowMs, int version, String failure) {
         if (phase != Phase.CONFIRMING || version != candidate) {
             return;
         }
         if (failure != null) {
-            undo(now, "the confirmation could not be written down: " + failure);
+            undo(nowMs, "the confirmation could not be written down: " + failure);
             return;
         }
-        int old = confirmed;
+        int previous = confirmed;
         confirmed = version;
-        end(new Past(version, now, true, ""));
-        actions.keep(version, old);
+        finish(new FinishedChange(version, nowMs, true, ""));
+        actions.releasePrevious(version, previous);
     }
 
-    /** A part of the version under way has failed by itself. */
-    public void partFailed(double now, int version, String reason) {
+    /** The version that is being prepared or on trial has failed. */
+    public void versionFailed(double nowMs, int version, String reason) {
         if (version == candidate && (phase == Phase.PREPARING || phase == Phase.TRIAL)) {
-            undo(now, reason);
+            undo(nowMs, reason);
         }
     }
 
-    /** An answer was given to a request that had arrived under a version. */
-    public void answered(double now, int version, Outcome outcome) {
+    /** A response was sent to a request that was received under a version. */
+    public void responseSent(double nowMs, int version, Outcome outcome) {
         if (phase == Phase.TRIAL && version == candidate) {
-            during.count(now, outcome);
+            trialCounts.record(nowMs, outcome);
         } else if (version == confirmed) {
-            before.count(now, outcome);
+            baselineCounts.record(nowMs, outcome);
         }
     }
 
-    /** Time has passed: to be called some times a second while a change is under way. */
-    public void tick(double now) {
+    /** Checks deadlines and shares; to be called several times a second while a change is in progress. */
+    public void tick(double nowMs) {
         if (phase == Phase.MARKING || phase == Phase.PREPARING) {
-            if (now >= deadline) {
-                undo(now, "it was not ready within " + (long) terms.readyWithin() + " ms");
+            if (nowMs >= deadlineMs) {
+                undo(nowMs, "it was not ready within " + (long) terms.readyWithinMs() + " ms");
             }
             return;
         }
@@ -288,66 +291,66 @@
             return;
         }
         for (ErrorRateGuard guard : guards) {
-            String reason = guard.check(now, during);
+            String reason = guard.check(nowMs, trialCounts);
             if (reason != null) {
-                undo(now, reason);
+                undo(nowMs, reason);
                 return;
             }
         }
-        if (now >= deadline) {
+        if (nowMs >= deadlineMs) {
             if (terms.automatic()) {
-                confirm(now, candidate);
+                confirm(nowMs, candidate);
             } else {
-                undo(now, "nobody confirmed it within " + (long) terms.confirmWithin() + " ms");
+                undo(nowMs, "nobody confirmed it within " + (long) terms.confirmWithinMs() + " ms");
             }
         }
     }
 
-    private void undo(double now, String reason) {
+    private void undo(double nowMs, String reason) {
         int version = candidate;
-        end(new Past(version, now, false, reason));
+        finish(new FinishedChange(version, nowMs, false, reason));
         actions.undo(version, confirmed, reason);
     }
 
-    private void end(Past how) {
+    private void finish(FinishedChange change) {
         phase = Phase.NONE;
         candidate = 0;
         guards = List.of();
-        past.addLast(how);
-        if (past.size() > MAX_PAST) {
-            past.removeFirst();
+        history.addLast(change);
+        if (history.size() > MAX_HISTORY) {
+            history.removeFirst();
         }
     }
 
-    // ---- What operators see -------------------------------------------------------------------------
+    // ---- Status -------------------------------------------------------------------------------------
 
-    /** What stage the change is in. */
+    /** The phase of the current change. */
     public Phase phase() {
         return phase;
     }
 
-    /** The version to which an undoing leads. */
+    /** The confirmed version, which a rollback restores. */
     public int confirmed() {
         return confirmed;
     }
 
-    /** The version under way; 0 for none. */
+    /** The version of the current change; 0 for none. */
     public int candidate() {
         return candidate;
     }
 
-    /** When the present phase ends by itself, in ms. */
-    public double deadline() {
-        return deadline;
+    /** The time at which the current phase times out. */
+    public double deadlineMs() {
+        return deadlineMs;
     }
 
-    /** Staged versions and what each is based on. */
+    /** The staged versions, each with its base. */
     public Map<Integer, Integer> stagedVersions() {
         return Map.copyOf(staged);
     }
 
-    /** Ended changes, the oldest first. */
-    public List<Past> past() {
-        return new ArrayList<>(past);
+    /** The finished changes, the oldest first. */
+    public List<FinishedChange> history() {
+        return new ArrayList<>(history);
     }
 }
--- a/src/main/java/sablehinge/gateway/rollout/package-info.java
+++ b/src/main/java/sablehinge/gateway/rollout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decides whether a change of the configuration is kept or undone, by the share of answers that failed. It decides
- * only.
+ * Decides whether a configuration change is confirmed or rolled back, by the share of failed and refused responses. The
+ * decisions are carried out elsewhere.
  */
 package sablehinge.gateway.rollout;
--- a/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
+++ b/src/test/java/sablehinge/gateway/rollout/ChangeDeciderPropertyTest.java
@@ -11,15 +11,15 @@
 import net.jqwik.api.Tuple;
 import org.junit.jupiter.api.Assertions;
 import sablehinge.gateway.rollout.ChangeDecider.Phase;
-import sablehinge.gateway.rollout.ChangeDecider.Terms;
-import sablehinge.gateway.rollout.OutcomeShares.Outcome;
+import sablehinge.gateway.rollout.ChangeDecider.TrialTerms;
+import sablehinge.gateway.rollout.OutcomeCounts.Outcome;
 
-/** Any events in any order; jqwik prints the seed and the shortest story of a failure. */
+/** Random sequences of events; on failure, jqwik prints the seed and the shrunk sequence. */
 class ChangeDeciderPropertyTest {
 
-    private static final Terms TERMS = new Terms(30_000, 5_000, 0.1, 0.3, 20, false);
+    private static final TrialTerms TERMS = new TrialTerms(30_000, 5_000, 0.1, 0.3, 20, false);
 
-    /** What can happen. */
+    /** The kinds of events. */
     private enum Kind {
         STAGE,
         APPLY,
@@ -34,29 +34,35 @@
         ANSWERS
     }
 
-    /** One event: ms after the one before, the version it names (0 for the one under way), how it went. */
-    private record Event(Kind kind, int after, int version, boolean fails) {}
-
-    /** Follows what is requested, and holds it against what may be. */
-    private static final class Follower implements ChangeDecider.Actions {
+    /**
+     * One event.
+     *
+     * @param delayMs time since the previous event
+     * @param version the version that the event names; 0 for the candidate
+     * @param fails whether the operation fails
+     */
+    private record Event(Kind kind, int delayMs, int version, boolean fails) {}
+
+    /** Checks that each action is legal in the current step. */
+    private static final class ActionChecker implements ChangeDecider.Actions {
         ChangeDecider decider;
         int serving = 1;
-        int begun;
-        int ended;
-        /** Whether the confirmation has just failed to be written: else an undoing could belie the disk. */
-        boolean unwritten;
+        int startedChanges;
+        int finishedChanges;
+        /** Whether the write of the confirmation has just failed; otherwise a rollback would contradict the disk. */
+        boolean confirmationWriteFailed;
 
         private String step = "";
 
-        private void expect(String wanted, String next) {
-            Assertions.assertEquals(wanted, step, next);
+        private void expect(String expected, String next) {
+            Assertions.assertEquals(expected, step, next);
             step = next;
         }
 
         @Override
         public void mark(int version) {
             expect("", "marking");
-            begun++;
+            startedChanges++;
         }
 
         @Override
@@ -76,26 +82,28 @@
         }
 
         @Override
-        public void undo(int version, int to, String reason) {
+        public void undo(int version, int restored, String reason) {
             Assertions.assertFalse(step.isEmpty() || reason.isEmpty());
-            Assertions.assertTrue(unwritten || !step.equals("confirming"), "undone while it is confirmed");
-            Assertions.assertEquals(decider.confirmed(), to);
-            Assertions.assertTrue(serving == to || serving == version);
+            Assertions.assertTrue(
+                    confirmationWriteFailed || !step.equals("confirming"),
+                    "rolled back after its confirmation was written");
+            Assertions.assertEquals(decider.confirmed(), restored);
+            Assertions.assertTrue(serving == restored || serving == version);
             step = "";
-            serving = to;
-            ended++;
+            serving = restored;
+            finishedChanges++;
         }
 
         @Override
-        public void keep(int version, int before) {
+        public void releasePrevious(int version, int previous) {
             expect("confirming", "");
             Assertions.assertEquals(version, serving);
-            ended++;
+            finishedChanges++;
         }
     }
 
     @Provide
-    Arbitrary<List<Event>> stories() {
+    Arbitrary<List<Event>> eventSequences() {
         return Combinators.combine(
                         Arbitraries.of(Kind.class),
                         Arbitraries.integers().between(0, 2_000),
@@ -109,52 +117,57 @@
     }
 
     @Property(tries = 3_000)
-    void everyChangeEndsOnceAndWhatServesIsWhatWasBegun(@ForAll("stories") List<Event> story) {
-        Follower follower = new Follower();
-        ChangeDecider decider = new ChangeDecider(1, follower);
-        follower.decider = decider;
-        double now = 0;
+    void everyChangeFinishesOnceAndServingVersionMatchesPhase(@ForAll("eventSequences") List<Event> events) {
+        ActionChecker checker = new ActionChecker();
+        ChangeDecider decider = new ChangeDecider(1, checker);
+        checker.decider = decider;
+        double nowMs = 0;
         int next = 2;
-        List<Integer> kept = new ArrayList<>(List.of(1));
-        for (Event event : story) {
-            now += event.after();
+        List<Integer> confirmedVersions = new ArrayList<>(List.of(1));
+        for (Event event : events) {
+            nowMs += event.delayMs();
             int version = event.version() == 0 ? decider.candidate() : event.version();
             String failure = event.fails() ? "broke" : null;
             int confirmed = decider.confirmed();
-            follower.unwritten = event.kind() == Kind.WRITTEN && event.fails();
+            checker.confirmationWriteFailed = event.kind() == Kind.WRITTEN && event.fails();
             switch (event.kind()) {
                 case STAGE -> {
-                    if (decider.mayStage(event.fails() ? version : confirmed).done()) {
+                    if (decider.checkStaging(event.fails() ? version : confirmed)
+                            .accepted()) {
                         decider.staged(next++, confirmed);
                     }
                 }
-                case APPLY -> decider.apply(now, event.fails() ? version : next - 1, TERMS);
+                case APPLY -> decider.apply(nowMs, event.fails() ? version : next - 1, TERMS);
                 case DROP -> decider.drop(version);
-                case MARKED -> decider.marked(now, version, failure);
-                case PREPARED -> decider.prepared(now, version, failure);
-                case CONFIRM -> decider.confirm(now, event.version());
-                case WRITTEN -> decider.written(now, version, failure);
-                case ROLLBACK -> decider.rollback(now);
-                case PART_FAILED -> decider.partFailed(now, version, "broke");
-                case TICK -> decider.tick(now);
+                case MARKED -> decider.marked(nowMs, version, failure);
+                case PREPARED -> decider.prepared(nowMs, version, failure);
+                case CONFIRM -> decider.confirm(nowMs, event.version());
+                case WRITTEN -> decider.confirmationWritten(nowMs, version, failure);
+                case ROLLBACK -> decider.rollback(nowMs);
+                case PART_FAILED -> decider.versionFailed(nowMs, version, "broke");
+                case TICK -> decider.tick(nowMs);
                 default -> {
                     for (int i = 0; i < 40; i++) {
-                        decider.answered(now, follower.serving, event.fails() ? Outcome.FAILED : Outcome.SERVED);
+                        decider.responseSent(nowMs, checker.serving, event.fails() ? Outcome.FAILED : Outcome.SERVED);
                     }
                 }
             }
             if (decider.confirmed() != confirmed) {
-                kept.add(decider.confirmed());
+                confirmedVersions.add(decider.confirmed());
             }
             boolean onTrial = decider.phase() == Phase.TRIAL || decider.phase() == Phase.CONFIRMING;
-            Assertions.assertEquals(onTrial ? decider.candidate() : decider.confirmed(), follower.serving);
-            Assertions.assertEquals(follower.begun - follower.ended, decider.phase() == Phase.NONE ? 0 : 1);
+            Assertions.assertEquals(onTrial ? decider.candidate() : decider.confirmed(), checker.serving);
+            Assertions.assertEquals(
+                    checker.startedChanges - checker.finishedChanges, decider.phase() == Phase.NONE ? 0 : 1);
             Assertions.assertTrue(decider.stagedVersions().size() <= ChangeDecider.MAX_STAGED);
         }
-        Assertions.assertEquals(kept.stream().distinct().count(), kept.size(), "a version was confirmed twice");
-        // Left to itself, what is under way and waits for nobody ends.
-        Phase left = decider.phase();
-        decider.tick(now + 30_000);
-        Assertions.assertTrue(left == Phase.CONFIRMING || decider.phase() == Phase.NONE);
+        Assertions.assertEquals(
+                confirmedVersions.stream().distinct().count(),
+                confirmedVersions.size(),
+                "a version was confirmed twice");
+        // Without further events, a change that does not wait for the disk times out.
+        Phase phaseBeforeTimeout = decider.phase();
+        decider.tick(nowMs + 30_000);
+        Assertions.assertTrue(phaseBeforeTimeout == Phase.CONFIRMING || decider.phase() == Phase.NONE);
     }
 }
