--- a/src/main/java/sablehinge/gateway/admin/AdminServer.java
+++ b/src/main/java/sablehinge/gateway/admin/AdminServer.java
@@ -38,43 +38,43 @@
 import java.util.function.Consumer;
 
 /**
- * Lets operators in: HTTP/1.1 with JSON, one request a connection, on a Unix socket that only its owner may open or on
- * a loopback port for those who know a token. Connections, bodies and waiting are bounded.
+ * The admin server: HTTP/1.1 with JSON, one request per connection, on a Unix socket that only its owner may open or on
+ * a loopback port with a bearer token. The number of connections, the size of bodies and the read time are limited.
  */
 public final class AdminServer {
 
     private static final JsonMapper JSON = new JsonMapper();
     private static final int MAX_CONNECTIONS = 16;
-    private static final int MAX_BYTES = (1 << 20) + 1;
+    private static final int MAX_BODY_BYTES = (1 << 20) + 1;
     private static final int TIMEOUT_S = 60;
 
-    /** Does what operators ask for; called on the loop. */
+    /** Handles requests of operators; called on the event loop. */
     public interface Handler {
 
-        /** Answers a request once, now or later, on the loop. */
+        /** Handles a request; {@code reply} must be called once, immediately or later, on the event loop. */
         void handle(Request request, Consumer<Reply> reply);
     }
 
-    /** A request; the query's last value counts where a name is repeated. */
+    /** A request; the last value of a repeated query parameter applies. */
     public record Request(String method, String path, Map<String, String> query, byte[] body) {}
 
-    /** An answer: an HTTP status and what to say. */
+    /** A response: an HTTP status and a JSON body. */
     public record Reply(int status, JsonNode body) {}
 
     private final EventLoop loop;
     private final Handler handler;
     private final byte[] token;
-    private int open;
+    private int openConnections;
     private Channel channel;
 
-    /** An admin listener on a loop; {@code token} is null where the socket's permissions guard it. */
+    /** Creates a server; {@code token} is null if the permissions of the Unix socket protect it. */
     public AdminServer(EventLoop loop, Handler handler, String token) {
         this.loop = loop;
         this.handler = handler;
         this.token = token == null ? null : ("Bearer " + token).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Listens on a Unix socket; one left behind there is replaced, so whoever calls must own the place. */
+    /** Listens on a Unix socket. A leftover socket file is replaced, so the process must own the path exclusively. */
     public void bind(Path socket) throws IOException, InterruptedException {
         Files.deleteIfExists(socket);
         try {
@@ -88,7 +88,7 @@
     /** Listens on a loopback port. */
     public void bind(InetSocketAddress address) throws IOException, InterruptedException {
         if (token == null) {
-            throw new IllegalStateException("a port without a token");
+            throw new IllegalStateException("a TCP port requires a token");
         }
         listen(NioServerSocketChannel.class, address);
     }
@@ -114,43 +114,44 @@
     }
 
     private void admit(Channel child) {
-        if (open >= MAX_CONNECTIONS) {
+        if (openConnections >= MAX_CONNECTIONS) {
             child.close();
             return;
         }
-        open++;
-        child.closeFuture().addListener(closed -> open--);
+        openConnections++;
+        child.closeFuture().addListener(closed -> openConnections--);
         child.pipeline()
                 .addLast(
                         new ReadTimeoutHandler(TIMEOUT_S, TimeUnit.SECONDS),
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(MAX_BYTES),
-                        new Requests());
+                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                        new RequestHandler());
     }
 
-    /** Where it listens. */
+    /** The address of the listener. */
     public SocketAddress address() {
         return channel.localAddress();
     }
 
-    /** Lets nobody in any more. */
+    /** Closes the listener; open connections remain. */
     public void close() {
         channel.close();
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
             if (!message.decoderResult().isSuccess()) {
-                answer(ctx, error(400, "no HTTP/1.1 request"));
+                send(ctx, error(400, "no HTTP/1.1 request"));
                 return;
             }
-            String given = message.headers().get("Authorization");
-            // Compared in constant time: how far a guess is right must not show.
+            String authorization = message.headers().get("Authorization");
+            // Compared in constant time, so that the time does not reveal how much of a guess is correct.
             if (token != null
-                    && !MessageDigest.isEqual(token, (given == null ? "" : given).getBytes(StandardCharsets.UTF_8))) {
-                answer(ctx, error(401, "the token is another"));
+                    && !MessageDigest.isEqual(
+                            token, (authorization == null ? "" : authorization).getBytes(StandardCharsets.UTF_8))) {
+                send(ctx, error(401, "the token is another"));
                 return;
             }
             QueryStringDecoder target = new QueryStringDecoder(message.uri());
@@ -158,7 +159,7 @@
             target.parameters().forEach((name, values) -> query.put(name, values.get(values.size() - 1)));
             handler.handle(
                     new Request(message.method().name(), target.path(), query, ByteBufUtil.getBytes(message.content())),
-                    reply -> answer(ctx, reply));
+                    reply -> send(ctx, reply));
         }
 
         @Override
@@ -167,12 +168,12 @@
         }
     }
 
-    /** An answer that says why not. */
+    /** Creates an error response. */
     public static Reply error(int status, String message) {
         return new Reply(status, JSON.createObjectNode().put("error", message));
     }
 
-    private static void answer(ChannelHandlerContext ctx, Reply reply) {
+    private static void send(ChannelHandlerContext ctx, Reply reply) {
         byte[] body = (reply.body().toPrettyString() + "\n").getBytes(StandardCharsets.UTF_8);
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(body));
--- a/src/main/java/sablehinge/gateway/admin/CallServer.java
+++ b/src/main/java/sablehinge/gateway/admin/CallServer.java
@@ -24,40 +24,40 @@
 import java.util.function.Function;
 
 /**
- * Takes operators' calls, one line a connection, and answers each with a line. Whoever connects and doesn't finish a
- * line holds up nobody: connections are bounded in number (the oldest gives way), bytes and time.
+ * Serves operator commands: one line per connection, answered with one line. Clients that do not complete a line can't
+ * block others: connections are limited in number (the oldest one is closed), bytes and time.
  */
 public final class CallServer {
 
-    /** Few enough for the descriptors that a process keeps for itself. */
+    /** Few enough for the file descriptors that a process reserves for itself. */
     static final int MAX_CONNECTIONS = 16;
-    /** Bytes of a line, its end included. */
-    static final int MAX_BYTES = 512;
+    /** The maximum length of a line, including its end. */
+    static final int MAX_LINE_BYTES = 512;
 
     private static final long TIMEOUT_S = 15;
-    /** How long a caller that has its answer may take to close. */
+    /** The time within which a client must close the connection after the response. */
     private static final long LINGER_MS = 500;
 
     private final EventLoop loop;
-    private final ByteBufAllocator memory;
-    private final Function<String, String> answers;
-    private final Set<Channel> open = new LinkedHashSet<>();
+    private final ByteBufAllocator allocator;
+    private final Function<String, String> handler;
+    private final Set<Channel> openChannels = new LinkedHashSet<>();
     private Channel channel;
 
-    /** A server on a loop; {@code answers} makes a line of a line, on the loop. */
-    public CallServer(EventLoop loop, ByteBufAllocator memory, Function<String, String> answers) {
+    /** Creates a server; {@code handler} returns the response line for a request line, on the event loop. */
+    public CallServer(EventLoop loop, ByteBufAllocator allocator, Function<String, String> handler) {
         this.loop = loop;
-        this.memory = memory;
-        this.answers = answers;
+        this.allocator = allocator;
+        this.handler = handler;
     }
 
-    /** Listens at an address; waits until it does. */
+    /** Listens at an address; returns once the listener is bound. */
     public void bind(InetSocketAddress address) throws IOException, InterruptedException {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.ALLOCATOR, memory)
+                .childOption(ChannelOption.ALLOCATOR, allocator)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -74,37 +74,37 @@
         channel = bound.channel();
     }
 
-    /** Where it listens. */
+    /** The address of the listener. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
     private void admit(Channel child) {
-        if (open.size() >= MAX_CONNECTIONS) {
-            open.iterator().next().close();
+        if (openChannels.size() >= MAX_CONNECTIONS) {
+            openChannels.iterator().next().close();
         }
-        open.add(child);
-        child.closeFuture().addListener(closed -> open.remove(child));
-        child.pipeline().addLast(new Line());
+        openChannels.add(child);
+        child.closeFuture().addListener(closed -> openChannels.remove(child));
+        child.pipeline().addLast(new LineHandler());
         loop.schedule(() -> child.close(), TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Gathers the line of a connection. */
-    private final class Line extends ChannelInboundHandlerAdapter {
+    /** Reads the line of a connection. */
+    private final class LineHandler extends ChannelInboundHandlerAdapter {
 
-        private final ByteBuf line = Unpooled.buffer(0, MAX_BYTES);
-        private boolean over;
+        private final ByteBuf line = Unpooled.buffer(0, MAX_LINE_BYTES);
+        private boolean finished;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             try {
-                while (!over && bytes.isReadable()) {
+                while (!finished && bytes.isReadable()) {
                     byte next = bytes.readByte();
                     if (next == '\n') {
-                        answer(ctx);
-                    } else if (line.readableBytes() + 1 >= MAX_BYTES) {
-                        say(ctx, "fail the line is too long");
+                        handleLine(ctx);
+                    } else if (line.readableBytes() + 1 >= MAX_LINE_BYTES) {
+                        respond(ctx, "fail the line is too long");
                     } else {
                         line.writeByte(next);
                     }
@@ -114,31 +114,31 @@
             }
         }
 
-        /** A caller that ends its sending has ended its line. */
+        /** The end of the input also ends the line. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event == ChannelInputShutdownEvent.INSTANCE) {
-                if (over || !line.isReadable()) {
+                if (finished || !line.isReadable()) {
                     ctx.close();
                 } else {
-                    answer(ctx);
+                    handleLine(ctx);
                 }
             }
         }
 
-        private void answer(ChannelHandlerContext ctx) {
+        private void handleLine(ChannelHandlerContext ctx) {
             String text = line.toString(StandardCharsets.UTF_8).strip();
-            String answer;
+            String response;
             try {
-                answer = answers.apply(text);
+                response = handler.apply(text);
             } catch (RuntimeException e) {
-                answer = "fail " + e.getMessage();
+                response = "fail " + e.getMessage();
             }
-            say(ctx, answer.replaceAll("\\p{Cntrl}", "?"));
+            respond(ctx, response.replaceAll("\\p{Cntrl}", "?"));
         }
 
-        private void say(ChannelHandlerContext ctx, String text) {
-            over = true;
+        private void respond(ChannelHandlerContext ctx, String text) {
+            finished = true;
             ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8))
                     .addListener((ChannelFutureListener) written -> {
                         if (ctx.channel().isActive()) {
