--- a/src/main/java/sablehinge/gateway/discovery/Discovery.java
+++ b/src/main/java/sablehinge/gateway/discovery/Discovery.java
@@ -33,152 +33,159 @@
 import sablehinge.policy.LoadBalancer.Change;
 
 /**
- * Asks discovery for the list of upstreams and watches its changes. Whatever goes wrong with a call, a garbled answer
- * or none at all, is {@link Change#FAILED} once, and the old list holds; when to ask again is the module's decision.
+ * Fetches the roster of upstreams from discovery and watches its changes. Any failure of a call, such as a malformed or
+ * missing response, is reported once as {@link Change#FAILED}, and the old roster remains valid; the module decides
+ * when to retry.
  */
 public final class Discovery implements Registry {
 
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
     private static final JsonMapper JSON = new JsonMapper();
-    private static final int MAX_LIST = 4 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** How long a watch may wait for an update: each new call costs discovery work. */
-    public static final int WATCH_MS = 20_000;
-    /** How long after that an answer may still be under way; what was not received by then counts as received. */
-    private static final int LATE_MS = 1_500;
-    /** The version of a list from a discovery that has sent nothing yet. */
-    private static final long UNTOLD = -1;
+    /** How long a watch call waits for an update; shorter waits would cause more load at discovery. */
+    public static final int WATCH_WAIT_MS = 20_000;
+    /** How long after that wait a response may still arrive before the call fails. */
+    private static final int RESPONSE_GRACE_MS = 1_500;
+    /** The version before the first response of a discovery. */
+    private static final long NO_VERSION = -1;
 
-    /** Who is notified of the list. */
+    /** Receives the updates of the roster. */
     public interface Listener {
 
-        /** An update; the roster is null if the call failed. */
+        /** Receives an update; the roster is null if the call failed. */
         void onRosterChanged(Change change, Roster roster);
     }
 
     private final EventLoop loop;
     private final RosterParser parser;
     private final Listener listener;
-    private final int watchMillis;
+    private final int watchWaitMs;
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
     private long version;
     private boolean watching;
-    /** The watch's connection, kept from call to call, and its call that is out. */
-    private Channel kept;
+    /** The connection of the watch, reused by its calls, and the current call. */
+    private Channel watchConnection;
 
-    private Call watch;
+    private Call watchCall;
 
     /**
-     * Discovery at an address, on the given loop.
+     * Creates a client of the discovery at an address.
      *
-     * @param known the version of the list that the listener has already
-     * @param watchMillis how long a watch waits for an update, in ms
+     * @param known the version of the roster that the listener already has
+     * @param watchWaitMs how long a watch call waits for an update
      */
     public Discovery(
             EventLoop loop,
             InetSocketAddress address,
             long known,
             RosterParser parser,
-            ByteBufAllocator memory,
+            ByteBufAllocator allocator,
             Listener listener,
-            int watchMillis) {
+            int watchWaitMs) {
         this.loop = loop;
         this.parser = parser;
         this.listener = listener;
-        this.watchMillis = watchMillis;
+        this.watchWaitMs = watchWaitMs;
         this.address = address;
         version = known;
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, memory)
+                .option(ChannelOption.ALLOCATOR, allocator)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Answers());
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        new ResponseHandler());
                     }
                 });
     }
 
     /**
-     * Begins the watch, or ends it. One that is out ends quietly, and the new one goes over a connection of its own:
-     * nothing but a missing answer tells a dead connection from one without updates.
+     * Starts or stops the watch. A pending call is cancelled without a report, and the new watch uses a new connection:
+     * only a missing response distinguishes a dead connection from one without updates.
      */
     @Override
     public void watch(boolean on) {
         watching = on;
-        if (watch != null) {
-            watch.abandon();
-            watch = null;
+        if (watchCall != null) {
+            watchCall.cancel();
+            watchCall = null;
         }
         if (on) {
-            watchOn();
+            startWatchCall();
         }
     }
 
     /**
-     * Goes over to another discovery. The call that is out there ends quietly, as nothing has failed, and the new one
-     * is requested its complete list at once: its versions need not go on from the old one's.
+     * Switches to another discovery. The pending call is cancelled without a report, as nothing has failed, and the
+     * complete roster is requested at once: the versions of the new discovery may be unrelated to those of the old one.
      */
-    public void moveTo(InetSocketAddress other) {
-        if (other.equals(address)) {
+    public void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = other;
-        version = UNTOLD;
-        if (watch != null) {
-            watch.abandon();
-            watch = null;
+        address = newAddress;
+        version = NO_VERSION;
+        if (watchCall != null) {
+            watchCall.cancel();
+            watchCall = null;
         }
-        if (kept != null) {
-            kept.close();
-            kept = null;
+        if (watchConnection != null) {
+            watchConnection.close();
+            watchConnection = null;
         }
         if (watching) {
-            watchOn();
+            startWatchCall();
         }
     }
 
-    private void watchOn() {
-        watch = version == UNTOLD
-                ? new Call("", CONNECT_TIMEOUT_MS + LATE_MS, this::watched)
-                : new Call("?index=" + version + "&wait=" + watchMillis, watchMillis + LATE_MS, this::watched);
-        watch.start(kept);
+    private void startWatchCall() {
+        watchCall = version == NO_VERSION
+                ? new Call("", CONNECT_TIMEOUT_MS + RESPONSE_GRACE_MS, this::onWatchResult)
+                : new Call(
+                        "?index=" + version + "&wait=" + watchWaitMs,
+                        watchWaitMs + RESPONSE_GRACE_MS,
+                        this::onWatchResult);
+        watchCall.start(watchConnection);
     }
 
-    private void watched(Roster roster) {
-        kept = roster == null ? null : watch.channel;
-        watch = null;
-        // Changes say nothing of the rest to somebody who has no list of that discovery.
-        tell(roster != null && (version != UNTOLD || roster.full()) ? roster : null);
-        // The watch goes on only if its next call comes soon, so it must not wait for the module.
-        if (roster != null && watching && watch == null) {
-            watchOn();
+    private void onWatchResult(Roster roster) {
+        watchConnection = roster == null ? null : watchCall.channel;
+        watchCall = null;
+        // A delta is useless without a complete roster of the same discovery.
+        notifyListener(roster != null && (version != NO_VERSION || roster.full()) ? roster : null);
+        // The next call of a watch must follow immediately, so it does not wait for the module.
+        if (roster != null && watching && watchCall == null) {
+            startWatchCall();
         }
     }
 
     @Override
     public void fetch() {
-        Call call = new Call("", CONNECT_TIMEOUT_MS + LATE_MS, null);
-        call.end = roster -> fetched(call, roster);
+        Call call = new Call("", CONNECT_TIMEOUT_MS + RESPONSE_GRACE_MS, null);
+        call.callback = roster -> onFetchResult(call, roster);
         call.start(null);
     }
 
-    private void fetched(Call call, Roster roster) {
-        // Nobody asks on this connection again; left open, it would cost a descriptor for good.
+    private void onFetchResult(Call call, Roster roster) {
+        // The connection is not reused; left open, it would occupy a file descriptor permanently.
         if (call.channel != null) {
             call.channel.close();
         }
-        // Changes are no answer to a call for the complete list.
-        tell(roster != null && roster.full() ? roster : null);
+        // A delta is not a valid response to a request for the complete roster.
+        notifyListener(roster != null && roster.full() ? roster : null);
     }
 
-    /** A list that its listener can't take must not end the watch for good: it counts as a failed call. */
-    private void tell(Roster roster) {
+    /** Notifies the listener. A roster that it can't apply counts as a failed call, so that the watch continues. */
+    private void notifyListener(Roster roster) {
         if (roster == null) {
             listener.onRosterChanged(Change.FAILED, null);
             return;
@@ -187,47 +194,47 @@
             listener.onRosterChanged(roster.full() ? Change.FULL : Change.DELTA, roster);
             version = roster.version();
         } catch (RuntimeException e) {
-            Log.error(LOG, "list-failed").setCause(e).log("a list of upstreams could not be taken in");
+            Log.error(LOG, "list-failed").setCause(e).log("failed to apply a roster of upstreams");
             listener.onRosterChanged(Change.FAILED, null);
         }
     }
 
-    /** One call; its end is reported once, with null for a failure. */
+    /** One HTTP call; its result is reported once, with null for a failure. */
     private final class Call {
 
         private final String query;
-        private final Future<?> expiry;
-        private Consumer<Roster> end;
+        private final Future<?> timeoutTask;
+        private Consumer<Roster> callback;
         private Channel channel;
-        private boolean over;
+        private boolean finished;
 
-        Call(String query, long timeout, Consumer<Roster> end) {
+        Call(String query, long timeoutMs, Consumer<Roster> callback) {
             this.query = query;
-            this.end = end;
-            expiry = loop.schedule(this::fail, timeout, TimeUnit.MILLISECONDS);
+            this.callback = callback;
+            timeoutTask = loop.schedule(this::fail, timeoutMs, TimeUnit.MILLISECONDS);
         }
 
-        /** Asks over the given connection if it still stands, otherwise over a new one. */
+        /** Sends the request on the given connection if it is still active, otherwise on a new one. */
         private void start(Channel connection) {
             if (connection != null && connection.isActive()) {
-                ask(connection);
+                send(connection);
                 return;
             }
-            bootstrap.connect(address).addListener((io.netty.channel.ChannelFuture up) -> {
-                channel = up.channel();
-                if (over) {
+            bootstrap.connect(address).addListener((io.netty.channel.ChannelFuture connected) -> {
+                channel = connected.channel();
+                if (finished) {
                     channel.close();
-                } else if (up.isSuccess()) {
-                    ask(channel);
+                } else if (connected.isSuccess()) {
+                    send(channel);
                 } else {
                     fail();
                 }
             });
         }
 
-        private void ask(Channel connection) {
+        private void send(Channel connection) {
             channel = connection;
-            channel.pipeline().get(Answers.class).requested = this;
+            channel.pipeline().get(ResponseHandler.class).pendingCall = this;
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, HttpMethod.GET, "/catalog/members" + query, Unpooled.EMPTY_BUFFER);
             request.headers().set("Host", address.getHostString());
@@ -238,41 +245,41 @@
             });
         }
 
-        private void abandon() {
-            over = true;
-            expiry.cancel(false);
+        private void cancel() {
+            finished = true;
+            timeoutTask.cancel(false);
             if (channel != null) {
                 channel.close();
             }
         }
 
         private void fail() {
-            if (!over) {
-                abandon();
-                end.accept(null);
+            if (!finished) {
+                cancel();
+                callback.accept(null);
             }
         }
 
-        private void answered(FullHttpResponse response) {
-            if (over) {
+        private void onResponse(FullHttpResponse response) {
+            if (finished) {
                 return;
             }
             Roster roster;
             try {
-                roster = read(response);
+                roster = parse(response);
             } catch (IOException | IllegalArgumentException e) {
                 Log.warn(LOG, "list-malformed")
                         .addKeyValue("cause", e.getMessage())
-                        .log("discovery's answer is of no use: {}", e.getMessage());
+                        .log("invalid response of discovery: {}", e.getMessage());
                 fail();
                 return;
             }
-            over = true;
-            expiry.cancel(false);
-            end.accept(roster);
+            finished = true;
+            timeoutTask.cancel(false);
+            callback.accept(roster);
         }
 
-        private Roster read(FullHttpResponse response) throws IOException {
+        private Roster parse(FullHttpResponse response) throws IOException {
             if (!response.decoderResult().isSuccess() || response.status().code() != 200) {
                 throw new IOException("status " + response.status().code());
             }
@@ -282,27 +289,27 @@
         }
     }
 
-    /** Hands what comes on a connection to the call that waits for it. */
-    private static final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Passes the responses of a connection to the pending call. */
+    private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
-        private Call requested;
+        private Call pendingCall;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Call call = requested;
-            requested = null;
+            Call call = pendingCall;
+            pendingCall = null;
             if (call == null || !HttpUtil.isKeepAlive(response)) {
                 ctx.close();
             }
             if (call != null) {
-                call.answered(response);
+                call.onResponse(response);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (requested != null) {
-                requested.fail();
+            if (pendingCall != null) {
+                pendingCall.fail();
             }
             ctx.fireChannelInactive();
         }
@@ -314,8 +321,8 @@
                         .addKeyValue("cause", cause.toString())
                         .log("the connection to discovery failed: {}", cause.toString());
             }
-            if (requested != null) {
-                requested.fail();
+            if (pendingCall != null) {
+                pendingCall.fail();
             }
             ctx.close();
         }
--- a/src/main/java/sablehinge/gateway/discovery/Maintenance.java
+++ b/src/main/java/sablehinge/gateway/discovery/Maintenance.java
@@ -12,105 +12,108 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * Which upstreams operators have taken out, over what discovery says. One that is out is passed on as draining, so that
- * the rule on drains holds for it; one that is back counts as started when it came back, unless discovery knows of a
- * start since it was taken out. It has no clock and does no I/O.
+ * Applies operator suspensions to the rosters of discovery. A suspended upstream is reported as draining, so that the
+ * rules for draining upstreams apply. A restored upstream is reported as started at the time of its restoration, unless
+ * discovery reports a later start than its suspension. This class has no clock and does no I/O.
  */
 public final class Maintenance {
 
-    /** Upstreams that may be out at once: more than any list has, and a bound all the same. */
-    static final int MAX_OUT = 10_000;
+    /** The maximum number of suspended upstreams: larger than any roster, to bound memory. */
+    static final int MAX_SUSPENDED = 10_000;
 
-    /** The list as discovery has it. */
+    /** The roster of discovery. */
     private final Map<Long, Member> listed = new LinkedHashMap<>();
-    /** Who is out, and since when (ms of the clock). */
-    private final Map<Long, Double> out = new HashMap<>();
-    /** Who came back without a start that discovery knows of. */
-    private final Map<Long, Stay> back = new HashMap<>();
+    /** The suspended upstreams, each with the time of its suspension in ms. */
+    private final Map<Long, Double> suspended = new HashMap<>();
+    /** Restored upstreams without a later start reported by discovery. */
+    private final Map<Long, Suspension> restored = new HashMap<>();
 
     private long version;
 
-    /** A time out that is over, in ms of the clock. */
-    private record Stay(double from, double until) {}
+    /** A finished suspension. */
+    private record Suspension(double suspendedAtMs, double restoredAtMs) {}
 
-    /** Takes in what discovery says; returns what is to be passed on. */
-    public Roster take(Roster changed) {
-        if (changed.full()) {
+    /** Applies an update of discovery; returns the update to report. */
+    public Roster apply(Roster update) {
+        if (update.full()) {
             listed.clear();
         }
-        version = changed.version();
-        List<Member> shown = new ArrayList<>(changed.members().size());
-        for (Member member : changed.members()) {
+        version = update.version();
+        List<Member> reported = new ArrayList<>(update.members().size());
+        for (Member member : update.members()) {
             long id = member.upstream().id();
             if (member.upstream().state() == State.REMOVED) {
                 listed.remove(id);
             } else {
                 listed.put(id, member);
             }
-            shown.add(shown(member));
+            reported.add(withMaintenance(member));
         }
-        return new Roster(changed.version(), changed.full(), shown);
+        return new Roster(update.version(), update.full(), reported);
     }
 
-    /** The complete list as it is to be passed on. */
+    /** The complete roster to report. */
     public Roster complete() {
         return new Roster(
-                version, true, listed.values().stream().map(this::shown).toList());
+                version,
+                true,
+                listed.values().stream().map(this::withMaintenance).toList());
     }
 
-    /** Whether an upstream is listed, or out and so awaited back. */
+    /** Whether an upstream is listed, or suspended and thus expected to return. */
     public boolean knows(long id) {
-        return listed.containsKey(id) || out.containsKey(id);
+        return listed.containsKey(id) || suspended.containsKey(id);
     }
 
-    /** Who is out. */
-    public Set<Long> out() {
-        return Set.copyOf(out.keySet());
+    /** The suspended upstreams. */
+    public Set<Long> suspended() {
+        return Set.copyOf(suspended.keySet());
     }
 
     /**
-     * Takes an upstream out; one that is out stays so.
+     * Suspends an upstream; no effect if it is suspended.
      *
-     * @return what is to be passed on, which may be nothing
-     * @throws IllegalStateException if {@value #MAX_OUT} are out
+     * @return the update to report, which may be empty
+     * @throws IllegalStateException if {@value #MAX_SUSPENDED} are suspended
      */
-    public Roster suspend(long id, double now) {
-        if (out.size() >= MAX_OUT && !out.containsKey(id)) {
-            throw new IllegalStateException(MAX_OUT + " upstreams are out");
+    public Roster suspend(long id, double nowMs) {
+        if (suspended.size() >= MAX_SUSPENDED && !suspended.containsKey(id)) {
+            throw new IllegalStateException(MAX_SUSPENDED + " upstreams are out");
         }
-        return out.putIfAbsent(id, now) == null ? change(id) : nothing();
+        return suspended.putIfAbsent(id, nowMs) == null ? update(id) : emptyUpdate();
     }
 
-    /** Returns an upstream to service; one that is not out stays as it is. Returns what is to be passed on. */
-    public Roster restore(long id, double now) {
-        Double from = out.remove(id);
-        if (from == null) {
-            return nothing();
+    /** Restores an upstream; no effect if it is not suspended. Returns the update to report. */
+    public Roster restore(long id, double nowMs) {
+        Double suspendedAtMs = suspended.remove(id);
+        if (suspendedAtMs == null) {
+            return emptyUpdate();
         }
-        back.put(id, new Stay(from, now));
-        return change(id);
+        restored.put(id, new Suspension(suspendedAtMs, nowMs));
+        return update(id);
     }
 
-    private Roster nothing() {
+    private Roster emptyUpdate() {
         return new Roster(version, false, List.of());
     }
 
-    private Roster change(long id) {
+    private Roster update(long id) {
         Member member = listed.get(id);
-        return member == null ? nothing() : new Roster(version, false, List.of(shown(member)));
+        return member == null ? emptyUpdate() : new Roster(version, false, List.of(withMaintenance(member)));
     }
 
-    private Member shown(Member member) {
+    private Member withMaintenance(Member member) {
         Upstream upstream = member.upstream();
-        Stay stay = back.get(upstream.id());
-        if (stay != null && (upstream.state() == State.REMOVED || upstream.startedAt() >= stay.from())) {
-            back.remove(upstream.id());
-            stay = null;
+        Suspension suspension = restored.get(upstream.id());
+        if (suspension != null
+                && (upstream.state() == State.REMOVED || upstream.startedAt() >= suspension.suspendedAtMs())) {
+            restored.remove(upstream.id());
+            suspension = null;
         }
-        if (upstream.state() == State.READY && out.containsKey(upstream.id())) {
+        if (upstream.state() == State.READY && suspended.containsKey(upstream.id())) {
             return with(member, State.DRAINING, upstream.startedAt());
         }
-        return stay == null ? member : with(member, upstream.state(), stay.until());
+        return suspension == null ? member : with(member, upstream.state(), suspension.restoredAtMs());
     }
 
     private static Member with(Member member, State state, double startedAt) {
--- a/src/main/java/sablehinge/gateway/discovery/RosterParser.java
+++ b/src/main/java/sablehinge/gateway/discovery/RosterParser.java
@@ -12,31 +12,31 @@
 import sablehinge.policy.LoadBalancer.Upstream;
 
 /**
- * Reads lists of upstreams in discovery's form.
+ * Parses rosters of upstreams in the JSON format of discovery.
  *
- * @param zones the names of the zones, by the index that the module uses
- * @param kinds likewise of the machine types
- * @param learns whether a name that is not among them is added to them, to keep its number from then on
+ * @param zones the names of the zones, in the order of their indices
+ * @param kinds the names of the machine types, in the order of their indices
+ * @param learns whether unknown names are added to these lists, which fixes their indices
  */
 public record RosterParser(List<String> zones, List<String> kinds, boolean learns) {
 
-    /** Names that are learnt at most; those beyond share a place. */
+    /** The maximum number of names in a list; all further names share one index. */
     private static final int MAX_NAMES = 1_000;
 
     /**
-     * Reads a list; throws {@link IllegalArgumentException} if any part of it is amiss, since half a list would drop
-     * upstreams that are well.
+     * Parses a roster; throws {@link IllegalArgumentException} if any part of it is invalid, since a partial roster
+     * would drop healthy upstreams.
      */
-    public Roster parse(JsonNode list) {
-        JsonNode servers = list.get("servers");
-        if (servers == null || !servers.isArray() || !list.path("version").isIntegralNumber()) {
-            throw new IllegalArgumentException("a list of upstreams needs a version and servers");
+    public Roster parse(JsonNode roster) {
+        JsonNode servers = roster.get("servers");
+        if (servers == null || !servers.isArray() || !roster.path("version").isIntegralNumber()) {
+            throw new IllegalArgumentException("a roster requires a version and servers");
         }
         List<Member> members = new ArrayList<>(servers.size());
         for (JsonNode entry : servers) {
             members.add(member(entry));
         }
-        return new Roster(list.get("version").longValue(), list.path("full").asBoolean(), members);
+        return new Roster(roster.get("version").longValue(), roster.path("full").asBoolean(), members);
     }
 
     private Member member(JsonNode entry) {
@@ -60,25 +60,25 @@
                 entry.path("weight").asDouble(1),
                 entry.path("started_ms").asDouble(0));
         String address = entry.path("addr").asText("");
-        // Who is gone needs no address.
-        boolean none = address.isEmpty() && state == State.REMOVED;
-        return new Member(upstream, none ? null : Addresses.parse(address));
+        // A removed upstream needs no address.
+        boolean withoutAddress = address.isEmpty() && state == State.REMOVED;
+        return new Member(upstream, withoutAddress ? null : Addresses.parse(address));
     }
 
-    /** The same number for an id at every balancer, as the module's subsets rest on it. */
+    /** The number of an id, equal at every balancer because the subsets of the module depend on it. */
     public static long number(String id) {
-        CRC32C low = new CRC32C();
-        low.update(id.getBytes(StandardCharsets.UTF_8));
-        return (long) id.hashCode() << Integer.SIZE | low.getValue();
+        CRC32C crc = new CRC32C();
+        crc.update(id.getBytes(StandardCharsets.UTF_8));
+        return (long) id.hashCode() << Integer.SIZE | crc.getValue();
     }
 
-    /** A name that the settings lack gets a place behind those that they have. */
+    /** The index of a name; a name that the settings lack gets an index after the known ones. */
     private int index(List<String> names, String name) {
-        int at = names.indexOf(name);
-        if (at < 0 && learns && names.size() < MAX_NAMES) {
+        int index = names.indexOf(name);
+        if (index < 0 && learns && names.size() < MAX_NAMES) {
             names.add(name);
             return names.size() - 1;
         }
-        return at < 0 ? names.size() : at;
+        return index < 0 ? names.size() : index;
     }
 }
--- a/src/main/java/sablehinge/gateway/discovery/package-info.java
+++ b/src/main/java/sablehinge/gateway/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's discovery: list, watch, and upstreams that operators took out. */
+/** The platform's discovery: roster, watch, and upstreams that operators suspended. */
 package sablehinge.gateway.discovery;
--- a/src/main/java/sablehinge/gateway/node/AccessLog.java
+++ b/src/main/java/sablehinge/gateway/node/AccessLog.java
@@ -17,33 +17,33 @@
 import sablehinge.dataplane.proxy.Version;
 
 /**
- * A line of JSON for each answer. A thread of its own writes them: the loop never waits for the disk, and what comes
- * faster than that can write is dropped and counted. At a bound the file is renamed and begun anew; one old one is
- * kept.
+ * Writes one line of JSON per response. A dedicated thread writes the file, so that the event loop never waits for the
+ * disk; lines that arrive faster than they can be written are dropped and counted. The file is rotated at a size limit,
+ * and one rotated file is retained.
  */
 final class AccessLog {
 
     private static final Logger LOG = LoggerFactory.getLogger(AccessLog.class);
-    /** Lines that may wait to be written. */
+    /** The maximum number of lines that wait to be written. */
     static final int MAX_WAITING = 16_384;
 
-    private static final String END = "";
+    private static final String END_OF_LOG = "";
 
     private final Path file;
-    private final long mostBytes;
+    private final long maxBytes;
     private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_WAITING);
     private final AtomicLong dropped = new AtomicLong();
     private final Thread writer;
     private long bytes;
-    /** Null while a rotation could not be finished. Only the writer's thread uses it. */
+    /** Null while a rotation could not be completed. Used by the writer thread only. */
     private BufferedWriter out;
 
-    /** Appends to a file, which is renamed to {@code FILE.1} once it has so many bytes. */
-    AccessLog(Path file, long mostBytes) throws IOException {
+    /** Appends to a file, which is renamed to {@code FILE.1} when it reaches {@code maxBytes}. */
+    AccessLog(Path file, long maxBytes) throws IOException {
         this.file = file;
-        this.mostBytes = mostBytes;
-        BufferedWriter first = open();
-        writer = new Thread(() -> write(first), "access-log");
+        this.maxBytes = maxBytes;
+        BufferedWriter initialWriter = open();
+        writer = new Thread(() -> writeLines(initialWriter), "access-log");
         writer.setDaemon(true);
         writer.start();
     }
@@ -55,40 +55,40 @@
         return opened;
     }
 
-    /** Notes an answer; {@code at} is its time in ms since 1970. */
-    void note(
-            double at,
-            String request,
+    /** Records a response; {@code epochMs} is its time in ms since 1970. */
+    void record(
+            double epochMs,
+            String requestId,
             Version version,
             int serviceClass,
             Answer.Kind kind,
             int attempts,
-            double elapsed) {
-        // Ids are plain ASCII, see http1.RequestCheck; only two of its characters have a meaning here.
-        String id = request.replace("\\", "\\\\").replace("\"", "\\\"");
+            double elapsedMs) {
+        // Ids are plain ASCII, see http1.RequestCheck; only these two characters need an escape in JSON.
+        String escapedId = requestId.replace("\\", "\\\\").replace("\"", "\\\"");
         String line = String.format(
                 Locale.ROOT,
                 "{\"at_ms\":%.0f,\"request\":\"%s\",\"version\":%d,\"class\":\"%s\","
                         + "\"outcome\":\"%s\",\"attempts\":%d,\"ms\":%.1f}%n",
-                at,
-                id,
+                epochMs,
+                escapedId,
                 version.number(),
                 version.classes().get(serviceClass),
                 kind.name().toLowerCase(Locale.ROOT),
                 attempts,
-                elapsed);
+                elapsedMs);
         if (!lines.offer(line)) {
             dropped.incrementAndGet();
         }
     }
 
-    /** Lines that could not be written. */
+    /** The number of lines that could not be written. */
     long dropped() {
         return dropped.get();
     }
 
-    private void write(BufferedWriter first) {
-        out = first;
+    private void writeLines(BufferedWriter initialWriter) {
+        out = initialWriter;
         while (true) {
             try {
                 String line = lines.poll();
@@ -96,17 +96,17 @@
                     flush();
                     line = lines.take();
                 }
-                if (line.equals(END)) {
+                if (line.equals(END_OF_LOG)) {
                     closeFile();
                     return;
                 }
                 append(line);
             } catch (IOException e) {
-                // A full disk costs lines and nothing else.
+                // A full disk loses log lines but does not affect requests.
                 dropped.incrementAndGet();
                 Log.warn(LOG, "access-log-failed")
                         .addKeyValue("cause", e.getMessage())
-                        .log("the access log can't be written: {}", e.getMessage());
+                        .log("failed to write the access log: {}", e.getMessage());
             } catch (InterruptedException e) {
                 return;
             }
@@ -114,7 +114,7 @@
     }
 
     private void append(String line) throws IOException {
-        if (out == null || bytes + line.length() > mostBytes) {
+        if (out == null || bytes + line.length() > maxBytes) {
             rotate();
         }
         out.write(line);
@@ -123,14 +123,14 @@
 
     private void rotate() throws IOException {
         closeFile();
-        // A rotation that failed half way must not fail for good for want of the old file.
+        // After a rotation that failed half way, the file to rename may be missing.
         if (Files.exists(file)) {
             Files.move(file, file.resolveSibling(file.getFileName() + ".1"), StandardCopyOption.REPLACE_EXISTING);
         }
         out = open();
     }
 
-    /** Without a file there is nothing to flush, and no line is lost by it. */
+    /** Without an open file there is nothing to flush, and no line is lost. */
     private void flush() throws IOException {
         if (out != null) {
             out.flush();
@@ -145,9 +145,9 @@
         }
     }
 
-    /** Writes what waits, and ends. */
+    /** Writes the waiting lines and stops the writer thread. */
     void close() throws InterruptedException {
-        lines.put(END);
+        lines.put(END_OF_LOG);
         writer.join();
     }
 }
--- a/src/main/java/sablehinge/gateway/node/AdminHandler.java
+++ b/src/main/java/sablehinge/gateway/node/AdminHandler.java
@@ -13,14 +13,14 @@
 import sablehinge.gateway.rollout.ChangeDecider.FinishedChange;
 import sablehinge.gateway.rollout.ChangeDecider.Phase;
 
-/** What operators ask for, in the terms of {@link Versions}. */
+/** Handles the requests of operators by calls to {@link Versions}. */
 final class AdminHandler implements AdminServer.Handler {
 
     private static final JsonMapper JSON = new JsonMapper();
-    private static final int REFUSED = 409;
-    private static final int BAD_FILE = 422;
-    /** How often a command that waits for a change looks whether it has come, in ms. */
-    private static final double LOOK_MS = 5;
+    private static final int CONFLICT = 409;
+    private static final int UNPROCESSABLE_CONTENT = 422;
+    /** The interval at which a waiting command checks the phase of its change. */
+    private static final double PHASE_POLL_MS = 5;
 
     private final OperatorNode node;
     private final Versions versions;
@@ -32,18 +32,18 @@
 
     @Override
     public void handle(Request request, Consumer<Reply> reply) {
-        String what = request.method() + " " + request.path();
+        String endpoint = request.method() + " " + request.path();
         try {
-            switch (what) {
+            switch (endpoint) {
                 case "GET /config/status" -> reply.accept(new Reply(200, status()));
                 case "GET /config/content" -> content(number(request, "version"), reply);
                 case "POST /config/stage" -> stage(request, reply);
-                case "POST /config/drop" -> simple(versions.drop(number(request, "version")), reply);
+                case "POST /config/drop" -> replyWithStatus(versions.drop(number(request, "version")), reply);
                 case "POST /config/apply" -> apply(request, reply);
                 case "POST /config/confirm" -> confirm(number(request, "version"), reply);
                 case "POST /recorder/dump" -> dump(reply);
-                case "POST /config/rollback" -> simple(versions.rollback(), reply);
-                default -> reply.accept(AdminServer.error(404, "nothing answers " + what));
+                case "POST /config/rollback" -> replyWithStatus(versions.rollback(), reply);
+                default -> reply.accept(AdminServer.error(404, "nothing answers " + endpoint));
             }
         } catch (NumberFormatException e) {
             reply.accept(AdminServer.error(400, "a number of the query is none"));
@@ -52,13 +52,13 @@
 
     private void dump(Consumer<Reply> reply) {
         if (node.recording() == null) {
-            reply.accept(AdminServer.error(REFUSED, "this balancer has no [recorder]"));
+            reply.accept(AdminServer.error(CONFLICT, "this balancer has no [recorder]"));
             return;
         }
         node.recording()
-                .dump((path, why) -> reply.accept(
-                        why != null
-                                ? AdminServer.error(REFUSED, why)
+                .dump((path, failure) -> reply.accept(
+                        failure != null
+                                ? AdminServer.error(CONFLICT, failure)
                                 : new Reply(200, JSON.createObjectNode().put("path", path.toString()))));
     }
 
@@ -66,41 +66,41 @@
         return Integer.parseInt(request.query().getOrDefault(name, "0"));
     }
 
-    private void simple(ChangeDecider.Reply result, Consumer<Reply> reply) {
+    private void replyWithStatus(ChangeDecider.Reply result, Consumer<Reply> reply) {
         reply.accept(
                 result.accepted()
                         ? new Reply(200, status().put("message", result.message()))
-                        : AdminServer.error(REFUSED, result.message()));
+                        : AdminServer.error(CONFLICT, result.message()));
     }
 
     private void content(int version, Consumer<Reply> reply) {
-        int wanted = version == 0 ? versions.decider().confirmed() : version;
+        int requestedVersion = version == 0 ? versions.decider().confirmed() : version;
         versions.content(
-                wanted,
+                requestedVersion,
                 (bytes, failure) -> reply.accept(
                         failure != null
                                 ? AdminServer.error(404, failure)
                                 : new Reply(
                                         200,
                                         JSON.createObjectNode()
-                                                .put("version", wanted)
+                                                .put("version", requestedVersion)
                                                 .put("content", new String(bytes, StandardCharsets.UTF_8)))));
     }
 
     private void stage(Request request, Consumer<Reply> reply) {
-        versions.stage(request.body(), number(request, "base"), staged -> {
-            if (staged.version() != 0) {
-                reply.accept(new Reply(200, JSON.createObjectNode().put("version", staged.version())));
-            } else if (staged.refusal() != null) {
-                reply.accept(AdminServer.error(REFUSED, staged.refusal()));
+        versions.stage(request.body(), number(request, "base"), result -> {
+            if (result.version() != 0) {
+                reply.accept(new Reply(200, JSON.createObjectNode().put("version", result.version())));
+            } else if (result.refusal() != null) {
+                reply.accept(AdminServer.error(CONFLICT, result.refusal()));
             } else {
                 ObjectNode body = JSON.createObjectNode().put("error", "the file is wrong");
                 ArrayNode problems = body.putArray("problems");
-                staged.problems().forEach(p -> problems.addObject()
-                        .put("line", p.line())
-                        .put("key", p.key())
-                        .put("message", p.message()));
-                reply.accept(new Reply(BAD_FILE, body));
+                result.problems().forEach(problem -> problems.addObject()
+                        .put("line", problem.line())
+                        .put("key", problem.key())
+                        .put("message", problem.message()));
+                reply.accept(new Reply(UNPROCESSABLE_CONTENT, body));
             }
         });
     }
@@ -112,9 +112,9 @@
                 number(request, "confirm_within_ms"),
                 "true".equals(request.query().get("automatic")));
         if (result.accepted()) {
-            whenPast(version, Phase.TRIAL, reply);
+            replyWhenReached(version, Phase.TRIAL, reply);
         } else {
-            reply.accept(AdminServer.error(REFUSED, result.message()));
+            reply.accept(AdminServer.error(CONFLICT, result.message()));
         }
     }
 
@@ -122,34 +122,34 @@
         int candidate = versions.decider().candidate();
         ChangeDecider.Reply result = versions.confirm(version);
         if (result.accepted()) {
-            whenPast(candidate, Phase.NONE, reply);
+            replyWhenReached(candidate, Phase.NONE, reply);
         } else {
-            reply.accept(AdminServer.error(REFUSED, result.message()));
+            reply.accept(AdminServer.error(CONFLICT, result.message()));
         }
     }
 
-    /** Answers once a change has come to a phase or has ended. */
-    private void whenPast(int version, Phase phase, Consumer<Reply> reply) {
+    /** Replies once a change has reached a phase or has finished. */
+    private void replyWhenReached(int version, Phase phase, Consumer<Reply> reply) {
         ChangeDecider decider = versions.decider();
         if (decider.candidate() == version && decider.phase() != phase) {
-            node.timers().at(node.clock().now() + LOOK_MS, () -> whenPast(version, phase, reply));
+            node.timers().at(node.clock().now() + PHASE_POLL_MS, () -> replyWhenReached(version, phase, reply));
             return;
         }
-        FinishedChange past = decider.history().stream()
-                .filter(one -> one.version() == version)
+        FinishedChange finished = decider.history().stream()
+                .filter(change -> change.version() == version)
                 .findFirst()
                 .orElse(null);
         reply.accept(
-                past == null || past.isConfirmed()
+                finished == null || finished.isConfirmed()
                         ? new Reply(200, status())
-                        : AdminServer.error(REFUSED, "version " + version + " is undone: " + past.reason()));
+                        : AdminServer.error(CONFLICT, "version " + version + " is undone: " + finished.reason()));
     }
 
     private ObjectNode status() {
         ChangeDecider decider = versions.decider();
         double now = node.clock().now();
         ObjectNode status = JSON.createObjectNode()
-                .put("current", node.core().version().number())
+                .put("current", node.proxy().version().number())
                 .put("confirmed", decider.confirmed());
         ObjectNode change = status.putObject("change");
         change.put("phase", decider.phase().name().toLowerCase(Locale.ROOT));
@@ -160,18 +160,18 @@
         ObjectNode staged = status.putObject("staged");
         decider.stagedVersions().forEach((version, base) -> staged.put(Integer.toString(version), base));
         ArrayNode past = status.putArray("past");
-        decider.history().forEach(one -> past.addObject()
-                .put("version", one.version())
-                .put("at_ms", Math.round(one.finishedAtMs()))
-                .put("outcome", one.isConfirmed() ? "confirmed" : "undone")
-                .put("reason", one.reason()));
+        decider.history().forEach(finished -> past.addObject()
+                .put("version", finished.version())
+                .put("at_ms", Math.round(finished.finishedAtMs()))
+                .put("outcome", finished.isConfirmed() ? "confirmed" : "undone")
+                .put("reason", finished.reason()));
         if (node.recording() != null) {
-            node.recording().status(status);
+            node.recording().addStatus(status);
         }
-        return status.put("last_undo_ms", versions.undoMs())
-                .put("versions_at_work", node.core().versions())
-                .put("requests_at_work", node.core().requests())
+        return status.put("last_undo_ms", versions.lastUndoMs())
+                .put("versions_at_work", node.proxy().versions())
+                .put("requests_at_work", node.proxy().requests())
                 .put("connections", node.sockets().open())
-                .put("access_log_dropped", node.droppedLines());
+                .put("access_log_dropped", node.droppedLogLines());
     }
 }
--- a/src/main/java/sablehinge/gateway/node/BudgetKeys.java
+++ b/src/main/java/sablehinge/gateway/node/BudgetKeys.java
@@ -8,15 +8,15 @@
 import sablehinge.gateway.config.operator.OperatorConfig.BudgetPart;
 import sablehinge.gateway.config.operator.OperatorFile;
 
-/** Reads the secrets by which budgets are signed. */
+/** Reads the secrets that sign budgets. */
 final class BudgetKeys {
 
     private BudgetKeys() {}
 
     /**
-     * The keys of an operator file, whose paths are relative to it; null if it names none.
+     * Reads the keys that an operator file names, by paths relative to that file; null if it names none.
      *
-     * @throws IOException if a secret can't be read or is none
+     * @throws IOException if a secret can't be read or is not valid
      */
     static Keys read(Path operatorFile, BudgetPart part) throws IOException {
         if (part.keys().isEmpty()) {
@@ -34,9 +34,9 @@
     }
 
     private static byte[] secret(Path operatorFile, Map.Entry<String, String> key) throws IOException {
-        Path secret = operatorFile.toAbsolutePath().getParent().resolve(key.getValue());
+        Path secretFile = operatorFile.toAbsolutePath().getParent().resolve(key.getValue());
         try {
-            return OperatorFile.bytes(secret);
+            return OperatorFile.bytes(secretFile);
         } catch (IOException e) {
             throw new IOException("budget key " + key.getKey() + ": " + key.getValue() + ": " + e.getMessage(), e);
         }
--- a/src/main/java/sablehinge/gateway/node/FileTasks.java
+++ b/src/main/java/sablehinge/gateway/node/FileTasks.java
@@ -11,28 +11,28 @@
 import org.slf4j.LoggerFactory;
 import sablehinge.common.logging.Log;
 
-/** Work that waits for files, one task after another on a thread of its own; its end comes on the event loop. */
+/** Runs blocking file operations sequentially on a dedicated thread and reports their results on the event loop. */
 final class FileTasks {
 
     private static final Logger LOG = LoggerFactory.getLogger(FileTasks.class);
 
-    private final ExecutorService files;
+    private final ExecutorService fileThread;
     private final Executor loop;
 
-    /** What is written. */
-    interface Writing {
+    /** An operation that writes a file. */
+    interface WriteOperation {
 
         void run() throws IOException;
     }
 
-    FileTasks(ExecutorService files, Executor loop) {
-        this.files = files;
+    FileTasks(ExecutorService fileThread, Executor loop) {
+        this.fileThread = fileThread;
         this.loop = loop;
     }
 
-    /** Runs a task; {@code end} gets what it made and null, or null and why it failed in one line. */
-    <T> void run(Callable<T> task, BiConsumer<T, String> end) {
-        files.execute(() -> {
+    /** Runs a task; {@code callback} gets its result and null, or null and the failure in one line. */
+    <T> void run(Callable<T> task, BiConsumer<T, String> callback) {
+        fileThread.execute(() -> {
             T value = null;
             String failure = null;
             try {
@@ -40,24 +40,24 @@
             } catch (Exception e) {
                 failure = reason(e);
             }
-            T made = value;
-            String why = failure;
+            T result = value;
+            String reportedFailure = failure;
             try {
-                loop.execute(() -> end.accept(made, why));
+                loop.execute(() -> callback.accept(result, reportedFailure));
             } catch (RejectedExecutionException e) {
-                Log.debug(LOG, "ended").log("the process has ended");
+                Log.debug(LOG, "ended").log("the event loop has shut down; the result of a file operation is dropped");
             }
         });
     }
 
-    /** Writes something; {@code end} gets why it failed, or null. */
-    void write(Writing writing, Consumer<String> end) {
+    /** Runs a write; {@code callback} gets the failure, or null. */
+    void write(WriteOperation operation, Consumer<String> callback) {
         run(
                 () -> {
-                    writing.run();
+                    operation.run();
                     return null;
                 },
-                (nothing, failure) -> end.accept(failure));
+                (result, failure) -> callback.accept(failure));
     }
 
     private static String reason(Exception e) {
--- a/src/main/java/sablehinge/gateway/node/FirstVersion.java
+++ b/src/main/java/sablehinge/gateway/node/FirstVersion.java
@@ -9,23 +9,23 @@
 import sablehinge.gateway.config.operator.OperatorFile;
 import sablehinge.gateway.config.versions.VersionStore;
 
-/** The version that a process serves first. */
+/** The configuration version that a process serves first. */
 record FirstVersion(int number, OperatorConfig config) {
 
     private static final Logger LOG = LoggerFactory.getLogger(FirstVersion.class);
 
     /**
-     * Chooses it: the one that was confirmed last, or the operator file where there is none.
+     * Chooses the last confirmed version, or the operator file if no version was confirmed.
      *
-     * @param bytes of the operator file
-     * @param given what the file says
-     * @param adopt whether the file is to be served in any case
+     * @param bytes the content of the operator file
+     * @param fileConfig the configuration in the operator file
+     * @param adopt whether to serve the operator file even if a version was confirmed
      */
-    static FirstVersion choose(VersionStore store, byte[] bytes, OperatorConfig given, boolean adopt)
+    static FirstVersion choose(VersionStore store, byte[] bytes, OperatorConfig fileConfig, boolean adopt)
             throws IOException {
-        undoTrial(store);
+        rollBackInterruptedTrial(store);
         if (store.confirmed() == 0 || adopt) {
-            return new FirstVersion(store.stage(bytes), given);
+            return new FirstVersion(store.stage(bytes), fileConfig);
         }
         byte[] confirmed = store.content(store.confirmed());
         if (!Arrays.equals(confirmed, bytes)) {
@@ -45,8 +45,8 @@
         return new FirstVersion(store.confirmed(), checked.config());
     }
 
-    /** A version on whose trial the process before ended is undone. */
-    private static void undoTrial(VersionStore store) throws IOException {
+    /** Rolls back a version that was on trial when the previous process ended. */
+    private static void rollBackInterruptedTrial(VersionStore store) throws IOException {
         if (store.cutOff() == 0) {
             return;
         }
--- a/src/main/java/sablehinge/gateway/node/FixedSettings.java
+++ b/src/main/java/sablehinge/gateway/node/FixedSettings.java
@@ -4,18 +4,18 @@
 import sablehinge.gateway.config.operator.OperatorConfig;
 import sablehinge.gateway.config.operator.OperatorConfig.NodePart;
 
-/** The settings that can't change while the process runs. */
+/** Rejects configuration changes that require a restart. */
 final class FixedSettings {
 
-    /** Names of zones and machine types since the process began. */
+    /** The maximum number of distinct names of zones and machine types since the process started. */
     private static final int MAX_NAMES = 10_000;
 
     private FixedSettings() {}
 
     /**
-     * What a version may not change; null if it leaves that alone.
+     * Returns why a version can't replace the running one; null if it can.
      *
-     * @param knownNames names of zones and kinds that the process has met
+     * @param knownNames the number of names of zones and kinds that the process knows
      */
     static String conflict(OperatorConfig running, OperatorConfig next, int knownNames) {
         if (!running.admin().equals(next.admin())) {
--- a/src/main/java/sablehinge/gateway/node/LoopVitals.java
+++ b/src/main/java/sablehinge/gateway/node/LoopVitals.java
@@ -11,40 +11,41 @@
 import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.gateway.recorder.Vitals;
 
-/** What a watch can see of the parts of one balancer; on their loop. */
+/** Exposes the state of one balancer to the {@link sablehinge.gateway.recorder.Watch}; used on its event loop only. */
 public final class LoopVitals implements Vitals {
 
-    private final RequestProxy core;
+    private final RequestProxy proxy;
     private final Sockets sockets;
-    private final Supplier<Collection<Frontend>> fronts;
-    private final LongSupplier memory;
+    private final Supplier<Collection<Frontend>> frontends;
+    private final LongSupplier usedMemory;
 
-    /** Of the given parts; {@code memory} tells the bytes of direct memory that buffers use. */
-    public LoopVitals(RequestProxy core, Sockets sockets, Supplier<Collection<Frontend>> fronts, LongSupplier memory) {
-        this.core = core;
+    /** Creates a view of the given parts; {@code usedMemory} returns the bytes of direct memory that buffers use. */
+    public LoopVitals(
+            RequestProxy proxy, Sockets sockets, Supplier<Collection<Frontend>> frontends, LongSupplier usedMemory) {
+        this.proxy = proxy;
         this.sockets = sockets;
-        this.fronts = fronts;
-        this.memory = memory;
+        this.frontends = frontends;
+        this.usedMemory = usedMemory;
     }
 
     @Override
-    public void passages(Consumer<MonitoredRelay> each) {
-        fronts.get().forEach(front -> front.passages(each));
+    public void forEachRelay(Consumer<MonitoredRelay> action) {
+        frontends.get().forEach(frontend -> frontend.passages(action));
     }
 
     @Override
-    public void overdue(double by, LongConsumer each) {
-        core.forEachOverdue(by, each);
+    public void forEachOverdue(double byMs, LongConsumer action) {
+        proxy.forEachOverdue(byMs, action);
     }
 
     @Override
-    public long woken() {
-        return fronts.get().stream().mapToLong(Frontend::wokenBodies).sum();
+    public long recoveredWakeUps() {
+        return frontends.get().stream().mapToLong(Frontend::wokenBodies).sum();
     }
 
     @Override
-    public int busy() {
-        return fronts.get().stream().mapToInt(Frontend::busy).sum() + core.requests();
+    public int activeCount() {
+        return frontends.get().stream().mapToInt(Frontend::busy).sum() + proxy.requests();
     }
 
     @Override
@@ -53,12 +54,12 @@
     }
 
     @Override
-    public long kept() {
-        return fronts.get().stream().mapToLong(Frontend::keptBytes).sum();
+    public long reservedBytes() {
+        return frontends.get().stream().mapToLong(Frontend::keptBytes).sum();
     }
 
     @Override
-    public long memory() {
-        return memory.getAsLong();
+    public long usedMemory() {
+        return usedMemory.getAsLong();
     }
 }
--- a/src/main/java/sablehinge/gateway/node/Node.java
+++ b/src/main/java/sablehinge/gateway/node/Node.java
@@ -38,329 +38,333 @@
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.ServiceClass;
 
-/** One balancer on the platform: its parts put together on one event loop thread, which owns them all. */
+/** One balancer of the platform: combines its components on one event loop thread, which owns them. */
 public final class Node {
 
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-    /** Netty's pool of direct memory: one arena, as there is one thread, in chunks of 512 KiB. */
-    private static final int PAGE = 8_192;
+    /** Netty's pool of direct memory: one arena, as there is one thread, with chunks of 512 KiB. */
+    private static final int PAGE_BYTES = 8_192;
 
     private static final int CHUNK_ORDER = 6;
-    private static final int CACHED = 32;
-    /** How long new connections may still come after SIGTERM, with time to spare. */
+    private static final int CACHED_BUFFERS = 32;
+    /** The time after SIGTERM during which new connections may still arrive, with a margin. */
     private static final long LATE_CONNECTIONS_MS = 550;
 
     private static final long DRAIN_CHECK_MS = 10;
-    /** SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more: less is used of it. */
+    /**
+     * SIGKILL follows at the earliest after the longest deadline (at most 3 s) plus 0.7 s; the drain ends before that.
+     */
     private static final double MAX_DRAIN_MS = 3_000;
 
     private static final double DRAIN_SLACK_MS = 550;
-    /** The time that is kept of it to answer what has come, once it drains. */
-    private static final double LAST_ANSWERS_MS = 1_650;
+    /** The last part of that time, reserved to complete the requests that have arrived. */
+    private static final double COMPLETION_MS = 1_650;
 
-    /** Of that, the time in which nothing begins any more: hardly a request is answered sooner. */
-    private static final double LAST_START_MS = 250;
+    /** The last part of the drain, in which no request is started, as hardly any request completes faster. */
+    private static final double START_CUTOFF_MS = 250;
 
-    /** How often it looks at what another process of this balancer has changed. */
-    private static final long LOOK_MS = 200;
-    /** How long a version of the settings that was replaced may be the one by which a request is read. */
+    /** The interval at which the state shared with another process of this balancer is read. */
+    private static final long SHARED_POLL_MS = 200;
+    /** The time after a reload during which requests may still be read by the previous settings. */
     private static final long LATE_REQUESTS_MS = 3_000;
 
-    /** The system property that names the directory of a flight recorder's dumps; absent, there is none. */
-    private static final String FLIGHT = "sablehinge.flight";
+    /** The system property with the directory of flight recorder dumps; without it there is no recorder. */
+    private static final String DUMP_DIRECTORY_PROPERTY = "sablehinge.flight";
 
-    private static final int FLIGHT_BYTES = 1 << 20;
-    private static final int FLIGHT_DUMPS = 10;
+    private static final int RECORDER_RING_BYTES = 1 << 20;
+    private static final int MAX_DUMPS = 10;
 
     private final PlatformConfig config;
     private final EventLoop loop;
     private final Clock clock = Clock.system();
-    private final RequestProxy core;
+    private final RequestProxy proxy;
     private final UpstreamClient upstreams;
     private final Discovery discovery;
     private final Frontend frontend;
     private final Sockets sockets;
-    private final PooledByteBufAllocator memory;
+    private final PooledByteBufAllocator allocator;
     private final Maintenance maintenance = new Maintenance();
-    /** Null where nothing is shared with another process of this balancer. */
-    private SharedFiles shared;
+    /** Null if no state is shared with another process of this balancer. */
+    private SharedFiles sharedFiles;
 
-    private CallServer calls;
-    /** The names of those that are out, by their numbers. */
-    private final Map<Long, String> out = new HashMap<>();
+    private CallServer operatorServer;
+    /** The ids of the suspended upstreams, by their numbers. */
+    private final Map<Long, String> suspendedIds = new HashMap<>();
 
-    private boolean leaving;
+    private boolean handingOver;
 
     private Node(PlatformConfig config, EventLoop loop, Function<LoadBalancer.Actions, LoadBalancer> module) {
         this.config = config;
         this.loop = loop;
-        memory = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER, CACHED, CACHED, false);
+        allocator =
+                new PooledByteBufAllocator(true, 0, 1, PAGE_BYTES, CHUNK_ORDER, CACHED_BUFFERS, CACHED_BUFFERS, false);
         sockets = new Sockets(config.sockets());
-        core = new RequestProxy(clock, new LoopTimers(loop, clock), module);
-        upstreams = new UpstreamClient(loop, clock, sockets, memory);
+        proxy = new RequestProxy(clock, new LoopTimers(loop, clock), module);
+        upstreams = new UpstreamClient(loop, clock, sockets, allocator);
         discovery = new Discovery(
                 loop,
                 config.discovery(),
                 config.known().version(),
                 new RosterParser(config.zones(), config.kinds(), false),
-                memory,
+                allocator,
                 this::onRosterChanged,
-                Discovery.WATCH_MS);
-        frontend = new Frontend(loop, sockets, memory, core);
+                Discovery.WATCH_WAIT_MS);
+        frontend = new Frontend(loop, sockets, allocator, proxy);
     }
 
-    /** Starts a balancer, which serves once this returns. */
+    /** Starts a balancer; it serves requests once this returns. */
     public static Node start(PlatformConfig config) throws ConfigException, InterruptedException {
         return start(config, LatencyWeightedBalancer::new);
     }
 
-    /** Starts a balancer with the given module; it serves once this returns. */
+    /** Starts a balancer with the given module; it serves requests once this returns. */
     public static Node start(PlatformConfig config, Function<LoadBalancer.Actions, LoadBalancer> module)
             throws ConfigException, InterruptedException {
         EventLoop loop = ClosingEventLoops.single("node");
         Node node = new Node(config, loop, module);
         try {
             if (config.operator() != null && config.scratch() != null) {
-                node.shared = new SharedFiles(config.scratch().resolve("sablehinge"));
-                loop.submit(node::look).sync();
+                node.sharedFiles = new SharedFiles(config.scratch().resolve("sablehinge"));
+                loop.submit(node::syncSharedState).sync();
             }
-            node.recordIfRequested();
-            loop.submit(node::begin).sync();
+            node.startRecordingIfRequested();
+            loop.submit(node::startProxy).sync();
             node.frontend.bind(config.listen(), config.operator() != null);
             if (config.operator() != null) {
-                node.letOperatorsIn();
+                node.startOperatorServer();
             }
         } catch (IOException e) {
             throw new ConfigException(e.getMessage());
         }
-        // The first line loads what logging needs, which later, with no descriptor left, would fail.
+        // The first log line loads the classes of logging, which could fail later when no file descriptor is left.
         Log.info(LOG, "serves").addKeyValue("name", config.name()).log("serves as {}", config.name());
         return node;
     }
 
-    /** For rehearsals of the platform's days; the platform itself never sets it, and loads nothing of it. */
-    private void recordIfRequested() throws InterruptedException {
-        String folder = System.getProperty(FLIGHT);
-        if (folder != null) {
+    /** For rehearsals only; the platform does not set the property and does not load these classes. */
+    private void startRecordingIfRequested() throws InterruptedException {
+        String directory = System.getProperty(DUMP_DIRECTORY_PROPERTY);
+        if (directory != null) {
             Recording recording = new Recording(
                     config.name(),
-                    FLIGHT_BYTES,
-                    Path.of(folder),
-                    FLIGHT_DUMPS,
-                    Watch.Terms.USUAL,
+                    RECORDER_RING_BYTES,
+                    Path.of(directory),
+                    MAX_DUMPS,
+                    Watch.Terms.DEFAULT,
                     loop,
-                    core,
+                    proxy,
                     sockets,
                     () -> List.of(frontend),
-                    memory::pinnedDirectMemory);
-            loop.submit(recording::begin).sync();
+                    allocator::pinnedDirectMemory);
+            loop.submit(recording::start).sync();
         }
     }
 
-    private void begin() {
-        core.start(config.version(1), config.seed(), maintenance.take(config.known()), upstreams, discovery);
+    private void startProxy() {
+        proxy.start(config.version(1), config.seed(), maintenance.apply(config.known()), upstreams, discovery);
     }
 
     private void onRosterChanged(Change change, Roster roster) {
-        core.onRosterChanged(change, roster == null ? null : maintenance.take(roster));
+        proxy.onRosterChanged(change, roster == null ? null : maintenance.apply(roster));
     }
 
     // ---- Operators ---------------------------------------------------------------------------------
 
-    private void letOperatorsIn() throws IOException, InterruptedException {
-        if (shared != null) {
-            shared.ready();
-            loop.scheduleAtFixedRate(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+    private void startOperatorServer() throws IOException, InterruptedException {
+        if (sharedFiles != null) {
+            sharedFiles.markServing();
+            loop.scheduleAtFixedRate(this::syncSharedState, SHARED_POLL_MS, SHARED_POLL_MS, TimeUnit.MILLISECONDS);
         }
-        // Last: whoever receives the confirmation may end the other process.
-        calls = new CallServer(loop, memory, this::call);
-        calls.bind(config.operator());
+        // Last, as a client that gets a reply may end the other process.
+        operatorServer = new CallServer(loop, allocator, this::handleCall);
+        operatorServer.bind(config.operator());
     }
 
-    /** Where operators call; for tests. */
+    /** The address of the operator server; for tests. */
     public InetSocketAddress operatorAddress() {
-        return calls.address();
+        return operatorServer.address();
     }
 
-    private String call(String line) {
+    private String handleCall(String line) {
         String[] words = line.split("\\s+");
         if (words.length == 1 && words[0].equals("STATUS")) {
-            return leaving ? "fail it leaves" : "ok";
+            return handingOver ? "fail it leaves" : "ok";
         }
-        boolean suspends = words[0].equals("SUSPEND");
-        if (words.length != 2 || !suspends && !words[0].equals("RESTORE")) {
+        boolean suspend = words[0].equals("SUSPEND");
+        if (words.length != 2 || !suspend && !words[0].equals("RESTORE")) {
             return "fail expected STATUS, SUSPEND ID or RESTORE ID";
         }
         if (!maintenance.knows(RosterParser.number(words[1]))) {
             return "fail no upstream has that id";
         }
-        // Noted first: what never reaches the other process must not be confirmed.
-        if (shared != null) {
-            shared.out(words[1], suspends);
+        // Recorded first: a change that can't reach the other process must not be confirmed.
+        if (sharedFiles != null) {
+            sharedFiles.setSuspended(words[1], suspend);
         }
-        turn(words[1], suspends);
+        setSuspended(words[1], suspend);
         return "ok";
     }
 
-    private void turn(String id, boolean suspends) {
+    private void setSuspended(String id, boolean suspend) {
         long number = RosterParser.number(id);
-        Roster change = suspends ? maintenance.suspend(number, clock.now()) : maintenance.restore(number, clock.now());
-        if (suspends) {
-            out.put(number, id);
+        Roster change = suspend ? maintenance.suspend(number, clock.now()) : maintenance.restore(number, clock.now());
+        if (suspend) {
+            suspendedIds.put(number, id);
         } else {
-            out.remove(number);
+            suspendedIds.remove(number);
         }
         if (!change.members().isEmpty()) {
-            core.onRosterChanged(Change.DELTA, change);
-            Log.info(LOG, suspends ? "server-taken-out" : "server-put-back")
+            proxy.onRosterChanged(Change.DELTA, change);
+            Log.info(LOG, suspend ? "server-taken-out" : "server-put-back")
                     .addKeyValue("server", id)
-                    .log("operators {} {}", suspends ? "took out" : "put back", id);
+                    .log("operators {} upstream {}", suspend ? "suspended" : "restored", id);
         }
     }
 
-    /** Takes over the state of another process of this balancer, and makes room for it. */
-    private void look() {
+    /** Applies the state of another process of this balancer and shares the limit of sockets with it. */
+    private void syncSharedState() {
         try {
-            Set<String> noted = shared.out();
-            for (String id : List.copyOf(out.values())) {
-                if (!noted.remove(id)) {
-                    turn(id, false);
+            Set<String> recordedIds = sharedFiles.suspendedIds();
+            for (String id : List.copyOf(suspendedIds.values())) {
+                if (!recordedIds.remove(id)) {
+                    setSuspended(id, false);
                 }
             }
-            noted.forEach(id -> turn(id, true));
-            sockets.share(shared.another(false) ? 2 : 1);
+            recordedIds.forEach(id -> setSuspended(id, true));
+            sockets.share(sharedFiles.hasOtherProcess(false) ? 2 : 1);
         } catch (IOException | RuntimeException e) {
             Log.warn(LOG, "shared-unreadable")
                     .addKeyValue("cause", e.toString())
-                    .log("what the processes of this balancer share can't be read: {}", e.toString());
+                    .log("failed to read the state shared by the processes of this balancer: {}", e.toString());
         }
     }
 
     private boolean hasSuccessor() {
         try {
-            return shared != null && shared.another(true);
+            return sharedFiles != null && sharedFiles.hasOtherProcess(true);
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Names who sees every answer, on the loop; for rehearsals, none of which the platform plays. */
+    /** Sets an observer of every response, called on the event loop; for rehearsals only. */
     public void observe(Observer observer) {
-        loop.execute(() -> core.setObserver(observer));
+        loop.execute(() -> proxy.setObserver(observer));
     }
 
-    /** The time, in ms, of the clock that all its parts read. */
+    /** The time in ms, by the clock of all components. */
     public double now() {
         return clock.now();
     }
 
-    /** Where it listens. */
+    /** The address of the listener. */
     public InetSocketAddress address() {
         return frontend.address();
     }
 
     /**
-     * Stops as SIGTERM wants it. Callers go on using the connections that they have, and may have nowhere else to go
-     * while another balancer restarts too, so they are served as before for as long as there is time to answer what has
-     * come. Then their connections are closed in order. Where another process of this balancer serves already, new
-     * callers are left to it, and answers ask the others to leave from the first on. Returns when the process may end.
+     * Shuts down gracefully after SIGTERM; returns when the process may exit. Clients continue to use their connections
+     * and may have no other balancer while another one restarts as well, so they are served normally as long as enough
+     * time remains to complete the requests that have arrived. After that, their connections are closed gracefully. If
+     * another process of this balancer already serves, it accepts the new connections, and every response asks the
+     * client to close its connection.
      */
     public void drain() throws InterruptedException {
-        double longest = core.version().settings().classes().stream()
+        double longestDeadlineMs = proxy.version().settings().classes().stream()
                 .mapToDouble(ServiceClass::deadline)
                 .max()
                 .orElse(0);
-        double begun = clock.now();
-        double latest = begun + Math.min(longest, MAX_DRAIN_MS) + DRAIN_SLACK_MS;
-        boolean handsOver = hasSuccessor();
-        if (handsOver) {
+        double startedMs = clock.now();
+        double endMs = startedMs + Math.min(longestDeadlineMs, MAX_DRAIN_MS) + DRAIN_SLACK_MS;
+        boolean handover = hasSuccessor();
+        if (handover) {
             loop.submit(() -> {
-                        leaving = true;
+                        handingOver = true;
                         frontend.handOver();
                     })
                     .sync();
         }
-        double rest = Math.max(LATE_CONNECTIONS_MS, latest - begun - LAST_ANSWERS_MS);
-        while (clock.now() < begun + rest && !(handsOver && isLeft())) {
+        double serveMs = Math.max(LATE_CONNECTIONS_MS, endMs - startedMs - COMPLETION_MS);
+        while (clock.now() < startedMs + serveMs && !(handover && hasNoClients())) {
             Thread.sleep(DRAIN_CHECK_MS);
         }
-        loop.submit(() -> beginDrain(latest)).sync();
-        boolean done = endDrain();
-        while (!done && clock.now() < latest) {
+        loop.submit(() -> beginDrain(endMs)).sync();
+        boolean drained = endDrain();
+        while (!drained && clock.now() < endMs) {
             Thread.sleep(DRAIN_CHECK_MS);
-            done = endDrain();
+            drained = endDrain();
         }
-        // What SIGKILL found unanswered would be lost; a failure is an answer.
-        loop.submit(core::abortAll).sync();
-        leave();
+        // A failure response is better than a connection that SIGKILL closes without a response.
+        loop.submit(proxy::abortAll).sync();
+        leaveSharedState();
     }
 
-    /** Callers may come until the end, as they may have nowhere else to go; the last are told so in time. */
-    private void beginDrain(double latest) {
+    /** Accepts clients until the end, as they may have no other balancer; late requests are refused in time. */
+    private void beginDrain(double endMs) {
         frontend.beginDrain();
-        core.drain(new ShutdownDeadlines(latest - LAST_START_MS, latest - LAST_START_MS, latest));
+        proxy.drain(new ShutdownDeadlines(endMs - START_CUTOFF_MS, endMs - START_CUTOFF_MS, endMs));
     }
 
-    private boolean isLeft() throws InterruptedException {
+    private boolean hasNoClients() throws InterruptedException {
         return loop.submit(() -> frontend.callers() == 0).sync().getNow();
     }
 
-    private void leave() {
+    private void leaveSharedState() {
         try {
-            if (shared != null) {
-                shared.close();
+            if (sharedFiles != null) {
+                sharedFiles.close();
             }
         } catch (IOException e) {
             Log.warn(LOG, "shared-not-left")
                     .addKeyValue("cause", e.toString())
-                    .log("what the processes of this balancer share can't be left: {}", e.toString());
+                    .log("failed to leave the state shared by the processes of this balancer: {}", e.toString());
         }
     }
 
-    /** Closes callers' connections that are idle; whether none is left. */
+    /** Closes idle client connections; returns whether no connection remains. */
     public boolean endDrain() throws InterruptedException {
         return loop.submit(frontend::endDrain).sync().getNow();
     }
 
     /**
-     * Takes a configuration over that was read as this one's successor: where discovery is, and the settings for what
-     * arrives from now on. What has come keeps those under which it came.
+     * Applies a configuration that was read as the successor of the current one: the address of discovery, and the
+     * settings of new requests. Requests that have arrived keep the settings under which they arrived.
      */
     public void reload(PlatformConfig changed) {
         loop.execute(() -> {
             discovery.moveTo(changed.discovery());
-            Version before = core.version();
-            Version next = changed.version(before.number() + 1);
-            if (before.settings().equals(next.settings())) {
+            Version previous = proxy.version();
+            Version next = changed.version(previous.number() + 1);
+            if (previous.settings().equals(next.settings())) {
                 return;
             }
             frontend.takesLate(LATE_REQUESTS_MS);
-            core.adopt(next, maintenance.complete());
-            loop.schedule(() -> core.release(before.number()), 2 * LATE_REQUESTS_MS, TimeUnit.MILLISECONDS);
+            proxy.adopt(next, maintenance.complete());
+            loop.schedule(() -> proxy.release(previous.number()), 2 * LATE_REQUESTS_MS, TimeUnit.MILLISECONDS);
             Log.info(LOG, "settings-taken")
                     .addKeyValue("version", next.number())
-                    .log("takes version {} of its settings", next.number());
+                    .log("applied version {} of the settings", next.number());
         });
     }
 
-    /** The configuration that it was started with. */
+    /** The configuration of the start. */
     public PlatformConfig config() {
         return config;
     }
 
-    /** Bytes of direct memory that its buffers take; for tests. */
+    /** The bytes of direct memory that buffers use; for tests. */
     public long directMemory() {
-        return memory.metric().usedDirectMemory();
+        return allocator.metric().usedDirectMemory();
     }
 
-    /** Its parts, for tests; they are to be used on the loop only. */
-    public <T> T onLoop(BiFunction<Frontend, UpstreamClient, T> look) throws InterruptedException {
-        return loop.submit(() -> look.apply(frontend, upstreams)).sync().getNow();
+    /** Runs a function on the event loop, which owns the components; for tests. */
+    public <T> T onLoop(BiFunction<Frontend, UpstreamClient, T> function) throws InterruptedException {
+        return loop.submit(() -> function.apply(frontend, upstreams)).sync().getNow();
     }
 
-    /** Ends at once, whatever is under way; for tests. */
+    /** Stops immediately without a drain; for tests. */
     public void kill() {
-        leave();
+        leaveSharedState();
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 }
--- a/src/main/java/sablehinge/gateway/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -48,7 +48,7 @@
 import sablehinge.policy.LatencyWeightedBalancer;
 import sablehinge.policy.LoadBalancer;
 
-/** One balancer by an operator file, whose configuration may change while it runs. */
+/** One balancer configured by an operator file, whose configuration can change at run time. */
 public final class OperatorNode {
 
     private static final Logger LOG = LoggerFactory.getLogger(OperatorNode.class);
@@ -59,23 +59,24 @@
     private final EventLoop loop;
     private final Clock clock = Clock.system();
     private final Timers timers;
-    private final PooledByteBufAllocator memory = PooledByteBufAllocator.DEFAULT;
+    private final PooledByteBufAllocator allocator = PooledByteBufAllocator.DEFAULT;
     private final Sockets sockets;
-    private final RequestProxy core;
+    private final RequestProxy proxy;
     private final UpstreamClient transport;
-    /** Null where budgets are off. */
-    private final HeaderText budgets;
+    /** Null if budgets are off. */
+    private final HeaderText budgetHeaders;
 
     private final VersionStore store;
-    private final ExecutorService files = Executors.newSingleThreadExecutor(new DefaultThreadFactory("files", true));
+    private final ExecutorService fileThread =
+            Executors.newSingleThreadExecutor(new DefaultThreadFactory("files", true));
     private final Versions versions;
     private final Path file;
     private AdminServer admin;
     private AccessLog accessLog;
-    /** Null where there is no flight recorder. */
+    /** Null if there is no flight recorder. */
     private Recording recording;
 
-    /** A start that failed, with the problems of a file if it was those. */
+    /** Reports a failed start, with the problems of the operator file if these are the cause. */
     public static final class StartException extends Exception {
 
         private static final long serialVersionUID = 1;
@@ -86,7 +87,7 @@
             this.problems = problems;
         }
 
-        /** What is wrong with the operator file; empty where something else is. */
+        /** The problems of the operator file; empty if the failure has another cause. */
         public List<Problem> problems() {
             return problems;
         }
@@ -97,19 +98,19 @@
             FirstVersion first,
             VersionStore store,
             Function<LoadBalancer.Actions, LoadBalancer> module,
-            HeaderText text) {
+            HeaderText headers) {
         this.file = file;
         this.store = store;
         loop = ClosingEventLoops.single("node");
         timers = new LoopTimers(loop, clock);
         sockets = new Sockets(first.config().node().descriptors());
-        core = new RequestProxy(clock, timers, module);
-        transport = new UpstreamClient(loop, clock, sockets, memory);
+        proxy = new RequestProxy(clock, timers, module);
+        transport = new UpstreamClient(loop, clock, sockets, allocator);
         BudgetPart part = first.config().budget();
-        budgets = text;
+        budgetHeaders = headers;
         if (part != null) {
-            transport.budgets(budgets);
-            core.setBudgets(new ChainBudgets(
+            transport.budgets(budgetHeaders);
+            proxy.setBudgets(new ChainBudgets(
                     part.terms(),
                     part.shed(),
                     serviceId(part.service()),
@@ -117,18 +118,19 @@
                     ThreadLocalRandom.current().nextLong(),
                     line -> Log.warn(LOG, "budget").log(line)));
         }
-        versions = new Versions(this, store, files, first.number(), first.config());
+        versions = new Versions(this, store, fileThread, first.number(), first.config());
     }
 
-    /** 48 bits of a service's name, the same at every balancer: it tells no address. */
+    /** A 48-bit id of a service, derived from its name and the same at every balancer; it reveals no address. */
     static long serviceId(String service) {
         return RosterParser.number(service) & 0xffff_ffff_ffffL;
     }
 
     /**
-     * Starts by an operator file. The version that was last confirmed is served, not the file, if there is one.
+     * Starts a balancer by an operator file. If a version was confirmed, the last confirmed one is served instead of
+     * the file.
      *
-     * @param adopt whether the file is to be served in any case, as a new confirmed version
+     * @param adopt whether to serve the file in any case, as a new confirmed version
      */
     public static OperatorNode start(Path file, boolean adopt) throws StartException, InterruptedException {
         return start(file, adopt, LatencyWeightedBalancer::new);
@@ -159,12 +161,12 @@
         try {
             FirstVersion first = FirstVersion.choose(store, bytes, checked.config(), adopt);
             BudgetPart budget = first.config().budget();
-            // Before anything is begun that would have to be ended.
-            HeaderText text = budget == null ? null : new HeaderText(BudgetKeys.read(file, budget));
-            node = new OperatorNode(file, first, store, module, text);
-            node.begin(first.config(), state);
+            // Before anything is started that would have to be stopped on a failure.
+            HeaderText budgetHeaders = budget == null ? null : new HeaderText(BudgetKeys.read(file, budget));
+            node = new OperatorNode(file, first, store, module, budgetHeaders);
+            node.startParts(first.config(), state);
             if (store.confirmed() != first.number()) {
-                // Only now: a file that could not be served must not be what the next start insists on.
+                // Only now: a file that could not be served must not become the version of the next start.
                 node.confirm(first.number());
             }
             Log.info(LOG, "serves")
@@ -186,14 +188,15 @@
         try {
             store.close();
         } catch (IOException e) {
-            // The process ends.
+            // The process exits.
         }
     }
 
-    /** On the thread that has the store: operators may be at work already. */
+    /** Runs on the thread of the store, as requests of operators may already use the store. */
     private void confirm(int number) throws IOException, InterruptedException {
         try {
-            files.submit(() -> {
+            fileThread
+                    .submit(() -> {
                         store.confirm(number);
                         return null;
                     })
@@ -203,7 +206,7 @@
         }
     }
 
-    private void begin(OperatorConfig first, Path state) throws IOException, InterruptedException {
+    private void startParts(OperatorConfig first, Path state) throws IOException, InterruptedException {
         Logging.apply(first.log());
         if (first.node().accessLog() != null) {
             accessLog = new AccessLog(
@@ -212,14 +215,14 @@
         RecorderPart part = first.recorder();
         if (part != null) {
             recording = recording(first.node().name(), part);
-            loop.submit(recording::begin).sync();
+            loop.submit(recording::start).sync();
         }
         loop.submit(() -> versions.start(ThreadLocalRandom.current().nextLong()))
                 .sync();
-        for (ListenerPart place : Versions.places(first)) {
-            Frontend front = front();
-            front.bind(place.address(), false);
-            loop.submit(() -> versions.fronts().put(place, front)).sync();
+        for (ListenerPart listener : Versions.listenerKeys(first)) {
+            Frontend frontend = newFrontend();
+            frontend.bind(listener.address(), false);
+            loop.submit(() -> versions.frontends().put(listener, frontend)).sync();
         }
         AdminHandler handler = new AdminHandler(this, versions);
         if (first.admin().listen() == null) {
@@ -229,7 +232,7 @@
             Path token = file.toAbsolutePath().getParent().resolve(first.admin().tokenFile());
             String secret = Files.readString(token).strip();
             if (secret.length() < 16) {
-                throw new IOException(token + " holds no token of at least 16 characters");
+                throw new IOException(token + " does not contain a token of at least 16 characters");
             }
             admin = new AdminServer(loop, handler, secret);
             admin.bind(first.admin().listen());
@@ -247,13 +250,13 @@
                 new Watch.Terms(
                         part.tick(), part.stall(), part.turn(), part.overdue(), part.quiet(), part.atRestKib() * 1024L),
                 loop,
-                core,
+                proxy,
                 sockets,
-                versions::listening,
-                memory::pinnedDirectMemory);
+                versions::allFrontends,
+                allocator::pinnedDirectMemory);
     }
 
-    // ---- The parts, for those that work on them -----------------------------------------------------
+    // ---- Components ---------------------------------------------------------------------------------
 
     EventLoop loop() {
         return loop;
@@ -267,8 +270,8 @@
         return timers;
     }
 
-    RequestProxy core() {
-        return core;
+    RequestProxy proxy() {
+        return proxy;
     }
 
     UpstreamClient transport() {
@@ -279,56 +282,57 @@
         return sockets;
     }
 
-    Frontend front() {
-        Frontend front = new Frontend(loop, sockets, memory, core);
-        front.budgets(budgets);
-        return front;
+    Frontend newFrontend() {
+        Frontend frontend = new Frontend(loop, sockets, allocator, proxy);
+        frontend.budgets(budgetHeaders);
+        return frontend;
     }
 
-    Discovery discovery(
+    Discovery newDiscovery(
             InetSocketAddress address, List<String> zones, List<String> kinds, Discovery.Listener listener) {
         return new Discovery(
-                loop, address, -1, new RosterParser(zones, kinds, true), memory, listener, Discovery.WATCH_MS);
+                loop, address, -1, new RosterParser(zones, kinds, true), allocator, listener, Discovery.WATCH_WAIT_MS);
     }
 
-    /** Null where there is none. */
+    /** The flight recorder; null if there is none. */
     Recording recording() {
         return recording;
     }
 
-    /** Where operators are let in. */
+    /** The address of the admin server. */
     public SocketAddress adminAddress() {
         return admin.address();
     }
 
-    /** Where callers are let in, in the order of the file. */
+    /** The addresses of the listeners, in the order of the file. */
     public List<InetSocketAddress> addresses() throws InterruptedException {
-        return onLoop(
-                () -> versions.fronts().values().stream().map(Frontend::address).toList());
+        return onLoop(() ->
+                versions.frontends().values().stream().map(Frontend::address).toList());
     }
 
-    /** Notes an answer in the access log, if there is one. */
-    void note(String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed) {
+    /** Records a response in the access log, if there is one. */
+    void recordResponse(
+            String requestId, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsedMs) {
         if (accessLog != null) {
-            accessLog.note(clock.now(), request, version, serviceClass, kind, attempts, elapsed);
+            accessLog.record(clock.now(), requestId, version, serviceClass, kind, attempts, elapsedMs);
         }
     }
 
-    /** Lines that the access log had to drop. */
-    long droppedLines() {
+    /** The number of lines that the access log dropped. */
+    long droppedLogLines() {
         return accessLog == null ? 0 : accessLog.dropped();
     }
 
-    <T> T onLoop(Callable<T> look) throws InterruptedException {
-        return loop.submit(look).sync().getNow();
+    <T> T onLoop(Callable<T> task) throws InterruptedException {
+        return loop.submit(task).sync().getNow();
     }
 
-    /** Stages and applies the operator file as it is now, to be confirmed if it stands its trial. */
+    /** Stages and applies the current operator file; it is confirmed automatically at the end of its trial. */
     public void reload() {
-        files.execute(() -> {
+        fileThread.execute(() -> {
             try {
                 byte[] bytes = OperatorFile.bytes(file);
-                loop.execute(() -> versions.stage(bytes, 0, this::reloaded));
+                loop.execute(() -> versions.stage(bytes, 0, this::applyStaged));
             } catch (IOException e) {
                 Log.warn(LOG, "file-unreadable")
                         .addKeyValue("cause", e.getMessage())
@@ -337,12 +341,12 @@
         });
     }
 
-    private void reloaded(Versions.Staged staged) {
-        String why = staged.refusal();
-        if (why == null && staged.version() != 0) {
+    private void applyStaged(Versions.StagingResult staged) {
+        String rejection = staged.refusal();
+        if (rejection == null && staged.version() != 0) {
             ChangeDecider.Reply applied = versions.apply(staged.version(), 0, true);
             if (!applied.accepted()) {
-                why = applied.message();
+                rejection = applied.message();
                 versions.drop(staged.version());
             }
         }
@@ -353,27 +357,27 @@
                     .addKeyValue("problem", problem.message())
                     .log("configuration: {}", problem.in(file.getFileName().toString()));
         }
-        if (why != null) {
+        if (rejection != null) {
             Log.warn(LOG, "file-refused")
-                    .addKeyValue("reason", why)
-                    .log("configuration: the operator file is not applied: {}", why);
+                    .addKeyValue("reason", rejection)
+                    .log("configuration: the operator file is not applied: {}", rejection);
         }
     }
 
-    /** Stops as SIGTERM wants it: answers what has come, lets callers go, and returns when nothing is left. */
+    /** Shuts down gracefully after SIGTERM: completes the requests that have arrived and returns at the end. */
     public void drain() throws InterruptedException {
-        double longest = onLoop(() -> versions.config().classes().stream()
-                .mapToDouble(c -> c.deadline())
+        double longestDeadlineMs = onLoop(() -> versions.config().classes().stream()
+                .mapToDouble(serviceClass -> serviceClass.deadline())
                 .max()
                 .orElse(0));
-        double latest = clock.now() + longest + DRAIN_SLACK_MS;
-        loop.submit(() -> stopAdmitting(latest)).sync();
-        while (!onLoop(this::endDrain) && clock.now() < latest) {
+        double endMs = clock.now() + longestDeadlineMs + DRAIN_SLACK_MS;
+        loop.submit(() -> stopAdmitting(endMs)).sync();
+        while (!onLoop(this::endDrain) && clock.now() < endMs) {
             Thread.sleep(DRAIN_CHECK_MS);
         }
-        loop.submit(core::abortAll).sync();
+        loop.submit(proxy::abortAll).sync();
         if (recording != null) {
-            recording.end();
+            recording.stop();
         }
         if (accessLog != null) {
             accessLog.close();
@@ -381,29 +385,29 @@
         closeQuietly(store);
     }
 
-    /** What has come by now is answered by its deadline, which comes before the end; nothing else is taken. */
-    private void stopAdmitting(double latest) {
-        ShutdownDeadlines deadlines = new ShutdownDeadlines(clock.now(), latest, latest);
-        core.drain(deadlines);
-        versions.listening().forEach(front -> front.stopAdmitting(deadlines));
+    /** Requests that have arrived complete by their deadlines, which precede the end; others are not admitted. */
+    private void stopAdmitting(double endMs) {
+        ShutdownDeadlines deadlines = new ShutdownDeadlines(clock.now(), endMs, endMs);
+        proxy.drain(deadlines);
+        versions.allFrontends().forEach(frontend -> frontend.stopAdmitting(deadlines));
     }
 
-    /** Connections of callers, on the loop. */
-    int callers() {
-        return versions.listening().stream().mapToInt(Frontend::callers).sum();
+    /** The number of client connections; called on the event loop. */
+    int clientConnections() {
+        return versions.allFrontends().stream().mapToInt(Frontend::callers).sum();
     }
 
     private boolean endDrain() {
-        boolean done = true;
-        for (Frontend front : versions.listening()) {
-            done &= front.endDrain();
+        boolean drained = true;
+        for (Frontend frontend : versions.allFrontends()) {
+            drained &= frontend.endDrain();
         }
-        return done && core.requests() == 0;
+        return drained && proxy.requests() == 0;
     }
 
-    /** Ends at once, whatever is under way. */
+    /** Stops immediately without a drain. */
     public void kill() {
-        files.shutdownNow();
+        fileThread.shutdownNow();
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         closeQuietly(store);
     }
--- a/src/main/java/sablehinge/gateway/node/Recording.java
+++ b/src/main/java/sablehinge/gateway/node/Recording.java
@@ -18,26 +18,26 @@
 import sablehinge.dataplane.proxy.RequestProxy;
 import sablehinge.dataplane.proxy.TraceEvent;
 import sablehinge.gateway.recorder.Alarm;
-import sablehinge.gateway.recorder.DumpFolder;
+import sablehinge.gateway.recorder.DumpDirectory;
 import sablehinge.gateway.recorder.FlightRecorder;
 import sablehinge.gateway.recorder.Ring;
 import sablehinge.gateway.recorder.Vitals;
 import sablehinge.gateway.recorder.Watch;
 import sablehinge.gateway.recorder.Watchdog;
 
-/** The flight recorder of one balancer, its watch on the loop and its watchdog beside it. */
+/** The flight recorder of one balancer, with its watch on the event loop and its watchdog thread. */
 final class Recording {
 
     private static final Logger LOG = LoggerFactory.getLogger(Recording.class);
-    /** Ticks between two notes of what changes slowly. */
-    private static final int GAUGES_EVERY = 4;
-    /** A tick that is later than this is noted, in ms. */
-    private static final double LATE_MS = 50;
+    /** The number of ticks between two samples of the gauges. */
+    private static final int GAUGE_INTERVAL_TICKS = 4;
+    /** Ticks with a longer delay are recorded. */
+    private static final double LATE_TICK_MS = 50;
 
     private static final long NANOS_PER_US = 1_000;
 
     private final EventLoop loop;
-    private final RequestProxy core;
+    private final RequestProxy proxy;
     private final Sockets sockets;
     private final Vitals vitals;
     private final FlightRecorder recorder;
@@ -45,70 +45,70 @@
     private final Watchdog watchdog;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private int ticks;
-    private int alarms;
-    private double lastTick = Double.NaN;
-    private long lastCpu;
+    private int alarmCount;
+    private double lastTickMs = Double.NaN;
+    private long lastCpuNanos;
 
     /**
-     * A recording that has not begun.
+     * Creates a recording that is not started.
      *
-     * @param bytes of the ring
-     * @param folder where dumps are kept; null for nowhere
-     * @param keep how many
+     * @param ringBytes the size of the ring
+     * @param directory the directory of the dumps; null for none
+     * @param maxDumps the number of dumps to retain
      */
     Recording(
             String name,
-            int bytes,
-            Path folder,
-            int keep,
+            int ringBytes,
+            Path directory,
+            int maxDumps,
             Watch.Terms terms,
             EventLoop loop,
-            RequestProxy core,
+            RequestProxy proxy,
             Sockets sockets,
-            Supplier<Collection<Frontend>> fronts,
-            LongSupplier memory) {
+            Supplier<Collection<Frontend>> frontends,
+            LongSupplier usedMemory) {
         this.loop = loop;
-        this.core = core;
+        this.proxy = proxy;
         this.sockets = sockets;
-        vitals = new LoopVitals(core, sockets, fronts, memory);
-        recorder = new FlightRecorder(new Ring(bytes), System::nanoTime);
+        vitals = new LoopVitals(proxy, sockets, frontends, usedMemory);
+        recorder = new FlightRecorder(new Ring(ringBytes), System::nanoTime);
         watch = new Watch(terms);
         watchdog = new Watchdog(
                 recorder.ring(),
                 name,
                 System::nanoTime,
-                terms.turn() + terms.tick(),
-                folder == null ? null : new DumpFolder(folder, keep),
-                text -> Log.warn(LOG, "recorder").log(text));
+                terms.maxTickDelayMs() + terms.tickMs(),
+                directory == null ? null : new DumpDirectory(directory, maxDumps),
+                message -> Log.warn(LOG, "recorder").log(message));
     }
 
-    /** Begins, on the loop. */
-    void begin() {
-        core.setTracer(recorder);
+    /** Starts the recording; called on the event loop. */
+    void start() {
+        proxy.setTracer(recorder);
         sockets.trace(recorder);
         watchdog.start();
-        long period = Math.round(watch.terms().tick());
+        long period = Math.round(watch.terms().tickMs());
         loop.scheduleAtFixedRate(this::tick, period, period, TimeUnit.MILLISECONDS);
     }
 
     private void tick() {
         watchdog.tick();
-        double now = core.now();
-        double late = now - lastTick - watch.terms().tick();
-        long cpu = threads.getCurrentThreadCpuTime();
-        if (late > LATE_MS) {
-            recorder.note(TraceEvent.LOOP_LATE, 0, 0, Math.round(late * 1_000));
-            recorder.note(TraceEvent.LOOP_CPU, 0, 0, (cpu - lastCpu) / NANOS_PER_US);
+        double nowMs = proxy.now();
+        double delay = nowMs - lastTickMs - watch.terms().tickMs();
+        long cpuNanos = threads.getCurrentThreadCpuTime();
+        if (delay > LATE_TICK_MS) {
+            recorder.note(TraceEvent.LOOP_LATE, 0, 0, Math.round(delay * 1_000));
+            recorder.note(TraceEvent.LOOP_CPU, 0, 0, (cpuNanos - lastCpuNanos) / NANOS_PER_US);
         }
-        lastTick = now;
-        lastCpu = cpu;
-        if (ticks++ % GAUGES_EVERY == 0) {
-            recorder.note(TraceEvent.MEMORY, 0, 0, vitals.memory());
+        lastTickMs = nowMs;
+        lastCpuNanos = cpuNanos;
+        if (ticks++ % GAUGE_INTERVAL_TICKS == 0) {
+            recorder.note(TraceEvent.MEMORY, 0, 0, vitals.usedMemory());
             recorder.note(TraceEvent.DESCRIPTORS, 0, 0, vitals.descriptors());
-            recorder.note(TraceEvent.REQUESTS, 0, 0, core.requests());
+            recorder.note(TraceEvent.REQUESTS, 0, 0, proxy.requests());
         }
-        for (Alarm alarm : watch.tick(now, vitals)) {
-            alarms++;
+        for (Alarm alarm : watch.tick(nowMs, vitals)) {
+            alarmCount++;
             recorder.note(
                     TraceEvent.ALARM,
                     alarm.connection(),
@@ -118,23 +118,23 @@
         }
     }
 
-    /** Makes a dump as an operator requests it; {@code done} is called with the result on the loop. */
-    void dump(BiConsumer<Path, String> done) {
-        watchdog.dump((path, why) -> loop.execute(() -> done.accept(path, why)));
+    /** Writes a dump for an operator; {@code callback} gets its path or the failure, on the event loop. */
+    void dump(BiConsumer<Path, String> callback) {
+        watchdog.dump((path, failure) -> loop.execute(() -> callback.accept(path, failure)));
     }
 
-    /** Adds what it has seen. */
-    ObjectNode status(ObjectNode status) {
+    /** Adds the counters of the recorder to a status object. */
+    ObjectNode addStatus(ObjectNode status) {
         status.putObject("recorder")
                 .put("events", recorder.ring().written())
                 .put("ring_events", recorder.ring().capacity())
-                .put("alarms", alarms)
-                .put("woken", vitals.woken());
+                .put("alarms", alarmCount)
+                .put("woken", vitals.recoveredWakeUps());
         return status;
     }
 
-    /** Ends with the dumps that were requested. */
-    void end() throws InterruptedException {
-        watchdog.end();
+    /** Stops the watchdog after the requested dumps are written. */
+    void stop() throws InterruptedException {
+        watchdog.stop();
     }
 }
--- a/src/main/java/sablehinge/gateway/node/ServerSource.java
+++ b/src/main/java/sablehinge/gateway/node/ServerSource.java
@@ -13,15 +13,15 @@
 import sablehinge.policy.LoadBalancer.Change;
 import sablehinge.policy.LoadBalancer.State;
 
-/** Where the servers of a version come from, and the complete list as it is now. */
+/** The source of the servers of a version, with the current complete roster. */
 final class ServerSource implements Registry {
 
     private final Map<Long, Member> members = new LinkedHashMap<>();
     private final BiConsumer<Change, Roster> listener;
-    /** Null where the file lists the servers. */
+    /** Null if the operator file lists the servers. */
     private Discovery discovery;
 
-    private boolean known;
+    private boolean complete;
     private boolean fetching;
     private long version;
 
@@ -29,32 +29,33 @@
         this.listener = listener;
     }
 
-    /** Servers that an operator file lists. */
-    static ServerSource listed(Roster roster) {
+    /** Creates a source of servers that an operator file lists. */
+    static ServerSource fromFile(Roster roster) {
         ServerSource source = new ServerSource((change, update) -> {});
-        source.take(roster);
+        source.apply(roster);
         return source;
     }
 
-    /** Servers that a discovery tells of; {@code maker} makes it, given the listener to them. */
-    static ServerSource discovered(Function<Discovery.Listener, Discovery> maker, BiConsumer<Change, Roster> listener) {
+    /** Creates a source of servers that a discovery reports; {@code factory} creates the discovery for a listener. */
+    static ServerSource fromDiscovery(
+            Function<Discovery.Listener, Discovery> factory, BiConsumer<Change, Roster> listener) {
         ServerSource source = new ServerSource(listener);
-        source.discovery = maker.apply(source::onRosterChanged);
+        source.discovery = factory.apply(source::onRosterChanged);
         return source;
     }
 
     private void onRosterChanged(Change change, Roster roster) {
         fetching = false;
         if (roster != null) {
-            take(roster);
+            apply(roster);
         }
         listener.accept(change, roster);
     }
 
-    private void take(Roster roster) {
+    private void apply(Roster roster) {
         if (roster.full()) {
             members.clear();
-            known = true;
+            complete = true;
         }
         version = roster.version();
         for (Member member : roster.members()) {
@@ -66,17 +67,17 @@
         }
     }
 
-    /** Whether a complete list has come. */
-    boolean isKnown() {
-        return known;
+    /** Whether a complete roster has been received. */
+    boolean isComplete() {
+        return complete;
     }
 
-    /** The complete list. */
+    /** The complete roster. */
     Roster roster() {
         return new Roster(version, true, List.copyOf(members.values()));
     }
 
-    /** Those that are ready. */
+    /** The servers that are ready. */
     List<Member> ready() {
         List<Member> ready = new ArrayList<>(members.values());
         ready.removeIf(member -> member.upstream().state() != State.READY);
@@ -85,7 +86,7 @@
 
     @Override
     public void fetch() {
-        // One question at a time: whoever waits asks again and again.
+        // One fetch at a time: a caller that waits for the roster requests it repeatedly.
         if (discovery != null && !fetching) {
             fetching = true;
             discovery.fetch();
--- a/src/main/java/sablehinge/gateway/node/SharedFiles.java
+++ b/src/main/java/sablehinge/gateway/node/SharedFiles.java
@@ -18,41 +18,41 @@
 import java.util.UUID;
 
 /**
- * What two processes of one balancer tell each other while one takes over from the other: who is there and which
- * upstreams are out. A process is a file that it holds locked, so that its death shows whatever kills it; an upstream
- * is a file that is there or not, so that nothing is ever read half.
+ * State that two processes of one balancer share while one takes over from the other: the live processes and the
+ * suspended upstreams. Each process holds a lock on a file of its own, so that its end is visible however it ends; each
+ * suspended upstream is represented by the existence of a file, so that no content can be read partially.
  */
 final class SharedFiles implements AutoCloseable {
 
-    private static final byte[] READY = {'r'};
+    private static final byte[] SERVING = {'r'};
 
     private final Path processes;
     private final Path upstreams;
-    private final Path own;
+    private final Path ownFile;
     private final FileChannel channel;
 
-    /** Joins those that share a folder. */
-    SharedFiles(Path folder) throws IOException {
-        processes = Files.createDirectories(folder.resolve("processes"));
-        upstreams = Files.createDirectories(folder.resolve("out"));
-        own = processes.resolve(UUID.randomUUID().toString());
-        channel = FileChannel.open(own, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+    /** Registers this process in a directory. */
+    SharedFiles(Path directory) throws IOException {
+        processes = Files.createDirectories(directory.resolve("processes"));
+        upstreams = Files.createDirectories(directory.resolve("out"));
+        ownFile = processes.resolve(UUID.randomUUID().toString());
+        channel = FileChannel.open(ownFile, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         if (channel.tryLock() == null) {
-            throw new IOException(own + " is locked");
+            throw new IOException(ownFile + " is locked");
         }
     }
 
-    /** Tells the others that this process serves. */
-    void ready() throws IOException {
-        channel.write(ByteBuffer.wrap(READY), 0);
+    /** Marks this process as serving. */
+    void markServing() throws IOException {
+        channel.write(ByteBuffer.wrap(SERVING), 0);
     }
 
-    /** Whether another process is alive there; with {@code serving}, whether one serves. */
-    boolean another(boolean serving) throws IOException {
+    /** Whether another process is alive; with {@code serving}, whether another process is serving. */
+    boolean hasOtherProcess(boolean serving) throws IOException {
         boolean found = false;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(processes)) {
             for (Path file : files) {
-                if (!file.equals(own) && running(file)) {
+                if (!file.equals(ownFile) && isAlive(file)) {
                     found |= !serving || Files.size(file) > 0;
                 }
             }
@@ -60,10 +60,10 @@
         return found;
     }
 
-    /** Removes what a dead process left behind. */
-    private static boolean running(Path file) throws IOException {
-        try (FileChannel other = FileChannel.open(file, StandardOpenOption.WRITE);
-                FileLock lock = other.tryLock()) {
+    /** Whether the process of a file is alive; removes the file of a dead process. */
+    private static boolean isAlive(Path file) throws IOException {
+        try (FileChannel lockedFile = FileChannel.open(file, StandardOpenOption.WRITE);
+                FileLock lock = lockedFile.tryLock()) {
             if (lock == null) {
                 return true;
             }
@@ -76,8 +76,8 @@
         }
     }
 
-    /** The ids of the upstreams that are out. */
-    Set<String> out() throws IOException {
+    /** The ids of the suspended upstreams. */
+    Set<String> suspendedIds() throws IOException {
         Set<String> ids = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(upstreams)) {
             for (Path file : files) {
@@ -88,13 +88,13 @@
         return ids;
     }
 
-    /** Notes that an upstream is out, or no more. */
-    void out(String id, boolean out) {
-        // An id never becomes part of a path as it is.
+    /** Records whether an upstream is suspended. */
+    void setSuspended(String id, boolean suspended) {
+        // The id is encoded, as it may contain path separators.
         Path file = upstreams.resolve(
                 Base64.getUrlEncoder().withoutPadding().encodeToString(id.getBytes(StandardCharsets.UTF_8)));
         try {
-            if (!out) {
+            if (!suspended) {
                 Files.deleteIfExists(file);
             } else if (!Files.exists(file)) {
                 Files.createFile(file);
@@ -106,7 +106,7 @@
 
     @Override
     public void close() throws IOException {
-        Files.deleteIfExists(own);
+        Files.deleteIfExists(ownFile);
         channel.close();
     }
 }
--- a/src/main/java/sablehinge/gateway/node/VersionPreparation.java
+++ b/src/main/java/sablehinge/gateway/node/VersionPreparation.java
@@ -15,28 +15,28 @@
 import sablehinge.gateway.config.operator.OperatorConfig.ListenerPart;
 
 /**
- * Makes a version ready beside the traffic: binds the listeners that are not there yet, waits for its first list of
- * servers, and reaches as many as the file asks for. Ends once, with the reason if it can't.
+ * Prepares a version without affecting traffic: binds its new listeners, waits for its first roster and connects to as
+ * many servers as its file requires. Completes once, with the failure if it fails.
  */
 final class VersionPreparation {
 
-    private static final double AGAIN_MS = 100;
-    /** Connections that are tried at once. */
-    private static final int AT_ONCE = 16;
+    private static final double RETRY_MS = 100;
+    /** The maximum number of concurrent connection attempts. */
+    private static final int MAX_CONCURRENT_CONNECTS = 16;
 
     private final OperatorConfig config;
     private final ServerSource source;
     private final UpstreamClient transport;
     private final Clock clock;
     private final Timers timers;
-    private final double deadline;
-    private final Consumer<String> end;
+    private final double deadlineMs;
+    private final Consumer<String> callback;
     private final Map<ListenerPart, Frontend> bound = new LinkedHashMap<>();
-    private final ArrayDeque<InetSocketAddress> untried = new ArrayDeque<>();
-    private int binding;
-    private int trying;
-    private int reached;
-    private boolean over;
+    private final ArrayDeque<InetSocketAddress> pendingAddresses = new ArrayDeque<>();
+    private int pendingBinds;
+    private int pendingConnects;
+    private int connectedServers;
+    private boolean finished;
 
     VersionPreparation(
             OperatorConfig config,
@@ -44,102 +44,104 @@
             UpstreamClient transport,
             Clock clock,
             Timers timers,
-            Consumer<String> end) {
+            Consumer<String> callback) {
         this.config = config;
         this.source = source;
         this.transport = transport;
         this.clock = clock;
         this.timers = timers;
-        this.end = end;
-        deadline = clock.now() + config.change().readyWithin();
+        this.callback = callback;
+        deadlineMs = clock.now() + config.change().readyWithin();
     }
 
-    /** Begins with the listeners that are missing, each made by {@code maker}. */
-    void start(List<ListenerPart> missing, Supplier<Frontend> maker) {
-        binding = missing.size();
-        for (ListenerPart part : missing) {
-            Frontend front = maker.get();
-            front.open(part.address(), failure -> {
-                binding--;
-                if (failure == null && over) {
-                    front.retire(0, () -> {});
+    /** Starts by binding the missing listeners, each created by {@code factory}. */
+    void start(List<ListenerPart> missing, Supplier<Frontend> factory) {
+        pendingBinds = missing.size();
+        for (ListenerPart listener : missing) {
+            Frontend frontend = factory.get();
+            frontend.open(listener.address(), failure -> {
+                pendingBinds--;
+                if (failure == null && finished) {
+                    frontend.retire(0, () -> {});
                 } else if (failure == null) {
-                    bound.put(part, front);
-                    servers();
+                    bound.put(listener, frontend);
+                    checkServers();
                 } else {
                     finish(failure);
                 }
             });
         }
-        servers();
+        checkServers();
     }
 
-    /** The listeners that it has bound. */
+    /** The listeners bound so far. */
     Map<ListenerPart, Frontend> bound() {
         return bound;
     }
 
-    /** Gives up quietly. */
-    void abandon() {
-        over = true;
+    /** Cancels the preparation without a callback. */
+    void cancel() {
+        finished = true;
     }
 
     private void finish(String failure) {
-        if (!over) {
-            over = true;
-            end.accept(failure);
+        if (!finished) {
+            finished = true;
+            callback.accept(failure);
         }
     }
 
-    private void servers() {
-        if (over || binding > 0 || trying > 0) {
+    private void checkServers() {
+        if (finished || pendingBinds > 0 || pendingConnects > 0) {
             return;
         }
-        if (!source.isKnown()) {
+        if (!source.isComplete()) {
             source.fetch();
-            later("no list of servers came");
-        } else if (reached >= config.change().readyLeast()) {
+            retryLater("no list of servers came");
+        } else if (connectedServers >= config.change().readyLeast()) {
             finish(null);
         } else {
-            reached = 0;
-            source.ready().forEach(member -> untried.add(member.address()));
-            for (int i = 0; i < AT_ONCE && !untried.isEmpty(); i++) {
-                reach();
+            connectedServers = 0;
+            source.ready().forEach(member -> pendingAddresses.add(member.address()));
+            for (int i = 0; i < MAX_CONCURRENT_CONNECTS && !pendingAddresses.isEmpty(); i++) {
+                connectNext();
             }
-            if (trying == 0) {
-                later("no server is listed as ready");
+            if (pendingConnects == 0) {
+                retryLater("no server is listed as ready");
             }
         }
     }
 
-    private void reach() {
-        trying++;
-        int timeout = (int)
-                Math.max(1, Math.min(deadline - clock.now(), config.limits().connectTimeout()));
-        transport.reach(untried.poll(), timeout, up -> {
-            trying--;
-            reached += up ? 1 : 0;
-            if (over || reached >= config.change().readyLeast()) {
-                untried.clear();
+    private void connectNext() {
+        pendingConnects++;
+        int timeoutMs = (int)
+                Math.max(1, Math.min(deadlineMs - clock.now(), config.limits().connectTimeout()));
+        transport.reach(pendingAddresses.poll(), timeoutMs, connected -> {
+            pendingConnects--;
+            connectedServers += connected ? 1 : 0;
+            if (finished || connectedServers >= config.change().readyLeast()) {
+                pendingAddresses.clear();
             }
-            if (!untried.isEmpty()) {
-                reach();
-            } else if (trying == 0 && reached >= config.change().readyLeast()) {
-                servers();
-            } else if (trying == 0) {
-                later("reached " + reached + " of at least " + config.change().readyLeast() + " servers");
+            if (!pendingAddresses.isEmpty()) {
+                connectNext();
+            } else if (pendingConnects == 0
+                    && connectedServers >= config.change().readyLeast()) {
+                checkServers();
+            } else if (pendingConnects == 0) {
+                retryLater("reached " + connectedServers + " of at least "
+                        + config.change().readyLeast() + " servers");
             }
         });
     }
 
-    private void later(String waitsFor) {
-        if (over) {
+    private void retryLater(String failure) {
+        if (finished) {
             return;
         }
-        if (clock.now() + AGAIN_MS >= deadline) {
-            finish(waitsFor + " within " + (long) config.change().readyWithin() + " ms");
+        if (clock.now() + RETRY_MS >= deadlineMs) {
+            finish(failure + " within " + (long) config.change().readyWithin() + " ms");
         } else {
-            timers.at(clock.now() + AGAIN_MS, this::servers);
+            timers.at(clock.now() + RETRY_MS, this::checkServers);
         }
     }
 }
--- a/src/main/java/sablehinge/gateway/node/Versions.java
+++ b/src/main/java/sablehinge/gateway/node/Versions.java
@@ -34,29 +34,29 @@
 import sablehinge.policy.LoadBalancer.State;
 
 /**
- * Executes changes of the configuration: what {@link ChangeDecider} asks for, on the sockets, in core and on the disk.
- * All of it runs on the loop but for files and parsing, which have a thread of their own, one task after another; the
- * loop never waits for it.
+ * Carries out the configuration changes that {@link ChangeDecider} decides: on listeners, in the proxy and on the disk.
+ * Everything runs on the event loop except file operations and parsing, which run sequentially on another thread; the
+ * event loop never waits for them.
  */
 final class Versions implements ChangeDecider.Actions, Observer {
 
     private static final Logger LOG = LoggerFactory.getLogger(Versions.class);
     private static final double TICK_MS = 50;
-    /** For so long after it is given up, a listener lets in callers who don't know yet. */
+    /** The time for which a removed listener continues to accept clients that do not know of its removal. */
     private static final double LISTENER_GRACE_MS = 2_000;
-    /** Versions that may have requests at work at once. */
-    static final int MAX_ALIVE = 8;
-    /** A version that was read: what it says, and what it stands on once it is applied. */
-    private static final class Running {
+    /** The maximum number of versions with requests in flight. */
+    static final int MAX_ACTIVE_VERSIONS = 8;
+    /** A version whose file was parsed, with its source of servers once it is applied. */
+    private static final class LoadedVersion {
         final OperatorConfig config;
         final Version version;
-        final Roster listed;
+        final Roster fileRoster;
         ServerSource source;
 
-        Running(OperatorConfig config, Version version, Roster listed) {
+        LoadedVersion(OperatorConfig config, Version version, Roster fileRoster) {
             this.config = config;
             this.version = version;
-            this.listed = listed;
+            this.fileRoster = fileRoster;
         }
     }
 
@@ -64,70 +64,69 @@
     private final VersionStore store;
     private final FileTasks files;
     private final ChangeDecider decider;
-    private final Map<Integer, Running> known = new HashMap<>();
-    private final Map<ListenerPart, Frontend> fronts = new LinkedHashMap<>();
-    /** Those that are being given up, which a change may want back. */
-    private final Map<ListenerPart, Frontend> leaving = new HashMap<>();
+    private final Map<Integer, LoadedVersion> loadedVersions = new HashMap<>();
+    private final Map<ListenerPart, Frontend> frontends = new LinkedHashMap<>();
+    /** Removed listeners that still accept clients; a later change may use them again. */
+    private final Map<ListenerPart, Frontend> retiring = new HashMap<>();
 
-    private final Map<InetSocketAddress, ServerSource> discovered = new HashMap<>();
+    private final Map<InetSocketAddress, ServerSource> discoverySources = new HashMap<>();
     private final List<String> zones = new ArrayList<>();
     private final List<String> kinds = new ArrayList<>();
     private VersionPreparation preparation;
     private boolean ticking;
-    /** How long the last undoing took, from its decision until requests arrived under the version before. */
-    private double undoMs;
-    /** Since when fewer servers are ready than the version on trial asks for; NaN while enough are. */
-    private double bare = Double.NaN;
+    /** The duration of the last rollback, from its decision until new requests used the previous version. */
+    private double lastUndoMs;
+    /** The time since which too few servers are ready for the version on trial; NaN while enough are. */
+    private double tooFewReadySinceMs = Double.NaN;
 
-    /** Begins with a version that counts as confirmed; the store is notified of that once it serves. */
+    /** Starts with a version that counts as confirmed; the store records that once the process serves. */
     Versions(OperatorNode node, VersionStore store, ExecutorService files, int number, OperatorConfig first) {
         this.node = node;
         this.store = store;
         this.files = new FileTasks(files, node.loop());
         decider = new ChangeDecider(number, this);
-        Running running = read(number, first);
-        running.source = source(running);
+        LoadedVersion loaded = load(number, first);
+        loaded.source = source(loaded);
     }
 
-    private Running read(int number, OperatorConfig config) {
+    private LoadedVersion load(int number, OperatorConfig config) {
         Version version = config.version(number, zones, kinds);
-        Running running = new Running(config, version, config.roster(number, zones, kinds));
-        known.put(number, running);
-        return running;
+        LoadedVersion loaded = new LoadedVersion(config, version, config.roster(number, zones, kinds));
+        loadedVersions.put(number, loaded);
+        return loaded;
     }
 
-    private Running current() {
-        return known.get(
-                node.core().version() == null
+    private LoadedVersion current() {
+        return loadedVersions.get(
+                node.proxy().version() == null
                         ? decider.confirmed()
-                        : node.core().version().number());
+                        : node.proxy().version().number());
     }
 
-    /** Starts core with the first version. */
+    /** Starts the proxy with the first version. */
     void start(long seed) {
-        Running first = known.get(decider.confirmed());
-        node.core().setObserver(this);
-        node.core().start(first.version, seed, first.source.roster(), node.transport(), new CurrentSource());
+        LoadedVersion first = loadedVersions.get(decider.confirmed());
+        node.proxy().setObserver(this);
+        node.proxy().start(first.version, seed, first.source.roster(), node.transport(), new CurrentSource());
     }
 
-    /** Its listeners without their names, which may change; only a port that the system picks needs one. */
-    static List<ListenerPart> places(OperatorConfig config) {
-        List<ListenerPart> places = new ArrayList<>();
+    /** The listeners of a configuration without their names, which may change; only port 0 needs a name as its key. */
+    static List<ListenerPart> listenerKeys(OperatorConfig config) {
+        List<ListenerPart> keys = new ArrayList<>();
         config.listeners()
-                .forEach(part ->
-                        places.add(part.address().getPort() == 0 ? part : new ListenerPart("", part.address())));
-        return places;
+                .forEach(part -> keys.add(part.address().getPort() == 0 ? part : new ListenerPart("", part.address())));
+        return keys;
     }
 
-    /** The listeners of the first version, to be bound before it serves. */
-    Map<ListenerPart, Frontend> fronts() {
-        return fronts;
+    /** The frontends of the current version; those of the first version are added before it serves. */
+    Map<ListenerPart, Frontend> frontends() {
+        return frontends;
     }
 
-    /** All that let callers in, also those being given up and those bound for a change that is not begun. */
-    List<Frontend> listening() {
-        List<Frontend> all = new ArrayList<>(fronts.values());
-        all.addAll(leaving.values());
+    /** All frontends that accept clients, including retiring ones and those of a version in preparation. */
+    List<Frontend> allFrontends() {
+        List<Frontend> all = new ArrayList<>(frontends.values());
+        all.addAll(retiring.values());
         if (preparation != null) {
             all.addAll(preparation.bound().values());
         }
@@ -138,7 +137,7 @@
         return current().config;
     }
 
-    /** The module asks whatever source the current version has. */
+    /** Delegates the requests of the module to the source of the current version. */
     private final class CurrentSource implements Registry {
 
         @Override
@@ -152,69 +151,71 @@
         }
     }
 
-    private ServerSource source(Running running) {
-        InetSocketAddress address = running.config.discovery();
+    private ServerSource source(LoadedVersion loaded) {
+        InetSocketAddress address = loaded.config.discovery();
         if (address == null) {
-            return ServerSource.listed(running.listed);
+            return ServerSource.fromFile(loaded.fileRoster);
         }
-        return discovered.computeIfAbsent(address, a -> {
-            AtomicReference<ServerSource> made = new AtomicReference<>();
-            made.set(ServerSource.discovered(
-                    listener -> node.discovery(a, zones, kinds, listener),
-                    (change, roster) -> onRosterChanged(made.get(), change, roster)));
-            return made.get();
+        return discoverySources.computeIfAbsent(address, discoveryAddress -> {
+            AtomicReference<ServerSource> created = new AtomicReference<>();
+            created.set(ServerSource.fromDiscovery(
+                    listener -> node.newDiscovery(discoveryAddress, zones, kinds, listener),
+                    (change, roster) -> onRosterChanged(created.get(), change, roster)));
+            return created.get();
         });
     }
 
     private void onRosterChanged(ServerSource source, Change change, Roster roster) {
         if (source == current().source) {
-            node.core().onRosterChanged(change, roster);
+            node.proxy().onRosterChanged(change, roster);
         } else if (roster != null) {
-            List<Roster.Member> off = new ArrayList<>(roster.members());
-            off.removeIf(m -> m.upstream().state() == State.READY);
-            node.core().updateDraining(new Roster(roster.version(), false, off));
+            List<Roster.Member> notReady = new ArrayList<>(roster.members());
+            notReady.removeIf(member -> member.upstream().state() == State.READY);
+            node.proxy().updateDraining(new Roster(roster.version(), false, notReady));
         }
     }
 
-    // ---- What operators ask for ---------------------------------------------------------------------
+    // ---- Requests of operators ----------------------------------------------------------------------
 
-    /** What a staging came to: a number, or problems of the file, or a refusal. */
-    record Staged(int version, List<Problem> problems, String refusal) {}
+    /** The result of staging: the number of the version, the problems of the file, or a refusal. */
+    record StagingResult(int version, List<Problem> problems, String refusal) {}
 
-    /** Checks content and writes it as a version over a base; a base of 0 is the confirmed one. */
-    void stage(byte[] content, int base, Consumer<Staged> end) {
-        int over = base == 0 ? decider.confirmed() : base;
-        OperatorConfig running = current().config;
-        files.run(() -> OperatorFile.parse(content), (checked, failure) -> {
-            Reply may = decider.checkStaging(over);
+    /** Checks a file and stores it as a version with a base; base 0 is the confirmed version. */
+    void stage(byte[] content, int base, Consumer<StagingResult> callback) {
+        int actualBase = base == 0 ? decider.confirmed() : base;
+        OperatorConfig runningConfig = current().config;
+        files.run(() -> OperatorFile.parse(content), (parsed, failure) -> {
+            Reply check = decider.checkStaging(actualBase);
             String refusal = failure != null
                     ? failure
-                    : !may.accepted()
-                            ? may.message()
-                            : checked.config() == null
+                    : !check.accepted()
+                            ? check.message()
+                            : parsed.config() == null
                                     ? null
-                                    : FixedSettings.conflict(running, checked.config(), zones.size() + kinds.size());
-            if (refusal != null || checked.config() == null) {
-                end.accept(new Staged(0, checked == null ? List.of() : checked.problems(), refusal));
+                                    : FixedSettings.conflict(
+                                            runningConfig, parsed.config(), zones.size() + kinds.size());
+            if (refusal != null || parsed.config() == null) {
+                callback.accept(new StagingResult(0, parsed == null ? List.of() : parsed.problems(), refusal));
                 return;
             }
-            files.run(() -> store.stage(content), (number, unwritten) -> {
-                if (unwritten != null) {
-                    end.accept(new Staged(0, List.of(), unwritten));
+            files.run(() -> store.stage(content), (number, writeFailure) -> {
+                if (writeFailure != null) {
+                    callback.accept(new StagingResult(0, List.of(), writeFailure));
                     return;
                 }
-                Reply still = decider.checkStaging(over);
-                if (!still.accepted()) {
-                    end.accept(new Staged(0, List.of(), still.message()));
+                Reply recheck = decider.checkStaging(actualBase);
+                if (!recheck.accepted()) {
+                    callback.accept(new StagingResult(0, List.of(), recheck.message()));
                     return;
                 }
-                read(number, checked.config());
-                decider.staged(number, over);
-                known.keySet()
-                        .removeIf(n -> n != decider.confirmed()
-                                && n != decider.candidate()
-                                && !decider.stagedVersions().containsKey(n));
-                end.accept(new Staged(number, List.of(), null));
+                load(number, parsed.config());
+                decider.staged(number, actualBase);
+                loadedVersions
+                        .keySet()
+                        .removeIf(stored -> stored != decider.confirmed()
+                                && stored != decider.candidate()
+                                && !decider.stagedVersions().containsKey(stored));
+                callback.accept(new StagingResult(number, List.of(), null));
             });
         });
     }
@@ -222,34 +223,34 @@
     Reply drop(int version) {
         Reply reply = decider.drop(version);
         if (reply.accepted()) {
-            known.remove(version);
+            loadedVersions.remove(version);
         }
         return reply;
     }
 
-    /** Applies a staged version; {@code confirmWithin} is 0 for what its file says. */
-    Reply apply(int version, double confirmWithin, boolean automatic) {
-        Running running = known.get(version);
-        if (running != null && node.core().versions() >= MAX_ALIVE) {
+    /** Applies a staged version; {@code confirmWithinMs} 0 stands for the value in its file. */
+    Reply apply(int version, double confirmWithinMs, boolean automatic) {
+        LoadedVersion loaded = loadedVersions.get(version);
+        if (loaded != null && node.proxy().versions() >= MAX_ACTIVE_VERSIONS) {
             return new Reply(
                     false,
-                    "requests of " + node.core().versions()
+                    "requests of " + node.proxy().versions()
                             + " versions are at work; try again when they are answered");
         }
-        OperatorConfig.ChangePart part = running == null ? current().config.change() : running.config.change();
+        OperatorConfig.ChangePart part = loaded == null ? current().config.change() : loaded.config.change();
         Reply reply = decider.apply(
                 node.clock().now(),
                 version,
                 new TrialTerms(
-                        confirmWithin > 0 ? confirmWithin : part.confirmWithin(),
+                        confirmWithinMs > 0 ? confirmWithinMs : part.confirmWithin(),
                         part.readyWithin(),
                         part.failedRise(),
                         part.refusedRise(),
                         part.leastCount(),
                         automatic));
         if (reply.accepted()) {
-            reported("applied", version, "configuration: version {} is applied");
-            tickSoon();
+            logVersion("applied", version, "configuration: version {} is applied");
+            scheduleTick();
         }
         return reply;
     }
@@ -266,43 +267,43 @@
         return decider;
     }
 
-    double undoMs() {
-        return undoMs;
+    double lastUndoMs() {
+        return lastUndoMs;
     }
 
-    /** The content of a version. */
-    void content(int version, BiConsumer<byte[], String> end) {
-        files.run(() -> store.content(version), end);
+    /** Reads the content of a version. */
+    void content(int version, BiConsumer<byte[], String> callback) {
+        files.run(() -> store.content(version), callback);
     }
 
-    // ---- What the decider asks for ------------------------------------------------------------------
+    // ---- Actions of the decider ---------------------------------------------------------------------
 
-    private void tickSoon() {
+    private void scheduleTick() {
         if (!ticking && decider.phase() != Phase.NONE) {
             ticking = true;
             node.timers().at(node.clock().now() + TICK_MS, () -> {
                 ticking = false;
                 double now = node.clock().now();
-                watchServers(now);
+                checkReadyServers(now);
                 decider.tick(now);
-                tickSoon();
+                scheduleTick();
             });
         }
     }
 
-    private void watchServers(double now) {
+    private void checkReadyServers(double now) {
         if (decider.phase() != Phase.TRIAL) {
-            bare = Double.NaN;
+            tooFewReadySinceMs = Double.NaN;
             return;
         }
-        Running trial = known.get(decider.candidate());
+        LoadedVersion trial = loadedVersions.get(decider.candidate());
         OperatorConfig.ChangePart terms = trial.config.change();
         int ready = trial.source.ready().size();
         if (ready >= terms.readyLeast()) {
-            bare = Double.NaN;
-        } else if (Double.isNaN(bare)) {
-            bare = now;
-        } else if (now - bare >= terms.readyWithin()) {
+            tooFewReadySinceMs = Double.NaN;
+        } else if (Double.isNaN(tooFewReadySinceMs)) {
+            tooFewReadySinceMs = now;
+        } else if (now - tooFewReadySinceMs >= terms.readyWithin()) {
             decider.versionFailed(
                     now,
                     decider.candidate(),
@@ -319,44 +320,44 @@
 
     @Override
     public void prepare(int version) {
-        Running running = known.get(version);
-        running.source = source(running);
-        List<ListenerPart> missing = places(running.config);
-        missing.removeAll(fronts.keySet());
-        Map<ListenerPart, Frontend> back = new LinkedHashMap<>();
+        LoadedVersion loaded = loadedVersions.get(version);
+        loaded.source = source(loaded);
+        List<ListenerPart> missing = listenerKeys(loaded.config);
+        missing.removeAll(frontends.keySet());
+        Map<ListenerPart, Frontend> restored = new LinkedHashMap<>();
         missing.removeIf(part -> {
-            Frontend left = leaving.remove(part);
-            return left != null && left.stay() && back.put(part, left) == null;
+            Frontend frontend = retiring.remove(part);
+            return frontend != null && frontend.stay() && restored.put(part, frontend) == null;
         });
         preparation = new VersionPreparation(
-                running.config,
-                running.source,
+                loaded.config,
+                loaded.source,
                 node.transport(),
                 node.clock(),
                 node.timers(),
                 failure -> decider.prepared(node.clock().now(), version, failure));
-        preparation.bound().putAll(back);
-        preparation.start(missing, node::front);
+        preparation.bound().putAll(restored);
+        preparation.start(missing, node::newFrontend);
     }
 
     @Override
     public void begin(int version) {
-        fronts.putAll(preparation.bound());
+        frontends.putAll(preparation.bound());
         preparation = null;
-        adopt(known.get(version));
-        reported("on-trial", version, "configuration: version {} is on trial");
+        adopt(loadedVersions.get(version));
+        logVersion("on-trial", version, "configuration: version {} is on trial");
     }
 
-    private static void reported(String event, int version, String text) {
-        Log.info(LOG, "version-" + event).addKeyValue("version", version).log(text, version);
+    private static void logVersion(String event, int version, String message) {
+        Log.info(LOG, "version-" + event).addKeyValue("version", version).log(message, version);
     }
 
-    private void adopt(Running running) {
-        ServerSource before = current().source;
-        Logging.apply(running.config.log());
-        node.core().adopt(running.version, running.source.roster());
-        if (running.source != before && running.config.discovery() != null) {
-            running.source.watch(true);
+    private void adopt(LoadedVersion loaded) {
+        ServerSource previous = current().source;
+        Logging.apply(loaded.config.log());
+        node.proxy().adopt(loaded.version, loaded.source.roster());
+        if (loaded.source != previous && loaded.config.discovery() != null) {
+            loaded.source.watch(true);
         }
     }
 
@@ -369,56 +370,59 @@
 
     @Override
     public void undo(int version, int restored, String reason) {
-        double begun = node.clock().now();
+        double startedMs = node.clock().now();
         if (preparation != null) {
-            preparation.abandon();
-            preparation.bound().forEach((part, front) -> leave(part, front, 0));
+            preparation.cancel();
+            preparation.bound().forEach((part, frontend) -> retire(part, frontend, 0));
             preparation = null;
         }
-        if (node.core().version().number() == version) {
-            adopt(known.get(restored));
+        if (node.proxy().version().number() == version) {
+            adopt(loadedVersions.get(restored));
         }
-        undoMs = node.clock().now() - begun;
+        lastUndoMs = node.clock().now() - startedMs;
         Log.warn(LOG, "version-undone")
                 .addKeyValue("version", version)
                 .addKeyValue("current", restored)
                 .addKeyValue("reason", reason)
                 .log("configuration: version {} is undone, version {} is current: {}", version, restored, reason);
-        giveUp(version, restored);
-        // If the disk fails here too, the mark stays, which says the same to the next start.
+        release(version, restored);
+        // If this write fails as well, the mark remains, and the next start rolls the version back.
         files.write(() -> store.mark(0), failure -> {});
     }
 
     @Override
     public void releasePrevious(int version, int previous) {
-        reported("confirmed", version, "configuration: version {} is confirmed");
-        giveUp(previous, version);
+        logVersion("confirmed", version, "configuration: version {} is confirmed");
+        release(previous, version);
     }
 
-    private void leave(ListenerPart part, Frontend front, double grace) {
-        leaving.put(part, front);
-        front.retire(grace, () -> leaving.remove(part, front));
+    private void retire(ListenerPart part, Frontend frontend, double graceMs) {
+        retiring.put(part, frontend);
+        frontend.retire(graceMs, () -> retiring.remove(part, frontend));
     }
 
-    /** Gives up what only one version has and another has not. */
-    private void giveUp(int version, int stays) {
-        Running left = known.remove(version);
-        Running kept = known.get(stays);
-        for (ListenerPart part : List.copyOf(fronts.keySet())) {
-            if (!places(kept.config).contains(part)) {
-                leave(part, fronts.remove(part), LISTENER_GRACE_MS);
+    /** Releases what a version uses and the remaining version does not. */
+    private void release(int version, int remainingVersion) {
+        LoadedVersion released = loadedVersions.remove(version);
+        LoadedVersion remaining = loadedVersions.get(remainingVersion);
+        for (ListenerPart part : List.copyOf(frontends.keySet())) {
+            if (!listenerKeys(remaining.config).contains(part)) {
+                retire(part, frontends.remove(part), LISTENER_GRACE_MS);
             }
         }
-        node.core().release(version);
-        if (left != null && left.source != null && left.source != kept.source && left.config.discovery() != null) {
-            left.source.watch(false);
-            discovered.remove(left.config.discovery());
+        node.proxy().release(version);
+        if (released != null
+                && released.source != null
+                && released.source != remaining.source
+                && released.config.discovery() != null) {
+            released.source.watch(false);
+            discoverySources.remove(released.config.discovery());
         }
     }
 
     @Override
     public void answered(
-            String request, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsed) {
+            String requestId, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsedMs) {
         Outcome outcome =
                 switch (kind) {
                     case SERVED -> Outcome.SERVED;
@@ -426,6 +430,6 @@
                     case FAILED, UNANSWERED, BROKEN, LOOP -> Outcome.FAILED;
                 };
         decider.responseSent(node.clock().now(), version.number(), outcome);
-        node.note(request, version, serviceClass, kind, attempts, elapsed);
+        node.recordResponse(requestId, version, serviceClass, kind, attempts, elapsedMs);
     }
 }
--- a/src/main/java/sablehinge/gateway/recorder/Alarm.java
+++ b/src/main/java/sablehinge/gateway/recorder/Alarm.java
@@ -1,33 +1,33 @@
 package sablehinge.gateway.recorder;
 
 /**
- * Something that must not be.
+ * A violation of an invariant of the balancer.
  *
- * @param connection the number of the connection that it is about; 0 for none
- * @param exchange the number of the request; 0 likewise
- * @param detail what was seen, in words
+ * @param connection the number of the affected connection; 0 for none
+ * @param exchange the number of the affected request; 0 for none
+ * @param detail a description of the observation
  */
 public record Alarm(Kind kind, int connection, long exchange, String detail) {
 
-    /** What is wrong. */
+    /** The kind of violation. */
     public enum Kind {
-        /** A reader waits though its writer can take more. */
+        /** Reading is paused although the writer can accept more. */
         LOST_WAKE_UP,
-        /** Bytes lay unread in the kernel of a connection that is read. */
+        /** Bytes remained unread in the kernel although reading was not paused. */
         UNREAD,
-        /** Bytes lay unwritten though the kernel could take them. */
+        /** Bytes remained unwritten although the kernel could accept them. */
         UNWRITTEN,
-        /** A request is past its deadline and not forgotten. */
+        /** A request still exists after its deadline. */
         OVERDUE,
-        /** The loop had no turn for too long. */
+        /** The event loop ran a tick too late. */
         LONG_TURN,
-        /** The loop stands still now. */
+        /** The event loop is blocked now. */
         HUNG,
-        /** A count is below zero. */
+        /** A counter is negative. */
         BELOW_ZERO,
-        /** A count is not back at zero, though nothing is at work. */
+        /** A counter did not return to zero although the balancer is idle. */
         LEFT_OVER,
-        /** Buffers are in use, though nothing is at work. */
+        /** Buffers are in use although the balancer is idle. */
         LEAK
     }
 }
--- a/src/main/java/sablehinge/gateway/recorder/Dump.java
+++ b/src/main/java/sablehinge/gateway/recorder/Dump.java
@@ -14,17 +14,17 @@
 import sablehinge.dataplane.proxy.TraceEvent;
 
 /**
- * A ring as it was at a moment, and why it was kept. As bytes: the mark, the length of the head, the head as JSON in
- * UTF-8, the events in four little-endian words each, CRC-32C (RFC 3720) of all that. Events are named in the head, so
- * that one release reads the dump of another.
+ * A snapshot of a ring with the reason for it. The file format is: the magic number, the length of the header, the
+ * header as JSON in UTF-8, the events in four little-endian words each, and the CRC-32C (RFC 3720) of all preceding
+ * bytes. The header contains the names of the events, so that one release can read the dumps of another.
  *
- * @param node whose it is
- * @param atMillis when it was made, ms since 1970
- * @param atMicros the same moment in the time of the events
- * @param reason in a word, such as the kind of an alarm
- * @param detail what was seen, in words
- * @param stack the loop's thread, a frame a line; empty where it was not requested
- * @param lost events that the ring no longer had
+ * @param node the name of the balancer
+ * @param atMillis the time of the dump in ms since 1970
+ * @param atMicros the same time by the clock of the events
+ * @param reason a single word, such as the kind of an alarm
+ * @param detail a description of the observation
+ * @param stack the stack of the event loop's thread, one frame per line; empty if it was not captured
+ * @param lost the number of events that were overwritten in the ring
  * @param events oldest first
  */
 public record Dump(
@@ -37,22 +37,22 @@
         long lost,
         List<Event> events) {
 
-    private static final byte[] MARK = "SHFR0001".getBytes(StandardCharsets.US_ASCII);
-    /** A ring of 1 GiB and its head, far more than any that is made. */
-    private static final int MAX_HEAD = 1 << 20;
+    private static final byte[] MAGIC = "SHFR0001".getBytes(StandardCharsets.US_ASCII);
+    /** An upper limit of the header, far above the size of any real one. */
+    private static final int MAX_HEADER_BYTES = 1 << 20;
 
     private static final JsonMapper JSON = new JsonMapper();
 
     /**
-     * An event, read back.
+     * An event of a dump.
      *
-     * @param micros when it happened, in the time of the dump
-     * @param name by {@link TraceEvent}
-     * @param of what the value is; empty for none
+     * @param micros the time, by the same clock as {@code atMicros}
+     * @param name the name of the {@link TraceEvent}
+     * @param of the meaning of the value; empty for none
      */
     public record Event(long micros, String name, int connection, long exchange, long value, String of) {}
 
-    /** A dump of a ring's present content. */
+    /** Creates a dump of the current content of a ring. */
     static Dump of(Ring ring, String node, long atMillis, long atMicros, String reason, String detail, String stack) {
         long[] words = ring.copy();
         TraceEvent[] kinds = TraceEvent.values();
@@ -70,10 +70,10 @@
         return new Dump(node, atMillis, atMicros, reason, detail, stack, ring.written() - events.size(), events);
     }
 
-    /** As it is kept in a file. */
+    /** The content of the file. */
     byte[] bytes() throws IOException {
         List<String> names = events.stream().map(Event::name).distinct().toList();
-        ObjectNode head = JSON.createObjectNode()
+        ObjectNode header = JSON.createObjectNode()
                 .put("node", node)
                 .put("at_ms", atMillis)
                 .put("at_us", atMicros)
@@ -82,92 +82,95 @@
                 .put("stack", stack)
                 .put("lost", lost)
                 .put("count", events.size());
-        names.forEach(name -> head.withArray("events")
+        names.forEach(name -> header.withArray("events")
                 .addObject()
                 .put("name", name)
                 .put("of", TraceEvent.valueOf(name).valueMeaning()));
-        byte[] text = JSON.writeValueAsBytes(head);
+        byte[] text = JSON.writeValueAsBytes(header);
         ByteBuffer out = ByteBuffer.allocate(
-                        MARK.length + Integer.BYTES + text.length + events.size() * Ring.EVENT_BYTES + Integer.BYTES)
+                        MAGIC.length + Integer.BYTES + text.length + events.size() * Ring.EVENT_BYTES + Integer.BYTES)
                 .order(ByteOrder.LITTLE_ENDIAN);
-        out.put(MARK).putInt(text.length).put(text);
-        for (Event one : events) {
-            out.putLong(one.micros)
-                    .putLong((long) one.connection << 32 | names.indexOf(one.name))
-                    .putLong(one.exchange)
-                    .putLong(one.value);
+        out.put(MAGIC).putInt(text.length).put(text);
+        for (Event event : events) {
+            out.putLong(event.micros)
+                    .putLong((long) event.connection << 32 | names.indexOf(event.name))
+                    .putLong(event.exchange)
+                    .putLong(event.value);
         }
-        out.putInt(sum(out.array(), out.position()));
+        out.putInt(checksum(out.array(), out.position()));
         return out.array();
     }
 
-    private static int sum(byte[] bytes, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, 0, length);
-        return (int) sum.getValue();
+    private static int checksum(byte[] bytes, int length) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, length);
+        return (int) crc.getValue();
     }
 
     /**
-     * Reads one back.
+     * Parses the content of a file.
      *
-     * @throws IOException where it is none or damaged: at which offset, and what was expected there
+     * @throws IOException if it is not a dump or is damaged; the message has the offset and what was expected there
      */
     public static Dump read(byte[] bytes) throws IOException {
         ByteBuffer in = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
-        expect(bytes.length >= MARK.length + 2 * Integer.BYTES, bytes.length, "a mark, a head and a sum");
-        for (int i = 0; i < MARK.length; i++) {
-            expect(in.get() == MARK[i], i, "the mark of a dump, \"SHFR0001\"");
+        expect(
+                bytes.length >= MAGIC.length + 2 * Integer.BYTES,
+                bytes.length,
+                "a magic number, a header and a checksum");
+        for (int i = 0; i < MAGIC.length; i++) {
+            expect(in.get() == MAGIC[i], i, "the magic number \"SHFR0001\"");
         }
         int length = in.getInt();
         expect(
-                length > 0 && length <= MAX_HEAD && length <= in.remaining() - Integer.BYTES,
-                MARK.length,
-                "the length of the head, 1 to " + MAX_HEAD + " and within the file, not " + length);
+                length > 0 && length <= MAX_HEADER_BYTES && length <= in.remaining() - Integer.BYTES,
+                MAGIC.length,
+                "the length of the header, 1 to " + MAX_HEADER_BYTES + " and within the file, not " + length);
         int end = bytes.length - Integer.BYTES;
-        expect(in.getInt(end) == sum(bytes, end), end, "the CRC-32C of what is before it");
-        JsonNode head;
+        expect(in.getInt(end) == checksum(bytes, end), end, "the CRC-32C of the preceding bytes");
+        JsonNode header;
         try {
-            head = JSON.readTree(bytes, in.position(), length);
+            header = JSON.readTree(bytes, in.position(), length);
         } catch (JsonProcessingException e) {
-            throw new IOException("at offset " + in.position() + ": expected the head in JSON", e);
+            throw new IOException("at offset " + in.position() + ": expected the header in JSON", e);
         }
         int start = in.position() + length;
         in.position(start);
-        int count = head.path("count").asInt(-1);
+        int count = header.path("count").asInt(-1);
         expect(
                 count >= 0 && (long) count * Ring.EVENT_BYTES == end - start,
                 start,
                 count + " events of " + Ring.EVENT_BYTES + " bytes");
-        JsonNode names = head.path("events");
+        JsonNode names = header.path("events");
         List<Event> events = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            int at = in.position();
+            int offset = in.position();
             long micros = in.getLong();
-            long both = in.getLong();
-            JsonNode name = names.path((int) both);
-            expect(name.isObject(), at + Long.BYTES, "the number of one of the head's events");
+            long connectionAndIndex = in.getLong();
+            JsonNode name = names.path((int) connectionAndIndex);
+            expect(name.isObject(), offset + Long.BYTES, "the number of one of the header's events");
             events.add(new Event(
                     micros,
                     name.path("name").asText(),
-                    (int) (both >>> 32),
+                    (int) (connectionAndIndex >>> 32),
                     in.getLong(),
                     in.getLong(),
                     name.path("of").asText()));
         }
         return new Dump(
-                head.path("node").asText(),
-                head.path("at_ms").asLong(),
-                head.path("at_us").asLong(),
-                head.path("reason").asText(),
-                head.path("detail").asText(),
-                head.path("stack").asText(),
-                head.path("lost").asLong(),
+                header.path("node").asText(),
+                header.path("at_ms").asLong(),
+                header.path("at_us").asLong(),
+                header.path("reason").asText(),
+                header.path("detail").asText(),
+                header.path("stack").asText(),
+                header.path("lost").asLong(),
                 List.copyOf(events));
     }
 
-    private static void expect(boolean holds, int offset, String what) throws IOException {
-        if (!holds) {
-            throw new IOException("at offset " + offset + ": expected " + what);
+    private static void expect(boolean condition, int offset, String expected) throws IOException {
+        if (!condition) {
+            throw new IOException("at offset " + offset + ": expected " + expected);
         }
     }
 }
--- a/src/main/java/sablehinge/gateway/recorder/DumpDirectory.java
+++ b/src/main/java/sablehinge/gateway/recorder/DumpDirectory.java
@@ -13,68 +13,67 @@
 import java.util.List;
 
 /**
- * The directory where dumps are kept: each is there complete or not at all, and the oldest go so that there are never
- * more than so many.
+ * The directory of the dumps. Each dump is written atomically, and the oldest dumps are deleted above a maximum number.
  */
-public final class DumpFolder {
+public final class DumpDirectory {
 
-    /** How the names of dumps end. */
+    /** The suffix of the file names of dumps. */
     public static final String SUFFIX = ".flight";
 
-    private static final String PART = ".part";
+    private static final String PARTIAL_SUFFIX = ".part";
 
-    private final Path folder;
-    private final int most;
+    private final Path directory;
+    private final int maxDumps;
 
-    /** Keeps at most so many dumps, at least 1, in a directory that is made if it isn't there. */
-    public DumpFolder(Path folder, int most) {
-        this.folder = folder;
-        this.most = Math.max(1, most);
+    /** Retains at most {@code maxDumps} dumps, at least 1, in a directory that is created if it does not exist. */
+    public DumpDirectory(Path directory, int maxDumps) {
+        this.directory = directory;
+        this.maxDumps = Math.max(1, maxDumps);
     }
 
-    /** Writes a dump; where it is. If that fails, nothing of it is left and what was there still is. */
+    /** Writes a dump and returns its path. If the write fails, no part of it remains, and older dumps are unchanged. */
     Path write(Dump dump) throws IOException {
-        Files.createDirectories(folder);
-        // By time, so that the names' order is that of the dumps.
+        Files.createDirectories(directory);
+        // The name begins with the time, so that the order of the names is the order of the dumps.
         String name = String.format(
                 java.util.Locale.ROOT,
                 "%015d-%s",
                 dump.atMillis(),
                 dump.reason().toLowerCase(java.util.Locale.ROOT));
-        Path part = folder.resolve(name + PART);
-        Path complete = folder.resolve(name + SUFFIX);
+        Path partial = directory.resolve(name + PARTIAL_SUFFIX);
+        Path complete = directory.resolve(name + SUFFIX);
         try (FileChannel out = FileChannel.open(
-                part, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                partial, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer bytes = ByteBuffer.wrap(dump.bytes());
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
             out.force(true);
         } catch (IOException e) {
-            Files.deleteIfExists(part);
+            Files.deleteIfExists(partial);
             throw e;
         }
-        Files.move(part, complete, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(partial, complete, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         prune();
         return complete;
     }
 
     private void prune() throws IOException {
         List<Path> dumps = new ArrayList<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path file : files) {
                 String name = file.getFileName().toString();
                 if (name.endsWith(SUFFIX)) {
                     dumps.add(file);
-                } else if (name.endsWith(PART)) {
-                    // Of a process that died in the middle; the own one is complete by now.
+                } else if (name.endsWith(PARTIAL_SUFFIX)) {
+                    // Left by a process that died during the write; the file of this process is already renamed.
                     Files.deleteIfExists(file);
                 }
             }
         }
         Collections.sort(dumps);
-        for (Path old : dumps.subList(0, Math.max(0, dumps.size() - most))) {
-            Files.deleteIfExists(old);
+        for (Path oldest : dumps.subList(0, Math.max(0, dumps.size() - maxDumps))) {
+            Files.deleteIfExists(oldest);
         }
     }
 }
--- a/src/main/java/sablehinge/gateway/recorder/FlightRecorder.java
+++ b/src/main/java/sablehinge/gateway/recorder/FlightRecorder.java
@@ -5,9 +5,9 @@
 import sablehinge.dataplane.proxy.Tracer;
 
 /**
- * Keeps the events that it receives in a {@link Ring}. An event of core and one of a connection that belong together
- * follow each other in one call, so that neither needs to know of the other: which connection a request came on and
- * which one carries an attempt is filled in here.
+ * Records the events that it receives in a {@link Ring}. Related events of the proxy and of a connection follow each
+ * other within one call, so that neither needs a reference to the other: the recorder fills in the connection on which
+ * a request arrived and the request whose attempt a connection carries.
  */
 public final class FlightRecorder implements Tracer {
 
@@ -15,34 +15,34 @@
 
     private final Ring ring;
     private final LongSupplier nanos;
-    /** The connection that a request was read on last, and the request for which a server was chosen last. */
-    private int read;
+    /** The connection on which the latest request was read, and the request for which the latest server was chosen. */
+    private int lastReadConnection;
 
-    private long chosen;
+    private long lastChosenExchange;
 
-    /** Records into a ring, with the time of a clock that never goes back, in ns. */
+    /** Records into a ring, with the time of a monotonic clock in ns. */
     public FlightRecorder(Ring ring, LongSupplier nanos) {
         this.ring = ring;
         this.nanos = nanos;
     }
 
-    /** Where it records. */
+    /** The ring of the events. */
     public Ring ring() {
         return ring;
     }
 
     @Override
     public void note(TraceEvent event, int connection, long exchange, long value) {
-        int on = connection;
-        long about = exchange;
+        int eventConnection = connection;
+        long eventExchange = exchange;
         switch (event) {
-            case REQUEST -> read = connection;
-            case ARRIVED -> on = read;
-            case CHOSEN -> chosen = exchange;
-            case PROBED -> chosen = 0;
-            case CONNECTING, REUSED -> about = chosen;
+            case REQUEST -> lastReadConnection = connection;
+            case ARRIVED -> eventConnection = lastReadConnection;
+            case CHOSEN -> lastChosenExchange = exchange;
+            case PROBED -> lastChosenExchange = 0;
+            case CONNECTING, REUSED -> eventExchange = lastChosenExchange;
             default -> {}
         }
-        ring.write(nanos.getAsLong() / NANOS_PER_US, on, event.ordinal(), about, value);
+        ring.write(nanos.getAsLong() / NANOS_PER_US, eventConnection, event.ordinal(), eventExchange, value);
     }
 }
--- a/src/main/java/sablehinge/gateway/recorder/Ring.java
+++ b/src/main/java/sablehinge/gateway/recorder/Ring.java
@@ -4,14 +4,14 @@
 import java.lang.invoke.VarHandle;
 
 /**
- * The last events, in four words each: one thread writes and never waits, any may copy it meanwhile. What was
- * overwritten under a copy is not in it.
+ * A ring buffer of the latest events, in four words each. One thread writes without waiting, and any thread may copy
+ * the content concurrently. A copy contains no event that was overwritten while it was made.
  */
 public final class Ring {
 
-    /** Words of an event: time, connection and code, exchange, value. */
+    /** The words of an event: time, connection and code, exchange, value. */
     static final int WORDS = 4;
-    /** Bytes of an event. */
+    /** The size of an event in bytes. */
     public static final int EVENT_BYTES = WORDS * Long.BYTES;
 
     private static final VarHandle WRITTEN;
@@ -26,14 +26,14 @@
 
     private final long[] words;
     private final int mask;
-    /** Events written so far; read and written by way of {@link #WRITTEN}. */
+    /** The number of events written so far; accessed through {@link #WRITTEN}. */
     @SuppressWarnings("unused")
     private long written;
 
     /**
-     * A ring for at least one event.
+     * Creates a ring for at least one event.
      *
-     * @param bytes rounded down to a power of two of events, at least 32 B and at most 1 GiB
+     * @param bytes the size; rounded down to a number of events that is a power of two, at least 32 B and at most 1 GiB
      */
     public Ring(int bytes) {
         int events = Integer.highestOneBit(Math.max(1, bytes / EVENT_BYTES));
@@ -41,30 +41,30 @@
         mask = events - 1;
     }
 
-    /** How many events it holds. */
+    /** The maximum number of events. */
     public int capacity() {
         return mask + 1;
     }
 
-    /** Events written so far. */
+    /** The number of events written so far. */
     public long written() {
         return (long) WRITTEN.getAcquire(this);
     }
 
-    /** Writes an event; by one thread only. */
+    /** Writes an event; called by one thread only. */
     void write(long time, int connection, int code, long exchange, long value) {
         long number = written;
-        int at = (int) (number & mask) * WORDS;
-        // A copy that reads the words of a new event must see that an older one has been overwritten.
+        int offset = (int) (number & mask) * WORDS;
+        // A concurrent copy that reads words of the new event must also see that the older one is overwritten.
         VarHandle.storeStoreFence();
-        words[at] = time;
-        words[at + 1] = (long) connection << 32 | code;
-        words[at + 2] = exchange;
-        words[at + 3] = value;
+        words[offset] = time;
+        words[offset + 1] = (long) connection << 32 | code;
+        words[offset + 2] = exchange;
+        words[offset + 3] = value;
         WRITTEN.setRelease(this, number + 1);
     }
 
-    /** The events that are there, oldest first, in four words each. */
+    /** Copies the events, oldest first, in four words each. */
     long[] copy() {
         long end = written();
         int count = (int) Math.min(end, capacity());
@@ -73,7 +73,7 @@
             System.arraycopy(words, (int) (end - count + i & mask) * WORDS, copied, i * WORDS, WORDS);
         }
         VarHandle.loadLoadFence();
-        // The one that is being written overwrites the oldest before it is counted.
+        // The event that is being written overwrites the oldest one before it is counted.
         long oldest = written() + 1 - capacity();
         int lost = (int) Math.max(0, Math.min(count, oldest - (end - count)));
         return lost == 0 ? copied : java.util.Arrays.copyOfRange(copied, lost * WORDS, copied.length);
--- a/src/main/java/sablehinge/gateway/recorder/Timeline.java
+++ b/src/main/java/sablehinge/gateway/recorder/Timeline.java
@@ -8,36 +8,36 @@
 import java.util.function.Predicate;
 import sablehinge.gateway.recorder.Dump.Event;
 
-/** A dump in the order of its time, with what belongs together found: which request a connection is at. */
+/** The events of a dump in order of time, each with the request that its connection was serving. */
 public final class Timeline {
 
     /**
-     * An event with what is known of it.
+     * An event with its request.
      *
-     * @param millis before the dump, negative
-     * @param exchange the request that it belongs to; 0 where none is known
+     * @param millis the time relative to the dump, negative
+     * @param exchange the number of the request; 0 if it is unknown
      */
     public record Step(double millis, Event event, long exchange) {}
 
     private final Dump dump;
     private final List<Step> steps = new ArrayList<>();
 
-    /** Goes through a dump. */
+    /** Creates the timeline of a dump. */
     public Timeline(Dump dump) {
         this.dump = dump;
-        Map<Integer, Long> holds = new HashMap<>();
+        Map<Integer, Long> currentExchanges = new HashMap<>();
         for (Event event : dump.events()) {
             long exchange = event.exchange();
             int connection = event.connection();
             if (connection != 0 && exchange != 0) {
-                holds.put(connection, exchange);
+                currentExchanges.put(connection, exchange);
             } else if (connection != 0) {
-                exchange = holds.getOrDefault(connection, 0L);
+                exchange = currentExchanges.getOrDefault(connection, 0L);
             }
             steps.add(new Step((event.micros() - dump.atMicros()) / 1e3, event, exchange));
             switch (event.name()) {
-                // The next request on it is another one.
-                case "WRITTEN", "UPSTREAM_CLOSED", "CALLER_CLOSED", "LAST_BYTE" -> holds.remove(connection);
+                // The next event on this connection belongs to another request.
+                case "WRITTEN", "UPSTREAM_CLOSED", "CALLER_CLOSED", "LAST_BYTE" -> currentExchanges.remove(connection);
                 default -> {}
             }
         }
@@ -48,14 +48,14 @@
         return dump;
     }
 
-    /** All steps that a request or a connection has; 0 for any. */
+    /** The steps of a request and a connection; 0 stands for any. */
     public List<Step> steps(long exchange, int connection) {
         Predicate<Step> wanted = step -> (exchange == 0 || step.exchange == exchange)
                 && (connection == 0 || step.event.connection() == connection);
         return steps.stream().filter(wanted).toList();
     }
 
-    /** The numbers of its connections, with how many events each has. */
+    /** The numbers of the connections, each with the number of its events. */
     public Map<Integer, Integer> connections() {
         Map<Integer, Integer> counts = new TreeMap<>();
         steps.stream()
@@ -64,7 +64,7 @@
         return counts;
     }
 
-    /** What a connection is doing after an event; null where that tells nothing of it. */
+    /** The state of a connection after an event; null if the event does not determine it. */
     static String state(String event) {
         return switch (event) {
             case "CALLER_OPENED", "CONNECTED", "WRITTEN", "LAST_BYTE" -> "idle";
@@ -80,9 +80,9 @@
     }
 
     /**
-     * A span in which a connection was in one state.
+     * A period in which a connection was in one state.
      *
-     * @param from ms before the dump, negative; likewise {@code to}
+     * @param from the time relative to the dump in ms, negative or 0; likewise {@code to}
      */
     public record Span(String state, double from, double to) {}
 
@@ -108,7 +108,7 @@
         return spans;
     }
 
-    /** How often each event happened in a second, by name. */
+    /** The number of events per second, by name. */
     public Map<String, Double> rates() {
         Map<String, Double> rates = new TreeMap<>();
         double seconds =
@@ -117,7 +117,7 @@
         return rates;
     }
 
-    /** The largest value of each event that has one which is an amount, by name. */
+    /** The largest value of each event whose value is a quantity, by name. */
     public Map<String, Long> peaks() {
         Map<String, Long> peaks = new TreeMap<>();
         steps.stream()
--- a/src/main/java/sablehinge/gateway/recorder/TimelinePage.java
+++ b/src/main/java/sablehinge/gateway/recorder/TimelinePage.java
@@ -8,17 +8,17 @@
 import sablehinge.gateway.recorder.Timeline.Span;
 import sablehinge.gateway.recorder.Timeline.Step;
 
-/** A page that draws what each connection of a dump did over time: one file, no script, no network. */
+/** An HTML page with the states of the connections of a dump over time: a single file without scripts. */
 public final class TimelinePage {
 
-    /** The connections with the most events are drawn, so many. */
+    /** The maximum number of connections drawn: those with the most events. */
     static final int MAX_ROWS = 400;
 
     private static final int WIDTH = 1_000;
     private static final int LEFT = 90;
     private static final int ROW = 9;
     private static final int TOP = 24;
-    /** Colours that stay apart for those who see no red or green (Okabe and Ito, Color universal design). */
+    /** Colours that readers with red-green colour blindness can distinguish (Okabe and Ito, Color universal design). */
     private static final Map<String, String> COLOURS = Map.of(
             "idle",
             "#dddddd",
@@ -42,7 +42,7 @@
         this.timeline = timeline;
     }
 
-    /** The page of a dump. */
+    /** Creates the page of a dump. */
     public static String of(Timeline timeline) {
         TimelinePage page = new TimelinePage(timeline);
         page.write();
--- a/src/main/java/sablehinge/gateway/recorder/Vitals.java
+++ b/src/main/java/sablehinge/gateway/recorder/Vitals.java
@@ -4,27 +4,27 @@
 import java.util.function.LongConsumer;
 import sablehinge.dataplane.proxy.MonitoredRelay;
 
-/** What the {@link Watch} can see of a process; on the thread that owns it. */
+/** The state of a process that the {@link Watch} checks; called on the thread that owns it. */
 public interface Vitals {
 
-    /** Each body that passes through, and each answer that is not written out. */
-    void passages(Consumer<MonitoredRelay> each);
+    /** Visits each relayed body and each response that is not completely written. */
+    void forEachRelay(Consumer<MonitoredRelay> action);
 
-    /** Each request that is past its deadline by at least so many ms, by its number. */
-    void overdue(double by, LongConsumer each);
+    /** Visits the number of each request whose deadline passed at least {@code byMs} ago. */
+    void forEachOverdue(double byMs, LongConsumer action);
 
-    /** How many bodies had to be woken so far, as their wake-up was lost. */
-    long woken();
+    /** The number of bodies so far that were resumed because their wake-up was lost. */
+    long recoveredWakeUps();
 
-    /** Connections of callers on which something is at work, and requests that are not forgotten. */
-    int busy();
+    /** The number of busy client connections plus the number of requests that still exist. */
+    int activeCount();
 
-    /** Connections open. */
+    /** The number of open connections. */
     int descriptors();
 
-    /** Bytes reserved for long bodies. */
-    long kept();
+    /** The bytes reserved for large bodies. */
+    long reservedBytes();
 
-    /** Bytes of direct memory in use by buffers. */
-    long memory();
+    /** The bytes of direct memory that buffers use. */
+    long usedMemory();
 }
--- a/src/main/java/sablehinge/gateway/recorder/Watch.java
+++ b/src/main/java/sablehinge/gateway/recorder/Watch.java
@@ -10,78 +10,88 @@
 import sablehinge.gateway.recorder.Alarm.Kind;
 
 /**
- * Holds what a process does against what it promises, at each tick. It keeps no clock and does nothing but look, save
- * that a body that stands still is nudged: only so can it be seen whether its ends are ready.
+ * Checks the invariants of a process at each tick. It has no clock and only observes, with one exception: it resumes a
+ * body that does not progress, as this is the only way to find out whether both ends are ready.
  */
 public final class Watch {
 
-    /** Nudges in a row that moved something, before which bytes may have come in that very moment. */
-    private static final int MOVED_BY_NUDGES = 3;
+    /** Consecutive forced resumes with progress before an alarm; fewer may be bytes that arrived at that moment. */
+    private static final int STALL_RESUMES = 3;
 
     /**
-     * When something is wrong; times in ms.
+     * The thresholds of the alarms.
      *
-     * @param tick the time between two ticks
-     * @param stall how long a body may stand still that could move
-     * @param turn how late a tick may be
-     * @param overdue how long past its deadline a request may be there
-     * @param quiet how long nothing must have been at work before all counts must be zero
-     * @param atRest bytes of direct memory that may be in use then
+     * @param tickMs the time between two ticks
+     * @param stallMs the time that a body may make no progress although it could
+     * @param maxTickDelayMs the delay of a tick that is tolerated
+     * @param overdueMs the time that a request may exist after its deadline
+     * @param idleMs the time without work after which all counters must be zero
+     * @param idleMemoryBytes the direct memory that may be in use then
      */
-    public record Terms(double tick, double stall, double turn, double overdue, double quiet, long atRest) {
-
-        /** Half a second for a body, a quarter for a turn of the loop. */
-        public static final Terms USUAL = new Terms(50, 500, 250, 1_000, 5_000, 256 * 1024);
+    public record Terms(
+            double tickMs,
+            double stallMs,
+            double maxTickDelayMs,
+            double overdueMs,
+            double idleMs,
+            long idleMemoryBytes) {
+
+        /** The defaults: 500 ms for a body, 250 ms for the delay of a tick. */
+        public static final Terms DEFAULT = new Terms(50, 500, 250, 1_000, 5_000, 256 * 1024);
     }
 
-    /** A passage as it was when it last moved by itself. */
-    private static final class Seen {
-        long moved = -1;
-        long unwritten = -1;
-        double since;
-        /** Since when it has been seen to be held up though both ends are ready; NaN while it isn't. */
-        double heldSince = Double.NaN;
+    /** The progress of a relay at the last observation. */
+    private static final class Progress {
+        long bytesForwarded = -1;
+        long unwrittenBytes = -1;
+        double lastProgressMs;
+        /** The time since which it is blocked although both ends are ready; NaN if it is not. */
+        double blockedSinceMs = Double.NaN;
 
-        int nudged;
+        int forcedResumes;
         boolean reported;
     }
 
     private final Terms terms;
     private final List<Alarm> alarms = new ArrayList<>();
-    private Map<MonitoredRelay, Seen> passages = new IdentityHashMap<>();
-    private Set<Long> late = Set.of();
-    private double last = Double.NaN;
-    private double quietSince = Double.NaN;
-    private long woken;
-    private boolean below;
-    private boolean left;
-
-    /** A watch by the given terms. */
+    private Map<MonitoredRelay, Progress> progressByRelay = new IdentityHashMap<>();
+    private Set<Long> reportedOverdue = Set.of();
+    private double lastTickMs = Double.NaN;
+    private double idleSinceMs = Double.NaN;
+    private long lastRecoveredWakeUps;
+    private boolean reportedNegative;
+    private boolean reportedLeftOver;
+
+    /** Creates a watch with the given thresholds. */
     public Watch(Terms terms) {
         this.terms = terms;
     }
 
-    /** The terms. */
+    /** The thresholds. */
     public Terms terms() {
         return terms;
     }
 
-    /** Looks at everything once; what is newly wrong, each thing once. */
-    public List<Alarm> tick(double now, Vitals vitals) {
+    /** Checks all invariants; returns the new violations, each of them once. */
+    public List<Alarm> tick(double nowMs, Vitals vitals) {
         alarms.clear();
-        double lateness = Double.isNaN(last) ? 0 : now - last - terms.tick;
-        if (lateness > terms.turn) {
-            alarm(Kind.LONG_TURN, 0, 0, "the loop had no turn for " + Math.round(now - last) + " ms");
+        double delayMs = Double.isNaN(lastTickMs) ? 0 : nowMs - lastTickMs - terms.tickMs;
+        if (delayMs > terms.maxTickDelayMs) {
+            alarm(Kind.LONG_TURN, 0, 0, "the loop had no turn for " + Math.round(nowMs - lastTickMs) + " ms");
         }
-        last = now;
-        if (vitals.woken() > woken) {
-            alarm(Kind.LOST_WAKE_UP, 0, 0, vitals.woken() - woken + " bodies had to be woken by the sweep");
-            woken = vitals.woken();
+        lastTickMs = nowMs;
+        if (vitals.recoveredWakeUps() > lastRecoveredWakeUps) {
+            alarm(
+                    Kind.LOST_WAKE_UP,
+                    0,
+                    0,
+                    vitals.recoveredWakeUps() - lastRecoveredWakeUps + " bodies had to be woken by the sweep");
+            lastRecoveredWakeUps = vitals.recoveredWakeUps();
         }
-        // Who had no turn has not stood still by itself.
-        lookAtPassages(now, vitals, Math.max(0, lateness));
-        lookAtRequests(vitals);
-        lookAtCounts(now, vitals);
+        // Bodies can't progress while the event loop is delayed, so the delay does not count as a stall.
+        checkRelays(nowMs, vitals, Math.max(0, delayMs));
+        checkRequests(vitals);
+        checkCounters(nowMs, vitals);
         return List.copyOf(alarms);
     }
 
@@ -89,124 +99,125 @@
         alarms.add(new Alarm(kind, connection, exchange, detail));
     }
 
-    private void lookAtPassages(double now, Vitals vitals, double lateness) {
-        Map<MonitoredRelay, Seen> before = passages;
-        passages = new IdentityHashMap<>();
-        List<MonitoredRelay> present = new ArrayList<>();
-        vitals.passages(present::add);
-        for (MonitoredRelay one : present) {
-            Seen seen = before.get(one);
-            if (seen == null) {
-                seen = new Seen();
-                seen.since = now;
+    private void checkRelays(double nowMs, Vitals vitals, double delayMs) {
+        Map<MonitoredRelay, Progress> previous = progressByRelay;
+        progressByRelay = new IdentityHashMap<>();
+        List<MonitoredRelay> relays = new ArrayList<>();
+        vitals.forEachRelay(relays::add);
+        for (MonitoredRelay relay : relays) {
+            Progress progress = previous.get(relay);
+            if (progress == null) {
+                progress = new Progress();
+                progress.lastProgressMs = nowMs;
             }
-            passages.put(one, seen);
-            look(now, one, seen, lateness);
+            progressByRelay.put(relay, progress);
+            checkRelay(nowMs, relay, progress, delayMs);
         }
     }
 
-    private void look(double now, MonitoredRelay one, Seen seen, double lateness) {
-        seen.since += lateness;
-        seen.heldSince += lateness;
-        if (one.bytesForwarded() != seen.moved || one.unwrittenBytes() != seen.unwritten) {
-            seen.moved = one.bytesForwarded();
-            seen.unwritten = one.unwrittenBytes();
-            seen.since = now;
-            seen.heldSince = Double.NaN;
-            seen.nudged = 0;
+    private void checkRelay(double nowMs, MonitoredRelay relay, Progress progress, double delayMs) {
+        progress.lastProgressMs += delayMs;
+        progress.blockedSinceMs += delayMs;
+        if (relay.bytesForwarded() != progress.bytesForwarded || relay.unwrittenBytes() != progress.unwrittenBytes) {
+            progress.bytesForwarded = relay.bytesForwarded();
+            progress.unwrittenBytes = relay.unwrittenBytes();
+            progress.lastProgressMs = nowMs;
+            progress.blockedSinceMs = Double.NaN;
+            progress.forcedResumes = 0;
             return;
         }
-        boolean unread = one.isPaused() && one.isWritable();
-        if (!unread && !one.isUnflushed()) {
-            seen.heldSince = Double.NaN;
-        } else if (Double.isNaN(seen.heldSince)) {
-            seen.heldSince = now;
+        boolean unread = relay.isPaused() && relay.isWritable();
+        if (!unread && !relay.isUnflushed()) {
+            progress.blockedSinceMs = Double.NaN;
+        } else if (Double.isNaN(progress.blockedSinceMs)) {
+            progress.blockedSinceMs = nowMs;
         }
-        if (seen.reported) {
+        if (progress.reported) {
             return;
         }
-        if (now - seen.heldSince >= terms.stall) {
-            seen.reported = true;
+        if (nowMs - progress.blockedSinceMs >= terms.stallMs) {
+            progress.reported = true;
             alarm(
                     unread ? Kind.LOST_WAKE_UP : Kind.UNWRITTEN,
-                    one.connection(),
+                    relay.connection(),
                     0,
                     (unread
                                     ? "nothing is read for it, though it can take more, "
-                                    : "nobody has flushed " + one.unwrittenBytes() + " bytes ")
+                                    : "nobody has flushed " + relay.unwrittenBytes() + " bytes ")
                             + "for "
-                            + Math.round(now - seen.heldSince) + " ms");
-        } else if (now - seen.since >= terms.stall) {
-            nudge(now, one, seen);
+                            + Math.round(nowMs - progress.blockedSinceMs) + " ms");
+        } else if (nowMs - progress.lastProgressMs >= terms.stallMs) {
+            forceResume(nowMs, relay, progress);
         }
     }
 
-    private void nudge(double now, MonitoredRelay one, Seen seen) {
-        long moved = one.bytesForwarded();
-        long unwritten = one.unwrittenBytes();
-        one.resume();
-        if (one.bytesForwarded() == moved && one.unwrittenBytes() >= unwritten) {
-            seen.nudged = 0;
+    private void forceResume(double nowMs, MonitoredRelay relay, Progress progress) {
+        long forwardedBefore = relay.bytesForwarded();
+        long unwrittenBefore = relay.unwrittenBytes();
+        relay.resume();
+        if (relay.bytesForwarded() == forwardedBefore && relay.unwrittenBytes() >= unwrittenBefore) {
+            progress.forcedResumes = 0;
             return;
         }
-        seen.nudged++;
-        if (seen.nudged >= MOVED_BY_NUDGES) {
-            seen.reported = true;
-            boolean unread = one.bytesForwarded() > moved;
+        progress.forcedResumes++;
+        if (progress.forcedResumes >= STALL_RESUMES) {
+            progress.reported = true;
+            boolean unread = relay.bytesForwarded() > forwardedBefore;
             alarm(
                     unread ? Kind.UNREAD : Kind.UNWRITTEN,
-                    one.connection(),
+                    relay.connection(),
                     0,
                     (unread
-                                    ? one.bytesForwarded() - moved + " bytes had come and were not read"
-                                    : unwritten - one.unwrittenBytes() + " bytes could be written and were not")
+                                    ? relay.bytesForwarded() - forwardedBefore + " bytes had come and were not read"
+                                    : unwrittenBefore - relay.unwrittenBytes() + " bytes could be written and were not")
                             + " for "
-                            + Math.round(now - seen.since) + " ms");
+                            + Math.round(nowMs - progress.lastProgressMs) + " ms");
         }
-        // Only what moves by itself clears the count.
-        seen.moved = one.bytesForwarded();
-        seen.unwritten = one.unwrittenBytes();
-        seen.since = now;
+        // Progress by a forced resume does not reset the count.
+        progress.bytesForwarded = relay.bytesForwarded();
+        progress.unwrittenBytes = relay.unwrittenBytes();
+        progress.lastProgressMs = nowMs;
     }
 
-    private void lookAtRequests(Vitals vitals) {
-        Set<Long> still = new HashSet<>();
-        vitals.overdue(terms.overdue, id -> {
-            still.add(id);
-            if (!late.contains(id)) {
-                alarm(Kind.OVERDUE, 0, id, "it is past its deadline by over " + Math.round(terms.overdue) + " ms");
+    private void checkRequests(Vitals vitals) {
+        Set<Long> overdue = new HashSet<>();
+        vitals.forEachOverdue(terms.overdueMs, id -> {
+            overdue.add(id);
+            if (!reportedOverdue.contains(id)) {
+                alarm(Kind.OVERDUE, 0, id, "it is past its deadline by over " + Math.round(terms.overdueMs) + " ms");
             }
         });
-        late = still;
+        reportedOverdue = overdue;
     }
 
-    private void lookAtCounts(double now, Vitals vitals) {
-        boolean isBelow = vitals.kept() < 0 || vitals.descriptors() < 0;
-        if (isBelow && !below) {
+    private void checkCounters(double nowMs, Vitals vitals) {
+        boolean negative = vitals.reservedBytes() < 0 || vitals.descriptors() < 0;
+        if (negative && !reportedNegative) {
             alarm(Kind.BELOW_ZERO, 0, 0, counts(vitals));
         }
-        below = isBelow;
-        if (vitals.busy() != 0) {
-            quietSince = Double.NaN;
-            left = false;
+        reportedNegative = negative;
+        if (vitals.activeCount() != 0) {
+            idleSinceMs = Double.NaN;
+            reportedLeftOver = false;
             return;
         }
-        if (Double.isNaN(quietSince)) {
-            quietSince = now;
+        if (Double.isNaN(idleSinceMs)) {
+            idleSinceMs = nowMs;
         }
-        if (!left && now - quietSince >= terms.quiet) {
-            if (vitals.kept() != 0) {
-                left = true;
+        if (!reportedLeftOver && nowMs - idleSinceMs >= terms.idleMs) {
+            if (vitals.reservedBytes() != 0) {
+                reportedLeftOver = true;
                 alarm(Kind.LEFT_OVER, 0, 0, "nothing is at work; " + counts(vitals));
             }
-            if (vitals.memory() > terms.atRest) {
-                left = true;
-                alarm(Kind.LEAK, 0, 0, "nothing is at work; " + vitals.memory() + " B of buffers are in use");
+            if (vitals.usedMemory() > terms.idleMemoryBytes) {
+                reportedLeftOver = true;
+                alarm(Kind.LEAK, 0, 0, "nothing is at work; " + vitals.usedMemory() + " B of buffers are in use");
             }
         }
     }
 
     private static String counts(Vitals vitals) {
-        return "bytes kept " + vitals.kept() + ", connections " + vitals.descriptors() + ", busy " + vitals.busy();
+        return "bytes kept " + vitals.reservedBytes() + ", connections " + vitals.descriptors() + ", busy "
+                + vitals.activeCount();
     }
 }
