--- a/src/main/java/sablehinge/gateway/recorder/Watchdog.java
+++ b/src/main/java/sablehinge/gateway/recorder/Watchdog.java
@@ -12,196 +12,202 @@
 import java.util.stream.Stream;
 
 /**
- * The thread beside the loop: it notices that the loop stands still, while it does, and writes dumps, for which the
- * loop never waits. It gives up at most one dump a minute of its own accord.
+ * A thread that detects a blocked event loop while it is blocked, and writes dumps so that the event loop never waits
+ * for them. It writes at most one dump per minute by itself; dumps requested by operators are not limited.
  */
 public final class Watchdog {
 
-    private static final long LOOK_MS = 50;
-    private static final long BETWEEN_MS = 60_000;
-    private static final int MAX_REQUESTED = 4;
-    private static final int MAX_FRAMES = 60;
-    private static final int IN_SHORT = 12;
+    private static final long CHECK_INTERVAL_MS = 50;
+    private static final long MIN_DUMP_INTERVAL_MS = 60_000;
+    private static final int MAX_PENDING_DUMPS = 4;
+    private static final int MAX_STACK_FRAMES = 60;
+    private static final int SUMMARY_EVENTS = 12;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** A dump that is to be made; {@code done} is called with its place or, as a text, why there is none. */
-    private record Wanted(String reason, String detail, BiConsumer<Path, String> done) {}
+    /** A requested dump; {@code callback} gets its path or the failure, and is null for alarms. */
+    private record DumpRequest(String reason, String detail, BiConsumer<Path, String> callback) {}
 
     private final Ring ring;
     private final String node;
-    private final LongSupplier nanos;
-    private final double turn;
-    private final DumpFolder folder;
+    private final LongSupplier nanoClock;
+    private final double maxTickDelayMs;
+    private final DumpDirectory directory;
     private final Consumer<String> log;
-    private final ArrayBlockingQueue<Wanted> wanted = new ArrayBlockingQueue<>(MAX_REQUESTED);
+    private final ArrayBlockingQueue<DumpRequest> requests = new ArrayBlockingQueue<>(MAX_PENDING_DUMPS);
     private final Thread thread = new Thread(this::run, "recorder");
     private Thread loop;
-    private volatile long lastTick;
-    private volatile boolean ends;
-    private long lastDump;
+    private volatile long lastTickNanos;
+    private volatile boolean stopping;
+    private long lastDumpNanos;
     private boolean dumped;
-    private int passedOver;
-    /** Alarms for which there was no room; by the loop. */
-    private final AtomicInteger crowded = new AtomicInteger();
+    private int suppressedAlarms;
+    /** The number of alarms rejected by the full queue; incremented on the event loop. */
+    private final AtomicInteger rejectedAlarms = new AtomicInteger();
 
     private boolean reported;
 
     /**
-     * A watchdog that is not yet running.
+     * Creates a watchdog that is not started.
      *
-     * @param nanos the clock of the ring
-     * @param turn for how many ms a tick may stay out before the loop counts as hung
-     * @param folder null for none: a dump is then summarized in the log
-     * @param log takes a line
+     * @param nanoClock the clock of the ring
+     * @param maxTickDelayMs the time without a tick after which the event loop counts as blocked
+     * @param directory the directory of the dumps; null for none, then a dump is summarized in the log
+     * @param log receives log messages
      */
-    public Watchdog(Ring ring, String node, LongSupplier nanos, double turn, DumpFolder folder, Consumer<String> log) {
+    public Watchdog(
+            Ring ring,
+            String node,
+            LongSupplier nanoClock,
+            double maxTickDelayMs,
+            DumpDirectory directory,
+            Consumer<String> log) {
         this.ring = ring;
         this.node = node;
-        this.nanos = nanos;
-        this.turn = turn;
-        this.folder = folder;
+        this.nanoClock = nanoClock;
+        this.maxTickDelayMs = maxTickDelayMs;
+        this.directory = directory;
         this.log = log;
         thread.setDaemon(true);
     }
 
-    /** Begins; called by the loop's thread. */
+    /** Starts the watchdog; called by the event loop's thread. */
     public void start() {
         loop = Thread.currentThread();
         tick();
         thread.start();
     }
 
-    /** The loop has run; called on it. */
+    /** Reports that the event loop is running; called on the event loop. */
     public void tick() {
-        lastTick = nanos.getAsLong();
+        lastTickNanos = nanoClock.getAsLong();
     }
 
-    /** Something is wrong: it is logged, and dumped unless that was done within the last minute. */
+    /** Logs an alarm with a dump, unless one was written within the last minute. */
     public void alarm(Alarm alarm) {
         String detail = (alarm.connection() == 0 ? "" : "connection " + alarm.connection() + ": ")
                 + (alarm.exchange() == 0 ? "" : "request " + alarm.exchange() + ": ")
                 + alarm.detail();
-        if (!wanted.offer(new Wanted(alarm.kind().name(), detail, null))) {
-            crowded.incrementAndGet();
+        if (!requests.offer(new DumpRequest(alarm.kind().name(), detail, null))) {
+            rejectedAlarms.incrementAndGet();
         }
     }
 
-    /** Makes a dump because an operator asks for one; refused, by a text, while too many wait. */
-    public void dump(BiConsumer<Path, String> done) {
-        if (folder == null) {
-            done.accept(null, "the recorder has no directory");
-        } else if (!wanted.offer(new Wanted("ASKED", "an operator asked for it", done))) {
-            done.accept(null, "other dumps are being written");
+    /** Writes a dump for an operator; fails while too many dumps are pending. */
+    public void dump(BiConsumer<Path, String> callback) {
+        if (directory == null) {
+            callback.accept(null, "the recorder has no directory");
+        } else if (!requests.offer(new DumpRequest("ASKED", "an operator asked for it", callback))) {
+            callback.accept(null, "other dumps are being written");
         }
     }
 
-    /** Ends, with what was requested before. */
-    public void end() throws InterruptedException {
-        ends = true;
+    /** Stops the watchdog after the pending dumps. */
+    public void stop() throws InterruptedException {
+        stopping = true;
         thread.join(TimeUnit.SECONDS.toMillis(2));
     }
 
     private void run() {
-        long looked = nanos.getAsLong();
+        long lastCheckNanos = nanoClock.getAsLong();
         while (true) {
             try {
-                Wanted next = wanted.poll(LOOK_MS, TimeUnit.MILLISECONDS);
+                DumpRequest next = requests.poll(CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
                 if (next != null) {
-                    make(next);
-                    // To write a dump takes its time, which is nobody's pause.
-                    looked = nanos.getAsLong();
-                } else if (ends || !loop.isAlive()) {
+                    process(next);
+                    // The time that writing the dump took does not count as a delay of this thread.
+                    lastCheckNanos = nanoClock.getAsLong();
+                } else if (stopping || !loop.isAlive()) {
                     return;
                 }
-                looked = lookAtLoop(looked);
+                lastCheckNanos = checkLoop(lastCheckNanos);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private long lookAtLoop(long before) {
-        long now = nanos.getAsLong();
-        double still = (double) (now - lastTick) / NANOS_PER_MS;
-        double own = (double) (now - before) / NANOS_PER_MS - LOOK_MS;
-        if (still <= turn || !loop.isAlive()) {
+    private long checkLoop(long lastCheckNanos) {
+        long nowNanos = nanoClock.getAsLong();
+        double blockedMs = (double) (nowNanos - lastTickNanos) / NANOS_PER_MS;
+        double ownDelayMs = (double) (nowNanos - lastCheckNanos) / NANOS_PER_MS - CHECK_INTERVAL_MS;
+        if (blockedMs <= maxTickDelayMs || !loop.isAlive()) {
             reported = false;
         } else if (!reported) {
             reported = true;
             String stack = Stream.of(loop.getStackTrace())
-                    .limit(MAX_FRAMES)
+                    .limit(MAX_STACK_FRAMES)
                     .map(StackTraceElement::toString)
                     .collect(Collectors.joining("\n"));
-            // Whoever had no turn either can't tell a busy loop from a process that got no CPU.
-            keep(
+            // If this thread was delayed as well, the process had no CPU time or was stopped.
+            report(
                     "HUNG",
-                    "the loop has stood still for " + Math.round(still) + " ms, " + loop.getState()
-                            + (own > turn / 2
-                                    ? "; so has this thread, for " + Math.round(own)
+                    "the loop has stood still for " + Math.round(blockedMs) + " ms, " + loop.getState()
+                            + (ownDelayMs > maxTickDelayMs / 2
+                                    ? "; so has this thread, for " + Math.round(ownDelayMs)
                                             + " ms: the process had no CPU or was stopped"
                                     : ""),
                     stack);
         }
-        return now;
+        return nowNanos;
     }
 
-    private void make(Wanted one) {
-        if (one.done == null) {
-            keep(one.reason, one.detail, "");
+    private void process(DumpRequest request) {
+        if (request.callback == null) {
+            report(request.reason, request.detail, "");
             return;
         }
         Path path = null;
-        String why = null;
+        String failure = null;
         try {
-            path = folder.write(dump(one.reason, one.detail, ""));
+            path = directory.write(dump(request.reason, request.detail, ""));
         } catch (IOException | RuntimeException e) {
-            why = "the dump can't be written: " + e.getMessage();
+            failure = "the dump can't be written: " + e.getMessage();
         }
         try {
-            one.done.accept(path, why);
+            request.callback.accept(path, failure);
         } catch (RuntimeException e) {
-            // The loop may have ended meanwhile; this thread must live on.
-            log.accept("recorder: nobody hears of a dump that was asked for: " + e.getMessage());
+            // The event loop may have shut down; this thread must continue.
+            log.accept("recorder: the result of a requested dump could not be delivered: " + e.getMessage());
         }
     }
 
     private Dump dump(String reason, String detail, String stack) {
-        return Dump.of(ring, node, System.currentTimeMillis(), nanos.getAsLong() / 1_000, reason, detail, stack);
+        return Dump.of(ring, node, System.currentTimeMillis(), nanoClock.getAsLong() / 1_000, reason, detail, stack);
     }
 
-    private void keep(String reason, String detail, String stack) {
-        long now = nanos.getAsLong();
-        if (dumped && now - lastDump < BETWEEN_MS * NANOS_PER_MS) {
-            passedOver++;
+    private void report(String reason, String detail, String stack) {
+        long nowNanos = nanoClock.getAsLong();
+        if (dumped && nowNanos - lastDumpNanos < MIN_DUMP_INTERVAL_MS * NANOS_PER_MS) {
+            suppressedAlarms++;
             return;
         }
         dumped = true;
-        lastDump = now;
-        passedOver += crowded.getAndSet(0);
-        String words = "recorder: " + reason + ": " + detail
-                + (passedOver == 0 ? "" : " (" + passedOver + " alarms before this one were passed over)");
-        passedOver = 0;
+        lastDumpNanos = nowNanos;
+        suppressedAlarms += rejectedAlarms.getAndSet(0);
+        String message = "recorder: " + reason + ": " + detail
+                + (suppressedAlarms == 0 ? "" : " (" + suppressedAlarms + " earlier alarms were suppressed)");
+        suppressedAlarms = 0;
         Dump dump = dump(reason, detail, stack);
-        if (folder == null) {
-            log.accept(words + inShort(dump, stack));
+        if (directory == null) {
+            log.accept(message + summary(dump, stack));
             return;
         }
         try {
-            log.accept(words + "; see " + folder.write(dump));
+            log.accept(message + "; see " + directory.write(dump));
         } catch (IOException | RuntimeException e) {
-            log.accept(words + "; the dump can't be written: " + e.getMessage() + inShort(dump, stack));
+            log.accept(message + "; the dump can't be written: " + e.getMessage() + summary(dump, stack));
         }
     }
 
-    /** The last events in a line, where there is no place for all of them. */
-    private static String inShort(Dump dump, String stack) {
+    /** Summarizes the latest events in one line, for dumps that are not written to a file. */
+    private static String summary(Dump dump, String stack) {
         int count = dump.events().size();
         return "; "
-                + dump.events().subList(Math.max(0, count - IN_SHORT), count).stream()
-                        .map(e -> (e.micros() - dump.atMicros()) / 1_000 + " ms " + e.name()
-                                + (e.connection() == 0 ? "" : " c" + e.connection())
-                                + (e.exchange() == 0 ? "" : " r" + e.exchange())
-                                + (e.of().isEmpty() ? "" : " " + e.value()))
+                + dump.events().subList(Math.max(0, count - SUMMARY_EVENTS), count).stream()
+                        .map(event -> (event.micros() - dump.atMicros()) / 1_000 + " ms " + event.name()
+                                + (event.connection() == 0 ? "" : " c" + event.connection())
+                                + (event.exchange() == 0 ? "" : " r" + event.exchange())
+                                + (event.of().isEmpty() ? "" : " " + event.value()))
                         .collect(Collectors.joining(", "))
                 + (stack.isEmpty() ? "" : "; in " + stack.lines().limit(6).collect(Collectors.joining(" < ")));
     }
--- a/src/main/java/sablehinge/gateway/recorder/package-info.java
+++ b/src/main/java/sablehinge/gateway/recorder/package-info.java
@@ -1,2 +1,2 @@
-/** The flight recorder: the last events of a balancer in memory, alarms, dumps and what is read from them. */
+/** The flight recorder: the latest events of a balancer in memory, alarms, dumps and their evaluation. */
 package sablehinge.gateway.recorder;
--- a/src/test/java/sablehinge/cli/RecorderVerbsTest.java
+++ b/src/test/java/sablehinge/cli/RecorderVerbsTest.java
@@ -62,7 +62,7 @@
         String file = Files.writeString(folder.resolve("x.flight"), "SHFR0002 and more bytes")
                 .toString();
         assertEquals(2, run("recorder", "show", file));
-        assertEquals("sablehinge: " + file + ": at offset 7: expected the mark of a dump, \"SHFR0001\"", err.strip());
+        assertEquals("sablehinge: " + file + ": at offset 7: expected the magic number \"SHFR0001\"", err.strip());
         assertEquals(2, run("recorder", "diff", file, file));
         assertEquals(2, run("recorder", "show", folder.resolve("none").toString()));
     }
--- a/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/DiscoveryTest.java
@@ -22,7 +22,7 @@
 import sablehinge.testing.Script;
 import sablehinge.testing.Stage;
 
-/** The list and the watch, and what becomes of answers that are of no use. */
+/** Tests fetch and watch of the roster, including invalid responses. */
 @Timeout(60)
 class DiscoveryTest {
 
@@ -32,15 +32,15 @@
         stage.script.onStart = () -> stage.script.actions.watch(true);
     }
 
-    private void started() throws Exception {
+    private void startStage() throws Exception {
         stage.start();
         assertEquals(Change.CACHED, Script.next(stage.script.changes));
     }
 
     @Test
-    void aWatchGoesOnFromWhatItWasTold() throws Exception {
+    void watchContinuesFromLastVersion() throws Exception {
         try (stage) {
-            started();
+            startStage();
             Peer watch = stage.discovery.accept();
             assertEquals(
                     "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
@@ -64,22 +64,22 @@
     }
 
     @Test
-    void aSilentWatchIsBegunAnewOnceTheServersItNamedTakeNothing() throws Exception {
-        try (Stage two = new Stage(2)) {
-            two.upstreams.get(0).close();
-            two.listed = 1;
-            two.askEvery = 0;
-            two.maxAttempts = 3;
-            two.start(LatencyWeightedBalancer::new);
-            Peer unresponsive = two.discovery.accept();
+    void restartsUnresponsiveWatchWhenItsServersFail() throws Exception {
+        try (Stage twoUpstreams = new Stage(2)) {
+            twoUpstreams.upstreams.get(0).close();
+            twoUpstreams.listed = 1;
+            twoUpstreams.askEvery = 0;
+            twoUpstreams.maxAttempts = 3;
+            twoUpstreams.start(LatencyWeightedBalancer::new);
+            Peer unresponsive = twoUpstreams.discovery.accept();
             assertEquals(
                     "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
                     unresponsive.read().first());
-            Peer caller = two.caller();
+            Peer caller = twoUpstreams.caller();
             caller.write(Stage.get("d1", "5"));
             assertEquals(503, caller.read().status());
-            // Nobody waits for the old one any more, and what it missed is requested.
-            Peer watch = two.discovery.accept();
+            // The old watch is cancelled, and a new one requests the missed updates.
+            Peer watch = twoUpstreams.discovery.accept();
             assertEquals(
                     "GET /catalog/members?index=41&wait=20000 HTTP/1.1",
                     watch.read().first());
@@ -88,12 +88,12 @@
                     42,
                     false,
                     "{\"id\":\"s-00000000\",\"state\":\"removed\"}",
-                    Stage.entry(1, two.upstreams.get(1).address(), "up"))));
+                    Stage.entry(1, twoUpstreams.upstreams.get(1).address(), "up"))));
             assertEquals(
                     "GET /catalog/members?index=42&wait=20000 HTTP/1.1",
                     watch.read().first());
             caller.write(Stage.get("d2", "5"));
-            Peer upstream = two.upstreams.get(1).accept();
+            Peer upstream = twoUpstreams.upstreams.get(1).accept();
             upstream.read();
             upstream.write(Stage.ok("served"));
             assertEquals(200, caller.read().status());
@@ -111,16 +111,16 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
                 "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"version\":50,\"servers\":[{}]}"
             })
-    void anAnswerOfNoUseIsAFailureAndTheOldListHolds(String answer) throws Exception {
+    void reportsInvalidResponseAsFailureAndKeepsOldRoster(String answer) throws Exception {
         try (stage) {
-            started();
+            startStage();
             Peer watch = stage.discovery.accept();
             watch.read();
             watch.write(answer);
             watch.close();
             assertEquals(Change.FAILED, Script.next(stage.script.changes));
             stage.servesStill();
-            // One failure for one call, and the module can ask again from where it was.
+            // One failure per call, and the module can continue from its last version.
             assertTrue(stage.script.changes.isEmpty());
             stage.script.onRequest = request -> {
                 stage.script.actions.refuse(request.id(), 0);
@@ -134,16 +134,16 @@
     }
 
     @Test
-    void aDiscoveryThatIsDownIsAFailure() throws Exception {
+    void reportsUnreachableDiscoveryAsFailure() throws Exception {
         try (stage) {
             stage.discovery.close();
-            started();
+            startStage();
             assertEquals(Change.FAILED, Script.next(stage.script.changes));
         }
     }
 
     @Test
-    void theModuleAsksAgainAfterAFailure() throws Exception {
+    void moduleRetriesAfterFailure() throws Exception {
         try (stage) {
             stage.start(sablehinge.policy.LatencyWeightedBalancer::new);
             stage.discovery.accept().reset();
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void aSilentDiscoveryIsAFailureOnceItsWaitIsOver() throws Exception {
+    void reportsUnresponsiveDiscoveryAsFailureAfterTimeout() throws Exception {
         EventLoop loop = ClosingEventLoops.single("test");
         Path file = Files.createTempFile("node", ".json");
         try (stage) {
@@ -183,10 +183,10 @@
     }
 
     @Test
-    void theWholeListIsAskedForOnItsOwn() throws Exception {
+    void fetchesCompleteRoster() throws Exception {
         try (stage) {
             stage.script.onStart = () -> stage.script.actions.fetch();
-            started();
+            startStage();
             Peer call = stage.discovery.accept();
             assertEquals("GET /catalog/members HTTP/1.1", call.read().first());
             call.write(Stage.ok(Stage.roster(50, true)));
@@ -195,10 +195,10 @@
     }
 
     @Test
-    void aCallForTheWholeListLeavesNoConnectionBehind() throws Exception {
+    void fetchClosesItsConnection() throws Exception {
         try (stage) {
             stage.script.onStart = () -> stage.script.actions.fetch();
-            started();
+            startStage();
             Peer call = stage.discovery.accept();
             call.read();
             call.write(Stage.ok(Stage.roster(50, true)));
@@ -208,24 +208,24 @@
     }
 
     @Test
-    void anotherDiscoveryIsAskedForItsWholeListAndTheOldOneLeftQuietly() throws Exception {
+    void fetchesCompleteRosterFromNewDiscoveryAndCancelsOldWatchSilently() throws Exception {
         Path file = Files.createTempFile("node", ".json");
         try (stage;
                 Listener second = new Listener();
                 Listener third = new Listener()) {
-            started();
+            startStage();
             Peer old = stage.discovery.accept();
             old.read();
-            Listener[] moves = {second, third};
-            for (Listener move : moves) {
-                Files.writeString(file, stage.config().replace(stage.discovery.address(), move.address()));
+            Listener[] discoveries = {second, third};
+            for (Listener discovery : discoveries) {
+                Files.writeString(file, stage.config().replace(stage.discovery.address(), discovery.address()));
                 stage.node.reload(PlatformConfig.read(file.toString()));
-                Peer fresh = move.accept();
+                Peer fresh = discovery.accept();
                 assertEquals("GET /catalog/members HTTP/1.1", fresh.read().first());
                 assertTrue(old.ended());
                 fresh.write(Stage.ok(Stage.roster(
                         7, true, Stage.entry(0, stage.upstreams.get(0).address(), "up"))));
-                // No failure came before it.
+                // No failure was reported before.
                 assertEquals(Change.FULL, Script.next(stage.script.changes));
                 assertEquals(
                         "GET /catalog/members?index=7&wait=20000 HTTP/1.1",
@@ -239,11 +239,11 @@
     }
 
     @Test
-    void aNewDiscoveryThatFailsIsStillAskedForItsWholeList() throws Exception {
+    void fetchesCompleteRosterFromNewDiscoveryAfterFailure() throws Exception {
         Path file = Files.createTempFile("node", ".json");
         try (stage;
                 Listener second = new Listener()) {
-            started();
+            startStage();
             stage.discovery.accept().read();
             Files.writeString(file, stage.config().replace(stage.discovery.address(), second.address()));
             stage.node.reload(PlatformConfig.read(file.toString()));
--- a/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
+++ b/src/test/java/sablehinge/gateway/discovery/MaintenanceTest.java
@@ -24,16 +24,16 @@
 import sablehinge.policy.LoadBalancer.State;
 import sablehinge.policy.LoadBalancer.Upstream;
 
-/** Upstreams taken out and put back, over what discovery says meanwhile. */
+/** Tests suspended and restored upstreams during updates of discovery. */
 class MaintenanceTest {
 
-    private static final InetSocketAddress PLACE = new InetSocketAddress("127.0.0.1", 9);
+    private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 9);
 
     private static Member member(long id, State state, double startedAt) {
-        return new Member(new Upstream(id, 0, 0, 0, state, 1, startedAt), PLACE);
+        return new Member(new Upstream(id, 0, 0, 0, state, 1, startedAt), ADDRESS);
     }
 
-    private static Roster list(boolean full, Member... members) {
+    private static Roster roster(boolean full, Member... members) {
         return new Roster(7, full, List.of(members));
     }
 
@@ -43,57 +43,65 @@
     }
 
     @Test
-    void outIsDrainingWhateverDiscoverySays() {
-        Maintenance out = new Maintenance();
-        out.take(list(true, member(1, State.READY, 0), member(2, State.READY, 0)));
-        assertEquals(State.DRAINING, only(out.suspend(1, 100)).state());
-        assertTrue(out.suspend(1, 200).members().isEmpty(), "a second call changes nothing");
-        // Restarted meanwhile: gone, and listed anew.
+    void reportsSuspendedUpstreamAsDraining() {
+        Maintenance maintenance = new Maintenance();
+        maintenance.apply(roster(true, member(1, State.READY, 0), member(2, State.READY, 0)));
+        assertEquals(State.DRAINING, only(maintenance.suspend(1, 100)).state());
+        assertTrue(maintenance.suspend(1, 200).members().isEmpty(), "a second suspension has no effect");
+        // The upstream restarts: it is removed and listed again.
         assertEquals(
                 State.REMOVED,
-                only(out.take(list(false, member(1, State.REMOVED, 0)))).state());
-        assertTrue(out.knows(1), "it is awaited back");
+                only(maintenance.apply(roster(false, member(1, State.REMOVED, 0))))
+                        .state());
+        assertTrue(maintenance.knows(1), "a removed upstream that is suspended is known");
         assertEquals(
                 State.DRAINING,
-                only(out.take(list(false, member(1, State.READY, 300)))).state());
+                only(maintenance.apply(roster(false, member(1, State.READY, 300))))
+                        .state());
         assertEquals(
                 State.DRAINING,
-                out.take(list(true, member(1, State.READY, 300)))
+                maintenance
+                        .apply(roster(true, member(1, State.READY, 300)))
                         .members()
                         .get(0)
                         .upstream()
                         .state());
-        // One call back undoes both; discovery knows when it started.
-        Upstream back = only(out.restore(1, 400));
-        assertEquals(State.READY, back.state());
-        assertEquals(300, back.startedAt());
+        // One restoration is enough; discovery reports its start.
+        Upstream restored = only(maintenance.restore(1, 400));
+        assertEquals(State.READY, restored.state());
+        assertEquals(300, restored.startedAt());
     }
 
-    /** Warming up though discovery does not know yet that it was restarted. */
+    /** A restored upstream warms up although discovery does not report its restart yet. */
     @Test
-    void backIsColdUntilDiscoveryKnowsBetter() {
-        Maintenance out = new Maintenance();
-        out.take(list(true, member(1, State.READY, 50)));
-        out.suspend(1, 100);
-        assertEquals(400, only(out.restore(1, 400)).startedAt());
-        assertEquals(400, only(out.take(list(true, member(1, State.READY, 50)))).startedAt());
+    void reportsRestorationAsStartUntilDiscoveryReportsLaterStart() {
+        Maintenance maintenance = new Maintenance();
+        maintenance.apply(roster(true, member(1, State.READY, 50)));
+        maintenance.suspend(1, 100);
+        assertEquals(400, only(maintenance.restore(1, 400)).startedAt());
+        assertEquals(
+                400,
+                only(maintenance.apply(roster(true, member(1, State.READY, 50))))
+                        .startedAt());
         assertEquals(
-                350, only(out.take(list(false, member(1, State.READY, 350)))).startedAt());
-        assertTrue(out.restore(1, 500).members().isEmpty(), "it is back already");
+                350,
+                only(maintenance.apply(roster(false, member(1, State.READY, 350))))
+                        .startedAt());
+        assertTrue(maintenance.restore(1, 500).members().isEmpty(), "a second restoration has no effect");
     }
 
     @Test
-    void theUnknownAreNotKnownAndTheTableIsBounded() {
-        Maintenance out = new Maintenance();
-        assertFalse(out.knows(1));
-        for (long id = 0; id < Maintenance.MAX_OUT; id++) {
-            out.suspend(id, 1);
+    void boundsSuspendedUpstreams() {
+        Maintenance maintenance = new Maintenance();
+        assertFalse(maintenance.knows(1));
+        for (long id = 0; id < Maintenance.MAX_SUSPENDED; id++) {
+            maintenance.suspend(id, 1);
         }
-        assertTrue(out.suspend(5, 2).members().isEmpty(), "one that is out takes no more room");
-        assertThrows(IllegalStateException.class, () -> out.suspend(-1, 2));
+        assertTrue(maintenance.suspend(5, 2).members().isEmpty(), "a second suspension takes no space");
+        assertThrows(IllegalStateException.class, () -> maintenance.suspend(-1, 2));
     }
 
-    /** What can happen to an upstream: the clock goes on by one for each. */
+    /** The kinds of events; each advances the clock by 1 ms. */
     private enum Kind {
         UP,
         DRAINING,
@@ -107,7 +115,7 @@
     private record Event(Kind kind, long id) {}
 
     @Provide
-    Arbitrary<List<Event>> stories() {
+    Arbitrary<List<Event>> eventSequences() {
         return Combinators.combine(
                         Arbitraries.of(Kind.values()), Arbitraries.longs().between(1, 4))
                 .as(Event::new)
@@ -115,33 +123,33 @@
                 .ofMaxSize(80);
     }
 
-    /** After any story, what is passed on is discovery's list but for who is out, and who was is warming up. */
+    /** After any events, the reported roster equals that of discovery except for suspended and restored upstreams. */
     @Property(tries = 2_000)
-    void anyStory(@ForAll("stories") List<Event> story) {
+    void reportsRosterOfDiscoveryWithSuspensions(@ForAll("eventSequences") List<Event> events) {
         Maintenance maintenance = new Maintenance();
         Map<Long, Upstream> discovery = new HashMap<>();
-        Map<Long, Upstream> passed = new HashMap<>();
-        Set<Long> out = new HashSet<>();
-        Map<Long, Double> suspended = new HashMap<>();
-        Map<Long, Double> restored = new HashMap<>();
-        double now = 0;
-        for (Event event : story) {
-            now++;
+        Map<Long, Upstream> reported = new HashMap<>();
+        Set<Long> suspendedIds = new HashSet<>();
+        Map<Long, Double> suspendedAtMs = new HashMap<>();
+        Map<Long, Double> restoredAtMs = new HashMap<>();
+        double nowMs = 0;
+        for (Event event : events) {
+            nowMs++;
             Upstream known = discovery.get(event.id());
             double started = known == null ? 0 : known.startedAt();
             Roster update =
                     switch (event.kind()) {
-                        case UP -> maintenance.take(list(false, member(event.id(), State.READY, started)));
-                        case DRAINING -> maintenance.take(list(false, member(event.id(), State.DRAINING, started)));
-                        case GONE -> maintenance.take(list(false, member(event.id(), State.REMOVED, started)));
-                        case RESTARTED -> maintenance.take(list(false, member(event.id(), State.READY, now)));
+                        case UP -> maintenance.apply(roster(false, member(event.id(), State.READY, started)));
+                        case DRAINING -> maintenance.apply(roster(false, member(event.id(), State.DRAINING, started)));
+                        case GONE -> maintenance.apply(roster(false, member(event.id(), State.REMOVED, started)));
+                        case RESTARTED -> maintenance.apply(roster(false, member(event.id(), State.READY, nowMs)));
                         case ALL -> {
                             List<Member> all = new ArrayList<>();
-                            discovery.values().forEach(one -> all.add(new Member(one, PLACE)));
-                            yield maintenance.take(new Roster(8, true, all));
+                            discovery.values().forEach(one -> all.add(new Member(one, ADDRESS)));
+                            yield maintenance.apply(new Roster(8, true, all));
                         }
-                        case SUSPEND -> maintenance.suspend(event.id(), now);
-                        case RESTORE -> maintenance.restore(event.id(), now);
+                        case SUSPEND -> maintenance.suspend(event.id(), nowMs);
+                        case RESTORE -> maintenance.restore(event.id(), nowMs);
                     };
             switch (event.kind()) {
                 case UP ->
@@ -153,37 +161,37 @@
                             member(event.id(), State.DRAINING, started).upstream());
                 case RESTARTED ->
                     discovery.put(
-                            event.id(), member(event.id(), State.READY, now).upstream());
+                            event.id(), member(event.id(), State.READY, nowMs).upstream());
                 case GONE -> {
                     discovery.remove(event.id());
-                    restored.remove(event.id());
+                    restoredAtMs.remove(event.id());
                 }
                 case SUSPEND -> {
-                    if (out.add(event.id())) {
-                        suspended.put(event.id(), now);
+                    if (suspendedIds.add(event.id())) {
+                        suspendedAtMs.put(event.id(), nowMs);
                     }
                 }
                 case RESTORE -> {
-                    if (out.remove(event.id())) {
-                        restored.put(event.id(), now);
+                    if (suspendedIds.remove(event.id())) {
+                        restoredAtMs.put(event.id(), nowMs);
                     }
                 }
                 default -> {}
             }
             if (update.full()) {
-                passed.clear();
+                reported.clear();
             }
             update.members().forEach(member -> {
-                passed.put(member.upstream().id(), member.upstream());
-                passed.values().removeIf(one -> one.state() == State.REMOVED);
+                reported.put(member.upstream().id(), member.upstream());
+                reported.values().removeIf(one -> one.state() == State.REMOVED);
             });
-            assertEquals(discovery.keySet(), passed.keySet());
-            assertEquals(out, maintenance.out());
+            assertEquals(discovery.keySet(), reported.keySet());
+            assertEquals(suspendedIds, maintenance.suspended());
             for (Upstream one : discovery.values()) {
-                Upstream shown = passed.get(one.id());
-                assertEquals(out.contains(one.id()) ? State.DRAINING : one.state(), shown.state());
-                if (!out.contains(one.id()) && restored.containsKey(one.id())) {
-                    assertTrue(shown.startedAt() >= suspended.get(one.id()), "cold after its time out");
+                Upstream actual = reported.get(one.id());
+                assertEquals(suspendedIds.contains(one.id()) ? State.DRAINING : one.state(), actual.state());
+                if (!suspendedIds.contains(one.id()) && restoredAtMs.containsKey(one.id())) {
+                    assertTrue(actual.startedAt() >= suspendedAtMs.get(one.id()), "the start is after the suspension");
                 }
             }
             Map<Long, Upstream> complete = new HashMap<>();
@@ -191,7 +199,7 @@
                     .complete()
                     .members()
                     .forEach(m -> complete.put(m.upstream().id(), m.upstream()));
-            assertEquals(passed, complete);
+            assertEquals(reported, complete);
         }
     }
 }
--- a/src/test/java/sablehinge/gateway/node/AccessLogTest.java
+++ b/src/test/java/sablehinge/gateway/node/AccessLogTest.java
@@ -11,22 +11,22 @@
 import sablehinge.dataplane.proxy.Answer;
 import sablehinge.dataplane.proxy.Version;
 
-/** The access log at its bounds, and with a disk that fails. */
+/** Tests rotation of the access log and its behaviour on a failing disk. */
 class AccessLogTest {
 
     private static final Version VERSION = new Version(1, null, List.of("tile"), List.of(), false);
 
-    private static void note(AccessLog log, int count) {
+    private static void record(AccessLog log, int count) {
         for (int i = 0; i < count; i++) {
-            log.note(0, "r" + i, VERSION, 0, Answer.Kind.SERVED, 1, 2);
+            log.record(0, "r" + i, VERSION, 0, Answer.Kind.SERVED, 1, 2);
         }
     }
 
     @Test
-    void atItsLengthItIsBegunAnewAndOneOldOneIsKept(@TempDir Path folder) throws Exception {
+    void rotatesAtMaximumSizeAndRetainsOneFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("access.log");
         AccessLog log = new AccessLog(file, 5_000);
-        note(log, 200);
+        record(log, 200);
         log.close();
         assertTrue(Files.size(file) <= 5_000 && Files.size(file) > 0, Files.size(file) + " bytes");
         assertTrue(Files.size(folder.resolve("access.log.1")) <= 5_000);
@@ -37,25 +37,25 @@
         }
     }
 
-    /** What can't be begun anew for a while costs lines, is counted, and goes on when it can. */
+    /** While rotation fails, lines are dropped and counted; logging continues once rotation succeeds again. */
     @Test
-    void aDiskThatFailsForAWhileCostsLinesOnly(@TempDir Path folder) throws Exception {
+    void dropsAndCountsLinesWhileDiskFails(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("access.log");
-        Path old = folder.resolve("access.log.1");
-        // A directory with something in it can't be replaced by a file.
-        Files.createDirectories(old.resolve("in the way"));
+        Path rotated = folder.resolve("access.log.1");
+        // A directory that is not empty can't be replaced by a file.
+        Files.createDirectories(rotated.resolve("in the way"));
         AccessLog log = new AccessLog(file, 1_000);
-        note(log, 100);
-        // Until each is written or dropped: a file must not be taken away in the middle of one that succeeds.
+        record(log, 100);
+        // Wait until each line is written or dropped: the file must not be removed during a successful write.
         while (log.dropped() + Files.readAllLines(file).size() < 100) {
             Thread.onSpinWait();
         }
         assertEquals(100, log.dropped() + Files.readAllLines(file).size(), "each line is written or dropped");
-        Files.delete(old.resolve("in the way"));
-        Files.delete(old);
-        // As if a beginning anew had failed half way, too.
+        Files.delete(rotated.resolve("in the way"));
+        Files.delete(rotated);
+        // Simulates a rotation that failed half way as well.
         Files.delete(file);
-        note(log, 3);
+        record(log, 3);
         log.close();
         List<String> lines = Files.readAllLines(file);
         assertTrue(lines.get(lines.size() - 1).contains("\"r2\""), lines::toString);
--- a/src/test/java/sablehinge/gateway/node/BudgetsTest.java
+++ b/src/test/java/sablehinge/gateway/node/BudgetsTest.java
@@ -26,7 +26,7 @@
 import sablehinge.testing.Listener;
 import sablehinge.testing.Peer;
 
-/** Budgets over sockets: balancers between tiers of servers that pass on what they are handed. */
+/** Tests budgets over sockets, with balancers between tiers of servers that propagate the budget header. */
 @Timeout(120)
 class BudgetsTest {
 
@@ -37,14 +37,14 @@
 
     private final List<AutoCloseable> open = new ArrayList<>();
 
-    /** A server: calls the next balancer for each request, if it has one, and answers what that says. */
+    /** A server that calls the next balancer, if there is one, for each request and responds with its result. */
     private final class Server {
         final Listener listener;
-        final ConcurrentLinkedQueue<Peer.Message> seen = new ConcurrentLinkedQueue<>();
+        final ConcurrentLinkedQueue<Peer.Message> requests = new ConcurrentLinkedQueue<>();
         volatile InetSocketAddress next;
         volatile int calls = 1;
-        volatile boolean strips;
-        /** What it does after its calls: a status, or 0 for a connection that ends without an answer. */
+        volatile boolean stripsBudget;
+        /** The status of its responses; 0 closes the connection without a response. */
         volatile int status = 200;
 
         Server() throws IOException {
@@ -59,7 +59,7 @@
                         worker.start();
                     }
                 } catch (InterruptedException | AssertionError e) {
-                    // Nobody calls any more.
+                    // The listener is closed.
                 }
             });
             acceptor.setDaemon(true);
@@ -69,13 +69,13 @@
         private void serve(Peer peer) {
             try (peer) {
                 for (Peer.Message request = peer.read(); request != null; request = peer.read()) {
-                    seen.add(request);
+                    requests.add(request);
                     int answer = status;
                     String spent = null;
                     for (int i = 0; i < calls && next != null; i++) {
-                        Peer.Message below = call(request);
-                        spent = below.header("Sablehinge-Spent");
-                        if (below.status() != 200) {
+                        Peer.Message response = call(request);
+                        spent = response.header("Sablehinge-Spent");
+                        if (response.status() != 200) {
                             answer = 500;
                             break;
                         }
@@ -87,14 +87,14 @@
                             + (spent == null ? "" : "Sablehinge-Spent: " + spent + "\r\n") + "\r\nok");
                 }
             } catch (IOException e) {
-                // Its caller has given it up.
+                // The client has closed the connection.
             }
         }
 
         private Peer.Message call(Peer.Message request) throws IOException {
             Map<String, String> headers = new LinkedHashMap<>();
             String budget = request.header("Sablehinge-Budget");
-            if (budget != null && !strips) {
+            if (budget != null && !stripsBudget) {
                 headers.put("Sablehinge-Budget", budget);
             }
             return ask(next, request.first().split(" ")[1].substring(1), headers, request.header("X-Remaining"));
@@ -110,15 +110,15 @@
 
     private static Peer.Message ask(
             InetSocketAddress balancer, String type, Map<String, String> headers, String remaining) throws IOException {
-        StringBuilder more = new StringBuilder();
-        headers.forEach(
-                (name, value) -> more.append(name).append(": ").append(value).append("\r\n"));
+        StringBuilder extraHeaders = new StringBuilder();
+        headers.forEach((name, value) ->
+                extraHeaders.append(name).append(": ").append(value).append("\r\n"));
         try (Peer caller = Peer.to(balancer)) {
             caller.write((type.equals("credit-spend") ? "POST /" : "GET /") + type + " HTTP/1.1\r\nX-Txn: t"
                     + IDS.incrementAndGet() + "\r\nX-Lane: " + type + "\r\nX-Remaining: " + remaining + "\r\n"
-                    + (type.equals("credit-spend") ? "Content-Length: 0\r\n" : "") + more + "\r\n");
+                    + (type.equals("credit-spend") ? "Content-Length: 0\r\n" : "") + extraHeaders + "\r\n");
             Peer.Message answer = caller.read();
-            assertNotNull(answer, "the balancer ended the connection");
+            assertNotNull(answer, "the balancer closed the connection");
             return answer;
         }
     }
@@ -127,9 +127,9 @@
         return ask(balancer, type, new HashMap<>(), "5");
     }
 
-    /** A balancer before some servers, with lines of its table of budgets; null for none. */
-    private InetSocketAddress balancer(String name, String budget, Server... servers) throws Exception {
-        Path own = Files.createDirectories(folder.resolve(name));
+    /** Starts a balancer in front of servers; {@code budget} is the content of its budget table, null for none. */
+    private InetSocketAddress startBalancer(String name, String budget, Server... servers) throws Exception {
+        Path directory = Files.createDirectories(folder.resolve(name));
         StringBuilder text = new StringBuilder(
                 """
                 [[listener]]
@@ -153,13 +153,13 @@
         if (budget != null) {
             text.append("[budget]\n").append(budget).append('\n');
         }
-        Path file = Files.writeString(own.resolve("operator.toml"), text);
+        Path file = Files.writeString(directory.resolve("operator.toml"), text);
         OperatorNode node = OperatorNode.start(file, false);
         open.add(node::kill);
         return node.addresses().get(0);
     }
 
-    /** What has come with a call: its path as ids. */
+    /** The path of service ids in the budget of a request. */
     private static List<Long> path(Peer.Message request) {
         return new HeaderText(null)
                 .readBudget(request.header("Sablehinge-Budget"))
@@ -168,13 +168,13 @@
     }
 
     @Test
-    void whatIsServedCarriesABudgetDownAndNothingToClients() throws Exception {
+    void propagatesBudgetDownstreamButNotToClients() throws Exception {
         Server store = new Server();
         Server render = new Server();
-        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true", store);
+        render.next = startBalancer("store", "service = \"store\"\nentry = false\nlast = true", store);
         Server front = new Server();
-        front.next = balancer("render", "service = \"render\"\nentry = false", render);
-        InetSocketAddress entry = balancer("front", "service = \"front\"", front);
+        front.next = startBalancer("render", "service = \"render\"\nentry = false", render);
+        InetSocketAddress entry = startBalancer("front", "service = \"front\"", front);
         Peer.Message answer = ask(entry, "look-up");
         assertEquals(200, answer.status());
         assertNull(answer.header("Sablehinge-Budget"));
@@ -183,75 +183,78 @@
                         OperatorNode.serviceId("front"),
                         OperatorNode.serviceId("render"),
                         OperatorNode.serviceId("store")),
-                path(store.seen.peek()));
+                path(store.requests.peek()));
         Budget last = new HeaderText(null)
-                .readBudget(store.seen.peek().header("Sablehinge-Budget"))
+                .readBudget(store.requests.peek().header("Sablehinge-Budget"))
                 .value();
         Budget first = new HeaderText(null)
-                .readBudget(front.seen.peek().header("Sablehinge-Budget"))
+                .readBudget(front.requests.peek().header("Sablehinge-Budget"))
                 .value();
         assertEquals(1, last.attempts());
         assertTrue(last.remaining() < first.remaining() && first.remaining() < 5_000);
     }
 
-    /** All fails at the last tier: its attempts stay within the bound, for each of many requests. */
+    /** If every request fails at the last tier, the number of attempts there remains bounded for each request. */
     @Test
-    void attemptsAtTheLastTierAreBounded() throws Exception {
+    void boundsAttemptsAtLastTier() throws Exception {
         Server store = new Server();
         store.status = 500;
         Server render = new Server();
-        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true\nattempts = 3", store);
+        render.next = startBalancer("store", "service = \"store\"\nentry = false\nlast = true\nattempts = 3", store);
         Server front = new Server();
-        front.next = balancer("render", "service = \"render\"\nentry = false\nattempts = 3", render);
-        InetSocketAddress entry = balancer("front", "service = \"front\"\nattempts = 3", front);
+        front.next = startBalancer("render", "service = \"render\"\nentry = false\nattempts = 3", render);
+        InetSocketAddress entry = startBalancer("front", "service = \"front\"\nattempts = 3", front);
         for (int i = 0; i < 20; i++) {
-            int before = store.seen.size();
+            int before = store.requests.size();
             int status = ask(entry, "look-up").status();
             assertTrue(status >= 500, "status " + status);
-            int made = store.seen.size() - before;
-            assertTrue(made <= 3, made + " attempts");
+            int attempts = store.requests.size() - before;
+            assertTrue(attempts <= 3, attempts + " attempts");
         }
-        // The module may refuse some of them unsent.
-        assertTrue(store.seen.size() > 3, store.seen.size() + " attempts in all");
+        // The module may refuse some requests without an attempt.
+        assertTrue(store.requests.size() > 3, store.requests.size() + " attempts in all");
     }
 
     @Test
-    void aLoopOfThreeIsFoundWhereItCloses() throws Exception {
+    void detectsLoopOfThreeServicesWhereItCloses() throws Exception {
         Server store = new Server();
         Server render = new Server();
         Server front = new Server();
-        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true", store);
-        front.next = balancer("render", "service = \"render\"\nentry = false", render);
-        // Within the installation front is called by friends, too.
-        InetSocketAddress entry = balancer("front", "service = \"front\"\nentry = false\nunknown = 8", front);
+        render.next = startBalancer("store", "service = \"store\"\nentry = false\nlast = true", store);
+        front.next = startBalancer("render", "service = \"render\"\nentry = false", render);
+        // Other services of the installation call the front service as well.
+        InetSocketAddress entry = startBalancer("front", "service = \"front\"\nentry = false\nunknown = 8", front);
         store.next = entry;
         Peer.Message answer = ask(entry, "look-up");
         assertTrue(answer.status() >= 500);
-        // One pass: each tier has seen it once, and none tried again.
-        assertEquals(List.of(1, 1, 1), List.of(front.seen.size(), render.seen.size(), store.seen.size()));
+        // Each tier received the request once, without a retry.
+        assertEquals(List.of(1, 1, 1), List.of(front.requests.size(), render.requests.size(), store.requests.size()));
     }
 
     @Test
-    void aLoopOfOneNamesItsPath() throws Exception {
+    void reportsPathOfLoopOfOneService() throws Exception {
         Server server = new Server();
-        InetSocketAddress entry = balancer("front", "service = \"front\"\nentry = false\nunknown = 8", server);
+        InetSocketAddress entry = startBalancer("front", "service = \"front\"\nentry = false\nunknown = 8", server);
         server.next = entry;
         assertTrue(ask(entry, "look-up").status() >= 500);
-        assertEquals(1, server.seen.size());
+        assertEquals(1, server.requests.size());
         String id = Long.toHexString(OperatorNode.serviceId("front"));
         Peer.Message loop = ask(
-                entry, "look-up", Map.of("Sablehinge-Budget", server.seen.peek().header("Sablehinge-Budget")), "5");
+                entry,
+                "look-up",
+                Map.of("Sablehinge-Budget", server.requests.peek().header("Sablehinge-Budget")),
+                "5");
         assertEquals(508, loop.status());
         assertEquals(id + " > " + id, loop.header("Sablehinge-Path"));
         assertTrue(loop.header("Sablehinge-Spent").contains("again=0"));
-        // A second call from the same place by another path is none.
-        assertEquals(1, server.seen.size());
+        // The loop response itself causes no further request to the server.
+        assertEquals(1, server.requests.size());
     }
 
     @Test
-    void whatIsDeadOnArrivalIsNeverSentOn() throws Exception {
+    void refusesRequestsWithExhaustedBudget() throws Exception {
         Server store = new Server();
-        InetSocketAddress balancer = balancer("store", "service = \"store\"\nentry = false\nlast = true", store);
+        InetSocketAddress balancer = startBalancer("store", "service = \"store\"\nentry = false\nlast = true", store);
         HeaderText text = new HeaderText(null);
         Peer.Message dead = ask(
                 balancer,
@@ -275,43 +278,43 @@
                                 Map.of("Sablehinge-Budget", text.write(new Budget(3, 0, 900, 1, List.of()))),
                                 "5")
                         .status());
-        assertEquals(0, store.seen.size());
+        assertEquals(0, store.requests.size());
     }
 
-    /** A tier that strips the header: each of its calls has what is stated for the unknown. */
+    /** If a tier strips the header, each of its calls gets the budget configured for unknown callers. */
     @Test
-    void whereTheHeaderIsStrippedTheDefaultHolds() throws Exception {
+    void appliesDefaultBudgetWhereHeaderIsStripped() throws Exception {
         Server store = new Server();
         store.status = 500;
         Server render = new Server();
-        render.strips = true;
-        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true\nunknown = 1", store);
-        InetSocketAddress entry = balancer("front", "service = \"front\"\nattempts = 2", render);
+        render.stripsBudget = true;
+        render.next = startBalancer("store", "service = \"store\"\nentry = false\nlast = true\nunknown = 1", store);
+        InetSocketAddress entry = startBalancer("front", "service = \"front\"\nattempts = 2", render);
         assertTrue(ask(entry, "look-up").status() >= 500);
-        assertTrue(store.seen.size() <= 2, store.seen.size() + " attempts");
-        assertEquals(render.seen.size(), store.seen.size(), "no call tried twice at the store");
+        assertTrue(store.requests.size() <= 2, store.requests.size() + " attempts");
+        assertEquals(render.requests.size(), store.requests.size(), "a call was retried at the store");
     }
 
-    /** No tier sends it again, and its client has one answer, worded as a failure. */
+    /** No tier retries the request, and the client receives a single failure response. */
     @Test
-    void anUnsafeCallWhoseAnswerIsLostIsSentOnce() throws Exception {
+    void sendsUnsafeRequestOnceWhenResponseIsLost() throws Exception {
         Server store = new Server();
         store.status = 0;
         Server render = new Server();
-        render.next = balancer("store", "service = \"store\"\nentry = false\nlast = true", store);
-        InetSocketAddress entry = balancer("front", "service = \"front\"", render);
+        render.next = startBalancer("store", "service = \"store\"\nentry = false\nlast = true", store);
+        InetSocketAddress entry = startBalancer("front", "service = \"front\"", render);
         assertEquals(502, ask(entry, "credit-spend").status());
-        assertEquals(1, store.seen.size());
-        assertEquals(1, render.seen.size());
+        assertEquals(1, store.requests.size());
+        assertEquals(1, render.requests.size());
     }
 
     @Test
-    void whatIsNotSignedIsNotBelieved() throws Exception {
+    void ignoresUnsignedBudget() throws Exception {
         byte[] secret = "a secret that both zones know".getBytes();
         Files.write(Files.createDirectories(folder.resolve("store")).resolve("k1"), secret);
         Server store = new Server();
         store.status = 500;
-        InetSocketAddress balancer = balancer(
+        InetSocketAddress balancer = startBalancer(
                 "store",
                 "service = \"store\"\nentry = false\nlast = true\n"
                         + "unknown = 0\n[[budget.key]]\nname = \"k1\"\nfile = \"k1\"",
@@ -321,13 +324,13 @@
                 503,
                 ask(balancer, "look-up", Map.of("Sablehinge-Budget", new HeaderText(null).write(budget)), "5")
                         .status());
-        assertEquals(0, store.seen.size());
+        assertEquals(0, store.requests.size());
         String signed = new HeaderText(new Keys(Map.of("k1", secret))).write(budget);
         ask(balancer, "look-up", Map.of("Sablehinge-Budget", signed), "5");
-        assertTrue(store.seen.size() >= 1 && store.seen.size() <= 2);
-        // Sent again it draws on the same budget.
+        assertTrue(store.requests.size() >= 1 && store.requests.size() <= 2);
+        // A repeated request with the same budget shares its attempts.
         ask(balancer, "look-up", Map.of("Sablehinge-Budget", signed), "5");
         ask(balancer, "look-up", Map.of("Sablehinge-Budget", signed), "5");
-        assertEquals(2, store.seen.size());
+        assertEquals(2, store.requests.size());
     }
 }
--- a/src/test/java/sablehinge/gateway/node/OperationTest.java
+++ b/src/test/java/sablehinge/gateway/node/OperationTest.java
@@ -20,11 +20,11 @@
 import sablehinge.testing.Script;
 import sablehinge.testing.Stage;
 
-/** Daily operation over sockets: operators' calls, and settings that change while a balancer serves. */
+/** Tests operator commands and reloads of the settings over sockets while a balancer serves. */
 @Timeout(120)
 class OperationTest {
 
-    private static final String ONE = "s-00000000";
+    private static final String FIRST_UPSTREAM = "s-00000000";
 
     @TempDir
     private Path folder;
@@ -36,65 +36,65 @@
     }
 
     @Test
-    void whoIsOutGetsNothingNewUntilItIsBack() throws Exception {
+    void suspendedUpstreamReceivesNoRequestsUntilRestored() throws Exception {
         try (Stage stage = stage(2)) {
             stage.start(LatencyWeightedBalancer::new);
             assertEquals("ok", stage.call("STATUS"));
-            assertEquals("ok", stage.call("SUSPEND " + ONE));
-            assertEquals("ok", stage.call("SUSPEND " + ONE));
+            assertEquals("ok", stage.call("SUSPEND " + FIRST_UPSTREAM));
+            assertEquals("ok", stage.call("SUSPEND " + FIRST_UPSTREAM));
             Peer caller = stage.caller();
-            Peer other = null;
+            Peer served = null;
             for (int i = 0; i < 40; i++) {
                 caller.write(Stage.get("r" + i, "10"));
-                other = other == null ? stage.upstreams.get(1).accept() : other;
-                other.read();
-                other.write(Stage.ok("served"));
+                served = served == null ? stage.upstreams.get(1).accept() : served;
+                served.read();
+                served.write(Stage.ok("served"));
                 assertEquals(200, caller.read().status());
             }
             assertEquals(0, stage.upstreams.get(0).waiting());
-            assertEquals("ok", stage.call("RESTORE " + ONE));
-            // Now the other one is out, so that what comes can only go to the one that is back.
+            assertEquals("ok", stage.call("RESTORE " + FIRST_UPSTREAM));
+            // The other upstream is suspended now, so that requests can only go to the restored one.
             assertEquals("ok", stage.call("SUSPEND s-00000001"));
             caller.write(Stage.get("back", "10"));
-            Peer back = stage.upstreams.get(0).accept();
-            back.read();
-            back.write(Stage.ok("served"));
+            Peer restored = stage.upstreams.get(0).accept();
+            restored.read();
+            restored.write(Stage.ok("served"));
             assertEquals(200, caller.read().status());
         }
     }
 
-    /** The module is notified of it as of a drain, and of the return as of a start. */
+    /** The module receives a suspension as a drain and a restoration as a start. */
     @Test
-    void theModuleHearsOfADrainAndOfAStart() throws Exception {
+    void reportsSuspensionAsDrainAndRestorationAsStart() throws Exception {
         try (Stage stage = stage(1)) {
             stage.start();
             assertEquals(0, Script.next(stage.script.lists).get(0).startedAt());
             double before = stage.node.now();
-            stage.call("SUSPEND " + ONE);
+            stage.call("SUSPEND " + FIRST_UPSTREAM);
             assertEquals(State.DRAINING, Script.next(stage.script.lists).get(0).state());
-            stage.call("RESTORE " + ONE);
-            var back = Script.next(stage.script.lists).get(0);
-            assertEquals(State.READY, back.state());
-            assertTrue(back.startedAt() >= before);
+            stage.call("RESTORE " + FIRST_UPSTREAM);
+            var restored = Script.next(stage.script.lists).get(0);
+            assertEquals(State.READY, restored.state());
+            assertTrue(restored.startedAt() >= before);
         }
     }
 
     @Test
-    void whatIsWrongIsOwedANo() throws Exception {
+    void rejectsInvalidCommands() throws Exception {
         try (Stage stage = stage(1)) {
             stage.start();
-            for (String bad : List.of(
+            for (String command : List.of(
                     "SUSPEND s-nobody",
                     "RESTORE s-nobody",
                     "SUSPEND",
                     "STATUS now",
                     "",
                     "x",
-                    "SUSPEND " + ONE + " " + ONE,
+                    "SUSPEND " + FIRST_UPSTREAM + " " + FIRST_UPSTREAM,
                     "x".repeat(600))) {
-                assertTrue(stage.call(bad).startsWith("fail "), bad);
+                assertTrue(stage.call(command).startsWith("fail "), command);
             }
-            // A line that ends with the sending is one too.
+            // The end of the input also ends the line.
             try (Peer peer = Peer.to(stage.node.operatorAddress())) {
                 peer.write("STATUS");
                 peer.socket.shutdownOutput();
@@ -103,9 +103,9 @@
         }
     }
 
-    /** More than it keeps: those that say nothing give way, so that the one that calls is heard. */
+    /** With more connections than the limit, the oldest idle ones are closed, so that a new command is answered. */
     @Test
-    void whoFinishesNoCallHoldsUpNobody() throws Exception {
+    void incompleteCommandsDoNotBlockOthers() throws Exception {
         List<Peer> idle = new ArrayList<>();
         try (Stage stage = stage(1)) {
             stage.start();
@@ -123,20 +123,20 @@
         }
     }
 
-    private PlatformConfig next(Stage stage, String text) throws Exception {
+    private PlatformConfig successor(Stage stage, String text) throws Exception {
         Path file = Files.writeString(folder.resolve("next.json"), text);
         return stage.node.config().successor(file.toString());
     }
 
     @Test
-    void newClassesAreServedAndWhatIsUnderWayKeepsItsOwn() throws Exception {
+    void servesNewClassesWhileInFlightRequestsKeepOldSettings() throws Exception {
         try (Stage stage = stage(1)) {
             stage.start();
             Peer early = stage.caller();
             early.write(Stage.get("early", "10"));
             Peer upstream = stage.upstreams.get(0).accept();
             upstream.read();
-            stage.node.reload(next(
+            stage.node.reload(successor(
                     stage,
                     stage.config().replace("look-up", "look-out").replace("\"attemptsCap\":4", "\"attemptsCap\":2")));
             assertEquals(2, Script.next(stage.script.adopted).limits().maxAttempts());
@@ -146,7 +146,7 @@
             second.read();
             second.write(Stage.ok("new"));
             assertEquals("new", caller.read().body());
-            // Sent by the class that has gone, and only now read: it is taken as it was meant.
+            // A request of the removed class that is read only now still uses the previous settings.
             caller.write(Stage.get("late", "10"));
             second.read();
             second.write(Stage.ok("late"));
@@ -158,36 +158,36 @@
         }
     }
 
-    /** Nothing of a broken file is taken, where discovery is neither. */
+    /** An invalid file is rejected completely, including its address of discovery. */
     @Test
-    void ofABrokenFileNothingIsTaken() throws Exception {
+    void rejectsInvalidFileCompletely() throws Exception {
         try (Stage stage = stage(1)) {
             stage.start();
-            String good = stage.config();
-            List<String> broken = List.of(
+            String valid = stage.config();
+            List<String> invalid = List.of(
                     "",
                     "{",
                     "null",
-                    good.substring(0, good.length() / 2),
-                    good + "}",
-                    good.replace("\"deadline\":2500.0", "\"deadline\":-5"),
-                    good.replace("\"deadline\":2500.0", "\"deadline\":0"),
-                    good.replace("\"deadline\":2500.0", "\"deadline\":\"2500\""),
-                    good.replace("\"deadline\":2500.0", "\"deadline\":1e999"),
-                    good.replace("\"deadline\":2500.0,", ""),
-                    good.replace("\"attemptsCap\":4", "\"attemptsCap\":0"),
-                    good.replace("\"attemptsCap\":4", "\"attemptsCap\":1.5"),
-                    good.replace("\"attemptsCap\":4", "\"attemptsCap\":null"),
-                    good.replace("\"attemptsCap\":4,", ""),
-                    good.replace("\"warmUp\":24000.0,", ""),
-                    good.replace("\"callers\":{\"marksRetry\":false},", ""),
-                    good.replace("\"sockets\":1024", "\"files\":1024"),
-                    good.replace("\"look-up\"", "\"credit-spend\""),
-                    good.replace("\"dakar-a\"", "\"b\""));
-            for (String text : broken) {
-                assertThrows(ConfigException.class, () -> next(stage, text), text);
+                    valid.substring(0, valid.length() / 2),
+                    valid + "}",
+                    valid.replace("\"deadline\":2500.0", "\"deadline\":-5"),
+                    valid.replace("\"deadline\":2500.0", "\"deadline\":0"),
+                    valid.replace("\"deadline\":2500.0", "\"deadline\":\"2500\""),
+                    valid.replace("\"deadline\":2500.0", "\"deadline\":1e999"),
+                    valid.replace("\"deadline\":2500.0,", ""),
+                    valid.replace("\"attemptsCap\":4", "\"attemptsCap\":0"),
+                    valid.replace("\"attemptsCap\":4", "\"attemptsCap\":1.5"),
+                    valid.replace("\"attemptsCap\":4", "\"attemptsCap\":null"),
+                    valid.replace("\"attemptsCap\":4,", ""),
+                    valid.replace("\"warmUp\":24000.0,", ""),
+                    valid.replace("\"callers\":{\"marksRetry\":false},", ""),
+                    valid.replace("\"sockets\":1024", "\"files\":1024"),
+                    valid.replace("\"look-up\"", "\"credit-spend\""),
+                    valid.replace("\"dakar-a\"", "\"b\""));
+            for (String text : invalid) {
+                assertThrows(ConfigException.class, () -> successor(stage, text), text);
             }
-            next(stage, good);
+            successor(stage, valid);
             assertNull(stage.script.adopted.poll());
         }
     }
--- a/src/test/java/sablehinge/gateway/node/OperatorNodeTest.java
+++ b/src/test/java/sablehinge/gateway/node/OperatorNodeTest.java
@@ -25,7 +25,7 @@
 import sablehinge.testing.StandIn;
 import sablehinge.testing.StandIn.Plan;
 
-/** Changes of the configuration over loopback sockets, with what goes wrong in their middle. */
+/** Tests configuration changes over loopback sockets, including failures during a change. */
 @Timeout(120)
 class OperatorNodeTest {
 
@@ -39,12 +39,12 @@
         return answer.header("Sablehinge-Version");
     }
 
-    private static String reason(JsonNode refused) {
-        return refused.path("error").asText();
+    private static String reason(JsonNode response) {
+        return response.path("error").asText();
     }
 
     @Test
-    void aChangeIsTriedConfirmedAndShown() throws Exception {
+    void appliesAndConfirmsChange() throws Exception {
         try (OperatorStage stage = new OperatorStage(2)) {
             stage.start(stage.text(0));
             assertEquals("1", version(stage.ask(Stage.get("a", "5"))));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void howTheLogIsKeptGoesWithTheVersion() throws Exception {
+    void logLevelsFollowCurrentVersion() throws Exception {
         org.slf4j.Logger netty = org.slf4j.LoggerFactory.getLogger("io.netty");
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aRollbackWith500InFlightLeavesEachOneAnswer() throws Exception {
+    void rollbackWith500RequestsInFlightCompletesEachOnce() throws Exception {
         try (OperatorStage stage = new OperatorStage(4)) {
             stage.start(stage.text(0, 1));
             stage.apply(stage.stage(stage.text(2, 3)));
@@ -91,17 +91,17 @@
                 while (stage.servers.get(2).seen.size()
                                 + stage.servers.get(3).seen.size()
                         < 500) {
-                    assertFalse(Thread.interrupted(), "the time is up");
+                    assertFalse(Thread.interrupted(), "timeout");
                     Thread.onSpinWait();
                 }
                 assertEquals(500, stage.status().path("requests_at_work").asInt());
-                JsonNode back = stage.admin("POST", "/config/rollback", "");
-                assertEquals(1, back.path("current").asInt());
-                assertTrue(back.path("last_undo_ms").asDouble() < 1_000);
+                JsonNode rolledBack = stage.admin("POST", "/config/rollback", "");
+                assertEquals(1, rolledBack.path("current").asInt());
+                assertTrue(rolledBack.path("last_undo_ms").asDouble() < 1_000);
                 stage.servers.get(0).plan = seen -> new Plan(200, 0);
                 stage.servers.get(1).plan = seen -> new Plan(200, 0);
                 assertEquals("1", version(stage.ask(Stage.get("new", "5"))));
-                // One server breaks off what it has, the other answers.
+                // One server resets its requests, the other responds.
                 stage.servers.get(2).close();
                 stage.servers.get(3).plan = seen -> new Plan(200, 0);
                 stage.servers.get(3).release();
@@ -113,7 +113,7 @@
                             answer.status() == 200 || answer.status() == 502 || i % 2 == 0 && answer.status() == 503,
                             "r" + i + ": " + answer);
                     served += answer.status() == 200 ? 1 : 0;
-                    assertNull(second(callers.get(i)));
+                    assertNull(readAfterClose(callers.get(i)));
                 }
                 assertTrue(served > 100, served + " served");
                 for (int i = 0; i < 500; i++) {
@@ -136,14 +136,14 @@
         }
     }
 
-    /** What comes after an answer: the end, once this side has ended too. */
-    private static Peer.Message second(Peer caller) throws IOException {
+    /** Reads after a response: the end of the connection is expected, as this side has closed its output. */
+    private static Peer.Message readAfterClose(Peer caller) throws IOException {
         caller.socket.shutdownOutput();
         return caller.read();
     }
 
     @Test
-    void aServerThatVanishesWhileAChangeIsAppliedCostsNothing() throws Exception {
+    void serverFailureDuringChangeFailsNoRequest() throws Exception {
         try (OperatorStage stage = new OperatorStage(3)) {
             stage.start(stage.text(0));
             int next = stage.stage(stage.text(0, 1, 2));
@@ -159,14 +159,14 @@
     }
 
     @Test
-    void aChangeThatReachesTooFewServersNeverHasTraffic() throws Exception {
-        // Nobody listens there, and nobody else can be given the port.
-        Listener gone = new Listener();
-        gone.close();
+    void rollsBackChangeThatConnectsToTooFewServers() throws Exception {
+        // Nothing listens at this address, and no other listener can get its port.
+        Listener closed = new Listener();
+        closed.close();
         try (OperatorStage stage = new OperatorStage(3)) {
             stage.start(stage.text(0));
             int next = stage.stage(stage.text("127.0.0.1:0", "[change]\nready-within = \"2s\"\nready-least = 2\n", 1, 2)
-                    .replace(stage.servers.get(2).address(), gone.address()));
+                    .replace(stage.servers.get(2).address(), closed.address()));
             JsonNode refused = stage.apply(next);
             assertEquals("version 2 is undone: reached 1 of at least 2 servers within 2000 ms", reason(refused));
             assertEquals("1", version(stage.ask(Stage.get("a", "5"))));
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void aListenerThatCantBeHadUndoesTheChange() throws Exception {
+    void rollsBackChangeWhenListenerCannotBind() throws Exception {
         try (OperatorStage stage = new OperatorStage(1);
                 ServerSocket taken = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             stage.start(stage.text(0));
@@ -186,49 +186,49 @@
     }
 
     @Test
-    void whatDrainsInOneVersionGetsNothingNewFromAny() throws Exception {
+    void drainingServerReceivesNoNewRequestsFromAnyVersion() throws Exception {
         try (OperatorStage stage = new OperatorStage(2)) {
             stage.start(stage.text(0, 1));
-            StandIn drains = stage.servers.get(0);
-            StandIn stays = stage.servers.get(1);
-            drains.plan = seen -> new Plan(0, 0);
-            stays.plan = seen -> new Plan(0, 0);
+            StandIn drainingServer = stage.servers.get(0);
+            StandIn readyServer = stage.servers.get(1);
+            drainingServer.plan = seen -> new Plan(0, 0);
+            readyServer.plan = seen -> new Plan(0, 0);
             List<Peer> callers = new ArrayList<>();
-            while (drains.seen.isEmpty() || stays.seen.isEmpty()) {
+            while (drainingServer.seen.isEmpty() || readyServer.seen.isEmpty()) {
                 Peer caller = stage.caller();
                 callers.add(caller);
                 caller.write(Stage.get("old" + callers.size(), "8"));
                 int sent = callers.size();
-                while (drains.seen.size() + stays.seen.size() < sent) {
-                    assertFalse(Thread.interrupted(), "the time is up");
+                while (drainingServer.seen.size() + readyServer.seen.size() < sent) {
+                    assertFalse(Thread.interrupted(), "timeout");
                     Thread.onSpinWait();
                 }
             }
             String draining = stage.text(0, 1).replaceFirst("cell = 0", "cell = 0\nstate = \"draining\"");
             stage.apply(stage.stage(draining));
             stage.confirm();
-            int before = drains.seen.size();
-            // In the middle of the drain, another change that has nothing to do with it.
+            int before = drainingServer.seen.size();
+            // During the drain, an unrelated change is applied.
             stage.apply(stage.stage(draining + "[limits]\nattempts = 3\n"));
-            stays.plan = seen -> new Plan(200, 0);
+            readyServer.plan = seen -> new Plan(200, 0);
             for (int i = 0; i < 30; i++) {
                 assertEquals(200, stage.ask(Stage.get("new" + i, "5")).status());
             }
-            // Requests of the first version that the other server breaks off may not go there any more
+            // Requests of the first version that the other server resets must not be retried at the draining server
             // either.
-            stays.close();
-            drains.release();
+            readyServer.close();
+            drainingServer.release();
             for (Peer caller : callers) {
                 Peer.Message answer = caller.read();
                 assertEquals("1", version(answer));
                 caller.close();
             }
-            assertEquals(before, drains.seen.size());
+            assertEquals(before, drainingServer.seen.size());
         }
     }
 
     @Test
-    void aClassThatIsRemovedIsServedToItsEnd() throws Exception {
+    void completesRequestsOfRemovedClass() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
             stage.servers.get(0).plan = seen -> new Plan(0, 0);
@@ -248,30 +248,30 @@
     }
 
     @Test
-    void aListenerMovesWhileCallersHoldConnections() throws Exception {
+    void replacesListenerWhileClientsAreConnected() throws Exception {
         int first = freePort();
         int second = freePort();
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text("127.0.0.1:" + first, "", 0));
-            try (Peer held = Peer.to(new InetSocketAddress("127.0.0.1", first))) {
-                held.write(Stage.get("a", "5"));
-                assertEquals("1", version(held.read()));
+            try (Peer client = Peer.to(new InetSocketAddress("127.0.0.1", first))) {
+                client.write(Stage.get("a", "5"));
+                assertEquals("1", version(client.read()));
                 stage.apply(stage.stage(stage.text("127.0.0.1:" + second, "", 0)));
-                // Both serve while it is on trial, and the callers are not sent away yet.
-                held.write(Stage.get("b", "5"));
-                Peer.Message tried = held.read();
-                assertEquals("2", version(tried));
-                assertNull(tried.header("Connection"));
+                // Both listeners serve during the trial, and clients are not asked to close their connections yet.
+                client.write(Stage.get("b", "5"));
+                Peer.Message duringTrial = client.read();
+                assertEquals("2", version(duringTrial));
+                assertNull(duringTrial.header("Connection"));
                 assertEquals("2", version(stage.ask(Stage.get("c", "5"))));
                 stage.confirm();
-                held.write(Stage.get("d", "5"));
-                Peer.Message last = held.read();
+                client.write(Stage.get("d", "5"));
+                Peer.Message last = client.read();
                 assertEquals(200, last.status());
                 assertEquals("close", last.header("Connection"));
             }
             stage.until(status -> {
-                try (Peer late = Peer.to(new InetSocketAddress("127.0.0.1", first))) {
-                    return !late.socket.isConnected();
+                try (Peer lateClient = Peer.to(new InetSocketAddress("127.0.0.1", first))) {
+                    return !lateClient.socket.isConnected();
                 } catch (IOException e) {
                     return true;
                 }
@@ -281,7 +281,7 @@
     }
 
     @Test
-    void answersThatFailUndoTheChangeByThemselves() throws Exception {
+    void rollsBackChangeWhenResponsesFail() throws Exception {
         try (OperatorStage stage = new OperatorStage(2)) {
             stage.start(stage.text(0));
             stage.servers.get(1).plan = seen -> new Plan(500, 0);
@@ -296,7 +296,7 @@
                         caller.write(Stage.spend("b" + requested++, ""));
                         assertNotEquals(null, caller.read());
                     }
-                    assertTrue(requested < 10_000, "never undone");
+                    assertTrue(requested < 10_000, "the change was not rolled back");
                 }
             }
             JsonNode past = stage.status().path("past").get(0);
@@ -307,7 +307,7 @@
     }
 
     @Test
-    void theEndAmidAChangeAnswersAllAndLeavesTheConfirmedVersion() throws Exception {
+    void shutdownDuringChangeCompletesRequestsAndRestoresConfirmedVersion() throws Exception {
         try (OperatorStage stage = new OperatorStage(2)) {
             stage.start(stage.text(0));
             stage.servers.get(0).plan = seen -> new Plan(0, 0);
@@ -315,17 +315,17 @@
                 caller.write(Stage.spend("a", "x"));
                 stage.servers.get(0).await(1);
                 stage.apply(stage.stage(stage.text(1)));
-                Thread end = new Thread(() -> {
+                Thread shutdown = new Thread(() -> {
                     try {
                         stage.node.drain();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                end.start();
+                shutdown.start();
                 stage.servers.get(0).release();
                 assertEquals(200, caller.read().status());
-                end.join();
+                shutdown.join();
             }
             stage.node.kill();
             stage.node = OperatorNode.start(stage.file, false);
@@ -336,7 +336,7 @@
     }
 
     @Test
-    void whenTheEndHasBegunThenNobodyIsLetInAndNothingMoreBegins() throws Exception {
+    void drainAcceptsNoClientsAndStartsNoRequests() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
             stage.servers.get(0).plan = seen -> new Plan(0, 0);
@@ -344,14 +344,14 @@
             try (Peer caller = stage.caller()) {
                 caller.write(Stage.spend("a", "x"));
                 stage.servers.get(0).await(1);
-                Thread end = new Thread(() -> {
+                Thread shutdown = new Thread(() -> {
                     try {
                         stage.node.drain();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                end.start();
+                shutdown.start();
                 awaitClosed(address);
                 caller.write(Stage.spend("b", "x"));
                 stage.status();
@@ -359,7 +359,7 @@
                 assertEquals(200, caller.read().status());
                 assertEquals(503, caller.read().status());
                 assertTrue(caller.ended());
-                end.join();
+                shutdown.join();
                 assertEquals(1, stage.servers.get(0).seen.size());
             }
         }
@@ -374,28 +374,28 @@
                 return;
             }
         }
-        throw new AssertionError("callers are let in");
+        throw new AssertionError("the listener still accepts connections");
     }
 
-    /** Callers of a listener that is being given up are owed as much at the end as all others. */
+    /** A drain also waits for the clients of a listener that was removed shortly before. */
     @Test
-    void theEndWaitsForCallersOfAListenerThatIsBeingGivenUp() throws Exception {
+    void drainWaitsForClientsOfRetiringListener() throws Exception {
         int first = freePort();
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text("127.0.0.1:" + first, "", 0));
-            try (Peer held = Peer.to(new InetSocketAddress("127.0.0.1", first))) {
-                held.write(Stage.get("a", "5"));
-                assertEquals(200, held.read().status());
+            try (Peer client = Peer.to(new InetSocketAddress("127.0.0.1", first))) {
+                client.write(Stage.get("a", "5"));
+                assertEquals(200, client.read().status());
                 stage.apply(stage.stage(stage.text("127.0.0.1:" + freePort(), "", 0)));
                 stage.confirm();
                 stage.node.drain();
-                assertTrue(stage.node.onLoop(() -> stage.node.callers()) == 0, "callers are left");
+                assertTrue(stage.node.onLoop(() -> stage.node.clientConnections()) == 0, "client connections remain");
             }
         }
     }
 
     @Test
-    void aHundredChangesInARowLeaveNothingBehind() throws Exception {
+    void hundredChangesLeakNoResources() throws Exception {
         try (OperatorStage stage = new OperatorStage(2)) {
             stage.start(stage.text(0));
             change(stage, 0);
@@ -431,10 +431,10 @@
     }
 
     @Test
-    void aDiskThatTakesNothingRefusesTheStagingAndLeavesTraffic() throws Exception {
+    void rejectsStagingOnFullDiskWithoutAffectingTraffic() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
-            // What is to be written is a directory, so that no user, not even root, can write it.
+            // A directory replaces the file to write, so that no user can write it, not even root.
             Files.createDirectory(stage.folder.resolve("sablehinge-state/v000002.toml.new"));
             JsonNode refused = stage.admin("POST", "/config/stage", stage.text(0));
             assertEquals(409, refused.path("status").asInt());
@@ -453,7 +453,7 @@
     }
 
     @Test
-    void badFilesAndStaleBasesAreRefusedWithReasons() throws Exception {
+    void rejectsInvalidFilesAndOutdatedBasesWithReasons() throws Exception {
         try (OperatorStage stage = new OperatorStage(2)) {
             stage.start(stage.text(0));
             JsonNode wrong = stage.admin("POST", "/config/stage", stage.text(0) + "[limit]\n");
@@ -478,7 +478,7 @@
     }
 
     @Test
-    void theOperatorFileIsTakenAgainAtASignal() throws Exception {
+    void reloadsOperatorFileOnSignal() throws Exception {
         try (OperatorStage stage = new OperatorStage(2)) {
             stage.start(stage.text(0));
             Files.writeString(stage.file, stage.text("127.0.0.1:0", "[change]\nconfirm-within = \"1s\"\n", 1));
@@ -486,7 +486,7 @@
             stage.until(status -> status.path("confirmed").asInt() == 2);
             Files.writeString(stage.file, "nonsense");
             stage.node.reload();
-            // Files are read one after another: once these are staged, that one has been read and refused.
+            // Files are read sequentially: once these are staged, the invalid file has been read and rejected.
             stage.stage(stage.text(0));
             assertEquals(4, stage.stage(stage.text(0)));
             assertEquals(1, stage.status().path("past").size());
@@ -495,7 +495,7 @@
     }
 
     @Test
-    void aVersionOfAnotherDiscoveryWaitsForItsFirstList() throws Exception {
+    void versionWithNewDiscoveryWaitsForItsFirstRoster() throws Exception {
         try (OperatorStage stage = new OperatorStage(2);
                 Listener unresponsive = new Listener()) {
             stage.start(stage.text(0));
@@ -509,9 +509,9 @@
         }
     }
 
-    /** A discovery that goes on through a change: its updates count for both versions, and are not requested anew. */
+    /** A discovery used by two versions: its watch continues, and its updates apply to both. */
     @Test
-    void aDiscoveryGoesOnThroughAChange() throws Exception {
+    void watchContinuesAcrossChangeWithSameDiscovery() throws Exception {
         try (OperatorStage stage = new OperatorStage(2);
                 Listener discovery = new Listener()) {
             String[] up = {
@@ -541,7 +541,7 @@
     }
 
     @Test
-    void aTrialWithoutReadyServersIsUndone() throws Exception {
+    void rollsBackTrialWithoutReadyServers() throws Exception {
         try (OperatorStage stage = new OperatorStage(2);
                 Listener discovery = new Listener()) {
             stage.start(stage.text(0));
@@ -558,7 +558,7 @@
                     watch.write(Stage.ok(Stage.roster(
                             6, false, Stage.entry(1, stage.servers.get(1).address(), "removed"))));
                 } catch (IOException | InterruptedException e) {
-                    // The test then waits in vain for the undoing, and fails.
+                    // The test then times out waiting for the rollback.
                 }
             });
             lists.start();
@@ -572,9 +572,9 @@
         }
     }
 
-    /** Undone and applied again at once: the port is still held by what is being given up. */
+    /** A change that is applied again right after its rollback: the retiring listener still occupies the port. */
     @Test
-    void aListenerThatIsBeingGivenUpIsTakenBack() throws Exception {
+    void reusesRetiringListener() throws Exception {
         int other = freePort();
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
@@ -590,7 +590,7 @@
     }
 
     @Test
-    void theAccessLogNamesTheVersionOfEachAnswer() throws Exception {
+    void accessLogContainsVersionOfEachResponse() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0).replace("[node]", "[node]\naccess-log = \"access.log\""));
             stage.ask(Stage.get("a\"b\\\\", "5"));
@@ -620,7 +620,7 @@
     }
 
     @Test
-    void aFileThatCouldNotBeServedIsNotWhatTheNextStartInsistsOn() throws Exception {
+    void nextStartIgnoresFileThatCouldNotBeServed() throws Exception {
         try (OperatorStage stage = new OperatorStage(1);
                 ServerSocket taken = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             Files.writeString(stage.file, stage.text("127.0.0.1:" + taken.getLocalPort(), "", 0));
@@ -630,7 +630,7 @@
             stage.start(stage.text(0));
             assertEquals(200, stage.ask(Stage.get("a", "5")).status());
             stage.node.kill();
-            // Once one has served it is the one, whatever the file says, until that is adopted.
+            // A version that has served is used at the next start regardless of the file, until the file is adopted.
             Files.writeString(stage.file, stage.text(0) + "[limits]\nattempts = 1\n");
             stage.node = OperatorNode.start(stage.file, false);
             assertEquals("2", version(stage.ask(Stage.get("b", "5"))));
@@ -641,7 +641,7 @@
     }
 
     @Test
-    void whatComesBeyondTheBoundIsRefusedAtOnce() throws Exception {
+    void refusesRequestsAboveLimitImmediately() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text("127.0.0.1:0", "[limits]\nopen = 2\n", 0));
             stage.servers.get(0).plan = seen -> new Plan(0, 0);
@@ -664,7 +664,7 @@
     }
 
     @Test
-    void anAdminPortWantsItsToken() throws Exception {
+    void adminPortRequiresToken() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             Files.writeString(stage.folder.resolve("token"), "a token of some length\n");
             stage.start(stage.text("127.0.0.1:0", "[admin]\nlisten = \"127.0.0.1:0\"\ntoken-file = \"token\"\n", 0));
@@ -685,7 +685,7 @@
     }
 
     @Test
-    void theSocketIsItsOwnersOnly() throws Exception {
+    void adminSocketIsAccessibleToOwnerOnly() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
             assertEquals(
--- a/src/test/java/sablehinge/gateway/node/RecordingTest.java
+++ b/src/test/java/sablehinge/gateway/node/RecordingTest.java
@@ -19,23 +19,23 @@
 import sablehinge.testing.Peer;
 import sablehinge.testing.Stage;
 
-/** The flight recorder in a balancer on sockets. */
+/** Tests the flight recorder of a balancer over sockets. */
 @Timeout(60)
 class RecordingTest {
 
     private static final String SECTION = "[recorder]\ndirectory = \"flight\"\n";
 
-    private static Dump dumped(JsonNode answer) throws Exception {
+    private static Dump readDump(JsonNode answer) throws Exception {
         assertEquals(200, answer.path("status").asInt(), answer.toString());
         return Dump.read(Files.readAllBytes(Path.of(answer.path("path").asText())));
     }
 
     @Test
-    void aRequestIsToldFromItsFirstByteToItsLast() throws Exception {
+    void recordsRequestFromFirstToLastByte() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text("127.0.0.1:0", SECTION, 0));
             assertEquals(200, stage.ask(Stage.get("1", "5")).status());
-            Dump dump = dumped(stage.admin("POST", "/recorder/dump", ""));
+            Dump dump = readDump(stage.admin("POST", "/recorder/dump", ""));
             assertEquals("ASKED", dump.reason());
             Timeline timeline = new Timeline(dump);
             long request = timeline.steps(0, 0).stream()
@@ -78,11 +78,11 @@
         }
     }
 
-    /** A dump by itself, with the place where the loop hangs. */
+    /** A blocked event loop causes a dump with the stack of the loop. */
     @Test
-    void aLoopThatHangsIsDumpedWhileItDoes() throws Exception {
+    void writesDumpWhileEventLoopIsBlocked() throws Exception {
         CountDownLatch dumpDone = new CountDownLatch(1);
-        Logs.Undo listening = Logs.heard(line -> {
+        Logs.Undo logListener = Logs.heard(line -> {
             if (line.startsWith("recorder: HUNG")) {
                 dumpDone.countDown();
             }
@@ -90,19 +90,19 @@
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text("127.0.0.1:0", SECTION, 0));
             stage.node.onLoop(() -> dumpDone.await(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, dumpDone.getCount(), "nobody noticed");
+            assertEquals(0, dumpDone.getCount(), "no dump was written");
             try (Stream<Path> files = Files.list(stage.folder.resolve("flight"))) {
                 Dump dump = Dump.read(Files.readAllBytes(files.findFirst().orElseThrow()));
                 assertEquals("HUNG", dump.reason());
                 assertTrue(dump.stack().contains("RecordingTest"), dump.stack());
             }
         } finally {
-            listening.close();
+            logListener.close();
         }
     }
 
     @Test
-    void withoutOneThereIsNothingToDump() throws Exception {
+    void rejectsDumpWithoutRecorder() throws Exception {
         try (OperatorStage stage = new OperatorStage(1)) {
             stage.start(stage.text(0));
             JsonNode answer = stage.admin("POST", "/recorder/dump", "");
--- a/src/test/java/sablehinge/gateway/node/SharedFilesTest.java
+++ b/src/test/java/sablehinge/gateway/node/SharedFilesTest.java
@@ -12,46 +12,46 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What two processes of one balancer tell each other. */
+/** Tests the state shared by two processes of one balancer. */
 class SharedFilesTest {
 
     @TempDir
     private Path folder;
 
     @Test
-    void aProcessIsThereUntilItLeavesOrDies() throws Exception {
-        Path place = folder.resolve("s");
-        try (SharedFiles first = new SharedFiles(place)) {
-            assertFalse(first.another(false));
-            SharedFiles second = new SharedFiles(place);
-            assertTrue(first.another(false));
-            assertFalse(first.another(true), "it doesn't serve yet");
-            second.ready();
-            assertTrue(first.another(true));
+    void processIsAliveUntilItClosesOrDies() throws Exception {
+        Path directory = folder.resolve("s");
+        try (SharedFiles first = new SharedFiles(directory)) {
+            assertFalse(first.hasOtherProcess(false));
+            SharedFiles second = new SharedFiles(directory);
+            assertTrue(first.hasOtherProcess(false));
+            assertFalse(first.hasOtherProcess(true), "the second process does not serve yet");
+            second.markServing();
+            assertTrue(first.hasOtherProcess(true));
             second.close();
-            assertFalse(first.another(false));
-            // One that was killed leaves its file, which nobody holds.
-            Path left = Files.writeString(place.resolve("processes").resolve("dead"), "r");
-            assertFalse(first.another(true));
-            assertFalse(Files.exists(left));
+            assertFalse(first.hasOtherProcess(false));
+            // A killed process leaves its file without a lock.
+            Path stale = Files.writeString(directory.resolve("processes").resolve("dead"), "r");
+            assertFalse(first.hasOtherProcess(true));
+            assertFalse(Files.exists(stale));
         }
     }
 
     @Test
-    void whoIsOutIsSeenByTheOther() throws Exception {
+    void suspensionIsVisibleToOtherProcess() throws Exception {
         try (SharedFiles first = new SharedFiles(folder);
                 SharedFiles second = new SharedFiles(folder)) {
-            first.out("../a b/é", true);
-            first.out("s-1", true);
-            first.out("s-1", true);
-            assertEquals(Set.of("../a b/é", "s-1"), second.out());
-            second.out("s-1", false);
-            second.out("s-1", false);
-            assertEquals(Set.of("../a b/é"), first.out());
-            // No folder, no yes.
+            first.setSuspended("../a b/é", true);
+            first.setSuspended("s-1", true);
+            first.setSuspended("s-1", true);
+            assertEquals(Set.of("../a b/é", "s-1"), second.suspendedIds());
+            second.setSuspended("s-1", false);
+            second.setSuspended("s-1", false);
+            assertEquals(Set.of("../a b/é"), first.suspendedIds());
+            // Without the directory a suspension can't be confirmed.
             Files.walk(folder.resolve("out")).sorted((a, b) -> b.compareTo(a)).forEach(path -> path.toFile()
                     .delete());
-            assertThrows(UncheckedIOException.class, () -> first.out("s-2", true));
+            assertThrows(UncheckedIOException.class, () -> first.setSuspended("s-2", true));
         }
     }
 }
--- a/src/test/java/sablehinge/gateway/recorder/DumpTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/DumpTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sablehinge.dataplane.proxy.TraceEvent;
 
-/** Dumps are read as they were written, or not at all. */
+/** Tests that dumps are read as they were written, or rejected. */
 class DumpTest {
 
     @TempDir
@@ -39,18 +39,18 @@
     }
 
     @Test
-    void itIsReadAsItWasWritten() throws IOException {
+    void readsDumpAsWritten() throws IOException {
         Dump dump = dump(1_000);
         assertEquals(dump, Dump.read(dump.bytes()));
-        // Each has its own time, also where it follows another in one call.
+        // Each event has its own time, also if several are recorded within one call.
         assertEquals(
                 List.of(10L, 20L, 30L, 40L, 50L, 60L, 70L, 80L, 90L),
                 dump.events().stream().map(Dump.Event::micros).toList());
     }
 
-    /** What core and the connections tell apart is one story. */
+    /** Events of the proxy and of connections are assigned to the same request. */
     @Test
-    void requestsAndConnectionsAreJoined() {
+    void joinsEventsOfRequestsAndConnections() {
         Timeline timeline = new Timeline(dump(1_000));
         assertEquals(
                 List.of("ARRIVED", "CHOSEN", "REUSED", "FIRST_BYTE", "KEPT"),
@@ -65,9 +65,9 @@
         assertTrue(TimelinePage.of(timeline).contains("connection 10"));
     }
 
-    /** Cut off anywhere, or with a bit flipped anywhere, it is refused with a position. */
+    /** A dump that is truncated or has a flipped bit is rejected with the offset. */
     @Test
-    void whatIsDamagedIsRefused() throws IOException {
+    void rejectsDamagedDump() throws IOException {
         byte[] complete = dump(1_000).bytes();
         Random random = new Random(1);
         for (int i = 0; i < complete.length; i++) {
@@ -83,12 +83,12 @@
         }
     }
 
-    /** The oldest go, and what a process left half when it died. */
+    /** The oldest dumps and the partial dump of a dead process are deleted. */
     @Test
-    void soManyAreKept() throws IOException {
+    void retainsMaximumNumberOfDumps() throws IOException {
         Files.writeString(folder.resolve("000000000000001-hung.part"), "half");
         Files.writeString(folder.resolve("notes.txt"), "not ours");
-        DumpFolder dumps = new DumpFolder(folder, 2);
+        DumpDirectory dumps = new DumpDirectory(folder, 2);
         for (long at = 1; at <= 4; at++) {
             dumps.write(dump(at));
         }
@@ -99,12 +99,12 @@
         }
     }
 
-    /** A disk that takes nothing costs the dump and nothing that was there. */
+    /** A failed write loses the new dump but none of the older ones. */
     @Test
-    void aFullDiskLeavesWhatWasThere() throws IOException {
-        DumpFolder dumps = new DumpFolder(folder, 1);
+    void failedWriteKeepsOlderDumps() throws IOException {
+        DumpDirectory dumps = new DumpDirectory(folder, 1);
         dumps.write(dump(1));
-        // Stands where the next one's bytes would.
+        // Occupies the path of the next partial dump.
         Files.createDirectories(folder.resolve("000000000000002-unread.part").resolve("in the way"));
         assertThrows(IOException.class, () -> dumps.write(dump(2)));
         assertEquals(dump(1), Dump.read(Files.readAllBytes(folder.resolve("000000000000001-unread.flight"))));
--- a/src/test/java/sablehinge/gateway/recorder/WatchTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchTest.java
@@ -14,14 +14,14 @@
 import sablehinge.dataplane.proxy.MonitoredRelay;
 import sablehinge.gateway.recorder.Alarm.Kind;
 
-/** What the watch sees, in virtual time. */
+/** Tests the alarms of the watch in virtual time. */
 class WatchTest {
 
     private static final Watch.Terms TERMS = new Watch.Terms(50, 500, 250, 1_000, 5_000, 100);
 
-    /** A body that passes through: what a real one could tell, and what its kernels hold. */
+    /** A relayed body with simulated kernel buffers. */
     private static final class Body implements MonitoredRelay {
-        long moved;
+        long bytesForwarded;
         long unwritten;
         long unread;
         long unflushed;
@@ -36,7 +36,7 @@
 
         @Override
         public long bytesForwarded() {
-            return moved;
+            return bytesForwarded;
         }
 
         @Override
@@ -61,7 +61,7 @@
 
         @Override
         public void resume() {
-            moved += paused ? 0 : Math.min(unread, 10);
+            bytesForwarded += paused ? 0 : Math.min(unread, 10);
             unread -= paused ? 0 : Math.min(unread, 10);
             long written = Math.min(unflushed, 10);
             unflushed -= written;
@@ -71,31 +71,31 @@
 
     private static final class Process implements Vitals {
         final List<MonitoredRelay> bodies = new ArrayList<>();
-        final List<Long> late = new ArrayList<>();
-        long woken;
-        int busy = 1;
-        long kept;
-        long memory;
+        final List<Long> overdue = new ArrayList<>();
+        long recoveredWakeUps;
+        int activeCount = 1;
+        long reservedBytes;
+        long usedMemory;
         int descriptors = 3;
 
         @Override
-        public void passages(Consumer<MonitoredRelay> each) {
-            bodies.forEach(each);
+        public void forEachRelay(Consumer<MonitoredRelay> action) {
+            bodies.forEach(action);
         }
 
         @Override
-        public void overdue(double by, LongConsumer each) {
-            late.forEach(each::accept);
+        public void forEachOverdue(double byMs, LongConsumer action) {
+            overdue.forEach(action::accept);
         }
 
         @Override
-        public long woken() {
-            return woken;
+        public long recoveredWakeUps() {
+            return recoveredWakeUps;
         }
 
         @Override
-        public int busy() {
-            return busy;
+        public int activeCount() {
+            return activeCount;
         }
 
         @Override
@@ -104,123 +104,123 @@
         }
 
         @Override
-        public long kept() {
-            return kept;
+        public long reservedBytes() {
+            return reservedBytes;
         }
 
         @Override
-        public long memory() {
-            return memory;
+        public long usedMemory() {
+            return usedMemory;
         }
     }
 
     private final Process process = new Process();
     private final Watch watch = new Watch(TERMS);
-    private double now;
+    private double nowMs;
 
-    /** Ticks for so many ms, and tells when each alarm came. */
-    private List<String> watch(double millis) {
+    /** Runs ticks for a time; returns the alarms with their times. */
+    private List<String> runTicks(double millis) {
         List<String> alarms = new ArrayList<>();
-        for (double end = now + millis; now < end; ) {
-            now += TERMS.tick();
-            watch.tick(now, process).forEach(alarm -> alarms.add(Math.round(now) + " " + alarm.kind()));
+        for (double end = nowMs + millis; nowMs < end; ) {
+            nowMs += TERMS.tickMs();
+            watch.tick(nowMs, process).forEach(alarm -> alarms.add(Math.round(nowMs) + " " + alarm.kind()));
         }
         return alarms;
     }
 
     @Test
-    void aReaderThatWaitsForNobodyIsToldOnce() {
+    void reportsUnnecessarilyPausedReaderOnce() {
         Body body = new Body();
         process.bodies.add(body);
-        assertEquals(List.of(), watch(1_000));
+        assertEquals(List.of(), runTicks(1_000));
         body.paused = true;
-        assertEquals(List.of("1550 LOST_WAKE_UP"), watch(5_000));
+        assertEquals(List.of("1550 LOST_WAKE_UP"), runTicks(5_000));
     }
 
-    /** No nudge is needed for what can be seen. */
+    /** A visible fault is reported without a forced resume. */
     @Test
-    void bytesThatNobodyFlushedAreTold() {
+    void reportsUnflushedBytes() {
         Body body = new Body();
         process.bodies.add(body);
-        watch(50);
+        runTicks(50);
         body.unwritten = 5;
         body.unflushedAll = true;
-        assertEquals(List.of("650 UNWRITTEN"), watch(5_000));
+        assertEquals(List.of("650 UNWRITTEN"), runTicks(5_000));
     }
 
     @Test
-    void bytesThatLieThereAreFoundByNudging() {
+    void findsUnreadAndUnwrittenBytesByForcedResumes() {
         Body body = new Body();
         process.bodies.add(body);
         body.unread = 1_000;
-        assertEquals(List.of("1550 UNREAD"), watch(10_000));
-        Body other = new Body();
-        other.unwritten = 1_000;
-        other.unflushed = 1_000;
-        process.bodies.set(0, other);
-        assertEquals(List.of("11550 UNWRITTEN"), watch(10_000));
+        assertEquals(List.of("1550 UNREAD"), runTicks(10_000));
+        Body unwrittenBody = new Body();
+        unwrittenBody.unwritten = 1_000;
+        unwrittenBody.unflushed = 1_000;
+        process.bodies.set(0, unwrittenBody);
+        assertEquals(List.of("11550 UNWRITTEN"), runTicks(10_000));
     }
 
-    /** Bytes that come in the very moment of a nudge, twice, are no stall. */
+    /** Bytes that arrive at the moment of a forced resume, twice in a row, are not a stall. */
     @Test
-    void chanceIsNoStall() {
+    void ignoresBytesThatArriveDuringForcedResume() {
         Body body = new Body();
         process.bodies.add(body);
         for (int i = 0; i < 20; i++) {
             body.unread = i % 3 == 2 ? 0 : 5;
-            assertEquals(List.of(), watch(500));
-            body.moved += i % 3 == 2 ? 1 : 0;
+            assertEquals(List.of(), runTicks(500));
+            body.bytesForwarded += i % 3 == 2 ? 1 : 0;
         }
     }
 
-    /** While the loop has no turn nothing can move; that is one fault, not as many as there are bodies. */
+    /** While the event loop is delayed no body can progress; that is one fault and not one per body. */
     @Test
-    void aLongTurnIsNoStall() {
+    void reportsDelayedTickWithoutStalls() {
         Body body = new Body();
         process.bodies.add(body);
-        watch(400);
+        runTicks(400);
         body.paused = true;
-        watch(100);
-        now += 3_000;
-        assertEquals(List.of("3550 LONG_TURN"), watch(50));
-        assertEquals(List.of("3950 LOST_WAKE_UP"), watch(1_000));
+        runTicks(100);
+        nowMs += 3_000;
+        assertEquals(List.of("3550 LONG_TURN"), runTicks(50));
+        assertEquals(List.of("3950 LOST_WAKE_UP"), runTicks(1_000));
     }
 
     @Test
-    void requestsAndCountsAreHeldToTheirBounds() {
-        process.late.add(4L);
-        assertEquals(List.of("50 OVERDUE"), watch(1_000));
-        process.woken = 2;
-        assertEquals(List.of("1050 LOST_WAKE_UP"), watch(1_000));
-        process.kept = -1;
-        assertEquals(List.of("2050 BELOW_ZERO"), watch(1_000));
-        process.kept = 5;
-        process.memory = 101;
-        assertEquals(List.of(), watch(20_000));
-        process.busy = 0;
-        assertEquals(List.of("28050 LEFT_OVER", "28050 LEAK"), watch(20_000));
-        process.busy = 1;
-        watch(50);
-        process.kept = 0;
-        process.memory = 100;
-        process.busy = 0;
-        assertEquals(List.of(), watch(20_000));
+    void reportsOverdueRequestsAndInvalidCounters() {
+        process.overdue.add(4L);
+        assertEquals(List.of("50 OVERDUE"), runTicks(1_000));
+        process.recoveredWakeUps = 2;
+        assertEquals(List.of("1050 LOST_WAKE_UP"), runTicks(1_000));
+        process.reservedBytes = -1;
+        assertEquals(List.of("2050 BELOW_ZERO"), runTicks(1_000));
+        process.reservedBytes = 5;
+        process.usedMemory = 101;
+        assertEquals(List.of(), runTicks(20_000));
+        process.activeCount = 0;
+        assertEquals(List.of("28050 LEFT_OVER", "28050 LEAK"), runTicks(20_000));
+        process.activeCount = 1;
+        runTicks(50);
+        process.reservedBytes = 0;
+        process.usedMemory = 100;
+        process.activeCount = 0;
+        assertEquals(List.of(), runTicks(20_000));
     }
 
-    /** Bodies that move now and then, or wait for their ends, never alarm; one that is stuck always does. */
+    /** Bodies that progress at times, or wait for their ends, cause no alarm; a stuck body always does. */
     @Property(tries = 500)
-    void onlyWhatIsStuckIsTold(@ForAll long seed) {
+    void reportsStuckBodiesOnly(@ForAll long seed) {
         Random random = new Random(seed);
-        // One instance plays all tries: what was reported in one is not reported again.
+        // All tries share one instance, and a reported body is not reported again.
         process.bodies.clear();
         for (int i = 0; i < 5; i++) {
             process.bodies.add(new Body());
         }
         for (int step = 0; step < 200; step++) {
-            for (MonitoredRelay one : process.bodies) {
-                Body body = (Body) one;
+            for (MonitoredRelay relay : process.bodies) {
+                Body body = (Body) relay;
                 switch (random.nextInt(5)) {
-                    case 0 -> body.moved++;
+                    case 0 -> body.bytesForwarded++;
                     case 1 -> body.unwritten = random.nextInt(100);
                     case 2 -> {
                         body.writable = false;
@@ -233,7 +233,7 @@
                     default -> {}
                 }
             }
-            assertEquals(List.of(), watch(random.nextInt(8) * TERMS.tick()), "seed " + seed);
+            assertEquals(List.of(), runTicks(random.nextInt(8) * TERMS.tickMs()), "seed " + seed);
         }
         Body stuck = (Body) process.bodies.get(random.nextInt(5));
         stuck.paused = false;
@@ -243,7 +243,7 @@
         stuck.unread = kind == Kind.UNREAD ? 1_000 : 0;
         stuck.unwritten = 1_000;
         stuck.unflushed = kind == Kind.UNWRITTEN ? 1_000 : 0;
-        List<String> findings = watch(2_000);
+        List<String> findings = runTicks(2_000);
         assertEquals(1, findings.size(), "seed " + seed + findings + kind);
         assertTrue(findings.get(0).endsWith(" " + kind), "seed " + seed + findings);
     }
--- a/src/test/java/sablehinge/gateway/recorder/WatchdogTest.java
+++ b/src/test/java/sablehinge/gateway/recorder/WatchdogTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sablehinge.gateway.recorder.Alarm.Kind;
 
-/** The thread beside the loop, with a clock that the test turns; the test's thread is the loop. */
+/** Tests the watchdog with a simulated clock; the thread of the test acts as the event loop. */
 @Timeout(60)
 class WatchdogTest {
 
@@ -29,24 +29,29 @@
     private final AtomicLong nanos = new AtomicLong();
     private final LinkedBlockingQueue<String> log = new LinkedBlockingQueue<>();
 
-    private Watchdog watchdog(Path into) {
+    private Watchdog startWatchdog(Path directory) {
         Watchdog watchdog = new Watchdog(
-                new Ring(1 << 12), "n", nanos::get, 300, into == null ? null : new DumpFolder(into, 3), log::add);
+                new Ring(1 << 12),
+                "n",
+                nanos::get,
+                300,
+                directory == null ? null : new DumpDirectory(directory, 3),
+                log::add);
         watchdog.start();
         return watchdog;
     }
 
-    private void pass(long millis) {
+    private void advanceClock(long millis) {
         nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
-    private String logged() throws InterruptedException {
+    private String nextLogLine() throws InterruptedException {
         String line = log.poll(20, TimeUnit.SECONDS);
         assertNotNull(line, "nothing was logged");
         return line;
     }
 
-    private Dump only() throws IOException {
+    private Dump readOnlyDump() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             List<Path> all = files.toList();
             assertEquals(1, all.size());
@@ -55,58 +60,58 @@
     }
 
     @Test
-    void aLoopThatStandsStillIsToldWithItsStack() throws Exception {
-        Watchdog watchdog = watchdog(folder);
-        pass(301);
-        assertTrue(logged().startsWith("recorder: HUNG: the loop has stood still for 301 ms"));
-        Dump dump = only();
+    void reportsBlockedEventLoopWithStack() throws Exception {
+        Watchdog watchdog = startWatchdog(folder);
+        advanceClock(301);
+        assertTrue(nextLogLine().startsWith("recorder: HUNG: the loop has stood still for 301 ms"));
+        Dump dump = readOnlyDump();
         assertEquals("HUNG", dump.reason());
-        assertTrue(dump.stack().contains("aLoopThatStandsStillIsToldWithItsStack"), dump.stack());
-        watchdog.end();
-        assertTrue(log.isEmpty(), "it is told once");
+        assertTrue(dump.stack().contains("reportsBlockedEventLoopWithStack"), dump.stack());
+        watchdog.stop();
+        assertTrue(log.isEmpty(), "the fault is reported once");
     }
 
-    /** A fault that comes again and again fills no disk; operators' own dumps are not counted. */
+    /** A repeated fault does not fill the disk; dumps requested by operators are not limited. */
     @Test
-    void oneDumpAMinuteIsMadeOfItsOwnAccord() throws Exception {
-        Watchdog watchdog = watchdog(folder);
+    void writesAtMostOneAutomaticDumpPerMinute() throws Exception {
+        Watchdog watchdog = startWatchdog(folder);
         watchdog.alarm(new Alarm(Kind.UNREAD, 7, 0, "first"));
-        assertTrue(logged().contains("UNREAD: connection 7: first; see "));
+        assertTrue(nextLogLine().contains("UNREAD: connection 7: first; see "));
         watchdog.alarm(new Alarm(Kind.LEAK, 0, 0, "second"));
         LinkedBlockingQueue<String> requested = new LinkedBlockingQueue<>();
-        watchdog.dump((path, why) -> requested.add(path + " " + why));
+        watchdog.dump((path, failure) -> requested.add(path + " " + failure));
         assertTrue(requested.poll(20, TimeUnit.SECONDS).contains("asked.flight null"));
         for (int i = 0; i < 305; i++) {
-            // Less than a hung loop's time, so that nothing else is reported.
-            pass(200);
+            // Less than the threshold of a blocked event loop, so that nothing else is reported.
+            advanceClock(200);
             watchdog.tick();
         }
         watchdog.alarm(new Alarm(Kind.OVERDUE, 0, 12, "third"));
-        String line = logged();
-        assertTrue(line.contains("OVERDUE: request 12: third (1 alarms before this one were passed over)"), line);
-        watchdog.end();
+        String line = nextLogLine();
+        assertTrue(line.contains("OVERDUE: request 12: third (1 earlier alarms were suppressed)"), line);
+        watchdog.stop();
     }
 
-    /** An alarm for which there is no room is counted; the place that fails ends neither thread nor reply. */
+    /** Alarms rejected by the full queue are counted; a failing callback does not stop the thread. */
     @Test
-    void noAlarmIsLostUnseen() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
-        CountDownLatch writes = new CountDownLatch(1);
-        Watchdog watchdog = watchdog(folder);
-        watchdog.dump((path, why) -> {
-            writes.countDown();
-            await(goOn);
+    void countsAlarmsRejectedByFullQueue() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
+        CountDownLatch callbackRunning = new CountDownLatch(1);
+        Watchdog watchdog = startWatchdog(folder);
+        watchdog.dump((path, failure) -> {
+            callbackRunning.countDown();
+            await(proceed);
             throw new IllegalStateException("the operator has left");
         });
-        writes.await();
+        callbackRunning.await();
         for (int i = 0; i < 7; i++) {
             watchdog.alarm(new Alarm(Kind.UNREAD, 7, 0, "no. " + i));
         }
-        goOn.countDown();
-        assertTrue(logged().endsWith("the operator has left"));
-        String line = logged();
-        assertTrue(line.contains("no. 0 (3 alarms before this one were passed over)"), line);
-        watchdog.end();
+        proceed.countDown();
+        assertTrue(nextLogLine().endsWith("the operator has left"));
+        String line = nextLogLine();
+        assertTrue(line.contains("no. 0 (3 earlier alarms were suppressed)"), line);
+        watchdog.stop();
     }
 
     private static void await(CountDownLatch latch) {
@@ -117,21 +122,21 @@
         }
     }
 
-    /** Without a place, or with one that takes nothing, the last events go to the log. */
+    /** Without a directory, or if the write fails, the latest events are summarized in the log. */
     @Test
-    void whereThereIsNoPlaceTheLogHasItInShort() throws Exception {
-        Watchdog none = watchdog(null);
-        none.alarm(new Alarm(Kind.LEFT_OVER, 0, 0, "bytes kept 5"));
-        String line = logged();
+    void logsSummaryWhenDumpCannotBeWritten() throws Exception {
+        Watchdog withoutDirectory = startWatchdog(null);
+        withoutDirectory.alarm(new Alarm(Kind.LEFT_OVER, 0, 0, "bytes kept 5"));
+        String line = nextLogLine();
         assertTrue(line.startsWith("recorder: LEFT_OVER: bytes kept 5; "), line);
         assertFalse(line.contains("see "), line);
         LinkedBlockingQueue<String> requested = new LinkedBlockingQueue<>();
-        none.dump((path, why) -> requested.add(why));
+        withoutDirectory.dump((path, failure) -> requested.add(failure));
         assertEquals("the recorder has no directory", requested.poll(20, TimeUnit.SECONDS));
-        none.end();
-        Watchdog full = watchdog(Files.writeString(folder.resolve("a file"), "x"));
-        full.alarm(new Alarm(Kind.LEAK, 0, 0, "9 B"));
-        assertTrue(logged().contains("LEAK: 9 B; the dump can't be written: "));
-        full.end();
+        withoutDirectory.stop();
+        Watchdog failing = startWatchdog(Files.writeString(folder.resolve("a file"), "x"));
+        failing.alarm(new Alarm(Kind.LEAK, 0, 0, "9 B"));
+        assertTrue(nextLogLine().contains("LEAK: 9 B; the dump can't be written: "));
+        failing.stop();
     }
 }
