--- a/src/main/java/sablehinge/gateway/node/AccessLog.java
+++ b/src/main/java/sablehinge/gateway/node/AccessLog.java
@@ -56,7 +56,7 @@
     }
 
     /** Records a response; {@code epochMs} is its time in ms since 1970. */
-    void record(
+    void logResponse(
             double epochMs,
             String requestId,
             Version version,
--- a/src/main/java/sablehinge/gateway/node/OperatorNode.java
+++ b/src/main/java/sablehinge/gateway/node/OperatorNode.java
@@ -314,7 +314,7 @@
     void recordResponse(
             String requestId, Version version, int serviceClass, Answer.Kind kind, int attempts, double elapsedMs) {
         if (accessLog != null) {
-            accessLog.record(clock.now(), requestId, version, serviceClass, kind, attempts, elapsedMs);
+            accessLog.logResponse(clock.now(), requestId, version, serviceClass, kind, attempts, elapsedMs);
         }
     }
 
--- a/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
+++ b/src/main/java/sablehinge/gateway/rollout/ChangeDecider.java
@@ -273,9 +273,9 @@
     /** A response was sent to a request that was received under a version. */
     public void responseSent(double nowMs, int version, Outcome outcome) {
         if (phase == Phase.TRIAL && version == candidate) {
-            trialCounts.record(nowMs, outcome);
+            trialCounts.add(nowMs, outcome);
         } else if (version == confirmed) {
-            baselineCounts.record(nowMs, outcome);
+            baselineCounts.add(nowMs, outcome);
         }
     }
 
--- a/src/main/java/sablehinge/gateway/rollout/OutcomeCounts.java
+++ b/src/main/java/sablehinge/gateway/rollout/OutcomeCounts.java
@@ -25,8 +25,8 @@
         Arrays.fill(bucketSecond, Long.MIN_VALUE);
     }
 
-    /** Counts one response sent at {@code nowMs}. */
-    public void record(double nowMs, Outcome outcome) {
+    /** Adds one response sent at {@code nowMs}. */
+    public void add(double nowMs, Outcome outcome) {
         long currentSecond = (long) Math.floor(nowMs / MS_PER_SECOND);
         int slot = (int) Math.floorMod(currentSecond, (long) MAX_WINDOW_SECONDS);
         if (bucketSecond[slot] != currentSecond) {
--- a/src/test/java/sablehinge/gateway/node/AccessLogTest.java
+++ b/src/test/java/sablehinge/gateway/node/AccessLogTest.java
@@ -16,9 +16,9 @@
 
     private static final Version VERSION = new Version(1, null, List.of("tile"), List.of(), false);
 
-    private static void record(AccessLog log, int count) {
+    private static void logResponses(AccessLog log, int count) {
         for (int i = 0; i < count; i++) {
-            log.record(0, "r" + i, VERSION, 0, Answer.Kind.SERVED, 1, 2);
+            log.logResponse(0, "r" + i, VERSION, 0, Answer.Kind.SERVED, 1, 2);
         }
     }
 
@@ -26,7 +26,7 @@
     void rotatesAtMaximumSizeAndRetainsOneFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("access.log");
         AccessLog log = new AccessLog(file, 5_000);
-        record(log, 200);
+        logResponses(log, 200);
         log.close();
         assertTrue(Files.size(file) <= 5_000 && Files.size(file) > 0, Files.size(file) + " bytes");
         assertTrue(Files.size(folder.resolve("access.log.1")) <= 5_000);
@@ -45,7 +45,7 @@
         // A directory that is not empty can't be replaced by a file.
         Files.createDirectories(rotated.resolve("in the way"));
         AccessLog log = new AccessLog(file, 1_000);
-        record(log, 100);
+        logResponses(log, 100);
         // Wait until each line is written or dropped: the file must not be removed during a successful write.
         while (log.dropped() + Files.readAllLines(file).size() < 100) {
             Thread.onSpinWait();
@@ -55,7 +55,7 @@
         Files.delete(rotated);
         // Simulates a rotation that failed half way as well.
         Files.delete(file);
-        record(log, 3);
+        logResponses(log, 3);
         log.close();
         List<String> lines = Files.readAllLines(file);
         assertTrue(lines.get(lines.size() - 1).contains("\"r2\""), lines::toString);
