--- a/src/main/java/sablehinge/tools/replay/Logs.java
+++ b/src/main/java/sablehinge/tools/replay/Logs.java
@@ -125,7 +125,7 @@
             double time = placed.time();
             long number = tries++;
             double ended = time + (held.duration() >= 0 ? held.duration() : 0);
-            long under = folder.take(new RetryFolder.Try(
+            long under = folder.fold(new RetryFolder.Attempt(
                     time, ended, held.id(), held.sure(), held.caller(), held.method(), held.target(), held.status()));
             listener.tried(number, under, held.bytes());
             if (under != number) {
--- a/src/main/java/sablehinge/tools/replay/folding/RetryFolder.java
+++ b/src/main/java/sablehinge/tools/replay/folding/RetryFolder.java
@@ -5,24 +5,24 @@
 import java.util.Map;
 
 /**
- * Tells logged retries from new demand, so that a replay sends what was requested and not what an incident made of it.
- * Tries come in the order in which they began; each is a first try, or belongs under one that came before.
+ * Separates logged retries from new requests, so that a replay does not send the retries that an incident caused.
+ * Attempts are added in the order of their start times; each is a first attempt or a retry of an earlier attempt.
  *
- * <p>Where a caller names its request (an idempotency key, a request id), the name decides: the same name within a
- * stated time is the same request. Elsewhere a try belongs under an earlier one of the same caller, method and target
- * that had ended badly a short time before. A bad end explains one further try and no more: whoever asks three times
- * after one failure has asked two times anew. A caller that asks again after a success asks honestly.
+ * <p>If an attempt has an id (an idempotency key or a request id), attempts with the same id within a time window
+ * belong to the same request. Otherwise an attempt is a retry of an earlier attempt with the same caller, method and
+ * target that failed shortly before. A failed attempt accounts for attempt retry only: of three attempts after attempt
+ * failure, two are new requests. An attempt after a success is a new request.
  *
- * <p>Does harm where a caller polls a target that fails: its next poll is taken for a retry if it comes within the
- * window, which is why that is short.
+ * <p>Known error: if a caller polls a target that fails, its next poll within the window counts as a retry. The window
+ * is short for this reason.
  */
 public final class RetryFolder {
 
     /**
-     * Statuses after which callers try again: no answer, timed out, refused, failed on the way (RFC 9110, 15.5 and
-     * 15.6; 425 by RFC 8470; 499 is nginx's for a caller that left).
+     * Whether callers usually retry after this status: no response, timeout, rejection or a failure on the way (RFC
+     * 9110, 15.5 and 15.6; 425 by RFC 8470; nginx logs 499 if the caller closed the connection).
      */
-    private static boolean isBad(int status) {
+    private static boolean isRetryable(int status) {
         return status <= 0
                 || status == 408
                 || status == 425
@@ -33,183 +33,188 @@
     }
 
     /**
-     * One logged try.
+     * One logged attempt.
      *
-     * @param begun when it began, in ms
-     * @param ended when it ended, in ms; equal to {@code begun} where the log doesn't tell
-     * @param name its idempotency key or request id; null where it has none
-     * @param sure whether another name is another request; an id that a proxy makes for each try is not sure
-     * @param caller who sent it, with method and target as the log has them
-     * @param status its answer; 0 for none
+     * @param startMs start time in milliseconds
+     * @param endMs end time in milliseconds; equal to {@code startMs} if the log does not contain it
+     * @param id the idempotency key or request id; null if there is none
+     * @param idPerRequest whether a different id means a different request; false for an id that a proxy generates for
+     *     each attempt
+     * @param caller the sender; caller, method and target are as logged
+     * @param status the response status; 0 if there was no response
      */
-    public record Try(
-            double begun,
-            double ended,
-            String name,
-            boolean sure,
+    public record Attempt(
+            double startMs,
+            double endMs,
+            String id,
+            boolean idPerRequest,
             String caller,
             String method,
             String target,
             int status) {
 
-        /** A try whose name, if it has one, is sure. */
-        public Try(double begun, double ended, String name, String caller, String method, String target, int status) {
-            this(begun, ended, name, name != null, caller, method, target, status);
+        /** An attempt whose id, if it has one, is unique per request. */
+        public Attempt(
+                double startMs, double endMs, String id, String caller, String method, String target, int status) {
+            this(startMs, endMs, id, id != null, caller, method, target, status);
         }
     }
 
     /**
-     * How tries are folded.
+     * Limits for recognizing retries.
      *
-     * @param nameWindow ms within which the same name is the same request
-     * @param window ms after a bad end within which the next try is its retry
-     * @param mostKept requests that are remembered at most
+     * @param idWindowMs milliseconds within which attempts with the same id belong to the same request
+     * @param retryWindowMs milliseconds after a failed attempt within which the next attempt is its retry
+     * @param maxEntries maximum number of ids, and of failed attempts, in memory
      */
-    public record Terms(double nameWindow, double window, int mostKept) {
+    public record Terms(double idWindowMs, double retryWindowMs, int maxEntries) {
 
-        /** What fits most logs: names for an hour, retries within 10 s, a million requests. */
+        /** Defaults that fit most logs: ids match for an hour, retries within 10 s, a million entries. */
         public static Terms usual() {
             return new Terms(3.6e6, 10_000, 1_000_000);
         }
     }
 
-    /** A first try, and until when something may belong under it. */
-    private static final class Named {
-        final long first;
-        double last;
+    /** A request with an id: the index of its first attempt and the start time of its last attempt. */
+    private static final class IdentifiedRequest {
+        final long firstAttempt;
+        double lastStartMs;
 
-        Named(long first, double last) {
-            this.first = first;
-            this.last = last;
+        IdentifiedRequest(long firstAttempt, double lastStartMs) {
+            this.firstAttempt = firstAttempt;
+            this.lastStartMs = lastStartMs;
         }
     }
 
-    /** A bad end that no later try has explained yet. */
-    private record BadEnd(long first, double at) {}
+    /** A failed attempt that no retry has been assigned to yet. */
+    private record FailedAttempt(long firstAttempt, double endMs) {}
 
     private final Terms terms;
-    private final LinkedHashMap<String, Named> names = new LinkedHashMap<>();
-    /** Bad ends by caller, method and target, the oldest first; lists are dropped when empty. */
-    private final LinkedHashMap<String, ArrayDeque<BadEnd>> badEnds = new LinkedHashMap<>();
+    private final LinkedHashMap<String, IdentifiedRequest> requestsById = new LinkedHashMap<>();
+    /** Failed attempts by caller, method and target, oldest first; empty queues are removed. */
+    private final LinkedHashMap<String, ArrayDeque<FailedAttempt>> failedAttempts = new LinkedHashMap<>();
 
-    private int badEndCount;
-    private long tries;
+    private int failedAttemptCount;
+    private long attempts;
     private long folded;
-    private long forgotten;
+    private long evicted;
 
-    /** A folder with nothing seen yet. */
+    /** Creates a folder that has seen no attempts. */
     public RetryFolder(Terms terms) {
         this.terms = terms;
     }
 
     /**
-     * Takes the next try.
+     * Adds the next attempt.
      *
-     * @return the number of the first try that it belongs under, counted from 0 over all tries; its own number if it is
-     *     a first one
+     * @return the index of the first attempt of the same request, counted from 0 over all attempts; the index of this
+     *     attempt if it is the first
      */
-    public long take(Try one) {
-        long number = tries++;
-        expire(one.begun());
-        long first = one.name() == null ? number : byName(one, number);
-        if (first == number && !one.sure()) {
-            first = byPlace(one, number);
+    public long fold(Attempt attempt) {
+        long index = attempts++;
+        expire(attempt.startMs());
+        long first = attempt.id() == null ? index : firstAttemptById(attempt, index);
+        if (first == index && !attempt.idPerRequest()) {
+            first = firstAttemptByFailure(attempt, index);
         }
-        if (first != number) {
+        if (first != index) {
             folded++;
         }
-        if (isBad(one.status()) && !one.sure()) {
-            badEnds.computeIfAbsent(place(one), key -> new ArrayDeque<>()).addLast(new BadEnd(first, one.ended()));
-            badEndCount++;
+        if (isRetryable(attempt.status()) && !attempt.idPerRequest()) {
+            failedAttempts
+                    .computeIfAbsent(callKey(attempt), absent -> new ArrayDeque<>())
+                    .addLast(new FailedAttempt(first, attempt.endMs()));
+            failedAttemptCount++;
         }
-        bound();
+        evictExcess();
         return first;
     }
 
-    private long byName(Try one, long number) {
-        Named named = names.remove(one.name());
-        if (named == null || one.begun() - named.last > terms.nameWindow()) {
-            named = new Named(number, one.begun());
+    private long firstAttemptById(Attempt attempt, long index) {
+        IdentifiedRequest request = requestsById.remove(attempt.id());
+        if (request == null || attempt.startMs() - request.lastStartMs > terms.idWindowMs()) {
+            request = new IdentifiedRequest(index, attempt.startMs());
         }
-        named.last = one.begun();
-        // At the end again: the names are in the order of their last tries.
-        names.put(one.name(), named);
-        return named.first;
+        request.lastStartMs = attempt.startMs();
+        // Reinserted at the end: the map is in the order of the last attempts.
+        requestsById.put(attempt.id(), request);
+        return request.firstAttempt;
     }
 
-    private long byPlace(Try one, long number) {
-        String place = place(one);
-        ArrayDeque<BadEnd> ends = badEnds.get(place);
-        if (ends == null) {
-            return number;
+    private long firstAttemptByFailure(Attempt attempt, long index) {
+        String key = callKey(attempt);
+        ArrayDeque<FailedAttempt> candidates = failedAttempts.get(key);
+        if (candidates == null) {
+            return index;
         }
-        BadEnd explained = null;
-        for (BadEnd end : ends) {
-            // The newest that had ended: what is still under way can't have been given up.
-            if (end.at() <= one.begun() && one.begun() - end.at() <= terms.window()) {
-                explained = end;
+        FailedAttempt retried = null;
+        for (FailedAttempt failed : candidates) {
+            // The newest failure that had ended: a caller does not retry an attempt that is still in flight.
+            if (failed.endMs() <= attempt.startMs() && attempt.startMs() - failed.endMs() <= terms.retryWindowMs()) {
+                retried = failed;
             }
         }
-        if (explained == null) {
-            return number;
+        if (retried == null) {
+            return index;
         }
-        ends.remove(explained);
-        badEndCount--;
-        if (ends.isEmpty()) {
-            badEnds.remove(place);
+        candidates.remove(retried);
+        failedAttemptCount--;
+        if (candidates.isEmpty()) {
+            failedAttempts.remove(key);
         }
-        return explained.first();
+        return retried.firstAttempt();
     }
 
-    private static String place(Try one) {
-        // A character that no part of a request line may hold keeps them apart.
-        return one.caller() + '\n' + one.method() + '\n' + one.target();
+    private static String callKey(Attempt attempt) {
+        // A line feed cannot occur in any part of a request line, so the key is unambiguous.
+        return attempt.caller() + '\n' + attempt.method() + '\n' + attempt.target();
     }
 
     private void expire(double now) {
-        while (!names.isEmpty()) {
-            Map.Entry<String, Named> oldest = names.entrySet().iterator().next();
-            if (now - oldest.getValue().last <= terms.nameWindow()) {
+        while (!requestsById.isEmpty()) {
+            Map.Entry<String, IdentifiedRequest> oldest =
+                    requestsById.entrySet().iterator().next();
+            if (now - oldest.getValue().lastStartMs <= terms.idWindowMs()) {
                 break;
             }
-            names.remove(oldest.getKey());
+            requestsById.remove(oldest.getKey());
         }
-        while (!badEnds.isEmpty()) {
-            Map.Entry<String, ArrayDeque<BadEnd>> oldest =
-                    badEnds.entrySet().iterator().next();
-            if (now - oldest.getValue().peekLast().at() <= terms.window()) {
+        while (!failedAttempts.isEmpty()) {
+            Map.Entry<String, ArrayDeque<FailedAttempt>> oldest =
+                    failedAttempts.entrySet().iterator().next();
+            if (now - oldest.getValue().peekLast().endMs() <= terms.retryWindowMs()) {
                 break;
             }
-            badEndCount -= oldest.getValue().size();
-            badEnds.remove(oldest.getKey());
+            failedAttemptCount -= oldest.getValue().size();
+            failedAttempts.remove(oldest.getKey());
         }
     }
 
-    /** Forgets the oldest where more is remembered than may be: their retries then count as new demand. */
-    private void bound() {
-        while (names.size() > terms.mostKept()) {
-            names.remove(names.keySet().iterator().next());
-            forgotten++;
+    /** Evicts the oldest entries over the limit; their retries then count as new requests. */
+    private void evictExcess() {
+        while (requestsById.size() > terms.maxEntries()) {
+            requestsById.remove(requestsById.keySet().iterator().next());
+            evicted++;
         }
-        while (badEndCount > terms.mostKept()) {
-            String oldest = badEnds.keySet().iterator().next();
-            badEndCount -= badEnds.remove(oldest).size();
-            forgotten++;
+        while (failedAttemptCount > terms.maxEntries()) {
+            String oldest = failedAttempts.keySet().iterator().next();
+            failedAttemptCount -= failedAttempts.remove(oldest).size();
+            evicted++;
         }
     }
 
-    /** Tries that belonged under another. */
+    /** Number of attempts that were retries of an earlier attempt. */
     public long folded() {
         return folded;
     }
 
-    /** Requests that had to be forgotten before their time, whose retries may count as new demand. */
-    public long forgotten() {
-        return forgotten;
+    /** Number of evictions before the window had passed; retries of evicted requests may count as new requests. */
+    public long evicted() {
+        return evicted;
     }
 
-    /** What is remembered at present. */
-    int remembered() {
-        return names.size() + badEndCount;
+    /** Number of ids and failed attempts in memory. */
+    int entryCount() {
+        return requestsById.size() + failedAttemptCount;
     }
 }
--- a/src/main/java/sablehinge/tools/replay/folding/package-info.java
+++ b/src/main/java/sablehinge/tools/replay/folding/package-info.java
@@ -1,2 +1,2 @@
-/** Folds the retries that clients made in a log into one request each. It decides only. */
+/** Folds the retries of clients in a log into one request each. No I/O. */
 package sablehinge.tools.replay.folding;
