--- a/src/main/java/sablehinge/cli/ReplayRun.java
+++ b/src/main/java/sablehinge/cli/ReplayRun.java
@@ -124,7 +124,12 @@
         range("--threads", threads, 1, 64);
         ReplayClient.Terms usual = ReplayClient.Terms.usual();
         ReplayClient.Terms clients = new ReplayClient.Terms(
-                retries, usual.leastShare(), usual.mostShare(), usual.backoff(), honour, usual.mostRetryAfter());
+                retries,
+                usual.minTimeoutShare(),
+                usual.maxTimeoutShare(),
+                usual.backoff(),
+                honour,
+                usual.maxRetryAfter());
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (String target : targets) {
             addresses.add(address(target));
--- a/src/main/java/sablehinge/tools/replay/schedule/ReplayClient.java
+++ b/src/main/java/sablehinge/tools/replay/schedule/ReplayClient.java
@@ -3,99 +3,112 @@
 import java.util.SplittableRandom;
 
 /**
- * What a client does about one request: how long it waits for each try, and whether it tries again. It never tries
- * again what may have run and must not run twice.
+ * Timeout and retry decisions of the client of one request. The client never retries a request that may have been
+ * executed and must not be executed twice.
  */
 public final class ReplayClient {
 
     /**
-     * How clients behave. Times in ms.
+     * Settings of the clients. Times are in milliseconds.
      *
-     * @param retries further tries at most
-     * @param leastShare of the deadline after which a try is given up; drawn evenly for each client
-     * @param mostShare its upper end
-     * @param backoff the wait before a further try
-     * @param honour the chance, 0 to 1, that a client does as Retry-After says
-     * @param mostRetryAfter how long it waits at most if it does
+     * @param retries maximum number of retries
+     * @param minTimeoutShare lower bound of the attempt timeout as a share of the deadline; the share is drawn
+     *     uniformly for each client
+     * @param maxTimeoutShare upper bound of that share
+     * @param backoff delay before a retry
+     * @param honour probability, 0 to 1, that a client follows Retry-After
+     * @param maxRetryAfter maximum delay that a client accepts from Retry-After
      */
     public record Terms(
-            int retries, double leastShare, double mostShare, double backoff, double honour, double mostRetryAfter) {
+            int retries,
+            double minTimeoutShare,
+            double maxTimeoutShare,
+            double backoff,
+            double honour,
+            double maxRetryAfter) {
 
-        /** As the clients of the deployment are. */
+        /** The settings of the clients in the deployment. */
         public static Terms usual() {
             return new Terms(2, 0.4, 0.55, 100, 0.4, 2_000);
         }
     }
 
-    /** May a try be made again although it may have run? */
+    /** Whether an attempt may be retried although it may have been executed. */
     public enum Repeat {
         ALWAYS,
         WITHIN_WINDOW,
         NEVER
     }
 
-    /** How a try came out. */
+    /** The result of an attempt. */
     public enum Outcome {
         SERVED,
         REFUSED,
         FAILED,
-        /** Nobody took it. */
+        /** No server received the request. */
         UNREACHABLE
     }
 
     private final Terms terms;
     private final Repeat repeat;
-    private final double deadline;
-    private final double window;
-    private final double timeout;
-    private int tries;
+    private final double deadlineMs;
+    private final double windowMs;
+    private final double timeoutMs;
+    private int attempts;
 
     /**
-     * A client of a request that waits so many ms in all.
+     * Creates the client of one request.
      *
-     * @param window ms from the first try on within which a repeat is dropped; for {@link Repeat#WITHIN_WINDOW}
+     * @param deadlineMs total time that the client waits for a response, in milliseconds
+     * @param windowMs milliseconds after the first attempt within which a repeated request is dropped; used for
+     *     {@link Repeat#WITHIN_WINDOW}
      */
-    public ReplayClient(Terms terms, Repeat repeat, double deadline, double window, SplittableRandom random) {
+    public ReplayClient(Terms terms, Repeat repeat, double deadlineMs, double windowMs, SplittableRandom random) {
         this.terms = terms;
         this.repeat = repeat;
-        this.deadline = deadline;
-        this.window = window;
-        double share = terms.mostShare() > terms.leastShare()
-                ? random.nextDouble(terms.leastShare(), terms.mostShare())
-                : terms.leastShare();
-        timeout = terms.retries() == 0 ? deadline : deadline * share;
+        this.deadlineMs = deadlineMs;
+        this.windowMs = windowMs;
+        double share = terms.maxTimeoutShare() > terms.minTimeoutShare()
+                ? random.nextDouble(terms.minTimeoutShare(), terms.maxTimeoutShare())
+                : terms.minTimeoutShare();
+        timeoutMs = terms.retries() == 0 ? deadlineMs : deadlineMs * share;
     }
 
-    /** A try begins, so many ms after the first was due; how long it is waited for. */
-    public double begin(double elapsed) {
-        tries++;
-        return Math.max(1, Math.min(timeout, deadline - elapsed));
+    /**
+     * Starts an attempt.
+     *
+     * @param elapsedMs milliseconds since the first attempt was due
+     * @return the timeout of the attempt in milliseconds
+     */
+    public double begin(double elapsedMs) {
+        attempts++;
+        return Math.max(1, Math.min(timeoutMs, deadlineMs - elapsedMs));
     }
 
     /**
-     * A try has come out.
+     * Decides on a retry after an attempt has ended.
      *
-     * @param elapsed ms since the first was due
-     * @param retryAfter advice in ms; 0 for none
-     * @return the wait before the next try, in ms; NaN if there is none
+     * @param elapsedMs milliseconds since the first attempt was due
+     * @param retryAfterMs the Retry-After of the response in milliseconds; 0 for none
+     * @return the delay before the next attempt in milliseconds; NaN if the client does not retry
      */
-    public double next(double elapsed, Outcome outcome, double retryAfter, SplittableRandom random) {
-        if (outcome == Outcome.SERVED || tries > terms.retries()) {
+    public double next(double elapsedMs, Outcome outcome, double retryAfterMs, SplittableRandom random) {
+        if (outcome == Outcome.SERVED || attempts > terms.retries()) {
             return Double.NaN;
         }
-        double wait = terms.backoff();
-        if (outcome == Outcome.REFUSED && retryAfter > 0 && random.nextDouble() < terms.honour()) {
-            wait = Math.max(wait, Math.min(retryAfter, terms.mostRetryAfter()));
+        double delayMs = terms.backoff();
+        if (outcome == Outcome.REFUSED && retryAfterMs > 0 && random.nextDouble() < terms.honour()) {
+            delayMs = Math.max(delayMs, Math.min(retryAfterMs, terms.maxRetryAfter()));
         }
-        boolean harmless = outcome == Outcome.REFUSED
+        boolean repeatable = outcome == Outcome.REFUSED
                 || outcome == Outcome.UNREACHABLE
                 || repeat == Repeat.ALWAYS
-                || repeat == Repeat.WITHIN_WINDOW && elapsed + wait < window;
-        return harmless && elapsed + wait < deadline ? wait : Double.NaN;
+                || repeat == Repeat.WITHIN_WINDOW && elapsedMs + delayMs < windowMs;
+        return repeatable && elapsedMs + delayMs < deadlineMs ? delayMs : Double.NaN;
     }
 
-    /** Tries that were made. */
-    public int tries() {
-        return tries;
+    /** Number of attempts so far. */
+    public int attempts() {
+        return attempts;
     }
 }
--- a/src/main/java/sablehinge/tools/replay/schedule/ReplaySchedule.java
+++ b/src/main/java/sablehinge/tools/replay/schedule/ReplaySchedule.java
@@ -7,101 +7,107 @@
 import java.util.SplittableRandom;
 
 /**
- * When a logged request is due in a replay, and how often. Time is compressed evenly, so that the mix of every slice is
- * the log's. A rate that is scaled up sends copies, each within a second of the log from its original; one that is
- * scaled down leaves out evenly within each class.
+ * Computes when, and how many times, a logged request is sent in a replay. Time is compressed uniformly, so the mix of
+ * requests in every slice is that of the log. If the rate is scaled up, copies are sent within one second of log time
+ * after the original; if it is scaled down, requests are dropped evenly within each service class.
  *
- * @param <T> a request
+ * @param <T> type of a request
  */
 public final class ReplaySchedule<T> {
 
-    /** How far a copy may lie from its original, in ms of the log. */
-    private static final double SPREAD = 1_000;
+    /** Maximum delay of a copy after its original, in milliseconds of log time. */
+    private static final double MAX_COPY_DELAY_MS = 1_000;
 
     private static final int MAX_CLASSES = 10_000;
-    /** Copies that wait for their time at most; beyond it the first one goes early. */
-    static final int MAX_WAITING = 1 << 18;
+    /** Maximum number of pending copies; beyond it, the earliest copy is sent ahead of time. */
+    static final int MAX_PENDING_COPIES = 1 << 18;
 
     /**
-     * How a day is replayed.
+     * Settings of a replay.
      *
-     * @param compress hours of the log in one of the replay
-     * @param rateScale requests sent for one of the log
-     * @param from ms since 1970 from which on requests are taken; NaN for the log's beginning
-     * @param to likewise until when, itself not included; NaN for its end
+     * @param compress hours of log time per hour of the replay
+     * @param rateScale number of requests sent per logged request
+     * @param from start of the replayed range in milliseconds since the epoch, inclusive; NaN for the start of the log
+     * @param to end of the range in milliseconds since the epoch, exclusive; NaN for the end of the log
+     * @param seed seed of the random number generator
      */
     public record Terms(double compress, double rateScale, double from, double to, long seed) {}
 
-    /** Takes requests in the order in which they are due. */
+    /** Receives requests in the order of their due times. */
     public interface Sink<T> {
 
-        /** {@code due} in ms from the replay's start; {@code copy} is 0 for the original. */
-        void due(double due, int copy, T request);
+        /**
+         * Receives one request; {@code dueMs} is relative to the start of the replay, {@code copy} is 0 for the
+         * original.
+         */
+        void due(double dueMs, int copy, T request);
     }
 
-    private record Copy<T>(double time, long order, int copy, T request) {}
+    private record PendingCopy<T>(double timeMs, long sequence, int copy, T request) {}
 
     private final Terms terms;
     private final Sink<T> sink;
     private final SplittableRandom random;
-    private final Map<String, double[]> owed = new HashMap<>();
-    private final PriorityQueue<Copy<T>> waiting =
-            new PriorityQueue<>(Comparator.<Copy<T>>comparingDouble(Copy::time).thenComparingLong(Copy::order));
-    private double start = Double.NaN;
-    private double last;
-    private long order;
+    private final Map<String, double[]> creditByClass = new HashMap<>();
+    private final PriorityQueue<PendingCopy<T>> pendingCopies = new PriorityQueue<>(
+            Comparator.<PendingCopy<T>>comparingDouble(PendingCopy::timeMs).thenComparingLong(PendingCopy::sequence));
+    private double startMs = Double.NaN;
+    private double lastDueMs;
+    private long nextSequence;
 
-    /** A schedule by which nothing has been sent yet. */
+    /** Creates an empty schedule. */
     public ReplaySchedule(Terms terms, Sink<T> sink) {
         this.terms = terms;
         this.sink = sink;
         random = new SplittableRandom(terms.seed());
-        start = terms.from();
+        startMs = terms.from();
     }
 
-    /** Whether a request of the given time, and so each later one, lies behind the end. */
-    public boolean isPast(double time) {
-        return time >= terms.to();
+    /** Whether a request at the given time, and hence every later one, is after the end of the replayed range. */
+    public boolean isPast(double timeMs) {
+        return timeMs >= terms.to();
     }
 
-    /** Takes the next request of the log; times must not go back. */
-    public void take(double time, String serviceClass, T request) {
-        if (time < terms.from() || isPast(time)) {
+    /** Adds the next request of the log; times must not decrease. */
+    public void take(double timeMs, String serviceClass, T request) {
+        if (timeMs < terms.from() || isPast(timeMs)) {
             return;
         }
-        if (Double.isNaN(start)) {
-            start = time;
+        if (Double.isNaN(startMs)) {
+            startMs = timeMs;
         }
-        release(time);
-        // Beyond the bound all classes share one account.
-        double[] owes = owed.computeIfAbsent(owed.size() < MAX_CLASSES ? serviceClass : "", name ->
+        release(timeMs);
+        // Beyond the limit, all classes share one credit.
+        double[] credit = creditByClass.computeIfAbsent(creditByClass.size() < MAX_CLASSES ? serviceClass : "", name ->
                 new double[] {terms.rateScale() < 1 ? random.nextDouble() : 0});
-        owes[0] += terms.rateScale();
-        // A sum of tenths may lie a little under an integer.
-        int copies = (int) Math.floor(owes[0] + 1e-9);
-        owes[0] -= copies;
+        credit[0] += terms.rateScale();
+        // A sum of tenths may be slightly less than an integer.
+        int copies = (int) Math.floor(credit[0] + 1e-9);
+        credit[0] -= copies;
         for (int copy = 0; copy < copies; copy++) {
             if (copy == 0) {
-                send(time, 0, request);
+                send(timeMs, 0, request);
             } else {
-                waiting.add(new Copy<>(time + random.nextDouble(SPREAD), order++, copy, request));
+                pendingCopies.add(new PendingCopy<>(
+                        timeMs + random.nextDouble(MAX_COPY_DELAY_MS), nextSequence++, copy, request));
             }
         }
     }
 
-    private void release(double time) {
-        while (!waiting.isEmpty() && (waiting.peek().time <= time || waiting.size() > MAX_WAITING)) {
-            Copy<T> next = waiting.poll();
-            send(next.time, next.copy, next.request);
+    private void release(double timeMs) {
+        while (!pendingCopies.isEmpty()
+                && (pendingCopies.peek().timeMs <= timeMs || pendingCopies.size() > MAX_PENDING_COPIES)) {
+            PendingCopy<T> next = pendingCopies.poll();
+            send(next.timeMs, next.copy, next.request);
         }
     }
 
-    private void send(double time, int copy, T request) {
-        last = Math.max(last, (time - start) / terms.compress());
-        sink.due(last, copy, request);
+    private void send(double timeMs, int copy, T request) {
+        lastDueMs = Math.max(lastDueMs, (timeMs - startMs) / terms.compress());
+        sink.due(lastDueMs, copy, request);
     }
 
-    /** The log has ended: what waits is due in its turn. */
+    /** Ends the log: sends all pending copies in order. */
     public void end() {
         release(Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/sablehinge/tools/replay/schedule/package-info.java
+++ b/src/main/java/sablehinge/tools/replay/schedule/package-info.java
@@ -1,2 +1,2 @@
-/** When each recorded request is sent, and how a client of it retries. It decides only. */
+/** Computes when each logged request is sent and how its client retries. No I/O. */
 package sablehinge.tools.replay.schedule;
