--- a/src/main/java/sablehinge/tools/replay/statistics/RateMeter.java
+++ b/src/main/java/sablehinge/tools/replay/statistics/RateMeter.java
@@ -3,83 +3,83 @@
 import java.util.Arrays;
 
 /**
- * Events over time, in slices that grow as the time does, so that a second and a year both fit. The slices are complete
- * multiples of their width since 1970.
+ * Counts events per time slice. The slices widen as the time range grows, so that a second and a year both fit. Slices
+ * start at multiples of their width since the epoch.
  */
 public final class RateMeter {
 
-    private final int most;
+    private final int maxSlices;
     private long[] counts;
-    private long first = Long.MIN_VALUE;
-    private int used;
-    private double width = 1_000;
+    private long firstSlice = Long.MIN_VALUE;
+    private int sliceCount;
+    private double widthMs = 1_000;
 
-    /** Rates in so many slices at most. */
-    public RateMeter(int most) {
-        this.most = most;
-        counts = new long[most];
+    /** Creates a meter with at most {@code maxSlices} slices. */
+    public RateMeter(int maxSlices) {
+        this.maxSlices = maxSlices;
+        counts = new long[maxSlices];
     }
 
-    /** Counts an event; {@code time} in ms since 1970. Times may come in any order. */
-    public void add(double time) {
-        long slice = (long) Math.floor(time / width);
-        if (used == 0) {
-            first = slice;
+    /** Counts an event at {@code timeMs}, in milliseconds since the epoch. Times may be added in any order. */
+    public void add(double timeMs) {
+        long slice = (long) Math.floor(timeMs / widthMs);
+        if (sliceCount == 0) {
+            firstSlice = slice;
         }
-        while (Math.max(slice, first + used - 1) - Math.min(slice, first) >= most) {
+        while (Math.max(slice, firstSlice + sliceCount - 1) - Math.min(slice, firstSlice) >= maxSlices) {
             widen();
-            slice = (long) Math.floor(time / width);
+            slice = (long) Math.floor(timeMs / widthMs);
         }
-        if (slice < first) {
-            int by = (int) (first - slice);
-            System.arraycopy(counts, 0, counts, by, used);
-            Arrays.fill(counts, 0, by, 0);
-            first = slice;
-            used += by;
+        if (slice < firstSlice) {
+            int shift = (int) (firstSlice - slice);
+            System.arraycopy(counts, 0, counts, shift, sliceCount);
+            Arrays.fill(counts, 0, shift, 0);
+            firstSlice = slice;
+            sliceCount += shift;
         }
-        used = Math.max(used, (int) (slice - first) + 1);
-        counts[(int) (slice - first)]++;
+        sliceCount = Math.max(sliceCount, (int) (slice - firstSlice) + 1);
+        counts[(int) (slice - firstSlice)]++;
     }
 
     private void widen() {
-        long half = Math.floorDiv(first, 2);
-        long[] wider = new long[most];
-        for (int i = 0; i < used; i++) {
-            wider[(int) (Math.floorDiv(first + i, 2) - half)] += counts[i];
+        long firstWide = Math.floorDiv(firstSlice, 2);
+        long[] wideCounts = new long[maxSlices];
+        for (int i = 0; i < sliceCount; i++) {
+            wideCounts[(int) (Math.floorDiv(firstSlice + i, 2) - firstWide)] += counts[i];
         }
-        used = used == 0 ? 0 : (int) (Math.floorDiv(first + used - 1, 2) - half) + 1;
-        first = half;
-        counts = wider;
-        width *= 2;
+        sliceCount = sliceCount == 0 ? 0 : (int) (Math.floorDiv(firstSlice + sliceCount - 1, 2) - firstWide) + 1;
+        firstSlice = firstWide;
+        counts = wideCounts;
+        widthMs *= 2;
     }
 
-    /** How wide a slice is, in ms. */
+    /** Width of a slice in milliseconds. */
     public double width() {
-        return width;
+        return widthMs;
     }
 
-    /** When the first slice begins, in ms since 1970. */
+    /** Start of the first slice in milliseconds since the epoch. */
     public double from() {
-        return used == 0 ? 0 : first * width;
+        return sliceCount == 0 ? 0 : firstSlice * widthMs;
     }
 
-    /** The events of each slice. */
+    /** Number of events in each slice. */
     public long[] counts() {
-        return Arrays.copyOf(counts, used);
+        return Arrays.copyOf(counts, sliceCount);
     }
 
-    /** The same in so many slices at most, for a plot: neighbours put together. */
-    public long[] counts(int slices) {
-        int together = Math.max(1, (used + slices - 1) / slices);
-        long[] sums = new long[(used + together - 1) / together];
-        for (int i = 0; i < used; i++) {
-            sums[i / together] += counts[i];
+    /** Number of events in each of at most {@code maxGroups} groups of adjacent slices, for a plot. */
+    public long[] counts(int maxGroups) {
+        int slicesPerGroup = Math.max(1, (sliceCount + maxGroups - 1) / maxGroups);
+        long[] sums = new long[(sliceCount + slicesPerGroup - 1) / slicesPerGroup];
+        for (int i = 0; i < sliceCount; i++) {
+            sums[i / slicesPerGroup] += counts[i];
         }
         return sums;
     }
 
-    /** The most events in one slice. */
+    /** Maximum number of events in one slice. */
     public long peak() {
-        return Arrays.stream(counts, 0, used).max().orElse(0);
+        return Arrays.stream(counts, 0, sliceCount).max().orElse(0);
     }
 }
--- a/src/test/java/sablehinge/tools/replay/statistics/TopValuesTest.java
+++ b/src/test/java/sablehinge/tools/replay/statistics/TopValuesTest.java
@@ -15,7 +15,7 @@
 class TopValuesTest {
 
     @Test
-    void fewNamesAreCountedExactlyAndListedByCountThenName() {
+    void countsFewValuesExactlyAndOrdersByCountThenValue() {
         TopValues few = new TopValues(10);
         List.of("b", "a", "c", "b", "a").forEach(few::add);
         assertEquals("{a=2, b=2, c=1}", few.top(10).toString());
@@ -23,23 +23,23 @@
         assertEquals(0, few.error());
     }
 
-    /** The promise of the method: no count is too large, and none too small by more than the error that it tells. */
+    /** Guarantee of the algorithm: no count is too high, and none is too low by more than the reported error. */
     @Test
-    void beyondItsBoundTheCommonestStayWithinTheToldError() {
+    void keepsMostFrequentValuesWithinReportedErrorBeyondLimit() {
         SplittableRandom random = new SplittableRandom(5);
         TopValues bounded = new TopValues(500);
         Map<String, Long> truth = new HashMap<>();
         for (int i = 0; i < 200_000; i++) {
-            String name = "k" + (int) Math.pow(random.nextDouble(), -2.5);
-            bounded.add(name);
-            truth.merge(name, 1L, Long::sum);
+            String value = "k" + (int) Math.pow(random.nextDouble(), -2.5);
+            bounded.add(value);
+            truth.merge(value, 1L, Long::sum);
             assertTrue(bounded.size() <= 501);
         }
-        assertTrue(truth.size() > 5_000, "more than it can hold");
+        assertTrue(truth.size() > 5_000, "more distinct values than the limit");
         Map<String, Long> top = bounded.top(500);
-        truth.forEach((name, count) -> {
-            long counted = top.getOrDefault(name, 0L);
-            assertTrue(counted <= count && counted >= count - bounded.error(), name);
+        truth.forEach((value, count) -> {
+            long reported = top.getOrDefault(value, 0L);
+            assertTrue(reported <= count && reported >= count - bounded.error(), value);
         });
         assertEquals(
                 truth.entrySet().stream()
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void differentNamesAreCountedExactlyUpToTheBound() {
+    void countsDistinctValuesExactlyUpToLimit() {
         DistinctCounter exact = new DistinctCounter(50_000);
         for (int i = 0; i < 150_000; i++) {
             exact.add("key-" + i % 50_000);
@@ -63,19 +63,19 @@
     }
 
     @Test
-    void beyondTheBoundTheyAreEstimated() {
+    void estimatesDistinctValuesBeyondLimit() {
         DistinctCounter bounded = new DistinctCounter(4_096);
         for (int i = 0; i < 1_000_000; i++) {
             bounded.add("key-" + i);
             bounded.add("key-" + i / 2);
         }
         assertFalse(bounded.isExact());
-        // Four standard errors of 1.2 / 64.
+        // Four standard errors of 1.2 / 64 each.
         assertEquals(1_000_000, bounded.count(), 75_000);
     }
 
     @Test
-    void slicesGrowAndLoseNothing() {
+    void widensSlicesWithoutLosingEvents() {
         RateMeter rates = new RateMeter(4);
         rates.add(10_500);
         rates.add(11_000);
@@ -91,21 +91,21 @@
     }
 
     @Test
-    void anyTimesAreCountedOnceWithinTheBound() {
+    void countsEachEventOnceWithinSliceLimit() {
         for (long seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             RateMeter rates = new RateMeter(16);
             int events = random.nextInt(1, 200);
-            double span = Math.pow(10, random.nextInt(1, 13));
-            double first = Double.POSITIVE_INFINITY;
+            double spanMs = Math.pow(10, random.nextInt(1, 13));
+            double firstMs = Double.POSITIVE_INFINITY;
             for (int i = 0; i < events; i++) {
-                double time = random.nextDouble(-span, span);
-                first = Math.min(first, time);
-                rates.add(time);
+                double timeMs = random.nextDouble(-spanMs, spanMs);
+                firstMs = Math.min(firstMs, timeMs);
+                rates.add(timeMs);
             }
             assertEquals(events, Arrays.stream(rates.counts()).sum(), "seed " + seed);
             assertTrue(rates.counts().length <= 16, "seed " + seed);
-            assertTrue(rates.from() <= first && first < rates.from() + 16 * rates.width(), "seed " + seed);
+            assertTrue(rates.from() <= firstMs && firstMs < rates.from() + 16 * rates.width(), "seed " + seed);
         }
     }
 }
