--- a/src/main/java/sablehinge/tools/replay/timeline/Timeline.java
+++ b/src/main/java/sablehinge/tools/replay/timeline/Timeline.java
@@ -7,181 +7,187 @@
 import java.util.SplittableRandom;
 
 /**
- * Sorts logged events into one line of time. They come in the order of the log and leave in the order of time, however
- * long the log is: an event waits until all that may still come before it has come, or until too many wait. A time that
- * is missing lies between its neighbours; a clock that is set back is taken to go on; times in full seconds are spread
- * over their second by seed, in the log's order, so that they are no burst.
+ * Sorts logged events by time. Events are added in log order and emitted in time order in bounded memory: an event is
+ * pending until no earlier event can follow within the window, or until too many events are pending. An event without a
+ * time is placed between its neighbours. If the clock was set back, later times are shifted so that time continues.
+ * Times with a resolution of one second are spread randomly over their second, in log order, so that they form no
+ * burst.
  *
- * @param <T> the payload of an event
+ * @param <T> type of the payload of an event
  */
 public final class Timeline<T> {
 
-    /** Events in a row that must lie far back before the clock counts as set back; fewer are stragglers. */
-    private static final int JUMP = 20;
+    /**
+     * Number of consecutive events older than the window after which the clock counts as set back; fewer are late
+     * events.
+     */
+    private static final int MIN_EVENTS_FOR_CLOCK_JUMP = 20;
 
-    private static final double SECOND = 1_000;
+    private static final double SECOND_MS = 1_000;
 
-    /** Takes events as they leave. */
+    /** Receives the sorted events. */
     public interface Sink<T> {
 
-        /** The next event; times, in ms, never go back. */
-        void event(double time, T item);
+        /** Receives the next event; times are in milliseconds and never decrease. */
+        void event(double timeMs, T item);
     }
 
     /**
-     * How events are placed.
+     * Settings of the sort.
      *
-     * @param window ms by which an event may come too late and still find its place
-     * @param mostHeld events that wait at most
-     * @param secondSteps whether times have no fractions of a second
-     * @param seed of the spread within a second
+     * @param windowMs milliseconds by which an event may be late and still be sorted correctly
+     * @param maxPending maximum number of pending events
+     * @param secondResolution whether times are logged without fractions of a second
+     * @param seed seed of the random offsets within a second
      */
-    public record Terms(double window, int mostHeld, boolean secondSteps, long seed) {}
+    public record Terms(double windowMs, int maxPending, boolean secondResolution, long seed) {}
 
-    private record Held<T>(double time, long order, T item) {}
+    private record PendingEvent<T>(double timeMs, long sequence, T item) {}
 
     private final Terms terms;
     private final Sink<T> sink;
     private final SplittableRandom random;
-    private final PriorityQueue<Held<T>> held =
-            new PriorityQueue<>(Comparator.<Held<T>>comparingDouble(Held::time).thenComparingLong(Held::order));
+    private final PriorityQueue<PendingEvent<T>> pending =
+            new PriorityQueue<>(Comparator.<PendingEvent<T>>comparingDouble(PendingEvent::timeMs)
+                    .thenComparingLong(PendingEvent::sequence));
     private final List<T> untimed = new ArrayList<>();
-    private long order;
-    private double newest = Double.NEGATIVE_INFINITY;
-    private double lastKnown = Double.NaN;
-    private double left = Double.NEGATIVE_INFINITY;
-    /** What is added to the log's times, as its clock was set back. */
-    private double shift;
-
-    private int farBack;
+    private long nextSequence;
+    private double newestMs = Double.NEGATIVE_INFINITY;
+    private double lastKnownMs = Double.NaN;
+    private double lastEmittedMs = Double.NEGATIVE_INFINITY;
+    /** Added to logged times to compensate for a clock that was set back. */
+    private double clockOffsetMs;
+
+    private int consecutiveFarBack;
     private long missing;
     private long outOfOrder;
     private long late;
     private long jumps;
 
-    /** An empty line. */
+    /** Creates an empty timeline. */
     public Timeline(Terms terms, Sink<T> sink) {
         this.terms = terms;
         this.sink = sink;
         random = new SplittableRandom(terms.seed());
     }
 
-    /** Takes the next event of the log; its time is in ms, or NaN where it is missing. */
-    public void add(double logged, T item) {
-        if (Double.isNaN(logged)) {
+    /** Adds the next event of the log; its time is in milliseconds, or NaN if it is missing. */
+    public void add(double loggedMs, T item) {
+        if (Double.isNaN(loggedMs)) {
             missing++;
             untimed.add(item);
-            if (untimed.size() >= terms.mostHeld()) {
-                placeUntimed(lastKnown);
+            if (untimed.size() >= terms.maxPending()) {
+                placeUntimed(lastKnownMs);
                 release();
             }
             return;
         }
-        double time = follow(logged);
-        placeUntimed(time);
-        if (time < newest) {
+        double timeMs = correctClock(loggedMs);
+        placeUntimed(timeMs);
+        if (timeMs < newestMs) {
             outOfOrder++;
         }
-        newest = Math.max(newest, time);
-        lastKnown = time;
-        held.add(new Held<>(time, order++, item));
+        newestMs = Math.max(newestMs, timeMs);
+        lastKnownMs = timeMs;
+        pending.add(new PendingEvent<>(timeMs, nextSequence++, item));
         release();
     }
 
-    /** The time on a clock that was never set back. */
-    private double follow(double logged) {
-        double time = logged + shift;
-        if (time >= newest - terms.window()) {
-            farBack = 0;
-            return time;
+    /** Returns the time as shown by a clock that was never set back. */
+    private double correctClock(double loggedMs) {
+        double timeMs = loggedMs + clockOffsetMs;
+        if (timeMs >= newestMs - terms.windowMs()) {
+            consecutiveFarBack = 0;
+            return timeMs;
         }
-        farBack++;
-        if (farBack < JUMP) {
-            return time;
+        consecutiveFarBack++;
+        if (consecutiveFarBack < MIN_EVENTS_FOR_CLOCK_JUMP) {
+            return timeMs;
         }
         jumps++;
-        farBack = 0;
-        shift = newest - logged;
-        return newest;
+        consecutiveFarBack = 0;
+        clockOffsetMs = newestMs - loggedMs;
+        return newestMs;
     }
 
-    /** Places what has no time evenly between the last known one and the next. */
-    private void placeUntimed(double next) {
-        double from = Double.isNaN(lastKnown) ? next : lastKnown;
-        double to = Double.isNaN(next) ? 0 : next;
-        from = Double.isNaN(from) ? to : from;
+    /** Spaces events without a time evenly between the last known time and the next one. */
+    private void placeUntimed(double nextMs) {
+        double fromMs = Double.isNaN(lastKnownMs) ? nextMs : lastKnownMs;
+        double toMs = Double.isNaN(nextMs) ? 0 : nextMs;
+        fromMs = Double.isNaN(fromMs) ? toMs : fromMs;
         for (int i = 0; i < untimed.size(); i++) {
-            double time = from + (to - from) * (i + 1) / (untimed.size() + 1);
-            held.add(new Held<>(time, order++, untimed.get(i)));
+            double timeMs = fromMs + (toMs - fromMs) * (i + 1) / (untimed.size() + 1);
+            pending.add(new PendingEvent<>(timeMs, nextSequence++, untimed.get(i)));
         }
         untimed.clear();
     }
 
     private void release() {
-        while (!held.isEmpty()
-                && (held.size() > terms.mostHeld()
-                        || held.peek().time() < newest - terms.window() - (terms.secondSteps() ? SECOND : 0))) {
-            leave();
+        while (!pending.isEmpty()
+                && (pending.size() > terms.maxPending()
+                        || pending.peek().timeMs()
+                                < newestMs - terms.windowMs() - (terms.secondResolution() ? SECOND_MS : 0))) {
+            emitFirst();
         }
     }
 
-    /** Lets the first go, with the others of its second where that is all that is known of them. */
-    private void leave() {
-        Held<T> first = held.poll();
-        if (!terms.secondSteps() || first.time() % SECOND != 0) {
-            emit(first.time(), first.item());
+    /** Emits the first event, together with all events of the same second if only the second is known. */
+    private void emitFirst() {
+        PendingEvent<T> first = pending.poll();
+        if (!terms.secondResolution() || first.timeMs() % SECOND_MS != 0) {
+            emit(first.timeMs(), first.item());
             return;
         }
         List<T> group = new ArrayList<>(List.of(first.item()));
-        while (!held.isEmpty() && held.peek().time() == first.time()) {
-            group.add(held.poll().item());
+        while (!pending.isEmpty() && pending.peek().timeMs() == first.timeMs()) {
+            group.add(pending.poll().item());
         }
-        double[] offsets = random.doubles(group.size(), 0, SECOND).sorted().toArray();
+        double[] offsets = random.doubles(group.size(), 0, SECOND_MS).sorted().toArray();
         for (int i = 0; i < offsets.length; i++) {
-            emit(first.time() + offsets[i], group.get(i));
+            emit(first.timeMs() + offsets[i], group.get(i));
         }
     }
 
-    private void emit(double time, T item) {
-        // By less than a second a spread one may lie behind the next; that is the spread's doing and no
-        // straggler.
-        if (time < left - (terms.secondSteps() ? SECOND : 0)) {
+    private void emit(double timeMs, T item) {
+        // A random offset may move an event past the time of the next one by less than a second; the next one is then
+        // not late.
+        if (timeMs < lastEmittedMs - (terms.secondResolution() ? SECOND_MS : 0)) {
             late++;
         }
-        left = Math.max(left, time);
-        sink.event(left, item);
+        lastEmittedMs = Math.max(lastEmittedMs, timeMs);
+        sink.event(lastEmittedMs, item);
     }
 
-    /** The log has ended: lets all go. */
+    /** Ends the log: emits all pending events. */
     public void end() {
-        placeUntimed(lastKnown);
-        while (!held.isEmpty()) {
-            leave();
+        placeUntimed(lastKnownMs);
+        while (!pending.isEmpty()) {
+            emitFirst();
         }
     }
 
-    /** Events that had no time. */
+    /** Number of events without a time. */
     public long missing() {
         return missing;
     }
 
-    /** Events whose time lay before one that came earlier. */
+    /** Number of events with a time before that of an event added earlier. */
     public long outOfOrder() {
         return outOfOrder;
     }
 
-    /** Events that came so late that their place had passed; they stand at the time of the one before them. */
+    /** Number of events too late to be sorted; they are emitted with the time of the preceding event. */
     public long late() {
         return late;
     }
 
-    /** How often the clock was set back. */
+    /** Number of times that the clock was set back. */
     public long jumps() {
         return jumps;
     }
 
-    /** Events that wait. */
-    int waiting() {
-        return held.size() + untimed.size();
+    /** Number of pending events. */
+    int pendingCount() {
+        return pending.size() + untimed.size();
     }
 }
--- a/src/main/java/sablehinge/tools/replay/timeline/package-info.java
+++ b/src/main/java/sablehinge/tools/replay/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** Sorts entries of a log that are out of order, or without a time, into one line of time. It decides only. */
+/** Sorts entries of a log that are out of order or have no time into one timeline. No I/O. */
 package sablehinge.tools.replay.timeline;
