--- a/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
+++ b/src/main/java/sablehinge/dataplane/sidecar/PeerMonitor.java
@@ -218,7 +218,8 @@
             try {
                 HeartbeatPacket heartbeat = HeartbeatPacket.read(bytes);
                 String node = hashRing.nodeAt(heartbeat.place());
-                if (node != null && monitor.onHeartbeat(clock.now(), node, heartbeat.incarnation(), heartbeat.number())) {
+                if (node != null
+                        && monitor.onHeartbeat(clock.now(), node, heartbeat.incarnation(), heartbeat.number())) {
                     Log.info(LOG, "hears-again")
                             .addKeyValue("peer", node)
                             .log("heartbeats of a suspected peer received again");
--- a/src/main/java/sablehinge/tools/standin/Fleet.java
+++ b/src/main/java/sablehinge/tools/standin/Fleet.java
@@ -30,7 +30,7 @@
 import sablehinge.tools.standin.Directory.Entry;
 import sablehinge.tools.standin.model.Faults;
 import sablehinge.tools.standin.model.Faults.Kind;
-import sablehinge.tools.standin.model.Faults.Strike;
+import sablehinge.tools.standin.model.Faults.ServerFault;
 import sablehinge.tools.standin.scenario.Scenario;
 import sablehinge.tools.standin.scenario.Scenario.ClassPart;
 import sablehinge.tools.standin.scenario.Scenario.TierPart;
@@ -291,8 +291,8 @@
     }
 
     /** What strikes whom, and when. */
-    public List<Strike> strikes() {
-        return faults.strikes();
+    public List<ServerFault> strikes() {
+        return faults.serverFaults();
     }
 
     /** By what a run of this fleet is judged; callers' own terms come on top. */
@@ -310,8 +310,8 @@
     // ---- What befalls it ---------------------------------------------------------------------------
 
     private void schedule() {
-        for (Strike strike : faults.strikes().stream()
-                .sorted(Comparator.comparingDouble(Strike::from))
+        for (ServerFault strike : faults.serverFaults().stream()
+                .sorted(Comparator.comparingDouble(ServerFault::from))
                 .toList()) {
             at(strike.from(), () -> strike(strike, true));
             at(strike.until(), () -> strike(strike, false));
@@ -330,7 +330,7 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    private void strike(Strike strike, boolean begins) {
+    private void strike(ServerFault strike, boolean begins) {
         Server server = tiers.get(strike.tier()).get(strike.server());
         String name = server.place().name();
         String kind = strike.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/src/main/java/sablehinge/tools/standin/Server.java
+++ b/src/main/java/sablehinge/tools/standin/Server.java
@@ -44,7 +44,7 @@
     private final Consumer<Evidence> record;
     private final Map<String, Long> keys;
     private final SplittableRandom random;
-    private final ServerModel.Terms terms;
+    private final ServerModel.Capacity capacity;
     private final ServerListeners listeners;
     private final Map<Long, ServerWork> works = new HashMap<>();
     private final Set<ServerConnection> connections = new HashSet<>();
@@ -82,7 +82,7 @@
                 place.name, loop, () -> up, (channel, balancer) -> new ServerConnection(channel, loop, balancer, this));
         random = new SplittableRandom(seed);
         TierPart tier = scenario.tiers().get(place.tier);
-        terms = new ServerModel.Terms(
+        capacity = new ServerModel.Capacity(
                 tier.cores(),
                 speed,
                 tier.slots(),
@@ -119,7 +119,7 @@
 
     /** Begins to serve, warmed up or not; on the loop. */
     void start(boolean warmingUp, Caller calls) {
-        model = new ServerModel(terms, EvidenceStamps.now(), warmingUp ? EvidenceStamps.now() : Double.NaN);
+        model = new ServerModel(capacity, EvidenceStamps.now(), warmingUp ? EvidenceStamps.now() : Double.NaN);
         caller = calls;
         up = true;
         listeners.reopen();
@@ -166,8 +166,8 @@
     /** Lets the server model's time pass, and sees to what has come of it. */
     private void pass() {
         double now = EvidenceStamps.now();
-        model.slow(faults.slower(place.tier, place.number, elapsed()));
-        model.stall(unresponsive || faults.struck(Kind.STALL, place.tier, place.number, elapsed()));
+        model.slow(faults.slowdown(place.tier, place.number, elapsed()));
+        model.stall(unresponsive || faults.isActive(Kind.STALL, place.tier, place.number, elapsed()));
         while (model.time() < now) {
             List<Long> done = model.advance(now);
             for (long id : done) {
@@ -182,7 +182,7 @@
         }
         if (!works.isEmpty() && up) {
             // A stall's end and a fault's beginning are looked for too.
-            double next = Math.min(20, model.next() - EvidenceStamps.now());
+            double next = Math.min(20, model.nextCompletionAt() - EvidenceStamps.now());
             tick = loop.schedule(this::pass, (long) (Math.max(0.2, next) * 1e6), TimeUnit.NANOSECONDS);
         }
     }
@@ -248,7 +248,7 @@
         if (!work.ended) {
             work.ended = true;
             works.remove(work.id);
-            model.leave(work.id);
+            model.remove(work.id);
             if (work.call != null) {
                 work.call.cancel();
             }
@@ -288,7 +288,7 @@
     public void onRequest(ServerConnection connection, HttpRequest request) {
         String path = request.uri();
         if (path.equals("/ping") || path.equals("/_load")) {
-            boolean busy = model.queued() >= terms.queue();
+            boolean busy = model.queuedRequests() >= capacity.queue();
             connection.answer(busy ? 503 : 200, path.equals("/ping") ? "" : report(), false);
             return;
         }
@@ -309,7 +309,7 @@
     }
 
     private String report() {
-        return String.format(Locale.ROOT, "TEXT queue=%d, eps=0, latency_ms=%.2f", model.queued(), latency);
+        return String.format(Locale.ROOT, "TEXT queue=%d, eps=0, latency_ms=%.2f", model.queuedRequests(), latency);
     }
 
     private void take(ServerConnection connection, HttpRequest request, ClassPart type) {
@@ -324,20 +324,20 @@
         double amount = type.work() * tier.share() * (0.5 - 0.5 * Math.log(1 - random.nextDouble()));
         boolean last = place.tier + 1 == scenario.tiers().size();
         ServerWork work = new ServerWork(++lastId, connection, request, type, last ? 0 : tier.calls(), amount);
-        work.struck = faults.strikes(place.tier, place.number, elapsed(), random.nextDouble());
+        work.struck = faults.requestFault(place.tier, place.number, elapsed(), random.nextDouble());
         if (work.struck == Kind.RESET_BEFORE) {
             note(connection, key, work.taken, How.RESET);
             reset(connection);
             return;
         }
         boolean admitted = ServerWork.remaining(request) > 0
-                && model.arrive(
+                && model.offer(
                         EvidenceStamps.now(),
                         work.id,
                         work.callsLeft == 0 ? amount : amount - work.rest,
                         directory.knowsStart(connection.balancer, place.name));
-        if (!Double.isNaN(model.fell()) && up) {
-            record.accept(new Fell(EvidenceStamps.now(), place.name, model.informed()));
+        if (!Double.isNaN(model.crashedAt()) && up) {
+            record.accept(new Fell(EvidenceStamps.now(), place.name, model.informedShare()));
             note(connection, key, work.taken, How.RESET);
             die();
             return;
@@ -349,7 +349,7 @@
         }
         remember(key);
         if (work.struck == Kind.ERROR) {
-            model.leave(work.id);
+            model.remove(work.id);
             note(connection, key, work.taken, How.ERROR);
             connection.answer(500, "struck", false);
             return;
--- a/src/main/java/sablehinge/tools/standin/model/Faults.java
+++ b/src/main/java/sablehinge/tools/standin/model/Faults.java
@@ -4,117 +4,120 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Which servers are struck by what, and when: drawn once by seed, so that a run can be played again. */
+/** Assigns faults to servers. All choices are drawn once from a seed, so that a run can be repeated. */
 public final class Faults {
 
-    /** What may happen to a server. */
+    /** The kinds of faults. */
     public enum Kind {
-        /** It stands still; its connections stay open. */
+        /** The server stops processing; its connections stay open. */
         STALL,
-        /** It takes so many times as long. */
+        /** The server works slower by a factor. */
         SLOW,
-        /** A share of the requests ends with 500. */
+        /** The server answers a share of the requests with 500. */
         ERROR,
-        /** A share is reset once it is complete, and has not run. */
+        /** The server resets the connection of a share of the requests after it has read them, without running them. */
         RESET_BEFORE,
-        /** A share is reset after it has run. */
+        /** The server resets the connection of a share of the requests after it has run them. */
         RESET_AFTER,
-        /** Half of the answer is written, then the connection ends. */
+        /** The server writes half of the response, then closes the connection. */
         HALF,
-        /** The answer is no HTTP. */
+        /** The server writes a response that is not valid HTTP. */
         SPOIL,
-        /** Connections are refused. */
+        /** The server refuses new connections. */
         REFUSE,
-        /** Connections never come up. */
+        /** Attempts to connect to the server time out. */
         HANG,
-        /** It says nothing more, on old connections and new ones, and the list does not know. */
+        /** The server becomes unresponsive on existing and new connections; the server list does not show it. */
         VANISH,
-        /** It dies and comes back without warm-up after the fault's time. */
+        /** The server crashes, and restarts cold at the end of the fault. */
         RESTART,
-        /** It is listed as draining, and is gone at the end of the fault's time. */
+        /** The server list marks the server as draining; it stops at the end of the fault. */
         DRAIN,
-        /** The list of servers is not answered. */
+        /** Requests for the server list get no response. */
         SILENT_LIST;
 
-        /** Whether it strikes requests by chance rather than the server as such. */
-        public boolean byChance() {
+        /** Returns whether the fault affects randomly chosen requests rather than the server itself. */
+        public boolean affectsRequests() {
             return this == ERROR || this == RESET_BEFORE || this == RESET_AFTER || this == HALF || this == SPOIL;
         }
     }
 
     /**
-     * A fault as it was requested. Times in ms from the run's start.
+     * A fault as configured. Times are in ms since the start of the run.
      *
-     * @param tier its place; -1 for all
-     * @param servers how many are struck, drawn by seed
-     * @param size how many times slower; for {@link Kind#SLOW}
-     * @param chance of a request to be struck, 0 to 1; for those {@link Kind#byChance}
+     * @param tier the index of the affected tier; -1 for all tiers
+     * @param servers the number of affected servers in each tier, which are drawn from the seed
+     * @param slowdown the factor by which the servers get slower; for {@link Kind#SLOW}
+     * @param probability that a request is affected, 0 to 1; for {@linkplain Kind#affectsRequests() per-request faults}
      */
-    public record Fault(Kind kind, int tier, double from, double until, int servers, double size, double chance) {}
+    public record Fault(
+            Kind kind, int tier, double from, double until, int servers, double slowdown, double probability) {}
 
-    /** A fault of one server; {@code server} is its place in its tier. */
-    public record Strike(Kind kind, int tier, int server, double from, double until, double size, double chance) {
+    /** A fault of one server; {@code server} is the index of the server in its tier. */
+    public record ServerFault(
+            Kind kind, int tier, int server, double from, double until, double slowdown, double probability) {
 
-        boolean holds(double at) {
+        boolean isActiveAt(double at) {
             return at >= from && at < until;
         }
     }
 
-    private final List<Strike> strikes = new ArrayList<>();
+    private final List<ServerFault> serverFaults = new ArrayList<>();
 
     /**
-     * Draws who is struck.
+     * Draws the affected servers.
      *
-     * @param sizes the number of servers of each tier
+     * @param serverCounts the number of servers of each tier
      */
-    public Faults(List<Fault> faults, List<Integer> sizes, long seed) {
+    public Faults(List<Fault> faults, List<Integer> serverCounts, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         for (Fault fault : faults) {
-            for (int tier = 0; tier < sizes.size(); tier++) {
+            for (int tier = 0; tier < serverCounts.size(); tier++) {
                 if (fault.tier >= 0 && fault.tier != tier) {
                     continue;
                 }
-                List<Integer> left = new ArrayList<>();
-                for (int i = 0; i < sizes.get(tier); i++) {
-                    left.add(i);
+                List<Integer> candidates = new ArrayList<>();
+                for (int i = 0; i < serverCounts.get(tier); i++) {
+                    candidates.add(i);
                 }
-                for (int i = 0; i < fault.servers && !left.isEmpty(); i++) {
-                    int server = left.remove(random.nextInt(left.size()));
-                    strikes.add(
-                            new Strike(fault.kind, tier, server, fault.from, fault.until, fault.size, fault.chance));
+                for (int i = 0; i < fault.servers && !candidates.isEmpty(); i++) {
+                    int server = candidates.remove(random.nextInt(candidates.size()));
+                    serverFaults.add(new ServerFault(
+                            fault.kind, tier, server, fault.from, fault.until, fault.slowdown, fault.probability));
                 }
             }
         }
     }
 
-    /** All of them. */
-    public List<Strike> strikes() {
-        return List.copyOf(strikes);
+    /** Returns the faults of all servers. */
+    public List<ServerFault> serverFaults() {
+        return List.copyOf(serverFaults);
     }
 
-    /** Whether a server is struck by a kind of fault. */
-    public boolean struck(Kind kind, int tier, int server, double at) {
-        return strikes.stream().anyMatch(s -> s.kind == kind && s.tier == tier && s.server == server && s.holds(at));
+    /** Returns whether a fault of the given kind is active on the server. */
+    public boolean isActive(Kind kind, int tier, int server, double at) {
+        return serverFaults.stream()
+                .anyMatch(s -> s.kind == kind && s.tier == tier && s.server == server && s.isActiveAt(at));
     }
 
-    /** How many times slower a server is. */
-    public double slower(int tier, int server, double at) {
+    /** Returns the factor by which the server is slower than normal; 1 without a fault. */
+    public double slowdown(int tier, int server, double at) {
         double factor = 1;
-        for (Strike s : strikes) {
-            if (s.kind == Kind.SLOW && s.tier == tier && s.server == server && s.holds(at)) {
-                factor *= s.size;
+        for (ServerFault s : serverFaults) {
+            if (s.kind == Kind.SLOW && s.tier == tier && s.server == server && s.isActiveAt(at)) {
+                factor *= s.slowdown;
             }
         }
         return factor;
     }
 
-    /** The fault that strikes a request, by a draw of 0 to 1; null for none. */
-    public Kind strikes(int tier, int server, double at, double draw) {
-        double sum = 0;
-        for (Strike s : strikes) {
-            if (s.kind.byChance() && s.tier == tier && s.server == server && s.holds(at)) {
-                sum += s.chance;
-                if (draw < sum) {
+    /** Returns the fault of a request, chosen by a random number from 0 to 1; null for none. */
+    public Kind requestFault(int tier, int server, double at, double random) {
+        double cumulativeProbability = 0;
+        for (ServerFault s : serverFaults) {
+            if (s.kind.affectsRequests() && s.tier == tier && s.server == server && s.isActiveAt(at)) {
+                cumulativeProbability += s.probability;
+                if (random < cumulativeProbability) {
                     return s.kind;
                 }
             }
--- a/src/main/java/sablehinge/tools/standin/model/ServerModel.java
+++ b/src/main/java/sablehinge/tools/standin/model/ServerModel.java
@@ -11,124 +11,127 @@
 import java.util.Map;
 
 /**
- * What a server does with work: so many requests share its cores evenly, some wait, the rest are rejected. One that has
- * just started is warming up and can do a part of it, which rises evenly; sent too much in that time it falls over.
+ * Models how a server processes requests. A limited number of requests share its cores evenly, a limited number wait in
+ * a queue, and the rest are rejected. A server that has just started has only a part of its capacity, which rises
+ * linearly during the warm-up; the server crashes if it is sent too much work in that time.
  */
 public final class ServerModel {
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
-    /** Ms after which the warmth of a server that warms up is looked at anew. */
-    private static final double STEP = 5;
-    /** Work that counts as done: times since 1970 have steps of a quarter of that as doubles. */
-    private static final double DONE = 1e-3;
+    /** The interval at which the capacity of a server is recalculated during its warm-up. */
+    private static final double WARM_UP_STEP_MS = 5;
+    /** Remaining work that counts as none: epoch times in doubles have a resolution of a quarter of it. */
+    private static final double MAX_LEFTOVER_WORK_MS = 1e-3;
 
-    private static final int WINDOWS = 30;
+    private static final int WINDOW_PARTS = 30;
 
     /**
-     * A server. Times in ms, work in ms of one core at speed 1.
+     * The capacity of a server. Times are in ms, work is in ms of one core at speed 1.
      *
-     * @param slots requests in work at most, also those that wait for the tier behind
-     * @param queue requests that wait for a slot at most
-     * @param warmUpFrom the share of its capacity that a server has as it starts
-     * @param warmUpFor until when it has all
-     * @param fallMultiple of its present capacity that makes it fall over, sent for {@code fallAfter}
+     * @param slots the maximum number of requests in progress, including those that wait for the next tier
+     * @param queue the maximum number of requests that wait for a slot
+     * @param initialShare the share of its capacity that a server has at its start
+     * @param warmUpMs the time from its start until the server has its full capacity
+     * @param crashMultiple the multiple of its current capacity that crashes a warming server if it is sent during
+     *     {@code crashWindowMs}
      */
-    public record Terms(
+    public record Capacity(
             double cores,
             double speed,
             int slots,
             int queue,
-            double warmUpFrom,
-            double warmUpFor,
-            double fallMultiple,
-            double fallAfter) {}
+            double initialShare,
+            double warmUpMs,
+            double crashMultiple,
+            double crashWindowMs) {}
 
-    /** A request that has a slot or waits for one. */
+    /** A request that has a slot or waits for a slot. */
     private static final class Job {
         final long id;
-        double left;
-        /** Whether it has a slot but nothing to do, as it waits for the tier behind. */
-        boolean holds;
+        double remainingWork;
+        /** Whether the request has a slot but needs no core, because it waits for the next tier. */
+        boolean awaitsNextTier;
 
-        Job(long id, double left) {
+        Job(long id, double remainingWork) {
             this.id = id;
-            this.left = left;
+            this.remainingWork = remainingWork;
         }
     }
 
-    /** Work that was sent in a short time. */
-    private static final class Sent {
+    /** The work that was sent to the server in a part of the crash window. */
+    private static final class SentWork {
         final double from;
         double work;
         double informed;
 
-        Sent(double from) {
+        SentWork(double from) {
             this.from = from;
         }
     }
 
-    private final Terms terms;
+    private final Capacity capacity;
     private final double startedAt;
     private final Map<Long, Job> jobs = new HashMap<>();
-    /** Those that are at work on a core. */
+    /** The requests that use a core. */
     private final LinkedHashMap<Long, Job> running = new LinkedHashMap<>();
 
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final ArrayDeque<Sent> sent = new ArrayDeque<>();
+    private final ArrayDeque<SentWork> sent = new ArrayDeque<>();
     private double time;
-    private double slow = 1;
+    private double slowdown = 1;
     private boolean stalled;
     private int inSlots;
-    private double fell = Double.NaN;
-    private double informed;
+    private double crashedAt = Double.NaN;
+    private double informedShare;
 
-    /** A model; {@code startedAt} is NaN for one that is warm. */
-    public ServerModel(Terms terms, double now, double startedAt) {
-        this.terms = terms;
+    /** Creates a model; {@code startedAt} is NaN for a server that is warmed up. */
+    public ServerModel(Capacity capacity, double now, double startedAt) {
+        this.capacity = capacity;
         this.startedAt = startedAt;
         time = now;
     }
 
-    /** The share of its capacity that it has. */
-    public double warmth(double now) {
-        if (Double.isNaN(startedAt) || now >= startedAt + terms.warmUpFor()) {
+    /** Returns the share of its full capacity that the server has at a time. */
+    public double capacityShare(double now) {
+        if (Double.isNaN(startedAt) || now >= startedAt + capacity.warmUpMs()) {
             return 1;
         }
-        return terms.warmUpFrom() + (1 - terms.warmUpFrom()) * Math.max(0, now - startedAt) / terms.warmUpFor();
+        return capacity.initialShare()
+                + (1 - capacity.initialShare()) * Math.max(0, now - startedAt) / capacity.warmUpMs();
     }
 
-    /** Ms of work that one request at work gets done in a ms. */
-    private double scheduled(double now) {
-        if (stalled || running.isEmpty() || !Double.isNaN(fell)) {
+    /** Returns the ms of work that are done for each running request in one ms. */
+    private double workRate(double now) {
+        if (stalled || running.isEmpty() || !Double.isNaN(crashedAt)) {
             return 0;
         }
-        return terms.speed() * Math.min(1, terms.cores() / running.size()) * warmth(now) / slow;
+        return capacity.speed() * Math.min(1, capacity.cores() / running.size()) * capacityShare(now) / slowdown;
     }
 
-    /** From now on everything takes so many times as long. */
+    /** Slows all processing from now on by a factor. */
     public void slow(double factor) {
-        slow = factor;
+        slowdown = factor;
     }
 
-    /** From now on nothing gets done, or something again. */
-    public void stall(boolean stands) {
-        stalled = stands;
+    /** Stops or resumes all processing. */
+    public void stall(boolean isStalled) {
+        stalled = isStalled;
     }
 
     /**
-     * A request has come; whether it was taken in. All work that is sent counts for a fall, also what is rejected.
+     * Offers a request to the server; returns whether it was admitted. Rejected work counts toward a crash too.
      *
-     * @param work what it needs up to its first wait for the tier behind
-     * @param knows whether who sends it knows that this server is warming up
+     * @param work the work up to the first wait for the next tier
+     * @param senderInformed whether the sender knows that this server is warming up
      */
-    public boolean arrive(double now, long id, double work, boolean knows) {
-        press(now, work, knows);
-        if (!Double.isNaN(fell) || jobs.size() >= terms.slots() + terms.queue()) {
+    public boolean offer(double now, long id, double work, boolean senderInformed) {
+        recordOfferedWork(now, work, senderInformed);
+        if (!Double.isNaN(crashedAt) || jobs.size() >= capacity.slots() + capacity.queue()) {
             return false;
         }
         Job job = new Job(id, work);
         jobs.put(id, job);
-        if (inSlots < terms.slots()) {
+        if (inSlots < capacity.slots()) {
             inSlots++;
             running.put(id, job);
         } else {
@@ -137,62 +140,67 @@
         return true;
     }
 
-    private void press(double now, double work, boolean knows) {
-        if (warmth(now) >= 1 || !Double.isNaN(fell)) {
+    private void recordOfferedWork(double now, double work, boolean senderInformed) {
+        if (capacityShare(now) >= 1 || !Double.isNaN(crashedAt)) {
             return;
         }
-        double width = terms.fallAfter() / WINDOWS;
+        double width = capacity.crashWindowMs() / WINDOW_PARTS;
         if (sent.isEmpty() || now >= sent.peekLast().from + width) {
-            sent.add(new Sent(now));
+            sent.add(new SentWork(now));
         }
         sent.peekLast().work += work;
-        sent.peekLast().informed += knows ? work : 0;
-        while (sent.peekFirst().from < now - terms.fallAfter()) {
+        sent.peekLast().informed += senderInformed ? work : 0;
+        while (sent.peekFirst().from < now - capacity.crashWindowMs()) {
             sent.poll();
         }
-        double all = 0;
-        double known = 0;
-        for (Sent part : sent) {
-            all += part.work;
-            known += part.informed;
+        double total = 0;
+        double informedWork = 0;
+        for (SentWork part : sent) {
+            total += part.work;
+            informedWork += part.informed;
         }
-        // What it can do over the complete window, also where that began before the server did.
-        if (all > terms.fallMultiple() * terms.cores() * terms.speed() * warmth(now) * terms.fallAfter()) {
-            fell = now;
-            informed = known / all;
+        // The capacity over the full window, even if the server started after the window began.
+        if (total
+                > capacity.crashMultiple()
+                        * capacity.cores()
+                        * capacity.speed()
+                        * capacityShare(now)
+                        * capacity.crashWindowMs()) {
+            crashedAt = now;
+            informedShare = informedWork / total;
         }
     }
 
-    /** When it fell over; NaN if it did not. */
-    public double fell() {
-        return fell;
+    /** Returns the time of the crash; NaN if the server has not crashed. */
+    public double crashedAt() {
+        return crashedAt;
     }
 
-    /** The share of what pushed it over that came from senders who knew that it was warming up. */
-    public double informed() {
-        return informed;
+    /** Returns the share of the work behind the crash whose senders knew that the server was warming up. */
+    public double informedShare() {
+        return informedShare;
     }
 
-    /** A request that has done its part so far waits for the tier behind, and keeps its slot. */
-    public void hold(long id) {
+    /** Suspends a request while it waits for the next tier; it retains its slot. */
+    public void suspend(long id) {
         Job job = jobs.get(id);
         if (job != null && running.remove(id) != null) {
-            job.holds = true;
+            job.awaitsNextTier = true;
         }
     }
 
-    /** A request that waited for the tier behind has more to do. */
+    /** Resumes a request, which waited for the next tier, with more work. */
     public void resume(long id, double work) {
         Job job = jobs.get(id);
-        if (job != null && job.holds) {
-            job.holds = false;
-            job.left = work;
+        if (job != null && job.awaitsNextTier) {
+            job.awaitsNextTier = false;
+            job.remainingWork = work;
             running.put(id, job);
         }
     }
 
-    /** A request is over, whatever of it is done. */
-    public void leave(long id) {
+    /** Removes a request, even if it has work left. */
+    public void remove(long id) {
         Job job = jobs.remove(id);
         if (job == null) {
             return;
@@ -209,72 +217,72 @@
         }
     }
 
-    /** When the next request will have done its work, if nothing else happens; infinity for never. */
-    public double next() {
-        double scheduled = scheduled(time);
-        if (scheduled <= 0) {
+    /** Returns when the next request completes its work if nothing else happens; infinity for never. */
+    public double nextCompletionAt() {
+        double workRate = workRate(time);
+        if (workRate <= 0) {
             return NEVER;
         }
-        double least = NEVER;
+        double leastWork = NEVER;
         for (Job job : running.values()) {
-            least = Math.min(least, job.left);
+            leastWork = Math.min(leastWork, job.remainingWork);
         }
-        // One that is warming up gets faster: looked at again, it is done sooner than now seems.
-        return warmth(time) < 1
-                ? time + Math.min(STEP, Math.max(0, least / scheduled))
-                : time + Math.max(0, least / scheduled);
+        // The server gets faster during its warm-up, so the completion time is recalculated in short steps.
+        return capacityShare(time) < 1
+                ? time + Math.min(WARM_UP_STEP_MS, Math.max(0, leastWork / workRate))
+                : time + Math.max(0, leastWork / workRate);
     }
 
-    /** Lets time pass; those who have done their work up to a wait or an end, in the order in which they did. */
+    /** Advances time; returns the requests that completed their current work, in the order of their completion. */
     public List<Long> advance(double now) {
         List<Long> done = new ArrayList<>();
         while (time < now) {
-            double until = Math.min(now, next());
-            boolean stands = until <= time;
-            double did = scheduled(time) * (until - time);
-            time = until;
-            Iterator<Job> all = running.values().iterator();
-            boolean any = false;
+            double nextTime = Math.min(now, nextCompletionAt());
+            boolean atSameTime = nextTime <= time;
+            double doneWork = workRate(time) * (nextTime - time);
+            time = nextTime;
+            Iterator<Job> jobsLeft = running.values().iterator();
+            boolean isAnyFinished = false;
             List<Job> finished = new ArrayList<>();
-            while (all.hasNext()) {
-                Job job = all.next();
-                job.left -= did;
-                if (job.left <= DONE) {
+            while (jobsLeft.hasNext()) {
+                Job job = jobsLeft.next();
+                job.remainingWork -= doneWork;
+                if (job.remainingWork <= MAX_LEFTOVER_WORK_MS) {
                     finished.add(job);
-                    any = true;
+                    isAnyFinished = true;
                 }
             }
-            if (stands && !any) {
-                // Less is left than a step of time: it is done, or this would never end.
-                Job least = Collections.min(running.values(), Comparator.comparingDouble(j -> j.left));
-                finished.add(least);
-                any = true;
+            if (atSameTime && !isAnyFinished) {
+                // The remaining work is less than the resolution of time. Without this the loop would not end.
+                Job shortest = Collections.min(running.values(), Comparator.comparingDouble(j -> j.remainingWork));
+                finished.add(shortest);
+                isAnyFinished = true;
             }
             for (Job job : finished) {
                 done.add(job.id);
-                // It keeps its slot until it is let go on or removed.
+                // The request retains its slot until it is resumed or removed.
                 running.remove(job.id);
-                job.holds = true;
+                job.awaitsNextTier = true;
             }
-            if (any) {
+            if (isAnyFinished) {
                 return done;
             }
         }
         return done;
     }
 
-    /** Up to when time has passed. */
+    /** Returns the time up to which the model has advanced. */
     public double time() {
         return time;
     }
 
-    /** Requests that wait for a slot. */
-    public int queued() {
+    /** Returns the number of requests that wait for a slot. */
+    public int queuedRequests() {
         return waiting.size();
     }
 
-    /** Requests that have a slot. */
-    public int inWork() {
+    /** Returns the number of requests that have a slot. */
+    public int inProgress() {
         return inSlots;
     }
 }
--- a/src/main/java/sablehinge/tools/standin/model/package-info.java
+++ b/src/main/java/sablehinge/tools/standin/model/package-info.java
@@ -1,2 +1,2 @@
-/** A model of a server: capacity, queue, warm-up, faults by seed. It decides only. */
+/** A model of a server: capacity, queue, warm-up and seeded faults. It has no threads and does no input or output. */
 package sablehinge.tools.standin.model;
--- a/src/main/java/sablehinge/tools/standin/scenario/Scenario.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/Scenario.java
@@ -7,11 +7,11 @@
 import sablehinge.tools.standin.model.Faults.Fault;
 
 /**
- * Stand-in servers in tiers, with balancers before each, and what befalls them. Times are ms.
+ * Tiers of stand-in servers with balancers in front of each tier, and the faults that occur. Times are in ms.
  *
- * @param entry where the first balancer listens, the others on the ports behind it; port 0 for any
- * @param listDelay after which the list of servers knows of a change
- * @param warmUp for how long each balancer is sent requests that don't count, before all begins
+ * @param entry where the first balancer listens; the others listen on the ports that follow; port 0 for any
+ * @param listDelay the delay until the server list contains a change
+ * @param warmUp how long each balancer is sent unrecorded warm-up requests before the run
  */
 public record Scenario(
         long seed,
@@ -27,7 +27,7 @@
     /**
      * A class of requests.
      *
-     * @param work what a request needs over all tiers, in ms of one core at speed 1
+     * @param work the work of a request in all tiers together, in ms of one core at speed 1
      */
     public record ClassPart(
             String name,
@@ -43,11 +43,11 @@
     /**
      * A tier of servers.
      *
-     * @param balancers before the first tier; those of later ones belong to the servers that call
-     * @param share of a class's work that is done here
-     * @param calls to the next tier, one after another, for each request
-     * @param slowest speed of its servers, which are drawn evenly up to {@code fastest}
-     * @param cell how many servers share what they remember of keys
+     * @param balancers the number of balancers of the first tier; in later tiers each calling server has its own
+     * @param share the share of the work of a request that this tier does
+     * @param calls the number of sequential calls to the next tier for each request
+     * @param slowest the minimum speed of the servers; their speeds are distributed evenly up to {@code fastest}
+     * @param cell the number of servers that share their store of idempotency keys
      */
     public record TierPart(
             String name,
@@ -64,6 +64,6 @@
             double warmUpFrom,
             double warmUpFor) {}
 
-    /** The figures of the rules that balancers get. */
+    /** The parameters of the rules that the balancers follow. */
     public record RulesPart(double drainGrace, double fallMultiple, double fallAfter) {}
 }
--- a/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/ScenarioFile.java
@@ -23,10 +23,10 @@
 import sablehinge.tools.standin.scenario.Scenario.RulesPart;
 import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
-/** Reads a complete scenario: either it is right in every part, or all its problems are reported at once. */
+/** Reads and validates a scenario file; reports all problems of the file at once. */
 public final class ScenarioFile {
 
-    private static final double HOUR = 3.6e6;
+    private static final double HOUR_MS = 3.6e6;
     private static final int MAX_SERVERS = 500;
     private static final int MAX_FAULTS = 1_000;
     private static final int MAX_BRACKETS = 4_000;
@@ -34,13 +34,13 @@
     private ScenarioFile() {}
 
     /**
-     * What a reading has come to.
+     * The result of reading a scenario.
      *
-     * @param scenario null if there are problems
+     * @param scenario the scenario; null if there are problems
      */
     public record Checked(Scenario scenario, List<Problem> problems) {}
 
-    /** Reads the file at a path; one that can't be read is a problem too. */
+    /** Reads a file; an unreadable file is reported as a problem too. */
     public static Checked read(Path path) {
         try {
             return parse(new String(OperatorFile.bytes(path), java.nio.charset.StandardCharsets.UTF_8));
@@ -49,10 +49,10 @@
         }
     }
 
-    /** Reads the text of a scenario. */
+    /** Parses the text of a scenario file. */
     public static Checked parse(String text) {
         List<Problem> problems = new ArrayList<>();
-        // The parser is recursive; no scenario needs so many.
+        // The parser is recursive, so that deep nesting overflows the stack; no scenario needs so many brackets.
         if (text.chars().filter(c -> c == '[' || c == '{').count() > MAX_BRACKETS) {
             return new Checked(null, List.of(new Problem(0, "", "has more than " + MAX_BRACKETS + " brackets")));
         }
@@ -95,7 +95,7 @@
         }
         List<Fault> faults = root.sections("fault", MAX_FAULTS, s -> fault(s, names));
         Section rules = root.section("rules");
-        RulesPart figures = new RulesPart(
+        RulesPart rulesPart = new RulesPart(
                 rules.duration("drain-grace", 2_000, 0, 60_000),
                 rules.number("fall-multiple", 3, 1, 100),
                 rules.duration("fall-after", 1_500, 100, 60_000));
@@ -113,7 +113,7 @@
         if (classes.stream().map(ClassPart::name).distinct().count() < classes.size()) {
             root.problem("class", "two of them have one name");
         }
-        return new Scenario(seed, entry, zones, listDelay, warmUp, classes, tiers, faults, figures);
+        return new Scenario(seed, entry, zones, listDelay, warmUp, classes, tiers, faults, rulesPart);
     }
 
     private static ClassPart serviceClass(Section s) {
@@ -123,15 +123,15 @@
                 Repeat.AT_MOST_ONCE,
                 Map.of("safe", Repeat.IDEMPOTENT, "keyed", Repeat.DEDUPLICATED, "unsafe", Repeat.AT_MOST_ONCE));
         Group group = s.choice("group", Group.ALL, Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL));
-        double window = s.duration("window", effect == Repeat.DEDUPLICATED ? 4_000 : 0, 1, HOUR);
-        double aim = s.duration("aim", 1_000, 1, HOUR);
+        double window = s.duration("window", effect == Repeat.DEDUPLICATED ? 4_000 : 0, 1, HOUR_MS);
+        double aim = s.duration("aim", 1_000, 1, HOUR_MS);
         return new ClassPart(
                 name,
                 effect,
                 group,
                 window,
                 aim,
-                s.duration("deadline", 2.5 * aim, 1, HOUR),
+                s.duration("deadline", 2.5 * aim, 1, HOUR_MS),
                 s.number("worth", 1, 1e-6, 1e6),
                 s.number("late-worth", 0.5, 0, 1),
                 s.duration("work", 10, 0, 60_000));
@@ -157,7 +157,7 @@
                 s.integer("queue", 200, 0, 1_000_000),
                 s.integer("cell", 4, 1, MAX_SERVERS),
                 s.number("cold-from", 0.2, 0.01, 1),
-                s.duration("cold", 12_000, 0, HOUR));
+                s.duration("cold", 12_000, 0, HOUR_MS));
     }
 
     private static Fault fault(Section s, Map<String, Integer> tiers) {
@@ -169,12 +169,12 @@
             s.problem("kind", "is missing, expected what happens, such as \"stall\"");
         }
         Kind kind = s.choice("kind", Kind.STALL, kinds);
-        double from = s.duration("at", 0, 0, HOUR);
+        double from = s.duration("at", 0, 0, HOUR_MS);
         return new Fault(
                 kind,
                 s.choice("tier", -1, tiers),
                 from,
-                from + s.duration("for", 5_000, 1, HOUR),
+                from + s.duration("for", 5_000, 1, HOUR_MS),
                 s.integer("servers", 1, 1, MAX_SERVERS),
                 s.number("size", 2, 1, 1_000),
                 s.number("chance", 0.1, 0, 1));
--- a/src/main/java/sablehinge/tools/standin/scenario/package-info.java
+++ b/src/main/java/sablehinge/tools/standin/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** The scenario file of the stand-ins: tiers, classes, faults. */
+/** The scenario file of the stand-in servers: tiers, request classes and faults. */
 package sablehinge.tools.standin.scenario;
--- a/src/test/java/sablehinge/tools/standin/scenario/ScenarioFileTest.java
+++ b/src/test/java/sablehinge/tools/standin/scenario/ScenarioFileTest.java
@@ -14,14 +14,14 @@
 
 class ScenarioFileTest {
 
-    private static final String MIN = "[[class]]\nname = \"tile\"\n[[tier]]\nname = \"front\"\n";
+    private static final String MINIMAL_SCENARIO = "[[class]]\nname = \"tile\"\n[[tier]]\nname = \"front\"\n";
 
     private static List<String> problems(String text) {
         return ScenarioFile.parse(text).problems().stream().map(p -> p.in("f")).toList();
     }
 
     @Test
-    void theExamplesAreRight() throws IOException {
+    void acceptsExampleScenarios() throws IOException {
         try (var files = Files.list(Path.of("deploy/scenarios"))) {
             files.forEach(
                     file -> assertEquals(List.of(), ScenarioFile.read(file).problems(), file.toString()));
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void aShortOneHasDefaults() {
-        Scenario scenario = ScenarioFile.parse(MIN).scenario();
+    void minimalScenarioGetsDefaults() {
+        Scenario scenario = ScenarioFile.parse(MINIMAL_SCENARIO).scenario();
         assertNotNull(scenario);
         assertEquals(List.of("main"), scenario.zones());
         assertEquals(3, scenario.tiers().get(0).servers());
@@ -43,8 +43,8 @@
     }
 
     @Test
-    void faultsNameTheirTier() {
-        Scenario scenario = ScenarioFile.parse(MIN
+    void resolvesTierNamesOfFaults() {
+        Scenario scenario = ScenarioFile.parse(MINIMAL_SCENARIO
                         + "[[fault]]\nkind = \"reset-before\"\ntier = \"front\"\nat = \"2s\"\n"
                         + "for = \"500ms\"\nchance = 0.5\n[[fault]]\nkind = \"slow\"\n")
                 .scenario();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void allThatIsWrongIsToldWithItsLine() {
+    void reportsAllProblemsWithTheirLines() {
         assertEquals(
                 List.of(
                         "f:1: class: is missing, expected at least one table [[class]]",
@@ -70,11 +70,11 @@
                 List.of(
                         "f:6: fault[1].kind: \"stal\", did you mean stall?",
                         "f:7: fault[1].tier: \"frnt\", did you mean front?"),
-                problems(MIN + "[[fault]]\nkind = \"stal\"\n" + "tier = \"frnt\"\n"));
+                problems(MINIMAL_SCENARIO + "[[fault]]\nkind = \"stal\"\n" + "tier = \"frnt\"\n"));
         assertEquals(
                 List.of("f:1: listen: is no loopback address, expected one such as \"127.0.0.1:8080\""),
-                problems("listen = \"192.0.2.1:80\"\n" + MIN));
-        assertEquals(1, problems(MIN + MIN).size() - 1, "a class and a tier that are there twice");
+                problems("listen = \"192.0.2.1:80\"\n" + MINIMAL_SCENARIO));
+        assertEquals(1, problems(MINIMAL_SCENARIO + MINIMAL_SCENARIO).size() - 1, "duplicate class and duplicate tier");
         assertNull(ScenarioFile.parse("[".repeat(5_000)).scenario());
         assertEquals(
                 List.of("nowhere: there is no such file"),
