--- a/src/main/java/sablehinge/tools/standin/AuditTerms.java
+++ b/src/main/java/sablehinge/tools/standin/AuditTerms.java
@@ -6,15 +6,15 @@
 import sablehinge.tools.audit.judge.AuditRules.Effect;
 import sablehinge.tools.audit.judge.AuditRules.Group;
 
-/** What the audit holds a class of requests to, from the terms that balancers have for it. */
+/** Converts the terms of a request class from those of balancers to those of the audit. */
 public final class AuditTerms {
 
     private AuditTerms() {}
 
     /**
-     * The audit's terms of a class.
+     * Returns the terms of a class for the audit.
      *
-     * @param window in ms, for how long a repeat is recognized
+     * @param window how long a repeated key is recognized, in ms
      */
     public static ClassTerms of(Repeat repeat, LoadBalancer.Group group, double window) {
         return new ClassTerms(effect(repeat), Group.valueOf(group.name()), window);
--- a/src/main/java/sablehinge/tools/standin/Balancers.java
+++ b/src/main/java/sablehinge/tools/standin/Balancers.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import sablehinge.tools.standin.scenario.Scenario;
 
-/** Starts balancers between the tiers: real ones, which this package knows nothing of. */
+/** Starts the real balancers between the tiers; keeps this package independent of their implementation. */
 public interface Balancers {
 
-    /** A balancer that serves. */
+    /** A running balancer. */
     interface Running {
 
-        /** Where it listens. */
+        /** Returns the address at which the balancer listens. */
         InetSocketAddress address();
 
-        /** Ends it at once, whatever it has under way; may take a moment. */
+        /** Stops the balancer immediately, regardless of its in-flight requests; may block for a short time. */
         void kill();
     }
 
     /**
-     * A server as a balancer's list has it.
+     * A server in the list of a balancer.
      *
-     * @param startedMillis when it last started, in ms since 1970; 0 for long ago
+     * @param startedMillis the epoch time in ms of the last start; 0 for a server that is warmed up
      */
     record Listed(
             String id,
@@ -32,12 +32,13 @@
             long startedMillis) {}
 
     /**
-     * A balancer that is wanted.
+     * A balancer to be started.
      *
-     * @param tier to which it sends
-     * @param position among so many {@code siblings}
-     * @param listen its port may be 0
-     * @param known the servers that it knows from its start
+     * @param tier the index of the tier to which the balancer sends
+     * @param position the index of the balancer among the {@code siblings}
+     * @param siblings the number of balancers of the tier
+     * @param listen the address at which it listens; the port may be 0
+     * @param known the initial servers of the balancer
      */
     record Spec(
             String name,
@@ -51,6 +52,6 @@
             Scenario scenario,
             List<Listed> known) {}
 
-    /** Starts one, which serves once this returns; the error says why it doesn't. */
+    /** Starts a balancer and returns when it serves; throws an exception with the cause if it fails to start. */
     Running start(Spec spec) throws Exception;
 }
--- a/src/main/java/sablehinge/tools/standin/Caller.java
+++ b/src/main/java/sablehinge/tools/standin/Caller.java
@@ -32,12 +32,12 @@
 import sablehinge.tools.audit.judge.Evidence.Unasked;
 
 /**
- * A server's calls to the tier behind, through its own balancer. Nobody tries them again here: that is the balancer's
- * part. The server's event loop owns it.
+ * Sends the calls of a server to the next tier through the balancer of the server. A call that fails is not retried
+ * here, because retries belong to the balancer. Confined to the event loop of the server.
  */
 final class Caller {
 
-    /** How long after a call's time is up its connection stays, so that an answer that is late is seen. */
+    /** How long a connection stays open after the deadline of its call, so that a late response is recorded. */
     private static final long LINGER_MS = 150;
 
     private static final long IDLE_MS = 1_500;
@@ -51,39 +51,39 @@
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
     private boolean closed;
 
-    /** A call that is out. */
+    /** A call in flight. */
     final class Call {
         private final String txn;
         private final String serviceClass;
         private final String key;
-        private final double until;
+        private final double deadline;
         private final Consumer<Boolean> end;
         private final DefaultFullHttpRequest request;
         private ScheduledFuture<?> expiry;
         private Connection connection;
-        private double sent = Double.NaN;
-        private boolean over;
-        private boolean noted;
-        private boolean again;
+        private double sentAt = Double.NaN;
+        private boolean ended;
+        private boolean recorded;
+        private boolean reconnected;
 
         private Call(
                 String txn,
                 String serviceClass,
                 String key,
-                double until,
+                double deadline,
                 DefaultFullHttpRequest request,
                 Consumer<Boolean> end) {
             this.txn = txn;
             this.serviceClass = serviceClass;
             this.key = key;
-            this.until = until;
+            this.deadline = deadline;
             this.request = request;
             this.end = end;
         }
 
-        private void note(End how, double answered, int status, Echo echo) {
-            if (!noted) {
-                noted = true;
+        private void recordOutcome(End outcome, double answeredAt, int status, Echo echo) {
+            if (!recorded) {
+                recorded = true;
                 record.accept(new Tried(
                         EvidenceStamps.now(),
                         name,
@@ -92,31 +92,31 @@
                         txn,
                         serviceClass,
                         key,
-                        sent,
-                        until,
-                        answered,
-                        how,
+                        sentAt,
+                        deadline,
+                        answeredAt,
+                        outcome,
                         status,
                         echo));
             }
         }
 
         private void finish(boolean served) {
-            if (!over) {
-                over = true;
+            if (!ended) {
+                ended = true;
                 expiry.cancel(false);
                 end.accept(served);
             }
         }
 
-        /** Whoever sent the request has gone: so does this. */
+        /** Cancels the call because the client of the request has disconnected. */
         void cancel() {
-            if (!over) {
-                over = true;
+            if (!ended) {
+                ended = true;
                 expiry.cancel(false);
-                note(End.LEFT, Double.NaN, 0, Echo.UNKNOWN);
+                recordOutcome(End.LEFT, Double.NaN, 0, Echo.UNKNOWN);
                 if (connection != null) {
-                    connection.waits = null;
+                    connection.current = null;
                     connection.channel.close();
                 }
             }
@@ -131,27 +131,27 @@
         this.record = record;
     }
 
-    /** Makes a call; {@code end} is called once with whether it was served. */
+    /** Sends a call; {@code end} is called once with whether the call succeeded. */
     Call call(
             String txn,
-            boolean get,
+            boolean idempotent,
             String serviceClass,
             String key,
             String cookie,
-            double until,
+            double deadline,
             Consumer<Boolean> end) {
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                get ? HttpMethod.GET : HttpMethod.POST,
+                idempotent ? HttpMethod.GET : HttpMethod.POST,
                 "/" + serviceClass,
-                get ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer("call", StandardCharsets.US_ASCII));
-        double left = until - EvidenceStamps.now();
+                idempotent ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer("call", StandardCharsets.US_ASCII));
+        double remainingMs = deadline - EvidenceStamps.now();
         request.headers()
                 .set("Host", "app.svc")
                 .set("X-Txn", txn)
                 .set("X-Lane", serviceClass)
-                .set("X-Remaining", String.format(Locale.ROOT, "%.4f", Math.max(0, left) / 1_000));
-        if (!get) {
+                .set("X-Remaining", String.format(Locale.ROOT, "%.4f", Math.max(0, remainingMs) / 1_000));
+        if (!idempotent) {
             request.headers().set("Content-Length", request.content().readableBytes());
         }
         if (!key.isEmpty()) {
@@ -160,17 +160,18 @@
         if (cookie != null) {
             request.headers().set("Cookie", cookie);
         }
-        Call call = new Call(txn, serviceClass, key, until, request, end);
-        call.expiry = loop.schedule(() -> expire(call), (long) Math.max(1, left), TimeUnit.MILLISECONDS);
-        Connection kept = idle.pollLast();
-        while (kept != null && (!kept.channel.isActive() || EvidenceStamps.now() - kept.since > IDLE_MS)) {
-            kept.channel.close();
-            kept = idle.pollLast();
+        Call call = new Call(txn, serviceClass, key, deadline, request, end);
+        call.expiry = loop.schedule(() -> expire(call), (long) Math.max(1, remainingMs), TimeUnit.MILLISECONDS);
+        Connection idleConnection = idle.pollLast();
+        while (idleConnection != null
+                && (!idleConnection.channel.isActive() || EvidenceStamps.now() - idleConnection.idleSince > IDLE_MS)) {
+            idleConnection.channel.close();
+            idleConnection = idle.pollLast();
         }
-        if (kept == null) {
+        if (idleConnection == null) {
             connect(call);
         } else {
-            kept.send(call);
+            idleConnection.send(call);
         }
         return call;
     }
@@ -190,13 +191,13 @@
                     }
                 })
                 .connect(address)
-                .addListener((ChannelFuture up) -> {
-                    connection.channel = up.channel();
-                    if (!up.isSuccess()) {
-                        call.note(End.UNREACHABLE, Double.NaN, 0, Echo.UNKNOWN);
+                .addListener((ChannelFuture connected) -> {
+                    connection.channel = connected.channel();
+                    if (!connected.isSuccess()) {
+                        call.recordOutcome(End.UNREACHABLE, Double.NaN, 0, Echo.UNKNOWN);
                         call.finish(false);
-                    } else if (call.over || closed) {
-                        up.channel().close();
+                    } else if (call.ended || closed) {
+                        connected.channel().close();
                     } else {
                         connection.send(call);
                     }
@@ -204,18 +205,18 @@
     }
 
     private void expire(Call call) {
-        if (call.over) {
+        if (call.ended) {
             return;
         }
-        call.over = true;
-        if (call.connection == null || call.connection.waits != call) {
-            call.note(End.UNREACHABLE, Double.NaN, 0, Echo.UNKNOWN);
+        call.ended = true;
+        if (call.connection == null || call.connection.current != call) {
+            call.recordOutcome(End.UNREACHABLE, Double.NaN, 0, Echo.UNKNOWN);
         } else {
             loop.schedule(
                     () -> {
-                        if (call.connection.waits == call) {
-                            call.connection.waits = null;
-                            call.note(End.SILENT, Double.NaN, 0, Echo.UNKNOWN);
+                        if (call.connection.current == call) {
+                            call.connection.current = null;
+                            call.recordOutcome(End.SILENT, Double.NaN, 0, Echo.UNKNOWN);
                             call.connection.channel.close();
                         }
                     },
@@ -225,7 +226,7 @@
         call.end.accept(false);
     }
 
-    /** Ends with its server. */
+    /** Closes the idle connections when the server stops. */
     void close() {
         closed = true;
         idle.forEach(connection -> connection.channel.close());
@@ -235,17 +236,17 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private Channel channel;
-        private Call waits;
-        private String before = "";
-        private double since;
+        private Call current;
+        private String lastTxn = "";
+        private double idleSince;
         private boolean used;
 
         void send(Call call) {
-            waits = call;
+            current = call;
             call.connection = this;
             channel.writeAndFlush(call.request.retainedDuplicate()).addListener(written -> {
                 if (written.isSuccess()) {
-                    call.sent = EvidenceStamps.now();
+                    call.sentAt = EvidenceStamps.now();
                 } else {
                     channel.close();
                 }
@@ -254,24 +255,24 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Call call = waits;
+            Call call = current;
             if (call == null) {
-                record.accept(new Unasked(EvidenceStamps.now(), name, balancer, before));
+                record.accept(new Unasked(EvidenceStamps.now(), name, balancer, lastTxn));
                 ctx.close();
                 return;
             }
-            waits = null;
-            before = call.txn;
+            current = null;
+            lastTxn = call.txn;
             used = true;
             int status = response.status().code();
-            String start = response.content()
+            String bodyStart = response.content()
                     .toString(0, Math.min(160, response.content().readableBytes()), StandardCharsets.ISO_8859_1);
-            Echo echo = !start.startsWith("txn=")
+            Echo echo = !bodyStart.startsWith("txn=")
                     ? Echo.UNKNOWN
-                    : start.startsWith(call.txn + "\n", 4) ? Echo.SAME : Echo.OTHER;
-            call.note(End.ANSWERED, EvidenceStamps.now(), status, echo);
+                    : bodyStart.startsWith(call.txn + "\n", 4) ? Echo.SAME : Echo.OTHER;
+            call.recordOutcome(End.ANSWERED, EvidenceStamps.now(), status, echo);
             if (HttpUtil.isKeepAlive(response) && !closed) {
-                since = EvidenceStamps.now();
+                idleSince = EvidenceStamps.now();
                 idle.addLast(this);
             } else {
                 ctx.close();
@@ -282,18 +283,18 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.remove(this);
-            Call call = waits;
-            waits = null;
+            Call call = current;
+            current = null;
             if (call == null) {
                 return;
             }
-            if (used && !call.again && !call.over && !closed) {
-                call.again = true;
-                call.sent = Double.NaN;
+            if (used && !call.reconnected && !call.ended && !closed) {
+                call.reconnected = true;
+                call.sentAt = Double.NaN;
                 connect(call);
                 return;
             }
-            call.note(Double.isNaN(call.sent) ? End.UNREACHABLE : End.BROKEN, Double.NaN, 0, Echo.UNKNOWN);
+            call.recordOutcome(Double.isNaN(call.sentAt) ? End.UNREACHABLE : End.BROKEN, Double.NaN, 0, Echo.UNKNOWN);
             call.finish(false);
         }
 
--- a/src/main/java/sablehinge/tools/standin/Directory.java
+++ b/src/main/java/sablehinge/tools/standin/Directory.java
@@ -37,41 +37,42 @@
 import sablehinge.tools.audit.judge.Evidence.ListSent;
 
 /**
- * The list of servers of a tier, and watches on it, by PROTOCOL. Each balancer asks at an address of its own, and is
- * given addresses of its own, so that servers can tell who sends. One event loop owns it.
+ * Serves the list of the servers of a tier, and watches on it, as specified in PROTOCOL. Each balancer requests the
+ * list at its own address, and the list contains server addresses of that balancer only, so that servers can identify
+ * the sender of a request. Confined to one event loop.
  */
 final class Directory {
 
     private static final int MAX_WAIT_MS = 60_000;
 
-    /** A server as the list has it. */
+    /** The entry of a server in the list. */
     record Entry(String id, String zone, String kind, int cell, String state, long startedMillis) {}
 
-    /** Where a server listens for a balancer. */
+    /** The addresses of servers; each server listens at one address for each balancer. */
     interface Addresses {
 
         InetSocketAddress of(String server, String balancer);
     }
 
-    /** An answer that is pending: to a watch, or to anybody while the list answers nothing. */
-    private record Owed(String balancer, ChannelHandlerContext ctx, long index, double until) {}
+    /** A pending response: to a watch, or to any request while the list is paused. */
+    private record PendingResponse(String balancer, ChannelHandlerContext ctx, long index, double expiresAt) {}
 
     private final EventLoop loop;
     private final Addresses addresses;
     private final Consumer<Evidence> record;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    /** For each version the entry that it changed. */
+    /** The changed entry of each version. */
     private final List<Entry> changes = new ArrayList<>();
 
-    private final List<Owed> owed = new ArrayList<>();
+    private final List<PendingResponse> pendingResponses = new ArrayList<>();
     private final List<Channel> listeners = new ArrayList<>();
-    /** The state of each server that each balancer was last sent. */
-    private final Map<String, Map<String, String>> received = new HashMap<>();
-    /** Balancers that know of the last start of a server, as BALANCER SERVER; read by the servers' loops. */
+    /** The last state of each server that was sent to each balancer. */
+    private final Map<String, Map<String, String>> lastSentStates = new HashMap<>();
+    /** Pairs BALANCER SERVER: the balancer was notified of the last start of the server. Read by the servers' loops. */
     private final Set<String> knowsStart = ConcurrentHashMap.newKeySet();
 
-    private boolean unresponsive;
-    private ScheduledFuture<?> due;
+    private boolean responsesPaused;
+    private ScheduledFuture<?> expiry;
 
     Directory(EventLoop loop, Addresses addresses, Consumer<Evidence> record) {
         this.loop = loop;
@@ -83,7 +84,7 @@
         return loop;
     }
 
-    /** Opens a balancer's place to ask. */
+    /** Opens the address at which a balancer requests the list. */
     InetSocketAddress open(String balancer) throws InterruptedException {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -104,7 +105,7 @@
         return (InetSocketAddress) bound.channel().localAddress();
     }
 
-    /** The list as it is; on the loop. */
+    /** Returns the current list for a balancer; called on the loop. */
     List<Balancers.Listed> listed(String balancer) {
         List<Balancers.Listed> listed = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -117,7 +118,9 @@
                         entry.cell,
                         entry.state,
                         entry.startedMillis));
-                received.computeIfAbsent(balancer, name -> new HashMap<>()).put(entry.id, entry.state);
+                lastSentStates
+                        .computeIfAbsent(balancer, name -> new HashMap<>())
+                        .put(entry.id, entry.state);
                 if (entry.startedMillis > 0) {
                     knowsStart.add(balancer + ' ' + entry.id);
                 }
@@ -126,71 +129,74 @@
         return listed;
     }
 
-    /** A server's entry is another from now on; on the loop. */
+    /** Replaces the entry of a server; called on the loop. */
     void change(Entry entry) {
-        Entry before = entries.put(entry.id, entry);
-        if (before != null && before.startedMillis != entry.startedMillis) {
+        Entry previous = entries.put(entry.id, entry);
+        if (previous != null && previous.startedMillis != entry.startedMillis) {
             knowsStart.removeIf(pair -> pair.endsWith(' ' + entry.id));
         }
         changes.add(entry);
-        tellAll();
+        answerDue();
     }
 
-    /** Whether a balancer was notified that a server has started, as it last did; on any thread. */
+    /** Returns whether a balancer was notified of the last start of a server; called on any thread. */
     boolean knowsStart(String balancer, String server) {
         return knowsStart.contains(balancer + ' ' + server);
     }
 
-    /** From now on nobody is answered, or all are; on the loop. */
-    void listPause(boolean on) {
-        unresponsive = on;
-        tellAll();
+    /** Pauses or resumes all responses; called on the loop. */
+    void pauseResponses(boolean pause) {
+        responsesPaused = pause;
+        answerDue();
     }
 
-    private void tellAll() {
-        if (unresponsive) {
+    private void answerDue() {
+        if (responsesPaused) {
             return;
         }
         double now = EvidenceStamps.now();
-        List<Owed> all = List.copyOf(owed);
-        owed.clear();
-        for (Owed one : all) {
-            if (one.index < changes.size() || now >= one.until) {
-                answer(one);
+        List<PendingResponse> previous = List.copyOf(pendingResponses);
+        pendingResponses.clear();
+        for (PendingResponse pending : previous) {
+            if (pending.index < changes.size() || now >= pending.expiresAt) {
+                answer(pending);
             } else {
-                owed.add(one);
+                pendingResponses.add(pending);
             }
         }
-        if (due != null) {
-            due.cancel(false);
+        if (expiry != null) {
+            expiry.cancel(false);
         }
-        double next = owed.stream().mapToDouble(Owed::until).min().orElse(Double.NaN);
-        due = Double.isNaN(next)
+        double nextExpiry = pendingResponses.stream()
+                .mapToDouble(PendingResponse::expiresAt)
+                .min()
+                .orElse(Double.NaN);
+        expiry = Double.isNaN(nextExpiry)
                 ? null
-                : loop.schedule(this::tellAll, (long) Math.max(1, next - now + 1), TimeUnit.MILLISECONDS);
+                : loop.schedule(this::answerDue, (long) Math.max(1, nextExpiry - now + 1), TimeUnit.MILLISECONDS);
     }
 
-    private void answer(Owed one) {
-        if (!one.ctx.channel().isActive()) {
+    private void answer(PendingResponse pending) {
+        if (!pending.ctx.channel().isActive()) {
             return;
         }
-        // A balancer that has no list yet, or one of another directory, gets the full list.
-        boolean full = one.index < 0 || one.index > changes.size();
-        Map<String, Entry> wanted = new TreeMap<>();
+        // A balancer without a list, or with a version of a different directory, gets the full list.
+        boolean full = pending.index < 0 || pending.index > changes.size();
+        Map<String, Entry> sentEntries = new TreeMap<>();
         if (full) {
             entries.forEach((id, entry) -> {
                 if (!entry.state.equals("removed")) {
-                    wanted.put(id, entry);
+                    sentEntries.put(id, entry);
                 }
             });
         } else {
-            changes.subList((int) one.index, changes.size()).forEach(entry -> wanted.put(entry.id, entry));
+            changes.subList((int) pending.index, changes.size()).forEach(entry -> sentEntries.put(entry.id, entry));
         }
         ObjectNode json = JsonNodeFactory.instance.objectNode();
         json.put("version", changes.size()).put("full", full);
         var servers = json.putArray("servers");
-        for (Entry entry : wanted.values()) {
-            InetSocketAddress address = addresses.of(entry.id, one.balancer);
+        for (Entry entry : sentEntries.values()) {
+            InetSocketAddress address = addresses.of(entry.id, pending.balancer);
             servers.addObject()
                     .put("id", entry.id)
                     .put("addr", address.getHostString() + ":" + address.getPort())
@@ -201,15 +207,19 @@
                     .put("weight", 1.0)
                     .put("started_ms", entry.startedMillis);
         }
-        write(one.ctx, HttpResponseStatus.OK, json.toString(), () -> wrote(one.balancer, full, wanted));
+        write(
+                pending.ctx,
+                HttpResponseStatus.OK,
+                json.toString(),
+                () -> recordSent(pending.balancer, full, sentEntries));
     }
 
-    /** It has been written out: from now on the balancer counts as notified. */
-    private void wrote(String balancer, boolean full, Map<String, Entry> wanted) {
+    /** Records that a response was written: the balancer counts as notified from now on. */
+    private void recordSent(String balancer, boolean full, Map<String, Entry> sentEntries) {
         double now = EvidenceStamps.now();
-        Map<String, String> before = received.computeIfAbsent(balancer, name -> new HashMap<>());
-        wanted.forEach((id, entry) -> {
-            if (!entry.state.equals(before.put(id, entry.state))) {
+        Map<String, String> lastStates = lastSentStates.computeIfAbsent(balancer, name -> new HashMap<>());
+        sentEntries.forEach((id, entry) -> {
+            if (!entry.state.equals(lastStates.put(id, entry.state))) {
                 record.accept(new ListSent(now, balancer, id, entry.state));
             }
             if (entry.startedMillis > 0 && entry.state.equals("up")) {
@@ -217,8 +227,8 @@
             }
         });
         if (full) {
-            before.replaceAll((id, state) -> {
-                if (wanted.containsKey(id) || state.equals("removed")) {
+            lastStates.replaceAll((id, state) -> {
+                if (sentEntries.containsKey(id) || state.equals("removed")) {
                     return state;
                 }
                 record.accept(new ListSent(now, balancer, id, "removed"));
@@ -239,7 +249,7 @@
         });
     }
 
-    /** A balancer's connection. */
+    /** Handles the requests on a connection of a balancer. */
     private final class ListRequest extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private final String balancer;
@@ -257,8 +267,8 @@
             }
             long index = number(query, "index", -1);
             long wait = Math.min(MAX_WAIT_MS, number(query, "wait", 0));
-            owed.add(new Owed(balancer, ctx, index, EvidenceStamps.now() + wait));
-            tellAll();
+            pendingResponses.add(new PendingResponse(balancer, ctx, index, EvidenceStamps.now() + wait));
+            answerDue();
         }
 
         private static long number(QueryStringDecoder query, String name, long fallback) {
@@ -272,7 +282,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            owed.removeIf(one -> one.ctx == ctx);
+            pendingResponses.removeIf(pending -> pending.ctx == ctx);
         }
 
         @Override
--- a/src/main/java/sablehinge/tools/standin/Fleet.java
+++ b/src/main/java/sablehinge/tools/standin/Fleet.java
@@ -36,20 +36,21 @@
 import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
 /**
- * Tiers of stand-in servers with balancers before each, and what befalls them. Clients reach the first tier at the
- * entries; each server of an earlier tier has a balancer of its own for the next, which starts and stops with it.
+ * Runs tiers of stand-in servers with balancers in front of each tier, and injects the faults of the scenario. Clients
+ * reach the first tier at the entries. Each server of an earlier tier has its own balancer for the next tier, which
+ * starts and stops with the server.
  */
 public final class Fleet implements AutoCloseable {
 
-    private static final double ANSWER_GRACE = 70;
-    private static final double SLACK = 250;
-    private static final int START_S = 120;
-    private static final long WARM_UP_EVERY_MS = 2;
-    private static final long WARM_UP_REST_MS = 300;
-    /** How the names of requests begin by which the code is warmed up. */
+    private static final double ANSWER_GRACE_MS = 70;
+    private static final double SLACK_MS = 250;
+    private static final int START_TIMEOUT_S = 120;
+    private static final long WARM_UP_INTERVAL_MS = 2;
+    private static final long WARM_UP_SETTLE_MS = 300;
+    /** The prefix of the transaction ids of warm-up requests. */
     private static final String WARM_UP_ID = "warm-up-";
 
-    private static final double MICROS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private final Scenario scenario;
     private final Balancers balancers;
@@ -62,30 +63,30 @@
     private final Map<String, Server> servers = new HashMap<>();
     private final Map<String, Running> running = new LinkedHashMap<>();
     private final List<InetSocketAddress> entries = new ArrayList<>();
-    /** Starts and kills what takes time, one after another, and strikes when it is due. */
-    private final ScheduledExecutorService serviceOwner =
+    /** Runs slow starts and stops one after another, and starts and ends the faults on time. */
+    private final ScheduledExecutorService controlThread =
             Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("keeper", true));
-    /** When all was up; in the far future before. */
-    private volatile double begun;
+    /** The time at which the fleet was up, in ms; in the far future until then. */
+    private volatile double startedAt;
 
     private volatile boolean closed;
-    /** Whether what is seen is recorded: not while the fleet warms up. */
+    /** Whether evidence is recorded; false during the warm-up of the fleet. */
     private volatile boolean recording;
 
     /**
-     * A fleet that has not started.
+     * Creates a fleet without starting it.
      *
-     * @param threads event loops of the servers
-     * @param record called with what servers and lists saw, on their threads
-     * @param story called with a line of text for each fault of the fleet
+     * @param threads the number of event loops of the servers
+     * @param record called with the records of servers and server lists, on their threads
+     * @param story called with a line of text for each begin and end of a fault
      */
     public Fleet(
             Scenario scenario, Balancers balancers, int threads, Consumer<Evidence> record, Consumer<String> story) {
         this.scenario = scenario;
         this.balancers = balancers;
-        this.record = one -> {
-            if (recording && !isOfWarmUp(one)) {
-                record.accept(one);
+        this.record = evidence -> {
+            if (recording && !isFromWarmUp(evidence)) {
+                record.accept(evidence);
             }
         };
         this.story = story;
@@ -99,30 +100,30 @@
         }
     }
 
-    /** Starts all, and returns once every balancer serves; faults count from here. */
+    /** Starts the fleet and returns when all balancers serve. The times of faults count from the return. */
     public void start() throws Exception {
-        // Faults may look at the time before all is up.
-        begun = EvidenceStamps.now() + 1e12;
+        // Faults may read this field before the fleet is up.
+        startedAt = EvidenceStamps.now() + 1e12;
         try {
-            serviceOwner
+            controlThread
                     .submit(() -> {
                         build();
                         return null;
                     })
-                    .get(START_S, TimeUnit.SECONDS);
+                    .get(START_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             close();
             throw e.getCause() instanceof Exception cause ? cause : e;
         }
     }
 
-    private double begun() {
-        return begun;
+    private double startedAt() {
+        return startedAt;
     }
 
     private void build() throws Exception {
         SplittableRandom random = new SplittableRandom(scenario.seed());
-        double start = EvidenceStamps.now();
+        double buildStart = EvidenceStamps.now();
         for (int tier = 0; tier < scenario.tiers().size(); tier++) {
             Directory directory = new Directory(
                     loops.get(tier % loops.size()),
@@ -138,13 +139,13 @@
                 double speed = part.fastest() > part.slowest()
                         ? random.nextDouble(part.slowest(), part.fastest())
                         : part.slowest();
-                // Those of a cell share a loop, as they share what they remember.
+                // The servers of a cell share a loop, because they share their store of idempotency keys.
                 Server server = new Server(
                         new Server.Place(part.name() + "-" + (i + 1), tier, i, zone, cell),
                         loops.get((tier + cell) % loops.size()),
                         scenario,
                         faults,
-                        this::begun,
+                        this::startedAt,
                         directory,
                         cells.computeIfAbsent(cell, key -> new HashMap<>()),
                         speed,
@@ -154,7 +155,7 @@
                 servers.put(server.place().name(), server);
             }
         }
-        // From the last tier on, so that each server finds what it calls.
+        // The last tier starts first, so that each server can reach the next tier.
         for (int tier = scenario.tiers().size() - 1; tier >= 0; tier--) {
             List<String> senders = new ArrayList<>();
             if (tier == 0) {
@@ -193,7 +194,7 @@
             }
         }
         warmUp();
-        begun = EvidenceStamps.now();
+        startedAt = EvidenceStamps.now();
         recording = true;
         story.accept(String.format(
                 Locale.ROOT,
@@ -201,26 +202,26 @@
                 servers.size(),
                 tiers.size(),
                 running.size(),
-                (begun - start) / 1_000));
+                (startedAt - buildStart) / 1_000));
         schedule();
     }
 
-    /** On a busy machine a request of the warm-up may still run when the record has begun. */
-    static boolean isOfWarmUp(Evidence one) {
-        return one instanceof Evidence.Ran ran && ran.txn().startsWith(WARM_UP_ID)
-                || one instanceof Evidence.Noted noted && noted.txn().startsWith(WARM_UP_ID);
+    /** Returns whether a record belongs to a warm-up request, which may still run when recording starts. */
+    static boolean isFromWarmUp(Evidence evidence) {
+        return evidence instanceof Evidence.Ran ran && ran.txn().startsWith(WARM_UP_ID)
+                || evidence instanceof Evidence.Noted noted && noted.txn().startsWith(WARM_UP_ID);
     }
 
-    /** Lets the code be compiled before it counts: what has just started is late by tenths of a second. */
+    /** Sends requests until the code is compiled; without it the first requests are late by tenths of a second. */
     private void warmUp() throws InterruptedException {
         ClassPart type = scenario.classes().get(0);
         boolean keyed = type.effect() == Repeat.DEDUPLICATED;
-        int each = (int) (scenario.warmUp() / WARM_UP_EVERY_MS);
-        CountDownLatch left = new CountDownLatch(each * entries.size());
+        int requestsPerEntry = (int) (scenario.warmUp() / WARM_UP_INTERVAL_MS);
+        CountDownLatch pending = new CountDownLatch(requestsPerEntry * entries.size());
         EventLoop loop = loops.get(0);
         for (InetSocketAddress entry : entries) {
-            Caller calls = new Caller(loop, "warm-up", "entry", entry, one -> {});
-            for (int i = 0; i < each; i++) {
+            Caller calls = new Caller(loop, "warm-up", "entry", entry, evidence -> {});
+            for (int i = 0; i < requestsPerEntry; i++) {
                 String id = WARM_UP_ID + entry.getPort() + "-" + i;
                 loop.schedule(
                         () -> calls.call(
@@ -230,14 +231,14 @@
                                 keyed ? id : "",
                                 null,
                                 EvidenceStamps.now() + type.deadline(),
-                                served -> left.countDown()),
-                        i * WARM_UP_EVERY_MS,
+                                served -> pending.countDown()),
+                        i * WARM_UP_INTERVAL_MS,
                         TimeUnit.MILLISECONDS);
             }
         }
-        left.await((long) scenario.warmUp() + (long) type.deadline() + 1_000, TimeUnit.MILLISECONDS);
-        // What is still under way ends before anything counts.
-        TimeUnit.MILLISECONDS.sleep(WARM_UP_REST_MS);
+        pending.await((long) scenario.warmUp() + (long) type.deadline() + 1_000, TimeUnit.MILLISECONDS);
+        // Lets the in-flight requests end before the run starts.
+        TimeUnit.MILLISECONDS.sleep(WARM_UP_SETTLE_MS);
     }
 
     private Entry entry(Server server, String state, long startedMillis) {
@@ -254,134 +255,134 @@
     private Running balancer(String name, int tier, int position, int siblings, String zone, int port)
             throws Exception {
         Directory directory = directories.get(tier);
-        InetSocketAddress asks = directory.open(name);
+        InetSocketAddress discovery = directory.open(name);
         List<Balancers.Listed> known =
                 directory.loop().submit(() -> directory.listed(name)).sync().getNow();
-        Running one = balancers.start(new Spec(
+        Running balancer = balancers.start(new Spec(
                 name,
                 tier,
                 position,
                 siblings,
                 zone,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                asks,
+                discovery,
                 scenario.seed() * 1_000_003 + running.size(),
                 scenario,
                 known));
-        running.put(name, one);
-        return one;
+        running.put(name, balancer);
+        return balancer;
     }
 
-    /** A server's way to the next tier; null for those of the last. */
+    /** Creates the client of a server for the next tier; null for the last tier. */
     private Caller caller(Server server) {
-        Running own = running.get("of-" + server.place().name());
-        return own == null
+        Running balancer = running.get("of-" + server.place().name());
+        return balancer == null
                 ? null
                 : new Caller(
                         server.loop(),
                         server.place().name(),
                         "of-" + server.place().name(),
-                        own.address(),
+                        balancer.address(),
                         record);
     }
 
-    /** Where clients reach the first tier. */
+    /** Returns the addresses at which clients reach the first tier. */
     public List<InetSocketAddress> entries() {
         return List.copyOf(entries);
     }
 
-    /** What strikes whom, and when. */
-    public List<ServerFault> strikes() {
+    /** Returns the faults of all servers. */
+    public List<ServerFault> serverFaults() {
         return faults.serverFaults();
     }
 
-    /** By what a run of this fleet is judged; callers' own terms come on top. */
+    /** Returns the rules by which the audit judges a run of this fleet, without those of the callers. */
     public AuditRules terms() {
         Map<String, ClassTerms> classes = new HashMap<>();
-        double longest = 0;
+        double maxHoldMs = 0;
         for (ClassPart part : scenario.classes()) {
             classes.put(part.name(), AuditTerms.of(part.effect(), part.group(), part.window()));
-            longest = Math.max(longest, part.deadline() + part.window());
+            maxHoldMs = Math.max(maxHoldMs, part.deadline() + part.window());
         }
         return new AuditRules(
-                classes, ANSWER_GRACE, scenario.rules().drainGrace() + 50, SLACK, longest + 5_000, true, true);
+                classes, ANSWER_GRACE_MS, scenario.rules().drainGrace() + 50, SLACK_MS, maxHoldMs + 5_000, true, true);
     }
 
-    // ---- What befalls it ---------------------------------------------------------------------------
+    // ---- Faults --------------------------------------------------------------------------------------
 
     private void schedule() {
-        for (ServerFault strike : faults.serverFaults().stream()
+        for (ServerFault fault : faults.serverFaults().stream()
                 .sorted(Comparator.comparingDouble(ServerFault::from))
                 .toList()) {
-            at(strike.from(), () -> strike(strike, true));
-            at(strike.until(), () -> strike(strike, false));
+            scheduleAt(fault.from(), () -> applyFault(fault, true));
+            scheduleAt(fault.until(), () -> applyFault(fault, false));
         }
     }
 
-    private void at(double elapsed, Runnable what) {
-        double wait = begun + elapsed - EvidenceStamps.now();
-        serviceOwner.schedule(
+    private void scheduleAt(double elapsed, Runnable action) {
+        double delayMs = startedAt + elapsed - EvidenceStamps.now();
+        controlThread.schedule(
                 () -> {
                     if (!closed) {
-                        what.run();
+                        action.run();
                     }
                 },
-                (long) (Math.max(0, wait) * MICROS),
+                (long) (Math.max(0, delayMs) * NANOS_PER_MS),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void strike(ServerFault strike, boolean begins) {
-        Server server = tiers.get(strike.tier()).get(strike.server());
+    private void applyFault(ServerFault fault, boolean begins) {
+        Server server = tiers.get(fault.tier()).get(fault.server());
         String name = server.place().name();
-        String kind = strike.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
+        String kind = fault.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
         story.accept(String.format(
                 Locale.ROOT,
                 "%5.1f s  %s: %s %s",
-                (EvidenceStamps.now() - begun) / 1_000,
-                strike.kind() == Kind.SILENT_LIST
-                        ? "the list of " + scenario.tiers().get(strike.tier()).name()
+                (EvidenceStamps.now() - startedAt) / 1_000,
+                fault.kind() == Kind.SILENT_LIST
+                        ? "the list of " + scenario.tiers().get(fault.tier()).name()
                         : name,
                 kind,
                 begins ? "begins" : "is over"));
-        switch (strike.kind()) {
+        switch (fault.kind()) {
             case REFUSE -> server.loop().execute(begins ? () -> server.refuse(false) : server::reopen);
             case HANG -> server.loop().execute(begins ? () -> server.refuse(true) : server::reopen);
-            case VANISH -> server.loop().execute(() -> server.vanish(begins));
+            case VANISH -> server.loop().execute(() -> server.setUnresponsive(begins));
             case RESTART -> {
                 if (begins) {
-                    die(server);
-                    list(server, "removed", 0);
+                    crash(server);
+                    updateList(server, "removed", 0);
                 } else {
-                    comeBack(server);
+                    restart(server);
                 }
             }
             case DRAIN -> {
                 if (begins) {
-                    list(server, "draining", 0);
+                    updateList(server, "draining", 0);
                 } else {
-                    list(server, "removed", 0);
-                    die(server);
+                    updateList(server, "removed", 0);
+                    crash(server);
                 }
             }
             case SILENT_LIST -> {
-                Directory directory = directories.get(strike.tier());
-                directory.loop().execute(() -> directory.listPause(begins));
+                Directory directory = directories.get(fault.tier());
+                directory.loop().execute(() -> directory.pauseResponses(begins));
             }
             default -> {}
         }
     }
 
-    private void die(Server server) {
-        server.loop().submit(server::die).awaitUninterruptibly();
-        String own = "of-" + server.place().name();
-        Running balancer = running.remove(own);
+    private void crash(Server server) {
+        server.loop().submit(server::crash).awaitUninterruptibly();
+        String balancerName = "of-" + server.place().name();
+        Running balancer = running.remove(balancerName);
         if (balancer != null) {
-            record.accept(new Ended(EvidenceStamps.now(), own));
+            record.accept(new Ended(EvidenceStamps.now(), balancerName));
             balancer.kill();
         }
     }
 
-    private void comeBack(Server server) {
+    private void restart(Server server) {
         int next = server.place().tier() + 1;
         try {
             if (next < tiers.size()) {
@@ -394,14 +395,14 @@
                         0);
             }
             server.loop().submit(() -> server.start(true, caller(server))).sync();
-            list(server, "up", System.currentTimeMillis());
+            updateList(server, "up", System.currentTimeMillis());
         } catch (Exception e) {
             story.accept(server.place().name() + " did not come back: " + e.getMessage());
         }
     }
 
-    /** The list knows of it after its delay. */
-    private void list(Server server, String state, long startedMillis) {
+    /** Changes the entry of a server in the list after the delay of the list. */
+    private void updateList(Server server, String state, long startedMillis) {
         Directory directory = directories.get(server.place().tier());
         directory
                 .loop()
@@ -414,7 +415,7 @@
     @Override
     public void close() {
         closed = true;
-        serviceOwner.shutdownNow();
+        controlThread.shutdownNow();
         running.forEach((name, balancer) -> {
             record.accept(new Ended(EvidenceStamps.now(), name));
             record.accept(new Ended(
--- a/src/main/java/sablehinge/tools/standin/Server.java
+++ b/src/main/java/sablehinge/tools/standin/Server.java
@@ -28,8 +28,8 @@
 import sablehinge.tools.standin.scenario.Scenario.TierPart;
 
 /**
- * A stand-in for a server of a tier, by PROTOCOL. It listens at an address of its own for each balancer, so that what
- * it writes down says who sent. One event loop owns it.
+ * A stand-in server of a tier, as specified in PROTOCOL. It listens at a separate address for each balancer, so that
+ * its records identify the sender of each request. Confined to one event loop.
  */
 final class Server implements ServerConnection.Owner {
 
@@ -39,14 +39,14 @@
     private final EventLoop loop;
     private final Scenario scenario;
     private final Faults faults;
-    private final DoubleSupplier begun;
+    private final DoubleSupplier runStart;
     private final Directory directory;
     private final Consumer<Evidence> record;
     private final Map<String, Long> keys;
     private final SplittableRandom random;
     private final ServerModel.Capacity capacity;
     private final ServerListeners listeners;
-    private final Map<Long, ServerWork> works = new HashMap<>();
+    private final Map<Long, ServerWork> requests = new HashMap<>();
     private final Set<ServerConnection> connections = new HashSet<>();
     private ServerModel model;
     private Caller caller;
@@ -54,9 +54,9 @@
     private ScheduledFuture<?> tick;
     private boolean up;
     private boolean unresponsive;
-    private double latency;
+    private double meanLatencyMs;
 
-    /** Which server it is. */
+    /** The identity of a server and its position in the fleet. */
     record Place(String name, int tier, int number, String zone, int cell) {}
 
     Server(
@@ -64,7 +64,7 @@
             EventLoop loop,
             Scenario scenario,
             Faults faults,
-            DoubleSupplier begun,
+            DoubleSupplier runStart,
             Directory directory,
             Map<String, Long> keys,
             double speed,
@@ -74,7 +74,7 @@
         this.loop = loop;
         this.scenario = scenario;
         this.faults = faults;
-        this.begun = begun;
+        this.runStart = runStart;
         this.directory = directory;
         this.keys = keys;
         this.record = record;
@@ -105,19 +105,19 @@
         return up;
     }
 
-    /** Where it listens for a balancer; on any thread. */
+    /** Returns the address at which the server listens for a balancer; called on any thread. */
     InetSocketAddress address(String balancer) {
         return listeners.address(balancer);
     }
 
-    /** Opens a port for a balancer; waits until it is there. Not on the loop. */
+    /** Opens a port for a balancer and waits until it is bound; must not be called on the loop. */
     void listenFor(String balancer) throws InterruptedException {
         listeners.listenFor(balancer);
     }
 
     // ---- Start and end --------------------------------------------------------------------------------------
 
-    /** Begins to serve, warmed up or not; on the loop. */
+    /** Starts to serve; {@code warmingUp} starts it cold. Called on the loop. */
     void start(boolean warmingUp, Caller calls) {
         model = new ServerModel(capacity, EvidenceStamps.now(), warmingUp ? EvidenceStamps.now() : Double.NaN);
         caller = calls;
@@ -125,8 +125,8 @@
         listeners.reopen();
     }
 
-    /** Dies: its connections are reset, new ones refused; on the loop. */
-    void die() {
+    /** Crashes: resets all connections and refuses new ones; called on the loop. */
+    void crash() {
         up = false;
         listeners.close();
         List.copyOf(connections).forEach(this::reset);
@@ -136,20 +136,20 @@
         }
     }
 
-    /** New connections are refused from now on, or never come up; on the loop. */
+    /** Makes new connections fail from now on: refused, or timed out with {@code hang}. Called on the loop. */
     void refuse(boolean hang) {
         listeners.refuse(hang);
     }
 
-    /** Listens as ever, unless it is dead; on the loop. */
+    /** Accepts connections again, unless the server has crashed; called on the loop. */
     void reopen() {
         listeners.reopen();
     }
 
-    /** From now on it says nothing, or speaks again; connections that were open then are reset. On the loop. */
-    void vanish(boolean on) {
-        unresponsive = on;
-        if (on) {
+    /** Makes the server unresponsive, or responsive again with all open connections reset; called on the loop. */
+    void setUnresponsive(boolean isSilent) {
+        unresponsive = isSilent;
+        if (isSilent) {
             listeners.refuse(true);
         } else {
             List.copyOf(connections).forEach(this::reset);
@@ -160,34 +160,34 @@
     // ---- Work --------------------------------------------------------------------------------------
 
     private double elapsed() {
-        return EvidenceStamps.now() - begun.getAsDouble();
+        return EvidenceStamps.now() - runStart.getAsDouble();
     }
 
-    /** Lets the server model's time pass, and sees to what has come of it. */
-    private void pass() {
+    /** Advances the server model to the current time and processes the completed work. */
+    private void advance() {
         double now = EvidenceStamps.now();
         model.slow(faults.slowdown(place.tier, place.number, elapsed()));
         model.stall(unresponsive || faults.isActive(Kind.STALL, place.tier, place.number, elapsed()));
         while (model.time() < now) {
             List<Long> done = model.advance(now);
             for (long id : done) {
-                ServerWork work = works.get(id);
+                ServerWork work = requests.get(id);
                 if (work != null) {
-                    partDone(work);
+                    onWorkDone(work);
                 }
             }
         }
         if (tick != null) {
             tick.cancel(false);
         }
-        if (!works.isEmpty() && up) {
-            // A stall's end and a fault's beginning are looked for too.
-            double next = Math.min(20, model.nextCompletionAt() - EvidenceStamps.now());
-            tick = loop.schedule(this::pass, (long) (Math.max(0.2, next) * 1e6), TimeUnit.NANOSECONDS);
+        if (!requests.isEmpty() && up) {
+            // Limits the delay, so that the begin and the end of faults are noticed.
+            double delayMs = Math.min(20, model.nextCompletionAt() - EvidenceStamps.now());
+            tick = loop.schedule(this::advance, (long) (Math.max(0.2, delayMs) * 1e6), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void partDone(ServerWork work) {
+    private void onWorkDone(ServerWork work) {
         if (work.callsLeft > 0) {
             work.inCalls = true;
             work.callsLeft--;
@@ -197,41 +197,41 @@
                     work.type.name(),
                     work.key.isEmpty() ? "" : work.key + "-" + work.callsLeft,
                     work.cookie,
-                    work.until,
-                    served -> called(work, served));
-        } else if (work.inCalls && work.rest > 0) {
+                    work.deadline,
+                    served -> onCallEnded(work, served));
+        } else if (work.inCalls && work.remainingWork > 0) {
             work.inCalls = false;
-            model.resume(work.id, work.rest);
+            model.resume(work.id, work.remainingWork);
         } else {
             finish(work);
         }
     }
 
-    private void called(ServerWork work, boolean served) {
+    private void onCallEnded(ServerWork work, boolean served) {
         work.call = null;
         if (work.ended) {
             return;
         }
         if (!served) {
-            // A failure of the tier behind is one of this.
+            // A failed call to the next tier fails the request.
             end(work, How.ERROR);
             work.connection.answer(500, "a call failed", false);
         } else {
-            partDone(work);
+            onWorkDone(work);
         }
-        pass();
+        advance();
     }
 
     private void finish(ServerWork work) {
-        Kind struck = work.struck;
-        latency += 0.1 * (EvidenceStamps.now() - work.taken - latency);
-        if (struck == Kind.RESET_AFTER) {
+        Kind fault = work.fault;
+        meanLatencyMs += 0.1 * (EvidenceStamps.now() - work.takenAt - meanLatencyMs);
+        if (fault == Kind.RESET_AFTER) {
             end(work, How.RESET);
             reset(work.connection);
-        } else if (struck == Kind.HALF) {
+        } else if (fault == Kind.HALF) {
             end(work, How.RESET);
             work.connection.writeHalf(body(work.txn));
-        } else if (struck == Kind.SPOIL) {
+        } else if (fault == Kind.SPOIL) {
             end(work, How.ERROR);
             work.connection.writeMalformed();
         } else {
@@ -244,19 +244,20 @@
         return "txn=" + txn + "\nserver=" + place.name + "\n" + "tile".repeat(16) + "\n";
     }
 
-    private void end(ServerWork work, How how) {
+    private void end(ServerWork work, How outcome) {
         if (!work.ended) {
             work.ended = true;
-            works.remove(work.id);
+            requests.remove(work.id);
             model.remove(work.id);
             if (work.call != null) {
                 work.call.cancel();
             }
-            note(work.connection, work.txn, work.key, work.first, work.taken, how);
+            recordOutcome(work.connection, work.txn, work.key, work.firstByteAt, work.takenAt, outcome);
         }
     }
 
-    private void note(ServerConnection from, String txn, String key, double first, double taken, How how) {
+    private void recordOutcome(
+            ServerConnection from, String txn, String key, double firstByteAt, double takenAt, How outcome) {
         record.accept(new Ran(
                 EvidenceStamps.now(),
                 place.name,
@@ -266,13 +267,13 @@
                 txn,
                 key,
                 from.serviceClass,
-                from.about,
-                first,
-                taken,
-                how));
+                from.sessionKey,
+                firstByteAt,
+                takenAt,
+                outcome));
     }
 
-    // ---- What connections report -------------------------------------------------------------------
+    // ---- Events of connections ----------------------------------------------------------------------
 
     @Override
     public boolean isUnresponsive() {
@@ -305,28 +306,29 @@
             connection.answer(400, "no such class", false);
             return;
         }
-        take(connection, request, type);
+        admit(connection, request, type);
     }
 
     private String report() {
-        return String.format(Locale.ROOT, "TEXT queue=%d, eps=0, latency_ms=%.2f", model.queuedRequests(), latency);
+        return String.format(
+                Locale.ROOT, "TEXT queue=%d, eps=0, latency_ms=%.2f", model.queuedRequests(), meanLatencyMs);
     }
 
-    private void take(ServerConnection connection, HttpRequest request, ClassPart type) {
+    private void admit(ServerConnection connection, HttpRequest request, ClassPart type) {
         String key = request.headers().get("Idempotency-Key", "");
         if (!key.isEmpty() && isRepeat(key, type)) {
-            note(connection, key, EvidenceStamps.now(), How.SERVED);
+            recordOutcome(connection, key, EvidenceStamps.now(), How.SERVED);
             connection.answer(200, body(connection.txn), false);
             return;
         }
-        pass();
+        advance();
         TierPart tier = scenario.tiers().get(place.tier);
-        double amount = type.work() * tier.share() * (0.5 - 0.5 * Math.log(1 - random.nextDouble()));
-        boolean last = place.tier + 1 == scenario.tiers().size();
-        ServerWork work = new ServerWork(++lastId, connection, request, type, last ? 0 : tier.calls(), amount);
-        work.struck = faults.requestFault(place.tier, place.number, elapsed(), random.nextDouble());
-        if (work.struck == Kind.RESET_BEFORE) {
-            note(connection, key, work.taken, How.RESET);
+        double workMs = type.work() * tier.share() * (0.5 - 0.5 * Math.log(1 - random.nextDouble()));
+        boolean lastTier = place.tier + 1 == scenario.tiers().size();
+        ServerWork work = new ServerWork(++lastId, connection, request, type, lastTier ? 0 : tier.calls(), workMs);
+        work.fault = faults.requestFault(place.tier, place.number, elapsed(), random.nextDouble());
+        if (work.fault == Kind.RESET_BEFORE) {
+            recordOutcome(connection, key, work.takenAt, How.RESET);
             reset(connection);
             return;
         }
@@ -334,35 +336,35 @@
                 && model.offer(
                         EvidenceStamps.now(),
                         work.id,
-                        work.callsLeft == 0 ? amount : amount - work.rest,
+                        work.callsLeft == 0 ? workMs : workMs - work.remainingWork,
                         directory.knowsStart(connection.balancer, place.name));
         if (!Double.isNaN(model.crashedAt()) && up) {
             record.accept(new Fell(EvidenceStamps.now(), place.name, model.informedShare()));
-            note(connection, key, work.taken, How.RESET);
-            die();
+            recordOutcome(connection, key, work.takenAt, How.RESET);
+            crash();
             return;
         }
         if (!admitted) {
-            note(connection, key, work.taken, How.TURNED_AWAY);
+            recordOutcome(connection, key, work.takenAt, How.TURNED_AWAY);
             connection.reject();
             return;
         }
         remember(key);
-        if (work.struck == Kind.ERROR) {
+        if (work.fault == Kind.ERROR) {
             model.remove(work.id);
-            note(connection, key, work.taken, How.ERROR);
+            recordOutcome(connection, key, work.takenAt, How.ERROR);
             connection.answer(500, "struck", false);
             return;
         }
         connection.work = work;
-        works.put(work.id, work);
-        pass();
+        requests.put(work.id, work);
+        advance();
     }
 
-    /** Whether servers of this cell have had the key within the window. */
+    /** Returns whether a server of this cell has received the key within the window. */
     private boolean isRepeat(String key, ClassPart type) {
-        Long before = keys.get(key);
-        return before != null && EvidenceStamps.now() - before < type.window();
+        Long lastUse = keys.get(key);
+        return lastUse != null && EvidenceStamps.now() - lastUse < type.window();
     }
 
     private void remember(String key) {
@@ -375,9 +377,9 @@
         keys.put(key, (long) EvidenceStamps.now());
     }
 
-    /** Notes what has become of the request that came last on a connection. */
-    private void note(ServerConnection from, String key, double taken, How how) {
-        note(from, from.txn, key, from.begun, taken, how);
+    /** Records the outcome of the last request on a connection. */
+    private void recordOutcome(ServerConnection from, String key, double takenAt, How outcome) {
+        recordOutcome(from, from.txn, key, from.firstByteAt, takenAt, outcome);
     }
 
     private void reset(ServerConnection connection) {
@@ -391,7 +393,7 @@
 
     @Override
     public void onCut(ServerConnection connection, HttpRequest head) {
-        note(connection, head.headers().get("Idempotency-Key", ""), Double.NaN, How.CUT);
+        recordOutcome(connection, head.headers().get("Idempotency-Key", ""), Double.NaN, How.CUT);
     }
 
     @Override
--- a/src/main/java/sablehinge/tools/standin/ServerConnection.java
+++ b/src/main/java/sablehinge/tools/standin/ServerConnection.java
@@ -23,30 +23,30 @@
 import sablehinge.tools.audit.EvidenceStamps;
 
 /**
- * A balancer's connection to a stand-in server: one request at a time. It reads requests and writes answers, right and
- * spoilt ones; what becomes of a request is its {@link Owner}'s matter. It belongs to the server's loop.
+ * A connection from a balancer to a stand-in server, with one request at a time. It reads requests and writes
+ * responses, valid and malformed ones; the {@link Owner} processes the requests. Confined to the server's event loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
 
     private static final int MAX_BODY = 1 << 16;
     private static final long IDLE_MS = 30_000;
 
-    /** The server behind a connection. */
+    /** The server of a connection. */
     interface Owner {
 
-        /** Whether it says nothing at the moment. */
+        /** Returns whether the server currently sends no responses. */
         boolean isUnresponsive();
 
-        /** A connection has come. */
+        /** Called when a connection was accepted. */
         void onOpened(ServerConnection connection);
 
-        /** A request has come completely. */
+        /** Called when a request was read completely. */
         void onRequest(ServerConnection connection, HttpRequest request);
 
-        /** A request with a name has been cut off by its sender. */
+        /** Called when the sender closed the connection within a request that has a transaction id. */
         void onCut(ServerConnection connection, HttpRequest head);
 
-        /** The connection is gone. */
+        /** Called when the connection was closed. */
         void onClosed(ServerConnection connection);
     }
 
@@ -55,18 +55,18 @@
     private final Owner owner;
     final String balancer;
     private HttpRequest head;
-    private int bytes;
-    /** When the request that came last began, ms. */
-    double begun;
+    private int bodyBytes;
+    /** The time at which the first byte of the last request arrived, in ms. */
+    double firstByteAt;
 
     String txn = "";
     String serviceClass = "";
-    /** What its session is about; empty where it has none. */
-    String about = "";
-    /** What of it is at work; null for nothing. */
+    /** The key of the session cookie; empty without a session. */
+    String sessionKey = "";
+    /** The request in progress; null for none. */
     ServerWork work;
 
-    private ScheduledFuture<?> idle;
+    private ScheduledFuture<?> idleClose;
 
     ServerConnection(Channel channel, EventLoop loop, String balancer, Owner owner) {
         this.channel = channel;
@@ -78,11 +78,11 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         owner.onOpened(this);
-        rest();
+        scheduleIdleClose();
     }
 
-    private void rest() {
-        idle = loop.schedule(() -> channel.close(), IDLE_MS, TimeUnit.MILLISECONDS);
+    private void scheduleIdleClose() {
+        idleClose = loop.schedule(() -> channel.close(), IDLE_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -94,24 +94,24 @@
             if (message instanceof HttpRequest request && !begin(request)) {
                 return;
             }
-            if (message instanceof HttpContent part && head != null) {
-                receive(part);
+            if (message instanceof HttpContent content && head != null) {
+                receive(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    /** Takes the head of a request; false if it is none. */
+    /** Reads the head of a request; returns false if it is malformed. */
     private boolean begin(HttpRequest request) {
-        idle.cancel(false);
+        idleClose.cancel(false);
         head = request;
-        begun = EvidenceStamps.now();
-        bytes = 0;
+        firstByteAt = EvidenceStamps.now();
+        bodyBytes = 0;
         txn = request.headers().get("X-Txn", "");
         serviceClass = request.headers().get("X-Lane", "");
         String cookie = request.headers().get("Cookie", "");
-        about = cookie.startsWith("key=") ? cookie.substring(4) : "";
+        sessionKey = cookie.startsWith("key=") ? cookie.substring(4) : "";
         if (!request.decoderResult().isSuccess()) {
             answer(400, "", true);
             return false;
@@ -119,25 +119,24 @@
         return true;
     }
 
-    private void receive(HttpContent part) {
-        bytes += part.content().readableBytes();
-        if (bytes > MAX_BODY) {
+    private void receive(HttpContent content) {
+        bodyBytes += content.content().readableBytes();
+        if (bodyBytes > MAX_BODY) {
             answer(413, "", true);
-        } else if (part instanceof LastHttpContent) {
+        } else if (content instanceof LastHttpContent) {
             HttpRequest complete = head;
             head = null;
             owner.onRequest(this, complete);
         }
     }
 
-    /** Answers the request. */
     void answer(int status, String text, boolean close) {
         work = null;
         if (owner.isUnresponsive() || !channel.isActive()) {
             return;
         }
         FullHttpResponse response = response(status, text);
-        rest();
+        scheduleIdleClose();
         ChannelFuture written = channel.writeAndFlush(response);
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
@@ -152,15 +151,15 @@
         return response;
     }
 
-    /** Rejects the request as there is no room. */
+    /** Rejects the request because the server is full. */
     void reject() {
         FullHttpResponse response = response(503, "");
         response.headers().set("X-Turned-Away", "1");
-        rest();
+        scheduleIdleClose();
         channel.writeAndFlush(response);
     }
 
-    /** Promises more than it writes, and ends. */
+    /** Writes half of the announced response body, then closes the connection. */
     void writeHalf(String text) {
         work = null;
         FullHttpResponse response = response(200, text);
@@ -168,7 +167,7 @@
         channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Writes what is no HTTP. */
+    /** Writes a response that is not valid HTTP. */
     void writeMalformed() {
         work = null;
         channel.pipeline()
@@ -178,7 +177,7 @@
                 .addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Closes with a reset. */
+    /** Closes the connection with a TCP reset. */
     void close() {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
@@ -186,7 +185,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        idle.cancel(false);
+        idleClose.cancel(false);
         owner.onClosed(this);
         if (work == null && head != null && !txn.isEmpty()) {
             owner.onCut(this, head);
--- a/src/main/java/sablehinge/tools/standin/ServerListeners.java
+++ b/src/main/java/sablehinge/tools/standin/ServerListeners.java
@@ -24,13 +24,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The ports of a stand-in server, one for each balancer. All but {@link #listenFor} and {@link #address} is called on
- * the server's loop.
+ * The listeners of a stand-in server, one port for each balancer. All methods except {@link #listenFor} and
+ * {@link #address} are called on the server's loop.
  */
 final class ServerListeners {
 
     private static final int BACKLOG = 1_024;
-    /** With this backlog and so many connections the kernel's queue is full, and it answers no further one. */
+    /** With this backlog and {@link #FILLERS} connections the accept queue is full, and further connects time out. */
     private static final int FULL_BACKLOG = 1;
 
     private static final int FILLERS = 3;
@@ -40,22 +40,22 @@
     private final EventLoop loop;
     private final BooleanSupplier up;
     private final BiFunction<Channel, String, ChannelHandler> handlers;
-    private final Map<String, Listening> listening = new LinkedHashMap<>();
-    /** Where it listens for whom; read by the directory's loop. */
+    private final Map<String, Listener> listeners = new LinkedHashMap<>();
+    /** The address of the listener of each balancer; read by the directory's loop. */
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
 
-    /** A port for one balancer. */
-    private static final class Listening {
+    /** The listener of one balancer. */
+    private static final class Listener {
         int port;
         Channel channel;
         final List<Channel> fillers = new ArrayList<>();
     }
 
     /**
-     * Listeners without a port.
+     * Creates the listeners without any port.
      *
-     * @param up whether the server is alive
-     * @param handlers makes the handler of a connection from a balancer
+     * @param up returns whether the server runs
+     * @param handlers creates the handler of a connection from a balancer
      */
     ServerListeners(
             String server, EventLoop loop, BooleanSupplier up, BiFunction<Channel, String, ChannelHandler> handlers) {
@@ -65,12 +65,12 @@
         this.handlers = handlers;
     }
 
-    /** Where it listens for a balancer; on any thread. */
+    /** Returns the address at which the server listens for a balancer; called on any thread. */
     InetSocketAddress address(String balancer) {
         return addresses.get(balancer);
     }
 
-    /** Opens a port for a balancer; waits until it is there. Not on the loop. */
+    /** Opens a port for a balancer and waits until it is bound; must not be called on the loop. */
     void listenFor(String balancer) throws InterruptedException {
         ChannelFuture bound = bind(balancer, 0, BACKLOG).await();
         if (!bound.isSuccess()) {
@@ -78,10 +78,10 @@
                     server + " can't listen: " + bound.cause().getMessage());
         }
         loop.submit(() -> {
-                    Listening one = new Listening();
-                    one.channel = bound.channel();
-                    one.port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
-                    listening.put(balancer, one);
+                    Listener listener = new Listener();
+                    listener.channel = bound.channel();
+                    listener.port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
+                    listeners.put(balancer, listener);
                     addresses.put(balancer, (InetSocketAddress) bound.channel().localAddress());
                 })
                 .sync();
@@ -103,20 +103,20 @@
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
-    /** New connections are refused from now on, or never come up. */
+    /** Makes new connections fail from now on: they are refused, or they time out if {@code hang} is set. */
     void refuse(boolean hang) {
         close();
         if (!hang) {
             return;
         }
-        listening.forEach(
-                (balancer, one) -> bind(balancer, one.port, FULL_BACKLOG).addListener((ChannelFuture bound) -> {
+        listeners.forEach((balancer, listener) -> bind(balancer, listener.port, FULL_BACKLOG)
+                .addListener((ChannelFuture bound) -> {
                     if (bound.isSuccess()) {
-                        one.channel = bound.channel();
-                        one.channel.config().setAutoRead(false);
-                        // With these the kernel's queue is full, and it answers no further one.
+                        listener.channel = bound.channel();
+                        listener.channel.config().setAutoRead(false);
+                        // These connections fill the accept queue, so that further connects time out.
                         for (int i = 0; i < FILLERS; i++) {
-                            one.fillers.add(new Bootstrap()
+                            listener.fillers.add(new Bootstrap()
                                     .group(loop)
                                     .channel(NioSocketChannel.class)
                                     .handler(new ChannelInboundHandlerAdapter())
@@ -127,24 +127,24 @@
                 }));
     }
 
-    /** Listens as ever, unless the server is dead. */
+    /** Accepts connections again, unless the server has stopped. */
     void reopen() {
-        listening.forEach((balancer, one) -> {
-            one.fillers.forEach(Channel::close);
-            one.fillers.clear();
-            if (one.channel != null
-                    && one.channel.isOpen()
-                    && one.channel.config().isAutoRead()) {
+        listeners.forEach((balancer, listener) -> {
+            listener.fillers.forEach(Channel::close);
+            listener.fillers.clear();
+            if (listener.channel != null
+                    && listener.channel.isOpen()
+                    && listener.channel.config().isAutoRead()) {
                 return;
             }
-            ChannelFuture closed = one.channel == null ? null : one.channel.close();
-            Runnable open = () -> bind(balancer, one.port, BACKLOG).addListener((ChannelFuture bound) -> {
+            ChannelFuture closed = listener.channel == null ? null : listener.channel.close();
+            Runnable open = () -> bind(balancer, listener.port, BACKLOG).addListener((ChannelFuture bound) -> {
                 if (bound.isSuccess() && up.getAsBoolean()) {
-                    one.channel = bound.channel();
+                    listener.channel = bound.channel();
                 } else if (bound.isSuccess()) {
                     bound.channel().close();
                 } else {
-                    // Its port is still being given back.
+                    // The port has not been released yet.
                     loop.schedule(this::reopen, REOPEN_DELAY_MS, TimeUnit.MILLISECONDS);
                 }
             });
@@ -156,14 +156,14 @@
         });
     }
 
-    /** New connections are refused. */
+    /** Closes all listeners, so that new connections are refused. */
     void close() {
-        listening.values().forEach(one -> {
-            if (one.channel != null) {
-                one.channel.close();
+        listeners.values().forEach(listener -> {
+            if (listener.channel != null) {
+                listener.channel.close();
             }
-            one.fillers.forEach(Channel::close);
-            one.fillers.clear();
+            listener.fillers.forEach(Channel::close);
+            listener.fillers.clear();
         });
     }
 }
--- a/src/main/java/sablehinge/tools/standin/ServerWork.java
+++ b/src/main/java/sablehinge/tools/standin/ServerWork.java
@@ -5,7 +5,7 @@
 import sablehinge.tools.standin.model.Faults.Kind;
 import sablehinge.tools.standin.scenario.Scenario.ClassPart;
 
-/** A request at work at a stand-in server. */
+/** A request in progress at a stand-in server. */
 final class ServerWork {
 
     private static final double MS_PER_S = 1_000;
@@ -17,29 +17,29 @@
     final String key;
     final String cookie;
     final ClassPart type;
-    /** When its first byte came, and when it was complete, ms. */
-    final double first;
+    /** The time at which the first byte of the request arrived, in ms. */
+    final double firstByteAt;
 
-    final double taken = EvidenceStamps.now();
-    /** When its caller gives up, ms. */
-    final double until;
-    /** Work that is left for after its calls, ms of a standard core. */
-    final double rest;
-    /** The fault that has struck it; null for none. */
-    Kind struck;
-    /** Calls of the tier behind that are still to be made. */
+    final double takenAt = EvidenceStamps.now();
+    /** The deadline of the caller, in ms. */
+    final double deadline;
+    /** The work that remains after the calls to the next tier, in ms of a core at speed 1. */
+    final double remainingWork;
+    /** The fault that affects the request; null for none. */
+    Kind fault;
+    /** The number of calls to the next tier that remain. */
     int callsLeft;
-    /** The call that is out; null for none. */
+    /** The call in flight; null for none. */
     Caller.Call call;
 
     boolean inCalls;
     boolean ended;
 
     /**
-     * A request that is complete.
+     * Creates the work of a request that was read completely.
      *
-     * @param calls of the tier behind
-     * @param work ms of a standard core
+     * @param calls the number of calls to the next tier
+     * @param work the total work in ms of a core at speed 1
      */
     ServerWork(long id, ServerConnection connection, HttpRequest request, ClassPart type, int calls, double work) {
         this.id = id;
@@ -48,13 +48,13 @@
         txn = connection.txn;
         key = request.headers().get("Idempotency-Key", "");
         cookie = request.headers().get("Cookie");
-        first = connection.begun;
-        until = taken + remaining(request);
+        firstByteAt = connection.firstByteAt;
+        deadline = takenAt + remaining(request);
         callsLeft = calls;
-        rest = calls == 0 ? 0 : work / 2;
+        remainingWork = calls == 0 ? 0 : work / 2;
     }
 
-    /** How long the caller of a request still waits, ms. */
+    /** Returns the remaining time until the deadline of the caller, in ms. */
     static double remaining(HttpRequest request) {
         try {
             return Double.parseDouble(request.headers().get("X-Remaining", "10")) * MS_PER_S;
--- a/src/test/java/sablehinge/tools/standin/FleetTest.java
+++ b/src/test/java/sablehinge/tools/standin/FleetTest.java
@@ -31,7 +31,7 @@
 import sablehinge.tools.audit.judge.Evidence.Ran;
 import sablehinge.tools.standin.scenario.ScenarioFile;
 
-/** Servers as they are met without a balancer between, each under one fault. */
+/** Sends requests directly to the servers of a fleet, without a balancer in between, under one fault at a time. */
 @Timeout(120)
 class FleetTest {
 
@@ -58,12 +58,12 @@
 
     private final ConcurrentLinkedQueue<Evidence> record = new ConcurrentLinkedQueue<>();
     private final LinkedBlockingQueue<String> story = new LinkedBlockingQueue<>();
-    /** Where the list of servers is requested. */
+    /** The address of the server list, by balancer. */
     private final Map<String, InetSocketAddress> lists = new ConcurrentHashMap<>();
 
     private Fleet fleet;
 
-    /** What takes a balancer's place is the first server itself. */
+    /** Starts a fleet whose balancers are replaced by the first server itself. */
     private void start(String text) throws Exception {
         ScenarioFile.Checked checked = ScenarioFile.parse(text);
         assertEquals(List.of(), checked.problems());
@@ -88,11 +88,12 @@
         fleet.start();
     }
 
-    private static String fault(String kind, String rest) {
-        return TIER.formatted(1, 10, 10) + "[[fault]]\nkind = \"" + kind + "\"\nfor = \"60s\"\nchance = 1.0\n" + rest;
+    private static String fault(String kind, String extraLines) {
+        return TIER.formatted(1, 10, 10) + "[[fault]]\nkind = \"" + kind + "\"\nfor = \"60s\"\nchance = 1.0\n"
+                + extraLines;
     }
 
-    private void begun(String kind) throws InterruptedException {
+    private void awaitBegin(String kind) throws InterruptedException {
         String line = "";
         while (!line.contains(kind + " begins")) {
             line = story.poll(Peer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -108,7 +109,7 @@
                 + "Cookie: key=00ff\r\n\r\n";
     }
 
-    private Peer.Message ask(String request) throws Exception {
+    private Peer.Message exchange(String request) throws Exception {
         try (Peer peer = Peer.to(server())) {
             peer.write(request);
             return peer.read();
@@ -118,8 +119,8 @@
     private Ran ran(String txn) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Peer.TIMEOUT_MS);
         while (System.nanoTime() < end) {
-            for (Evidence one : record) {
-                if (one instanceof Ran ran && ran.txn().equals(txn)) {
+            for (Evidence evidence : record) {
+                if (evidence instanceof Ran ran && ran.txn().equals(txn)) {
                     return ran;
                 }
             }
@@ -134,9 +135,9 @@
     }
 
     @Test
-    void aServerThatIsWellServesAndSaysSo() throws Exception {
+    void healthyServerServesAndReportsHealth() throws Exception {
         start(TIER.formatted(1, 10, 10));
-        Peer.Message answer = ask(get("q1"));
+        Peer.Message answer = exchange(get("q1"));
         assertEquals(200, answer.status());
         assertTrue(answer.body().startsWith("txn=q1\nserver=front-1\n"), answer.body());
         Ran ran = ran("q1");
@@ -145,32 +146,33 @@
         assertEquals("look", ran.serviceClass());
         assertEquals("00ff", ran.about());
         assertTrue(ran.begun() <= ran.taken() && ran.taken() <= ran.at());
-        assertEquals(200, ask("GET /ping HTTP/1.1\r\nHost: s\r\n\r\n").status());
-        assertTrue(ask("GET /_load HTTP/1.1\r\nHost: s\r\n\r\n").body().startsWith("TEXT queue=0, "));
-        assertEquals(404, ask("GET /look/7 HTTP/1.1\r\nHost: s\r\n\r\n").status());
+        assertEquals(200, exchange("GET /ping HTTP/1.1\r\nHost: s\r\n\r\n").status());
+        assertTrue(exchange("GET /_load HTTP/1.1\r\nHost: s\r\n\r\n").body().startsWith("TEXT queue=0, "));
+        assertEquals(404, exchange("GET /look/7 HTTP/1.1\r\nHost: s\r\n\r\n").status());
         assertEquals(
-                400, ask("GET /other HTTP/1.1\r\nHost: s\r\nX-Txn: q2\r\n\r\n").status());
+                400,
+                exchange("GET /other HTTP/1.1\r\nHost: s\r\nX-Txn: q2\r\n\r\n").status());
     }
 
     @Test
-    void aRepeatOfAKeyIsDropped() throws Exception {
+    void repeatedKeyIsAnsweredWithoutRunning() throws Exception {
         start(TIER.formatted(1, 10, 10));
         String order = "POST /order HTTP/1.1\r\nHost: s\r\nX-Txn: %s\r\nX-Lane: order\r\nX-Remaining: 2\r\n"
                 + "Idempotency-Key: k1\r\nContent-Length: 4\r\n\r\nbody";
-        assertEquals(200, ask(order.formatted("q1")).status());
-        assertTrue(ask(order.formatted("q2")).body().startsWith("txn=q2\n"));
+        assertEquals(200, exchange(order.formatted("q1")).status());
+        assertTrue(exchange(order.formatted("q2")).body().startsWith("txn=q2\n"));
         assertEquals("k1", ran("q2").key());
     }
 
     @Test
-    void aFullServerTurnsAwayWithProof() throws Exception {
+    void fullServerRejectsWithProofHeader() throws Exception {
         start(TIER.formatted(1, 1, 0) + "[[fault]]\nkind = \"stall\"\nfor = \"60s\"\n");
-        begun("stall");
+        awaitBegin("stall");
         try (Peer first = Peer.to(server())) {
             first.write(get("q1"));
             Peer.Message answer = null;
             for (int i = 0; answer == null || answer.status() != 503; i++) {
-                // Until the first is in; one of these may have come before it.
+                // Repeats until the first request occupies the slot; one of these requests may arrive before it.
                 try (Peer next = Peer.to(server())) {
                     next.write(get("n" + i));
                     next.socket.setSoTimeout(200);
@@ -184,9 +186,9 @@
     }
 
     @Test
-    void aRequestThatIsCutOffCantHaveRunAndOneThatIsLeftMayHave() throws Exception {
+    void incompleteRequestIsCutAndAbandonedRequestIsCancelled() throws Exception {
         start(TIER.formatted(1, 10, 10) + "[[fault]]\nkind = \"stall\"\nfor = \"60s\"\n");
-        begun("stall");
+        awaitBegin("stall");
         try (Peer peer = Peer.to(server())) {
             peer.write("POST /order HTTP/1.1\r\nHost: s\r\nX-Txn: q1\r\nX-Lane: order\r\nContent-Length: "
                     + "9\r\n\r\nhalf");
@@ -199,14 +201,14 @@
     }
 
     @Test
-    void struckRequestsEndAsTheirFaultSays() throws Exception {
+    void requestFaultsDetermineOutcome() throws Exception {
         start(fault("error", ""));
-        assertEquals(500, ask(get("q1")).status());
+        assertEquals(500, exchange(get("q1")).status());
         assertEquals(How.ERROR, ran("q1").how());
         close();
         start(fault("reset-before", ""));
         assertThrows(IOException.class, () -> {
-            if (ask(get("q2")) == null) {
+            if (exchange(get("q2")) == null) {
                 throw new IOException("ended");
             }
         });
@@ -217,10 +219,10 @@
             peer.write(get("q3"));
             byte[] all = peer.socket.getInputStream().readAllBytes();
             String text = new String(all, java.nio.charset.StandardCharsets.US_ASCII);
-            int body = text.length() - text.indexOf("\r\n\r\n") - 4;
-            int promised = Integer.parseInt(
+            int bodyLength = text.length() - text.indexOf("\r\n\r\n") - 4;
+            int announcedLength = Integer.parseInt(
                     text.replaceAll("(?s).*content-length: " + "(\\d+).*|.*Content-Length: (\\d+).*", "$1$2"));
-            assertTrue(body < promised, text);
+            assertTrue(bodyLength < announcedLength, text);
         }
         close();
         start(fault("spoil", ""));
@@ -233,25 +235,25 @@
     }
 
     @Test
-    void connectionsAreRefusedOrNeverComeUp() throws Exception {
+    void refuseFaultRejectsConnectsAndHangFaultTimesThemOut() throws Exception {
         start(fault("refuse", ""));
-        begun("refuse");
+        awaitBegin("refuse");
         assertThrows(ConnectException.class, () -> {
             for (int i = 0; i < 1_000_000; i++) {
-                // The listener is closed a moment after it is reported.
+                // The listener closes a short time after the fault is reported.
                 try {
                     new Socket(server().getAddress(), server().getPort()).close();
                 } catch (ConnectException refused) {
                     throw refused;
-                } catch (SocketException inTheQueue) {
-                    // What waits to be accepted while the listener closes is reset, not refused.
+                } catch (SocketException resetInAcceptQueue) {
+                    // Connections in the accept queue are reset, not refused, when the listener closes.
                     continue;
                 }
             }
         });
         close();
         start(fault("hang", ""));
-        begun("hang");
+        awaitBegin("hang");
         assertThrows(IOException.class, () -> {
             while (true) {
                 try (Socket socket = new Socket()) {
@@ -262,12 +264,12 @@
     }
 
     @Test
-    void aVanishedServerIsSilentOnOpenConnectionsToo() throws Exception {
+    void vanishedServerIsSilentOnOpenConnections() throws Exception {
         start(TIER.formatted(1, 10, 10) + "[[fault]]\nkind = \"vanish\"\nat = \"1s\"\nfor = \"60s\"\n");
         try (Peer peer = Peer.to(server())) {
             peer.write(get("q1"));
             assertEquals(200, peer.read().status());
-            begun("vanish");
+            awaitBegin("vanish");
             peer.socket.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, () -> {
                 for (int i = 0; i < 100; i++) {
@@ -279,7 +281,7 @@
     }
 
     @Test
-    void aRestartedServerComesBackColdAndTheListTellsOfIt() throws Exception {
+    void restartedServerIsRemovedAndListedAgainWithStartTime() throws Exception {
         start(TIER.formatted(2, 10, 10) + "[[fault]]\nkind = \"restart\"\nat = \"200ms\"\nfor = \"300ms\"\n");
         JsonNode list = list("");
         assertTrue(list.path("full").asBoolean());
@@ -292,7 +294,7 @@
         assertEquals("up", back.path("servers").get(0).path("state").asText());
         assertTrue(back.path("servers").get(0).path("started_ms").asLong() > 0);
         List<ListSent> received = received();
-        // An answer may be read before it is on record.
+        // The response may be read before it is recorded.
         for (int i = 0; i < 5_000 && received.size() < 2; i++) {
             LockSupport.parkNanos(1_000_000);
             received = received();
@@ -317,27 +319,27 @@
     }
 
     @Test
-    void aWatchThatWaitsInVainIsAnsweredWithNothing() throws Exception {
+    void expiredWatchIsAnsweredWithoutChanges() throws Exception {
         start(TIER.formatted(1, 10, 10));
         long version = list("").path("version").asLong();
         JsonNode none = list("?index=" + version + "&wait=50");
         assertEquals(version, none.path("version").asLong());
         assertEquals(0, none.path("servers").size());
-        assertTrue(list("?index=99&wait=50").path("full").asBoolean(), "of another list");
+        assertTrue(list("?index=99&wait=50").path("full").asBoolean(), "version of a different list");
     }
 
     @Test
-    void aDrainIsListedAndASilentListSaysNothing() throws Exception {
+    void drainIsListedAndSilentListSendsNoResponse() throws Exception {
         start(TIER.formatted(1, 10, 10) + "[[fault]]\nkind = \"drain\"\nat = \"100ms\"\nfor = \"60s\"\n");
         JsonNode list = list("?index=" + list("").path("version").asLong() + "&wait=20000");
-        // The drain may have been listed before the first look.
+        // The drain may have been listed before the first request.
         String state = list.path("servers").isEmpty()
                 ? list("").path("servers").get(0).path("state").asText()
                 : list.path("servers").get(0).path("state").asText();
         assertEquals("draining", state);
         close();
         start(fault("silent-list", ""));
-        begun("silent-list");
+        awaitBegin("silent-list");
         try (Peer peer = Peer.to(lists.get("entry-1"))) {
             peer.socket.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, () -> {
@@ -350,7 +352,7 @@
     }
 
     @Test
-    void aBalancerThatDoesNotStartEndsTheFleet() {
+    void startFailsWhenBalancerFailsToStart() {
         fleet = new Fleet(
                 ScenarioFile.parse(TIER.formatted(1, 10, 10)).scenario(),
                 spec -> {
--- a/src/test/java/sablehinge/tools/standin/SaboteurTest.java
+++ b/src/test/java/sablehinge/tools/standin/SaboteurTest.java
@@ -36,10 +36,10 @@
 import sablehinge.tools.standin.scenario.Scenario.RulesPart;
 import sablehinge.tools.standin.scenario.ScenarioFile;
 
-/** The test of the audit: whoever breaks a rule is caught and named, and who breaks none is not. */
+/** Tests the audit: a run that violates a rule is reported with its requests, and a correct run is not. */
 class SaboteurTest {
 
-    /** One server is drained and another restarts and warms up; some requests are struck on the way. */
+    /** Without faults; {@link #FAULTS} drains a server, restarts a server cold and makes some requests fail. */
     private static final String SCENARIO =
             """
             seed = 5
@@ -92,20 +92,20 @@
             chance = 0.05
             """;
 
-    /** A late answer of a machine that is busy with other things is no breach here; none at all still is. */
-    private static final double LENIENT_MS = 140;
-    /** More breaches than a run has requests: late answers of a busy machine hide no other breach. */
-    private static final int ALL_SHOWN = 1_000_000;
+    /** A late answer on a busy machine is not a breach in this test; a missing answer is. */
+    private static final double ANSWER_GRACE_MS = 140;
+    /** More than the requests of a run, so that late answers on a busy machine hide no other breach. */
+    private static final int MAX_SHOWN_BREACHES = 1_000_000;
 
     @TempDir
     private Path folder;
-    /** Answers that any relay has let through or spoilt: whoever gets more of them, one of so many is. */
+    /** The answers of all relays together, of which a relay spoils one at a fixed interval. */
     private final AtomicLong answers = new AtomicLong();
 
-    /** What came of a run. */
-    private record Played(Audit audit, Set<String> spoilt) {
+    /** The result of a run. */
+    private record RunResult(Audit audit, Set<String> spoilt) {
 
-        List<String> named(Rule rule) {
+        List<String> breachesOf(Rule rule) {
             return audit.shown().stream()
                     .filter(breach -> breach.rule() == rule)
                     .map(Breach::txn)
@@ -119,15 +119,15 @@
         return checked.scenario();
     }
 
-    private Played play(Scenario scenario, Deed deed, Relay.Deed relayed, int every, double seconds, double rate)
+    private RunResult run(Scenario scenario, Deed deed, Relay.Deed relayDeed, int interval, double seconds, double rate)
             throws Exception {
         List<Relay> relays = new ArrayList<>();
         Recorder servers = new Recorder(folder.resolve("servers.jsonl.gz"));
         Recorder clients = new Recorder(folder.resolve("requests.jsonl.gz"));
         LocalBalancers local = new LocalBalancers(servers::note, actions -> new Saboteur(deed, actions));
         Balancers balancers = spec -> {
-            // One that ignores drains has to be notified of none by its transport either.
-            Scenario believed = deed != Deed.IGNORES_DRAINS
+            // A balancer that ignores drains must not be notified of drains by its transport either.
+            Scenario visibleScenario = deed != Deed.IGNORES_DRAINS
                     ? spec.scenario()
                     : new Scenario(
                             scenario.seed(),
@@ -148,12 +148,12 @@
                     spec.listen(),
                     spec.discovery(),
                     spec.seed(),
-                    believed,
+                    visibleScenario,
                     spec.known()));
-            if (relayed == null) {
+            if (relayDeed == null) {
                 return running;
             }
-            Relay relay = new Relay(running.address(), relayed, every, answers);
+            Relay relay = new Relay(running.address(), relayDeed, interval, answers);
             relays.add(relay);
             return new Balancers.Running() {
                 @Override
@@ -176,14 +176,20 @@
             AuditRulesFile.write(
                     folder,
                     new AuditRules(
-                            terms.classes(), LENIENT_MS, terms.drainGrace(), terms.slack(), terms.hold(), true, true));
+                            terms.classes(),
+                            ANSWER_GRACE_MS,
+                            terms.drainGrace(),
+                            terms.slack(),
+                            terms.hold(),
+                            true,
+                            true));
         } finally {
             relays.forEach(Relay::close);
         }
         assertEquals(0, servers.dropped() + clients.dropped());
         Set<String> spoilt =
                 relays.stream().flatMap(relay -> relay.spoilt().stream()).collect(Collectors.toSet());
-        return new Played(Audit.of(folder, ALL_SHOWN), spoilt);
+        return new RunResult(Audit.of(folder, MAX_SHOWN_BREACHES), spoilt);
     }
 
     private static void send(Fleet fleet, Recorder clients, double seconds, double rate) throws Exception {
@@ -200,11 +206,11 @@
                         100,
                         1),
                 clients::note);
-        int[] made = {0};
+        int[] sent = {0};
         String[] names = {"order", "spend", "look"};
         try {
             load.run(() -> {
-                int i = made[0]++;
+                int i = sent[0]++;
                 String name = names[i % 3];
                 return i >= seconds * rate
                         ? null
@@ -222,65 +228,65 @@
     }
 
     @Test
-    void aCleanRunHasNoBreachAndNothingUnexplained() throws Exception {
-        Played clean = play(scenario("3ms", FAULTS), Deed.NONE, null, 0, 5.5, 150);
-        assertEquals(List.of(), clean.audit.shown());
-        assertEquals(0, clean.audit.unexplained());
-        assertTrue(clean.audit.requests() >= 825);
+    void cleanRunHasNoBreachesAndNothingUnexplained() throws Exception {
+        RunResult result = run(scenario("3ms", FAULTS), Deed.NONE, null, 0, 5.5, 150);
+        assertEquals(List.of(), result.audit.shown());
+        assertEquals(0, result.audit.unexplained());
+        assertTrue(result.audit.requests() >= 825);
     }
 
     @Test
-    void whoResendsAnUnsafeRequestIsCaught() throws Exception {
-        Played played = play(scenario("3ms", ""), Deed.RESENDS, null, 0, 3, 150);
+    void detectsResentUnsafeRequests() throws Exception {
+        RunResult result = run(scenario("3ms", ""), Deed.RESENDS, null, 0, 3, 150);
         assertTrue(Saboteur.DONE.get(Deed.RESENDS) > 0);
-        assertTrue(played.audit.breaches(Rule.EFFECT) > 0);
-        assertEquals(played.audit.breaches(Rule.EFFECT), played.audit.breaches(), "and of nothing else");
-        assertTrue(played.audit.shown().get(0).timeline().size() >= 3);
+        assertTrue(result.audit.breaches(Rule.EFFECT) > 0);
+        assertEquals(result.audit.breaches(Rule.EFFECT), result.audit.breaches(), "no breaches of other rules");
+        assertTrue(result.audit.shown().get(0).timeline().size() >= 3);
     }
 
     @Test
-    void whoAnswersTwiceIsCaught() throws Exception {
-        Played played = play(scenario("3ms", ""), Deed.NONE, Relay.Deed.TWICE, 40, 2, 150);
-        assertTrue(played.spoilt.size() >= 5);
-        assertEquals(played.spoilt, Set.copyOf(played.named(Rule.ANSWER)));
+    void detectsDuplicateAnswers() throws Exception {
+        RunResult result = run(scenario("3ms", ""), Deed.NONE, Relay.Deed.TWICE, 40, 2, 150);
+        assertTrue(result.spoilt.size() >= 5);
+        assertEquals(result.spoilt, Set.copyOf(result.breachesOf(Rule.ANSWER)));
     }
 
     @Test
-    void whoServesWhatNoServerMadeForItIsCaught() throws Exception {
-        Played played = play(scenario("3ms", ""), Deed.NONE, Relay.Deed.OF_ANOTHER, 40, 2, 150);
-        assertTrue(played.spoilt.size() >= 5);
-        assertEquals(played.spoilt, Set.copyOf(played.named(Rule.ANSWER)));
+    void detectsAnswersOfOtherRequests() throws Exception {
+        RunResult result = run(scenario("3ms", ""), Deed.NONE, Relay.Deed.OF_ANOTHER, 40, 2, 150);
+        assertTrue(result.spoilt.size() >= 5);
+        assertEquals(result.spoilt, Set.copyOf(result.breachesOf(Rule.ANSWER)));
     }
 
     @Test
-    void whoIgnoresADrainIsCaught() throws Exception {
-        Played played = play(scenario("3ms", FAULTS), Deed.IGNORES_DRAINS, null, 0, 5.5, 150);
+    void detectsIgnoredDrains() throws Exception {
+        RunResult result = run(scenario("3ms", FAULTS), Deed.IGNORES_DRAINS, null, 0, 5.5, 150);
         assertTrue(Saboteur.DONE.get(Deed.IGNORES_DRAINS) > 0);
-        assertTrue(played.audit.breaches(Rule.DRAIN) > 0);
-        assertEquals(played.audit.breaches(Rule.DRAIN), played.audit.breaches());
+        assertTrue(result.audit.breaches(Rule.DRAIN) > 0);
+        assertEquals(result.audit.breaches(Rule.DRAIN), result.audit.breaches());
     }
 
     @Test
-    void whoFloodsAColdServerIsCaught() throws Exception {
-        Played played = play(scenario("20ms", FAULTS), Deed.FLOODS, null, 0, 4, 150);
+    void detectsFloodedColdServer() throws Exception {
+        RunResult result = run(scenario("20ms", FAULTS), Deed.FLOODS, null, 0, 4, 150);
         assertTrue(Saboteur.DONE.get(Deed.FLOODS) > 0);
-        assertEquals(1, played.audit.breaches(Rule.COLD));
-        assertTrue(played.named(Rule.COLD).get(0).startsWith("front-"));
+        assertEquals(1, result.audit.breaches(Rule.COLD));
+        assertTrue(result.breachesOf(Rule.COLD).get(0).startsWith("front-"));
     }
 
-    /** One of ten thousand: each request is looked at, none is a sample. */
+    /** The audit checks every request, not a sample. */
     @Test
-    void whoLosesOneRequestOfTenThousandIsCaught() throws Exception {
-        Played played = play(scenario("0.3ms", ""), Deed.NONE, Relay.Deed.LOST, 5_000, 9, 1_200);
-        assertTrue(played.audit.requests() >= 10_000);
-        assertTrue(!played.spoilt.isEmpty() && played.spoilt.size() <= 2, played.spoilt.toString());
+    void detectsSingleLostRequestInTenThousand() throws Exception {
+        RunResult result = run(scenario("0.3ms", ""), Deed.NONE, Relay.Deed.LOST, 5_000, 9, 1_200);
+        assertTrue(result.audit.requests() >= 10_000);
+        assertTrue(!result.spoilt.isEmpty() && result.spoilt.size() <= 2, result.spoilt.toString());
         assertTrue(
-                played.named(Rule.ANSWER).containsAll(played.spoilt),
-                played.audit.json().toString());
+                result.breachesOf(Rule.ANSWER).containsAll(result.spoilt),
+                result.audit.json().toString());
     }
 
     @Test
-    void theClassesAreAsTheScenarioSays() {
+    void termsFollowClassesOfScenario() {
         AuditRules terms = new Fleet(scenario("3ms", ""), spec -> null, 1, one -> {}, line -> {}).terms();
         assertEquals(
                 new AuditRules.ClassTerms(Effect.KEYED, Group.CELL, 4_000),
--- a/src/test/java/sablehinge/tools/standin/WarmUpTest.java
+++ b/src/test/java/sablehinge/tools/standin/WarmUpTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.tools.audit.judge.Evidence;
 
-/** What belongs to a fleet's warm-up is not for the record. */
+/** Records of a fleet's warm-up requests are not part of the evidence. */
 class WarmUpTest {
 
-    /** Beside load one ran so late that it stood in the record, and the audit found requests that nobody had sent. */
+    /** Under load a warm-up request ran after recording had started, and the audit reported an unknown request. */
     @Test
-    void whenARequestOfTheWarmUpRunsLateThenItIsNotForTheRecord() {
-        assertTrue(Fleet.isOfWarmUp(ran("warm-up-45463-19")));
-        assertFalse(Fleet.isOfWarmUp(ran("9b1f03aa5c7e2d41")));
+    void recognizesLateRequestsOfTheWarmUp() {
+        assertTrue(Fleet.isFromWarmUp(ran("warm-up-45463-19")));
+        assertFalse(Fleet.isFromWarmUp(ran("9b1f03aa5c7e2d41")));
     }
 
     private static Evidence ran(String id) {
