--- a/bench/src/sablehinge/tools/standin/mesh/RecoveryBench.java
+++ b/bench/src/sablehinge/tools/standin/mesh/RecoveryBench.java
@@ -215,8 +215,9 @@
                 outcome.failure = e.getMessage();
             }
             try {
-                outcome.lost =
-                        MeshJudge.gone(mesh.operator().orders(), mesh.operator().read(WITHIN_MS)) != null;
+                outcome.lost = MeshJudge.lostOrder(
+                                mesh.operator().orders(), mesh.operator().read(WITHIN_MS))
+                        != null;
             } catch (MeshException e) {
                 // Nobody can say that it is still there.
                 outcome.lost = mesh.operator().orders().stream().anyMatch(one -> one.ackedAt() > 0);
@@ -276,7 +277,7 @@
             throws InterruptedException {
         mesh.killAll();
         if (loss.isOfPower()) {
-            mesh.upstreamsGo();
+            mesh.crashUpstreams();
         }
         if (loss == Loss.POWER_WIPE) {
             mesh.wipe(struck);
@@ -284,7 +285,7 @@
         TimeUnit.MILLISECONDS.sleep(DOWN_MS);
         double back = TrafficLog.now();
         if (loss.isOfPower()) {
-            mesh.upstreamsCome();
+            mesh.startUpstreams();
         }
         mesh.restartAll(1);
         served(pulse, back, outcome);
@@ -308,7 +309,7 @@
         double back = TrafficLog.now();
         int newcomer = struck;
         if (loss == Loss.REPLACE) {
-            newcomer = mesh.another();
+            newcomer = mesh.addControlNode();
         } else {
             mesh.wipe(struck);
         }
--- a/bench/src/sablehinge/tools/standin/mesh/SoakJudge.java
+++ b/bench/src/sablehinge/tools/standin/mesh/SoakJudge.java
@@ -193,7 +193,7 @@
     private boolean wasStruck(TrafficLog.Run run, double until) {
         int machine = machine(run);
         double from = run.at() - SIGNAL_MS;
-        return trafficLog.hasBrokenOff(run.stamp())
+        return trafficLog.isAborted(run.stamp())
                 || lives.wasKilled(machine, from, until)
                 || lives.hasCrashed(machine, from, until);
     }
--- a/bench/src/sablehinge/tools/standin/mesh/SoakRun.java
+++ b/bench/src/sablehinge/tools/standin/mesh/SoakRun.java
@@ -195,7 +195,7 @@
             tries.add(own);
             SoakCalls called = new SoakCalls(outbound, service, routes.get(0), own);
             calls.add(called);
-            mesh.upstreamDepends(i, FAILS_EACH, called);
+            mesh.setUpstreamDependency(i, FAILS_EACH, called);
             SoakClients one = new SoakClients(i, outbound, service, routes, pauseMs, own);
             clients.add(one);
             one.start(random);
@@ -259,22 +259,22 @@
             case HANGUP -> () -> hangUp(place);
             case UPSTREAM_LEAVES ->
                 () -> {
-                    mesh.upstreamLeaves(place);
+                    mesh.drainUpstream(place);
                     TimeUnit.MILLISECONDS.sleep(delayMs);
-                    mesh.upstreamComes(place);
+                    mesh.startUpstream(place);
                 };
             case UPSTREAM_CRASHES ->
                 () -> {
                     lives.crashes(place);
-                    mesh.upstreamCrashes(place);
+                    mesh.crashUpstream(place);
                     TimeUnit.MILLISECONDS.sleep(delayMs);
-                    mesh.upstreamComes(place);
+                    mesh.startUpstream(place);
                 };
             case UPSTREAM_SLOWS ->
                 () -> {
-                    mesh.upstreamSlows(place, event.count());
+                    mesh.slowUpstream(place, event.count());
                     TimeUnit.MILLISECONDS.sleep(delayMs);
-                    mesh.upstreamSlows(place, 1);
+                    mesh.slowUpstream(place, 1);
                 };
             case CHANGES -> () -> change(event.count(), delayMs);
             case CONTROL_KILL -> () -> restartControl(place, delayMs, true);
@@ -430,7 +430,7 @@
         signals.incrementAndGet();
         mesh.controlNode(corePlaces[index]).kill();
         TimeUnit.MILLISECONDS.sleep(delayMs);
-        int place = mesh.another();
+        int place = mesh.addControlNode();
         mesh.restart(place, ++coreStarts);
         corePlaces[index] = place;
         awaitMember(place);
--- a/src/main/java/sablehinge/tools/standin/mesh/ClientCall.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/ClientCall.java
@@ -9,12 +9,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** A connection of a caller: requests go out, answers come back in their order. */
+/** A client connection that sends requests and receives the responses in order. */
 final class ClientCall implements AutoCloseable {
 
-    private static final int CHUNK = 7_000;
-    /** Room for what has come and is not read yet, of a caller that reads slowly; bytes. */
-    private static final int SLOW_BUFFER = 16 * 1024;
+    private static final int CHUNK_BYTES = 7_000;
+    /** The socket receive buffer of a client that reads slowly, in bytes. */
+    private static final int SLOW_RECEIVE_BUFFER_BYTES = 16 * 1024;
 
     private final Socket socket = new Socket();
     private final InputStream in;
@@ -23,24 +23,24 @@
         this(to, timeoutMs, false);
     }
 
-    /** Likewise; one that reads slowly lets little of an answer in at a time. */
+    /** Connects; {@code readsSlowly} limits how fast responses are read, for backpressure. */
     ClientCall(InetSocketAddress to, int timeoutMs, boolean readsSlowly) throws IOException {
         try {
             if (readsSlowly) {
-                socket.setReceiveBufferSize(SLOW_BUFFER);
+                socket.setReceiveBufferSize(SLOW_RECEIVE_BUFFER_BYTES);
             }
             socket.connect(to, timeoutMs);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(timeoutMs);
-            InputStream received = socket.getInputStream();
-            in = new BufferedInputStream(readsSlowly ? new SlowInputStream(received) : received);
+            InputStream source = socket.getInputStream();
+            in = new BufferedInputStream(readsSlowly ? new SlowInputStream(source) : source);
         } catch (IOException e) {
             socket.close();
             throw e;
         }
     }
 
-    /** Sends a request with its body in chunks or with a length. */
+    /** Sends a request with a chunked body or a content length. */
     void send(String method, String uri, Map<String, String> headers, byte[] body, boolean chunked) throws IOException {
         byte[] request = request(method, uri, headers, body, chunked);
         write(request, 0, request.length);
@@ -51,7 +51,7 @@
         socket.getOutputStream().write(bytes, from, count);
     }
 
-    /** The bytes of a request with its body in chunks or with a length. */
+    /** Encodes a request with a chunked body or a content length. */
     static byte[] request(String method, String uri, Map<String, String> headers, byte[] body, boolean chunked) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         text(out, method + " " + uri + " HTTP/1.1\r\n");
@@ -62,19 +62,19 @@
         return out.toByteArray();
     }
 
-    /** The end of a head, and the body. */
-    static void body(ByteArrayOutputStream out, byte[] body, boolean chunked, boolean has) {
+    /** Writes the end of a head, and the body. */
+    static void body(ByteArrayOutputStream out, byte[] body, boolean chunked, boolean hasBody) {
         if (chunked) {
             text(out, "Transfer-Encoding: chunked\r\n\r\n");
-            for (int from = 0; from < body.length; from += CHUNK) {
-                int size = Math.min(CHUNK, body.length - from);
+            for (int from = 0; from < body.length; from += CHUNK_BYTES) {
+                int size = Math.min(CHUNK_BYTES, body.length - from);
                 text(out, Integer.toHexString(size) + "\r\n");
                 out.write(body, from, size);
                 text(out, "\r\n");
             }
             text(out, "0\r\n\r\n");
         } else {
-            text(out, has ? "Content-Length: " + body.length + "\r\n\r\n" : "\r\n");
+            text(out, hasBody ? "Content-Length: " + body.length + "\r\n\r\n" : "\r\n");
             out.write(body, 0, body.length);
         }
     }
@@ -83,12 +83,12 @@
         out.writeBytes(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next answer; null where the connection has ended. */
+    /** Receives the next response; returns null if the connection has ended. */
     Message receive() throws IOException {
         return Message.read(in);
     }
 
-    /** One request on a connection of its own. */
+    /** Sends one request on a new connection and returns the response. */
     static Message once(
             InetSocketAddress to, int timeoutMs, String method, String uri, Map<String, String> headers, byte[] body)
             throws IOException {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** An address from its text. */
+    /** Parses an address HOST:PORT. */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -109,7 +109,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is gone all the same.
+            // The socket is released nevertheless.
         }
     }
 }
--- a/src/main/java/sablehinge/tools/standin/mesh/Daemon.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/Daemon.java
@@ -7,60 +7,60 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A daemon of the mesh as a child process, which is started with a settings file. */
+/** A daemon of the mesh that runs as a child process with a settings file. */
 public final class Daemon implements AutoCloseable {
 
-    private static final String SETTINGS = "SABLEHINGE_CONFIG";
+    private static final String SETTINGS_VARIABLE = "SABLEHINGE_CONFIG";
 
     private final String name;
     private final Path settings;
     private final Path log;
     private Process process;
-    private long outputBefore;
+    private long startOffset;
 
-    /** A daemon that does not run yet; its log is appended to a file. */
+    /** Creates a daemon without starting it; its output is appended to the log file. */
     public Daemon(String name, Path settings, Path log) {
         this.name = name;
         this.settings = settings;
         this.log = log;
     }
 
-    /** Starts it by a command. */
+    /** Starts the process with a command. */
     public void start(List<String> command) {
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-        builder.environment().put(SETTINGS, settings.toString());
+        builder.environment().put(SETTINGS_VARIABLE, settings.toString());
         try {
-            outputBefore = Files.exists(log) ? Files.size(log) : 0;
+            startOffset = Files.exists(log) ? Files.size(log) : 0;
             process = builder.start();
         } catch (IOException e) {
             throw new MeshException(MeshException.Code.DAEMON, name + " can't be started: " + e.getMessage(), e);
         }
     }
 
-    /** Whether it runs. */
+    /** Returns whether the process runs. */
     public boolean runs() {
         return process != null && process.isAlive();
     }
 
-    /** What it has logged since its last start. */
+    /** Returns the output since the last start. */
     public String output() {
         try {
-            byte[] all = Files.readAllBytes(log);
-            int from = (int) Math.min(all.length, outputBefore);
-            return new String(all, from, all.length - from, StandardCharsets.UTF_8);
+            byte[] content = Files.readAllBytes(log);
+            int from = (int) Math.min(content.length, startOffset);
+            return new String(content, from, content.length - from, StandardCharsets.UTF_8);
         } catch (IOException e) {
             return "(no log)";
         }
     }
 
-    /** The number of its process. */
+    /** Returns the process id. */
     public long pid() {
         return process.pid();
     }
 
-    /** The processor time that it has used, in ms; 0 where the system does not say. */
+    /** Returns the CPU time of the process in ms; 0 if the system does not report it. */
     public long cpuMs() {
         return process.info()
                 .totalCpuDuration()
@@ -68,17 +68,17 @@
                 .orElse(0L);
     }
 
-    /** Ends it at once, and returns when it is gone. */
+    /** Kills the process and waits until it has exited. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** Sends it SIGTERM. */
+    /** Sends SIGTERM. */
     public void terminate() {
         process.destroy();
     }
 
-    /** Sends it SIGHUP. */
+    /** Sends SIGHUP. */
     public void hangUp() throws InterruptedException {
         try {
             new ProcessBuilder("kill", "-HUP", Long.toString(pid())).start().waitFor();
@@ -87,17 +87,17 @@
         }
     }
 
-    /** Runs something once it has ended. */
-    public void onEnd(Runnable then) {
-        process.onExit().thenRun(then);
+    /** Runs an action once the process has exited. */
+    public void onEnd(Runnable action) {
+        process.onExit().thenRun(action);
     }
 
-    /** Whether it ends within so long. */
+    /** Returns whether the process exits within a time. */
     public boolean ends(long withinMs) throws InterruptedException {
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Asks it to end; whether it has within so long. */
+    /** Sends SIGTERM; returns whether the process exits within a time. */
     public boolean end(long withinMs) throws InterruptedException {
         process.destroy();
         return process.waitFor(withinMs, TimeUnit.MILLISECONDS);
--- a/src/main/java/sablehinge/tools/standin/mesh/HeartbeatSender.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/HeartbeatSender.java
@@ -7,27 +7,27 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Sends heartbeats of an upstream to the balancer beside it, and in the end that it leaves. */
+/** Sends the heartbeats of an upstream to the sidecar of its machine, and announces its shutdown. */
 public final class HeartbeatSender implements AutoCloseable {
 
     private static final int TIMEOUT_MS = 1_000;
-    private static final long AGAIN_MS = 150;
+    private static final long RETRY_DELAY_MS = 150;
 
     private final StandInUpstream upstream;
     private final InetSocketAddress control;
     private final String zone;
-    private final long everyMs;
+    private final long intervalMs;
     private final TrafficLog trafficLog;
-    private long count;
+    private long callCount;
     private volatile boolean ended;
 
-    /** Begins to heartbeat. */
+    /** Creates the sender and starts to send heartbeats. */
     public HeartbeatSender(
-            StandInUpstream upstream, InetSocketAddress control, String zone, long everyMs, TrafficLog trafficLog) {
+            StandInUpstream upstream, InetSocketAddress control, String zone, long intervalMs, TrafficLog trafficLog) {
         this.upstream = upstream;
         this.control = control;
         this.zone = zone;
-        this.everyMs = everyMs;
+        this.intervalMs = intervalMs;
         this.trafficLog = trafficLog;
         StandInUpstream.daemon("beats " + upstream.terms().id(), this::heartbeat);
     }
@@ -39,7 +39,7 @@
     private void heartbeat() {
         try {
             while (!ended) {
-                TimeUnit.MILLISECONDS.sleep(call("Servers.Heartbeat") ? everyMs : AGAIN_MS);
+                TimeUnit.MILLISECONDS.sleep(call("Servers.Heartbeat") ? intervalMs : RETRY_DELAY_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -60,7 +60,7 @@
                 .put("berths", terms.berths())
                 .put("state", upstream.isUnloading() ? "unloading" : "ready")
                 .put("coldLeftMs", 0)
-                .put("callCount", ++count)
+                .put("callCount", ++callCount)
                 .toString();
         try {
             Message answer = ClientCall.once(
@@ -76,23 +76,23 @@
         }
     }
 
-    private void tell(String name, boolean gone, double until) throws InterruptedException {
+    private void announce(String name, boolean gone, double deadline) throws InterruptedException {
         while (!call(name)) {
-            if (TrafficLog.now() > until) {
+            if (TrafficLog.now() > deadline) {
                 return;
             }
-            TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
         }
         trafficLog.left(new TrafficLog.Left(upstream.terms().id(), gone, TrafficLog.now()));
     }
 
-    /** A planned end: says so, serves on for so long, signs off, and ends the upstream. */
+    /** Shuts down gracefully: announces the shutdown, serves for a grace period, signs off and closes the upstream. */
     public void leave(long unloadMs) throws InterruptedException {
         upstream.unloads();
-        tell("Servers.Heartbeat", false, TrafficLog.now() + unloadMs);
+        announce("Servers.Heartbeat", false, TrafficLog.now() + unloadMs);
         TimeUnit.MILLISECONDS.sleep(unloadMs + unloadMs / 10);
         ended = true;
-        tell("Servers.SignOff", true, TrafficLog.now() + unloadMs);
+        announce("Servers.SignOff", true, TrafficLog.now() + unloadMs);
         upstream.close();
     }
 
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshException.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshException.java
@@ -1,31 +1,31 @@
 package sablehinge.tools.standin.mesh;
 
-/** Something of a small mesh can't go on; the code says what, once and for all. */
+/** A failure of a small mesh, classified by a code. */
 public final class MeshException extends RuntimeException {
 
     private static final long serialVersionUID = 1;
 
-    /** What can't go on. */
+    /** The kinds of failures. */
     public enum Code {
-        /** A daemon can't be started or ends by itself. */
+        /** A daemon failed to start or exited unexpectedly. */
         DAEMON,
-        /** What was waited for did not come in time. */
+        /** An expected event did not occur before the timeout. */
         TIMEOUT,
-        /** A file of the mesh can't be written or removed. */
+        /** A file of the mesh could not be written or deleted. */
         FILE,
-        /** An address can't be listened on. */
+        /** Binding an address failed. */
         ADDRESS
     }
 
     private final Code code;
 
-    /** An error with words for people. */
+    /** Creates an exception with a message for the user. */
     public MeshException(Code code, String message, Throwable cause) {
         super(message, cause);
         this.code = code;
     }
 
-    /** What can't go on. */
+    /** Returns the kind of the failure. */
     public Code code() {
         return code;
     }
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshJudge.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshJudge.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Holds what was seen in a small mesh against the rules; what is not seen on sockets is not judged. */
+/** Checks the recorded traffic of a small mesh against its rules; only traffic on sockets is checked. */
 public final class MeshJudge {
 
     private final TrafficLog trafficLog;
@@ -16,7 +16,7 @@
     private final double editionMs;
     private final List<String> breaches = new ArrayList<>();
 
-    /** A judge of one day; times are in ms. */
+    /** Creates a judge of one run; times are in ms. */
     public MeshJudge(TrafficLog trafficLog, List<Operator.Order> orders, double unloadMs, double editionMs) {
         this.trafficLog = trafficLog;
         this.orders = List.copyOf(orders);
@@ -24,54 +24,60 @@
         this.editionMs = editionMs;
     }
 
-    /** The rules that were broken, a line each, beginning with the rule's name; none is as it should be. */
+    /** Returns the violated rules, one line each that begins with the name of the rule; empty for a correct run. */
     public List<String> breaches(byte[] readBack) {
         breaches.clear();
         Map<String, TrafficLog.Sent> sent = new HashMap<>();
-        trafficLog.sent().forEach(one -> sent.put(one.id(), one));
+        trafficLog.sent().forEach(request -> sent.put(request.id(), request));
         Map<String, List<TrafficLog.Run>> runs = new HashMap<>();
         trafficLog.runs().forEach(run -> runs.computeIfAbsent(run.id(), id -> new ArrayList<>())
                 .add(run));
-        trafficLog.strays().forEach(words -> breach("MIXED", words));
-        trafficLog.answered().forEach(one -> answer(one, sent.get(one.of()), runs.getOrDefault(one.of(), List.of())));
-        trafficLog.runs().forEach(run -> run(run, sent.get(run.id())));
-        runs.forEach((id, of) -> {
-            if (of.size() > 1 && sent.containsKey(id) && sent.get(id).kind() != TrafficLog.Kind.SAFE) {
-                breach("TWICE", id + " ran " + of.size() + " times");
+        trafficLog.strays().forEach(description -> breach("MIXED", description));
+        trafficLog
+                .answered()
+                .forEach(answer -> checkAnswer(
+                        answer, sent.get(answer.requestId()), runs.getOrDefault(answer.requestId(), List.of())));
+        trafficLog.runs().forEach(run -> checkRun(run, sent.get(run.id())));
+        runs.forEach((id, runsOfRequest) -> {
+            if (runsOfRequest.size() > 1 && sent.containsKey(id) && sent.get(id).kind() != TrafficLog.Kind.SAFE) {
+                breach("TWICE", id + " ran " + runsOfRequest.size() + " times");
             }
         });
-        leaving();
-        readBack(readBack);
+        checkShutdowns();
+        checkReadBack(readBack);
         return List.copyOf(breaches);
     }
 
-    private void breach(String rule, String words) {
-        breaches.add(rule + ": " + words);
+    private void breach(String rule, String description) {
+        breaches.add(rule + ": " + description);
     }
 
-    private void answer(TrafficLog.Answered one, TrafficLog.Sent sent, List<TrafficLog.Run> runs) {
-        if (one.status() / 100 == 2) {
-            TrafficLog.Run by = runs.stream()
-                    .filter(run -> run.stamp().equals(one.stamp()))
+    private void checkAnswer(TrafficLog.Answered answer, TrafficLog.Sent sent, List<TrafficLog.Run> runs) {
+        if (answer.status() / 100 == 2) {
+            TrafficLog.Run matchingRun = runs.stream()
+                    .filter(run -> run.stamp().equals(answer.stamp()))
                     .findFirst()
                     .orElse(null);
-            if (!one.of().equals(one.id())) {
-                breach("MIXED", one.of() + " got the answer of " + one.id());
-            } else if (by == null) {
-                breach("MIXED", one.of() + " got a success with no stamp of its own");
-            } else if (by.answer() != one.sum()) {
-                breach("MIXED", one.of() + " got a body that its upstream did not send");
+            if (!answer.requestId().equals(answer.id())) {
+                breach("MIXED", answer.requestId() + " got the answer of " + answer.id());
+            } else if (matchingRun == null) {
+                breach("MIXED", answer.requestId() + " got a success with no stamp of its own");
+            } else if (matchingRun.answer() != answer.sum()) {
+                breach("MIXED", answer.requestId() + " got a body that its upstream did not send");
             }
         } else if (!runs.isEmpty()
                 && sent.kind() != TrafficLog.Kind.SAFE
-                && Set.of(408, 421, 429, 503).contains(one.status())) {
-            breach("REFUSED", one.of() + " got " + one.status() + " and yet ran");
-        } else if (one.status() / 100 == 4 && one.status() != 429 && one.status() != 408 && one.status() != 421) {
-            breach("DENIED", one.of() + " got " + one.status());
+                && Set.of(408, 421, 429, 503).contains(answer.status())) {
+            breach("REFUSED", answer.requestId() + " got " + answer.status() + " and yet ran");
+        } else if (answer.status() / 100 == 4
+                && answer.status() != 429
+                && answer.status() != 408
+                && answer.status() != 421) {
+            breach("DENIED", answer.requestId() + " got " + answer.status());
         }
     }
 
-    private void run(TrafficLog.Run run, TrafficLog.Sent sent) {
+    private void checkRun(TrafficLog.Run run, TrafficLog.Sent sent) {
         if (sent == null
                 || !sent.method().equals(run.method())
                 || !sent.uri().equals(run.uri())
@@ -85,55 +91,55 @@
         if (!MeshVersion.TENANT.equals(run.sender())) {
             breach("UNASKED", run.id() + " ran for " + run.sender());
         }
-        boolean ever = false;
-        boolean now = false;
+        boolean allowedByAny = false;
+        boolean allowedByCurrent = false;
         for (int i = 0; i < orders.size(); i++) {
             boolean allows = orders.get(i).version().allows(sent.prefix(), run.service());
             boolean replaced =
                     i + 1 < orders.size() && sent.at() > orders.get(i + 1).ackedAt() + editionMs;
-            ever |= allows && orders.get(i).sentAt() <= run.at();
-            now |= allows && !replaced;
+            allowedByAny |= allows && orders.get(i).sentAt() <= run.at();
+            allowedByCurrent |= allows && !replaced;
         }
-        if (!ever) {
+        if (!allowedByAny) {
             breach("ROUTE", run.id() + " ran at " + run.service());
-        } else if (!now) {
+        } else if (!allowedByCurrent) {
             breach("CONFIG", run.id() + " ran at " + run.service() + ", as only an older version has it");
         }
     }
 
-    private void leaving() {
+    private void checkShutdowns() {
         Set<String> seen = new HashSet<>();
         for (TrafficLog.Left left : trafficLog.left()) {
-            double until = left.at() + unloadMs;
+            double deadline = left.at() + unloadMs;
             trafficLog.runs().stream()
-                    .filter(run -> run.upstream().equals(left.upstream()) && run.at() > until)
+                    .filter(run -> run.upstream().equals(left.upstream()) && run.at() > deadline)
                     .filter(run -> seen.add(run.stamp()))
                     .forEach(run -> breach("DRAIN", run.id() + " ran at " + run.upstream() + " too late"));
         }
     }
 
-    private void readBack(byte[] body) {
-        Operator.Order gone = gone(orders, body);
-        if (gone != null) {
-            breach("CONFIG", "read back is not edition " + gone.version().edition());
+    private void checkReadBack(byte[] body) {
+        Operator.Order lost = lostOrder(orders, body);
+        if (lost != null) {
+            breach("CONFIG", "read back is not edition " + lost.version().edition());
         }
     }
 
-    /** The newest acknowledged order, if what was read back is neither that nor one that came after it. */
-    static Operator.Order gone(List<Operator.Order> orders, byte[] body) {
+    /** Returns the newest acknowledged configuration if neither it nor a later unacknowledged one was read back. */
+    static Operator.Order lostOrder(List<Operator.Order> orders, byte[] body) {
         Operator.Order newest = null;
-        List<Operator.Order> unclear = new ArrayList<>();
+        List<Operator.Order> unacknowledged = new ArrayList<>();
         for (Operator.Order order : orders) {
             if (Double.isNaN(order.ackedAt())) {
-                unclear.add(order);
+                unacknowledged.add(order);
             } else {
                 newest = order;
-                unclear.clear();
+                unacknowledged.clear();
             }
         }
-        boolean there = newest == null
-                || Operator.same(body, newest.version())
-                || unclear.stream().anyMatch(one -> Operator.same(body, one.version()));
-        return there ? null : newest;
+        boolean isReadBack = newest == null
+                || Operator.hasSameContent(body, newest.version())
+                || unacknowledged.stream().anyMatch(order -> Operator.hasSameContent(body, order.version()));
+        return isReadBack ? null : newest;
     }
 }
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshPlan.java
@@ -5,32 +5,32 @@
 import java.util.Locale;
 
 /**
- * Where everything of a small mesh is: each machine has a loopback address of its own, all have the same ports.
+ * The addresses of a small mesh: each machine has its own loopback address, and all machines use the same ports.
  *
- * @param prefix the first three numbers of all addresses, such as 127.0.0
- * @param controlNodes how many machines the core has
- * @param services the services of the upstreams, one for each machine with an upstream
+ * @param prefix the first three octets of all addresses, such as 127.0.0
+ * @param controlNodes the number of control nodes
+ * @param services the services of the upstreams, one for each sidecar
  */
 public record MeshPlan(String prefix, int controlNodes, List<String> services) {
 
-    /** How long an upstream serves on once it has announced that it leaves. */
+    /** How long an upstream continues to serve after it has announced its shutdown. */
     public static final int UNLOAD_MS = 2_000;
-    /** After an acknowledgement, how long an older configuration may be in force. */
+    /** How long an older configuration may stay in effect after a newer one was acknowledged. */
     public static final int EDITION_MS = 2_500;
-    /** Between two heartbeats of an upstream. */
+    /** The interval between heartbeats of an upstream. */
     public static final int HEARTBEAT_MS = 500;
     /** The zone of all machines. */
     public static final String ZONE = "valley";
 
-    private static final int CORE = 11;
-    private static final int SIDECARS = 21;
-    private static final int INNER = 7780;
-    private static final int CONTROL = 7701;
-    private static final int OUTBOUND = 7702;
-    private static final int INBOUND = 7703;
-    private static final int READY = 7704;
-    private static final int APP = 7705;
-    private static final String REST =
+    private static final int FIRST_CONTROL_NODE_HOST = 11;
+    private static final int FIRST_SIDECAR_HOST = 21;
+    private static final int FIRST_INNER_PORT = 7780;
+    private static final int CONTROL_PORT = 7701;
+    private static final int OUTBOUND_PORT = 7702;
+    private static final int INBOUND_PORT = 7703;
+    private static final int READY_PORT = 7704;
+    private static final int APP_PORT = 7705;
+    private static final String COMMON_SETTINGS =
             """
             firstStart = %s
             counted = %s
@@ -54,46 +54,46 @@
             editionMs = %d
             """;
 
-    /** A plan whose services can't be changed. */
+    /** Creates a plan with an immutable copy of the services. */
     public MeshPlan {
         services = List.copyOf(services);
     }
 
-    /** Where a machine of the core listens for operators, by its place. */
-    public String coreControl(int place) {
-        return at(CORE + place, CONTROL);
+    /** Returns the address at which a control node listens for operators. */
+    public String coreControl(int index) {
+        return address(FIRST_CONTROL_NODE_HOST + index, CONTROL_PORT);
     }
 
-    /** Where clients of a machine call, by its place among those with an upstream. */
-    public String outbound(int place) {
-        return at(SIDECARS + place, OUTBOUND);
+    /** Returns the address at which a sidecar accepts the requests of the clients of its machine. */
+    public String outbound(int index) {
+        return address(FIRST_SIDECAR_HOST + index, OUTBOUND_PORT);
     }
 
-    /** Where a machine answers readiness checks. */
-    public String ready(int place) {
-        return at(SIDECARS + place, READY);
+    /** Returns the address at which a sidecar answers readiness checks. */
+    public String ready(int index) {
+        return address(FIRST_SIDECAR_HOST + index, READY_PORT);
     }
 
-    /** Where a machine listens for its upstream. */
-    public String control(int place) {
-        return at(SIDECARS + place, CONTROL);
+    /** Returns the address at which a sidecar listens for its upstream. */
+    public String control(int index) {
+        return address(FIRST_SIDECAR_HOST + index, CONTROL_PORT);
     }
 
-    /** Where a machine's upstream listens. */
-    public String app(int place) {
-        return at(SIDECARS + place, APP);
+    /** Returns the address at which the upstream of a machine listens. */
+    public String app(int index) {
+        return address(FIRST_SIDECAR_HOST + index, APP_PORT);
     }
 
-    private String at(int last, int port) {
-        return prefix + "." + last + ":" + port;
+    private String address(int host, int port) {
+        return prefix + "." + host + ":" + port;
     }
 
-    private String head(String node, String role, int last) {
+    private String identitySettings(String node, String role, int host) {
         List<String> seeds = new ArrayList<>();
         for (int i = 0; i < Math.min(3, controlNodes); i++) {
             seeds.add('"' + coreControl(i) + '"');
         }
-        String machines = role.equals("control") ? "core" : "sidecar";
+        String machineClass = role.equals("control") ? "core" : "sidecar";
         return String.format(
                 Locale.ROOT,
                 """
@@ -109,30 +109,33 @@
                 """,
                 node,
                 role,
-                machines,
-                machines.equals("core") ? "control" : "sidecar",
+                machineClass,
+                machineClass.equals("core") ? "control" : "sidecar",
                 prefix,
-                last,
+                host,
                 ZONE,
-                INNER,
-                INNER + 15,
+                FIRST_INNER_PORT,
+                FIRST_INNER_PORT + 15,
                 seeds);
     }
 
-    /** The settings file of a machine of the core. */
-    public String controlSettings(int place, String dataDir, boolean firstStart) {
-        return head("core-" + (place + 1), "control", CORE + place) + "dataDir = \"" + dataDir + "\"\n"
-                + String.format(Locale.ROOT, REST, firstStart, true, HEARTBEAT_MS, 1_000, UNLOAD_MS, EDITION_MS)
-                + "[listenOn]\ncontrol = \"" + coreControl(place) + "\"\n";
+    /** Returns the text of the settings file of a control node. */
+    public String controlSettings(int index, String dataDir, boolean firstStart) {
+        return identitySettings("core-" + (index + 1), "control", FIRST_CONTROL_NODE_HOST + index) + "dataDir = \""
+                + dataDir + "\"\n"
+                + String.format(
+                        Locale.ROOT, COMMON_SETTINGS, firstStart, true, HEARTBEAT_MS, 1_000, UNLOAD_MS, EDITION_MS)
+                + "[listenOn]\ncontrol = \"" + coreControl(index) + "\"\n";
     }
 
-    /** The settings file of a machine with an upstream. */
-    public String sidecarSettings(int place) {
-        return head("sidecar-" + (place + 1), "sidecar", SIDECARS + place) + "app = \"" + app(place)
-                + "\"\ndepot = \"" + services.get(place) + "\"\n"
-                + String.format(Locale.ROOT, REST, true, false, HEARTBEAT_MS, 0, UNLOAD_MS, EDITION_MS)
-                + "[listenOn]\ninbound = \"" + at(SIDECARS + place, INBOUND) + "\"\noutbound = \""
-                + outbound(place) + "\"\nready = \"" + ready(place) + "\"\ncontrol = \"" + control(place)
+    /** Returns the text of the settings file of a sidecar. */
+    public String sidecarSettings(int index) {
+        return identitySettings("sidecar-" + (index + 1), "sidecar", FIRST_SIDECAR_HOST + index) + "app = \""
+                + app(index)
+                + "\"\ndepot = \"" + services.get(index) + "\"\n"
+                + String.format(Locale.ROOT, COMMON_SETTINGS, true, false, HEARTBEAT_MS, 0, UNLOAD_MS, EDITION_MS)
+                + "[listenOn]\ninbound = \"" + address(FIRST_SIDECAR_HOST + index, INBOUND_PORT) + "\"\noutbound = \""
+                + outbound(index) + "\"\nready = \"" + ready(index) + "\"\ncontrol = \"" + control(index)
                 + "\"\n";
     }
 }
--- a/src/main/java/sablehinge/tools/standin/mesh/MeshVersion.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/MeshVersion.java
@@ -9,54 +9,54 @@
 import java.util.Map;
 
 /**
- * A configuration of a small mesh, as the operator sends it.
+ * A version of the configuration of a small mesh, as the operator sends it.
  *
- * @param basedOn the edition below it; 0 for none
+ * @param basedOn the edition that this version replaces; 0 for none
  */
 public record MeshVersion(long edition, long basedOn, List<Route> routes, List<String> services) {
 
-    /** The one host of all routes. */
+    /** The host of all routes. */
     public static final String HOST = "mesh.example";
-    /** The one tenant. */
+    /** The only tenant. */
     public static final String TENANT = "tenant-1";
-    /** Its key. */
+    /** The key of the tenant. */
     public static final String KEY = "k3y0f7h3d3m0";
 
     private static final int TIMEOUT_MS = 4_000;
     private static final int TARGET_MS = 600;
 
-    /** Where requests of a prefix go; more than one service shares them evenly. */
+    /** The target of the requests with a path prefix; several services share them evenly. */
     public record Route(String prefix, TrafficLog.Kind kind, List<String> services) {
 
-        /** A route whose services can't be changed. */
+        /** Creates a route with an immutable copy of the services. */
         public Route {
             services = List.copyOf(services);
         }
     }
 
-    /** A version whose lists can't be changed. */
+    /** Creates a version with immutable copies of the lists. */
     public MeshVersion {
         routes = List.copyOf(routes);
         services = List.copyOf(services);
     }
 
-    /** The headers of a client's request, which has so many ms left. */
-    static Map<String, String> headers(String id, int leftMs) {
+    /** Returns the headers of a client's request with its remaining time in ms. */
+    static Map<String, String> headers(String id, int remainingMs) {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Host", HOST);
         headers.put("Sablehinge-Try-Id", id);
-        headers.put("Sablehinge-Time-Left", Integer.toString(leftMs));
+        headers.put("Sablehinge-Time-Left", Integer.toString(remainingMs));
         headers.put("Sablehinge-Key", KEY);
         return headers;
     }
 
-    /** Whether a service may run the requests of a prefix. */
+    /** Returns whether a service may run the requests with a path prefix. */
     boolean allows(String prefix, String service) {
         return routes.stream()
                 .anyMatch(r -> r.prefix().equals(prefix) && r.services().contains(service));
     }
 
-    /** The body of the operator's call. */
+    /** Returns the body of the operator's call. */
     public byte[] body() {
         ObjectNode root = JsonNodeFactory.instance.objectNode().put("edition", edition);
         root.putObject("limits")
@@ -83,13 +83,14 @@
             } else {
                 ArrayNode split = dispatch.putArray("split");
                 route.services()
-                        .forEach(one -> split.addObject().put("depot", one).put("share", 50));
+                        .forEach(service ->
+                                split.addObject().put("depot", service).put("share", 50));
             }
             dispatch.put("timeoutMs", TIMEOUT_MS).put("attempts", 2);
         }
         ArrayNode fleets = root.putArray("fleets");
-        services.forEach(one -> fleets.addObject()
-                .put("name", one)
+        services.forEach(service -> fleets.addObject()
+                .put("name", service)
                 .put("healthPath", "/health")
                 .put("connCap", 110)
                 .put("protocol", "h1")
--- a/src/main/java/sablehinge/tools/standin/mesh/Message.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/Message.java
@@ -11,47 +11,47 @@
 import java.util.zip.CRC32;
 
 /**
- * An HTTP/1.1 message that has been read completely.
+ * An HTTP/1.1 message with its complete body.
  *
- * @param start its first line
- * @param headers by their names in small letters
+ * @param start the start line
+ * @param headers the headers by lower-case name
  */
 record Message(String start, Map<String, String> headers, byte[] body) {
 
-    private static final int MAX_LINE = 1 << 16;
-    private static final int MAX_BODY = 1 << 26;
+    private static final int MAX_LINE_BYTES = 1 << 16;
+    private static final int MAX_BODY_BYTES = 1 << 26;
 
-    /** The word of the first line at a place, counted from 0. */
-    String word(int place) {
+    /** Returns a word of the start line, counted from 0. */
+    String word(int index) {
         String[] words = start.split(" ", 3);
-        return place < words.length ? words[place] : "";
+        return index < words.length ? words[index] : "";
     }
 
-    /** The status of an answer; 0 where there is none. */
+    /** Returns the status code of a response; 0 if there is none. */
     int status() {
         String text = word(1);
         return text.matches("\\d{3}") ? Integer.parseInt(text) : 0;
     }
 
-    /** A header's value, or null. */
+    /** Returns the value of a header, or null. */
     String header(String name) {
         return headers.get(name.toLowerCase(Locale.ROOT));
     }
 
-    /** Whether the connection ends behind this message. */
+    /** Returns whether the connection closes after this message. */
     boolean closes() {
         String value = header("Connection");
         return value != null && value.toLowerCase(Locale.ROOT).contains("close");
     }
 
-    /** A check sum of a body. */
+    /** Returns the checksum of a body. */
     static long sum(byte[] body) {
         CRC32 crc = new CRC32();
         crc.update(body);
         return crc.getValue();
     }
 
-    /** Reads the next message; null where the connection ends before it begins. */
+    /** Reads the next message; returns null if the connection ends before the message starts. */
     static Message read(InputStream in) throws IOException {
         String start = line(in, true);
         if (start == null) {
@@ -61,7 +61,7 @@
         for (String line = line(in, false); !line.isEmpty(); line = line(in, false)) {
             int colon = line.indexOf(':');
             if (colon < 1) {
-                throw new IOException("no header: " + line);
+                throw new IOException("malformed header line: " + line);
             }
             headers.merge(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -75,49 +75,49 @@
 
     private static byte[] body(InputStream in, String start, Map<String, String> headers) throws IOException {
         if ("chunked".equalsIgnoreCase(headers.get("transfer-encoding"))) {
-            ByteArrayOutputStream all = new ByteArrayOutputStream();
-            for (int size = size(in); size > 0; size = size(in)) {
-                all.write(complete(in, size));
+            ByteArrayOutputStream body = new ByteArrayOutputStream();
+            for (int size = chunkSize(in); size > 0; size = chunkSize(in)) {
+                body.write(readFully(in, size));
                 line(in, false);
             }
             while (!line(in, false).isEmpty()) {
-                // A trailer says nothing here.
+                // Trailers are ignored.
             }
-            return all.toByteArray();
+            return body.toByteArray();
         }
         String length = headers.get("content-length");
         if (length != null) {
-            return complete(in, Integer.parseInt(length));
+            return readFully(in, Integer.parseInt(length));
         }
-        return start.startsWith("HTTP/") ? in.readNBytes(MAX_BODY) : new byte[0];
+        return start.startsWith("HTTP/") ? in.readNBytes(MAX_BODY_BYTES) : new byte[0];
     }
 
-    private static int size(InputStream in) throws IOException {
+    private static int chunkSize(InputStream in) throws IOException {
         return Integer.parseInt(line(in, false).split(";")[0].strip(), 16);
     }
 
-    private static byte[] complete(InputStream in, int size) throws IOException {
-        if (size < 0 || size > MAX_BODY) {
+    private static byte[] readFully(InputStream in, int size) throws IOException {
+        if (size < 0 || size > MAX_BODY_BYTES) {
             throw new IOException("a body of " + size + " bytes");
         }
         byte[] bytes = in.readNBytes(size);
         if (bytes.length < size) {
-            throw new EOFException("a body ends early");
+            throw new EOFException("connection closed within a body");
         }
         return bytes;
     }
 
-    private static String line(InputStream in, boolean first) throws IOException {
+    private static String line(InputStream in, boolean startLine) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                if (first && line.size() == 0) {
+                if (startLine && line.size() == 0) {
                     return null;
                 }
-                throw new EOFException("a head ends early");
+                throw new EOFException("connection closed within a head");
             }
-            if (line.size() > MAX_LINE) {
-                throw new IOException("a line is too long");
+            if (line.size() > MAX_LINE_BYTES) {
+                throw new IOException("header line is too long");
             }
             if (next != '\r') {
                 line.write(next);
--- a/src/main/java/sablehinge/tools/standin/mesh/Operator.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/Operator.java
@@ -12,32 +12,32 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** Sends configurations to whichever machine of the core takes them, and reads the newest back. */
+/** Sends configurations to the control nodes, follows redirects to the leader, and reads the newest version back. */
 public final class Operator {
 
     private static final int TIMEOUT_MS = 2_500;
-    private static final int HOPS = 2;
-    private static final long AGAIN_MS = 100;
+    private static final int MAX_REDIRECTS = 2;
+    private static final long RETRY_DELAY_MS = 100;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final List<InetSocketAddress> core;
+    private final List<InetSocketAddress> controlNodes;
     private final List<Order> orders = new ArrayList<>();
-    private int next;
+    private int nextNode;
 
-    /** A configuration that was sent; {@code ackedAt} is NaN where no acknowledgement has come. */
+    /** A configuration that was sent; {@code ackedAt} is NaN without an acknowledgement. */
     public record Order(MeshVersion version, double sentAt, double ackedAt) {}
 
-    /** An operator that knows these machines. */
-    public Operator(List<InetSocketAddress> core) {
-        this.core = new CopyOnWriteArrayList<>(core);
+    /** Creates an operator with the addresses of the control nodes. */
+    public Operator(List<InetSocketAddress> controlNodes) {
+        this.controlNodes = new CopyOnWriteArrayList<>(controlNodes);
     }
 
-    /** Another machine of the core may be here. */
-    public void knows(InetSocketAddress another) {
-        core.add(another);
+    /** Adds the address of a control node. */
+    public void addControlNode(InetSocketAddress address) {
+        controlNodes.add(address);
     }
 
-    /** Sends a configuration until it is acknowledged; the error says what was answered in the end. */
+    /** Sends a configuration until it is acknowledged; throws an exception with the last response otherwise. */
     public void replace(MeshVersion version, long withinMs) throws InterruptedException {
         double sentAt = TrafficLog.now();
         Map<String, String> headers = new LinkedHashMap<>();
@@ -47,7 +47,7 @@
         double ackedAt = Double.NaN;
         Message answer;
         try {
-            answer = until(withinMs, "POST", "/sablehinge/Config.Replace", headers, version.body());
+            answer = callUntilAnswered(withinMs, "POST", "/sablehinge/Config.Replace", headers, version.body());
             ackedAt = answer.status() == 200 ? TrafficLog.now() : Double.NaN;
         } finally {
             orders.add(new Order(version, sentAt, ackedAt));
@@ -62,19 +62,19 @@
         }
     }
 
-    /** The newest configuration, as the core has it. */
+    /** Reads the newest configuration from the control nodes. */
     public byte[] read(long withinMs) throws InterruptedException {
-        return until(withinMs, "GET", "/sablehinge/Config.Read", Map.of("Host", "control"), new byte[0])
+        return callUntilAnswered(withinMs, "GET", "/sablehinge/Config.Read", Map.of("Host", "control"), new byte[0])
                 .body();
     }
 
-    /** What was sent, in its order. */
+    /** Returns the sent configurations in order. */
     public List<Order> orders() {
         return List.copyOf(orders);
     }
 
-    /** Whether a body says the same as a version. */
-    static boolean same(byte[] body, MeshVersion version) {
+    /** Returns whether a body has the same content as a version. */
+    static boolean hasSameContent(byte[] body, MeshVersion version) {
         try {
             JsonNode read = JSON.readTree(body);
             return JSON.readTree(version.body()).equals(read);
@@ -83,12 +83,12 @@
         }
     }
 
-    /** The place of the machine that leads, among those that were given; -1 where none says so. */
+    /** Returns the index of the leader among the known control nodes; -1 if no node responds as leader. */
     public int leader() {
-        for (int i = 0; i < core.size(); i++) {
+        for (int i = 0; i < controlNodes.size(); i++) {
             try {
                 Message answer = ClientCall.once(
-                        core.get(i),
+                        controlNodes.get(i),
                         TIMEOUT_MS,
                         "GET",
                         "/sablehinge/Config.Read",
@@ -98,19 +98,20 @@
                     return i;
                 }
             } catch (IOException e) {
-                // This one does not run.
+                // This control node does not run.
             }
         }
         return -1;
     }
 
-    private Message until(long withinMs, String method, String path, Map<String, String> headers, byte[] body)
+    private Message callUntilAnswered(
+            long withinMs, String method, String path, Map<String, String> headers, byte[] body)
             throws InterruptedException {
-        double end = TrafficLog.now() + withinMs;
+        double deadline = TrafficLog.now() + withinMs;
         Message last = null;
-        while (TrafficLog.now() < end) {
+        while (TrafficLog.now() < deadline) {
             try {
-                Message answer = follow(method, path, headers, body);
+                Message answer = callWithRedirects(method, path, headers, body);
                 if (answer != null) {
                     last = answer;
                     int status = answer.status();
@@ -120,10 +121,10 @@
                     }
                 }
             } catch (IOException e) {
-                // The next one is called.
+                // The next control node is tried.
             }
-            next++;
-            TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
+            nextNode++;
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
         }
         throw new MeshException(
                 MeshException.Code.TIMEOUT,
@@ -131,12 +132,13 @@
                 null);
     }
 
-    private Message follow(String method, String path, Map<String, String> headers, byte[] body) throws IOException {
-        InetSocketAddress to = core.get(Math.floorMod(next, core.size()));
-        Message answer = ClientCall.once(to, TIMEOUT_MS, method, path, headers, body);
-        for (int i = 0; i < HOPS && answer != null && answer.status() == 307; i++) {
-            to = ClientCall.address(URI.create(answer.header("Location")).getAuthority());
-            answer = ClientCall.once(to, TIMEOUT_MS, method, path, headers, body);
+    private Message callWithRedirects(String method, String path, Map<String, String> headers, byte[] body)
+            throws IOException {
+        InetSocketAddress node = controlNodes.get(Math.floorMod(nextNode, controlNodes.size()));
+        Message answer = ClientCall.once(node, TIMEOUT_MS, method, path, headers, body);
+        for (int i = 0; i < MAX_REDIRECTS && answer != null && answer.status() == 307; i++) {
+            node = ClientCall.address(URI.create(answer.header("Location")).getAuthority());
+            answer = ClientCall.once(node, TIMEOUT_MS, method, path, headers, body);
         }
         return answer;
     }
--- a/src/main/java/sablehinge/tools/standin/mesh/SlowInputStream.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/SlowInputStream.java
@@ -6,28 +6,28 @@
 import java.io.InterruptedIOException;
 import java.util.concurrent.TimeUnit;
 
-/** Reads a little at a time with pauses between, as a caller on a slow line does. */
+/** Reads small pieces with pauses, like a client on a slow network link. */
 final class SlowInputStream extends FilterInputStream {
 
-    /** The most that is read at once, in bytes, and the pause after it. */
-    private static final int PIECE = 64 * 1024;
+    /** The maximum number of bytes per read; {@link #PAUSE_MS} is the pause after a read of that size. */
+    private static final int MAX_READ_BYTES = 64 * 1024;
 
     private static final long PAUSE_MS = 80;
 
-    SlowInputStream(InputStream from) {
-        super(from);
+    SlowInputStream(InputStream source) {
+        super(source);
     }
 
-    /** For how long at least it pauses while it reads so many bytes, ms. */
+    /** Returns the minimum total pause in ms for reading a number of bytes. */
     static long pausesMs(long bytes) {
-        return bytes / PIECE * PAUSE_MS;
+        return bytes / MAX_READ_BYTES * PAUSE_MS;
     }
 
     @Override
     public int read(byte[] into, int offset, int length) throws IOException {
-        int count = super.read(into, offset, Math.min(length, PIECE));
+        int count = super.read(into, offset, Math.min(length, MAX_READ_BYTES));
         try {
-            TimeUnit.MILLISECONDS.sleep(count * PAUSE_MS / PIECE);
+            TimeUnit.MILLISECONDS.sleep(count * PAUSE_MS / MAX_READ_BYTES);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new InterruptedIOException();
--- a/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
@@ -15,19 +15,19 @@
 import java.util.stream.Stream;
 
 /**
- * Three control nodes and three sidecars as child processes on loopback, with a stand-in upstream beside each sidecar,
- * clients on each machine, and an operator. All of it ends when this is closed.
+ * Runs control nodes and sidecars as child processes on loopback, by default three of each, with a stand-in upstream
+ * and clients for each sidecar, and an operator. Closing the mesh stops everything.
  */
 public final class SmallMesh implements AutoCloseable {
 
     /** The service of two upstreams. */
     public static final String BASALT = "basalt";
-    /** The service of one. */
+    /** The service of one upstream. */
     public static final String MARL = "marl";
 
-    private static final int HEALTH_CHECK_MS = 1_000;
-    private static final long AGAIN_MS = 50;
-    private static final int START_MS = 40_000;
+    private static final int HEALTH_CHECK_TIMEOUT_MS = 1_000;
+    private static final long POLL_INTERVAL_MS = 50;
+    private static final int START_TIMEOUT_MS = 40_000;
 
     private final Path folder;
     private final Shape shape;
@@ -39,43 +39,43 @@
     private final List<Daemon> sidecars = new ArrayList<>();
     private final List<HeartbeatSender> upstreams = new ArrayList<>();
     private final List<LoadClients> clients = new ArrayList<>();
-    /** What the upstreams' runs depend on, by machine. */
+    /** The calls that the runs of upstreams depend on, by machine. */
     private final Map<Integer, StandInUpstream.DependentCall> dependencies = new ConcurrentHashMap<>();
 
-    private volatile int failsEach;
+    private volatile int failureInterval;
 
     /**
-     * How large it is.
+     * The size of a mesh.
      *
-     * @param controlNodes at the beginning
-     * @param services those of the upstreams, one a sidecar
-     * @param berths how many requests an upstream works on at once
-     * @param workMs the longest that one takes
+     * @param controlNodes the initial number of control nodes
+     * @param services the services of the upstreams, one for each sidecar
+     * @param berths the number of requests that an upstream runs concurrently
+     * @param workMs the maximum duration of a run in ms
      */
     public record Shape(int controlNodes, List<String> services, int berths, int workMs) {
 
         /** Three control nodes and three sidecars. */
         public static final Shape USUAL = new Shape(3, List.of(BASALT, BASALT, MARL), 12, 12);
 
-        /** A shape whose services can't be changed. */
+        /** Creates a shape with an immutable copy of the services. */
         public Shape {
             services = List.copyOf(services);
         }
     }
 
-    /** What starts the daemons. */
+    /** Supplies the commands that start the daemons. */
     public interface Commands {
 
-        /** The command of a role's process, by its place among those of its role and its start, from 0. */
-        List<String> command(String role, int place, int start);
+        /** Returns the command of a process by its role, its index in the role and its number of earlier starts. */
+        List<String> command(String role, int index, int start);
     }
 
-    /** A mesh that does not run yet, in a folder that it makes and removes. */
+    /** Creates a mesh of the usual shape without starting it; its files are in a temporary folder. */
     public SmallMesh(Commands commands) {
         this(commands, Shape.USUAL);
     }
 
-    /** Likewise, of another size. */
+    /** Creates a mesh of a shape without starting it; its files are in a temporary folder. */
     public SmallMesh(Commands commands, Shape shape) {
         this.commands = commands;
         this.shape = shape;
@@ -97,12 +97,13 @@
                 write("sidecar-" + i, plan.sidecarSettings(i), sidecars);
             }
         } catch (IOException e) {
-            throw new MeshException(MeshException.Code.FILE, "the folder can't be made: " + e.getMessage(), e);
+            throw new MeshException(
+                    MeshException.Code.FILE, "cannot create the temporary folder: " + e.getMessage(), e);
         }
     }
 
-    private Path data(int place) {
-        return folder.resolve("core-" + place + ".data");
+    private Path data(int index) {
+        return folder.resolve("core-" + index + ".data");
     }
 
     private void write(String name, String settings, List<Daemon> to) throws IOException {
@@ -110,32 +111,31 @@
         to.add(new Daemon(name, file, folder.resolve(name + ".log")));
     }
 
-    /** Where everything is. */
+    /** Returns the addresses of the mesh. */
     public MeshPlan plan() {
         return plan;
     }
 
-    /** What has been seen. */
+    /** Returns the recorded traffic. */
     public TrafficLog trafficLog() {
         return trafficLog;
     }
 
-    /** The operator. */
     public Operator operator() {
         return operator;
     }
 
-    /** A machine of the core. */
-    public Daemon controlNode(int place) {
-        return controlNodes.get(place);
+    /** Returns the daemon of a control node. */
+    public Daemon controlNode(int index) {
+        return controlNodes.get(index);
     }
 
-    /** The balancer of a machine. */
-    public Daemon sidecar(int place) {
-        return sidecars.get(place);
+    /** Returns the daemon of a sidecar. */
+    public Daemon sidecar(int index) {
+        return sidecars.get(index);
     }
 
-    /** A version of the usual routes, whose reads go to one service. */
+    /** Returns a version with the usual routes, whose reads go to one service. */
     public MeshVersion version(long edition, long basedOn, String reads) {
         return new MeshVersion(
                 edition,
@@ -148,19 +148,19 @@
                 List.of(BASALT, MARL));
     }
 
-    /** Starts all daemons and upstreams, has a configuration taken, and returns when all balancers are in. */
+    /** Starts all daemons and upstreams, applies a configuration, and returns when all sidecars are ready. */
     public void start(MeshVersion first) throws InterruptedException {
         restartAll(0);
-        upstreamsCome();
-        operator.replace(first, START_MS);
+        startUpstreams();
+        operator.replace(first, START_TIMEOUT_MS);
         for (int i = 0; i < sidecars.size(); i++) {
             ready(i);
         }
-        // The registry fills with the heartbeats: every balancer has heard of every upstream after two of them.
+        // Heartbeats fill the registry: after two intervals every sidecar knows every upstream.
         TimeUnit.MILLISECONDS.sleep(2 * MeshPlan.HEARTBEAT_MS);
     }
 
-    /** Ends all daemons at once, in any order, and returns when they are gone. */
+    /** Kills all daemons in random order, and returns when they have exited. */
     public void killAll() throws InterruptedException {
         List<Daemon> all = new ArrayList<>(controlNodes);
         all.addAll(sidecars);
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Starts all daemons, for the so-many-th time. */
+    /** Starts all daemons; {@code start} is the number of earlier starts. */
     public void restartAll(int start) {
         for (int i = 0; i < controlNodes.size(); i++) {
             restart(i, start);
@@ -181,136 +181,139 @@
         }
     }
 
-    /** Starts the balancer of a machine, for the so-many-th time. */
-    public void restartSidecar(int place, int start) {
-        sidecars.get(place).start(commands.command("sidecar", place, start));
+    /** Starts a sidecar; {@code start} is the number of earlier starts. */
+    public void restartSidecar(int index, int start) {
+        sidecars.get(index).start(commands.command("sidecar", index, start));
     }
 
-    /** The upstreams of all machines go without a word. */
-    public void upstreamsGo() {
+    /** Stops all upstreams without a sign-off. */
+    public void crashUpstreams() {
         upstreams.forEach(HeartbeatSender::close);
         upstreams.clear();
     }
 
     /** Starts an upstream on each machine, as a new incarnation. */
-    public void upstreamsCome() {
+    public void startUpstreams() {
         for (int i = 0; i < sidecars.size(); i++) {
             upstreams.add(newUpstream(i));
         }
     }
 
-    /** The upstream of a machine goes without a word. */
-    public void upstreamCrashes(int place) {
-        upstreams.get(place).close();
+    /** Stops the upstream of a machine without a sign-off. */
+    public void crashUpstream(int index) {
+        upstreams.get(index).close();
     }
 
-    /** The upstream of a machine leaves in order, which takes a little longer than it unloads. */
-    public void upstreamLeaves(int place) throws InterruptedException {
-        upstreams.get(place).leave(MeshPlan.UNLOAD_MS);
+    /** Shuts down the upstream of a machine gracefully; takes slightly longer than {@link MeshPlan#UNLOAD_MS}. */
+    public void drainUpstream(int index) throws InterruptedException {
+        upstreams.get(index).leave(MeshPlan.UNLOAD_MS);
     }
 
     /** Starts an upstream on a machine, as a new incarnation. */
-    public void upstreamComes(int place) {
-        upstreams.set(place, newUpstream(place));
+    public void startUpstream(int index) {
+        upstreams.set(index, newUpstream(index));
     }
 
-    /** The upstream of a machine takes so many times as long for its work. */
-    public void upstreamSlows(int place, int times) {
-        upstreams.get(place).upstream().slows(times);
+    /** Slows the upstream of a machine by a factor. */
+    public void slowUpstream(int index, int factor) {
+        upstreams.get(index).upstream().setSlowdown(factor);
     }
 
-    /** Of so many runs on a machine one fails and one is broken off, and the others depend on a call; from now on. */
-    void upstreamDepends(int place, int failing, StandInUpstream.DependentCall on) {
-        failsEach = failing;
-        dependencies.put(place, on);
-        upstreams.get(place).upstream().depends(failing, on);
+    /**
+     * Makes one of each {@code runsPerFailure} runs of an upstream fail, aborts one, and makes the others depend on a
+     * call.
+     */
+    void setUpstreamDependency(int index, int runsPerFailure, StandInUpstream.DependentCall dependency) {
+        failureInterval = runsPerFailure;
+        dependencies.put(index, dependency);
+        upstreams.get(index).upstream().setDependency(runsPerFailure, dependency);
     }
 
-    private HeartbeatSender newUpstream(int place) {
+    private HeartbeatSender newUpstream(int index) {
         StandInUpstream upstream = new StandInUpstream(
                 new StandInUpstream.Terms(
-                        "i-" + place + "-"
+                        "i-" + index + "-"
                                 + Long.toHexString(ThreadLocalRandom.current().nextLong()),
-                        plan.services().get(place),
-                        ClientCall.address(plan.app(place)),
+                        plan.services().get(index),
+                        ClientCall.address(plan.app(index)),
                         shape.berths(),
                         shape.workMs()),
                 trafficLog);
-        upstream.depends(failsEach, dependencies.get(place));
+        upstream.setDependency(failureInterval, dependencies.get(index));
         return new HeartbeatSender(
-                upstream, ClientCall.address(plan.control(place)), MeshPlan.ZONE, MeshPlan.HEARTBEAT_MS, trafficLog);
+                upstream, ClientCall.address(plan.control(index)), MeshPlan.ZONE, MeshPlan.HEARTBEAT_MS, trafficLog);
     }
 
-    /** Empties the disk of a machine of the core that does not run. */
-    public void wipe(int place) {
+    /** Deletes the data of a control node that does not run. */
+    public void wipe(int index) {
         try {
-            empty(data(place));
-            Files.createDirectories(data(place));
+            empty(data(index));
+            Files.createDirectories(data(index));
         } catch (IOException e) {
             throw new MeshException(MeshException.Code.FILE, e.getMessage(), e);
         }
     }
 
-    /** A further machine for the core, at an address of its own, that does not run yet; returns its place. */
-    public int another() {
-        int place = controlNodes.size();
+    /** Adds a control node without starting it; returns its index. */
+    public int addControlNode() {
+        int index = controlNodes.size();
         try {
-            Files.createDirectories(data(place));
-            write("core-" + place, plan.controlSettings(place, data(place).toString(), false), controlNodes);
+            Files.createDirectories(data(index));
+            write("core-" + index, plan.controlSettings(index, data(index).toString(), false), controlNodes);
         } catch (IOException e) {
             throw new MeshException(MeshException.Code.FILE, e.getMessage(), e);
         }
-        operator.knows(ClientCall.address(plan.coreControl(place)));
-        return place;
+        operator.addControlNode(ClientCall.address(plan.coreControl(index)));
+        return index;
     }
 
-    /** How many machines the core has had so far. */
+    /** Returns the number of control nodes that were created so far. */
     public int controlNodes() {
         return controlNodes.size();
     }
 
-    /** Starts a machine of the core again, for the so-many-th time; its disk is as it was left. */
-    public void restart(int place, int start) {
+    /** Starts a control node with its existing data; {@code start} is the number of earlier starts. */
+    public void restart(int index, int start) {
         if (start > 0) {
             try {
                 Files.writeString(
-                        folder.resolve("core-" + place + ".toml"),
-                        plan.controlSettings(place, data(place).toString(), false));
+                        folder.resolve("core-" + index + ".toml"),
+                        plan.controlSettings(index, data(index).toString(), false));
             } catch (IOException e) {
                 throw new MeshException(MeshException.Code.FILE, e.getMessage(), e);
             }
         }
-        controlNodes.get(place).start(commands.command("control", place, start));
+        controlNodes.get(index).start(commands.command("control", index, start));
     }
 
-    /** Returns when a balancer says that it is ready. */
-    public void ready(int place) throws InterruptedException {
-        double end = TrafficLog.now() + START_MS;
-        while (!isReady(place)) {
-            if (!sidecars.get(place).runs()) {
+    /** Waits until a sidecar reports that it is ready. */
+    public void ready(int index) throws InterruptedException {
+        double deadline = TrafficLog.now() + START_TIMEOUT_MS;
+        while (!isReady(index)) {
+            if (!sidecars.get(index).runs()) {
                 throw new MeshException(
                         MeshException.Code.DAEMON,
-                        "sidecar " + place + " has ended:\n"
-                                + sidecars.get(place).output(),
+                        "sidecar " + index + " has ended:\n"
+                                + sidecars.get(index).output(),
                         null);
             }
-            if (TrafficLog.now() > end) {
+            if (TrafficLog.now() > deadline) {
                 throw new MeshException(
                         MeshException.Code.TIMEOUT,
-                        "sidecar " + place + " is not ready:\n"
-                                + sidecars.get(place).output(),
+                        "sidecar " + index + " is not ready:\n"
+                                + sidecars.get(index).output(),
                         null);
             }
-            TimeUnit.MILLISECONDS.sleep(AGAIN_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    /** Whether a balancer says that it is ready. */
-    public boolean isReady(int place) {
+    /** Returns whether a sidecar reports that it is ready. */
+    public boolean isReady(int index) {
         try {
             Message answer = ClientCall.once(
-                    ClientCall.address(plan.ready(place)),
-                    HEALTH_CHECK_MS,
+                    ClientCall.address(plan.ready(index)),
+                    HEALTH_CHECK_TIMEOUT_MS,
                     "GET",
                     "/sablehinge/ready",
                     Map.of("Host", "ready"),
@@ -321,35 +324,37 @@
         }
     }
 
-    /** Starts the clients of all machines; each machine's send a request every so often. */
+    /** Starts the clients of all machines; {@code everyMs} is the mean interval of the requests of a machine. */
     public void load(long everyMs) {
         List<MeshVersion.Route> routes = version(1, 0, BASALT).routes();
         for (int i = 0; i < sidecars.size(); i++) {
-            LoadClients one = new LoadClients(
+            LoadClients client = new LoadClients(
                     "machine-" + i,
                     ClientCall.address(plan.outbound(i)),
                     plan.services().get(i),
                     routes,
                     everyMs,
                     trafficLog);
-            one.start();
-            clients.add(one);
+            client.start();
+            clients.add(client);
         }
     }
 
-    /** The upstream of a machine leaves in order; once it and its clients are gone, its balancer ends. */
-    public boolean leave(int place, long withinMs) throws InterruptedException {
-        upstreams.get(place).leave(MeshPlan.UNLOAD_MS);
-        clients.get(place).close();
-        return sidecars.get(place).end(withinMs);
+    /**
+     * Shuts down an upstream gracefully, then its clients and its sidecar; returns whether the sidecar exits in time.
+     */
+    public boolean leave(int index, long withinMs) throws InterruptedException {
+        upstreams.get(index).leave(MeshPlan.UNLOAD_MS);
+        clients.get(index).close();
+        return sidecars.get(index).end(withinMs);
     }
 
-    /** Returns when all clients have stopped and what they sent has come out. */
+    /** Stops all clients and waits for the responses to their requests. */
     public void quiet() {
         clients.forEach(LoadClients::close);
     }
 
-    /** The logs of all daemons go to another folder, for whoever wants to know why. */
+    /** Copies the logs and settings of all daemons to a folder. */
     public void keepLogs(Path to) {
         try (Stream<Path> files = Files.list(folder)) {
             Files.createDirectories(to);
@@ -358,7 +363,7 @@
                 Files.copy(file, to.resolve(file.getFileName()), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             }
         } catch (IOException e) {
-            throw new MeshException(MeshException.Code.FILE, "logs can't be kept: " + e.getMessage(), e);
+            throw new MeshException(MeshException.Code.FILE, "cannot copy the logs: " + e.getMessage(), e);
         }
     }
 
@@ -371,7 +376,7 @@
         try {
             empty(folder);
         } catch (IOException e) {
-            // A folder for what is not kept may stay.
+            // A leftover temporary folder is harmless.
         }
     }
 
--- a/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/StandInUpstream.java
@@ -18,28 +18,28 @@
 import java.util.regex.Pattern;
 
 /**
- * An upstream by PROTOCOL: it works on so many requests at once, rejects what is not meant for it, stamps its answers,
- * sends heartbeats to the balancer beside it, and records what it runs.
+ * A stand-in upstream as specified in PROTOCOL. It runs a limited number of requests concurrently, rejects requests for
+ * other upstreams, stamps its responses, and records its runs. {@link HeartbeatSender} sends its heartbeats.
  */
 public final class StandInUpstream implements AutoCloseable {
 
-    private static final int QUEUED = 8;
-    private static final int CONNECTIONS = 110;
-    private static final int IDLE_MS = 30_000;
-    private static final int PADDING = 900;
+    private static final int MAX_QUEUED_REQUESTS = 8;
+    private static final int MAX_CONNECTIONS = 110;
+    private static final int IDLE_TIMEOUT_MS = 30_000;
+    private static final int MAX_PADDING_BYTES = 900;
 
     private final Terms terms;
     private final TrafficLog trafficLog;
     private final ServerSocket listener;
-    private final Semaphore slots;
-    private final Semaphore places;
+    private final Semaphore runPermits;
+    private final Semaphore admissionPermits;
     private final AtomicLong stamps = new AtomicLong();
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private volatile boolean unloading;
-    private volatile int slowness = 1;
-    /** Of so many runs one fails, and one has its connection closed in place of an answer; 0 for none. */
-    private volatile int failsEach;
-    /** What it calls while it works; null for nothing. */
+    private volatile int slowdown = 1;
+    /** The number of runs of which one fails and one is aborted by closing its connection; 0 for none. */
+    private volatile int failureInterval;
+    /** The call that each run makes; null for none. */
     private volatile DependentCall dependency;
 
     private volatile boolean closed;
@@ -47,30 +47,30 @@
     /** A call to another service that a run depends on. */
     interface DependentCall {
 
-        /** Makes the call; whether it was served. */
+        /** Makes the call; returns whether it succeeded. */
         boolean isServed() throws InterruptedException;
     }
 
     /**
-     * What an upstream is like.
+     * The properties of an upstream.
      *
-     * @param id of its incarnation
-     * @param depot its service
-     * @param berths how many requests it works on at once
-     * @param workMs the longest that one takes
+     * @param id the id of the incarnation
+     * @param depot the service
+     * @param berths the number of requests that the upstream runs concurrently
+     * @param workMs the maximum duration of a run in ms
      */
     public record Terms(String id, String depot, InetSocketAddress address, int berths, int workMs) {}
 
-    /** An upstream that serves once this returns. */
+    /** Creates an upstream and starts to serve. */
     public StandInUpstream(Terms terms, TrafficLog trafficLog) {
         this.terms = terms;
         this.trafficLog = trafficLog;
-        slots = new Semaphore(terms.berths(), true);
-        places = new Semaphore(terms.berths() + QUEUED);
+        runPermits = new Semaphore(terms.berths(), true);
+        admissionPermits = new Semaphore(terms.berths() + MAX_QUEUED_REQUESTS);
         try {
             listener = new ServerSocket();
             listener.setReuseAddress(true);
-            listener.bind(terms.address(), CONNECTIONS);
+            listener.bind(terms.address(), MAX_CONNECTIONS);
         } catch (IOException e) {
             throw new MeshException(
                     MeshException.Code.ADDRESS, "cannot listen on " + terms.address() + ": " + e.getMessage(), e);
@@ -84,30 +84,30 @@
         thread.start();
     }
 
-    /** What it is like. */
+    /** Returns the properties of the upstream. */
     public Terms terms() {
         return terms;
     }
 
-    /** Where it listens, also if the port was left to the system. */
+    /** Returns the address at which the upstream listens, with the actual port. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** From now on its answers end their connections. */
+    /** Starts to unload: each response closes its connection from now on. */
     public void unloads() {
         unloading = true;
     }
 
-    /** From now on its work takes so many times as long. */
-    void slows(int times) {
-        slowness = times;
+    /** Slows all runs by a factor. */
+    void setSlowdown(int factor) {
+        slowdown = factor;
     }
 
-    /** From now on, of so many runs, one fails and one is broken off; the others depend on a call. */
-    void depends(int failing, DependentCall on) {
-        failsEach = failing;
-        dependency = on;
+    /** Makes one of each {@code runsPerFailure} runs fail, aborts one, and makes the others depend on a call. */
+    void setDependency(int runsPerFailure, DependentCall call) {
+        failureInterval = runsPerFailure;
+        dependency = call;
     }
 
     boolean isUnloading() {
@@ -118,11 +118,11 @@
         while (!closed) {
             try {
                 Socket socket = listener.accept();
-                if (open.size() >= CONNECTIONS) {
+                if (openSockets.size() >= MAX_CONNECTIONS) {
                     socket.setSoLinger(true, 0);
                     socket.close();
                 } else {
-                    open.add(socket);
+                    openSockets.add(socket);
                     daemon("serves " + terms.id(), () -> serve(socket));
                 }
             } catch (IOException e) {
@@ -134,52 +134,52 @@
     private void serve(Socket socket) {
         try (socket) {
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(IDLE_MS);
+            socket.setSoTimeout(IDLE_TIMEOUT_MS);
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            boolean more = true;
-            while (more) {
+            boolean keepOpen = true;
+            while (keepOpen) {
                 Message request = Message.read(in);
-                more = request != null && answer(socket, request) && !request.closes();
+                keepOpen = request != null && answer(socket, request) && !request.closes();
             }
         } catch (IOException e) {
-            // The caller has gone.
+            // The client has disconnected.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
-    /** Returns whether the connection stays. */
+    /** Answers a request; returns whether the connection stays open. */
     private boolean answer(Socket socket, Message request) throws IOException, InterruptedException {
         String id = request.header("Sablehinge-Try-Id");
-        String meant = request.header("Sablehinge-Deliver-To");
+        String deliverTo = request.header("Sablehinge-Deliver-To");
         boolean health = request.word(0).equals("GET") && request.word(1).equals("/health");
         if (id == null && !health) {
-            return turnAway(socket, 400, "Bad Request", id);
+            return reject(socket, 400, "Bad Request", id);
         }
-        if (meant != null && !meant.equals(terms.id())) {
-            return turnAway(socket, 421, "Misdirected Request", id);
+        if (deliverTo != null && !deliverTo.equals(terms.id())) {
+            return reject(socket, 421, "Misdirected Request", id);
         }
-        if (!places.tryAcquire()) {
-            return turnAway(socket, 503, "Service Unavailable", id);
+        if (!admissionPermits.tryAcquire()) {
+            return reject(socket, 503, "Service Unavailable", id);
         }
         try {
-            slots.acquire();
+            runPermits.acquire();
             try {
                 return health ? health(socket) : run(socket, request, id);
             } finally {
-                slots.release();
+                runPermits.release();
             }
         } finally {
-            places.release();
+            admissionPermits.release();
         }
     }
 
-    private boolean turnAway(Socket socket, int status, String words, String id) throws IOException {
+    private boolean reject(Socket socket, int status, String reason, String id) throws IOException {
         return write(
                 socket,
-                "HTTP/1.1 " + status + " " + words + "\r\nSablehinge-Not-Run: 1\r\n"
+                "HTTP/1.1 " + status + " " + reason + "\r\nSablehinge-Not-Run: 1\r\n"
                         + (id == null ? "" : "Sablehinge-Try-Id: " + id + "\r\n"),
                 new byte[0],
                 false);
@@ -211,12 +211,13 @@
                 Message.sum(body),
                 TrafficLog.now()));
         long workMs = parameter(request, "work", ThreadLocalRandom.current().nextInt(1 + terms.workMs()));
-        TimeUnit.MILLISECONDS.sleep(slowness * workMs);
-        DependentCall needed = dependency;
-        boolean served = (failsEach == 0 || number % failsEach != 0) && (needed == null || needed.isServed());
+        TimeUnit.MILLISECONDS.sleep(slowdown * workMs);
+        DependentCall required = dependency;
+        boolean served =
+                (failureInterval == 0 || number % failureInterval != 0) && (required == null || required.isServed());
         trafficLog.finished(new TrafficLog.Finished(stamp, TrafficLog.now()));
-        if (failsEach > 0 && number % failsEach == 1) {
-            trafficLog.brokeOff(stamp);
+        if (failureInterval > 0 && number % failureInterval == 1) {
+            trafficLog.aborted(stamp);
             return false;
         }
         return write(
@@ -230,36 +231,36 @@
     private byte[] body(Message request, String id, long number) {
         String text = "ran " + id + " at " + terms.id() + ", " + request.body().length + " bytes of sum "
                 + Long.toHexString(Message.sum(request.body())) + "\n";
-        int padding = (int) parameter(request, "bytes", number % PADDING);
+        int padding = (int) parameter(request, "bytes", number % MAX_PADDING_BYTES);
         return (text + ".".repeat(padding)).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A number that a request's query names, else the given one. */
-    private static long parameter(Message request, String name, long otherwise) {
+    /** Returns a number from the query of a request, or a default. */
+    private static long parameter(Message request, String name, long fallback) {
         Matcher named = Pattern.compile("[?&]" + name + "=(\\d{1,9})").matcher(request.word(1));
-        return named.find() ? Long.parseLong(named.group(1)) : otherwise;
+        return named.find() ? Long.parseLong(named.group(1)) : fallback;
     }
 
     private boolean write(Socket socket, String head, byte[] body, boolean chunked) throws IOException {
-        boolean leaves = unloading;
+        boolean closing = unloading;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        ClientCall.text(out, head + (leaves ? "Connection: close\r\n" : ""));
+        ClientCall.text(out, head + (closing ? "Connection: close\r\n" : ""));
         ClientCall.body(out, body, chunked, true);
         socket.getOutputStream().write(out.toByteArray());
-        return !leaves;
+        return !closing;
     }
 
-    /** Ends at once. */
+    /** Closes the listener and all connections immediately. */
     @Override
     public void close() {
         closed = true;
         try {
             listener.close();
-            for (Socket socket : open) {
+            for (Socket socket : openSockets) {
                 socket.close();
             }
         } catch (IOException e) {
-            // It is gone all the same.
+            // The sockets are released nevertheless.
         }
     }
 }
--- a/src/main/java/sablehinge/tools/standin/mesh/TrafficCounts.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/TrafficCounts.java
@@ -10,55 +10,57 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What became of tries, by what may be repeated of them, and where they ran. */
+/** Counts the outcomes of attempts by kind of request, and the runs by upstream. */
 public final class TrafficCounts {
 
-    /** The part of the tries that a small mesh serves at least, if it is well. */
+    /** The minimum share of the attempts that a healthy small mesh serves. */
     public static final double ENOUGH = 0.9;
 
     private final Map<TrafficLog.Kind, List<Double>> served = new EnumMap<>(TrafficLog.Kind.class);
     private final Map<TrafficLog.Kind, int[]> counts = new EnumMap<>(TrafficLog.Kind.class);
-    private final Map<String, Integer> ran = new TreeMap<>();
-    private int tries;
-    private int good;
+    private final Map<String, Integer> runsByUpstream = new TreeMap<>();
+    private int attempts;
+    private int servedAttempts;
 
     private TrafficCounts() {}
 
-    /** The sums of a traffic log. */
+    /** Returns the counts of a traffic log. */
     public static TrafficCounts of(TrafficLog trafficLog) {
         TrafficCounts counts = new TrafficCounts();
         Map<String, TrafficLog.Sent> sent = new HashMap<>();
-        trafficLog.sent().forEach(one -> sent.put(one.id(), one));
-        trafficLog.answered().forEach(one -> {
-            TrafficLog.Sent of = sent.get(one.of());
-            if (of != null) {
-                counts.count(of, one);
+        trafficLog.sent().forEach(request -> sent.put(request.id(), request));
+        trafficLog.answered().forEach(answer -> {
+            TrafficLog.Sent request = sent.get(answer.requestId());
+            if (request != null) {
+                counts.count(request, answer);
             }
         });
-        trafficLog.runs().forEach(run -> counts.ran.merge(run.service() + " " + run.upstream(), 1, Integer::sum));
+        trafficLog
+                .runs()
+                .forEach(run -> counts.runsByUpstream.merge(run.service() + " " + run.upstream(), 1, Integer::sum));
         return counts;
     }
 
-    private void count(TrafficLog.Sent of, TrafficLog.Answered one) {
-        int[] row = counts.computeIfAbsent(of.kind(), kind -> new int[3]);
-        tries++;
-        row[0]++;
-        if (one.status() / 100 == 2) {
-            good++;
-            served.computeIfAbsent(of.kind(), kind -> new ArrayList<>()).add(one.at() - of.at());
-        } else if (one.status() == 503 || one.status() == 429) {
-            row[1]++;
+    private void count(TrafficLog.Sent request, TrafficLog.Answered answer) {
+        int[] counters = counts.computeIfAbsent(request.kind(), kind -> new int[3]);
+        attempts++;
+        counters[0]++;
+        if (answer.status() / 100 == 2) {
+            servedAttempts++;
+            served.computeIfAbsent(request.kind(), kind -> new ArrayList<>()).add(answer.at() - request.at());
+        } else if (answer.status() == 503 || answer.status() == 429) {
+            counters[1]++;
         } else {
-            row[2]++;
+            counters[2]++;
         }
     }
 
-    /** The part of the tries that were served. */
+    /** Returns the share of the attempts that were served. */
     public double share() {
-        return tries == 0 ? 0 : (double) good / tries;
+        return attempts == 0 ? 0 : (double) servedAttempts / attempts;
     }
 
-    /** Prints a line a kind and a line an upstream. */
+    /** Prints a line for each kind of request and for each upstream. */
     public void print(PrintStream out) {
         out.printf(
                 Locale.ROOT,
@@ -70,26 +72,26 @@
                 "failed",
                 "median ms",
                 "99% ms");
-        counts.forEach((kind, row) -> {
-            double[] times = served.getOrDefault(kind, List.of()).stream()
+        counts.forEach((kind, counters) -> {
+            double[] timesMs = served.getOrDefault(kind, List.of()).stream()
                     .mapToDouble(t -> t)
                     .toArray();
-            Arrays.sort(times);
+            Arrays.sort(timesMs);
             out.printf(
                     Locale.ROOT,
                     "%-8s %7d %7d %8d %7d %10.1f %10.1f%n",
                     kind.name().toLowerCase(Locale.ROOT),
-                    row[0],
-                    times.length,
-                    row[1],
-                    row[2],
-                    at(times, 0.5),
-                    at(times, 0.99));
+                    counters[0],
+                    timesMs.length,
+                    counters[1],
+                    counters[2],
+                    quantile(timesMs, 0.5),
+                    quantile(timesMs, 0.99));
         });
-        ran.forEach((upstream, number) -> out.printf(Locale.ROOT, "ran at %-32s %7d%n", upstream, number));
+        runsByUpstream.forEach((upstream, number) -> out.printf(Locale.ROOT, "ran at %-32s %7d%n", upstream, number));
     }
 
-    private static double at(double[] times, double part) {
-        return times.length == 0 ? Double.NaN : times[(int) (part * (times.length - 1))];
+    private static double quantile(double[] timesMs, double quantile) {
+        return timesMs.length == 0 ? Double.NaN : timesMs[(int) (quantile * (timesMs.length - 1))];
     }
 }
--- a/src/main/java/sablehinge/tools/standin/mesh/TrafficLog.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/TrafficLog.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** What callers and upstreams of a small mesh have seen; times are in ms of one steady clock. */
+/** Records the traffic seen by the clients and upstreams of a small mesh. Times are in ms of one monotonic clock. */
 public final class TrafficLog {
 
-    /** What may be repeated of a request. */
+    /** The kinds of requests, by whether and how they may be retried. */
     public enum Kind {
         SAFE("GET"),
         UNSAFE("POST"),
@@ -21,32 +21,33 @@
             this.method = method;
         }
 
-        /** The method of its requests. */
+        /** Returns the HTTP method of the requests of this kind. */
         String method() {
             return method;
         }
     }
 
     /**
-     * A try that a caller sent.
+     * An attempt that a client sent.
      *
-     * @param depot the service on whose machine it began
-     * @param prefix of the route that it is for
-     * @param sum of its body
+     * @param depot the service on whose machine the client runs
+     * @param prefix the path prefix of the route
+     * @param sum the checksum of the body
      */
     public record Sent(
             String id, String depot, Kind kind, String method, String uri, String prefix, long sum, double at) {}
 
     /**
-     * What came back for a try.
+     * The response to an attempt.
      *
-     * @param status 0 where the connection ended without an answer
-     * @param id that the answer names, or null
-     * @param stamp in it, or null
+     * @param requestId the id of the attempt
+     * @param status the status code; 0 if the connection ended without a response
+     * @param id the attempt id in the response, or null
+     * @param stamp the stamp of the run in the response, or null
      */
-    public record Answered(String of, int status, String id, String stamp, long sum, double at) {}
+    public record Answered(String requestId, int status, String id, String stamp, long sum, double at) {}
 
-    /** A request that an upstream began to work on; {@code answer} is the sum of what it answers. */
+    /** A request that an upstream started to run; {@code answer} is the checksum of the response body. */
     public record Run(
             String id,
             String service,
@@ -60,53 +61,53 @@
             long answer,
             double at) {}
 
-    /** That an upstream's work on a request was done, whether or not its answer could be written. */
+    /** The completion of a run in an upstream, whether or not the response could be written. */
     public record Finished(String stamp, double at) {}
 
-    /** That a machine acknowledged an upstream's call, {@code gone} when it is the last one. */
+    /** A sidecar's acknowledgement of an upstream's shutdown; {@code gone} marks the final sign-off. */
     public record Left(String upstream, boolean gone, double at) {}
 
     private final ConcurrentHashMap<String, Sent> sent = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<Answered> answered = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Run> runs = new ConcurrentLinkedQueue<>();
     private final ConcurrentHashMap<String, Finished> finished = new ConcurrentHashMap<>();
-    private final Set<String> brokenOff = ConcurrentHashMap.newKeySet();
+    private final Set<String> abortedRuns = ConcurrentHashMap.newKeySet();
     private final ConcurrentLinkedQueue<Left> left = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<String> strays = new ConcurrentLinkedQueue<>();
 
-    /** The time, in ms. */
+    /** Returns the time of a monotonic clock, in ms. */
     public static double now() {
         return System.nanoTime() / 1e6;
     }
 
-    /** A caller sends a try. */
-    public void sent(Sent one) {
-        sent.put(one.id(), one);
+    /** Records an attempt that a client sends. */
+    public void sent(Sent request) {
+        sent.put(request.id(), request);
     }
 
-    /** A caller has an answer, or the end of its connection. */
-    public void answered(Answered one) {
-        answered.add(one);
+    /** Records a response, or the end of a connection without a response. */
+    public void answered(Answered answer) {
+        answered.add(answer);
     }
 
-    /** An upstream begins to work. */
-    public void ran(Run one) {
-        runs.add(one);
+    /** Records that an upstream starts to run a request. */
+    public void ran(Run run) {
+        runs.add(run);
     }
 
-    /** An upstream has done its work. */
-    public void finished(Finished one) {
-        finished.put(one.stamp(), one);
+    /** Records that an upstream has completed a run. */
+    public void finished(Finished run) {
+        finished.put(run.stamp(), run);
     }
 
-    /** An upstream's leaving was acknowledged. */
-    public void left(Left one) {
-        left.add(one);
+    /** Records that the shutdown of an upstream was acknowledged. */
+    public void left(Left acknowledgement) {
+        left.add(acknowledgement);
     }
 
-    /** Bytes came that belong to nothing; the words say what. */
-    public void stray(String words) {
-        strays.add(words);
+    /** Records received bytes that belong to no request. */
+    public void stray(String description) {
+        strays.add(description);
     }
 
     List<Sent> sent() {
@@ -121,20 +122,20 @@
         return new ArrayList<>(runs);
     }
 
-    /** When the work with that stamp was done, ms; NaN where it was not. */
+    /** Returns when the run with a stamp was completed, in ms; NaN if it was not. */
     double finishedAt(String stamp) {
-        Finished one = finished.get(stamp);
-        return one == null ? Double.NaN : one.at();
+        Finished run = finished.get(stamp);
+        return run == null ? Double.NaN : run.at();
     }
 
-    /** An upstream closes the connection under a run, with that stamp, in place of an answer. */
-    void brokeOff(String stamp) {
-        brokenOff.add(stamp);
+    /** Records that an upstream closes the connection of a run instead of sending a response. */
+    void aborted(String stamp) {
+        abortedRuns.add(stamp);
     }
 
-    /** Whether the run with that stamp ended without an answer by its upstream's will. */
-    boolean hasBrokenOff(String stamp) {
-        return brokenOff.contains(stamp);
+    /** Returns whether the upstream deliberately ended the run with a stamp without a response. */
+    boolean isAborted(String stamp) {
+        return abortedRuns.contains(stamp);
     }
 
     List<Left> left() {
--- a/src/main/java/sablehinge/tools/standin/mesh/package-info.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A small mesh on loopback: stand-in upstreams, callers and an operator by PROTOCOL, the daemons as child processes,
- * and a judge of what was seen. It uses nothing of the daemons but their command.
+ * A small mesh on loopback: stand-in upstreams, clients and an operator as specified in PROTOCOL, the daemons as child
+ * processes, and a check of the recorded traffic. It depends on the daemons only through their command.
  */
 package sablehinge.tools.standin.mesh;
--- a/src/test/java/sablehinge/tools/standin/mesh/PulseTest.java
+++ b/src/test/java/sablehinge/tools/standin/mesh/PulseTest.java
@@ -5,7 +5,7 @@
 import java.util.function.IntPredicate;
 import org.junit.jupiter.api.Test;
 
-/** From when on a mesh serves well again, by what became of 20 requests a second. */
+/** Tests from when on a mesh counts as recovered, with 20 requests per second. */
 class PulseTest {
 
     private static double well(int count, IntPredicate served, double whileMs) {
@@ -19,20 +19,20 @@
     }
 
     @Test
-    void oneOfTwentyMayBeMissed() {
+    void toleratesOneFailureInTwentyRequests() {
         assertEquals(0, well(60, i -> i != 7, 2_000));
         // Seconds that begin up to request 7 miss two.
         assertEquals(400, well(80, i -> i != 7 && i != 8, 2_000));
     }
 
     @Test
-    void aSecondThatIsMissedLaterBeginsItAnew() {
+    void laterFailedSecondRestartsRecovery() {
         assertEquals(500, well(100, i -> i >= 10 && i != 11, 2_000));
         assertEquals(2_050, well(120, i -> i < 40 || i > 41, 2_000));
     }
 
     @Test
-    void whatHasNotHeldForLongEnoughIsNotWell() {
+    void notRecoveredBeforeRequiredDuration() {
         assertEquals(Double.NaN, well(59, i -> true, 2_000));
         assertEquals(0, well(60, i -> true, 2_000));
         assertEquals(Double.NaN, well(100, i -> i < 60, 2_000));
--- a/src/test/java/sablehinge/tools/standin/mesh/SoakJudgeTest.java
+++ b/src/test/java/sablehinge/tools/standin/mesh/SoakJudgeTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import sablehinge.tools.standin.mesh.SoakTry.End;
 
-/** What the soak's judge finds, and what it lets pass. Each test is a fault that a balancer could have, or none. */
+/** Tests which faults of a balancer the soak judge reports, and which outcomes it excuses. */
 class SoakJudgeTest {
 
     private static final int MACHINE = 0;
@@ -32,7 +32,7 @@
                         .toList();
     }
 
-    /** An upstream works on a try for a while. */
+    /** Records the run of an attempt in an upstream. */
     private void ran(String id, double at, double until) {
         trafficLog.ran(
                 new TrafficLog.Run(id, "basalt", "i-1-x", "GET", "/", 0, "basalt", "tenant-1", "stamp-" + id, 0, at));
@@ -57,42 +57,42 @@
 
     /** The incident of issue 49. */
     @Test
-    void whenARequestIsTakenLongAfterTheSignalAndGivenUpThenItIsFound() {
+    void reportsRequestAdmittedLateAndAbandoned() {
         ran("a", STOP + 4_700, STOP + 5_600);
         assertEquals(List.of("LATE", "LOST"), found(one("a", STOP + 4_000, STOP + 5_413, End.ANSWERED, 504)));
     }
 
     @Test
-    void whenAConnectionIsCutUnderARequestThenItIsFound() {
+    void reportsConnectionCutDuringRequest() {
         ran("a", STOP + 1_000, STOP + 1_200);
         assertEquals(List.of("LOST"), found(one("a", STOP + 990, STOP + 1_100, End.CUT, 0)));
     }
 
     @Test
-    void whenARequestThatWasReadIsDroppedThenItIsFound() {
+    void reportsDroppedRequestThatWasRead() {
         assertEquals(List.of("LOST"), found(one("a", STOP + 990, STOP + 1_300, End.CUT, 0)));
     }
 
     @Test
-    void whenAConnectionIsClosedOnWhatWasPassedOnThenItIsFound() {
+    void reportsConnectionClosedAfterForwarding() {
         ran("a", 9_000, 9_100);
         assertEquals(List.of("LOST"), found(one("a", 8_990, 9_050, End.UNREAD, 0)));
     }
 
     @Test
-    void whenAProcessTakesLongerThanItsGraceThenItIsFound() {
+    void reportsProcessThatExceedsGracePeriod() {
         lives.current(MACHINE).endedAt = STOP + 6_100;
         assertEquals(List.of("END"), found());
     }
 
     @Test
-    void whenAProcessEndsByItselfThenItIsFound() {
+    void reportsUnexpectedExit() {
         lives.current(BESIDE).endedAt = STOP;
         assertEquals(List.of("EXIT"), found());
     }
 
     @Test
-    void whenTheUpstreamsOwnBalancerEndsThenThatIsNoExcuse() {
+    void shutdownOfUpstreamSidecarExcusesNoLoss() {
         lives.current(BESIDE).stoppedAt = STOP - 3_000;
         lives.current(BESIDE).endedAt = STOP + 2_900;
         ran("a", STOP, STOP + 2_400);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void whenAKillCameBeforeTheRequestThenThatIsNoExcuse() {
+    void killBeforeRequestExcusesNoLoss() {
         lives.startsAt(BESIDE, STOP + 100);
         lives.of(BESIDE).get(0).killedAt = STOP;
         ran("a", STOP + 1_000, STOP + 1_200);
@@ -108,21 +108,21 @@
     }
 
     @Test
-    void whenTheUpstreamsMachineIsKilledThenTheConnectionOfItsCallerStays() {
+    void killOfUpstreamMachineExcusesNoCutClientConnection() {
         ran("a", 9_000, 9_900);
         lives.current(BESIDE).killedAt = 9_500;
         assertEquals(List.of("LOST"), found(one("a", 8_990, 9_501, End.CUT, 0)));
     }
 
     @Test
-    void whenARequestIsDroppedFarFromAnySignalThenItIsFound() {
+    void reportsDroppedRequestsWithoutAnySignal() {
         assertEquals(
                 List.of("LOST", "LOST"),
                 found(one("a", 9_000, 9_300, End.CUT, 0), one("b", 9_000, 12_700, End.SILENT, 0)));
     }
 
     @Test
-    void whenTheRulesLetItPassThenItIsCounted() {
+    void countsExcusedEndings() {
         ran("slow", STOP + 2_000, STOP + 5_500);
         ran("killed", STOP + 200, STOP + 900);
         lives.current(BESIDE).killedAt = STOP + 800;
@@ -144,13 +144,13 @@
     }
 
     @Test
-    void whenTheRulesLetItPassThenNothingIsFound() {
-        // Its upstream was at work in the last sixth of the grace, and it was sent in time.
+    void reportsNothingForAllowedEndings() {
+        // The upstream worked in the last sixth of the grace period, and the request was sent in time.
         ran("slow", STOP + 2_000, STOP + 5_500);
-        // It waited at a process that had not begun to read.
+        // The request waited at a process that had not started to read.
         lives.startsAt(MACHINE, STOP + 30_000).stoppedAt = STOP + 31_000;
         lives.current(MACHINE).endedAt = STOP + 33_000;
-        // Its upstream's machine was killed.
+        // The machine of the upstream was killed.
         ran("killed", STOP + 200, STOP + 900);
         lives.current(BESIDE).killedAt = STOP + 800;
         assertEquals(
--- a/src/test/java/sablehinge/tools/standin/mesh/SoakTest.java
+++ b/src/test/java/sablehinge/tools/standin/mesh/SoakTest.java
@@ -19,7 +19,7 @@
     private static final int SECONDS = 12;
     private static final int PROCESSES = 8;
 
-    /** The daemons of the classes under test. */
+    /** Returns the command of a daemon with the classes under test. */
     private static List<String> command(String role, int place, int start) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -41,7 +41,7 @@
         SoakRun.Result result =
                 SoakRun.play(SoakSchedule.draw(SEED, SECONDS, PROCESSES), SoakTest::command, Path.of("target/soak"));
         assertNull(result.failure());
-        // Where processes had no time to run, times mean nothing; what doesn't depend on them is judged all the same.
+        // If the processes lacked CPU time, only the rules that do not depend on time are checked.
         List<SoakFinding> judged = result.findings().stream()
                 .filter(one -> !result.isBusy()
                         || !one.rule().equals("END") && !one.rule().equals("LATE"))
@@ -50,7 +50,7 @@
         assertTrue(result.served() > 0);
     }
 
-    /** Without it a soak that finds nothing would say nothing; the other faults are played by hand. */
+    /** Shows that the soak detects a fault; the other faults are run manually. */
     @Test
     void whenRequestsAreTakenUntilTheProcessEndsThenItIsFound() throws Exception {
         String classPath = System.getProperty("java.class.path");
--- a/src/test/java/sablehinge/tools/standin/mesh/StandInUpstreamTest.java
+++ b/src/test/java/sablehinge/tools/standin/mesh/StandInUpstreamTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a stand-in upstream answers, and what the judge makes of it. */
+/** Tests the responses of a stand-in upstream, and the violations that the judge reports. */
 class StandInUpstreamTest {
 
     private static final int TIMEOUT_MS = 5_000;
@@ -37,24 +37,24 @@
     }
 
     @BeforeEach
-    void begins() {
+    void start() {
         upstream = new StandInUpstream(
                 new StandInUpstream.Terms("i-1", "basalt", new InetSocketAddress("127.0.0.1", 0), 2, 1), trafficLog);
     }
 
     @AfterEach
-    void ends() {
+    void stop() {
         upstream.close();
     }
 
-    private Message ask(String method, String uri, Map<String, String> more, byte[] body) throws IOException {
+    private Message exchange(String method, String uri, Map<String, String> more, byte[] body) throws IOException {
         Map<String, String> headers = new LinkedHashMap<>(Map.of("Host", "h"));
         headers.putAll(more);
         return ClientCall.once(upstream.address(), TIMEOUT_MS, method, uri, headers, body);
     }
 
-    private TrafficLog.Sent sends(String id, TrafficLog.Kind kind, String uri, byte[] body) {
-        TrafficLog.Sent one = new TrafficLog.Sent(
+    private TrafficLog.Sent recordSent(String id, TrafficLog.Kind kind, String uri, byte[] body) {
+        TrafficLog.Sent request = new TrafficLog.Sent(
                 id,
                 "marl",
                 kind,
@@ -63,17 +63,17 @@
                 uri.substring(0, uri.indexOf('/', 1) + 1),
                 Message.sum(body),
                 TrafficLog.now());
-        trafficLog.sent(one);
-        return one;
+        trafficLog.sent(request);
+        return request;
     }
 
-    private Message runs(TrafficLog.Sent one, byte[] body) throws IOException {
-        return ask(
-                one.method(),
-                one.uri(),
+    private Message send(TrafficLog.Sent request, byte[] body) throws IOException {
+        return exchange(
+                request.method(),
+                request.uri(),
                 Map.of(
                         "Sablehinge-Try-Id",
-                        one.id(),
+                        request.id(),
                         "Sablehinge-Caller",
                         "marl",
                         "Sablehinge-Sender",
@@ -83,7 +83,7 @@
                 body);
     }
 
-    private void comes(TrafficLog.Sent to, int status, Message answer) {
+    private void recordAnswer(TrafficLog.Sent to, int status, Message answer) {
         trafficLog.answered(new TrafficLog.Answered(
                 to.id(),
                 status,
@@ -93,7 +93,7 @@
                 TrafficLog.now()));
     }
 
-    private List<String> judged(MeshVersion readBack, Operator.Order... orders) {
+    private List<String> violatedRules(MeshVersion readBack, Operator.Order... orders) {
         MeshJudge judge = new MeshJudge(trafficLog, List.of(orders), UNLOAD_MS, EDITION_MS);
         return judge.breaches(readBack.body()).stream()
                 .map(line -> line.substring(0, line.indexOf(':')))
@@ -105,43 +105,43 @@
     }
 
     @Test
-    void whatRunsIsStampedAndWrittenDown() throws IOException {
+    void stampsAndRecordsRuns() throws IOException {
         byte[] body = {1, 2, 3};
-        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.UNSAFE, "/write/1", body);
-        Message answer = runs(one, body);
+        TrafficLog.Sent request = recordSent("t1", TrafficLog.Kind.UNSAFE, "/write/1", body);
+        Message answer = send(request, body);
         assertEquals(200, answer.status());
         assertEquals("t1", answer.header("Sablehinge-Try-Id"));
         assertNotNull(answer.header("Sablehinge-Postmark"));
-        comes(one, 200, answer);
+        recordAnswer(request, 200, answer);
         assertEquals(1, trafficLog.runs().size());
-        assertEquals(List.of(), judged(FIRST, first()));
+        assertEquals(List.of(), violatedRules(FIRST, first()));
     }
 
     @Test
-    void whatIsNotMeantForItIsNotRun() throws IOException {
-        Message other =
-                ask("GET", "/read/1", Map.of("Sablehinge-Try-Id", "t1", "Sablehinge-Deliver-To", "i-2"), new byte[0]);
+    void rejectsRequestsForOtherUpstreams() throws IOException {
+        Message other = exchange(
+                "GET", "/read/1", Map.of("Sablehinge-Try-Id", "t1", "Sablehinge-Deliver-To", "i-2"), new byte[0]);
         assertEquals(421, other.status());
         assertEquals("t1", other.header("Sablehinge-Try-Id"));
         assertNotNull(other.header("Sablehinge-Not-Run"));
-        assertEquals(400, ask("GET", "/read/1", Map.of(), new byte[0]).status());
+        assertEquals(400, exchange("GET", "/read/1", Map.of(), new byte[0]).status());
         assertEquals(List.of(), trafficLog.runs());
     }
 
     @Test
-    void itsHealthFollowsItsState() throws IOException {
-        Message well = ask("GET", "/health", Map.of(), new byte[0]);
+    void healthResponseFollowsState() throws IOException {
+        Message well = exchange("GET", "/health", Map.of(), new byte[0]);
         assertEquals(200, well.status());
         assertEquals("i-1", well.header("Sablehinge-Answered-By"));
         assertNull(well.header("Connection"));
         upstream.unloads();
-        Message leaving = ask("GET", "/health", Map.of(), new byte[0]);
+        Message leaving = exchange("GET", "/health", Map.of(), new byte[0]);
         assertEquals(503, leaving.status());
         assertTrue(leaving.closes());
     }
 
     @Test
-    void answersOfARowComeInItsOrder() throws IOException {
+    void answersPipelinedRequestsInOrder() throws IOException {
         try (ClientCall call = new ClientCall(upstream.address(), TIMEOUT_MS)) {
             for (int i = 0; i < 7; i++) {
                 call.send("GET", "/read/" + i, Map.of("Host", "h", "Sablehinge-Try-Id", "t" + i), new byte[0], false);
@@ -156,51 +156,51 @@
     }
 
     @Test
-    void aPromiseThatIsBrokenIsFound() throws IOException {
-        TrafficLog.Sent twice = sends("t1", TrafficLog.Kind.UNSAFE, "/write/1", new byte[] {1});
-        runs(twice, new byte[] {1});
-        comes(twice, 503, runs(twice, new byte[] {1}));
-        assertEquals(List.of("REFUSED", "TWICE"), judged(FIRST, first()));
+    void reportsRequestThatRanTwiceDespiteRefusal() throws IOException {
+        TrafficLog.Sent twice = recordSent("t1", TrafficLog.Kind.UNSAFE, "/write/1", new byte[] {1});
+        send(twice, new byte[] {1});
+        recordAnswer(twice, 503, send(twice, new byte[] {1}));
+        assertEquals(List.of("REFUSED", "TWICE"), violatedRules(FIRST, first()));
     }
 
     @Test
-    void anAnswerOfAnotherIsFound() throws IOException {
-        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
-        TrafficLog.Sent other = sends("t2", TrafficLog.Kind.SAFE, "/read/2", new byte[0]);
-        comes(one, 200, runs(other, new byte[0]));
-        assertEquals(List.of("MIXED"), judged(FIRST, first()));
+    void reportsAnswerOfOtherRequest() throws IOException {
+        TrafficLog.Sent request = recordSent("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
+        TrafficLog.Sent other = recordSent("t2", TrafficLog.Kind.SAFE, "/read/2", new byte[0]);
+        recordAnswer(request, 200, send(other, new byte[0]));
+        assertEquals(List.of("MIXED"), violatedRules(FIRST, first()));
     }
 
     @Test
-    void whatNobodySentOrMayRunHereIsFound() throws IOException {
-        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.UNSAFE, "/write/1", new byte[] {1});
-        runs(one, new byte[] {2});
-        assertEquals(List.of("UNASKED"), judged(FIRST, first()));
-        TrafficLog.Sent second = sends("t2", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
-        runs(second, new byte[0]);
-        assertEquals(List.of("UNASKED", "ROUTE"), judged(SECOND, new Operator.Order(SECOND, 0, 0)));
+    void reportsAlteredRequestAndWrongRoute() throws IOException {
+        TrafficLog.Sent request = recordSent("t1", TrafficLog.Kind.UNSAFE, "/write/1", new byte[] {1});
+        send(request, new byte[] {2});
+        assertEquals(List.of("UNASKED"), violatedRules(FIRST, first()));
+        TrafficLog.Sent second = recordSent("t2", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
+        send(second, new byte[0]);
+        assertEquals(List.of("UNASKED", "ROUTE"), violatedRules(SECOND, new Operator.Order(SECOND, 0, 0)));
     }
 
     @Test
-    void anOlderConfigurationIsFoundOnceItsTimeIsOver() throws IOException {
-        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
-        runs(one, new byte[0]);
-        double acked = one.at() - EDITION_MS / 2;
-        assertEquals(List.of(), judged(SECOND, first(), new Operator.Order(SECOND, acked, acked)));
+    void reportsOutdatedConfigurationAfterBound() throws IOException {
+        TrafficLog.Sent request = recordSent("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
+        send(request, new byte[0]);
+        double acked = request.at() - EDITION_MS / 2;
+        assertEquals(List.of(), violatedRules(SECOND, first(), new Operator.Order(SECOND, acked, acked)));
         assertEquals(
                 List.of("CONFIG"),
-                judged(SECOND, first(), new Operator.Order(SECOND, acked - EDITION_MS, acked - EDITION_MS)));
-        assertEquals(List.of("CONFIG"), judged(FIRST, first(), new Operator.Order(SECOND, acked, acked)));
+                violatedRules(SECOND, first(), new Operator.Order(SECOND, acked - EDITION_MS, acked - EDITION_MS)));
+        assertEquals(List.of("CONFIG"), violatedRules(FIRST, first(), new Operator.Order(SECOND, acked, acked)));
     }
 
     @Test
-    void whatComesAfterAnUpstreamsTimeIsFound() throws IOException {
-        TrafficLog.Sent one = sends("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
-        runs(one, new byte[0]);
+    void reportsRunAfterUpstreamShutdown() throws IOException {
+        TrafficLog.Sent request = recordSent("t1", TrafficLog.Kind.SAFE, "/read/1", new byte[0]);
+        send(request, new byte[0]);
         double ranAt = trafficLog.runs().get(0).at();
         trafficLog.left(new TrafficLog.Left("i-1", false, ranAt - UNLOAD_MS / 2));
-        assertEquals(List.of(), judged(FIRST, first()));
+        assertEquals(List.of(), violatedRules(FIRST, first()));
         trafficLog.left(new TrafficLog.Left("i-1", false, ranAt - 2 * UNLOAD_MS));
-        assertEquals(List.of("DRAIN"), judged(FIRST, first()));
+        assertEquals(List.of("DRAIN"), violatedRules(FIRST, first()));
     }
 }
