--- a/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
+++ b/src/main/java/sablehinge/tools/standin/mesh/SmallMesh.java
@@ -121,6 +121,7 @@
         return trafficLog;
     }
 
+    /** Returns the operator. */
     public Operator operator() {
         return operator;
     }
