--- a/src/main/java/sablehinge/tools/standin/Fleet.java
+++ b/src/main/java/sablehinge/tools/standin/Fleet.java
@@ -209,7 +209,8 @@
     /** Returns whether a record belongs to a warm-up request, which may still run when recording starts. */
     static boolean isFromWarmUp(Evidence evidence) {
         return evidence instanceof Evidence.ServerAttempt ran && ran.txn().startsWith(WARM_UP_ID)
-                || evidence instanceof Evidence.BalancerNote noted && noted.txn().startsWith(WARM_UP_ID);
+                || evidence instanceof Evidence.BalancerNote noted
+                        && noted.txn().startsWith(WARM_UP_ID);
     }
 
     /** Sends requests until the code is compiled; without it the first requests are late by tenths of a second. */
